--- a/src/core/ws-batch.c
+++ b/src/core/ws-batch.c
@@ -24,12 +24,13 @@
 
 struct _WsBatch {
   WsCore *core;
-  GPtrArray *works;           /* of Work */
-  WsAmount *use;              /* of each team, as the transaction leaves it */
-  gboolean *touched;          /* by record of teams' use */
-  GHashTable *room;           /* machine index -> WsAmount taken by this batch */
-  GHashTable *joined;         /* index of each machine that gets a task */
-  GHashTable *rental_batches; /* the rental batches that name them */
+  GPtrArray *works;          /* of Work */
+  WsAmount *use;             /* of each team, as the transaction leaves it */
+  gboolean *touched;         /* by record of teams' use */
+  GHashTable *room;          /* machine index -> WsAmount taken by this batch */
+  GHashTable *joined;        /* index of each machine that gets a task */
+  GPtrArray *rental_batches; /* of interned names: the rental batches that name them, each once, in
+                                the order in which their machines got tasks */
   gboolean is_of_one_job;
   guint most_ops;
   guint ops;
@@ -56,7 +57,7 @@
   batch->touched = g_new0(gboolean, ws_team_use_groups(core->settings));
   batch->room = g_hash_table_new_full(NULL, NULL, NULL, g_free);
   batch->joined = g_hash_table_new(NULL, NULL);
-  batch->rental_batches = g_hash_table_new(NULL, NULL);
+  batch->rental_batches = g_ptr_array_new();
   batch->most_ops = core->settings->state_txn_ops;
   batch->conditions = 1; /* the epoch */
   return batch;
@@ -95,7 +96,7 @@
   g_free(batch->touched);
   g_hash_table_unref(batch->room);
   g_hash_table_unref(batch->joined);
-  g_hash_table_unref(batch->rental_batches);
+  g_ptr_array_unref(batch->rental_batches);
   g_free(batch);
 }
 
@@ -175,7 +176,7 @@
   }
   if (joins != NULL && !g_hash_table_contains(batch->joined, GUINT_TO_POINTER(joins->index)))
     conditions++;
-  if (joins != NULL && !g_hash_table_contains(batch->rental_batches, joins->rental_batch))
+  if (joins != NULL && !g_ptr_array_find(batch->rental_batches, joins->rental_batch, NULL))
     conditions++;
   if (ends)
     ops += 1 - (gint)count_works(batch, job);
@@ -391,6 +392,13 @@
   return last_attempt(batch, job) + (on == 0 ? 1 : 0);
 }
 
+static void
+add_rental_batch(WsBatch *batch, const WsMachine *machine)
+{
+  if (!g_ptr_array_find(batch->rental_batches, machine->rental_batch, NULL))
+    g_ptr_array_add(batch->rental_batches, (gpointer)machine->rental_batch);
+}
+
 WsBatchResult
 ws_batch_assign(WsBatch *batch, const WsProposal *proposal)
 {
@@ -408,9 +416,7 @@
   ws_chunk_add(chunk, &assignment);
   ws_amount_add(taken(batch, proposal->machine), &job->spec->need, 1);
   g_hash_table_add(batch->joined, GUINT_TO_POINTER(proposal->machine));
-  g_hash_table_add(
-      batch->rental_batches,
-      (gpointer)ws_replica_machine(batch->core->replica, proposal->machine)->rental_batch);
+  add_rental_batch(batch, ws_replica_machine(batch->core->replica, proposal->machine));
   use_team(batch, job, 1);
   ws_reservations_use(batch->core, job, proposal->machine);
   return WS_BATCH_TAKEN;
@@ -484,7 +490,7 @@
   WsCore *core = batch->core;
   WsTxn *txn = ws_txn_new();
   GHashTableIter iter;
-  gpointer machine, rental_batch;
+  gpointer machine;
   ws_txn_if(txn, core->replica, WS_KEY_EPOCH);
   g_hash_table_iter_init(&iter, batch->joined);
   while (g_hash_table_iter_next(&iter, &machine, NULL)) {
@@ -494,9 +500,9 @@
   }
   /* Carried out late, after the machine was marked and returned, its mark is absent once more: but
      its rental batch has changed, and never becomes again what it was. */
-  g_hash_table_iter_init(&iter, batch->rental_batches);
-  while (g_hash_table_iter_next(&iter, &rental_batch, NULL)) {
-    g_autofree char *key = ws_key(WS_KEYS_RENTAL_BATCH, rental_batch);
+  for (guint i = 0; i < batch->rental_batches->len; i++) {
+    g_autofree char *key
+        = ws_key(WS_KEYS_RENTAL_BATCH, g_ptr_array_index(batch->rental_batches, i));
     ws_txn_if(txn, core->replica, key);
   }
   for (guint i = 0; i < batch->works->len; i++) {
--- a/tests/sim/rig.c
+++ b/tests/sim/rig.c
@@ -1,5 +1,7 @@
 #include "sim/rig.h"
 
+#include "sim/trace.h"
+
 #include "protocol/ws-json.h"
 #include "ws-site.h"
 
@@ -124,6 +126,8 @@
   WsOutput *output;
   while ((output = ws_core_pop(rig->core)) != NULL) {
     rig->outputs++;
+    sim_trace_output(rig->now_ms, "rig", output->is_answer ? "-" : output->method,
+                     output->is_answer ? "-" : output->url, output);
     if (output->is_answer) {
       rig->status = output->status;
       json_decref(rig->answer);
--- a/tests/sim/sim-network.c
+++ b/tests/sim/sim-network.c
@@ -1,5 +1,6 @@
 /* The network: calls on their way, which are lost, delayed, repeated or held back. */
 #include "sim/sim-private.h"
+#include "sim/trace.h"
 
 #include <string.h>
 
@@ -343,11 +344,21 @@
   return text != NULL ? ws_json_parse(text, strlen(text)) : NULL;
 }
 
+static void
+trace(const Sim *sim, guint node, const WsOutput *output)
+{
+  const Call *request = output->request;
+  sim_trace_output(sim->now_ms, ws_settings_node(sim->settings[node], node)->name,
+                   output->is_answer ? request->method : output->method,
+                   output->is_answer ? request->path : output->url, output);
+}
+
 void
 sim_pump(Sim *sim, guint node)
 {
   WsOutput *output;
   while ((output = ws_core_pop(sim->nodes[node].core)) != NULL) {
+    trace(sim, node, output);
     if (output->is_answer) {
       sim_reply_to(output->request, output->status, parse(output->body));
     } else {
--- a/tests/test-combined-faults.c
+++ b/tests/test-combined-faults.c
@@ -3,6 +3,8 @@
  */
 #include "sim/troubles.h"
 
+#include <glib/gstdio.h>
+
 static const SimJob LONG
     = { .tasks = 5, .team = "red", .priority = "standard", .spot = TRUE, .run_s = 300.0 };
 static const SimJob BLUE_LONG
@@ -505,6 +507,44 @@
   sim_free(sim);
 }
 
+/* Two plays with the same seeds put out the same, to the byte, in two processes whose addresses
+   differ: so that a change that means to leave the behaviour alone can be held to it. */
+
+static void
+play_traced_days(void)
+{
+  for (guint32 seed = 1000; seed < 1003; seed++)
+    drawn_day(seed);
+}
+
+/* What a process of its own traces of these days. */
+static char *
+traced_days(const char *directory, const char *name, gsize *length)
+{
+  char *text;
+  g_autofree char *path = g_build_filename(directory, name, NULL);
+  g_setenv("WS_TRACE", path, TRUE);
+  g_test_trap_subprocess("/combined-faults/trace/subprocess/days", 0, G_TEST_SUBPROCESS_DEFAULT);
+  g_unsetenv("WS_TRACE");
+  g_test_trap_assert_passed();
+  g_assert_true(g_file_get_contents(path, &text, length, NULL));
+  g_remove(path);
+  return text;
+}
+
+static void
+test_trace_repeats(void)
+{
+  gsize first_length, second_length;
+  g_autofree char *directory = g_dir_make_tmp("wrenshore-trace-XXXXXX", NULL);
+  g_assert_nonnull(directory);
+  g_autofree char *first = traced_days(directory, "first", &first_length);
+  g_autofree char *second = traced_days(directory, "second", &second_length);
+  g_rmdir(directory);
+  g_assert_cmpuint(first_length, >, 0);
+  g_assert_cmpmem(first, first_length, second, second_length);
+}
+
 int
 main(int argc, char **argv)
 {
@@ -526,5 +566,7 @@
   g_test_add_func("/combined-faults/objects-forgotten", test_objects_forgotten);
   g_test_add_func("/combined-faults/waits-beside-room", test_waits_beside_room);
   g_test_add_func("/combined-faults/drawn", test_drawn);
+  g_test_add_func("/combined-faults/trace/repeats", test_trace_repeats);
+  g_test_add_func("/combined-faults/trace/subprocess/days", play_traced_days);
   return g_test_run();
 }
