--- a/src/core/ws-users.c
+++ b/src/api/ws-users.c
@@ -1,7 +1,10 @@
 /* Submissions, polls and cancellations. Every one is answered at once or after one current read. */
-#include "core/ws-core-private.h"
+#include "api/ws-users.h"
 
+#include "store/ws-store.h"
+#include "scheduling/ws-scheduling.h"
 #include "protocol/ws-field-names.h"
+#include "storage/ws-constraints.h"
 
 #include <string.h>
 
--- a/src/core/ws-assign.c
+++ b/src/commit/ws-assign.c
@@ -3,10 +3,14 @@
    A task is assigned there before it is launched, and its team's use is counted in the same
    transaction; what is to be released is kept by ws-releases.c. The leader writes for everybody,
    one transaction at a time; the other nodes hand theirs in. */
-#include "core/ws-direct.h"
-#include "core/ws-refused-jobs.h"
-#include "core/ws-release-order.h"
-#include "core/ws-releases.h"
+#include "commit/ws-refused-jobs.h"
+#include "commit/ws-release-order.h"
+#include "commit/ws-releases.h"
+#include "commit/ws-commit.h"
+
+#include "store/ws-store.h"
+#include "membership/ws-membership.h"
+#include "workers/ws-workers.h"
 
 #define GATHER_MS 50
 #define CONFLICT_PAUSE_MS 60
--- a/src/core/ws-batch.c
+++ b/src/commit/ws-batch.c
@@ -2,11 +2,14 @@
 
    A team's use and its tasks' records change in one transaction, whose conditions are the epoch,
    the jobs, and the marks of the machines: one that is being given back gets nothing new. */
-#include "core/ws-batch.h"
+#include "commit/ws-batch.h"
+#include "commit/ws-commit.h"
 
+#include "store/ws-store.h"
+#include "scheduling/ws-scheduling.h"
 #include "storage/ws-team-use.h"
-#include "core/ws-gang.h"
-#include "core/ws-reservation.h"
+#include "storage/ws-gang-phase.h"
+#include "storage/ws-constraints.h"
 
 /* The state service takes 64 KiB; the rest is for the job's own records and for conditions. */
 #define MOST_BYTES 40000
--- a/src/core/ws-batch.h
+++ b/src/commit/ws-batch.h
@@ -1,7 +1,8 @@
 /* A transaction that assigns and releases tasks, while it's being put together. */
 #pragma once
 
-#include "core/ws-core-private.h"
+#include "storage/ws-evidence.h"
+#include "store/ws-store.h"
 
 typedef struct {
   guint job;
--- a/src/core/ws-estimator.c
+++ b/src/commit/ws-estimator.c
@@ -1,6 +1,6 @@
 /* How long tasks of a class run, against what their owners estimate: on some days most estimates
    are too high, on others too low. The leader, who writes the ends of all tasks, learns it. */
-#include "core/ws-core-private.h"
+#include "commit/ws-commit.h"
 
 #define ENOUGH_TASKS 20
 #define LEAST_FACTOR 0.5
--- a/src/core/ws-garbage.c
+++ b/src/commit/ws-garbage.c
@@ -3,7 +3,10 @@
    A job ends with one change, of its own record; its records of tasks stay behind and mean nothing
    any more. The leader removes them, a transaction at a time, when no assignment and no end of a
    task waits for the budget of changes, or when too many have gathered. */
-#include "core/ws-core-private.h"
+#include "commit/ws-commit.h"
+
+#include "store/ws-store.h"
+#include "membership/ws-membership.h"
 
 #include <string.h>
 
--- a/src/core/ws-refused-jobs.c
+++ b/src/commit/ws-refused-jobs.c
@@ -1,4 +1,6 @@
-#include "core/ws-refused-jobs.h"
+#include "commit/ws-refused-jobs.h"
+
+#include "context/ws-context.h"
 
 #define ONE_AT_A_TIME_MS 5000
 #define LEFT_OUT_MS 10000
--- a/src/core/ws-release-order.c
+++ b/src/commit/ws-release-order.c
@@ -1,7 +1,7 @@
-#include "core/ws-release-order.h"
+#include "commit/ws-release-order.h"
 
-#include "core/ws-gang.h"
 #include "storage/ws-team-use.h"
+#include "storage/ws-gang-phase.h"
 
 /* What a release weighs at least; the longer it has been known, the more. */
 #define LEAST_WEIGHT_MS 300
--- a/src/core/ws-release-order.h
+++ b/src/commit/ws-release-order.h
@@ -7,7 +7,7 @@
  */
 #pragma once
 
-#include "core/ws-batch.h"
+#include "commit/ws-batch.h"
 
 /** A release that is known but not written. */
 typedef struct {
--- a/src/core/ws-releases.c
+++ b/src/commit/ws-releases.c
@@ -1,6 +1,8 @@
-#include "core/ws-releases.h"
+#include "commit/ws-releases.h"
+#include "commit/ws-release-order.h"
+#include "commit/ws-commit.h"
 
-#include "core/ws-release-order.h"
+#include "membership/ws-membership.h"
 
 /* What was handed in and came to nothing for so long is handed in again. */
 #define FORWARD_AGAIN_MS 2000
--- a/src/core/ws-releases.h
+++ b/src/commit/ws-releases.h
@@ -8,7 +8,8 @@
  */
 #pragma once
 
-#include "core/ws-core-private.h"
+#include "storage/ws-evidence.h"
+#include "store/ws-store.h"
 
 WsReleases *ws_releases_new(void);
 void ws_releases_free(WsReleases *releases);
--- a/src/core/ws-unproven.c
+++ b/src/commit/ws-unproven.c
@@ -1,6 +1,8 @@
-#include "core/ws-unproven.h"
+#include "commit/ws-unproven.h"
+#include "commit/ws-releases.h"
 
-#include "core/ws-releases.h"
+#include "membership/ws-membership.h"
+#include "fleet/ws-fleet.h"
 
 #include <string.h>
 
--- a/src/core/ws-unproven.h
+++ b/src/commit/ws-unproven.h
@@ -9,7 +9,8 @@
  */
 #pragma once
 
-#include "core/ws-core-private.h"
+#include "context/ws-context.h"
+#include "storage/ws-evidence.h"
 
 WsUnproven *ws_unproven_new(void);
 void ws_unproven_free(WsUnproven *unproven);
--- a/src/core/ws-write-stats.c
+++ b/src/commit/ws-write-stats.c
@@ -1,6 +1,6 @@
-#include "core/ws-write-stats.h"
-
-#include "core/ws-releases.h"
+#include "commit/ws-write-stats.h"
+#include "commit/ws-releases.h"
+#include "commit/ws-commit.h"
 
 #define INTERVAL_MS 30000
 
--- a/src/core/ws-write-stats.h
+++ b/src/commit/ws-write-stats.h
@@ -7,7 +7,7 @@
  */
 #pragma once
 
-#include "core/ws-core-private.h"
+#include "context/ws-context.h"
 
 WsWriteStats *ws_write_stats_new(void);
 void ws_write_stats_free(WsWriteStats *stats);
--- /dev/null
+++ b/src/context/ws-context.h
@@ -0,0 +1,100 @@
+/**
+ * What every package of the core is handed: settings, the replica, the time of the input that is
+ * being worked on, calls to other processes and answers to requests.
+ *
+ * Each package keeps its state in a structure of its own, of which this header knows the name only.
+ * Whoever is called with the context may use the functions of its own package and of those below
+ * it; .ci/layers has the order.
+ */
+#pragma once
+
+#include "storage/ws-replica.h"
+#include "context/ws-output.h"
+#include "protocol/ws-properties.h"
+#include "transport/ws-rate.h"
+
+typedef void (*WsReply)(WsCore *core, guint status, const json_t *body, gpointer data);
+
+typedef struct _WsStore WsStore;
+typedef struct _WsMembers WsMembers;
+typedef struct _WsPeer WsPeer;
+typedef struct _WsAssign WsAssign;
+typedef struct _WsFleet WsFleet;
+typedef struct _WsRentals WsRentals;
+typedef struct _WsReturns WsReturns;
+typedef struct _WsCloudList WsCloudList;
+typedef struct _WsPlan WsPlan;
+typedef struct _WsPeerRequests WsPeerRequests;
+typedef struct _WsTermination WsTermination;
+typedef struct _WsCancels WsCancels;
+typedef struct _WsReservations WsReservations;
+typedef struct _WsWriteStats WsWriteStats;
+typedef struct _WsUnproven WsUnproven;
+typedef struct _WsReleases WsReleases;
+
+struct _WsCore {
+  const WsSettings *settings;
+  const WsProperties *properties;
+  WsReplica *replica;
+  guint64 incarnation;
+  gint64 now;
+  gint64 wall;
+  GQueue outputs;
+  GHashTable *calls;
+  guint64 next_call;
+  WsStore *store;
+  WsMembers *members;
+  WsAssign *assign;
+  WsFleet *fleet;
+  WsRentals *rentals;
+  WsReturns *returns;
+  WsCloudList *cloud_list;
+  WsPlan *plan;
+  WsPeerRequests *peer_requests;
+  WsTermination *termination;
+  WsCancels *cancels;
+  WsReservations *reservations;
+  WsWriteStats *write_stats;
+  WsUnproven *unproven;
+  WsReleases *releases;
+  gint64 vouched_ms;     /* when this node last knew all that was confirmed to users */
+  GHashTable *run_times; /* by class */
+  WsPeer *peers;
+  guint64 gossip_rev;         /* counts what changed about this node's machines */
+  gboolean seen_from_outside; /* cut off, yet heard by machines of other zones */
+  gint64 report_ms;           /* when a worker last reported to this node itself */
+  gboolean hears_no_worker;   /* none does, although there are some for it */
+  guint direct_calls;         /* launches on their way */
+  guint status_calls;
+  guint status_next; /* where the next round of status calls begins */
+  guint64 plan_steps;
+  guint64 plans;
+  gint64 *partition_ms;      /* by zone: when it last seemed to be cut off; 0: never */
+  gint64 *sure_partition_ms; /* by zone: when that was last sure */
+  gboolean plan_due;
+  gint64 epoch_ms; /* since when the present epoch is known */
+  guint64 epoch_seen;
+  gboolean is_stalled; /* stood still, and has not renewed and read since */
+  gint64 upkeep_ms;
+  gint64 garbage_ms;
+  gboolean wants_epoch; /* a doubt can only be ended by a higher token */
+};
+
+void ws_context_init_calls(WsCore *core);
+
+/** Frees what was not popped, and forgets the calls without a reply. */
+void ws_context_clear_calls(WsCore *core);
+
+/** Ends every call as if no response had come. Returns whether there was any. */
+gboolean ws_context_stop_calls(WsCore *core);
+
+/** Hands the response to whoever made the call; FALSE: there is no such call (any more). */
+gboolean ws_context_take_reply(WsCore *core, guint64 id, guint status, const char *body,
+                               gsize length);
+
+void ws_call(WsCore *core, const char *method, const char *address, const char *path,
+             json_t *body /* taken, may be NULL */, guint timeout_ms, WsReply reply, gpointer data);
+void ws_answer(WsCore *core, gpointer request, guint status, json_t *body /* taken */,
+               guint retry_after_s);
+void ws_answer_reason(WsCore *core, gpointer request, guint status, const char *reason);
+void ws_answer_later(WsCore *core, gpointer request, guint retry_after_s);
--- a/src/core/ws-core.c
+++ b/src/core/ws-core.c
@@ -1,24 +1,21 @@
-#include "core/ws-cloud-list.h"
-#include "core/ws-fleet.h"
-#include "core/ws-gang.h"
-#include "core/ws-rentals.h"
-#include "core/ws-releases.h"
-#include "core/ws-reservation.h"
-#include "core/ws-returns.h"
-#include "core/ws-unproven.h"
-#include "core/ws-write-stats.h"
+#include "core/ws-core.h"
+
+#include "store/ws-store.h"
+#include "membership/ws-membership.h"
+#include "commit/ws-commit.h"
+#include "fleet/ws-fleet.h"
+#include "workers/ws-workers.h"
+#include "scheduling/ws-scheduling.h"
+#include "api/ws-users.h"
+#include "commit/ws-releases.h"
+#include "commit/ws-unproven.h"
+#include "commit/ws-write-stats.h"
 
 #include <string.h>
 
 /* A pause between two ticks after which this node's lease may have ended. */
 #define STALL_MS 3000
 
-typedef struct {
-  guint64 id; /* the key under which it is kept */
-  WsReply reply;
-  gpointer data;
-} Call;
-
 WsCore *
 ws_core_new(const WsSettings *settings, const WsProperties *properties, guint64 incarnation)
 {
@@ -27,7 +24,7 @@
   core->properties = properties;
   core->incarnation = incarnation;
   core->replica = ws_replica_new(settings);
-  core->calls = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
+  ws_context_init_calls(core);
   core->store = ws_store_new(settings);
   core->members = ws_members_new();
   core->assign = ws_assign_new();
@@ -50,35 +47,19 @@
   return core;
 }
 
-static gboolean
-stop_calls(WsCore *core)
-{
-  g_autoptr(GList) calls = g_hash_table_get_values(core->calls);
-  g_hash_table_steal_all(core->calls);
-  for (GList *at = calls; at != NULL; at = at->next) {
-    Call *call = at->data;
-    call->reply(core, 0, NULL, call->data);
-    g_free(call);
-  }
-  return calls != NULL;
-}
-
 void
 ws_core_stop(WsCore *core)
 {
   /* An ended call may lead to another one, but none of them goes on for ever. */
   gboolean any = TRUE;
   for (guint round = 0; any && round < 20; round++)
-    any = stop_calls(core) | ws_store_stop(core);
+    any = ws_context_stop_calls(core) | ws_store_stop(core);
 }
 
 void
 ws_core_free(WsCore *core)
 {
-  WsOutput *output;
-  while ((output = ws_core_pop(core)) != NULL)
-    ws_output_free(output);
-  g_hash_table_unref(core->calls);
+  ws_context_clear_calls(core);
   ws_store_free(core->store);
   ws_members_free(core->members);
   ws_assign_free(core->assign);
@@ -120,82 +101,6 @@
   return g_queue_pop_head(&core->outputs);
 }
 
-void
-ws_output_free(WsOutput *output)
-{
-  g_free(output->url);
-  free(output->body); /* jansson's */
-  g_free(output);
-}
-
-void
-ws_call(WsCore *core, const char *method, const char *address, const char *path, json_t *body,
-        guint timeout_ms, WsReply reply, gpointer data)
-{
-  Call *call = g_new0(Call, 1);
-  *call = (Call){ ++core->next_call, reply, data };
-  g_hash_table_insert(core->calls, &call->id, call);
-  WsOutput *output = g_new0(WsOutput, 1);
-  output->call = call->id;
-  output->method = method;
-  output->url = g_strdup_printf("http://%s%s", address, path);
-  output->body = ws_json_text(body);
-  output->timeout_ms = timeout_ms;
-  json_decref(body);
-  g_queue_push_tail(&core->outputs, output);
-}
-
-void
-ws_answer(WsCore *core, gpointer request, guint status, json_t *body, guint retry_after_s)
-{
-  WsOutput *output = g_new0(WsOutput, 1);
-  output->is_answer = TRUE;
-  output->request = request;
-  output->status = status;
-  output->body = ws_json_text(body);
-  output->retry_after_s = retry_after_s;
-  json_decref(body);
-  g_queue_push_tail(&core->outputs, output);
-}
-
-void
-ws_answer_reason(WsCore *core, gpointer request, guint status, const char *reason)
-{
-  ws_answer(core, request, status, json_pack("{s:s}", "error", reason), 0);
-}
-
-void
-ws_answer_later(WsCore *core, gpointer request, guint retry_after_s)
-{
-  ws_answer(core, request, 503, json_pack("{s:s}", "error", "not now, please come back"),
-            retry_after_s);
-}
-
-gboolean
-ws_entitled(const WsCore *core)
-{
-  return ws_store_loaded(core) && !core->is_stalled
-         && ws_epoch_has(&core->replica->epoch, core->settings->self, core->incarnation);
-}
-
-gboolean
-ws_is_leader(const WsCore *core)
-{
-  return ws_entitled(core) && core->replica->epoch.leader == core->settings->self;
-}
-
-gboolean
-ws_knows_all_before_epoch(const WsCore *core)
-{
-  return core->replica->revision >= ws_replica_version(core->replica, WS_KEY_EPOCH);
-}
-
-gboolean
-ws_owns(const WsCore *core, const WsMachine *machine)
-{
-  return ws_entitled(core) && machine->owner == core->settings->self;
-}
-
 /* Everything that this node would find out by silence, its own lease's end included, looks as if it
    had happened when it stood still while its clocks ran on. */
 static void
@@ -338,12 +243,7 @@
               const char *body, gsize length)
 {
   set_time(core, now_ms, wall_ms);
-  gpointer value;
-  if (!g_hash_table_steal_extended(core->calls, &id, NULL, &value))
+  if (!ws_context_take_reply(core, id, status, body, length))
     return;
-  Call *call = value;
-  g_autoptr(json_t) message = status != 0 ? ws_json_parse(body, length) : NULL;
-  call->reply(core, status, message, call->data);
-  g_free(call);
   settle(core);
 }
--- a/src/core/ws-core.h
+++ b/src/core/ws-core.h
@@ -2,28 +2,12 @@
    names the time, and what is to be sent or answered is taken from ws_core_pop. */
 #pragma once
 
+#include "context/ws-output.h"
 #include "protocol/ws-properties.h"
 #include "protocol/ws-settings.h"
 
-typedef struct _WsCore WsCore;
-
 typedef enum { WS_DOOR_API, WS_DOOR_MESH } WsDoor;
 
-typedef struct {
-  gboolean is_answer;
-  /* an answer to a request */
-  gpointer request;
-  guint status;
-  guint retry_after_s;
-  /* a call */
-  guint64 call;
-  const char *method;
-  char *url;
-  guint timeout_ms;
-  /* both */
-  char *body;
-} WsOutput;
-
 /* incarnation: never the same for two runs of one node. */
 WsCore *ws_core_new(const WsSettings *settings, const WsProperties *properties,
                     guint64 incarnation);
@@ -40,4 +24,3 @@
 guint64 ws_core_plan_steps(const WsCore *core);
 guint64 ws_core_plans(const WsCore *core);
 WsOutput *ws_core_pop(WsCore *core);
-void ws_output_free(WsOutput *output);
--- a/src/core/ws-cloud-list.c
+++ b/src/fleet/ws-cloud-list.c
@@ -1,7 +1,7 @@
-#include "core/ws-cloud-list.h"
+#include "fleet/ws-fleet.h"
 
-#include "core/ws-fleet.h"
-#include "core/ws-returns.h"
+#include "store/ws-store.h"
+#include "membership/ws-membership.h"
 
 #include <string.h>
 
--- a/src/core/ws-consolidation.c
+++ b/src/fleet/ws-consolidation.c
@@ -2,7 +2,11 @@
    by the same path as an empty one. The move costs its people a moment, so it is done only where
    the image is there already, when nothing waits for room, and for few machines at a time, of which
    no two hold tasks of the same service. */
-#include "core/ws-core-private.h"
+#include "fleet/ws-fleet.h"
+
+#include "membership/ws-membership.h"
+#include "commit/ws-commit.h"
+#include "storage/ws-constraints.h"
 
 /* Machines looked at in one tick, beside those that are consolidated: each is held against all
  * others. */
--- a/src/core/ws-fleet.c
+++ b/src/fleet/ws-fleet.c
@@ -1,8 +1,7 @@
-#include "core/ws-fleet.h"
+#include "fleet/ws-fleet.h"
 
-#include "core/ws-cloud-list.h"
-#include "core/ws-rentals.h"
-#include "core/ws-returns.h"
+#include "store/ws-store.h"
+#include "membership/ws-membership.h"
 
 #define CATALOG_MS 60000
 #define RETRY_MS 1500
--- a/src/core/ws-rentals.c
+++ b/src/fleet/ws-rentals.c
@@ -1,7 +1,6 @@
-#include "core/ws-rentals.h"
+#include "fleet/ws-fleet.h"
 
-#include "core/ws-fleet.h"
-#include "core/ws-returns.h"
+#include "store/ws-store.h"
 
 #include <string.h>
 
--- a/src/core/ws-returns.c
+++ b/src/fleet/ws-returns.c
@@ -1,8 +1,8 @@
-#include "core/ws-returns.h"
+#include "fleet/ws-fleet.h"
 
-#include "core/ws-fleet.h"
-#include "core/ws-rentals.h"
-#include "core/ws-releases.h"
+#include "store/ws-store.h"
+#include "membership/ws-membership.h"
+#include "commit/ws-releases.h"
 
 #include <string.h>
 
--- a/src/core/ws-termination.c
+++ b/src/fleet/ws-termination.c
@@ -4,7 +4,11 @@
    writes the mark; from then on the machine is closed. The leader returns what is marked and empty
    (see ws-returns.c) and clears the mark once the cloud has confirmed. Marks outlive every
    controller, so whoever leads goes on with them. */
-#include "core/ws-returns.h"
+#include "fleet/ws-fleet.h"
+
+#include "store/ws-store.h"
+#include "membership/ws-membership.h"
+#include "scheduling/ws-scheduling.h"
 
 #include <string.h>
 
--- /dev/null
+++ b/src/membership/ws-authority.c
@@ -0,0 +1,27 @@
+/* Whether this node may act. */
+#include "membership/ws-membership.h"
+
+gboolean
+ws_entitled(const WsCore *core)
+{
+  return ws_store_loaded(core) && !core->is_stalled
+         && ws_epoch_has(&core->replica->epoch, core->settings->self, core->incarnation);
+}
+
+gboolean
+ws_is_leader(const WsCore *core)
+{
+  return ws_entitled(core) && core->replica->epoch.leader == core->settings->self;
+}
+
+gboolean
+ws_knows_all_before_epoch(const WsCore *core)
+{
+  return core->replica->revision >= ws_replica_version(core->replica, WS_KEY_EPOCH);
+}
+
+gboolean
+ws_owns(const WsCore *core, const WsMachine *machine)
+{
+  return ws_entitled(core) && machine->owner == core->settings->self;
+}
--- a/src/core/ws-failure-detector.c
+++ b/src/membership/ws-failure-detector.c
@@ -1,5 +1,8 @@
 /* Machines that say nothing: which are asked, which are waited for, and which are given up. */
-#include "core/ws-direct.h"
+#include "membership/ws-membership.h"
+
+#include "fleet/ws-fleet.h"
+#include "workers/ws-workers.h"
 
 #include <string.h>
 
--- a/src/core/ws-members.c
+++ b/src/membership/ws-members.c
@@ -1,6 +1,7 @@
 /* This node's lease, the election, and the epochs that the leader writes. */
-#include "core/ws-core-private.h"
+#include "membership/ws-membership.h"
 
+#include "store/ws-store.h"
 #include "protocol/ws-field-names.h"
 
 #define LEASE_MS 4000
--- a/src/core/ws-mesh.c
+++ b/src/membership/ws-mesh.c
@@ -1,5 +1,8 @@
 /* What the controllers tell each other: whom they hear, asks to assign, and reports passed on. */
-#include "core/ws-core-private.h"
+#include "membership/ws-membership.h"
+
+#include "store/ws-store.h"
+#include "workers/ws-workers.h"
 
 #include <string.h>
 
--- a/src/core/ws-peer-requests.c
+++ b/src/membership/ws-peer-requests.c
@@ -8,10 +8,15 @@
    An ask goes over the mesh or, where the other node can't be reached, through a key of this node
    in the state service. It may be lost: whoever asks notices that nothing came of it and asks
    again. It counts only in the epoch in which it was made. */
-#include "core/ws-direct.h"
-#include "core/ws-releases.h"
-#include "core/ws-reservation.h"
-#include "core/ws-unproven.h"
+#include "membership/ws-membership.h"
+
+#include "store/ws-store.h"
+#include "commit/ws-commit.h"
+#include "fleet/ws-fleet.h"
+#include "workers/ws-workers.h"
+#include "scheduling/ws-scheduling.h"
+#include "commit/ws-releases.h"
+#include "commit/ws-unproven.h"
 
 #include <string.h>
 
--- a/src/core/ws-demand.c
+++ b/src/scheduling/ws-demand.c
@@ -1,5 +1,10 @@
 /* How many machines of which kind the tasks without room call for. */
-#include "core/ws-rentals.h"
+#include "scheduling/ws-scheduling.h"
+
+#include "membership/ws-membership.h"
+#include "commit/ws-commit.h"
+#include "fleet/ws-fleet.h"
+#include "storage/ws-constraints.h"
 
 /* Without a deadline or an objective an array's tasks may follow each other for this long. */
 #define DEFAULT_SLACK_S 100.0
--- a/src/core/ws-gang-place.c
+++ b/src/scheduling/ws-gang-place.c
@@ -1,6 +1,5 @@
-#include "core/ws-gang-place.h"
-
-#include "core/ws-reservation.h"
+#include "scheduling/ws-gang-place.h"
+#include "scheduling/ws-scheduling.h"
 
 /* When a gang has to fetch its image anyway, so many machines fetch it at the same time: the start
    is no later, and the gangs to come find the image in more places. */
--- a/src/core/ws-gang-place.h
+++ b/src/scheduling/ws-gang-place.h
@@ -3,7 +3,7 @@
  */
 #pragma once
 
-#include "core/ws-place.h"
+#include "scheduling/ws-place.h"
 
 /**
  * Finds machines for @tasks tasks of the gang and takes the room on the map.
--- a/src/core/ws-place.c
+++ b/src/scheduling/ws-place.c
@@ -1,6 +1,11 @@
-#include "core/ws-place.h"
-
-#include "core/ws-rentals.h"
+#include "scheduling/ws-place.h"
+#include "scheduling/ws-scheduling.h"
+
+#include "membership/ws-membership.h"
+#include "commit/ws-commit.h"
+#include "fleet/ws-fleet.h"
+#include "workers/ws-workers.h"
+#include "storage/ws-constraints.h"
 
 /* What a machine is worth to a task. */
 #define IMAGE_THERE 100.0
--- a/src/core/ws-place.h
+++ b/src/scheduling/ws-place.h
@@ -2,7 +2,7 @@
    the same machines. */
 #pragma once
 
-#include "core/ws-core-private.h"
+#include "scheduling/ws-scheduling.h"
 
 typedef enum {
   WS_ROOM_NOW,    /* free */
--- a/src/core/ws-plan.c
+++ b/src/scheduling/ws-plan.c
@@ -3,9 +3,14 @@
    A node plans the jobs that it acts for: those whose home it is, on its own machines, and as
    leader those that no part could take, anywhere. What two nodes would place in the same room only
    one of them gets: the leader looks again when it writes. */
-#include "core/ws-gang.h"
-#include "core/ws-gang-place.h"
-#include "core/ws-reservation.h"
+#include "scheduling/ws-gang-place.h"
+#include "scheduling/ws-scheduling.h"
+
+#include "store/ws-store.h"
+#include "membership/ws-membership.h"
+#include "commit/ws-commit.h"
+#include "storage/ws-gang-phase.h"
+#include "storage/ws-constraints.h"
 
 #define PAUSE_MS 100
 /* The pause after a plan grows with what it cost, so that plans take a small part of the processor
@@ -45,31 +50,6 @@
   g_free(plan);
 }
 
-gboolean
-ws_type_allowed(const WsSubmission *spec, const WsType *type)
-{
-  return spec->types == NULL || g_strv_contains((const gchar *const *)spec->types, type->name);
-}
-
-gboolean
-ws_plan_allowed(const WsReplica *replica, const WsSubmission *spec, guint zone,
-                const WsMachine *machine)
-{
-  return machine->type != WS_NONE && machine->zone != WS_NONE
-         && ws_type_allowed(spec, ws_replica_type(replica, machine->type))
-         && (spec->zone == NULL || zone == machine->zone) && (spec->spot || !machine->spot);
-}
-
-gboolean
-ws_zone_allowed(const WsJob *job, const guint *counts, guint zones, guint zone)
-{
-  if (job->spec->one_zone)
-    for (guint z = 0; z < zones; z++)
-      if (z != zone && counts[z] > 0)
-        return FALSE;
-  return !job->spec->spread || counts[zone] + 1 <= (job->tasks + 1) / 2;
-}
-
 /* The node that carries out the placement of the job. */
 static guint
 acting_node(const WsReplica *replica, const WsJob *job)
--- a/src/core/ws-preempt.c
+++ b/src/scheduling/ws-preempt.c
@@ -1,5 +1,9 @@
 /* Which tasks may be stopped to make room, and which are cheapest to stop. */
-#include "core/ws-direct.h"
+#include "scheduling/ws-scheduling.h"
+
+#include "membership/ws-membership.h"
+#include "commit/ws-commit.h"
+#include "workers/ws-workers.h"
 
 /* How many times what is done in its place a victim may lose. */
 #define MOST_LOST 2.0
--- a/src/core/ws-queue.c
+++ b/src/scheduling/ws-queue.c
@@ -1,5 +1,8 @@
 /* In which order waiting work is placed. */
-#include "core/ws-core-private.h"
+#include "scheduling/ws-scheduling.h"
+
+#include "commit/ws-commit.h"
+#include "workers/ws-workers.h"
 
 /* A job is given up as late only if it would be late at this part of its estimated time. */
 #define HOPE 0.6
--- a/src/core/ws-reservation.c
+++ b/src/scheduling/ws-reservation.c
@@ -1,6 +1,8 @@
-#include "core/ws-reservation.h"
+#include "scheduling/ws-scheduling.h"
 
-#include "core/ws-gang.h"
+#include "membership/ws-membership.h"
+#include "workers/ws-workers.h"
+#include "storage/ws-gang-phase.h"
 
 /* Longer than a stop takes to be asked, carried out, reported and written, also when it has to be
    asked for twice. */
--- /dev/null
+++ b/src/storage/ws-constraints.c
@@ -0,0 +1,26 @@
+#include "storage/ws-constraints.h"
+
+gboolean
+ws_type_allowed(const WsSubmission *spec, const WsType *type)
+{
+  return spec->types == NULL || g_strv_contains((const gchar *const *)spec->types, type->name);
+}
+
+gboolean
+ws_plan_allowed(const WsReplica *replica, const WsSubmission *spec, guint zone,
+                const WsMachine *machine)
+{
+  return machine->type != WS_NONE && machine->zone != WS_NONE
+         && ws_type_allowed(spec, ws_replica_type(replica, machine->type))
+         && (spec->zone == NULL || zone == machine->zone) && (spec->spot || !machine->spot);
+}
+
+gboolean
+ws_zone_allowed(const WsJob *job, const guint *counts, guint zones, guint zone)
+{
+  if (job->spec->one_zone)
+    for (guint z = 0; z < zones; z++)
+      if (z != zone && counts[z] > 0)
+        return FALSE;
+  return !job->spec->spread || counts[zone] + 1 <= (job->tasks + 1) / 2;
+}
--- a/src/core/ws-evidence.c
+++ b/src/storage/ws-evidence.c
@@ -1,4 +1,4 @@
-#include "core/ws-evidence.h"
+#include "storage/ws-evidence.h"
 
 #include <string.h>
 
--- a/src/core/ws-gang.h
+++ b/src/storage/ws-gang-phase.h
@@ -1,15 +1,9 @@
 /**
- * Gangs: jobs whose tasks run at the same time or not at all.
- *
- * The tasks of one attempt carry the same attempt number. The attempt is over when one of its tasks
- * is known to be gone: the record of the end raises the number, the other tasks are halted, and the
- * next attempt starts once nothing of the old one is left. The unit of every decision is the
- * attempt; this module says in which phase it is, halts what must end, and stops a whole gang in an
- * orderly way when one of its machines is to be drained.
+ * The phase of a gang's present attempt, derived from the records and from what workers said.
  */
 #pragma once
 
-#include "core/ws-core-private.h"
+#include "storage/ws-replica.h"
 
 /** The phase of a gang's present attempt, as far as this node knows. */
 typedef enum {
@@ -34,14 +28,3 @@
 
 /** Whether the present attempt is over while some of its tasks are still on machines. */
 gboolean ws_gang_is_ending(const WsJob *job);
-
-/**
- * Begins an orderly stop: every task is halted with enough time to save, all at once.
- *
- * Returns FALSE and does nothing if a machine of the gang can't be reached, since the others would
- * lose their progress for nothing.
- */
-gboolean ws_gang_stop(WsCore *core, WsJob *job);
-
-/** Halts what must end, again until it has, and stops gangs on machines that are being drained. */
-void ws_gang_tick(WsCore *core);
--- a/src/core/ws-store.c
+++ b/src/store/ws-store.c
@@ -1,6 +1,7 @@
 /* The state service: paced calls, the replica's watch, and reads that are known to be current. */
-#include "core/ws-core-private.h"
+#include "store/ws-store.h"
 
+#include "membership/ws-membership.h"
 #include "protocol/ws-field-names.h"
 
 #define LONG_WAIT_MS 8000
--- a/src/core/ws-cancel.c
+++ b/src/workers/ws-cancel.c
@@ -3,7 +3,11 @@
    Whoever learns of one, by its own commit or through its replica, tells every peer until each has
    acknowledged it, and has the tasks halted wherever they may be, owner or not: a halt can do no
    harm. A machine that doesn't confirm in time is returned. */
-#include "core/ws-returns.h"
+#include "workers/ws-workers.h"
+
+#include "store/ws-store.h"
+#include "membership/ws-membership.h"
+#include "fleet/ws-fleet.h"
 
 #include <string.h>
 
--- a/src/core/ws-direct.c
+++ b/src/workers/ws-direct.c
@@ -1,6 +1,7 @@
-#include "core/ws-direct.h"
+#include "workers/ws-workers.h"
 
-#include "core/ws-gang.h"
+#include "membership/ws-membership.h"
+#include "storage/ws-gang-phase.h"
 
 #include <string.h>
 
--- a/src/core/ws-workers.c
+++ b/src/workers/ws-workers.c
@@ -3,11 +3,12 @@
    The commands for a machine follow from two things only: the records of what is assigned to it
    and its newest report. They are worked out by the machine's owner, who alone may release a task
    or let the worker forget one. */
-#include "core/ws-cloud-list.h"
-#include "core/ws-direct.h"
-#include "core/ws-gang.h"
-#include "core/ws-releases.h"
-#include "core/ws-returns.h"
+#include "workers/ws-workers.h"
+
+#include "membership/ws-membership.h"
+#include "fleet/ws-fleet.h"
+#include "commit/ws-releases.h"
+#include "storage/ws-gang-phase.h"
 
 #include <string.h>
 
--- a/tests/test-evidence.c
+++ b/tests/test-evidence.c
@@ -2,7 +2,7 @@
 
    A release is written only while what it rests on still holds: an incident broke ran_twice when a
    former owner's release was written after the next owner had launched the same attempt. */
-#include "core/ws-evidence.h"
+#include "storage/ws-evidence.h"
 #include "sim/rig.h"
 #include "sim/troubles.h"
 #include "ws-site.h"
--- a/tests/test-gangs.c
+++ b/tests/test-gangs.c
@@ -1,5 +1,6 @@
 /* Gangs: all tasks run together or none does, whatever happens to machines and controllers. */
-#include "core/ws-gang.h"
+#include "scheduling/ws-scheduling.h"
+#include "storage/ws-gang-phase.h"
 #include "sim/rig.h"
 #include "sim/troubles.h"
 
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -1,6 +1,6 @@
 /* Two versions of the program on the same records, and limits of the state service that fall. The
    fixtures were written by the encoders of the version in production, commit ee59907. */
-#include "core/ws-release-order.h"
+#include "commit/ws-release-order.h"
 #include "sim/rig.h"
 #include "sim/troubles.h"
 #include "storage/ws-team-use.h"
