--- a/src/api/ws-users.c
+++ b/src/api/ws-users.c
@@ -45,7 +45,7 @@
 static void
 end_later(WsCore *core, UserRequest *user_request)
 {
-  ws_answer_later(core, user_request->handle, ws_store_ok(core) ? 1 : 2);
+  ws_answer_later(core, user_request->handle, ws_store_is_available(core) ? 1 : 2);
   user_request_free(user_request);
 }
 
@@ -92,7 +92,7 @@
   if (job != NULL && job->state != WS_JOB_ACTIVE)
     decide(core, user_request);
   else
-    ws_store_read(core, on_current, user_request);
+    ws_store_linearizable_read(core, on_current, user_request);
 }
 
 static void
@@ -101,7 +101,7 @@
   if (++user_request->tries >= TRIES)
     end_later(core, user_request);
   else
-    ws_store_read(core, on_current, user_request);
+    ws_store_linearizable_read(core, on_current, user_request);
 }
 
 static void
@@ -110,7 +110,7 @@
   UserRequest *user_request = data;
   if (result == WS_TXN_CONFLICT) {
     try_again(core, user_request);
-  } else if (result == WS_TXN_OK) {
+  } else if (result == WS_TXN_COMMITTED) {
     g_info("job %s accepted: %u tasks of %s for team %s, estimated %.0f s, due in %.0f s",
            user_request->id, user_request->spec->tasks, user_request->spec->class_name,
            user_request->spec->team, user_request->spec->estimate_s,
@@ -196,9 +196,9 @@
   const char *name = home == WS_NONE ? "" : ws_settings_node(core->settings, home)->name;
   g_autofree char *key = ws_key_job(user_request->id);
   WsTxn *txn = ws_txn_new();
-  ws_txn_if_version(txn, key, 0);
-  ws_txn_set(txn, key, ws_job_encode(&job, WS_JOB_ACTIVE, name));
-  ws_txn_commit(core, txn, WS_FIRST_USER, on_submitted, user_request);
+  ws_txn_compare_version(txn, key, 0);
+  ws_txn_put(txn, key, ws_job_encode(&job, WS_JOB_ACTIVE, name));
+  ws_txn_commit(core, txn, WS_REQUEST_USER, on_submitted, user_request);
 }
 
 static void
@@ -216,7 +216,7 @@
   const char *reason = never_runs(core, user_request->spec);
   /* Another node, of an older version maybe, may have accepted it by its own rules. */
   if (reason != NULL && !user_request->has_read)
-    ws_store_read(core, on_current, user_request);
+    ws_store_linearizable_read(core, on_current, user_request);
   else if (reason != NULL)
     end_with_reason(core, user_request, 422, reason);
   else
@@ -231,7 +231,7 @@
     try_again(core, user_request);
     return;
   }
-  if (result != WS_TXN_OK) {
+  if (result != WS_TXN_COMMITTED) {
     end_later(core, user_request);
     return;
   }
@@ -252,13 +252,13 @@
   gboolean untouched
       = ws_job_chunk_count(job) == 1 && ws_replica_version(core->replica, chunk) == 0;
   WsTxn *txn = ws_txn_new();
-  ws_txn_if(txn, core->replica, key);
+  ws_txn_compare(txn, core->replica, key);
   if (untouched)
-    ws_txn_if_version(txn, chunk, 0);
-  ws_txn_set(txn, key,
+    ws_txn_compare_version(txn, chunk, 0);
+  ws_txn_put(txn, key,
              untouched ? ws_job_encode_final(job, WS_JOB_CANCELLED)
                        : ws_job_encode(&cancelled, WS_JOB_CANCELLED, ""));
-  ws_txn_commit(core, txn, WS_FIRST_USER, on_cancelled, user_request);
+  ws_txn_commit(core, txn, WS_REQUEST_USER, on_cancelled, user_request);
 }
 
 static void
@@ -280,7 +280,7 @@
 {
   const WsJob *job = ws_replica_find_job(core->replica, id);
   gboolean is_final = job != NULL && job->state != WS_JOB_ACTIVE;
-  if (!ws_store_loaded(core) || (!is_final && !ws_store_ok(core))) {
+  if (!ws_store_is_loaded(core) || (!is_final && !ws_store_is_available(core))) {
     ws_answer_later(core, request, 2);
     ws_submission_free(spec);
     return;
--- a/src/commit/ws-assign.c
+++ b/src/commit/ws-assign.c
@@ -187,7 +187,7 @@
   }
   if (result == WS_TXN_INVALID)
     ws_refused_jobs_note(assign->refused, core->now, assign->jobs);
-  if (result == WS_TXN_OK) {
+  if (result == WS_TXN_COMMITTED) {
     tell_ended(core);
   } else {
     /* Whoever was first is seen through the watch, and what is still wanted then is tried again.
@@ -258,7 +258,7 @@
   WsAssign *assign = core->assign;
   if (assign->busy || core->now < assign->next_ms || core->replica->catalog == NULL
       || !ws_knows_all_before_epoch(core) || !ws_assign_is_behind(core)
-      || !ws_store_may_write(core, WORTH_A_TXN))
+      || !ws_store_has_write_budget(core, WORTH_A_TXN))
     return;
   WsBatch *batch = ws_batch_new(core);
   g_array_set_size(assign->ending, 0);
@@ -279,7 +279,7 @@
   if (!ws_batch_is_empty(batch)) {
     assign->busy = TRUE;
     ws_batch_add_jobs(batch, assign->jobs);
-    ws_txn_commit(core, ws_batch_write(batch, assign->ending), WS_FIRST_TASK, on_written, NULL);
+    ws_txn_commit(core, ws_batch_write(batch, assign->ending), WS_REQUEST_TASK, on_written, NULL);
   }
   ws_batch_free(batch);
 }
--- a/src/commit/ws-batch.c
+++ b/src/commit/ws-batch.c
@@ -438,7 +438,7 @@
   if (!is_done && !(job->state == WS_JOB_CANCELLED && on == 0))
     return FALSE;
   g_autofree char *key = ws_key_job(job->id);
-  ws_txn_set(txn, key, ws_job_encode_final(job, is_done ? WS_JOB_DONE : WS_JOB_CANCELLED));
+  ws_txn_put(txn, key, ws_job_encode_final(job, is_done ? WS_JOB_DONE : WS_JOB_CANCELLED));
   g_array_append_val(ending, job->index);
   return TRUE;
 }
@@ -448,12 +448,12 @@
 condition_on_job(const WsBatch *batch, WsTxn *txn, const WsJob *job)
 {
   g_autofree char *key = ws_key_job(job->id);
-  ws_txn_if(txn, batch->core->replica, key);
+  ws_txn_compare(txn, batch->core->replica, key);
   for (guint c = 0; c < ws_job_chunk_count(job); c++) {
     if (!all_chunks_matter(job) && find_work(batch, job->index, c) == NULL)
       continue;
     g_autofree char *chunk = ws_key_chunk(job->id, c);
-    ws_txn_if(txn, batch->core->replica, chunk);
+    ws_txn_compare(txn, batch->core->replica, chunk);
   }
 }
 
@@ -468,7 +468,7 @@
     if (work->job != job->index)
       continue;
     g_autofree char *key = ws_key_chunk(job->id, work->index);
-    ws_txn_set(txn, key, ws_chunk_encode(work->chunk, batch->core->replica));
+    ws_txn_put(txn, key, ws_chunk_encode(work->chunk, batch->core->replica));
   }
 }
 
@@ -482,8 +482,8 @@
     if (!batch->touched[group])
       continue;
     g_autofree char *key = ws_team_use_key(group);
-    ws_txn_if(txn, batch->core->replica, key);
-    ws_txn_set(txn, key, ws_team_use_encode(settings, group, batch->use));
+    ws_txn_compare(txn, batch->core->replica, key);
+    ws_txn_put(txn, key, ws_team_use_encode(settings, group, batch->use));
   }
 }
 
@@ -494,19 +494,19 @@
   WsTxn *txn = ws_txn_new();
   GHashTableIter iter;
   gpointer machine;
-  ws_txn_if(txn, core->replica, WS_KEY_EPOCH);
+  ws_txn_compare(txn, core->replica, WS_KEY_EPOCH);
   g_hash_table_iter_init(&iter, batch->joined);
   while (g_hash_table_iter_next(&iter, &machine, NULL)) {
     g_autofree char *mark
         = ws_key(WS_KEYS_MARK, ws_replica_machine(core->replica, GPOINTER_TO_UINT(machine))->name);
-    ws_txn_if_version(txn, mark, 0);
+    ws_txn_compare_version(txn, mark, 0);
   }
   /* Carried out late, after the machine was marked and returned, its mark is absent once more: but
      its rental batch has changed, and never becomes again what it was. */
   for (guint i = 0; i < batch->rental_batches->len; i++) {
     g_autofree char *key
         = ws_key(WS_KEYS_RENTAL_BATCH, g_ptr_array_index(batch->rental_batches, i));
-    ws_txn_if(txn, core->replica, key);
+    ws_txn_compare(txn, core->replica, key);
   }
   for (guint i = 0; i < batch->works->len; i++) {
     const Work *work = g_ptr_array_index(batch->works, i);
--- a/src/commit/ws-garbage.c
+++ b/src/commit/ws-garbage.c
@@ -31,7 +31,7 @@
 on_collected(WsCore *core, WsTxnResult result, gpointer data)
 {
   (void)data;
-  core->garbage_ms = core->now + (result == WS_TXN_OK ? BUSY_PAUSE_MS : PAUSE_MS);
+  core->garbage_ms = core->now + (result == WS_TXN_COMMITTED ? BUSY_PAUSE_MS : PAUSE_MS);
 }
 
 /* Returns how many there are; as many as a transaction takes are added to it. */
@@ -46,8 +46,8 @@
     if (!((const WsKeyVersion *)value)->present || !is_left_over(core->replica, key))
       continue;
     count++;
-    if (ws_txn_ops(txn) < core->settings->state_txn_ops)
-      ws_txn_remove(txn, key);
+    if (ws_txn_operation_count(txn) < core->settings->state_txn_ops)
+      ws_txn_delete(txn, key);
   }
   return count;
 }
@@ -55,17 +55,17 @@
 void
 ws_garbage_tick(WsCore *core)
 {
-  if (!ws_is_leader(core) || core->now < core->garbage_ms || !ws_store_ok(core))
+  if (!ws_is_leader(core) || core->now < core->garbage_ms || !ws_store_is_available(core))
     return;
   WsTxn *txn = ws_txn_new();
-  ws_txn_if(txn, core->replica, WS_KEY_EPOCH);
+  ws_txn_compare(txn, core->replica, WS_KEY_EPOCH);
   guint count = add_left_over(core, txn);
   gboolean may_write = count > MOST_LEFT
                        || (!ws_assign_is_behind(core)
-                           && ws_store_may_write(core, core->settings->state_txn_ops / 2));
+                           && ws_store_has_write_budget(core, core->settings->state_txn_ops / 2));
   core->garbage_ms = core->now + (count > 0 ? BUSY_PAUSE_MS : PAUSE_MS);
   if (count > 0 && may_write)
-    ws_txn_commit(core, txn, WS_FIRST_REST, on_collected, NULL);
+    ws_txn_commit(core, txn, WS_REQUEST_OTHER, on_collected, NULL);
   else
     ws_txn_free(txn);
 }
--- a/src/context/ws-context.c
+++ b/src/context/ws-context.c
@@ -3,7 +3,7 @@
 
 typedef struct {
   guint64 id; /* the key under which it is kept */
-  WsReply reply;
+  WsReplyFunc reply;
   gpointer data;
 } Call;
 
@@ -58,7 +58,7 @@
 
 void
 ws_call(WsCore *core, const char *method, const char *address, const char *path, json_t *body,
-        guint timeout_ms, WsReply reply, gpointer data)
+        guint timeout_ms, WsReplyFunc reply, gpointer data)
 {
   Call *call = g_new0(Call, 1);
   *call = (Call){ ++core->next_call, reply, data };
--- a/src/context/ws-context.h
+++ b/src/context/ws-context.h
@@ -13,7 +13,7 @@
 #include "protocol/ws-properties.h"
 #include "transport/ws-rate.h"
 
-typedef void (*WsReply)(WsCore *core, guint status, const json_t *body, gpointer data);
+typedef void (*WsReplyFunc)(WsCore *core, guint status, const json_t *body, gpointer data);
 
 typedef struct _WsStore WsStore;
 typedef struct _WsMembers WsMembers;
@@ -93,7 +93,8 @@
                                gsize length);
 
 void ws_call(WsCore *core, const char *method, const char *address, const char *path,
-             json_t *body /* taken, may be NULL */, guint timeout_ms, WsReply reply, gpointer data);
+             json_t *body /* taken, may be NULL */, guint timeout_ms, WsReplyFunc reply,
+             gpointer data);
 void ws_answer(WsCore *core, gpointer request, guint status, json_t *body /* taken */,
                guint retry_after_s);
 void ws_answer_reason(WsCore *core, gpointer request, guint status, const char *reason);
--- a/src/core/ws-core.c
+++ b/src/core/ws-core.c
@@ -183,7 +183,7 @@
   ws_store_tick(core);
   ws_members_tick(core);
   ws_mesh_tick(core);
-  if (core->now >= core->upkeep_ms && ws_store_loaded(core)) {
+  if (core->now >= core->upkeep_ms && ws_store_is_loaded(core)) {
     core->upkeep_ms = core->now + 250;
     ws_failure_detector_tick(core);
     ws_termination_tick(core);
@@ -201,7 +201,7 @@
 static gboolean
 is_ready(const WsCore *core)
 {
-  return ws_store_loaded(core) && !core->is_stalled && core->replica->catalog != NULL
+  return ws_store_is_loaded(core) && !core->is_stalled && core->replica->catalog != NULL
          && !ws_mesh_alone_refused(core) && !ws_mesh_isolated(core);
 }
 
--- a/src/fleet/ws-cloud-list.c
+++ b/src/fleet/ws-cloud-list.c
@@ -34,7 +34,7 @@
   for (guint i = 0; i < machines->len; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, g_array_index(machines, guint, i));
     machine->marking = FALSE;
-    if (result == WS_TXN_OK)
+    if (result == WS_TXN_COMMITTED)
       g_info("machine %s wasn't expected; it is used or given back", machine->name);
     else
       machine->needs_record = TRUE;
@@ -90,25 +90,25 @@
 void
 ws_cloud_list_reconcile_tick(WsCore *core)
 {
-  if (!ws_entitled(core) || !ws_store_ok(core))
+  if (!ws_entitled(core) || !ws_store_is_available(core))
     return;
   WsTxn *txn = ws_txn_new();
   GArray *machines = g_array_new(FALSE, FALSE, sizeof(guint));
-  ws_txn_if(txn, core->replica, WS_KEY_EPOCH);
+  ws_txn_compare(txn, core->replica, WS_KEY_EPOCH);
   for (guint i = 0; i < core->replica->machines->len; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, i);
     if (machine->stored || ws_returns_is_confirmed(core, machine->name))
       machine->needs_record = FALSE;
-    if (!machine->needs_record || ws_txn_ops(txn) >= core->settings->state_txn_ops)
+    if (!machine->needs_record || ws_txn_operation_count(txn) >= core->settings->state_txn_ops)
       continue;
     WsRentalBatch *rental_batch = gather_rental_batch(core, machine, machines);
     g_autofree char *key = ws_key(WS_KEYS_RENTAL_BATCH, rental_batch->name);
-    ws_txn_if_version(txn, key, 0);
-    ws_txn_set(txn, key, ws_rental_batch_encode(rental_batch, core->replica));
+    ws_txn_compare_version(txn, key, 0);
+    ws_txn_put(txn, key, ws_rental_batch_encode(rental_batch, core->replica));
     ws_rental_batch_free(rental_batch);
   }
   if (machines->len > 0) {
-    ws_txn_commit(core, txn, WS_FIRST_REST, on_recorded, machines);
+    ws_txn_commit(core, txn, WS_REQUEST_OTHER, on_recorded, machines);
     return;
   }
   ws_txn_free(txn);
--- a/src/fleet/ws-fleet.c
+++ b/src/fleet/ws-fleet.c
@@ -44,7 +44,7 @@
 {
   (void)data;
   core->plan_due = TRUE;
-  if (result != WS_TXN_OK)
+  if (result != WS_TXN_COMMITTED)
     core->fleet->catalog_ms = core->now + RETRY_MS;
 }
 
@@ -62,9 +62,9 @@
   }
   g_ptr_array_unref(catalog);
   WsTxn *txn = ws_txn_new();
-  ws_txn_if(txn, core->replica, WS_KEY_EPOCH);
-  ws_txn_set(txn, WS_KEY_CATALOG, json_incref((json_t *)body));
-  ws_txn_commit(core, txn, WS_FIRST_TASK, on_catalog_kept, NULL);
+  ws_txn_compare(txn, core->replica, WS_KEY_EPOCH);
+  ws_txn_put(txn, WS_KEY_CATALOG, json_incref((json_t *)body));
+  ws_txn_commit(core, txn, WS_REQUEST_TASK, on_catalog_kept, NULL);
 }
 
 static void
@@ -99,7 +99,7 @@
 ws_fleet_tick(WsCore *core)
 {
   ws_returns_tick_unmarked(core);
-  if (!ws_is_leader(core) || !ws_store_ok(core))
+  if (!ws_is_leader(core) || !ws_store_is_available(core))
     return;
   ws_returns_tick(core);
   keep_catalog(core);
--- a/src/fleet/ws-rentals.c
+++ b/src/fleet/ws-rentals.c
@@ -125,8 +125,8 @@
                   .count = machines };
   g_info("renting %u %s machines of type %s in %s", rent.count, spot ? "spot" : "ordinary",
          rent.type, rent.zone);
-  ws_txn_if_version(rentals->intent, key, 0);
-  ws_txn_set(rentals->intent, key, ws_rent_encode(&rent));
+  ws_txn_compare_version(rentals->intent, key, 0);
+  ws_txn_put(rentals->intent, key, ws_rent_encode(&rent));
 }
 
 void
@@ -137,11 +137,11 @@
     return;
   if (rentals->intent == NULL) {
     rentals->intent = ws_txn_new();
-    ws_txn_if(rentals->intent, core->replica, WS_KEY_EPOCH);
+    ws_txn_compare(rentals->intent, core->replica, WS_KEY_EPOCH);
   }
   guint most = ws_rental_batch_most_machines(core->settings);
   for (guint left = machines;
-       left > 0 && ws_txn_ops(rentals->intent) < core->settings->state_txn_ops;
+       left > 0 && ws_txn_operation_count(rentals->intent) < core->settings->state_txn_ops;
        left -= MIN(left, most))
     intend_one(core, type, zone, spot, MIN(left, most));
 }
@@ -153,7 +153,7 @@
   if (rentals->intent == NULL)
     return;
   rentals->intending = TRUE;
-  ws_txn_commit(core, g_steal_pointer(&rentals->intent), WS_FIRST_TASK, on_intended, NULL);
+  ws_txn_commit(core, g_steal_pointer(&rentals->intent), WS_REQUEST_TASK, on_intended, NULL);
 }
 
 static WsRent *
@@ -179,7 +179,7 @@
 on_rent_closed(WsCore *core, WsTxnResult result, gpointer data)
 {
   char *request = data;
-  if (result != WS_TXN_OK)
+  if (result != WS_TXN_COMMITTED)
     retry_rent(core, request);
   g_hash_table_remove(core->rentals->renting, request);
   core->plan_due = TRUE;
@@ -212,7 +212,7 @@
     g_array_append_val(machines, index);
   }
   if (machines->len > 0)
-    ws_txn_set(txn, key, ws_rental_batch_encode(&rental_batch, core->replica));
+    ws_txn_put(txn, key, ws_rental_batch_encode(&rental_batch, core->replica));
   return next - first;
 }
 
@@ -223,18 +223,18 @@
 {
   g_autofree char *key = ws_key(WS_KEYS_RENT, rent->request);
   WsTxn *txn = ws_txn_new();
-  ws_txn_if(txn, core->replica, WS_KEY_EPOCH);
+  ws_txn_compare(txn, core->replica, WS_KEY_EPOCH);
   /* Carried out late, after the rental batch has shrunk, it would bring returned machines back. */
-  ws_txn_if(txn, core->replica, key);
-  ws_txn_remove(txn, key);
+  ws_txn_compare(txn, core->replica, key);
+  ws_txn_delete(txn, key);
   guint used = 0, step = 1;
   for (guint number = 0; names != NULL && step > 0 && used < names->len
-                         && ws_txn_ops(txn) < core->settings->state_txn_ops;
+                         && ws_txn_operation_count(txn) < core->settings->state_txn_ops;
        number++) {
     step = add_rental_batch(core, txn, rent, number, names, used);
     used += step;
   }
-  ws_txn_commit(core, txn, WS_FIRST_TASK, on_rent_closed, g_strdup(rent->request));
+  ws_txn_commit(core, txn, WS_REQUEST_TASK, on_rent_closed, g_strdup(rent->request));
 }
 
 static void
--- a/src/fleet/ws-returns.c
+++ b/src/fleet/ws-returns.c
@@ -51,7 +51,7 @@
   for (guint i = 0; i < machines->len; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, g_array_index(machines, guint, i));
     machine->marking = FALSE;
-    if (result == WS_TXN_OK)
+    if (result == WS_TXN_COMMITTED)
       g_info("machine %s is returned and its mark cleared", machine->name);
   }
 }
@@ -81,11 +81,11 @@
     return;
   WsRentalBatch smaller = *rental_batch;
   smaller.machines = left;
-  ws_txn_if(txn, core->replica, key);
+  ws_txn_compare(txn, core->replica, key);
   if (left->len > 0)
-    ws_txn_set(txn, key, ws_rental_batch_encode(&smaller, core->replica));
+    ws_txn_put(txn, key, ws_rental_batch_encode(&smaller, core->replica));
   else
-    ws_txn_remove(txn, key);
+    ws_txn_delete(txn, key);
 }
 
 /* How many rental batches would change. */
@@ -112,18 +112,18 @@
          && machines->len + count_batches_of(core, machines) > core->settings->state_txn_ops)
     g_array_set_size(machines, machines->len - 1);
   WsTxn *txn = ws_txn_new();
-  ws_txn_if(txn, core->replica, WS_KEY_EPOCH);
+  ws_txn_compare(txn, core->replica, WS_KEY_EPOCH);
   for (guint i = 0; i < machines->len; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, g_array_index(machines, guint, i));
     g_autofree char *mark = ws_key(WS_KEYS_MARK, machine->name);
     machine->marking = TRUE;
     machine->marking_ms = core->now;
-    ws_txn_remove(txn, mark);
+    ws_txn_delete(txn, mark);
   }
   for (guint i = 0; i < core->replica->rental_batches->len; i++)
     shrink_rental_batch(core, txn, g_ptr_array_index(core->replica->rental_batches, i), machines);
   core->returns->clearing = TRUE;
-  ws_txn_commit(core, txn, WS_FIRST_REST, on_cleared, machines);
+  ws_txn_commit(core, txn, WS_REQUEST_OTHER, on_cleared, machines);
 }
 
 /* A machine that the cloud has taken back is gone with everything on it. */
--- a/src/fleet/ws-termination.c
+++ b/src/fleet/ws-termination.c
@@ -117,7 +117,7 @@
     const Marking *marking = &g_array_index(writing, Marking, i);
     WsMachine *machine = ws_replica_machine(core->replica, marking->machine);
     machine->marking = FALSE;
-    if (result == WS_TXN_OK)
+    if (result == WS_TXN_COMMITTED)
       g_info("machine %s (%s, %s, %u tasks) is marked: %s", machine->name,
              machine->spot ? "spot" : "ordinary",
              machine->zone != WS_NONE
@@ -133,7 +133,8 @@
 void
 ws_termination_mark(WsCore *core, WsMachine *machine, const char *why, gboolean now)
 {
-  if (machine->marking || (machine->marked && (!now || machine->mark_now)) || !ws_store_ok(core))
+  if (machine->marking || (machine->marked && (!now || machine->mark_now))
+      || !ws_store_is_available(core))
     return;
   /* Owners take a returned machine for silent until its mark is cleared. */
   if (machine->marked && ws_returns_is_confirmed(core, machine->name))
@@ -155,8 +156,9 @@
   if (termination->wanted->len == 0 || termination->writing->len > 0)
     return;
   WsTxn *txn = ws_txn_new();
-  ws_txn_if(txn, core->replica, WS_KEY_EPOCH);
-  while (termination->wanted->len > 0 && ws_txn_ops(txn) < core->settings->state_txn_ops) {
+  ws_txn_compare(txn, core->replica, WS_KEY_EPOCH);
+  while (termination->wanted->len > 0
+         && ws_txn_operation_count(txn) < core->settings->state_txn_ops) {
     Marking marking = g_array_index(termination->wanted, Marking, 0);
     WsMachine *machine = ws_replica_machine(core->replica, marking.machine);
     /* Two owners may have chosen at once what the budget allows only one of. */
@@ -167,14 +169,14 @@
       continue;
     }
     g_autofree char *key = ws_key(WS_KEYS_MARK, machine->name);
-    ws_txn_if(txn, core->replica, key);
-    ws_txn_set(txn, key, ws_mark_encode(marking.why, marking.now));
+    ws_txn_compare(txn, core->replica, key);
+    ws_txn_put(txn, key, ws_mark_encode(marking.why, marking.now));
     marking.why = g_strdup(marking.why);
     g_array_append_val(termination->writing, marking);
     g_array_remove_index(termination->wanted, 0);
   }
   if (termination->writing->len > 0)
-    ws_txn_commit(core, txn, WS_FIRST_TASK, on_marked, NULL);
+    ws_txn_commit(core, txn, WS_REQUEST_TASK, on_marked, NULL);
   else
     ws_txn_free(txn);
 }
@@ -215,7 +217,7 @@
 static void
 mark_if_idle(WsCore *core, WsMachine *machine)
 {
-  if (machine->tasks->len > 0 || !ws_machine_up(core, machine) || !ws_store_ok(core)) {
+  if (machine->tasks->len > 0 || !ws_machine_up(core, machine) || !ws_store_is_available(core)) {
     machine->empty_ms = 0;
     return;
   }
--- a/src/membership/ws-authority.c
+++ b/src/membership/ws-authority.c
@@ -4,7 +4,7 @@
 gboolean
 ws_entitled(const WsCore *core)
 {
-  return ws_store_loaded(core) && !core->is_stalled
+  return ws_store_is_loaded(core) && !core->is_stalled
          && ws_epoch_has(&core->replica->epoch, core->settings->self, core->incarnation);
 }
 
--- a/src/membership/ws-members.c
+++ b/src/membership/ws-members.c
@@ -105,10 +105,10 @@
   (void)data;
   WsMembers *members = core->members;
   members->asking = FALSE;
-  members->is_listed = result == WS_TXN_OK;
+  members->is_listed = result == WS_TXN_COMMITTED;
   note_renewed(members, members->is_listed);
   members->next_ms = core->now + (members->is_listed ? RENEW_MS : 200);
-  if (result == WS_TXN_REFUSED)
+  if (result == WS_TXN_UNAVAILABLE)
     lose_lease(core);
 }
 
@@ -130,7 +130,7 @@
 static void
 check_listed(WsCore *core)
 {
-  if (!ws_store_loaded(core))
+  if (!ws_store_is_loaded(core))
     return;
   for (guint i = 0; i < core->replica->members->len; i++) {
     const WsMember *member = &g_array_index(core->replica->members, WsMember, i);
@@ -147,22 +147,22 @@
   if (members->asking || core->now < members->next_ms)
     return;
   check_listed(core);
-  if (members->lease != 0 && !members->is_listed && !ws_store_loaded(core))
+  if (members->lease != 0 && !members->is_listed && !ws_store_is_loaded(core))
     return;
   members->asking = TRUE;
   if (members->lease == 0) {
-    ws_store_call(core, WS_FIRST_LEASE, "POST", "/holds", json_pack("{s:i}", "ttl_ms", LEASE_MS), 0,
-                  1000, on_lease, NULL);
+    ws_store_request(core, WS_REQUEST_LEASE, "POST", "/holds",
+                     json_pack("{s:i}", "ttl_ms", LEASE_MS), 0, 1000, on_lease, NULL);
   } else if (!members->is_listed) {
     WsTxn *txn = ws_txn_new();
     g_autofree char *key
         = ws_key(WS_KEYS_MEMBER, ws_settings_node(core->settings, core->settings->self)->name);
-    ws_txn_if(txn, core->replica, key);
-    ws_txn_set_leased(txn, key, identity(core, FALSE), members->lease);
-    ws_txn_commit(core, txn, WS_FIRST_LEASE, on_listed, NULL);
+    ws_txn_compare(txn, core->replica, key);
+    ws_txn_put_leased(txn, key, identity(core, FALSE), members->lease);
+    ws_txn_commit(core, txn, WS_REQUEST_LEASE, on_listed, NULL);
   } else {
     g_autofree char *path = g_strdup_printf("/holds/%" G_GUINT64_FORMAT "/renew", members->lease);
-    ws_store_call(core, WS_FIRST_LEASE, "POST", path, NULL, 0, 800, on_renewed, NULL);
+    ws_store_request(core, WS_REQUEST_LEASE, "POST", path, NULL, 0, 800, on_renewed, NULL);
   }
 }
 
@@ -178,9 +178,9 @@
 {
   (void)data;
   core->members->electing = FALSE;
-  if (result == WS_TXN_OK)
+  if (result == WS_TXN_COMMITTED)
     g_info("elected leader");
-  else if (result == WS_TXN_REFUSED)
+  else if (result == WS_TXN_UNAVAILABLE)
     core->members->next_ms = core->now;
 }
 
@@ -196,9 +196,9 @@
     return;
   members->electing = TRUE;
   WsTxn *txn = ws_txn_new();
-  ws_txn_if(txn, core->replica, WS_KEY_LEADER);
-  ws_txn_set_leased(txn, WS_KEY_LEADER, identity(core, TRUE), members->lease);
-  ws_txn_commit(core, txn, WS_FIRST_LEASE, on_elected, NULL);
+  ws_txn_compare(txn, core->replica, WS_KEY_LEADER);
+  ws_txn_put_leased(txn, WS_KEY_LEADER, identity(core, TRUE), members->lease);
+  ws_txn_commit(core, txn, WS_REQUEST_LEASE, on_elected, NULL);
 }
 
 static void
@@ -206,7 +206,7 @@
 {
   (void)data;
   core->members->writing_epoch = FALSE;
-  core->members->epoch_next_ms = core->now + (result == WS_TXN_OK ? EPOCH_PAUSE_MS : 200);
+  core->members->epoch_next_ms = core->now + (result == WS_TXN_COMMITTED ? EPOCH_PAUSE_MS : 200);
 }
 
 static gboolean
@@ -233,22 +233,22 @@
   members->writing_epoch = TRUE;
   WsEpoch next = { epoch->number + 1, core->settings->self, core->replica->members };
   WsTxn *txn = ws_txn_new();
-  ws_txn_if(txn, core->replica, WS_KEY_EPOCH);
-  ws_txn_if(txn, core->replica, WS_KEY_LEADER);
-  ws_txn_set(txn, WS_KEY_EPOCH, ws_epoch_encode(&next, core->settings));
-  ws_txn_commit(core, txn, WS_FIRST_LEASE, on_epoch, NULL);
+  ws_txn_compare(txn, core->replica, WS_KEY_EPOCH);
+  ws_txn_compare(txn, core->replica, WS_KEY_LEADER);
+  ws_txn_put(txn, WS_KEY_EPOCH, ws_epoch_encode(&next, core->settings));
+  ws_txn_commit(core, txn, WS_REQUEST_LEASE, on_epoch, NULL);
 }
 
 void
 ws_members_tick(WsCore *core)
 {
   keep_lease(core);
-  if (!ws_store_loaded(core))
+  if (!ws_store_is_loaded(core))
     return;
   if (core->is_stalled) {
     if (core->members->is_renewed && !core->members->reading) {
       core->members->reading = TRUE;
-      ws_store_read(core, on_read_awake, GUINT_TO_POINTER(core->members->wakes));
+      ws_store_linearizable_read(core, on_read_awake, GUINT_TO_POINTER(core->members->wakes));
     }
     return;
   }
--- a/src/membership/ws-mesh.c
+++ b/src/membership/ws-mesh.c
@@ -37,7 +37,7 @@
 gboolean
 ws_mesh_alone_refused(const WsCore *core)
 {
-  if (ws_store_ok(core))
+  if (ws_store_is_available(core))
     return FALSE;
   for (guint n = 0; n < core->settings->nodes->len; n++)
     if (n != core->settings->self && ws_mesh_reaches(core, n) && core->peers[n].store_ok)
@@ -48,7 +48,7 @@
 gboolean
 ws_mesh_isolated(const WsCore *core)
 {
-  if (ws_store_ok(core))
+  if (ws_store_is_available(core))
     return FALSE;
   for (guint n = 0; n < core->settings->nodes->len; n++)
     if (n != core->settings->self && ws_mesh_reaches(core, n))
@@ -63,9 +63,9 @@
 ws_knows_all_cancellations(const WsCore *core)
 {
   gboolean reached = FALSE, settled = FALSE;
-  if (!ws_store_loaded(core))
+  if (!ws_store_is_loaded(core))
     return FALSE;
-  if (ws_store_current(core) || core->settings->nodes->len == 1)
+  if (ws_store_is_current(core) || core->settings->nodes->len == 1)
     return TRUE;
   for (guint n = 0; n < core->settings->nodes->len; n++) {
     const WsPeer *peer = &core->peers[n];
@@ -74,7 +74,8 @@
     if (ws_mesh_reaches(core, n) && (peer->store_ok || peer->untold > 0))
       return FALSE;
     reached = reached || ws_mesh_reaches(core, n);
-    settled = settled || (peer->settled_ms > 0 && peer->settled_ms >= ws_store_bad_since(core));
+    settled = settled
+              || (peer->settled_ms > 0 && peer->settled_ms >= ws_store_unavailable_since_ms(core));
   }
   return reached && settled;
 }
@@ -156,11 +157,11 @@
   return json_pack(
       "{s:s, s:s, s:I, s:b, s:i, s:b, s:b, s:I, s:I, s:I, s:I, s:b, s:i, s:o}", "node",
       ws_settings_node(core->settings, core->settings->self)->name, "version", WS_VERSION, "epoch",
-      (json_int_t)core->replica->epoch.number, "store", ws_store_loaded(core) && ws_store_ok(core),
-      "reaches", (int)reaches, "wants_epoch", core->wants_epoch, "unheard", core->hears_no_worker,
-      "base", (json_int_t)peer->acked, "rev", (json_int_t)core->gossip_rev, "ack",
-      (json_int_t)peer->has, "incarnation", (json_int_t)core->incarnation, "loaded",
-      ws_store_loaded(core), "untold",
+      (json_int_t)core->replica->epoch.number, "store",
+      ws_store_is_loaded(core) && ws_store_is_available(core), "reaches", (int)reaches,
+      "wants_epoch", core->wants_epoch, "unheard", core->hears_no_worker, "base",
+      (json_int_t)peer->acked, "rev", (json_int_t)core->gossip_rev, "ack", (json_int_t)peer->has,
+      "incarnation", (json_int_t)core->incarnation, "loaded", ws_store_is_loaded(core), "untold",
       (int)ws_cancel_count_unacknowledged(core, (guint)(peer - core->peers)), "machines", machines);
 }
 
--- a/src/membership/ws-peer-requests.c
+++ b/src/membership/ws-peer-requests.c
@@ -290,9 +290,9 @@
       = ws_key(WS_KEYS_MAILBOX, ws_settings_node(core->settings, core->settings->self)->name);
   WsTxn *txn = ws_txn_new();
   core->peer_requests->mailbox_ms = core->now + MAILBOX_PAUSE_MS;
-  ws_txn_if(txn, core->replica, WS_KEY_EPOCH);
-  ws_txn_set(txn, key, mailbox);
-  ws_txn_commit(core, txn, WS_FIRST_TASK, on_mailbox_written, NULL);
+  ws_txn_compare(txn, core->replica, WS_KEY_EPOCH);
+  ws_txn_put(txn, key, mailbox);
+  ws_txn_commit(core, txn, WS_REQUEST_TASK, on_mailbox_written, NULL);
 }
 
 /* What is written replaces what was there before, so what is for nodes out of reach waits for its
@@ -300,7 +300,8 @@
 static void
 send_all(WsCore *core)
 {
-  gboolean may_write_mailbox = core->now >= core->peer_requests->mailbox_ms && ws_store_ok(core);
+  gboolean may_write_mailbox
+      = core->now >= core->peer_requests->mailbox_ms && ws_store_is_available(core);
   json_t *mailbox = NULL;
   for (guint n = 0; n < core->settings->nodes->len; n++) {
     json_t **out = &core->peer_requests->out[n];
--- a/src/scheduling/ws-plan.c
+++ b/src/scheduling/ws-plan.c
@@ -338,20 +338,20 @@
   if (core->plan->spilling)
     return;
   WsTxn *txn = ws_txn_new();
-  ws_txn_if(txn, core->replica, WS_KEY_EPOCH);
-  for (guint i = 0; i < core->replica->active->len && ws_txn_ops(txn) < 4; i++) {
+  ws_txn_compare(txn, core->replica, WS_KEY_EPOCH);
+  for (guint i = 0; i < core->replica->active->len && ws_txn_operation_count(txn) < 4; i++) {
     const WsJob *job = g_ptr_array_index(core->replica->active, i);
     if (job->state != WS_JOB_ACTIVE || job->home != core->settings->self || job->unplaced_ms == 0
         || core->now - job->unplaced_ms < SPILL_MS)
       continue;
     g_autofree char *key = ws_key_job(job->id);
-    ws_txn_if(txn, core->replica, key);
-    ws_txn_set(txn, key, ws_job_encode(job, WS_JOB_ACTIVE, ""));
+    ws_txn_compare(txn, core->replica, key);
+    ws_txn_put(txn, key, ws_job_encode(job, WS_JOB_ACTIVE, ""));
     g_info("job %s doesn't fit here: it goes to the leader", job->id);
   }
-  core->plan->spilling = ws_txn_ops(txn) > 0;
+  core->plan->spilling = ws_txn_operation_count(txn) > 0;
   if (core->plan->spilling)
-    ws_txn_commit(core, txn, WS_FIRST_TASK, on_spilled, NULL);
+    ws_txn_commit(core, txn, WS_REQUEST_TASK, on_spilled, NULL);
   else
     ws_txn_free(txn);
 }
@@ -437,7 +437,7 @@
 {
   if (core->now < core->plan->next_ms || !ws_entitled(core)
       || (!core->plan_due && core->now < core->plan->next_ms + UNASKED_MS)
-      || core->replica->catalog == NULL || !ws_assign_idle(core) || !ws_store_ok(core))
+      || core->replica->catalog == NULL || !ws_assign_idle(core) || !ws_store_is_available(core))
     return;
   core->plan_due = FALSE;
   core->plan->next_ms = core->now + PAUSE_MS;
--- a/src/store/ws-store.c
+++ b/src/store/ws-store.c
@@ -4,275 +4,279 @@
 #include "membership/ws-membership.h"
 #include "protocol/ws-field-names.h"
 
-#define LONG_WAIT_MS 8000
-#define GIVE_UP_MS 1500
+#define WATCH_WAIT_MS 8000
+#define READ_TIMEOUT_MS 1500
 /* The budget of the state service is split unevenly, for the leader writes nearly everything:
    assignments and releases, machines, rentals, marks. What is left is for submissions, withdrawals,
    leases and letters, and seldom asked for: together the shares are more than the whole. Every node
    reads alike. A call that is refused for its rate is sent again after a moment. */
-#define LEADER_WRITES 0.75
-#define OTHER_WRITES 0.4
-#define LEADER_READS 0.34
-#define ALL_READS 0.95
+#define LEADER_WRITE_SHARE 0.75
+#define FOLLOWERS_WRITE_SHARE 0.4
+#define LEADER_READ_SHARE 0.34
+#define TOTAL_READ_SHARE 0.95
 #define BURST_S 0.6
-#define TOO_MANY_PAUSE_MS 120
-#define TOO_MANY_TRIES 5
+#define RATE_LIMITED_PAUSE_MS 120
+#define MAX_RATE_LIMITED_TRIES 5
 
 typedef struct {
   const char *method;
   char *path;
   json_t *body;
-  guint writes;
+  guint write_count;
   guint timeout_ms;
-  WsReply reply;
+  WsReplyFunc reply;
   gpointer data;
-  WsFirst first;
+  WsRequestClass first;
   guint tries;
-} Queued;
+} StoreRequest;
 
 typedef struct {
-  WsReadDone done;
+  WsReadFunc done;
   gpointer data;
   gint64 asked_ms;
   guint64 revision; /* to wait for */
-} Read;
+} PendingRead;
 
 struct _WsStore {
-  GQueue queues[WS_FIRST_LEVELS];
-  WsRate requests;
-  WsRate writes;
-  gint64 too_many_ms; /* until when nothing is sent, since the last call was one too many */
-  gint64 watch_pause_ms;
+  GQueue request_queues[WS_REQUEST_CLASSES];
+  WsRate request_rate;
+  WsRate write_rate;
+  gint64
+      rate_limited_until_ms; /* until when nothing is sent, since the last call was one too many */
+  gint64 watch_interval_ms;
   gint64 watch_opened_ms;
   gint64 watch_retry_ms;
-  gboolean watching;
-  gboolean loaded;
-  gboolean loading;
+  gboolean is_watching;
+  gboolean is_loaded;
+  gboolean is_loading;
   gint64 load_retry_ms;
   guint64 load_revision; /* of the first page */
   GHashTable *load_keys;
   char *load_last;
-  gint64 bad_ms;  /* since when there are only bad ones; 0: not so */
-  gboolean stale; /* it was bad, and nothing has been read since */
-  gboolean catching_up;
-  GArray *asked;   /* of Read: not yet sent */
-  GArray *sent;    /* of Read: the read is on its way */
-  GArray *waiting; /* of Read: the replica must reach a revision */
-  gboolean reading;
+  gint64 unavailable_since_ms; /* since when there are only bad ones; 0: not so */
+  gboolean is_stale;           /* it was bad, and nothing has been read since */
+  gboolean is_catching_up;
+  GArray *unsent_reads;  /* of Read: not yet sent */
+  GArray *sent_reads;    /* of Read: the read is on its way */
+  GArray *waiting_reads; /* of Read: the replica must reach a revision */
+  gboolean is_reading;
 };
 
 WsStore *
 ws_store_new(const WsSettings *settings)
 {
   WsStore *store = g_new0(WsStore, 1);
-  ws_rate_init(&store->requests, 1.0, settings->state_rps * BURST_S);
-  ws_rate_init(&store->writes, 1.0, settings->state_write_rps * BURST_S);
-  store->asked = g_array_new(FALSE, FALSE, sizeof(Read));
-  store->sent = g_array_new(FALSE, FALSE, sizeof(Read));
-  store->waiting = g_array_new(FALSE, FALSE, sizeof(Read));
+  ws_rate_init(&store->request_rate, 1.0, settings->state_rps * BURST_S);
+  ws_rate_init(&store->write_rate, 1.0, settings->state_write_rps * BURST_S);
+  store->unsent_reads = g_array_new(FALSE, FALSE, sizeof(PendingRead));
+  store->sent_reads = g_array_new(FALSE, FALSE, sizeof(PendingRead));
+  store->waiting_reads = g_array_new(FALSE, FALSE, sizeof(PendingRead));
   return store;
 }
 
 static void
-queued_free(gpointer data)
+store_request_free(gpointer data)
 {
-  Queued *queued = data;
-  g_free(queued->path);
-  json_decref(queued->body);
-  g_free(queued);
+  StoreRequest *request = data;
+  g_free(request->path);
+  json_decref(request->body);
+  g_free(request);
 }
 
 void
 ws_store_free(WsStore *store)
 {
-  for (guint i = 0; i < WS_FIRST_LEVELS; i++)
-    g_queue_clear_full(&store->queues[i], queued_free);
-  g_array_unref(store->asked);
-  g_array_unref(store->sent);
-  g_array_unref(store->waiting);
+  for (guint i = 0; i < WS_REQUEST_CLASSES; i++)
+    g_queue_clear_full(&store->request_queues[i], store_request_free);
+  g_array_unref(store->unsent_reads);
+  g_array_unref(store->sent_reads);
+  g_array_unref(store->waiting_reads);
   g_clear_pointer(&store->load_keys, g_hash_table_unref);
   g_free(store->load_last);
   g_free(store);
 }
 
 gboolean
-ws_store_loaded(const WsCore *core)
+ws_store_is_loaded(const WsCore *core)
 {
-  return core->store->loaded;
+  return core->store->is_loaded;
 }
 
 /* Good until nothing but bad answers, or none, came for a while. */
 gboolean
-ws_store_ok(const WsCore *core)
+ws_store_is_available(const WsCore *core)
 {
-  return core->store->bad_ms == 0 || core->now - core->store->bad_ms < 700;
+  return core->store->unavailable_since_ms == 0
+         || core->now - core->store->unavailable_since_ms < 700;
 }
 
 gboolean
-ws_store_current(const WsCore *core)
+ws_store_is_current(const WsCore *core)
 {
-  return core->store->loaded && !core->store->stale && ws_store_ok(core);
+  return core->store->is_loaded && !core->store->is_stale && ws_store_is_available(core);
 }
 
 gint64
-ws_store_bad_since(const WsCore *core)
+ws_store_unavailable_since_ms(const WsCore *core)
 {
-  return core->store->bad_ms;
+  return core->store->unavailable_since_ms;
 }
 
 gboolean
-ws_store_may_write(WsCore *core, guint changes)
+ws_store_has_write_budget(WsCore *core, guint changes)
 {
-  return ws_rate_ready(&core->store->writes, changes, core->now);
+  return ws_rate_ready(&core->store->write_rate, changes, core->now);
 }
 
 void
-ws_store_call(WsCore *core, WsFirst first, const char *method, const char *path, json_t *body,
-              guint writes, guint timeout_ms, WsReply reply, gpointer data)
+ws_store_request(WsCore *core, WsRequestClass first, const char *method, const char *path,
+                 json_t *body, guint write_count, guint timeout_ms, WsReplyFunc reply,
+                 gpointer data)
 {
-  Queued *queued = g_new0(Queued, 1);
-  *queued = (Queued){ method, g_strdup(path), body, writes, timeout_ms, reply, data, first, 0 };
-  g_queue_push_tail(&core->store->queues[first], queued);
+  StoreRequest *request = g_new0(StoreRequest, 1);
+  *request = (StoreRequest){ method, g_strdup(path), body, write_count, timeout_ms, reply,
+                             data,   first,          0 };
+  g_queue_push_tail(&core->store->request_queues[first], request);
 }
 
 static void
-note_health(WsCore *core, guint status)
+note_availability(WsCore *core, guint status)
 {
   WsStore *store = core->store;
   if (status == 200 || status == 404 || status == 409 || status == 410) {
-    store->bad_ms = 0;
-  } else if (status != 429 && status != 400 && store->bad_ms == 0) {
-    store->bad_ms = core->now;
+    store->unavailable_since_ms = 0;
+  } else if (status != 429 && status != 400 && store->unavailable_since_ms == 0) {
+    store->unavailable_since_ms = core->now;
   }
 }
 
 static void
 on_reply(WsCore *core, guint status, const json_t *body, gpointer data)
 {
-  Queued *queued = data;
+  StoreRequest *request = data;
   WsStore *store = core->store;
-  note_health(core, status);
-  if (status == 429 && ++queued->tries < TOO_MANY_TRIES) {
-    store->too_many_ms = core->now + TOO_MANY_PAUSE_MS;
-    g_queue_push_head(&store->queues[queued->first], queued);
+  note_availability(core, status);
+  if (status == 429 && ++request->tries < MAX_RATE_LIMITED_TRIES) {
+    store->rate_limited_until_ms = core->now + RATE_LIMITED_PAUSE_MS;
+    g_queue_push_head(&store->request_queues[request->first], request);
     return;
   }
-  queued->reply(core, status, body, queued->data);
-  queued_free(queued);
+  request->reply(core, status, body, request->data);
+  store_request_free(request);
 }
 
 static void
-send(WsCore *core, Queued *queued)
+send_request(WsCore *core, StoreRequest *request)
 {
-  ws_call(core, queued->method, core->settings->state_addr, queued->path, json_incref(queued->body),
-          queued->timeout_ms, on_reply, queued);
+  ws_call(core, request->method, core->settings->state_addr, request->path,
+          json_incref(request->body), request->timeout_ms, on_reply, request);
 }
 
 /* Reads that are known to be current. */
 
 void
-ws_store_read(WsCore *core, WsReadDone done, gpointer data)
+ws_store_linearizable_read(WsCore *core, WsReadFunc done, gpointer data)
 {
-  Read read = { done, data, core->now, 0 };
-  g_array_append_val(core->store->asked, read);
+  PendingRead read = { done, data, core->now, 0 };
+  g_array_append_val(core->store->unsent_reads, read);
 }
 
 static void
-finish(WsCore *core, GArray *reads, gboolean current)
+finish_reads(WsCore *core, GArray *reads, gboolean current)
 {
   for (guint i = 0; i < reads->len; i++) {
-    const Read *read = &g_array_index(reads, Read, i);
+    const PendingRead *read = &g_array_index(reads, PendingRead, i);
     read->done(core, current, read->data);
   }
   g_array_unref(reads);
 }
 
 static GArray *
-take(GArray **reads)
+take_reads(GArray **reads)
 {
   GArray *taken = *reads;
-  *reads = g_array_new(FALSE, FALSE, sizeof(Read));
+  *reads = g_array_new(FALSE, FALSE, sizeof(PendingRead));
   return taken;
 }
 
 static void
-finish_reached(WsCore *core)
+finish_reached_reads(WsCore *core)
 {
-  GArray *reached = g_array_new(FALSE, FALSE, sizeof(Read));
-  GArray *late = g_array_new(FALSE, FALSE, sizeof(Read));
-  GArray *waiting = core->store->waiting;
-  for (guint i = waiting->len; i-- > 0;) {
-    Read read = g_array_index(waiting, Read, i);
+  GArray *reached = g_array_new(FALSE, FALSE, sizeof(PendingRead));
+  GArray *late = g_array_new(FALSE, FALSE, sizeof(PendingRead));
+  GArray *waiting_reads = core->store->waiting_reads;
+  for (guint i = waiting_reads->len; i-- > 0;) {
+    PendingRead read = g_array_index(waiting_reads, PendingRead, i);
     gboolean is_reached = read.revision <= core->replica->revision;
-    if (!is_reached && core->now - read.asked_ms <= GIVE_UP_MS)
+    if (!is_reached && core->now - read.asked_ms <= READ_TIMEOUT_MS)
       continue;
     if (is_reached)
       g_array_append_val(reached, read);
     else
       g_array_append_val(late, read);
-    g_array_remove_index(waiting, i);
+    g_array_remove_index(waiting_reads, i);
   }
-  finish(core, reached, TRUE);
-  finish(core, late, FALSE);
+  finish_reads(core, reached, TRUE);
+  finish_reads(core, late, FALSE);
 }
 
 static void
-on_read(WsCore *core, guint status, const json_t *body, gpointer data)
+on_read_revision(WsCore *core, guint status, const json_t *body, gpointer data)
 {
   (void)data;
   WsStore *store = core->store;
   guint64 revision;
-  store->reading = FALSE;
+  store->is_reading = FALSE;
   if (status != 200 || !ws_json_count(body, W_REVISION, &revision)) {
-    finish(core, take(&store->sent), FALSE);
+    finish_reads(core, take_reads(&store->sent_reads), FALSE);
     return;
   }
-  for (guint i = 0; i < store->sent->len; i++) {
-    Read read = g_array_index(store->sent, Read, i);
+  for (guint i = 0; i < store->sent_reads->len; i++) {
+    PendingRead read = g_array_index(store->sent_reads, PendingRead, i);
     read.revision = revision;
-    g_array_append_val(store->waiting, read);
+    g_array_append_val(store->waiting_reads, read);
   }
-  g_array_set_size(store->sent, 0);
-  finish_reached(core);
+  g_array_set_size(store->sent_reads, 0);
+  finish_reached_reads(core);
 }
 
 /* One read serves everybody who asked before it was sent. */
 static void
-read_tick(WsCore *core)
+send_read(WsCore *core)
 {
   WsStore *store = core->store;
-  if (store->asked->len == 0 || store->reading)
+  if (store->unsent_reads->len == 0 || store->is_reading)
     return;
-  if (!store->loaded || !ws_store_ok(core)) {
-    finish(core, take(&store->asked), FALSE);
+  if (!store->is_loaded || !ws_store_is_available(core)) {
+    finish_reads(core, take_reads(&store->unsent_reads), FALSE);
     return;
   }
-  store->reading = TRUE;
-  g_array_append_vals(store->sent, store->asked->data, store->asked->len);
-  g_array_set_size(store->asked, 0);
-  ws_store_call(core, WS_FIRST_READ, "GET", "/kv?starts=" WS_PREFIX "~&page=1", NULL, 0, 800,
-                on_read, NULL);
+  store->is_reading = TRUE;
+  g_array_append_vals(store->sent_reads, store->unsent_reads->data, store->unsent_reads->len);
+  g_array_set_size(store->unsent_reads, 0);
+  ws_store_request(core, WS_REQUEST_READ, "GET", "/kv?starts=" WS_PREFIX "~&page=1", NULL, 0, 800,
+                   on_read_revision, NULL);
 }
 
 /* The replica. */
 
 static void
-fail_load(WsCore *core)
+retry_load_later(WsCore *core)
 {
-  core->store->loading = FALSE;
+  core->store->is_loading = FALSE;
   core->store->load_retry_ms = core->now + 300;
 }
 
 static void load_page(WsCore *core);
 
 static void
-finish_load(WsCore *core)
+finish_loading(WsCore *core)
 {
   WsStore *store = core->store;
   ws_replica_forget_missing(core->replica, store->load_keys, store->load_revision);
   ws_replica_advance(core->replica, store->load_revision);
-  store->loading = FALSE;
-  store->loaded = TRUE;
+  store->is_loading = FALSE;
+  store->is_loaded = TRUE;
   core->replica->is_loading = FALSE;
   core->plan_due = TRUE;
   g_info("state read: revision %" G_GUINT64_FORMAT ", %u jobs open, %u machines",
@@ -291,7 +295,7 @@
   const json_t *items = json_object_get(body, "pairs");
   if (status != 200 || !ws_json_count(body, W_REVISION, &revision)
       || !ws_json_bool(body, "more", &more) || !json_is_array(items)) {
-    fail_load(core);
+    retry_load_later(core);
     return;
   }
   if (store->load_last == NULL)
@@ -310,7 +314,7 @@
   if (more && json_array_size(items) > 0)
     load_page(core);
   else
-    finish_load(core);
+    finish_loading(core);
 }
 
 static void
@@ -320,14 +324,14 @@
       = core->store->load_last == NULL
             ? g_strdup("/kv?starts=" WS_PREFIX "&page=1000")
             : g_strdup_printf("/kv?starts=" WS_PREFIX "&from=%s&page=1000", core->store->load_last);
-  ws_store_call(core, WS_FIRST_READ, "GET", path, NULL, 0, 3000, on_page, NULL);
+  ws_store_request(core, WS_REQUEST_READ, "GET", path, NULL, 0, 3000, on_page, NULL);
 }
 
 static void
-start_load(WsCore *core)
+start_loading(WsCore *core)
 {
   WsStore *store = core->store;
-  store->loading = TRUE;
+  store->is_loading = TRUE;
   core->replica->is_loading = TRUE;
   g_clear_pointer(&store->load_last, g_free);
   g_clear_pointer(&store->load_keys, g_hash_table_unref);
@@ -355,10 +359,10 @@
   (void)data;
   WsStore *store = core->store;
   guint64 revision;
-  store->watching = FALSE;
+  store->is_watching = FALSE;
   if (status == 410) {
     g_info("the watch is too far behind: reading the state again");
-    store->loaded = FALSE;
+    store->is_loaded = FALSE;
     return;
   }
   if (status != 200 || !ws_json_count(body, W_REVISION, &revision)) {
@@ -369,67 +373,69 @@
   const json_t *event;
   json_array_foreach(json_object_get(body, "log"), i, event) apply_event(core, event);
   ws_replica_advance(core->replica, revision);
-  finish_reached(core);
+  finish_reached_reads(core);
 }
 
 static void
-set_shares(WsCore *core)
+set_rate_shares(WsCore *core)
 {
   WsStore *store = core->store;
   guint others = MAX(core->settings->nodes->len - 1, 1u);
   gboolean leads = ws_is_leader(core);
-  double reads = leads ? LEADER_READS : (ALL_READS - LEADER_READS) / others;
-  double writes = leads ? LEADER_WRITES : OTHER_WRITES / others;
-  store->requests.per_second = core->settings->state_rps * reads;
-  store->writes.per_second = core->settings->state_write_rps * writes;
-  store->writes.burst = MAX(store->writes.per_second * BURST_S, 4.0);
+  double reads_share = leads ? LEADER_READ_SHARE : (TOTAL_READ_SHARE - LEADER_READ_SHARE) / others;
+  double write_rate_share = leads ? LEADER_WRITE_SHARE : FOLLOWERS_WRITE_SHARE / others;
+  store->request_rate.per_second = core->settings->state_rps * reads_share;
+  store->write_rate.per_second = core->settings->state_write_rps * write_rate_share;
+  store->write_rate.burst = MAX(store->write_rate.per_second * BURST_S, 4.0);
   /* Changes gather while the watch is closed: it takes at most a third of the requests. */
-  store->watch_pause_ms = (gint64)(3000.0 / store->requests.per_second);
+  store->watch_interval_ms = (gint64)(3000.0 / store->request_rate.per_second);
 }
 
 static void
-watch_tick(WsCore *core)
+open_watch(WsCore *core)
 {
   WsStore *store = core->store;
-  if (store->watching || !store->loaded || core->now < store->watch_retry_ms)
+  if (store->is_watching || !store->is_loaded || core->now < store->watch_retry_ms)
     return;
-  if (store->waiting->len == 0 && core->now < store->watch_opened_ms + store->watch_pause_ms)
+  if (store->waiting_reads->len == 0
+      && core->now < store->watch_opened_ms + store->watch_interval_ms)
     return;
-  store->watching = TRUE;
+  store->is_watching = TRUE;
   store->watch_opened_ms = core->now;
   g_autofree char *path
       = g_strdup_printf("/follow?starts=" WS_PREFIX "&from=%" G_GUINT64_FORMAT "&wait_ms=%d",
-                        core->replica->revision, LONG_WAIT_MS);
-  ws_store_call(core, WS_FIRST_READ, "GET", path, NULL, 0, LONG_WAIT_MS + 2000, on_watch, NULL);
+                        core->replica->revision, WATCH_WAIT_MS);
+  ws_store_request(core, WS_REQUEST_READ, "GET", path, NULL, 0, WATCH_WAIT_MS + 2000, on_watch,
+                   NULL);
 }
 
 /* Users, leases and reads don't wait behind the debt of a large transaction of tasks. */
 static gboolean
-may_send(WsCore *core, WsFirst first, guint writes)
+may_send(WsCore *core, WsRequestClass first, guint write_count)
 {
   WsStore *store = core->store;
-  if (first <= WS_FIRST_USER)
-    return ws_rate_ready(&store->requests, 1.0, core->now)
-           && (writes == 0 || ws_rate_borrow(&store->writes, writes, core->now))
-           && ws_rate_take(&store->requests, 1.0, core->now);
-  return ws_rate_ready(&store->requests, 1.0, core->now)
-         && ws_rate_take(&store->writes, writes, core->now)
-         && ws_rate_take(&store->requests, 1.0, core->now);
+  if (first <= WS_REQUEST_USER)
+    return ws_rate_ready(&store->request_rate, 1.0, core->now)
+           && (write_count == 0 || ws_rate_borrow(&store->write_rate, write_count, core->now))
+           && ws_rate_take(&store->request_rate, 1.0, core->now);
+  return ws_rate_ready(&store->request_rate, 1.0, core->now)
+         && ws_rate_take(&store->write_rate, write_count, core->now)
+         && ws_rate_take(&store->request_rate, 1.0, core->now);
 }
 
 /* Strictly by urgency: a write that waits for its budget also holds back what is less urgent. */
 static void
-send_queued(WsCore *core)
+send_due_requests(WsCore *core)
 {
   WsStore *store = core->store;
-  if (core->now < store->too_many_ms)
+  if (core->now < store->rate_limited_until_ms)
     return;
-  for (guint i = 0; i < WS_FIRST_LEVELS; i++) {
-    Queued *queued;
-    while ((queued = g_queue_peek_head(&store->queues[i])) != NULL) {
-      if (!may_send(core, (WsFirst)i, queued->writes))
+  for (guint i = 0; i < WS_REQUEST_CLASSES; i++) {
+    StoreRequest *request;
+    while ((request = g_queue_peek_head(&store->request_queues[i])) != NULL) {
+      if (!may_send(core, (WsRequestClass)i, request->write_count))
         return;
-      send(core, g_queue_pop_head(&store->queues[i]));
+      send_request(core, g_queue_pop_head(&store->request_queues[i]));
     }
   }
 }
@@ -437,58 +443,60 @@
 void
 ws_store_pump(WsCore *core)
 {
-  read_tick(core);
-  watch_tick(core);
-  send_queued(core);
+  send_read(core);
+  open_watch(core);
+  send_due_requests(core);
 }
 
 static void
 on_caught_up(WsCore *core, gboolean current, gpointer data)
 {
   (void)data;
-  core->store->catching_up = FALSE;
-  core->store->stale = core->store->stale && !(current && ws_store_ok(core));
+  core->store->is_catching_up = FALSE;
+  core->store->is_stale = core->store->is_stale && !(current && ws_store_is_available(core));
 }
 
 /* While this node had no answers others may have had theirs: what it knows is old until it has
    read once more. */
 static void
-catch_up(WsCore *core)
+catch_up_after_outage(WsCore *core)
 {
   WsStore *store = core->store;
-  store->stale = store->stale || !ws_store_ok(core);
-  if (!store->stale || store->catching_up || !store->loaded || !ws_store_ok(core))
+  store->is_stale = store->is_stale || !ws_store_is_available(core);
+  if (!store->is_stale || store->is_catching_up || !store->is_loaded
+      || !ws_store_is_available(core))
     return;
-  store->catching_up = TRUE;
-  ws_store_read(core, on_caught_up, NULL);
+  store->is_catching_up = TRUE;
+  ws_store_linearizable_read(core, on_caught_up, NULL);
 }
 
 void
 ws_store_tick(WsCore *core)
 {
   WsStore *store = core->store;
-  set_shares(core);
-  if (!store->loaded && !store->loading && !store->watching && core->now >= store->load_retry_ms)
-    start_load(core);
-  finish_reached(core);
-  catch_up(core);
+  set_rate_shares(core);
+  if (!store->is_loaded && !store->is_loading && !store->is_watching
+      && core->now >= store->load_retry_ms)
+    start_loading(core);
+  finish_reached_reads(core);
+  catch_up_after_outage(core);
 }
 
 gboolean
 ws_store_stop(WsCore *core)
 {
   WsStore *store = core->store;
-  gboolean any = store->asked->len + store->sent->len + store->waiting->len > 0;
-  for (guint i = 0; i < WS_FIRST_LEVELS; i++) {
-    Queued *queued;
-    while ((queued = g_queue_pop_head(&store->queues[i])) != NULL) {
-      queued->reply(core, 0, NULL, queued->data);
-      queued_free(queued);
+  gboolean any = store->unsent_reads->len + store->sent_reads->len + store->waiting_reads->len > 0;
+  for (guint i = 0; i < WS_REQUEST_CLASSES; i++) {
+    StoreRequest *request;
+    while ((request = g_queue_pop_head(&store->request_queues[i])) != NULL) {
+      request->reply(core, 0, NULL, request->data);
+      store_request_free(request);
       any = TRUE;
     }
   }
-  finish(core, take(&store->asked), FALSE);
-  finish(core, take(&store->sent), FALSE);
-  finish(core, take(&store->waiting), FALSE);
+  finish_reads(core, take_reads(&store->unsent_reads), FALSE);
+  finish_reads(core, take_reads(&store->sent_reads), FALSE);
+  finish_reads(core, take_reads(&store->waiting_reads), FALSE);
   return any;
 }
--- a/src/store/ws-txn.c
+++ b/src/store/ws-txn.c
@@ -8,7 +8,7 @@
 struct _WsTxn {
   json_t *conditions;
   json_t *changes;
-  WsTxnDone done;
+  WsTxnFunc done;
   gpointer data;
 };
 
@@ -30,39 +30,39 @@
 }
 
 void
-ws_txn_if_version(WsTxn *txn, const char *key, guint64 version)
+ws_txn_compare_version(WsTxn *txn, const char *key, guint64 version)
 {
   json_array_append_new(txn->conditions,
                         json_pack("{s:s, s:I}", "k", key, W_VERSION, (json_int_t)version));
 }
 
 void
-ws_txn_if(WsTxn *txn, const WsReplica *replica, const char *key)
+ws_txn_compare(WsTxn *txn, const WsReplica *replica, const char *key)
 {
-  ws_txn_if_version(txn, key, ws_replica_version(replica, key));
+  ws_txn_compare_version(txn, key, ws_replica_version(replica, key));
 }
 
 void
-ws_txn_set(WsTxn *txn, const char *key, json_t *value)
+ws_txn_put(WsTxn *txn, const char *key, json_t *value)
 {
   json_array_append_new(txn->changes, json_pack("{s:s, s:o}", "set", key, "value", value));
 }
 
 void
-ws_txn_set_leased(WsTxn *txn, const char *key, json_t *value, guint64 lease)
+ws_txn_put_leased(WsTxn *txn, const char *key, json_t *value, guint64 lease)
 {
   json_array_append_new(txn->changes, json_pack("{s:s, s:o, s:I}", "set", key, "value", value,
                                                 W_LEASE, (json_int_t)lease));
 }
 
 void
-ws_txn_remove(WsTxn *txn, const char *key)
+ws_txn_delete(WsTxn *txn, const char *key)
 {
   json_array_append_new(txn->changes, json_pack("{s:s}", "remove", key));
 }
 
 guint
-ws_txn_ops(const WsTxn *txn)
+ws_txn_operation_count(const WsTxn *txn)
 {
   return (guint)json_array_size(txn->changes);
 }
@@ -88,8 +88,8 @@
 {
   size_t i;
   const json_t *change;
-  if (ws_txn_ops(txn) > core->settings->state_txn_ops)
-    g_warning("a transaction has %u changes", ws_txn_ops(txn));
+  if (ws_txn_operation_count(txn) > core->settings->state_txn_ops)
+    g_warning("a transaction has %u changes", ws_txn_operation_count(txn));
   json_array_foreach(txn->changes, i, change)
   {
     const char *key;
@@ -105,14 +105,14 @@
 {
   WsTxn *txn = data;
   guint64 revision;
-  WsTxnResult result = WS_TXN_UNKNOWN;
+  WsTxnResult result = WS_TXN_INDETERMINATE;
   if (status == 200 && ws_json_count(body, W_REVISION, &revision)) {
     apply_changes(core, txn, revision);
-    result = WS_TXN_OK;
+    result = WS_TXN_COMMITTED;
   } else if (status == 409) {
     result = WS_TXN_CONFLICT;
   } else if (status == 400 || status == 429 || status == 503) {
-    result = WS_TXN_REFUSED;
+    result = WS_TXN_UNAVAILABLE;
     const char *error = "nothing said";
     (void)ws_json_string(body, "error", &error);
     if (status == 400 && strcmp(error, "no such lease") == 0)
@@ -128,10 +128,11 @@
 }
 
 void
-ws_txn_commit(WsCore *core, WsTxn *txn, WsFirst first, WsTxnDone done, gpointer data)
+ws_txn_commit(WsCore *core, WsTxn *txn, WsRequestClass first, WsTxnFunc done, gpointer data)
 {
   txn->done = done;
   txn->data = data;
   json_t *message = json_pack("{s:O, s:O}", "if", txn->conditions, "apply", txn->changes);
-  ws_store_call(core, first, "POST", "/multi", message, ws_txn_ops(txn), 1500, on_reply, txn);
+  ws_store_request(core, first, "POST", "/multi", message, ws_txn_operation_count(txn), 1500,
+                   on_reply, txn);
 }
--- a/src/workers/ws-cancel.c
+++ b/src/workers/ws-cancel.c
@@ -356,7 +356,7 @@
   double part = (double)age_ms / (core->settings->cancel_s * 1000.0);
   if (part < MARK_PART || machine->gone || ws_returns_is_confirmed(core, machine->name))
     return;
-  if (ws_store_ok(core)) {
+  if (ws_store_is_available(core)) {
     if (ws_entitled(core) && machine->stored && !machine->mark_now)
       ws_termination_mark(core, machine, "cancelled", TRUE);
   } else if (part >= RETURN_PART && returns_unmarked(core)) {
