--- a/src/commit/ws-assign.c
+++ b/src/commit/ws-assign.c
@@ -257,7 +257,7 @@
 {
   WsAssign *assign = core->assign;
   if (assign->busy || core->now < assign->next_ms || core->replica->catalog == NULL
-      || !ws_knows_all_before_epoch(core) || !ws_assign_is_behind(core)
+      || !ws_has_caught_up_with_epoch(core) || !ws_assign_is_behind(core)
       || !ws_store_has_write_budget(core, WORTH_A_TXN))
     return;
   WsBatch *batch = ws_batch_new(core);
@@ -303,7 +303,7 @@
     const WsJob *job = ws_replica_job(core->replica, ref->job);
     const WsAssignment *assignment = job->spec != NULL ? ws_job_assignment(job, ref->task) : NULL;
     if (assignment == NULL || assignment->state != WS_TASK_ASSIGNED
-        || !ws_owns(core, ws_replica_machine(core->replica, assignment->machine)))
+        || !ws_owns_machine(core, ws_replica_machine(core->replica, assignment->machine)))
       continue;
     WsProposal proposal = { ref->job, ref->task, assignment->machine, core->now };
     g_array_append_val(proposals, proposal);
@@ -340,7 +340,7 @@
 ws_assign_pump(WsCore *core)
 {
   launch_fresh(core);
-  if (!ws_entitled(core)) {
+  if (!ws_is_active_member(core)) {
     forget_proposals(core);
     ws_releases_forward_again(core);
     return;
--- a/src/commit/ws-releases.c
+++ b/src/commit/ws-releases.c
@@ -160,7 +160,7 @@
 static void
 restate(const WsCore *core, WsRelease *release)
 {
-  if (ws_owns(core, ws_replica_machine(core->replica, release->evidence.machine)))
+  if (ws_owns_machine(core, ws_replica_machine(core->replica, release->evidence.machine)))
     release->evidence.epoch = core->replica->epoch.number;
 }
 
--- a/src/context/ws-context.h
+++ b/src/context/ws-context.h
@@ -16,7 +16,7 @@
 typedef void (*WsReplyFunc)(WsCore *core, guint status, const json_t *body, gpointer data);
 
 typedef struct _WsStore WsStore;
-typedef struct _WsMembers WsMembers;
+typedef struct _WsElection WsElection;
 typedef struct _WsPeer WsPeer;
 typedef struct _WsAssign WsAssign;
 typedef struct _WsFleet WsFleet;
@@ -43,7 +43,7 @@
   GHashTable *calls;
   guint64 next_call;
   WsStore *store;
-  WsMembers *members;
+  WsElection *election;
   WsAssign *assign;
   WsFleet *fleet;
   WsRentals *rentals;
@@ -57,27 +57,27 @@
   WsWriteStats *write_stats;
   WsUnproven *unproven;
   WsReleases *releases;
-  gint64 vouched_ms;     /* when this node last knew all that was confirmed to users */
-  GHashTable *run_times; /* by class */
+  gint64 cancellations_known_ms; /* when this node last knew all that was confirmed to users */
+  GHashTable *run_times;         /* by class */
   WsPeer *peers;
-  guint64 gossip_rev;         /* counts what changed about this node's machines */
-  gboolean seen_from_outside; /* cut off, yet heard by machines of other zones */
-  gint64 report_ms;           /* when a worker last reported to this node itself */
-  gboolean hears_no_worker;   /* none does, although there are some for it */
-  guint direct_calls;         /* launches on their way */
-  guint status_calls;
-  guint status_next; /* where the next round of status calls begins */
+  guint64 gossip_revision;              /* counts what changed about this node's machines */
+  gboolean is_reached_from_other_zones; /* cut off, yet heard by machines of other zones */
+  gint64 report_ms;                     /* when a worker last reported to this node itself */
+  gboolean is_unreached_by_workers;     /* none does, although there are some for it */
+  guint direct_calls;                   /* launches on their way */
+  guint probes_in_flight;
+  guint next_probe; /* where the next round of status calls begins */
   guint64 plan_steps;
   guint64 plans;
-  gint64 *partition_ms;      /* by zone: when it last seemed to be cut off; 0: never */
-  gint64 *sure_partition_ms; /* by zone: when that was last sure */
+  gint64 *partition_ms;           /* by zone: when it last seemed to be cut off; 0: never */
+  gint64 *confirmed_partition_ms; /* by zone: when that was last sure */
   gboolean plan_due;
-  gint64 epoch_ms; /* since when the present epoch is known */
-  guint64 epoch_seen;
+  gint64 epoch_known_ms; /* since when the present epoch is known */
+  guint64 handled_epoch;
   gboolean is_stalled; /* stood still, and has not renewed and read since */
   gint64 upkeep_ms;
   gint64 garbage_ms;
-  gboolean wants_epoch; /* a doubt can only be ended by a higher token */
+  gboolean new_epoch_needed; /* a doubt can only be ended by a higher token */
 };
 
 void ws_context_init_calls(WsCore *core);
--- a/src/core/ws-core.c
+++ b/src/core/ws-core.c
@@ -26,7 +26,7 @@
   core->replica = ws_replica_new(settings);
   ws_context_init_calls(core);
   core->store = ws_store_new(settings);
-  core->members = ws_members_new();
+  core->election = ws_election_new();
   core->assign = ws_assign_new();
   core->fleet = ws_fleet_new(settings);
   core->rentals = ws_rentals_new();
@@ -43,7 +43,7 @@
   core->run_times = ws_estimator_new();
   core->peers = g_new0(WsPeer, settings->nodes->len);
   core->partition_ms = g_new0(gint64, MAX(settings->zones->len, 1u));
-  core->sure_partition_ms = g_new0(gint64, MAX(settings->zones->len, 1u));
+  core->confirmed_partition_ms = g_new0(gint64, MAX(settings->zones->len, 1u));
   return core;
 }
 
@@ -61,7 +61,7 @@
 {
   ws_context_clear_calls(core);
   ws_store_free(core->store);
-  ws_members_free(core->members);
+  ws_election_free(core->election);
   ws_assign_free(core->assign);
   ws_fleet_free(core->fleet);
   ws_rentals_free(core->rentals);
@@ -79,7 +79,7 @@
   ws_replica_free(core->replica);
   g_free(core->peers);
   g_free(core->partition_ms);
-  g_free(core->sure_partition_ms);
+  g_free(core->confirmed_partition_ms);
   g_free(core);
 }
 
@@ -111,7 +111,7 @@
     return;
   g_info("this node stood still for %.1f s", (double)gap_ms / 1000.0);
   core->is_stalled = TRUE;
-  core->epoch_ms = now_ms;
+  core->epoch_known_ms = now_ms;
   for (guint i = 0; i < core->replica->machines->len; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, i);
     machine->owned_ms = now_ms;
@@ -119,7 +119,7 @@
     machine->sparse_ms = 0;
     machine->unacknowledged_ms = 0;
   }
-  ws_members_wake(core, now_ms);
+  ws_election_resume(core, now_ms);
 }
 
 static void
@@ -134,17 +134,17 @@
 static void
 notice_epoch(WsCore *core)
 {
-  if (core->epoch_seen == core->replica->epoch.number)
+  if (core->handled_epoch == core->replica->epoch.number)
     return;
-  core->epoch_seen = core->replica->epoch.number;
-  core->epoch_ms = core->now;
+  core->handled_epoch = core->replica->epoch.number;
+  core->epoch_known_ms = core->now;
   core->plan_due = TRUE;
-  core->wants_epoch = FALSE;
+  core->new_epoch_needed = FALSE;
   ws_assign_note_epoch(core);
   ws_unproven_note_epoch(core);
-  ws_peer_requests_forget(core);
+  ws_peer_requests_clear(core);
   ws_reservations_clear(core);
-  ws_mesh_new_epoch(core);
+  ws_gossip_begin_epoch(core);
   for (guint i = 0; i < core->replica->machines->len; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, i);
     machine->redirected_ms = 0;
@@ -155,7 +155,7 @@
     machine->owner_seen = machine->owner;
   }
   g_info("epoch %" G_GUINT64_FORMAT " at revision %" G_GUINT64_FORMAT ": %u members, leader %s",
-         core->epoch_seen, ws_replica_version(core->replica, WS_KEY_EPOCH),
+         core->handled_epoch, ws_replica_version(core->replica, WS_KEY_EPOCH),
          core->replica->epoch.members->len,
          core->replica->epoch.leader != WS_NONE
              ? ws_settings_node(core->settings, core->replica->epoch.leader)->name
@@ -166,8 +166,8 @@
 settle(WsCore *core)
 {
   notice_epoch(core);
-  if (ws_knows_all_cancellations(core))
-    core->vouched_ms = core->now;
+  if (ws_has_all_cancellations(core))
+    core->cancellations_known_ms = core->now;
   ws_cancel_pump(core);
   ws_plan_tick(core);
   ws_termination_pump(core);
@@ -181,8 +181,8 @@
 {
   set_time(core, now_ms, wall_ms);
   ws_store_tick(core);
-  ws_members_tick(core);
-  ws_mesh_tick(core);
+  ws_election_tick(core);
+  ws_gossip_tick(core);
   if (core->now >= core->upkeep_ms && ws_store_is_loaded(core)) {
     core->upkeep_ms = core->now + 250;
     ws_failure_detector_tick(core);
@@ -202,7 +202,7 @@
 is_ready(const WsCore *core)
 {
   return ws_store_is_loaded(core) && !core->is_stalled && core->replica->catalog != NULL
-         && !ws_mesh_alone_refused(core) && !ws_mesh_isolated(core);
+         && !ws_is_refused_by_store_alone(core) && !ws_is_isolated(core);
 }
 
 static void
@@ -234,7 +234,7 @@
   if (door == WS_DOOR_API)
     api_request(core, method, path, body, length, request);
   else
-    ws_mesh_request(core, path, body, length, request);
+    ws_mesh_handle_request(core, path, body, length, request);
   settle(core);
 }
 
--- a/src/fleet/ws-cloud-list.c
+++ b/src/fleet/ws-cloud-list.c
@@ -46,7 +46,7 @@
 ws_cloud_list_reconcile(WsCore *core, WsMachine *machine, gint64 at_ms)
 {
   if (machine->marking || machine->type_name == NULL || machine->zone == WS_NONE
-      || ws_returns_is_confirmed(core, machine->name) || !ws_entitled(core))
+      || ws_returns_is_confirmed(core, machine->name) || !ws_is_active_member(core))
     return;
   machine->needs_record = TRUE;
   machine->at_ms = at_ms;
@@ -90,7 +90,7 @@
 void
 ws_cloud_list_reconcile_tick(WsCore *core)
 {
-  if (!ws_entitled(core) || !ws_store_is_available(core))
+  if (!ws_is_active_member(core) || !ws_store_is_available(core))
     return;
   WsTxn *txn = ws_txn_new();
   GArray *machines = g_array_new(FALSE, FALSE, sizeof(guint));
@@ -134,7 +134,7 @@
   }
   if (machine->endpoint == NULL && listed->endpoint != NULL)
     machine->endpoint = g_strdup(listed->endpoint);
-  if (listed->failed && !ws_machine_up(core, machine))
+  if (listed->failed && !ws_machine_is_up(core, machine))
     ws_termination_mark(core, machine, "failed", TRUE);
 }
 
--- a/src/fleet/ws-consolidation.c
+++ b/src/fleet/ws-consolidation.c
@@ -37,7 +37,7 @@
     if (machine->stored && (machine->marked || machine->marking))
       return FALSE;
   }
-  return core->now - core->epoch_ms > 15000;
+  return core->now - core->epoch_known_ms > 15000;
 }
 
 /* Whether the rules on zones let a task of the job move. */
@@ -58,7 +58,7 @@
 {
   if (target == machine || !target->stored || target->marked || batch->closing[target->index]
       || target->notice_ms != 0 || target->tasks->len == 0
-      || !ws_machine_has_image(target, job->image) || !ws_machine_up(core, target)
+      || !ws_machine_has_image(target, job->image) || !ws_machine_is_up(core, target)
       || !ws_plan_allowed(core->replica, job->spec, job->zone, target))
     return FALSE;
   WsAmount room = ws_replica_type(core->replica, target->type)->room;
@@ -128,7 +128,7 @@
 {
   const WsAmount *room = &ws_replica_type(core->replica, machine->type)->room;
   return machine->stored && machine->type != WS_NONE && !machine->marked && !machine->spot
-         && ws_machine_up(core, machine) && 2 * machine->used.cpus <= room->cpus
+         && ws_machine_is_up(core, machine) && 2 * machine->used.cpus <= room->cpus
          && 2 * machine->used.gpus <= room->gpus;
 }
 
@@ -153,7 +153,7 @@
     stored += ws_replica_machine(core->replica, i)->stored ? 1 : 0;
   for (guint i = 0; i < count; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, i);
-    if (!machine->stored || machine->type == WS_NONE || !ws_owns(core, machine)
+    if (!machine->stored || machine->type == WS_NONE || !ws_owns_machine(core, machine)
         || !is_due(core, machine) || looked >= MOST_LOOKS || !may_close(core, batch, machine)
         || batch->machines > stored / MACHINES_A_CONSOLIDATION)
       continue;
--- a/src/fleet/ws-fleet.c
+++ b/src/fleet/ws-fleet.c
@@ -86,8 +86,8 @@
   for (guint i = 0; i < core->replica->machines->len; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, i);
     if (!machine->stored || machine->marked || machine->heard_ms > 0 || machine->type == WS_NONE
-        || machine->tasks->len > 0 || core->now - core->epoch_ms < patience_ms
-        || ws_zone_partitioned(core, machine->zone))
+        || machine->tasks->len > 0 || core->now - core->epoch_known_ms < patience_ms
+        || ws_zone_is_partitioned(core, machine->zone))
       continue;
     double boot_s = ws_replica_type(core->replica, machine->type)->boot_s;
     if ((double)(core->wall - machine->at_ms) / 1000.0 > BOOT_PATIENCE * boot_s + 5.0)
--- a/src/fleet/ws-returns.c
+++ b/src/fleet/ws-returns.c
@@ -155,7 +155,7 @@
 static gboolean
 is_lost(const WsCore *core, const WsMachine *machine)
 {
-  gint64 since_ms = MAX(machine->heard_ms, core->epoch_ms);
+  gint64 since_ms = MAX(machine->heard_ms, core->epoch_known_ms);
   return !machine->stored && !machine->marked && machine->tasks->len > 0
          && (double)(core->now - since_ms) > core->settings->lease_s * 1000.0;
 }
@@ -252,7 +252,7 @@
     else if (!ws_returns_is_confirmed(core, name) && names->len < MOST_A_RETURN)
       g_ptr_array_add(names, g_strdup(name));
     else if (ws_returns_is_confirmed(core, name) && machine->stored && !machine->mark_now
-             && ws_entitled(core))
+             && ws_is_active_member(core))
       ws_termination_mark(core, machine, "cancelled", TRUE);
   }
   send_return(core, names);
--- a/src/fleet/ws-termination.c
+++ b/src/fleet/ws-termination.c
@@ -40,7 +40,7 @@
         || g_strcmp0(other->type_name, machine->type_name) != 0)
       continue;
     total++;
-    unavailable += other->marked || other->marking || !ws_machine_up(core, other) ? 1 : 0;
+    unavailable += other->marked || other->marking || !ws_machine_is_up(core, other) ? 1 : 0;
   }
   return unavailable + 1 <= ws_budget_allowed(budget, total + 1);
 }
@@ -51,7 +51,7 @@
 zone_is_whole(const WsCore *core, guint zone)
 {
   const GArray *members = core->replica->epoch.members;
-  if (ws_zone_partitioned(core, zone))
+  if (ws_zone_is_partitioned(core, zone))
     return FALSE;
   for (guint i = 0; i < members->len; i++) {
     guint node = g_array_index(members, WsMember, i).node;
@@ -59,7 +59,7 @@
       continue;
     for (guint k = 0; k < members->len; k++) {
       guint other = g_array_index(members, WsMember, k).node;
-      if (!ws_mesh_reaches(core, node) || !ws_mesh_sees(core, node, other))
+      if (!ws_peer_is_reachable(core, node) || !ws_peer_link_is_up(core, node, other))
         return FALSE;
     }
   }
@@ -217,7 +217,7 @@
 static void
 mark_if_idle(WsCore *core, WsMachine *machine)
 {
-  if (machine->tasks->len > 0 || !ws_machine_up(core, machine) || !ws_store_is_available(core)) {
+  if (machine->tasks->len > 0 || !ws_machine_is_up(core, machine) || !ws_store_is_available(core)) {
     machine->empty_ms = 0;
     return;
   }
@@ -250,7 +250,7 @@
      */
     if (machine->marking && core->now - machine->marking_ms > FORWARDED_MS)
       machine->marking = FALSE;
-    if (machine->stored && ws_owns(core, machine))
+    if (machine->stored && ws_owns_machine(core, machine))
       tend(core, machine);
   }
   ws_consolidation_tick(core);
--- a/src/membership/ws-members.c
+++ b/src/membership/ws-election.c
@@ -9,7 +9,7 @@
 #define EPOCH_PAUSE_MS 400
 #define FORCED_EPOCH_PAUSE_MS 10000
 
-struct _WsMembers {
+struct _WsElection {
   guint64 lease;      /* 0: none */
   gboolean is_listed; /* the member key is written under this lease */
   gboolean asking;
@@ -25,16 +25,16 @@
   guint wakes; /* a read counts only if nothing of the kind has happened since it was asked for */
 };
 
-WsMembers *
-ws_members_new(void)
+WsElection *
+ws_election_new(void)
 {
-  return g_new0(WsMembers, 1);
+  return g_new0(WsElection, 1);
 }
 
 void
-ws_members_free(WsMembers *members)
+ws_election_free(WsElection *election)
 {
-  g_free(members);
+  g_free(election);
 }
 
 static json_t *
@@ -50,11 +50,11 @@
 static void
 lose_lease(WsCore *core)
 {
-  WsMembers *members = core->members;
-  if (members->lease != 0)
+  WsElection *election = core->election;
+  if (election->lease != 0)
     g_info("this node's lease has ended");
-  members->lease = 0;
-  members->is_listed = FALSE;
+  election->lease = 0;
+  election->is_listed = FALSE;
 }
 
 /* What this node believed before it stood still counts again once the state service has confirmed
@@ -62,52 +62,52 @@
 static void
 on_read_awake(WsCore *core, gboolean current, gpointer data)
 {
-  WsMembers *members = core->members;
-  members->reading = FALSE;
-  if (!current || !members->is_renewed || members->wakes != GPOINTER_TO_UINT(data))
+  WsElection *election = core->election;
+  election->reading = FALSE;
+  if (!current || !election->is_renewed || election->wakes != GPOINTER_TO_UINT(data))
     return;
   core->is_stalled = FALSE;
   core->plan_due = TRUE;
 }
 
 static void
-note_renewed(WsMembers *members, gboolean is_renewed)
+note_renewed(WsElection *election, gboolean is_renewed)
 {
-  members->is_renewed = is_renewed && !members->asked_before;
-  members->asked_before = FALSE;
+  election->is_renewed = is_renewed && !election->asked_before;
+  election->asked_before = FALSE;
 }
 
 void
-ws_members_wake(WsCore *core, gint64 now_ms)
+ws_election_resume(WsCore *core, gint64 now_ms)
 {
-  WsMembers *members = core->members;
-  members->wakes++;
-  members->next_ms = now_ms;
-  members->asked_before = members->asking;
-  members->is_renewed = FALSE;
+  WsElection *election = core->election;
+  election->wakes++;
+  election->next_ms = now_ms;
+  election->asked_before = election->asking;
+  election->is_renewed = FALSE;
 }
 
 static void
 on_lease(WsCore *core, guint status, const json_t *body, gpointer data)
 {
   (void)data;
-  WsMembers *members = core->members;
-  members->asking = FALSE;
-  members->asked_before = FALSE;
-  members->next_ms = core->now + 200;
-  if (status == 200 && ws_json_count(body, W_LEASE, &members->lease))
-    members->next_ms = core->now;
+  WsElection *election = core->election;
+  election->asking = FALSE;
+  election->asked_before = FALSE;
+  election->next_ms = core->now + 200;
+  if (status == 200 && ws_json_count(body, W_LEASE, &election->lease))
+    election->next_ms = core->now;
 }
 
 static void
 on_listed(WsCore *core, WsTxnResult result, gpointer data)
 {
   (void)data;
-  WsMembers *members = core->members;
-  members->asking = FALSE;
-  members->is_listed = result == WS_TXN_COMMITTED;
-  note_renewed(members, members->is_listed);
-  members->next_ms = core->now + (members->is_listed ? RENEW_MS : 200);
+  WsElection *election = core->election;
+  election->asking = FALSE;
+  election->is_listed = result == WS_TXN_COMMITTED;
+  note_renewed(election, election->is_listed);
+  election->next_ms = core->now + (election->is_listed ? RENEW_MS : 200);
   if (result == WS_TXN_UNAVAILABLE)
     lose_lease(core);
 }
@@ -117,10 +117,10 @@
 {
   (void)body;
   (void)data;
-  WsMembers *members = core->members;
-  members->asking = FALSE;
-  members->next_ms = core->now + (status == 200 ? RENEW_MS : 300);
-  note_renewed(members, status == 200);
+  WsElection *election = core->election;
+  election->asking = FALSE;
+  election->next_ms = core->now + (status == 200 ? RENEW_MS : 300);
+  note_renewed(election, status == 200);
   if (status == 404)
     lose_lease(core);
 }
@@ -137,31 +137,31 @@
     if (member->node == core->settings->self && member->incarnation == core->incarnation)
       return;
   }
-  core->members->is_listed = FALSE;
+  core->election->is_listed = FALSE;
 }
 
 static void
 keep_lease(WsCore *core)
 {
-  WsMembers *members = core->members;
-  if (members->asking || core->now < members->next_ms)
+  WsElection *election = core->election;
+  if (election->asking || core->now < election->next_ms)
     return;
   check_listed(core);
-  if (members->lease != 0 && !members->is_listed && !ws_store_is_loaded(core))
+  if (election->lease != 0 && !election->is_listed && !ws_store_is_loaded(core))
     return;
-  members->asking = TRUE;
-  if (members->lease == 0) {
+  election->asking = TRUE;
+  if (election->lease == 0) {
     ws_store_request(core, WS_REQUEST_LEASE, "POST", "/holds",
                      json_pack("{s:i}", "ttl_ms", LEASE_MS), 0, 1000, on_lease, NULL);
-  } else if (!members->is_listed) {
+  } else if (!election->is_listed) {
     WsTxn *txn = ws_txn_new();
     g_autofree char *key
         = ws_key(WS_KEYS_MEMBER, ws_settings_node(core->settings, core->settings->self)->name);
     ws_txn_compare(txn, core->replica, key);
-    ws_txn_put_leased(txn, key, identity(core, FALSE), members->lease);
+    ws_txn_put_leased(txn, key, identity(core, FALSE), election->lease);
     ws_txn_commit(core, txn, WS_REQUEST_LEASE, on_listed, NULL);
   } else {
-    g_autofree char *path = g_strdup_printf("/holds/%" G_GUINT64_FORMAT "/renew", members->lease);
+    g_autofree char *path = g_strdup_printf("/holds/%" G_GUINT64_FORMAT "/renew", election->lease);
     ws_store_request(core, WS_REQUEST_LEASE, "POST", path, NULL, 0, 800, on_renewed, NULL);
   }
 }
@@ -177,11 +177,11 @@
 on_elected(WsCore *core, WsTxnResult result, gpointer data)
 {
   (void)data;
-  core->members->electing = FALSE;
+  core->election->electing = FALSE;
   if (result == WS_TXN_COMMITTED)
     g_info("elected leader");
   else if (result == WS_TXN_UNAVAILABLE)
-    core->members->next_ms = core->now;
+    core->election->next_ms = core->now;
 }
 
 /* An old incarnation of this node may still hold the key until its lease runs out: its place is
@@ -189,15 +189,15 @@
 static void
 stand_for_leader(WsCore *core)
 {
-  WsMembers *members = core->members;
-  if (!members->is_listed || members->electing || holds_leader_key(core))
+  WsElection *election = core->election;
+  if (!election->is_listed || election->electing || holds_leader_key(core))
     return;
   if (core->replica->leader_node != WS_NONE && core->replica->leader_node != core->settings->self)
     return;
-  members->electing = TRUE;
+  election->electing = TRUE;
   WsTxn *txn = ws_txn_new();
   ws_txn_compare(txn, core->replica, WS_KEY_LEADER);
-  ws_txn_put_leased(txn, WS_KEY_LEADER, identity(core, TRUE), members->lease);
+  ws_txn_put_leased(txn, WS_KEY_LEADER, identity(core, TRUE), election->lease);
   ws_txn_commit(core, txn, WS_REQUEST_LEASE, on_elected, NULL);
 }
 
@@ -205,16 +205,16 @@
 on_epoch(WsCore *core, WsTxnResult result, gpointer data)
 {
   (void)data;
-  core->members->writing_epoch = FALSE;
-  core->members->epoch_next_ms = core->now + (result == WS_TXN_COMMITTED ? EPOCH_PAUSE_MS : 200);
+  core->election->writing_epoch = FALSE;
+  core->election->epoch_next_ms = core->now + (result == WS_TXN_COMMITTED ? EPOCH_PAUSE_MS : 200);
 }
 
 static gboolean
 forced(WsCore *core)
 {
-  if (!core->wants_epoch || core->now < core->members->forced_next_ms)
+  if (!core->new_epoch_needed || core->now < core->election->forced_next_ms)
     return FALSE;
-  core->members->forced_next_ms = core->now + FORCED_EPOCH_PAUSE_MS;
+  core->election->forced_next_ms = core->now + FORCED_EPOCH_PAUSE_MS;
   g_info("a higher token is needed to end a doubt");
   return TRUE;
 }
@@ -222,15 +222,15 @@
 static void
 keep_epoch(WsCore *core)
 {
-  WsMembers *members = core->members;
+  WsElection *election = core->election;
   const WsEpoch *epoch = &core->replica->epoch;
-  if (!holds_leader_key(core) || members->writing_epoch || core->now < members->epoch_next_ms
+  if (!holds_leader_key(core) || election->writing_epoch || core->now < election->epoch_next_ms
       || core->replica->members->len == 0)
     return;
   if (epoch->number > 0 && epoch->leader == core->settings->self
       && ws_epoch_same_members(epoch, core->replica->members) && !forced(core))
     return;
-  members->writing_epoch = TRUE;
+  election->writing_epoch = TRUE;
   WsEpoch next = { epoch->number + 1, core->settings->self, core->replica->members };
   WsTxn *txn = ws_txn_new();
   ws_txn_compare(txn, core->replica, WS_KEY_EPOCH);
@@ -240,15 +240,15 @@
 }
 
 void
-ws_members_tick(WsCore *core)
+ws_election_tick(WsCore *core)
 {
   keep_lease(core);
   if (!ws_store_is_loaded(core))
     return;
   if (core->is_stalled) {
-    if (core->members->is_renewed && !core->members->reading) {
-      core->members->reading = TRUE;
-      ws_store_linearizable_read(core, on_read_awake, GUINT_TO_POINTER(core->members->wakes));
+    if (core->election->is_renewed && !core->election->reading) {
+      core->election->reading = TRUE;
+      ws_store_linearizable_read(core, on_read_awake, GUINT_TO_POINTER(core->election->wakes));
     }
     return;
   }
--- a/src/membership/ws-failure-detector.c
+++ b/src/membership/ws-failure-detector.c
@@ -36,7 +36,7 @@
 }
 
 gboolean
-ws_machine_up(const WsCore *core, const WsMachine *machine)
+ws_machine_is_up(const WsCore *core, const WsMachine *machine)
 {
   return machine->heard_ms > 0 && core->now - machine->heard_ms <= patience_ms(core);
 }
@@ -55,7 +55,7 @@
 }
 
 gboolean
-ws_machine_silent(const WsCore *core, const WsMachine *machine)
+ws_machine_is_silent(const WsCore *core, const WsMachine *machine)
 {
   gint64 since_ms = silent_since(machine);
   return since_ms > 0 && core->now - since_ms > patience_ms(core);
@@ -68,19 +68,20 @@
 }
 
 gboolean
-ws_machine_outbound_unreachable(const WsCore *core, const WsMachine *machine)
+ws_machine_is_outbound_unreachable(const WsCore *core, const WsMachine *machine)
 {
   /* One that says nothing isn't deaf, but silent. */
-  return ws_machine_up(core, machine) && unacknowledged_for_ms(core, machine) > patience_ms(core);
+  return ws_machine_is_up(core, machine)
+         && unacknowledged_for_ms(core, machine) > patience_ms(core);
 }
 
 /* Calls reach it, and its reports reach nobody: a call showed that its lease has ended, and it has
    not reported since. Whatever is started there ends with the next lease. A machine whose reports
    are only answered elsewhere keeps its session. */
 gboolean
-ws_machine_inbound_unreachable(const WsCore *core, const WsMachine *machine)
+ws_machine_is_inbound_unreachable(const WsCore *core, const WsMachine *machine)
 {
-  return machine->session_ms > machine->reported_ms && ws_machine_up(core, machine)
+  return machine->session_ms > machine->reported_ms && ws_machine_is_up(core, machine)
          && core->now - machine->session_ms > patience_ms(core);
 }
 
@@ -89,7 +90,7 @@
 static void
 watch_inbound_unreachable(WsCore *core, WsMachine *machine)
 {
-  if (machine->tasks->len > 0 && ws_machine_inbound_unreachable(core, machine))
+  if (machine->tasks->len > 0 && ws_machine_is_inbound_unreachable(core, machine))
     ws_termination_mark(core, machine, "mute", TRUE);
 }
 
@@ -99,11 +100,11 @@
   WsMachine *machine = ws_replica_machine(core->replica, GPOINTER_TO_UINT(data));
   g_autofree char *reason = NULL;
   g_autoptr(WsReport) report = status == 200 ? ws_report_parse(body, &reason) : NULL;
-  core->status_calls--;
+  core->probes_in_flight--;
   /* An answer older than what is known is not from the machine that was known: it has begun anew.
    */
-  if (report == NULL || strcmp(report->machine, machine->name) != 0 || !ws_owns(core, machine)
-      || !ws_workers_presence(core, machine, report)) {
+  if (report == NULL || strcmp(report->machine, machine->name) != 0
+      || !ws_owns_machine(core, machine) || !ws_workers_presence(core, machine, report)) {
     machine->status_failed++;
     return;
   }
@@ -129,16 +130,16 @@
   for (guint n = 0; n < core->settings->nodes->len; n++) {
     if (ws_replica_find_zone(core->replica, ws_settings_node(core->settings, n)->zone) != zone)
       continue;
-    if (ws_mesh_reaches(core, n))
+    if (ws_peer_is_reachable(core, n))
       return 0;
-    gint64 heard_ms = core->peers[n].heard_ms > 0 ? core->peers[n].heard_ms : core->epoch_ms;
+    gint64 heard_ms = core->peers[n].heard_ms > 0 ? core->peers[n].heard_ms : core->epoch_known_ms;
     since_ms = MAX(since_ms, heard_ms);
   }
   return since_ms > 0 ? core->now - since_ms : 0;
 }
 
 gboolean
-ws_zone_partitioned(const WsCore *core, guint zone)
+ws_zone_is_partitioned(const WsCore *core, guint zone)
 {
   return zone < core->settings->zones->len && core->partition_ms[zone] > 0
          && core->now - core->partition_ms[zone] < PARTITION_NOW_MS;
@@ -149,10 +150,11 @@
 static gboolean
 is_or_was_partitioned(const WsCore *core, guint zone)
 {
-  if (ws_zone_partitioned(core, zone))
+  if (ws_zone_is_partitioned(core, zone))
     return TRUE;
-  return zone < core->settings->zones->len && core->sure_partition_ms[zone] > 0
-         && (double)(core->now - core->sure_partition_ms[zone]) < core->settings->lease_s * 1000.0;
+  return zone < core->settings->zones->len && core->confirmed_partition_ms[zone] > 0
+         && (double)(core->now - core->confirmed_partition_ms[zone])
+                < core->settings->lease_s * 1000.0;
 }
 
 /* Whether it is the way to the machines of the zone that is silent, not they: a node of the zone is
@@ -168,14 +170,14 @@
     return TRUE;
   for (guint n = 0; n < core->settings->nodes->len; n++)
     if (ws_replica_find_zone(core->replica, ws_settings_node(core->settings, n)->zone) == zone
-        && ws_epoch_has_node(&core->replica->epoch, n) && !ws_mesh_reaches(core, n))
+        && ws_epoch_has_node(&core->replica->epoch, n) && !ws_peer_is_reachable(core, n))
       return TRUE;
   for (guint i = 0; i < core->replica->machines->len; i++) {
     const WsMachine *machine = ws_replica_machine(core->replica, i);
     if (machine->zone != zone || !machine->stored || machine->marked || silent_since(machine) == 0)
       continue;
     all++;
-    silent += ws_machine_silent(core, machine) ? 1 : 0;
+    silent += ws_machine_is_silent(core, machine) ? 1 : 0;
   }
   return silent >= 3 && 2 * silent > all;
 }
@@ -194,7 +196,7 @@
         || is_or_was_partitioned(core, machine->zone))
       continue;
     all++;
-    silent += ws_machine_silent(core, machine) ? 1 : 0;
+    silent += ws_machine_is_silent(core, machine) ? 1 : 0;
   }
   return silent >= 3 && 5 * silent >= all;
 }
@@ -213,10 +215,10 @@
   for (guint i = 0; (out_ms > 0 || !has_node) && i < core->replica->machines->len; i++) {
     const WsMachine *machine = ws_replica_machine(core->replica, i);
     if (machine->zone != zone || !machine->stored || machine->marked || silent_since(machine) == 0
-        || (has_node && !ws_owns(core, machine)))
+        || (has_node && !ws_owns_machine(core, machine)))
       continue;
     all++;
-    silent += ws_machine_silent(core, machine) ? 1 : 0;
+    silent += ws_machine_is_silent(core, machine) ? 1 : 0;
   }
   gboolean is_long = (double)out_ms > RESTART_PART * core->settings->lease_s * 1000.0;
   gboolean many = silent >= 3 && 2 * silent > all;
@@ -224,7 +226,7 @@
   if (many || (has_node && everyone))
     core->partition_ms[zone] = core->now;
   if (many || (has_node && everyone && is_long))
-    core->sure_partition_ms[zone] = core->now;
+    core->confirmed_partition_ms[zone] = core->now;
 }
 
 /* What is the same for all machines, found once. */
@@ -265,14 +267,14 @@
     return;
   find_partitions(core, partitions);
   if (machine->endpoint != NULL && core->now - machine->status_ms >= STATUS_PAUSE_MS
-      && core->status_calls < MOST_STATUS_CALLS) {
+      && core->probes_in_flight < MOST_STATUS_CALLS) {
     machine->status_ms = core->now;
-    core->status_calls++;
+    core->probes_in_flight++;
     ws_call(core, "GET", machine->endpoint, "/status", NULL, STATUS_TIMEOUT_MS, on_status,
             GUINT_TO_POINTER(machine->index));
   }
   gboolean failed = machine->endpoint == NULL || machine->status_failed >= 2;
-  gboolean is_cut = core->hears_no_worker || partitions->is_interruption
+  gboolean is_cut = core->is_unreached_by_workers || partitions->is_interruption
                     || (machine->zone != WS_NONE && partitions->zones[machine->zone]);
   gint64 patience
       = is_cut ? (gint64)(core->settings->lease_s * 1000.0) + 500 : patience_ms(core) + 1500;
@@ -293,7 +295,7 @@
 {
   gboolean many = deaf >= 3 && 5 * deaf >= all; /* then it's rather this node that isn't heard */
   double part = many ? 1.0 : OUTBOUND_PATIENCE_PART;
-  if (ws_machine_up(core, machine)
+  if (ws_machine_is_up(core, machine)
       && (double)unacknowledged_for_ms(core, machine) > part * core->settings->lease_s * 1000.0)
     ws_termination_mark(core, machine, "deaf", TRUE);
 }
@@ -304,14 +306,14 @@
   guint deaf = 0, all = 0;
   for (guint i = 0; i < core->replica->machines->len; i++) {
     const WsMachine *machine = ws_replica_machine(core->replica, i);
-    if (!machine->stored || machine->marked || !ws_owns(core, machine))
+    if (!machine->stored || machine->marked || !ws_owns_machine(core, machine))
       continue;
     all++;
-    deaf += ws_machine_outbound_unreachable(core, machine) ? 1 : 0;
+    deaf += ws_machine_is_outbound_unreachable(core, machine) ? 1 : 0;
   }
   for (guint i = 0; deaf > 0 && i < core->replica->machines->len; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, i);
-    if (machine->stored && ws_owns(core, machine) && !machine->mark_now)
+    if (machine->stored && ws_owns_machine(core, machine) && !machine->mark_now)
       watch_outbound_unreachable(core, machine, deaf, all);
   }
 }
@@ -324,14 +326,14 @@
   guint own = 0;
   for (guint i = 0; i < core->replica->machines->len; i++) {
     const WsMachine *machine = ws_replica_machine(core->replica, i);
-    own += machine->stored && machine->heard_ms > 0 && ws_owns(core, machine) ? 1 : 0;
+    own += machine->stored && machine->heard_ms > 0 && ws_owns_machine(core, machine) ? 1 : 0;
   }
   double usual_ms = UNHEARD_REPORTS * core->settings->report_s * 1000.0 / MAX(own, 1u);
-  gint64 since_ms = MAX(core->report_ms, core->epoch_ms);
+  gint64 since_ms = MAX(core->report_ms, core->epoch_known_ms);
   gboolean unheard = own > 0 && (double)(core->now - since_ms) > MAX(usual_ms, UNHEARD_MS);
-  if (unheard && !core->hears_no_worker)
+  if (unheard && !core->is_unreached_by_workers)
     g_info("no worker reaches this node");
-  core->hears_no_worker = unheard;
+  core->is_unreached_by_workers = unheard;
 }
 
 /* Each round of status calls begins after the last one of the round before, so that a bound on them
@@ -345,20 +347,21 @@
   for (guint z = 0; z < core->settings->zones->len; z++)
     find_partition(core, z);
   for (guint i = 0; i < count; i++) {
-    WsMachine *machine = ws_replica_machine(core->replica, (core->status_next + i) % count);
-    if (!machine->stored || !ws_owns(core, machine))
+    WsMachine *machine = ws_replica_machine(core->replica, (core->next_probe + i) % count);
+    if (!machine->stored || !ws_owns_machine(core, machine))
       continue;
     /* A machine that isn't heard doesn't learn a higher token either. */
     if (machine->indeterminate_launches > 0
-        && core->now - machine->indeterminate_ms > INDETERMINATE_MS && ws_machine_up(core, machine))
-      core->wants_epoch = TRUE;
-    gboolean had_room = core->status_calls < MOST_STATUS_CALLS;
+        && core->now - machine->indeterminate_ms > INDETERMINATE_MS
+        && ws_machine_is_up(core, machine))
+      core->new_epoch_needed = TRUE;
+    gboolean had_room = core->probes_in_flight < MOST_STATUS_CALLS;
     if (!machine->marked || !machine->mark_now) {
       watch_machine(core, machine, &partitions);
       watch_inbound_unreachable(core, machine);
     }
-    if (had_room && core->status_calls == MOST_STATUS_CALLS)
-      core->status_next = machine->index + 1;
+    if (had_room && core->probes_in_flight == MOST_STATUS_CALLS)
+      core->next_probe = machine->index + 1;
   }
   g_free(partitions.zones);
   watch_all_outbound_unreachable(core);
--- a/src/membership/ws-mesh.c
+++ b/src/membership/ws-gossip.c
@@ -14,10 +14,10 @@
    to us by the hundred; they live on our token as well. */
 #define MOST_RELAYS 12
 /* For the moments until a refusal shows, for drift and for what is on its way. */
-#define VOUCH_MARGIN_MS 4000.0
+#define LEASE_RENEWAL_MARGIN_MS 4000.0
 
 gboolean
-ws_mesh_reaches(const WsCore *core, guint node)
+ws_peer_is_reachable(const WsCore *core, guint node)
 {
   return node == core->settings->self
          || (core->peers[node].heard_ms > 0 && core->now - core->peers[node].heard_ms < REACH_MS);
@@ -25,33 +25,35 @@
 
 /* Whether one node hears another, as far as this one was told. */
 gboolean
-ws_mesh_sees(const WsCore *core, guint from, guint to)
+ws_peer_link_is_up(const WsCore *core, guint from, guint to)
 {
   if (from == core->settings->self)
-    return ws_mesh_reaches(core, to);
-  return from == to || !ws_mesh_reaches(core, from) || (core->peers[from].reaches >> to & 1) != 0;
+    return ws_peer_is_reachable(core, to);
+  return from == to || !ws_peer_is_reachable(core, from)
+         || (core->peers[from].reachable_nodes >> to & 1) != 0;
 }
 
 /* An outage that everybody has is waited out; one that only this node has means that the others
    act without it. */
 gboolean
-ws_mesh_alone_refused(const WsCore *core)
+ws_is_refused_by_store_alone(const WsCore *core)
 {
   if (ws_store_is_available(core))
     return FALSE;
   for (guint n = 0; n < core->settings->nodes->len; n++)
-    if (n != core->settings->self && ws_mesh_reaches(core, n) && core->peers[n].store_ok)
+    if (n != core->settings->self && ws_peer_is_reachable(core, n)
+        && core->peers[n].store_is_available)
       return TRUE;
   return FALSE;
 }
 
 gboolean
-ws_mesh_isolated(const WsCore *core)
+ws_is_isolated(const WsCore *core)
 {
   if (ws_store_is_available(core))
     return FALSE;
   for (guint n = 0; n < core->settings->nodes->len; n++)
-    if (n != core->settings->self && ws_mesh_reaches(core, n))
+    if (n != core->settings->self && ws_peer_is_reachable(core, n))
       return FALSE;
   return core->settings->nodes->len > 1;
 }
@@ -60,7 +62,7 @@
    node can while its replica is current; without the state service it can while all that it reaches
    are without it too, and have told it what they knew: nothing new can be confirmed then. */
 gboolean
-ws_knows_all_cancellations(const WsCore *core)
+ws_has_all_cancellations(const WsCore *core)
 {
   gboolean reached = FALSE, settled = FALSE;
   if (!ws_store_is_loaded(core))
@@ -71,11 +73,13 @@
     const WsPeer *peer = &core->peers[n];
     if (n == core->settings->self)
       continue;
-    if (ws_mesh_reaches(core, n) && (peer->store_ok || peer->untold > 0))
+    if (ws_peer_is_reachable(core, n)
+        && (peer->store_is_available || peer->unacknowledged_cancellations > 0))
       return FALSE;
-    reached = reached || ws_mesh_reaches(core, n);
+    reached = reached || ws_peer_is_reachable(core, n);
     settled = settled
-              || (peer->settled_ms > 0 && peer->settled_ms >= ws_store_unavailable_since_ms(core));
+              || (peer->cancellations_complete_ms > 0
+                  && peer->cancellations_complete_ms >= ws_store_unavailable_since_ms(core));
   }
   return reached && settled;
 }
@@ -84,13 +88,14 @@
    last vouched has to be gone within cancel_s. Inside a zone that is cut off its node goes on:
    those outside return the machines there in time. */
 gboolean
-ws_may_renew_lease(const WsCore *core)
+ws_may_renew_worker_leases(const WsCore *core)
 {
   const WsSettings *settings = core->settings;
-  if (ws_knows_all_cancellations(core) || (ws_mesh_isolated(core) && !core->seen_from_outside))
+  if (ws_has_all_cancellations(core)
+      || (ws_is_isolated(core) && !core->is_reached_from_other_zones))
     return TRUE;
-  return (double)(core->now - core->vouched_ms)
-         < (settings->cancel_s - settings->lease_s) * 1000.0 - VOUCH_MARGIN_MS;
+  return (double)(core->now - core->cancellations_known_ms)
+         < (settings->cancel_s - settings->lease_s) * 1000.0 - LEASE_RENEWAL_MARGIN_MS;
 }
 
 /* Gossip. A node tells each peer what has changed about its machines since what the peer has
@@ -101,11 +106,11 @@
 #define SAID_NOTICE 2u
 
 void
-ws_mesh_new_epoch(WsCore *core)
+ws_gossip_begin_epoch(WsCore *core)
 {
   for (guint n = 0; n < core->settings->nodes->len; n++) {
-    core->peers[n].acked = 0;
-    core->peers[n].has = 0;
+    core->peers[n].acknowledged_revision = 0;
+    core->peers[n].received_revision = 0;
   }
 }
 
@@ -126,42 +131,44 @@
 static void
 note_news(WsCore *core, WsMachine *machine)
 {
-  guint said = (ws_machine_up(core, machine) && !ws_machine_outbound_unreachable(core, machine)
-                        && !ws_machine_inbound_unreachable(core, machine)
-                    ? SAID_UP
-                    : 0u)
-               | (machine->notice_ms > 0 ? SAID_NOTICE : 0u);
+  guint said
+      = (ws_machine_is_up(core, machine) && !ws_machine_is_outbound_unreachable(core, machine)
+                 && !ws_machine_is_inbound_unreachable(core, machine)
+             ? SAID_UP
+             : 0u)
+        | (machine->notice_ms > 0 ? SAID_NOTICE : 0u);
   if (said == machine->said && !machine->has_news)
     return;
   machine->said = said;
   machine->has_news = FALSE;
-  machine->said_rev = ++core->gossip_rev;
+  machine->said_rev = ++core->gossip_revision;
 }
 
 static json_t *
 encode_gossip(WsCore *core, const WsPeer *peer)
 {
-  guint reaches = 0;
+  guint reachable_nodes = 0;
   json_t *machines = json_array();
   for (guint n = 0; n < core->settings->nodes->len; n++)
-    if (ws_mesh_reaches(core, n))
-      reaches |= 1u << n;
+    if (ws_peer_is_reachable(core, n))
+      reachable_nodes |= 1u << n;
   for (guint i = 0; i < core->replica->machines->len; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, i);
-    if (!machine->stored || !ws_owns(core, machine))
+    if (!machine->stored || !ws_owns_machine(core, machine))
       continue;
     note_news(core, machine);
-    if (machine->said_rev > peer->acked)
+    if (machine->said_rev > peer->acknowledged_revision)
       json_array_append_new(machines, encode_machine(core, machine));
   }
   return json_pack(
       "{s:s, s:s, s:I, s:b, s:i, s:b, s:b, s:I, s:I, s:I, s:I, s:b, s:i, s:o}", "node",
       ws_settings_node(core->settings, core->settings->self)->name, "version", WS_VERSION, "epoch",
       (json_int_t)core->replica->epoch.number, "store",
-      ws_store_is_loaded(core) && ws_store_is_available(core), "reaches", (int)reaches,
-      "wants_epoch", core->wants_epoch, "unheard", core->hears_no_worker, "base",
-      (json_int_t)peer->acked, "rev", (json_int_t)core->gossip_rev, "ack", (json_int_t)peer->has,
-      "incarnation", (json_int_t)core->incarnation, "loaded", ws_store_is_loaded(core), "untold",
+      ws_store_is_loaded(core) && ws_store_is_available(core), "reaches", (int)reachable_nodes,
+      "wants_epoch", core->new_epoch_needed, "unheard", core->is_unreached_by_workers, "base",
+      (json_int_t)peer->acknowledged_revision, "rev", (json_int_t)core->gossip_revision, "ack",
+      (json_int_t)peer->received_revision, "incarnation", (json_int_t)core->incarnation, "loaded",
+      ws_store_is_loaded(core), "untold",
       (int)ws_cancel_count_unacknowledged(core, (guint)(peer - core->peers)), "machines", machines);
 }
 
@@ -190,7 +197,7 @@
       || !ws_json_string(item, "endpoint", &endpoint) || !ws_json_bool(item, "notice", &notice))
     return;
   WsMachine *machine = ws_replica_find_machine(core->replica, name);
-  if (machine == NULL || ws_owns(core, machine))
+  if (machine == NULL || ws_owns_machine(core, machine))
     return;
   machine->peer_up = up;
   if (up && machine->up_ms == 0)
@@ -211,14 +218,14 @@
   size_t i;
   const json_t *item;
   if (!ws_json_count(message, "base", &base) || !ws_json_count(message, "rev", &rev)
-      || !ws_json_count(message, "ack", &peer->acked))
+      || !ws_json_count(message, "ack", &peer->acknowledged_revision))
     return;
   for (guint m = 0; base == 0 && m < core->replica->machines->len; m++)
     if (ws_replica_machine(core->replica, m)->owner == node)
       ws_replica_machine(core->replica, m)->peer_up = FALSE;
-  if (base == 0 || base == peer->has) {
+  if (base == 0 || base == peer->received_revision) {
     json_array_foreach(json_object_get(message, "machines"), i, item) take_machine(core, item);
-    peer->has = rev;
+    peer->received_revision = rev;
   }
   for (guint m = 0; m < core->replica->machines->len; m++) {
     WsMachine *machine = ws_replica_machine(core->replica, m);
@@ -246,14 +253,16 @@
 take_gossip(WsCore *core, const json_t *message)
 {
   const char *name;
-  guint64 epoch, reaches, incarnation, untold;
-  gboolean store, wants_epoch, unheard, loaded;
+  guint64 epoch, reachable_nodes, incarnation, unacknowledged_cancellations;
+  gboolean store, new_epoch_needed, unheard, loaded;
   if (!ws_json_string(message, "node", &name) || !ws_json_count(message, "epoch", &epoch)
-      || !ws_json_bool(message, "store", &store) || !ws_json_count(message, "reaches", &reaches)
-      || !ws_json_bool(message, "wants_epoch", &wants_epoch)
+      || !ws_json_bool(message, "store", &store)
+      || !ws_json_count(message, "reaches", &reachable_nodes)
+      || !ws_json_bool(message, "wants_epoch", &new_epoch_needed)
       || !ws_json_bool(message, "unheard", &unheard)
       || !ws_json_count(message, "incarnation", &incarnation)
-      || !ws_json_bool(message, "loaded", &loaded) || !ws_json_count(message, "untold", &untold))
+      || !ws_json_bool(message, "loaded", &loaded)
+      || !ws_json_count(message, "untold", &unacknowledged_cancellations))
     return;
   guint node = ws_settings_find_node(core->settings, name);
   if (node == WS_NONE || node == core->settings->self)
@@ -263,19 +272,19 @@
     ws_cancel_peer_began_anew(core, node);
   peer->incarnation = incarnation;
   note_version(core, node, message);
-  peer->loaded = loaded;
-  peer->untold = (guint)untold;
-  if (loaded && !store && untold == 0)
-    peer->settled_ms = core->now;
+  peer->replica_is_loaded = loaded;
+  peer->unacknowledged_cancellations = (guint)unacknowledged_cancellations;
+  if (loaded && !store && unacknowledged_cancellations == 0)
+    peer->cancellations_complete_ms = core->now;
   peer->heard_ms = core->now;
   peer->epoch = epoch;
-  peer->store_ok = store;
-  peer->hears_no_worker = unheard;
-  peer->reaches = (guint)reaches;
-  if (epoch != core->replica->epoch.number || epoch != core->epoch_seen)
+  peer->store_is_available = store;
+  peer->is_unreached_by_workers = unheard;
+  peer->reachable_nodes = (guint)reachable_nodes;
+  if (epoch != core->replica->epoch.number || epoch != core->handled_epoch)
     return;
-  if (wants_epoch && ws_is_leader(core))
-    core->wants_epoch = TRUE;
+  if (new_epoch_needed && ws_is_leader(core))
+    core->new_epoch_needed = TRUE;
   take_machines(core, node, message);
 }
 
@@ -290,10 +299,10 @@
 /* Of each pair of nodes the one with the smaller index calls, and the answer tells the other side:
    unless nothing came for a while, since connections may be refused in one direction only. */
 void
-ws_mesh_tick(WsCore *core)
+ws_gossip_tick(WsCore *core)
 {
-  if (!ws_mesh_isolated(core))
-    core->seen_from_outside = FALSE;
+  if (!ws_is_isolated(core))
+    core->is_reached_from_other_zones = FALSE;
   for (guint n = 0; n < core->settings->nodes->len; n++) {
     WsPeer *peer = &core->peers[n];
     if (n == core->settings->self || peer->in_flight || core->now - peer->sent_ms < GOSSIP_MS
@@ -330,8 +339,8 @@
 third_node(const WsCore *core, const Relay *relay)
 {
   for (guint n = 0; n < core->settings->nodes->len; n++)
-    if (n != core->settings->self && n != relay->owner && ws_mesh_reaches(core, n)
-        && ws_mesh_sees(core, n, relay->owner))
+    if (n != core->settings->self && n != relay->owner && ws_peer_is_reachable(core, n)
+        && ws_peer_link_is_up(core, n, relay->owner))
       return n;
   return WS_NONE;
 }
@@ -351,7 +360,7 @@
 {
   json_t *commands = json_array();
   add_halts(core, report, commands);
-  if (ws_entitled(core) && ws_may_renew_lease(core))
+  if (ws_is_active_member(core) && ws_may_renew_worker_leases(core))
     ws_answer(core, request, 200,
               ws_commands_answer(core->replica->epoch.number, g_steal_pointer(&commands)), 0);
   else
@@ -363,7 +372,7 @@
 on_relayed(WsCore *core, guint status, const json_t *body, gpointer data)
 {
   Relay *relay = data;
-  core->peers[relay->owner].relays--;
+  core->peers[relay->owner].relays_in_flight--;
   if (status == 200) {
     /* The owner may not have been told yet. */
     json_t *answer = json_deep_copy(body);
@@ -385,19 +394,19 @@
   json_t *message
       = json_pack("{s:I, s:s, s:s}", "epoch", (json_int_t)core->replica->epoch.number, "owner",
                   ws_settings_node(core->settings, relay->owner)->name, "report", relay->report);
-  core->peers[relay->owner].relays++;
+  core->peers[relay->owner].relays_in_flight++;
   ws_call(core, "POST", ws_settings_node(core->settings, relay->via)->endpoint, "/relay", message,
           RELAY_TIMEOUT_MS, on_relayed, relay);
 }
 
 void
-ws_mesh_relay(WsCore *core, guint owner, const char *report, gpointer request)
+ws_relay_heartbeat(WsCore *core, guint owner, const char *report, gpointer request)
 {
   Relay *relay = g_new0(Relay, 1);
   *relay = (Relay){ request, owner, owner, g_strdup(report) };
-  if (!ws_mesh_reaches(core, owner))
+  if (!ws_peer_is_reachable(core, owner))
     relay->via = third_node(core, relay);
-  if (relay->via != WS_NONE && core->peers[owner].relays < MOST_RELAYS) {
+  if (relay->via != WS_NONE && core->peers[owner].relays_in_flight < MOST_RELAYS) {
     send_relay(core, relay);
     return;
   }
@@ -422,7 +431,7 @@
   g_autoptr(WsReport) report = ws_report_parse(message, &reason);
   if (report == NULL)
     ws_answer_reason(core, request, 400, reason);
-  else if (report->token > core->replica->epoch.number || !ws_may_renew_lease(core))
+  else if (report->token > core->replica->epoch.number || !ws_may_renew_worker_leases(core))
     ws_answer_later(core, request, 1);
   else
     ws_answer(core, request, 200, ws_workers_process(core, report), 0);
@@ -439,7 +448,7 @@
     return;
   }
   guint node = ws_settings_find_node(core->settings, owner);
-  if (!ws_entitled(core) || epoch != core->replica->epoch.number || node == WS_NONE) {
+  if (!ws_is_active_member(core) || epoch != core->replica->epoch.number || node == WS_NONE) {
     ws_answer_later(core, request, 1);
   } else if (node == core->settings->self) {
     take_relayed_report(core, text, request);
@@ -464,7 +473,8 @@
 }
 
 void
-ws_mesh_request(WsCore *core, const char *path, const char *body, gsize length, gpointer request)
+ws_mesh_handle_request(WsCore *core, const char *path, const char *body, gsize length,
+                       gpointer request)
 {
   g_autoptr(json_t) message = ws_json_parse(body, length);
   if (strcmp(path, "/gossip") == 0) {
@@ -472,7 +482,7 @@
   } else if (strcmp(path, "/cancelled") == 0) {
     ws_cancel_taken(core, message, request);
   } else if (strcmp(path, "/ask") == 0) {
-    ws_peer_requests_taken(core, message, request);
+    ws_peer_requests_handle(core, message, request);
   } else if (strcmp(path, "/relay") == 0) {
     take_relay(core, message, request);
   } else {
--- a/src/membership/ws-peer-requests.c
+++ b/src/membership/ws-peer-requests.c
@@ -180,7 +180,7 @@
   WsAssignment *assignment = job != NULL ? ws_job_assignment(job, task) : NULL;
   if (assignment == NULL || assignment->stopping
       || assignment->attempt != (guint64)json_integer_value(json_array_get(item, 2))
-      || !ws_owns(core, ws_replica_machine(core->replica, assignment->machine)))
+      || !ws_owns_machine(core, ws_replica_machine(core->replica, assignment->machine)))
     return;
   assignment->stopping = TRUE;
   ws_direct_halt(core, job, assignment);
@@ -199,7 +199,7 @@
 take_all(WsCore *core, const json_t *message)
 {
   guint64 epoch;
-  if (!ws_json_count(message, "epoch", &epoch) || !ws_entitled(core)
+  if (!ws_json_count(message, "epoch", &epoch) || !ws_is_active_member(core)
       || epoch != core->replica->epoch.number)
     return FALSE;
   take_list(core, message, "stops", take_stop);
@@ -213,7 +213,7 @@
 }
 
 void
-ws_peer_requests_taken(WsCore *core, const json_t *message, gpointer request)
+ws_peer_requests_handle(WsCore *core, const json_t *message, gpointer request)
 {
   if (take_all(core, message))
     ws_answer(core, request, 200, json_object(), 0);
@@ -305,11 +305,11 @@
   json_t *mailbox = NULL;
   for (guint n = 0; n < core->settings->nodes->len; n++) {
     json_t **out = &core->peer_requests->out[n];
-    if (*out == NULL || (!ws_mesh_reaches(core, n) && !may_write_mailbox))
+    if (*out == NULL || (!ws_peer_is_reachable(core, n) && !may_write_mailbox))
       continue;
     json_object_set_new(*out, "epoch", json_integer((json_int_t)core->replica->epoch.number));
     const WsNode *node = ws_settings_node(core->settings, n);
-    if (ws_mesh_reaches(core, n)) {
+    if (ws_peer_is_reachable(core, n)) {
       ws_call(core, "POST", node->endpoint, "/ask", g_steal_pointer(out), REQUEST_TIMEOUT_MS,
               on_asked, GUINT_TO_POINTER(n));
       continue;
@@ -324,7 +324,7 @@
 
 /* What was to be asked in the last epoch is worked out afresh in the next. */
 void
-ws_peer_requests_forget(WsCore *core)
+ws_peer_requests_clear(WsCore *core)
 {
   for (guint n = 0; n < core->settings->nodes->len; n++)
     g_clear_pointer(&core->peer_requests->out[n], json_decref);
@@ -334,8 +334,8 @@
 ws_peer_requests_pump(WsCore *core)
 {
   read_mailbox(core);
-  if (!ws_entitled(core)) {
-    ws_peer_requests_forget(core);
+  if (!ws_is_active_member(core)) {
+    ws_peer_requests_clear(core);
     return;
   }
   if (core->now < core->peer_requests->next_ms)
--- a/src/scheduling/ws-demand.c
+++ b/src/scheduling/ws-demand.c
@@ -104,12 +104,12 @@
     if (!machine->stored || machine->type == WS_NONE || machine->zone == WS_NONE)
       continue;
     demand->by_zone[machine->zone]++;
-    if (machine->marked || ws_zone_partitioned(core, machine->zone))
+    if (machine->marked || ws_zone_is_partitioned(core, machine->zone))
       continue; /* nobody hears of a machine that comes up behind a cut */
     if (is_booting(core, machine))
       add_virtual(demand, machine->type, machine->zone, machine->spot,
                   &ws_replica_type(replica, machine->type)->room, FALSE);
-    else if (ws_machine_up(core, machine))
+    else if (ws_machine_is_up(core, machine))
       add_running(demand, machine);
   }
   add_rents(demand);
@@ -207,7 +207,8 @@
   char **zones = ws_replica_type(demand->core->replica, type)->zones;
   for (; *zones != NULL; zones++) {
     guint zone = ws_replica_find_zone(demand->core->replica, *zones);
-    if (zone == WS_NONE || !zone_fits(demand, job, zone) || ws_zone_partitioned(demand->core, zone)
+    if (zone == WS_NONE || !zone_fits(demand, job, zone)
+        || ws_zone_is_partitioned(demand->core, zone)
         || ws_rentals_no_capacity(demand->core, type, zone, spot))
       continue;
     if (best == WS_NONE || demand->by_zone[zone] < demand->by_zone[best])
@@ -335,7 +336,7 @@
     const WsMachine *machine = ws_replica_machine(replica, i);
     if (machine == without || !machine->stored || machine->marked || machine->spot
         || machine->type == WS_NONE || machine->zone == WS_NONE
-        || !(is_booting(core, machine) || ws_machine_up(core, machine)))
+        || !(is_booting(core, machine) || ws_machine_is_up(core, machine)))
       continue;
     WsAmount room = ws_replica_type(replica, machine->type)->room;
     for (guint k = 0; k < machine->tasks->len; k++) {
--- a/src/scheduling/ws-gang.c
+++ b/src/scheduling/ws-gang.c
@@ -12,10 +12,10 @@
 static gboolean
 is_reachable(const WsCore *core, const WsMachine *machine)
 {
-  if (ws_owns(core, machine))
-    return ws_direct_can_send(core, machine) && !ws_machine_outbound_unreachable(core, machine);
-  return machine->owner != WS_NONE && ws_mesh_reaches(core, machine->owner)
-         && ws_machine_up(core, machine);
+  if (ws_owns_machine(core, machine))
+    return ws_direct_can_send(core, machine) && !ws_machine_is_outbound_unreachable(core, machine);
+  return machine->owner != WS_NONE && ws_peer_is_reachable(core, machine->owner)
+         && ws_machine_is_up(core, machine);
 }
 
 static gboolean
@@ -36,7 +36,7 @@
   const WsMachine *machine = ws_replica_machine(core->replica, assignment->machine);
   assignment->stopping = TRUE;
   assignment->stop_asked_ms = core->now;
-  if (ws_owns(core, machine))
+  if (ws_owns_machine(core, machine))
     ws_direct_halt(core, job, assignment);
   else
     ws_peer_request_stop(core, machine->owner, job, assignment);
@@ -61,7 +61,7 @@
 is_to_be_drained(const WsCore *core, const WsAssignment *assignment)
 {
   const WsMachine *machine = ws_replica_machine(core->replica, assignment->machine);
-  return machine->marked && !machine->mark_now && ws_owns(core, machine)
+  return machine->marked && !machine->mark_now && ws_owns_machine(core, machine)
          && assignment->state == WS_TASK_RUNNING;
 }
 
@@ -81,7 +81,7 @@
 static gboolean
 may_halt(const WsCore *core, const WsAssignment *assignment)
 {
-  return ws_owns(core, ws_replica_machine(core->replica, assignment->machine))
+  return ws_owns_machine(core, ws_replica_machine(core->replica, assignment->machine))
          && assignment->state < WS_TASK_SAVING && assignment->state != WS_TASK_ASSIGNED
          && core->now - assignment->stop_asked_ms >= HALT_AGAIN_MS;
 }
--- a/src/scheduling/ws-place.c
+++ b/src/scheduling/ws-place.c
@@ -57,9 +57,9 @@
 is_usable(const WsCore *core, const WsMachine *machine)
 {
   return machine->stored && machine->type != WS_NONE && !machine->marked && !machine->marking
-         && machine->notice_ms == 0 && machine->bad_jobs < 2 && ws_machine_up(core, machine)
-         && !ws_machine_outbound_unreachable(core, machine)
-         && !ws_machine_inbound_unreachable(core, machine) && machine->owner != WS_NONE;
+         && machine->notice_ms == 0 && machine->bad_jobs < 2 && ws_machine_is_up(core, machine)
+         && !ws_machine_is_outbound_unreachable(core, machine)
+         && !ws_machine_is_inbound_unreachable(core, machine) && machine->owner != WS_NONE;
 }
 
 static void
--- a/src/scheduling/ws-plan.c
+++ b/src/scheduling/ws-plan.c
@@ -435,7 +435,7 @@
 void
 ws_plan_tick(WsCore *core)
 {
-  if (core->now < core->plan->next_ms || !ws_entitled(core)
+  if (core->now < core->plan->next_ms || !ws_is_active_member(core)
       || (!core->plan_due && core->now < core->plan->next_ms + UNASKED_MS)
       || core->replica->catalog == NULL || !ws_assign_idle(core) || !ws_store_is_available(core))
     return;
@@ -451,7 +451,7 @@
 guint
 ws_plan_home(WsCore *core, const WsSubmission *spec)
 {
-  if (!ws_entitled(core) || core->replica->catalog == NULL || spec->spread || spec->one_zone
+  if (!ws_is_active_member(core) || core->replica->catalog == NULL || spec->spread || spec->one_zone
       || spec->kind == WS_KIND_GANG)
     return WS_NONE;
   WsRoomMap map;
--- a/src/scheduling/ws-preempt.c
+++ b/src/scheduling/ws-preempt.c
@@ -130,7 +130,7 @@
     assignment->stopping = TRUE;
     ws_amount_add(&room, &victim->spec->need, 1);
     ws_amount_add(&slot->coming, &victim->spec->need, 1);
-    if (ws_owns(core, machine))
+    if (ws_owns_machine(core, machine))
       ws_direct_halt(core, victim, assignment);
   }
 }
@@ -205,7 +205,7 @@
     const TeamVictim *victim = &g_array_index(victims, TeamVictim, i);
     victim->assignment->stopping = TRUE;
     g_array_append_val(machines, victim->assignment->machine);
-    if (ws_owns(core, ws_replica_machine(core->replica, victim->assignment->machine)))
+    if (ws_owns_machine(core, ws_replica_machine(core->replica, victim->assignment->machine)))
       ws_direct_halt(core, victim->job, victim->assignment);
   }
 }
--- a/src/workers/ws-cancel.c
+++ b/src/workers/ws-cancel.c
@@ -277,7 +277,7 @@
       = status == 200 || status == 409 ? ws_report_parse(body, &reason) : NULL;
   if (report != NULL && strcmp(report->machine, machine->name) == 0) {
     note_gone(core, machine, report);
-    if (ws_owns(core, machine))
+    if (ws_owns_machine(core, machine))
       (void)ws_workers_presence(core, machine, report);
     /* It was refused for a session or token that is over; now both are known. */
     if (status == 409 || !halt->halts)
@@ -343,8 +343,8 @@
 {
   for (guint n = 0; n < core->settings->nodes->len; n++) {
     const WsPeer *peer = &core->peers[n];
-    if (n != core->settings->self && ws_mesh_reaches(core, n)
-        && (peer->store_ok || (peer->loaded && n < core->settings->self)))
+    if (n != core->settings->self && ws_peer_is_reachable(core, n)
+        && (peer->store_is_available || (peer->replica_is_loaded && n < core->settings->self)))
       return FALSE;
   }
   return TRUE;
@@ -357,7 +357,7 @@
   if (part < MARK_PART || machine->gone || ws_returns_is_confirmed(core, machine->name))
     return;
   if (ws_store_is_available(core)) {
-    if (ws_entitled(core) && machine->stored && !machine->mark_now)
+    if (ws_is_active_member(core) && machine->stored && !machine->mark_now)
       ws_termination_mark(core, machine, "cancelled", TRUE);
   } else if (part >= RETURN_PART && returns_unmarked(core)) {
     ws_returns_add_unmarked(core, machine);
--- a/src/workers/ws-direct.c
+++ b/src/workers/ws-direct.c
@@ -33,7 +33,8 @@
   g_autofree char *reason = NULL;
   g_autoptr(WsReport) report
       = status == 200 || status == 409 ? ws_report_parse(body, &reason) : NULL;
-  if (report != NULL && strcmp(report->machine, machine->name) == 0 && ws_owns(core, machine))
+  if (report != NULL && strcmp(report->machine, machine->name) == 0
+      && ws_owns_machine(core, machine))
     ws_workers_presence(core, machine, report);
   g_free(direct);
 }
@@ -59,7 +60,8 @@
 ws_direct_can_send(const WsCore *core, const WsMachine *machine)
 {
   return machine->endpoint != NULL && machine->token == core->replica->epoch.number
-         && ws_machine_up(core, machine) && !core->hears_no_worker && ws_entitled(core);
+         && ws_machine_is_up(core, machine) && !core->is_unreached_by_workers
+         && ws_is_active_member(core);
 }
 
 void
@@ -83,7 +85,7 @@
 void
 ws_direct_launch(WsCore *core, WsMachine *machine, GArray *tasks)
 {
-  if (!ws_direct_can_send(core, machine) || !ws_knows_all_cancellations(core)
+  if (!ws_direct_can_send(core, machine) || !ws_has_all_cancellations(core)
       || (core->direct_calls >= MOST_DIRECT_CALLS && !any_urgent(core, tasks)))
     return;
   json_t *commands = json_array();
--- a/src/workers/ws-workers.c
+++ b/src/workers/ws-workers.c
@@ -261,7 +261,7 @@
   gboolean unwanted = ws_cancel_is_known(answer->core, job) || assignment->stopping
                       || answer->machine->marked || ws_gang_is_ending(job)
                       || ws_releases_has(answer->core, job, assignment);
-  if (!unwanted && !ws_knows_all_cancellations(answer->core))
+  if (!unwanted && !ws_has_all_cancellations(answer->core))
     return; /* it may be cancelled, and nobody could have told us */
   if (!unwanted) {
     command(answer, WS_OP_LAUNCH, job->id, assignment->task, assignment->attempt, 0.0);
@@ -314,8 +314,8 @@
                     .report = report,
                     .commands = json_array(),
                     .confirmed = report->token == token(core),
-                    .is_behind = !ws_knows_all_before_epoch(core) };
-  gboolean was_usable = ws_machine_up(core, machine) && machine->notice_ms == 0;
+                    .is_behind = !ws_has_caught_up_with_epoch(core) };
+  gboolean was_usable = ws_machine_is_up(core, machine) && machine->notice_ms == 0;
   if (!take_header(core, machine, report))
     return ws_commands_answer(token(core), answer.commands);
   machine->reported_ms = core->now;
@@ -339,13 +339,13 @@
 {
   if (machine->redirected_ms > 0 && core->now - machine->redirected_ms < REDIRECT_HOLD_MS)
     return FALSE;
-  if (!ws_mesh_reaches(core, owner))
+  if (!ws_peer_is_reachable(core, owner))
     return FALSE;
   for (guint n = 0; n < core->settings->nodes->len; n++)
     if (n != owner && machine->zone != WS_NONE
         && ws_replica_find_zone(core->replica, ws_settings_node(core->settings, n)->zone)
                == machine->zone
-        && !ws_mesh_sees(core, n, owner))
+        && !ws_peer_link_is_up(core, n, owner))
       return FALSE;
   return TRUE;
 }
@@ -357,9 +357,9 @@
 is_worth_a_try(WsCore *core, guint owner)
 {
   WsPeer *peer = &core->peers[owner];
-  if (peer->hears_no_worker && core->now - peer->tried_ms < TRY_UNHEARD_MS)
+  if (peer->is_unreached_by_workers && core->now - peer->last_redirect_ms < TRY_UNHEARD_MS)
     return FALSE;
-  peer->tried_ms = core->now;
+  peer->last_redirect_ms = core->now;
   return TRUE;
 }
 
@@ -367,7 +367,7 @@
 other_owner(WsCore *core, WsMachine *machine, guint owner, const char *body, gpointer request)
 {
   if (!should_redirect(core, machine, owner) || !is_worth_a_try(core, owner)) {
-    ws_mesh_relay(core, owner, body, request);
+    ws_relay_heartbeat(core, owner, body, request);
     return;
   }
   machine->redirected_ms = core->now;
@@ -392,12 +392,12 @@
 sends_away(WsCore *core, WsMachine *machine)
 {
   const WsNode *self = ws_settings_node(core->settings, core->settings->self);
-  if (!ws_mesh_isolated(core))
+  if (!ws_is_isolated(core))
     return FALSE;
   if (machine->zone != ws_replica_find_zone(core->replica, self->zone))
-    core->seen_from_outside = TRUE;
+    core->is_reached_from_other_zones = TRUE;
   gint64 since_ms = core->now - machine->sent_away_ms;
-  if (!core->seen_from_outside
+  if (!core->is_reached_from_other_zones
       || (machine->sent_away_ms > 0
           && (double)since_ms < KEPT_PART * core->settings->lease_s * 1000.0))
     return FALSE;
@@ -417,8 +417,8 @@
     return;
   }
   core->report_ms = core->now;
-  if (!ws_entitled(core) || report->token > token(core) || !knows_newest_epoch(core)
-      || ws_mesh_alone_refused(core) || !ws_may_renew_lease(core)
+  if (!ws_is_active_member(core) || report->token > token(core) || !knows_newest_epoch(core)
+      || ws_is_refused_by_store_alone(core) || !ws_may_renew_worker_leases(core)
       || ws_returns_is_confirmed(core, report->machine)) {
     ws_answer_later(core, request, 1);
     return;
