--- a/src/commit/ws-assign.c
+++ b/src/commit/ws-assign.c
@@ -332,7 +332,7 @@
       g_info("task %s/%u goes to %s", ws_replica_job(core->replica, proposal->job)->id,
              proposal->task, machine->name);
     }
-    ws_direct_launch(core, machine, tasks);
+    ws_worker_rpc_launch(core, machine, tasks);
   }
 }
 
--- a/src/commit/ws-unproven.c
+++ b/src/commit/ws-unproven.c
@@ -61,10 +61,10 @@
 }
 
 static gboolean
-shows_end(const WsCore *core, const WsReport *report, const WsRelease *release)
+shows_end(const WsCore *core, const WsHeartbeat *heartbeat, const WsRelease *release)
 {
-  const WsReportTask *task = ws_report_find(report, ws_replica_job(core->replica, release->job)->id,
-                                            release->task, release->attempt);
+  const WsTaskStatus *task = ws_heartbeat_find_task(
+      heartbeat, ws_replica_job(core->replica, release->job)->id, release->task, release->attempt);
   return task != NULL && task->state == WS_TASK_EXITED;
 }
 
@@ -74,16 +74,16 @@
 {
   const WsMachine *machine = ws_replica_machine(core->replica, GPOINTER_TO_UINT(data));
   g_autofree char *reason = NULL;
-  g_autoptr(WsReport) report = status == 200 ? ws_report_parse(body, &reason) : NULL;
-  if (report == NULL || strcmp(report->machine, machine->name) != 0
-      || report->token != core->replica->epoch.number || !ws_is_leader(core))
+  g_autoptr(WsHeartbeat) heartbeat = status == 200 ? ws_heartbeat_parse(body, &reason) : NULL;
+  if (heartbeat == NULL || strcmp(heartbeat->machine, machine->name) != 0
+      || heartbeat->token != core->replica->epoch.number || !ws_is_leader(core))
     return;
   const GArray *hints = core->unproven->hints;
   for (guint i = 0; i < hints->len; i++) {
     const Hint *hint = &g_array_index(hints, Hint, i);
     const WsAssignment *assignment = ws_release_assignment(core->replica, &hint->release);
     if (assignment != NULL && assignment->machine == machine->index
-        && shows_end(core, report, &hint->release))
+        && shows_end(core, heartbeat, &hint->release))
       take(core, &hint->release, machine, WS_EVIDENCE_EXITED);
   }
 }
--- a/src/context/ws-context.h
+++ b/src/context/ws-context.h
@@ -26,7 +26,7 @@
 typedef struct _WsPlan WsPlan;
 typedef struct _WsPeerRequests WsPeerRequests;
 typedef struct _WsTermination WsTermination;
-typedef struct _WsCancels WsCancels;
+typedef struct _WsCancellations WsCancellations;
 typedef struct _WsReservations WsReservations;
 typedef struct _WsWriteStats WsWriteStats;
 typedef struct _WsUnproven WsUnproven;
@@ -52,7 +52,7 @@
   WsPlan *plan;
   WsPeerRequests *peer_requests;
   WsTermination *termination;
-  WsCancels *cancels;
+  WsCancellations *cancellations;
   WsReservations *reservations;
   WsWriteStats *write_stats;
   WsUnproven *unproven;
@@ -64,7 +64,7 @@
   gboolean is_reached_from_other_zones; /* cut off, yet heard by machines of other zones */
   gint64 report_ms;                     /* when a worker last reported to this node itself */
   gboolean is_unreached_by_workers;     /* none does, although there are some for it */
-  guint direct_calls;                   /* launches on their way */
+  guint rpcs_in_flight;                 /* launches on their way */
   guint probes_in_flight;
   guint next_probe; /* where the next round of status calls begins */
   guint64 plan_steps;
--- a/src/core/ws-core.c
+++ b/src/core/ws-core.c
@@ -35,7 +35,7 @@
   core->plan = ws_plan_new();
   core->peer_requests = ws_peer_requests_new(settings);
   core->termination = ws_termination_new();
-  core->cancels = ws_cancels_new(settings);
+  core->cancellations = ws_cancellations_new(settings);
   core->reservations = ws_reservations_new();
   core->write_stats = ws_write_stats_new();
   core->unproven = ws_unproven_new();
@@ -70,7 +70,7 @@
   ws_plan_free(core->plan);
   ws_peer_requests_free(core->peer_requests, core->settings);
   ws_termination_free(core->termination);
-  ws_cancels_free(core->cancels);
+  ws_cancellations_free(core->cancellations);
   ws_reservations_free(core->reservations);
   ws_write_stats_free(core->write_stats);
   ws_unproven_free(core->unproven);
@@ -168,7 +168,7 @@
   notice_epoch(core);
   if (ws_has_all_cancellations(core))
     core->cancellations_known_ms = core->now;
-  ws_cancel_pump(core);
+  ws_cancellations_pump(core);
   ws_plan_tick(core);
   ws_termination_pump(core);
   ws_assign_pump(core);
@@ -220,7 +220,7 @@
     if (strcmp(method, "POST") != 0)
       ws_answer_reason(core, request, 405, "only POST here");
     else
-      ws_workers_report(core, body, length, request);
+      ws_workers_handle_heartbeat(core, body, length, request);
   } else {
     ws_users_request(core, method, path, body, length, request);
   }
--- a/src/membership/ws-failure-detector.c
+++ b/src/membership/ws-failure-detector.c
@@ -99,18 +99,18 @@
 {
   WsMachine *machine = ws_replica_machine(core->replica, GPOINTER_TO_UINT(data));
   g_autofree char *reason = NULL;
-  g_autoptr(WsReport) report = status == 200 ? ws_report_parse(body, &reason) : NULL;
+  g_autoptr(WsHeartbeat) heartbeat = status == 200 ? ws_heartbeat_parse(body, &reason) : NULL;
   core->probes_in_flight--;
   /* An answer older than what is known is not from the machine that was known: it has begun anew.
    */
-  if (report == NULL || strcmp(report->machine, machine->name) != 0
-      || !ws_owns_machine(core, machine) || !ws_workers_presence(core, machine, report)) {
+  if (heartbeat == NULL || strcmp(heartbeat->machine, machine->name) != 0
+      || !ws_owns_machine(core, machine) || !ws_workers_note_status(core, machine, heartbeat)) {
     machine->status_failed++;
     return;
   }
   /* It is there and reports to somebody else, maybe to a node whose epoch is over. */
-  if (report->token < core->replica->epoch.number)
-    ws_direct_raise_token(core, machine);
+  if (heartbeat->token < core->replica->epoch.number)
+    ws_worker_rpc_raise_fencing_token(core, machine);
 }
 
 static gboolean
@@ -252,7 +252,7 @@
 has_cancelled(const WsCore *core, const WsMachine *machine)
 {
   for (guint i = 0; i < machine->tasks->len; i++)
-    if (ws_cancel_is_known(
+    if (ws_cancellations_has(
             core, ws_replica_job(core->replica, g_array_index(machine->tasks, WsTaskRef, i).job)))
       return TRUE;
   return FALSE;
--- a/src/membership/ws-gossip.c
+++ b/src/membership/ws-gossip.c
@@ -160,16 +160,17 @@
     if (machine->said_rev > peer->acknowledged_revision)
       json_array_append_new(machines, encode_machine(core, machine));
   }
-  return json_pack(
-      "{s:s, s:s, s:I, s:b, s:i, s:b, s:b, s:I, s:I, s:I, s:I, s:b, s:i, s:o}", "node",
-      ws_settings_node(core->settings, core->settings->self)->name, "version", WS_VERSION, "epoch",
-      (json_int_t)core->replica->epoch.number, "store",
-      ws_store_is_loaded(core) && ws_store_is_available(core), "reaches", (int)reachable_nodes,
-      "wants_epoch", core->new_epoch_needed, "unheard", core->is_unreached_by_workers, "base",
-      (json_int_t)peer->acknowledged_revision, "rev", (json_int_t)core->gossip_revision, "ack",
-      (json_int_t)peer->received_revision, "incarnation", (json_int_t)core->incarnation, "loaded",
-      ws_store_is_loaded(core), "untold",
-      (int)ws_cancel_count_unacknowledged(core, (guint)(peer - core->peers)), "machines", machines);
+  return json_pack("{s:s, s:s, s:I, s:b, s:i, s:b, s:b, s:I, s:I, s:I, s:I, s:b, s:i, s:o}", "node",
+                   ws_settings_node(core->settings, core->settings->self)->name, "version",
+                   WS_VERSION, "epoch", (json_int_t)core->replica->epoch.number, "store",
+                   ws_store_is_loaded(core) && ws_store_is_available(core), "reaches",
+                   (int)reachable_nodes, "wants_epoch", core->new_epoch_needed, "unheard",
+                   core->is_unreached_by_workers, "base", (json_int_t)peer->acknowledged_revision,
+                   "rev", (json_int_t)core->gossip_revision, "ack",
+                   (json_int_t)peer->received_revision, "incarnation",
+                   (json_int_t)core->incarnation, "loaded", ws_store_is_loaded(core), "untold",
+                   (int)ws_cancellations_count_unacknowledged(core, (guint)(peer - core->peers)),
+                   "machines", machines);
 }
 
 static void
@@ -269,7 +270,7 @@
     return;
   WsPeer *peer = &core->peers[node];
   if (incarnation != peer->incarnation)
-    ws_cancel_peer_began_anew(core, node);
+    ws_cancellations_forget_acknowledgements(core, node);
   peer->incarnation = incarnation;
   note_version(core, node, message);
   peer->replica_is_loaded = loaded;
@@ -323,13 +324,13 @@
   gpointer request;
   guint owner;
   guint via; /* the node asked last */
-  char *report;
+  char *heartbeat;
 } Relay;
 
 static void
 relay_free(Relay *relay)
 {
-  g_free(relay->report);
+  g_free(relay->heartbeat);
   g_free(relay);
 }
 
@@ -350,19 +351,20 @@
 {
   g_autoptr(json_t) message = ws_json_parse(text, strlen(text));
   g_autofree char *reason = NULL;
-  g_autoptr(WsReport) report = ws_report_parse(message, &reason);
-  if (report != NULL)
-    ws_cancel_add_halts(core, report, commands);
+  g_autoptr(WsHeartbeat) heartbeat = ws_heartbeat_parse(message, &reason);
+  if (heartbeat != NULL)
+    ws_cancellations_add_halts(core, heartbeat, commands);
 }
 
 static void
-keep_alive(WsCore *core, const char *report, gpointer request)
+keep_alive(WsCore *core, const char *heartbeat, gpointer request)
 {
   json_t *commands = json_array();
-  add_halts(core, report, commands);
+  add_halts(core, heartbeat, commands);
   if (ws_is_active_member(core) && ws_may_renew_worker_leases(core))
     ws_answer(core, request, 200,
-              ws_commands_answer(core->replica->epoch.number, g_steal_pointer(&commands)), 0);
+              ws_heartbeat_answer_encode(core->replica->epoch.number, g_steal_pointer(&commands)),
+              0);
   else
     ws_answer_later(core, request, 1);
   json_decref(commands);
@@ -376,14 +378,14 @@
   if (status == 200) {
     /* The owner may not have been told yet. */
     json_t *answer = json_deep_copy(body);
-    add_halts(core, relay->report, ws_commands_of(answer));
+    add_halts(core, relay->heartbeat, ws_heartbeat_answer_commands(answer));
     ws_answer(core, relay->request, 200, answer, 0);
   } else if (relay->via == relay->owner && third_node(core, relay) != WS_NONE) {
     relay->via = third_node(core, relay);
     send_relay(core, relay);
     return;
   } else {
-    keep_alive(core, relay->report, relay->request);
+    keep_alive(core, relay->heartbeat, relay->request);
   }
   relay_free(relay);
 }
@@ -393,24 +395,24 @@
 {
   json_t *message
       = json_pack("{s:I, s:s, s:s}", "epoch", (json_int_t)core->replica->epoch.number, "owner",
-                  ws_settings_node(core->settings, relay->owner)->name, "report", relay->report);
+                  ws_settings_node(core->settings, relay->owner)->name, "report", relay->heartbeat);
   core->peers[relay->owner].relays_in_flight++;
   ws_call(core, "POST", ws_settings_node(core->settings, relay->via)->endpoint, "/relay", message,
           RELAY_TIMEOUT_MS, on_relayed, relay);
 }
 
 void
-ws_relay_heartbeat(WsCore *core, guint owner, const char *report, gpointer request)
+ws_relay_heartbeat(WsCore *core, guint owner, const char *heartbeat, gpointer request)
 {
   Relay *relay = g_new0(Relay, 1);
-  *relay = (Relay){ request, owner, owner, g_strdup(report) };
+  *relay = (Relay){ request, owner, owner, g_strdup(heartbeat) };
   if (!ws_peer_is_reachable(core, owner))
     relay->via = third_node(core, relay);
   if (relay->via != WS_NONE && core->peers[owner].relays_in_flight < MOST_RELAYS) {
     send_relay(core, relay);
     return;
   }
-  keep_alive(core, report, request);
+  keep_alive(core, heartbeat, request);
   relay_free(relay);
 }
 
@@ -428,13 +430,13 @@
 {
   g_autoptr(json_t) message = ws_json_parse(text, strlen(text));
   g_autofree char *reason = NULL;
-  g_autoptr(WsReport) report = ws_report_parse(message, &reason);
-  if (report == NULL)
+  g_autoptr(WsHeartbeat) heartbeat = ws_heartbeat_parse(message, &reason);
+  if (heartbeat == NULL)
     ws_answer_reason(core, request, 400, reason);
-  else if (report->token > core->replica->epoch.number || !ws_may_renew_worker_leases(core))
+  else if (heartbeat->token > core->replica->epoch.number || !ws_may_renew_worker_leases(core))
     ws_answer_later(core, request, 1);
   else
-    ws_answer(core, request, 200, ws_workers_process(core, report), 0);
+    ws_answer(core, request, 200, ws_workers_answer_heartbeat(core, heartbeat), 0);
 }
 
 static void
@@ -480,7 +482,7 @@
   if (strcmp(path, "/gossip") == 0) {
     answer_gossip(core, message, request);
   } else if (strcmp(path, "/cancelled") == 0) {
-    ws_cancel_taken(core, message, request);
+    ws_cancellations_handle_message(core, message, request);
   } else if (strcmp(path, "/ask") == 0) {
     ws_peer_requests_handle(core, message, request);
   } else if (strcmp(path, "/relay") == 0) {
--- a/src/membership/ws-peer-requests.c
+++ b/src/membership/ws-peer-requests.c
@@ -183,7 +183,7 @@
       || !ws_owns_machine(core, ws_replica_machine(core->replica, assignment->machine)))
     return;
   assignment->stopping = TRUE;
-  ws_direct_halt(core, job, assignment);
+  ws_worker_rpc_halt(core, job, assignment);
 }
 
 static void
--- a/src/protocol/ws-report.c
+++ b/src/protocol/ws-heartbeat.c
@@ -1,4 +1,4 @@
-#include "protocol/ws-report.h"
+#include "protocol/ws-heartbeat.h"
 
 #include "protocol/ws-submission.h"
 #include "protocol/ws-field-names.h"
@@ -58,7 +58,7 @@
 }
 
 static gboolean
-parse_task(const json_t *item, WsReportTask *task)
+parse_task(const json_t *item, WsTaskStatus *task)
 {
   const char *name, *state, *why = NULL;
   if (!ws_json_string(item, W_TASK, &name) || !ws_json_count(item, W_ATTEMPT, &task->attempt)
@@ -74,11 +74,11 @@
 static void
 clear_task(gpointer data)
 {
-  g_free(((WsReportTask *)data)->job);
+  g_free(((WsTaskStatus *)data)->job);
 }
 
 static const char *
-parse_tasks(const json_t *message, WsReport *report)
+parse_tasks(const json_t *message, WsHeartbeat *heartbeat)
 {
   const json_t *list = json_object_get(message, W_TASKS);
   if (!json_is_array(list))
@@ -87,16 +87,16 @@
   const json_t *item;
   json_array_foreach(list, i, item)
   {
-    WsReportTask task = { 0 };
+    WsTaskStatus task = { 0 };
     if (!parse_task(item, &task))
       return W_TASKS;
-    g_array_append_val(report->tasks, task);
+    g_array_append_val(heartbeat->tasks, task);
   }
   return NULL;
 }
 
 static const char *
-parse_members(const json_t *m, WsReport *r)
+parse_members(const json_t *m, WsHeartbeat *r)
 {
   const char *machine, *endpoint, *type, *zone;
   if (!ws_json_string(m, W_MACHINE, &machine) || *machine == '\0' || strlen(machine) > 100
@@ -125,30 +125,30 @@
   return parse_tasks(m, r);
 }
 
-WsReport *
-ws_report_parse(const json_t *message, char **reason)
+WsHeartbeat *
+ws_heartbeat_parse(const json_t *message, char **reason)
 {
   if (!json_is_object(message)) {
     *reason = g_strdup("not a JSON object");
     return NULL;
   }
-  g_autoptr(WsReport) report = g_new0(WsReport, 1);
-  report->notice_s = -1.0;
-  report->tasks = g_array_new(FALSE, TRUE, sizeof(WsReportTask));
-  g_array_set_clear_func(report->tasks, clear_task);
-  const char *bad = parse_members(message, report);
+  g_autoptr(WsHeartbeat) heartbeat = g_new0(WsHeartbeat, 1);
+  heartbeat->notice_s = -1.0;
+  heartbeat->tasks = g_array_new(FALSE, TRUE, sizeof(WsTaskStatus));
+  g_array_set_clear_func(heartbeat->tasks, clear_task);
+  const char *bad = parse_members(message, heartbeat);
   if (bad != NULL) {
     *reason = g_strdup_printf("%s is missing or invalid", bad);
     return NULL;
   }
-  return g_steal_pointer(&report);
+  return g_steal_pointer(&heartbeat);
 }
 
-const WsReportTask *
-ws_report_find(const WsReport *report, const char *job, guint task, guint64 attempt)
+const WsTaskStatus *
+ws_heartbeat_find_task(const WsHeartbeat *heartbeat, const char *job, guint task, guint64 attempt)
 {
-  for (guint i = 0; i < report->tasks->len; i++) {
-    const WsReportTask *at = &g_array_index(report->tasks, WsReportTask, i);
+  for (guint i = 0; i < heartbeat->tasks->len; i++) {
+    const WsTaskStatus *at = &g_array_index(heartbeat->tasks, WsTaskStatus, i);
     if (at->task == task && at->attempt == attempt && strcmp(at->job, job) == 0)
       return at;
   }
@@ -156,16 +156,16 @@
 }
 
 void
-ws_report_free(WsReport *report)
+ws_heartbeat_free(WsHeartbeat *heartbeat)
 {
-  if (report == NULL)
+  if (heartbeat == NULL)
     return;
-  g_free(report->machine);
-  g_free(report->endpoint);
-  g_free(report->type);
-  g_free(report->zone);
-  g_array_unref(report->tasks);
-  g_free(report);
+  g_free(heartbeat->machine);
+  g_free(heartbeat->endpoint);
+  g_free(heartbeat->type);
+  g_free(heartbeat->zone);
+  g_array_unref(heartbeat->tasks);
+  g_free(heartbeat);
 }
 
 json_t *
@@ -181,19 +181,19 @@
 }
 
 json_t *
-ws_commands_answer(guint64 token, json_t *commands)
+ws_heartbeat_answer_encode(guint64 token, json_t *commands)
 {
   return json_pack("{s:I, s:o}", W_TOKEN, (json_int_t)token, W_COMMANDS, commands);
 }
 
 json_t *
-ws_commands_of(const json_t *answer)
+ws_heartbeat_answer_commands(const json_t *answer)
 {
   return json_object_get(answer, W_COMMANDS);
 }
 
 json_t *
-ws_commands_direct(guint64 token, guint64 session, json_t *commands)
+ws_commands_encode(guint64 token, guint64 session, json_t *commands)
 {
   return json_pack("{s:I, s:I, s:o}", W_TOKEN, (json_int_t)token, W_SESSION, (json_int_t)session,
                    W_COMMANDS, commands);
--- a/src/protocol/ws-report.h
+++ b/src/protocol/ws-heartbeat.h
@@ -29,7 +29,7 @@
   WsTaskState state;
   WsExit why;
   gboolean saved; /* of a task that was stopped: its progress is safe */
-} WsReportTask;
+} WsTaskStatus;
 
 typedef struct {
   char *machine;
@@ -41,22 +41,22 @@
   guint64 seq;
   guint64 token;
   double notice_s; /* negative: none */
-  GArray *tasks;   /* of WsReportTask */
-} WsReport;
+  GArray *tasks;   /* of WsTaskStatus */
+} WsHeartbeat;
 
 /* The attempt as the report shows it; NULL: it doesn't. */
-const WsReportTask *ws_report_find(const WsReport *report, const char *job, guint task,
-                                   guint64 attempt);
+const WsTaskStatus *ws_heartbeat_find_task(const WsHeartbeat *heartbeat, const char *job,
+                                           guint task, guint64 attempt);
 
 typedef enum { WS_OP_LAUNCH, WS_OP_HALT, WS_OP_REAP } WsOp;
 
-WsReport *ws_report_parse(const json_t *message, char **reason);
-void ws_report_free(WsReport *report);
+WsHeartbeat *ws_heartbeat_parse(const json_t *message, char **reason);
+void ws_heartbeat_free(WsHeartbeat *heartbeat);
 
 json_t *ws_command_encode(WsOp op, const char *job, guint task, guint64 attempt, double grace_s);
-json_t *ws_commands_answer(guint64 token, json_t *commands);
-json_t *ws_commands_of(const json_t *answer); /* borrowed */
-json_t *ws_commands_direct(guint64 token, guint64 session, json_t *commands);
+json_t *ws_heartbeat_answer_encode(guint64 token, json_t *commands);
+json_t *ws_heartbeat_answer_commands(const json_t *answer); /* borrowed */
+json_t *ws_commands_encode(guint64 token, guint64 session, json_t *commands);
 json_t *ws_redirect_encode(const char *node);
 
-G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsReport, ws_report_free)
+G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsHeartbeat, ws_heartbeat_free)
--- a/src/scheduling/ws-gang.c
+++ b/src/scheduling/ws-gang.c
@@ -6,14 +6,15 @@
 
 /* Halts are repeated at this pace: the tasks of a gang must all hear of a stop within a few seconds
    of the first one. */
-#define HALT_AGAIN_MS 700
+#define HALT_RETRY_MS 700
 
 /* Whether the machine hears a halt now, from this node or from its owner. */
 static gboolean
 is_reachable(const WsCore *core, const WsMachine *machine)
 {
   if (ws_owns_machine(core, machine))
-    return ws_direct_can_send(core, machine) && !ws_machine_is_outbound_unreachable(core, machine);
+    return ws_worker_rpc_is_possible(core, machine)
+           && !ws_machine_is_outbound_unreachable(core, machine);
   return machine->owner != WS_NONE && ws_peer_is_reachable(core, machine->owner)
          && ws_machine_is_up(core, machine);
 }
@@ -37,7 +38,7 @@
   assignment->stopping = TRUE;
   assignment->stop_asked_ms = core->now;
   if (ws_owns_machine(core, machine))
-    ws_direct_halt(core, job, assignment);
+    ws_worker_rpc_halt(core, job, assignment);
   else
     ws_peer_request_stop(core, machine->owner, job, assignment);
 }
@@ -83,7 +84,7 @@
 {
   return ws_owns_machine(core, ws_replica_machine(core->replica, assignment->machine))
          && assignment->state < WS_TASK_SAVING && assignment->state != WS_TASK_ASSIGNED
-         && core->now - assignment->stop_asked_ms >= HALT_AGAIN_MS;
+         && core->now - assignment->stop_asked_ms >= HALT_RETRY_MS;
 }
 
 /* One halt of each task on this node's machines, unless one was sent a moment ago. */
@@ -97,7 +98,7 @@
     if ((!all && !assignment->stopping) || !may_halt(core, assignment))
       continue;
     assignment->stop_asked_ms = core->now;
-    ws_direct_halt(core, job, assignment);
+    ws_worker_rpc_halt(core, job, assignment);
   }
 }
 
@@ -128,7 +129,7 @@
   for (guint i = 0; i < core->replica->active->len; i++) {
     WsJob *job = g_ptr_array_index(core->replica->active, i);
     if (ws_job_is_gang(job) && job->on_count > 0 && job->state == WS_JOB_ACTIVE
-        && !ws_cancel_is_known(core, job))
+        && !ws_cancellations_has(core, job))
       tend(core, job);
   }
 }
--- a/src/scheduling/ws-place.c
+++ b/src/scheduling/ws-place.c
@@ -85,7 +85,7 @@
     const WsAssignment *assignment = ws_job_assignment(job, ref->task);
     has_array = has_array || job->spec->kind == WS_KIND_ARRAY;
     slot->has_service = slot->has_service || job->spec->kind == WS_KIND_SERVICE;
-    if (assignment == NULL || !(assignment->stopping || ws_cancel_is_known(map->core, job)))
+    if (assignment == NULL || !(assignment->stopping || ws_cancellations_has(map->core, job)))
       continue;
     ws_amount_add(&slot->coming, &job->spec->need, 1);
     is_freed = TRUE;
--- a/src/scheduling/ws-preempt.c
+++ b/src/scheduling/ws-preempt.c
@@ -131,7 +131,7 @@
     ws_amount_add(&room, &victim->spec->need, 1);
     ws_amount_add(&slot->coming, &victim->spec->need, 1);
     if (ws_owns_machine(core, machine))
-      ws_direct_halt(core, victim, assignment);
+      ws_worker_rpc_halt(core, victim, assignment);
   }
 }
 
@@ -154,7 +154,7 @@
 add_team_victims(const WsCore *core, const WsJob *job, WsJob *candidate, GArray *victims,
                  WsAmount *coming)
 {
-  gboolean is_cancelled = ws_cancel_is_known(core, candidate);
+  gboolean is_cancelled = ws_cancellations_has(core, candidate);
   gboolean may_stop = !is_cancelled && ws_preempt_allowed(core, job, candidate);
   WsAssignmentIter iter;
   ws_assignment_iter_init(&iter, candidate);
@@ -206,7 +206,7 @@
     victim->assignment->stopping = TRUE;
     g_array_append_val(machines, victim->assignment->machine);
     if (ws_owns_machine(core, ws_replica_machine(core->replica, victim->assignment->machine)))
-      ws_direct_halt(core, victim->job, victim->assignment);
+      ws_worker_rpc_halt(core, victim->job, victim->assignment);
   }
 }
 
--- a/src/scheduling/ws-reservation.c
+++ b/src/scheduling/ws-reservation.c
@@ -121,7 +121,7 @@
 {
   const WsJob *job = ws_replica_job(core->replica, entry->job);
   if (core->now >= entry->until_ms || job == other || job->state != WS_JOB_ACTIVE
-      || job->spec == NULL || ws_cancel_is_known(core, job)
+      || job->spec == NULL || ws_cancellations_has(core, job)
       || !goes_before(core, job, other, other_tasks_on))
     return 0;
   guint settled = job->done_count + job->on_count;
--- a/src/storage/ws-chunk.h
+++ b/src/storage/ws-chunk.h
@@ -6,7 +6,7 @@
  */
 #pragma once
 
-#include "protocol/ws-report.h"
+#include "protocol/ws-heartbeat.h"
 
 #include <glib.h>
 
--- a/src/workers/ws-cancel.c
+++ b/src/workers/ws-cancellations.c
@@ -11,22 +11,22 @@
 
 #include <string.h>
 
-#define TELL_TIMEOUT_MS 1000
+#define NOTIFY_TIMEOUT_MS 1000
 /* Between two messages to one peer, so that what is cancelled in bulk shares a few. */
-#define TELL_PAUSE_MS 100
-#define TELL_AGAIN_MS 500
-#define MOST_TOLD 400
+#define NOTIFY_INTERVAL_MS 100
+#define NOTIFY_RETRY_MS 500
+#define MAX_CANCELLATIONS_PER_MESSAGE 400
 /* The owner halts at once; the others when its records don't show the end by then. */
-#define OTHERS_AFTER_MS 1500
-#define HALT_AGAIN_MS 1000
+#define NON_OWNER_HALT_DELAY_MS 1500
+#define HALT_RETRY_MS 1000
 #define HALT_TIMEOUT_MS 2000
 /* Where nothing answered, so that machines out of reach leave room for the others. */
-#define HALT_LATER_MS 4000
-#define MOST_HALT_CALLS 24
+#define UNREACHABLE_HALT_RETRY_MS 4000
+#define MAX_HALT_CALLS 24
 /* Parts of cancel_s: from the first on a machine that hasn't confirmed is marked, from the second
    on it is returned without a mark if the state service takes none. The rest is for the cloud. */
-#define MARK_PART 0.4
-#define RETURN_PART 0.6
+#define MARK_DEADLINE_SHARE 0.4
+#define RETURN_DEADLINE_SHARE 0.6
 
 typedef struct {
   char *id;
@@ -34,7 +34,7 @@
   guint knows;  /* bit for each node that has acknowledged it, or has told us */
 } Cancel;
 
-struct _WsCancels {
+struct _WsCancellations {
   GPtrArray *list; /* of Cancel */
   GHashTable *by_id;
   gboolean *telling;   /* by node */
@@ -52,40 +52,40 @@
   g_free(cancel);
 }
 
-WsCancels *
-ws_cancels_new(const WsSettings *settings)
+WsCancellations *
+ws_cancellations_new(const WsSettings *settings)
 {
-  WsCancels *cancels = g_new0(WsCancels, 1);
-  cancels->list = g_ptr_array_new_with_free_func(cancel_free);
-  cancels->by_id = g_hash_table_new(g_str_hash, g_str_equal);
-  cancels->telling = g_new0(gboolean, settings->nodes->len);
-  cancels->tell_ms = g_new0(gint64, settings->nodes->len);
-  cancels->halt_ms = g_hash_table_new_full(NULL, NULL, NULL, g_free);
-  return cancels;
+  WsCancellations *cancellations = g_new0(WsCancellations, 1);
+  cancellations->list = g_ptr_array_new_with_free_func(cancel_free);
+  cancellations->by_id = g_hash_table_new(g_str_hash, g_str_equal);
+  cancellations->telling = g_new0(gboolean, settings->nodes->len);
+  cancellations->tell_ms = g_new0(gint64, settings->nodes->len);
+  cancellations->halt_ms = g_hash_table_new_full(NULL, NULL, NULL, g_free);
+  return cancellations;
 }
 
 void
-ws_cancels_free(WsCancels *cancels)
+ws_cancellations_free(WsCancellations *cancellations)
 {
-  g_hash_table_unref(cancels->by_id);
-  g_ptr_array_unref(cancels->list);
-  g_hash_table_unref(cancels->halt_ms);
-  g_free(cancels->telling);
-  g_free(cancels->tell_ms);
-  g_free(cancels);
+  g_hash_table_unref(cancellations->by_id);
+  g_ptr_array_unref(cancellations->list);
+  g_hash_table_unref(cancellations->halt_ms);
+  g_free(cancellations->telling);
+  g_free(cancellations->tell_ms);
+  g_free(cancellations);
 }
 
 static Cancel *
 find(const WsCore *core, const char *id)
 {
-  return g_hash_table_lookup(core->cancels->by_id, id);
+  return g_hash_table_lookup(core->cancellations->by_id, id);
 }
 
 gboolean
-ws_cancel_is_known(const WsCore *core, const WsJob *job)
+ws_cancellations_has(const WsCore *core, const WsJob *job)
 {
   return job->state == WS_JOB_CANCELLED
-         || (core->cancels->list->len > 0 && job->state == WS_JOB_ACTIVE
+         || (core->cancellations->list->len > 0 && job->state == WS_JOB_ACTIVE
              && find(core, job->id) != NULL);
 }
 
@@ -100,34 +100,35 @@
 static void
 learn(WsCore *core, const char *id, gint64 at_ms, guint from)
 {
-  WsCancels *cancels = core->cancels;
+  WsCancellations *cancellations = core->cancellations;
   Cancel *cancel = find(core, id);
   if (cancel == NULL) {
     if (is_over(core, id))
       return;
     cancel = g_new0(Cancel, 1);
     *cancel = (Cancel){ g_strdup(id), at_ms, 1u << core->settings->self };
-    g_ptr_array_add(cancels->list, cancel);
-    g_hash_table_insert(cancels->by_id, cancel->id, cancel);
+    g_ptr_array_add(cancellations->list, cancel);
+    g_hash_table_insert(cancellations->by_id, cancel->id, cancel);
   }
   cancel->at_ms = MIN(cancel->at_ms, at_ms);
   cancel->knows |= 1u << from;
 }
 
 guint
-ws_cancel_count_unacknowledged(const WsCore *core, guint node)
+ws_cancellations_count_unacknowledged(const WsCore *core, guint node)
 {
   guint count = 0;
-  for (guint i = 0; i < core->cancels->list->len; i++)
-    count += (((const Cancel *)g_ptr_array_index(core->cancels->list, i))->knows >> node & 1) == 0;
+  for (guint i = 0; i < core->cancellations->list->len; i++)
+    count += (((const Cancel *)g_ptr_array_index(core->cancellations->list, i))->knows >> node & 1)
+             == 0;
   return count;
 }
 
 void
-ws_cancel_peer_began_anew(WsCore *core, guint node)
+ws_cancellations_forget_acknowledgements(WsCore *core, guint node)
 {
-  for (guint i = 0; i < core->cancels->list->len; i++)
-    ((Cancel *)g_ptr_array_index(core->cancels->list, i))->knows &= ~(1u << node);
+  for (guint i = 0; i < core->cancellations->list->len; i++)
+    ((Cancel *)g_ptr_array_index(core->cancellations->list, i))->knows &= ~(1u << node);
 }
 
 /* Telling the others. */
@@ -142,9 +143,10 @@
 {
   (void)body;
   Told *told = data;
-  WsCancels *cancels = core->cancels;
-  cancels->telling[told->node] = FALSE;
-  cancels->tell_ms[told->node] = core->now + (status == 200 ? TELL_PAUSE_MS : TELL_AGAIN_MS);
+  WsCancellations *cancellations = core->cancellations;
+  cancellations->telling[told->node] = FALSE;
+  cancellations->tell_ms[told->node]
+      = core->now + (status == 200 ? NOTIFY_INTERVAL_MS : NOTIFY_RETRY_MS);
   for (guint i = 0; status == 200 && i < told->ids->len; i++) {
     Cancel *cancel = find(core, g_ptr_array_index(told->ids, i));
     if (cancel != NULL)
@@ -157,23 +159,24 @@
 static void
 tell(WsCore *core, guint node)
 {
-  WsCancels *cancels = core->cancels;
+  WsCancellations *cancellations = core->cancellations;
   json_t *jobs = json_array();
   Told *told = g_new0(Told, 1);
   *told = (Told){ node, g_ptr_array_new_with_free_func(g_free) };
-  for (guint i = 0; i < cancels->list->len && told->ids->len < MOST_TOLD; i++) {
-    const Cancel *cancel = g_ptr_array_index(cancels->list, i);
+  for (guint i = 0; i < cancellations->list->len && told->ids->len < MAX_CANCELLATIONS_PER_MESSAGE;
+       i++) {
+    const Cancel *cancel = g_ptr_array_index(cancellations->list, i);
     if ((cancel->knows >> node & 1) != 0)
       continue;
     json_array_append_new(jobs,
                           json_pack("[s, I]", cancel->id, (json_int_t)(core->now - cancel->at_ms)));
     g_ptr_array_add(told->ids, g_strdup(cancel->id));
   }
-  cancels->telling[node] = TRUE;
+  cancellations->telling[node] = TRUE;
   ws_call(core, "POST", ws_settings_node(core->settings, node)->endpoint, "/cancelled",
           json_pack("{s:s, s:o}", "node",
                     ws_settings_node(core->settings, core->settings->self)->name, "jobs", jobs),
-          TELL_TIMEOUT_MS, on_told, told);
+          NOTIFY_TIMEOUT_MS, on_told, told);
 }
 
 static gboolean
@@ -191,7 +194,7 @@
 }
 
 void
-ws_cancel_taken(WsCore *core, const json_t *message, gpointer request)
+ws_cancellations_handle_message(WsCore *core, const json_t *message, gpointer request)
 {
   const char *name = NULL;
   const json_t *jobs = json_object_get(message, "jobs");
@@ -215,10 +218,10 @@
 
 /* In any attempt: beside one that was refused as busy another may run. */
 static gboolean
-is_halted(const WsReport *report, const WsJob *job, const WsAssignment *assignment)
+is_halted(const WsHeartbeat *heartbeat, const WsJob *job, const WsAssignment *assignment)
 {
-  for (guint i = 0; i < report->tasks->len; i++) {
-    const WsReportTask *task = &g_array_index(report->tasks, WsReportTask, i);
+  for (guint i = 0; i < heartbeat->tasks->len; i++) {
+    const WsTaskStatus *task = &g_array_index(heartbeat->tasks, WsTaskStatus, i);
     if (task->task == assignment->task && strcmp(task->job, job->id) == 0
         && task->state != WS_TASK_EXITED)
       return FALSE;
@@ -233,20 +236,21 @@
   const WsTaskRef *ref = &g_array_index(machine->tasks, WsTaskRef, i);
   *job = ws_replica_job(core->replica, ref->job);
   WsAssignment *assignment = (*job)->spec != NULL ? ws_job_assignment(*job, ref->task) : NULL;
-  return assignment != NULL && !assignment->seen_gone && ws_cancel_is_known(core, *job) ? assignment
-                                                                                        : NULL;
+  return assignment != NULL && !assignment->seen_gone && ws_cancellations_has(core, *job)
+             ? assignment
+             : NULL;
 }
 
 /* The worker's own word. A launch of ours without an answer may still be carried out after it. */
 static void
-note_gone(WsCore *core, WsMachine *machine, const WsReport *report)
+note_gone(WsCore *core, WsMachine *machine, const WsHeartbeat *heartbeat)
 {
   WsJob *job;
-  machine->halt_session = report->session;
-  machine->halt_token = report->token;
+  machine->halt_session = heartbeat->session;
+  machine->halt_token = heartbeat->token;
   for (guint i = 0; machine->indeterminate_launches == 0 && i < machine->tasks->len; i++) {
     WsAssignment *assignment = unhalted(core, machine, i, &job);
-    if (assignment != NULL && is_halted(report, job, assignment))
+    if (assignment != NULL && is_halted(heartbeat, job, assignment))
       assignment->seen_gone = TRUE;
   }
 }
@@ -256,7 +260,7 @@
 {
   gint64 *at_ms = g_new(gint64, 1);
   *at_ms = core->now + after_ms;
-  g_hash_table_insert(core->cancels->halt_ms, GUINT_TO_POINTER(machine->index), at_ms);
+  g_hash_table_insert(core->cancellations->halt_ms, GUINT_TO_POINTER(machine->index), at_ms);
 }
 
 typedef struct {
@@ -269,16 +273,16 @@
 {
   Halt *halt = data;
   WsMachine *machine = ws_replica_machine(core->replica, halt->machine);
-  core->cancels->halt_calls--;
+  core->cancellations->halt_calls--;
   if (status == 0)
-    halt_again(core, machine, HALT_LATER_MS);
+    halt_again(core, machine, UNREACHABLE_HALT_RETRY_MS);
   g_autofree char *reason = NULL;
-  g_autoptr(WsReport) report
-      = status == 200 || status == 409 ? ws_report_parse(body, &reason) : NULL;
-  if (report != NULL && strcmp(report->machine, machine->name) == 0) {
-    note_gone(core, machine, report);
+  g_autoptr(WsHeartbeat) heartbeat
+      = status == 200 || status == 409 ? ws_heartbeat_parse(body, &reason) : NULL;
+  if (heartbeat != NULL && strcmp(heartbeat->machine, machine->name) == 0) {
+    note_gone(core, machine, heartbeat);
     if (ws_owns_machine(core, machine))
-      (void)ws_workers_presence(core, machine, report);
+      (void)ws_workers_note_status(core, machine, heartbeat);
     /* It was refused for a session or token that is over; now both are known. */
     if (status == 409 || !halt->halts)
       halt_again(core, machine, 0);
@@ -292,8 +296,8 @@
 halt(WsCore *core, WsMachine *machine)
 {
   WsJob *job;
-  halt_again(core, machine, HALT_AGAIN_MS);
-  core->cancels->halt_calls++;
+  halt_again(core, machine, HALT_RETRY_MS);
+  core->cancellations->halt_calls++;
   Halt *sent = g_new0(Halt, 1);
   *sent = (Halt){ machine->index, MAX(machine->session, machine->halt_session) > 0 };
   if (!sent->halts) {
@@ -308,7 +312,7 @@
                                                         assignment->attempt, 0.0));
   }
   ws_call(core, "POST", machine->endpoint, "/commands",
-          ws_commands_direct(MAX(machine->token, machine->halt_token),
+          ws_commands_encode(MAX(machine->token, machine->halt_token),
                              MAX(machine->session, machine->halt_session), commands),
           HALT_TIMEOUT_MS, on_halted, sent);
 }
@@ -317,17 +321,17 @@
 may_halt(const WsCore *core, const WsMachine *machine)
 {
   const gint64 *at_ms
-      = g_hash_table_lookup(core->cancels->halt_ms, GUINT_TO_POINTER(machine->index));
-  return machine->endpoint != NULL && core->cancels->halt_calls < MOST_HALT_CALLS
+      = g_hash_table_lookup(core->cancellations->halt_ms, GUINT_TO_POINTER(machine->index));
+  return machine->endpoint != NULL && core->cancellations->halt_calls < MAX_HALT_CALLS
          && (at_ms == NULL || core->now >= *at_ms);
 }
 
 /* An answer that renews a lease halts what is known to be cancelled, whoever gives it. */
 void
-ws_cancel_add_halts(const WsCore *core, const WsReport *report, json_t *commands)
+ws_cancellations_add_halts(const WsCore *core, const WsHeartbeat *heartbeat, json_t *commands)
 {
-  for (guint i = 0; core->cancels->list->len > 0 && i < report->tasks->len; i++) {
-    const WsReportTask *task = &g_array_index(report->tasks, WsReportTask, i);
+  for (guint i = 0; core->cancellations->list->len > 0 && i < heartbeat->tasks->len; i++) {
+    const WsTaskStatus *task = &g_array_index(heartbeat->tasks, WsTaskStatus, i);
     if (task->state != WS_TASK_EXITED && find(core, task->job) != NULL)
       json_array_append_new(
           commands, ws_command_encode(WS_OP_HALT, task->job, task->task, task->attempt, 0.0));
@@ -354,12 +358,12 @@
 give_back(WsCore *core, WsMachine *machine, gint64 age_ms)
 {
   double part = (double)age_ms / (core->settings->cancel_s * 1000.0);
-  if (part < MARK_PART || machine->gone || ws_returns_is_confirmed(core, machine->name))
+  if (part < MARK_DEADLINE_SHARE || machine->gone || ws_returns_is_confirmed(core, machine->name))
     return;
   if (ws_store_is_available(core)) {
     if (ws_is_active_member(core) && machine->stored && !machine->mark_now)
       ws_termination_mark(core, machine, "cancelled", TRUE);
-  } else if (part >= RETURN_PART && returns_unmarked(core)) {
+  } else if (part >= RETURN_DEADLINE_SHARE && returns_unmarked(core)) {
     ws_returns_add_unmarked(core, machine);
   }
 }
@@ -388,7 +392,7 @@
     return;
   gint64 age_ms = core->now - since_ms;
   if (may_halt(core, machine)
-      && (age_ms >= OTHERS_AFTER_MS || machine->owner == core->settings->self))
+      && (age_ms >= NON_OWNER_HALT_DELAY_MS || machine->owner == core->settings->self))
     halt(core, machine);
   give_back(core, machine, age_ms);
 }
@@ -398,8 +402,8 @@
 tend_machines(WsCore *core)
 {
   g_autoptr(GHashTable) seen = g_hash_table_new(NULL, NULL);
-  for (guint c = 0; c < core->cancels->list->len; c++) {
-    const Cancel *cancel = g_ptr_array_index(core->cancels->list, c);
+  for (guint c = 0; c < core->cancellations->list->len; c++) {
+    const Cancel *cancel = g_ptr_array_index(core->cancellations->list, c);
     const WsJob *job = ws_replica_find_job(core->replica, cancel->id);
     WsAssignmentIter iter;
     const WsAssignment *assignment;
@@ -415,37 +419,37 @@
 static void
 forget_over(WsCore *core)
 {
-  WsCancels *cancels = core->cancels;
-  for (guint i = cancels->list->len; i-- > 0;) {
-    const Cancel *cancel = g_ptr_array_index(cancels->list, i);
+  WsCancellations *cancellations = core->cancellations;
+  for (guint i = cancellations->list->len; i-- > 0;) {
+    const Cancel *cancel = g_ptr_array_index(cancellations->list, i);
     if (!is_over(core, cancel->id))
       continue;
-    g_hash_table_remove(cancels->by_id, cancel->id);
-    g_ptr_array_remove_index_fast(cancels->list, i);
+    g_hash_table_remove(cancellations->by_id, cancel->id);
+    g_ptr_array_remove_index_fast(cancellations->list, i);
   }
-  if (cancels->list->len == 0)
-    g_hash_table_remove_all(cancels->halt_ms);
+  if (cancellations->list->len == 0)
+    g_hash_table_remove_all(cancellations->halt_ms);
 }
 
 void
-ws_cancel_pump(WsCore *core)
+ws_cancellations_pump(WsCore *core)
 {
-  WsCancels *cancels = core->cancels;
+  WsCancellations *cancellations = core->cancellations;
   GArray *fresh = core->replica->cancelled;
   for (guint i = 0; i < fresh->len; i++) {
     const WsJob *job = ws_replica_job(core->replica, g_array_index(fresh, guint, i));
     gint64 age_ms = CLAMP(core->wall - job->cancelled_ms, 0, core->now);
     learn(core, job->id, core->now - age_ms, core->settings->self);
   }
-  gboolean is_due = core->now >= cancels->garbage_ms || fresh->len > 0;
+  gboolean is_due = core->now >= cancellations->garbage_ms || fresh->len > 0;
   g_array_set_size(fresh, 0);
-  if (cancels->list->len == 0 || !is_due)
+  if (cancellations->list->len == 0 || !is_due)
     return;
-  cancels->garbage_ms = core->now + 100;
+  cancellations->garbage_ms = core->now + 100;
   forget_over(core);
   for (guint n = 0; n < core->settings->nodes->len; n++)
-    if (!cancels->telling[n] && core->now >= cancels->tell_ms[n]
-        && ws_cancel_count_unacknowledged(core, n) > 0)
+    if (!cancellations->telling[n] && core->now >= cancellations->tell_ms[n]
+        && ws_cancellations_count_unacknowledged(core, n) > 0)
       tell(core, n);
   tend_machines(core);
 }
--- a/src/workers/ws-direct.c
+++ b/src/workers/ws-worker-rpc.c
@@ -7,7 +7,7 @@
 
 /* Launches on their way at once; the others go with the answers to reports. Those of critical tasks
    and of gangs always go. */
-#define MOST_DIRECT_CALLS 48
+#define MAX_RPCS_IN_FLIGHT 48
 /* What an orderly stop may take beyond the time for saving. */
 #define GRACE_MARGIN_S 1.0
 
@@ -23,7 +23,7 @@
 {
   Direct *direct = data;
   WsMachine *machine = ws_replica_machine(core->replica, direct->machine);
-  core->direct_calls--;
+  core->rpcs_in_flight--;
   /* Without an answer the launch may still be carried out minutes later, so the doubt stays until
      the worker has seen a higher token or begun a new session. */
   if (status != 0 && direct->launches && machine->indeterminate_launches > 0
@@ -31,11 +31,11 @@
       && machine->indeterminate_session == direct->session)
     machine->indeterminate_launches--;
   g_autofree char *reason = NULL;
-  g_autoptr(WsReport) report
-      = status == 200 || status == 409 ? ws_report_parse(body, &reason) : NULL;
-  if (report != NULL && strcmp(report->machine, machine->name) == 0
+  g_autoptr(WsHeartbeat) heartbeat
+      = status == 200 || status == 409 ? ws_heartbeat_parse(body, &reason) : NULL;
+  if (heartbeat != NULL && strcmp(heartbeat->machine, machine->name) == 0
       && ws_owns_machine(core, machine))
-    ws_workers_presence(core, machine, report);
+    ws_workers_note_status(core, machine, heartbeat);
   g_free(direct);
 }
 
@@ -44,7 +44,7 @@
 {
   Direct *direct = g_new0(Direct, 1);
   *direct = (Direct){ machine->index, core->replica->epoch.number, machine->session, launches };
-  core->direct_calls++;
+  core->rpcs_in_flight++;
   if (launches) {
     if (machine->indeterminate_launches == 0)
       machine->indeterminate_ms = core->now;
@@ -53,11 +53,11 @@
     machine->indeterminate_session = direct->session;
   }
   ws_call(core, "POST", machine->endpoint, "/commands",
-          ws_commands_direct(direct->token, direct->session, commands), 2000, on_direct, direct);
+          ws_commands_encode(direct->token, direct->session, commands), 2000, on_direct, direct);
 }
 
 gboolean
-ws_direct_can_send(const WsCore *core, const WsMachine *machine)
+ws_worker_rpc_is_possible(const WsCore *core, const WsMachine *machine)
 {
   return machine->endpoint != NULL && machine->token == core->replica->epoch.number
          && ws_machine_is_up(core, machine) && !core->is_unreached_by_workers
@@ -65,7 +65,7 @@
 }
 
 void
-ws_direct_raise_token(WsCore *core, WsMachine *machine)
+ws_worker_rpc_raise_fencing_token(WsCore *core, WsMachine *machine)
 {
   send_direct(core, machine, json_array(), FALSE);
 }
@@ -83,17 +83,17 @@
 }
 
 void
-ws_direct_launch(WsCore *core, WsMachine *machine, GArray *tasks)
+ws_worker_rpc_launch(WsCore *core, WsMachine *machine, GArray *tasks)
 {
-  if (!ws_direct_can_send(core, machine) || !ws_has_all_cancellations(core)
-      || (core->direct_calls >= MOST_DIRECT_CALLS && !any_urgent(core, tasks)))
+  if (!ws_worker_rpc_is_possible(core, machine) || !ws_has_all_cancellations(core)
+      || (core->rpcs_in_flight >= MAX_RPCS_IN_FLIGHT && !any_urgent(core, tasks)))
     return;
   json_t *commands = json_array();
   for (guint i = 0; i < tasks->len; i++) {
     const WsTaskRef *ref = &g_array_index(tasks, WsTaskRef, i);
     const WsJob *job = ws_replica_job(core->replica, ref->job);
     WsAssignment *assignment = ws_job_assignment(job, ref->task);
-    if (assignment == NULL || job->state != WS_JOB_ACTIVE || ws_cancel_is_known(core, job))
+    if (assignment == NULL || job->state != WS_JOB_ACTIVE || ws_cancellations_has(core, job))
       continue;
     json_array_append_new(commands, ws_command_encode(WS_OP_LAUNCH, job->id, assignment->task,
                                                       assignment->attempt, 0.0));
@@ -105,9 +105,9 @@
 }
 
 double
-ws_direct_grace_s(const WsCore *core, const WsJob *job, const WsAssignment *assignment)
+ws_halt_grace_s(const WsCore *core, const WsJob *job, const WsAssignment *assignment)
 {
-  if (ws_cancel_is_known(core, job) || job->spec->checkpoint_s <= 0.0)
+  if (ws_cancellations_has(core, job) || job->spec->checkpoint_s <= 0.0)
     return 0.0;
   if (!ws_job_is_gang(job))
     return job->spec->save_s + GRACE_MARGIN_S;
@@ -118,14 +118,14 @@
 }
 
 void
-ws_direct_halt(WsCore *core, WsJob *job, WsAssignment *assignment)
+ws_worker_rpc_halt(WsCore *core, WsJob *job, WsAssignment *assignment)
 {
   WsMachine *machine = ws_replica_machine(core->replica, assignment->machine);
-  if (!ws_direct_can_send(core, machine))
+  if (!ws_worker_rpc_is_possible(core, machine))
     return;
   json_t *commands = json_array();
   json_array_append_new(commands, ws_command_encode(WS_OP_HALT, job->id, assignment->task,
                                                     assignment->attempt,
-                                                    ws_direct_grace_s(core, job, assignment)));
+                                                    ws_halt_grace_s(core, job, assignment)));
   send_direct(core, machine, commands, FALSE);
 }
--- a/src/workers/ws-workers.c
+++ b/src/workers/ws-workers.c
@@ -12,15 +12,15 @@
 
 #include <string.h>
 
-#define REDIRECT_HOLD_MS 20000
+#define REDIRECT_INTERVAL_MS 20000
 /* The part of its lease for which a worker that came back isn't sent away again. */
-#define KEPT_PART 0.6
-#define KNOWN_IMAGES 10
+#define KEPT_LEASE_SHARE 0.6
+#define MAX_KNOWN_IMAGES 10
 /* The pause after a gang's attempt that was never complete doubles so often. */
-#define FIRST_GANG_BACKOFF_MS 500
-#define MOST_GANG_BACKOFFS 6u
+#define MIN_GANG_BACKOFF_MS 500
+#define MAX_GANG_BACKOFFS 6u
 /* How often a worker is sent to a node that says that none reaches it. */
-#define TRY_UNHEARD_MS 2000
+#define UNREACHED_OWNER_RETRY_MS 2000
 
 static guint64
 token(const WsCore *core)
@@ -43,7 +43,7 @@
       break;
     }
   g_array_append_val(machine->images, image);
-  if (machine->images->len > KNOWN_IMAGES)
+  if (machine->images->len > MAX_KNOWN_IMAGES)
     g_array_remove_index(machine->images, 0);
 }
 
@@ -65,8 +65,8 @@
 static void
 back_off_gang(WsCore *core, WsJob *job)
 {
-  job->incomplete = MIN(job->incomplete + 1, MOST_GANG_BACKOFFS);
-  job->retry_ms = core->now + FIRST_GANG_BACKOFF_MS * (gint64)(1u << job->incomplete);
+  job->incomplete = MIN(job->incomplete + 1, MAX_GANG_BACKOFFS);
+  job->retry_ms = core->now + MIN_GANG_BACKOFF_MS * (gint64)(1u << job->incomplete);
   g_info("gang %s was not complete in time", job->id);
 }
 
@@ -90,7 +90,7 @@
 }
 
 static WsAssignment *
-matching(WsCore *core, const WsMachine *machine, const WsReportTask *task, WsJob **job)
+matching(WsCore *core, const WsMachine *machine, const WsTaskStatus *task, WsJob **job)
 {
   *job = ws_replica_find_job(core->replica, task->job);
   if (*job == NULL || (*job)->spec == NULL || task->task >= (*job)->tasks)
@@ -103,7 +103,7 @@
 }
 
 static void
-take_task(WsCore *core, WsMachine *machine, const WsReportTask *task)
+take_task(WsCore *core, WsMachine *machine, const WsTaskStatus *task)
 {
   WsJob *job;
   WsAssignment *assignment = matching(core, machine, task, &job);
@@ -144,32 +144,32 @@
 
 /* FALSE: an older message than one that was seen already. */
 static gboolean
-take_header(WsCore *core, WsMachine *machine, const WsReport *report)
+take_header(WsCore *core, WsMachine *machine, const WsHeartbeat *heartbeat)
 {
-  if (report->session < machine->session
-      || (report->session == machine->session && report->seq <= machine->seq))
+  if (heartbeat->session < machine->session
+      || (heartbeat->session == machine->session && heartbeat->seq <= machine->seq))
     return FALSE;
-  if (report->session > machine->session)
-    begin_session(core, machine, report->session);
-  machine->session = report->session;
-  machine->seq = report->seq;
-  if (report->token > machine->token && machine->indeterminate_token < report->token)
+  if (heartbeat->session > machine->session)
+    begin_session(core, machine, heartbeat->session);
+  machine->session = heartbeat->session;
+  machine->seq = heartbeat->seq;
+  if (heartbeat->token > machine->token && machine->indeterminate_token < heartbeat->token)
     machine->indeterminate_launches
         = 0; /* from now on the worker refuses what was sent under the older token */
-  machine->token = MAX(machine->token, report->token);
+  machine->token = MAX(machine->token, heartbeat->token);
   machine->heard_ms = core->now;
   machine->status_failed = 0;
   if (machine->up_ms == 0) {
     machine->up_ms = core->now;
     g_info("machine %s is up", machine->name);
   }
-  if (report->notice_s < 0.0)
+  if (heartbeat->notice_s < 0.0)
     machine->notice_ms = 0;
   else if (machine->notice_ms == 0)
-    machine->notice_ms = core->now + (gint64)(report->notice_s * 1000.0);
-  if (g_strcmp0(machine->endpoint, report->endpoint) != 0) {
+    machine->notice_ms = core->now + (gint64)(heartbeat->notice_s * 1000.0);
+  if (g_strcmp0(machine->endpoint, heartbeat->endpoint) != 0) {
     g_free(machine->endpoint);
-    machine->endpoint = g_strdup(report->endpoint);
+    machine->endpoint = g_strdup(heartbeat->endpoint);
     machine->has_news = TRUE;
   }
   return TRUE;
@@ -178,12 +178,12 @@
 /* Presence is believed of any message that is newer; nothing is concluded from absence. Only a
    message that carries the present token is acted on: an older one may be a late copy. */
 gboolean
-ws_workers_presence(WsCore *core, WsMachine *machine, const WsReport *report)
+ws_workers_note_status(WsCore *core, WsMachine *machine, const WsHeartbeat *heartbeat)
 {
-  if (!take_header(core, machine, report))
+  if (!take_header(core, machine, heartbeat))
     return FALSE;
-  for (guint i = 0; report->token == token(core) && i < report->tasks->len; i++)
-    take_task(core, machine, &g_array_index(report->tasks, WsReportTask, i));
+  for (guint i = 0; heartbeat->token == token(core) && i < heartbeat->tasks->len; i++)
+    take_task(core, machine, &g_array_index(heartbeat->tasks, WsTaskStatus, i));
   return TRUE;
 }
 
@@ -192,7 +192,7 @@
 typedef struct {
   WsCore *core;
   WsMachine *machine;
-  const WsReport *report;
+  const WsHeartbeat *heartbeat;
   json_t *commands;
   gboolean confirmed; /* the worker has seen our token */
   gboolean is_behind; /* the records are older than the epoch */
@@ -205,12 +205,12 @@
 {
   static const char *const NAMES[]
       = { [WS_OP_LAUNCH] = "launch", [WS_OP_HALT] = "halt", [WS_OP_REAP] = "reap" };
-  const WsReport *report = answer->report;
+  const WsHeartbeat *heartbeat = answer->heartbeat;
   g_debug("%s is told to %s %s/%u attempt %" G_GUINT64_FORMAT " under token %" G_GUINT64_FORMAT
           ": report %" G_GUINT64_FORMAT " of session %" G_GUINT64_FORMAT
           " has token %" G_GUINT64_FORMAT,
-          report->machine, NAMES[op], job, task, attempt, token(answer->core), report->seq,
-          report->session, report->token);
+          heartbeat->machine, NAMES[op], job, task, attempt, token(answer->core), heartbeat->seq,
+          heartbeat->session, heartbeat->token);
   answer->halts = answer->halts || op == WS_OP_HALT;
   json_array_append_new(answer->commands, ws_command_encode(op, job, task, attempt, grace_s));
 }
@@ -226,7 +226,7 @@
 }
 
 static void
-command_present(Answer *answer, const WsReportTask *task)
+command_present(Answer *answer, const WsTaskStatus *task)
 {
   WsJob *job;
   WsMachine *machine = answer->machine;
@@ -242,13 +242,13 @@
   }
   if (task->state == WS_TASK_EXITED)
     return;
-  gboolean is_cancelled = ws_cancel_is_known(answer->core, job);
+  gboolean is_cancelled = ws_cancellations_has(answer->core, job);
   if (task->state == WS_TASK_SAVING && !is_cancelled)
     return;
   if (is_cancelled || assignment->stopping || ws_gang_is_ending(job)
       || is_drained(answer->core, machine, job, assignment))
     command(answer, WS_OP_HALT, task->job, task->task, task->attempt,
-            ws_direct_grace_s(answer->core, job, assignment));
+            ws_halt_grace_s(answer->core, job, assignment));
 }
 
 /* A task that is assigned and missing is launched (again); it's released only when it isn't wanted
@@ -258,7 +258,7 @@
 static void
 command_absent(Answer *answer, WsJob *job, WsAssignment *assignment)
 {
-  gboolean unwanted = ws_cancel_is_known(answer->core, job) || assignment->stopping
+  gboolean unwanted = ws_cancellations_has(answer->core, job) || assignment->stopping
                       || answer->machine->marked || ws_gang_is_ending(job)
                       || ws_releases_has(answer->core, job, assignment);
   if (!unwanted && !ws_has_all_cancellations(answer->core))
@@ -277,14 +277,15 @@
 command_all(Answer *answer)
 {
   WsReplica *replica = answer->core->replica;
-  for (guint i = 0; i < answer->report->tasks->len; i++)
-    command_present(answer, &g_array_index(answer->report->tasks, WsReportTask, i));
+  for (guint i = 0; i < answer->heartbeat->tasks->len; i++)
+    command_present(answer, &g_array_index(answer->heartbeat->tasks, WsTaskStatus, i));
   for (guint i = 0; !answer->is_behind && i < answer->machine->tasks->len; i++) {
     const WsTaskRef *ref = &g_array_index(answer->machine->tasks, WsTaskRef, i);
     WsJob *job = ws_replica_job(replica, ref->job);
     WsAssignment *assignment = ws_job_assignment(job, ref->task);
     if (assignment != NULL && assignment->machine == answer->machine->index
-        && ws_report_find(answer->report, job->id, assignment->task, assignment->attempt) == NULL)
+        && ws_heartbeat_find_task(answer->heartbeat, job->id, assignment->task, assignment->attempt)
+               == NULL)
       command_absent(answer, job, assignment);
   }
 }
@@ -305,31 +306,32 @@
 }
 
 json_t *
-ws_workers_process(WsCore *core, const WsReport *report)
+ws_workers_answer_heartbeat(WsCore *core, const WsHeartbeat *heartbeat)
 {
-  WsMachine *machine = ws_replica_get_machine(core->replica, report->machine);
-  ws_replica_describe_machine(core->replica, machine, report->type, report->zone, report->spot);
+  WsMachine *machine = ws_replica_get_machine(core->replica, heartbeat->machine);
+  ws_replica_describe_machine(core->replica, machine, heartbeat->type, heartbeat->zone,
+                              heartbeat->spot);
   Answer answer = { .core = core,
                     .machine = machine,
-                    .report = report,
+                    .heartbeat = heartbeat,
                     .commands = json_array(),
-                    .confirmed = report->token == token(core),
+                    .confirmed = heartbeat->token == token(core),
                     .is_behind = !ws_has_caught_up_with_epoch(core) };
   gboolean was_usable = ws_machine_is_up(core, machine) && machine->notice_ms == 0;
-  if (!take_header(core, machine, report))
-    return ws_commands_answer(token(core), answer.commands);
+  if (!take_header(core, machine, heartbeat))
+    return ws_heartbeat_answer_encode(token(core), answer.commands);
   machine->reported_ms = core->now;
   /* A copy of an old report may come from a machine that was returned before this node began; only
      one that has had an answer of this epoch is there. */
   if (!machine->stored && answer.confirmed)
     ws_cloud_list_reconcile(core, machine, core->wall);
   if (answer.confirmed)
-    for (guint i = 0; i < report->tasks->len; i++)
-      take_task(core, machine, &g_array_index(report->tasks, WsReportTask, i));
+    for (guint i = 0; i < heartbeat->tasks->len; i++)
+      take_task(core, machine, &g_array_index(heartbeat->tasks, WsTaskStatus, i));
   command_all(&answer);
   note_unacknowledged(&answer);
   core->plan_due = core->plan_due || !was_usable || machine->notice_ms > 0;
-  return ws_commands_answer(token(core), answer.commands);
+  return ws_heartbeat_answer_encode(token(core), answer.commands);
 }
 
 /* Whether the owner should be tried by the worker itself. A worker that comes back although it was
@@ -337,7 +339,7 @@
 static gboolean
 should_redirect(const WsCore *core, const WsMachine *machine, guint owner)
 {
-  if (machine->redirected_ms > 0 && core->now - machine->redirected_ms < REDIRECT_HOLD_MS)
+  if (machine->redirected_ms > 0 && core->now - machine->redirected_ms < REDIRECT_INTERVAL_MS)
     return FALSE;
   if (!ws_peer_is_reachable(core, owner))
     return FALSE;
@@ -357,7 +359,8 @@
 is_worth_a_try(WsCore *core, guint owner)
 {
   WsPeer *peer = &core->peers[owner];
-  if (peer->is_unreached_by_workers && core->now - peer->last_redirect_ms < TRY_UNHEARD_MS)
+  if (peer->is_unreached_by_workers
+      && core->now - peer->last_redirect_ms < UNREACHED_OWNER_RETRY_MS)
     return FALSE;
   peer->last_redirect_ms = core->now;
   return TRUE;
@@ -399,32 +402,33 @@
   gint64 since_ms = core->now - machine->sent_away_ms;
   if (!core->is_reached_from_other_zones
       || (machine->sent_away_ms > 0
-          && (double)since_ms < KEPT_PART * core->settings->lease_s * 1000.0))
+          && (double)since_ms < KEPT_LEASE_SHARE * core->settings->lease_s * 1000.0))
     return FALSE;
   machine->sent_away_ms = core->now;
   return TRUE;
 }
 
 void
-ws_workers_report(WsCore *core, const char *body, gsize length, gpointer request)
+ws_workers_handle_heartbeat(WsCore *core, const char *body, gsize length, gpointer request)
 {
   g_autoptr(json_t) message = ws_json_parse(body, length);
   g_autofree char *reason = NULL;
-  g_autoptr(WsReport) report = ws_report_parse(message, &reason);
-  if (report == NULL) {
+  g_autoptr(WsHeartbeat) heartbeat = ws_heartbeat_parse(message, &reason);
+  if (heartbeat == NULL) {
     g_warning("a report was refused: %s", reason);
     ws_answer_reason(core, request, 400, reason);
     return;
   }
   core->report_ms = core->now;
-  if (!ws_is_active_member(core) || report->token > token(core) || !knows_newest_epoch(core)
+  if (!ws_is_active_member(core) || heartbeat->token > token(core) || !knows_newest_epoch(core)
       || ws_is_refused_by_store_alone(core) || !ws_may_renew_worker_leases(core)
-      || ws_returns_is_confirmed(core, report->machine)) {
+      || ws_returns_is_confirmed(core, heartbeat->machine)) {
     ws_answer_later(core, request, 1);
     return;
   }
-  WsMachine *machine = ws_replica_get_machine(core->replica, report->machine);
-  ws_replica_describe_machine(core->replica, machine, report->type, report->zone, report->spot);
+  WsMachine *machine = ws_replica_get_machine(core->replica, heartbeat->machine);
+  ws_replica_describe_machine(core->replica, machine, heartbeat->type, heartbeat->zone,
+                              heartbeat->spot);
   if (sends_away(core, machine)) {
     ws_answer_later(core, request, 1);
     return;
@@ -435,5 +439,5 @@
     other_owner(core, machine, owner, text, request);
     return;
   }
-  ws_answer(core, request, 200, ws_workers_process(core, report), 0);
+  ws_answer(core, request, 200, ws_workers_answer_heartbeat(core, heartbeat), 0);
 }
--- a/src/workers/ws-workers.h
+++ b/src/workers/ws-workers.h
@@ -8,24 +8,24 @@
 
 #include "membership/ws-membership.h"
 
-void ws_workers_report(WsCore *core, const char *body, gsize length, gpointer request);
+void ws_workers_handle_heartbeat(WsCore *core, const char *body, gsize length, gpointer request);
 /* The answer to a report of a machine that this node owns. */
-json_t *ws_workers_process(WsCore *core, const WsReport *report);
+json_t *ws_workers_answer_heartbeat(WsCore *core, const WsHeartbeat *heartbeat);
 /* Believes what a message says of tasks that are there; concludes nothing from absence. */
 /* Returns FALSE for a message older than one that was seen before. */
-gboolean ws_workers_presence(WsCore *core, WsMachine *machine, const WsReport *report);
+gboolean ws_workers_note_status(WsCore *core, WsMachine *machine, const WsHeartbeat *heartbeat);
 
-WsCancels *ws_cancels_new(const WsSettings *settings);
-void ws_cancels_free(WsCancels *cancels);
+WsCancellations *ws_cancellations_new(const WsSettings *settings);
+void ws_cancellations_free(WsCancellations *cancellations);
 /* By the records or by a peer's word: the job's user was told that it is cancelled. */
-gboolean ws_cancel_is_known(const WsCore *core, const WsJob *job);
+gboolean ws_cancellations_has(const WsCore *core, const WsJob *job);
 /* How many cancellations the node has neither told of nor acknowledged. */
-guint ws_cancel_count_unacknowledged(const WsCore *core, guint node);
-void ws_cancel_peer_began_anew(WsCore *core, guint node);
-void ws_cancel_taken(WsCore *core, const json_t *message, gpointer request);
+guint ws_cancellations_count_unacknowledged(const WsCore *core, guint node);
+void ws_cancellations_forget_acknowledgements(WsCore *core, guint node);
+void ws_cancellations_handle_message(WsCore *core, const json_t *message, gpointer request);
 /* Halts for what the report shows of cancelled jobs. */
-void ws_cancel_add_halts(const WsCore *core, const WsReport *report, json_t *commands);
-void ws_cancel_pump(WsCore *core);
+void ws_cancellations_add_halts(const WsCore *core, const WsHeartbeat *heartbeat, json_t *commands);
+void ws_cancellations_pump(WsCore *core);
 
 /**
  * Direct commands: calls to a worker's own address.
@@ -37,15 +37,15 @@
  */
 
 /** Whether the machine has shown our token lately: the others learn it from their next report. */
-gboolean ws_direct_can_send(const WsCore *core, const WsMachine *machine);
+gboolean ws_worker_rpc_is_possible(const WsCore *core, const WsMachine *machine);
 
 /** Tells the worker our token, so that it drops the answers of whoever has an older one. */
-void ws_direct_raise_token(WsCore *core, WsMachine *machine);
+void ws_worker_rpc_raise_fencing_token(WsCore *core, WsMachine *machine);
 
 /** Launches the tasks (of WsTaskRef) that are assigned to the machine. */
-void ws_direct_launch(WsCore *core, WsMachine *machine, GArray *tasks);
+void ws_worker_rpc_launch(WsCore *core, WsMachine *machine, GArray *tasks);
 
-void ws_direct_halt(WsCore *core, WsJob *job, WsAssignment *assignment);
+void ws_worker_rpc_halt(WsCore *core, WsJob *job, WsAssignment *assignment);
 
 /** How long a task that is halted may take to save; 0: it has nothing to save. */
-double ws_direct_grace_s(const WsCore *core, const WsJob *job, const WsAssignment *assignment);
+double ws_halt_grace_s(const WsCore *core, const WsJob *job, const WsAssignment *assignment);
--- a/tests/test-protocol.c
+++ b/tests/test-protocol.c
@@ -1,5 +1,5 @@
 #include "protocol/ws-cloud.h"
-#include "protocol/ws-report.h"
+#include "protocol/ws-heartbeat.h"
 #include "protocol/ws-settings.h"
 #include "ws-site.h"
 #include "ws-gen.h"
@@ -105,15 +105,15 @@
 {
   g_autoptr(json_t) message = ws_json_parse(REPORT, strlen(REPORT));
   g_autofree char *reason = NULL;
-  g_autoptr(WsReport) report = ws_report_parse(message, &reason);
+  g_autoptr(WsHeartbeat) report = ws_heartbeat_parse(message, &reason);
   g_assert_nonnull(report);
   g_assert_cmpuint(report->token, ==, 41);
   g_assert_cmpuint(report->tasks->len, ==, 2);
-  const WsReportTask *first = &g_array_index(report->tasks, WsReportTask, 0);
+  const WsTaskStatus *first = &g_array_index(report->tasks, WsTaskStatus, 0);
   g_assert_cmpstr(first->job, ==, "req-000412");
   g_assert_cmpuint(first->task, ==, 3);
   g_assert_cmpint(first->state, ==, WS_TASK_RUNNING);
-  g_assert_cmpint(g_array_index(report->tasks, WsReportTask, 1).why, ==, WS_EXIT_DONE);
+  g_assert_cmpint(g_array_index(report->tasks, WsTaskStatus, 1).why, ==, WS_EXIT_DONE);
 }
 
 /* Bytes changed at random never crash the reader. */
@@ -126,7 +126,7 @@
     text[g_rand_int_range(rand, 0, sizeof REPORT - 1)] = (char)g_rand_int_range(rand, 32, 127);
   g_autoptr(json_t) message = ws_json_parse(text, strlen(text));
   g_autofree char *reason = NULL;
-  g_autoptr(WsReport) report = ws_report_parse(message, &reason);
+  g_autoptr(WsHeartbeat) report = ws_heartbeat_parse(message, &reason);
   g_assert_true((report == NULL) == (reason != NULL));
 }
 
@@ -226,9 +226,9 @@
                         CASES[i].why != NULL ? json_string(CASES[i].why) : json_null());
     json_object_set_new(task, "stored", json_boolean(i == 1));
     g_autofree char *reason = NULL;
-    g_autoptr(WsReport) report = ws_report_parse(message, &reason);
+    g_autoptr(WsHeartbeat) report = ws_heartbeat_parse(message, &reason);
     g_assert_nonnull(report);
-    const WsReportTask *first = &g_array_index(report->tasks, WsReportTask, 0);
+    const WsTaskStatus *first = &g_array_index(report->tasks, WsTaskStatus, 0);
     g_assert_cmpint(first->state, ==, CASES[i].parsed);
     g_assert_cmpint(first->why, ==, CASES[i].exit);
     g_assert_true(first->saved == (i == 1));
