--- a/src/commit/ws-batch.c
+++ b/src/commit/ws-batch.c
@@ -12,11 +12,11 @@
 #include "storage/ws-constraints.h"
 
 /* The state service takes 64 KiB; the rest is for the job's own records and for conditions. */
-#define MOST_BYTES 40000
-#define BYTES_A_TEAM 64
-#define BYTES_A_TASK 60
-#define BYTES_A_CHUNK 400
-#define CONDITIONS_AN_OP 4
+#define MAX_TXN_BYTES 40000
+#define BYTES_PER_TEAM 64
+#define BYTES_PER_TASK 60
+#define BYTES_PER_CHUNK 400
+#define CONDITIONS_PER_OPERATION 4
 
 /* A chunk as the transaction leaves it. */
 typedef struct {
@@ -35,7 +35,7 @@
   GPtrArray *rental_batches; /* of interned names: the rental batches that name them, each once, in
                                 the order in which their machines got tasks */
   gboolean is_of_one_job;
-  guint most_ops;
+  guint max_operations;
   guint ops;
   guint conditions;
   guint bytes;
@@ -61,19 +61,19 @@
   batch->room = g_hash_table_new_full(NULL, NULL, NULL, g_free);
   batch->joined = g_hash_table_new(NULL, NULL);
   batch->rental_batches = g_ptr_array_new();
-  batch->most_ops = core->settings->state_txn_ops;
+  batch->max_operations = core->settings->state_txn_ops;
   batch->conditions = 1; /* the epoch */
   return batch;
 }
 
 void
-ws_batch_bound(WsBatch *batch, guint most_ops)
+ws_batch_set_max_operations(WsBatch *batch, guint max_operations)
 {
-  batch->most_ops = most_ops;
+  batch->max_operations = max_operations;
 }
 
 void
-ws_batch_keep_to_one_job(WsBatch *batch)
+ws_batch_restrict_to_one_job(WsBatch *batch)
 {
   batch->is_of_one_job = TRUE;
 }
@@ -170,12 +170,12 @@
   if (batch->is_of_one_job && batch->works->len > count_works(batch, job))
     return FALSE;
   guint conditions = is_new_record ? 1 : 0;
-  guint bytes = BYTES_A_TASK + (is_new_record ? BYTES_A_TEAM * settings->teams->len : 0);
+  guint bytes = BYTES_PER_TASK + (is_new_record ? BYTES_PER_TEAM * settings->teams->len : 0);
   if (find_work(batch, job->index, index) == NULL) {
     const WsChunk *chunk = ws_job_chunk(job, task);
     ops += ends ? 0 : 1;
     conditions += 1 + (all_chunks_matter(job) ? ws_job_chunk_count(job) : 1);
-    bytes += BYTES_A_CHUNK + BYTES_A_TASK * (chunk != NULL ? chunk->on->len : 0);
+    bytes += BYTES_PER_CHUNK + BYTES_PER_TASK * (chunk != NULL ? chunk->on->len : 0);
   }
   if (joins != NULL && !g_hash_table_contains(batch->joined, GUINT_TO_POINTER(joins->index)))
     conditions++;
@@ -183,9 +183,9 @@
     conditions++;
   if (ends)
     ops += 1 - (gint)count_works(batch, job);
-  if ((gint)batch->ops + ops > (gint)batch->most_ops
-      || batch->conditions + conditions > CONDITIONS_AN_OP * settings->state_txn_ops
-      || batch->bytes + bytes > MOST_BYTES)
+  if ((gint)batch->ops + ops > (gint)batch->max_operations
+      || batch->conditions + conditions > CONDITIONS_PER_OPERATION * settings->state_txn_ops
+      || batch->bytes + bytes > MAX_TXN_BYTES)
     return FALSE;
   batch->ops = (guint)((gint)batch->ops + ops);
   batch->conditions += conditions;
@@ -281,16 +281,16 @@
 {
   const WsJob *job = ws_replica_job(batch->core->replica, release->job);
   if (!ws_release_holds(batch->core->replica, release))
-    return WS_BATCH_UNWANTED; /* written already, somebody else's by now, or its evidence is over */
+    return WS_BATCH_REJECTED; /* written already, somebody else's by now, or its evidence is over */
   const WsAssignment *assignment = ws_job_assignment(job, release->task);
   if (ws_chunk_find(chunk_after(batch, job, release->task / WS_CHUNK_TASKS), release->task) == NULL)
-    return WS_BATCH_TAKEN; /* by this very transaction: its use is given back once */
+    return WS_BATCH_ADDED; /* by this very transaction: its use is given back once */
   if (!reserve(batch, job, release->task, NULL, ends_job(batch, job, release->done)))
     return WS_BATCH_FULL;
   log_release(batch->core, release);
   if (ws_job_is_gang(job) && release->done && job->state == WS_JOB_ACTIVE) {
     finish_gang(batch, job);
-    return WS_BATCH_TAKEN;
+    return WS_BATCH_ADDED;
   }
   WsChunk *chunk = open_chunk(batch, job, release->task);
   release_task(batch, job, chunk, release->task, assignment->machine);
@@ -298,7 +298,7 @@
     chunk->attempts = last_attempt(batch, job) + 1;
   if (release->done)
     ws_chunk_set_done(chunk, release->task);
-  return WS_BATCH_TAKEN;
+  return WS_BATCH_ADDED;
 }
 
 /* Picks. */
@@ -407,7 +407,7 @@
 {
   const WsJob *job = ws_replica_job(batch->core->replica, proposal->job);
   if (!still_wanted(batch, job, proposal))
-    return WS_BATCH_UNWANTED;
+    return WS_BATCH_REJECTED;
   if (!reserve(batch, job, proposal->task,
                ws_replica_machine(batch->core->replica, proposal->machine), FALSE))
     return WS_BATCH_FULL;
@@ -422,7 +422,7 @@
   add_rental_batch(batch, ws_replica_machine(batch->core->replica, proposal->machine));
   use_team(batch, job, 1);
   ws_reservations_use(batch->core, job, proposal->machine);
-  return WS_BATCH_TAKEN;
+  return WS_BATCH_ADDED;
 }
 
 /* Writing it down. */
@@ -488,7 +488,7 @@
 }
 
 WsTxn *
-ws_batch_write(const WsBatch *batch, GArray *ending)
+ws_batch_build_txn(const WsBatch *batch, GArray *ending)
 {
   WsCore *core = batch->core;
   WsTxn *txn = ws_txn_new();
--- a/src/commit/ws-commit.h
+++ b/src/commit/ws-commit.h
@@ -16,21 +16,21 @@
 {
   return GSIZE_TO_POINTER((gsize)job * WS_MAX_TASKS + task + 1);
 }
-WsAssign *ws_assign_new(void);
-void ws_assign_free(WsAssign *assign);
-void ws_assign_propose(WsCore *core, guint job, guint task, guint machine);
-gboolean ws_assign_pending(const WsCore *core, guint job, guint task);
-gboolean ws_assign_idle(const WsCore *core);
+WsAssignments *ws_assignments_new(void);
+void ws_assignments_free(WsAssignments *assignments);
+void ws_assignments_propose(WsCore *core, guint job, guint task, guint machine);
+gboolean ws_assignments_is_pending(const WsCore *core, guint job, guint task);
+gboolean ws_assignments_are_idle(const WsCore *core);
 /* Whether assignments or ends of tasks wait to be written. */
-gboolean ws_assign_is_behind(const WsCore *core);
+gboolean ws_assignments_have_backlog(const WsCore *core);
 /* For how long the oldest assignment has waited to be written. */
-gint64 ws_assign_oldest_ms(const WsCore *core);
-void ws_assign_pump(WsCore *core);
+gint64 ws_assignments_oldest_age_ms(const WsCore *core);
+void ws_assignments_pump(WsCore *core);
 /* In a new epoch the owners of machines, and with them what was proposed, may be others. */
-void ws_assign_note_epoch(WsCore *core);
+void ws_assignments_begin_epoch(WsCore *core);
 typedef void (*WsProposalFunc)(const WsJob *job, guint machine, gpointer data);
 /* What was handed in to the leader and has not come back through the store yet. */
-void ws_assign_each_forwarded(const WsCore *core, WsProposalFunc take, gpointer data);
+void ws_assignments_foreach_forwarded(const WsCore *core, WsProposalFunc take, gpointer data);
 
 GHashTable *ws_estimator_new(void);
 void ws_estimator_add(WsCore *core, const WsJob *job, const WsAssignment *a);
--- a/src/commit/ws-estimator.c
+++ b/src/commit/ws-estimator.c
@@ -28,10 +28,10 @@
   gboolean is_timed = assignment->at_ms > 0;
   if (job->spec->estimate_s <= 0.0 || !is_timed || core->replica->catalog == NULL)
     return;
-  ClassRunTimes *learned = g_hash_table_lookup(core->run_times, job->spec->class_name);
+  ClassRunTimes *learned = g_hash_table_lookup(core->estimator, job->spec->class_name);
   if (learned == NULL) {
     learned = g_new0(ClassRunTimes, 1);
-    g_hash_table_insert(core->run_times, g_strdup(job->spec->class_name), learned);
+    g_hash_table_insert(core->estimator, g_strdup(job->spec->class_name), learned);
   }
   double passed_s = (double)(core->wall - assignment->at_ms) / 1000.0;
   learned->tasks++;
@@ -42,7 +42,7 @@
 double
 ws_estimator_run_s(const WsCore *core, const WsJob *job)
 {
-  const ClassRunTimes *learned = g_hash_table_lookup(core->run_times, job->spec->class_name);
+  const ClassRunTimes *learned = g_hash_table_lookup(core->estimator, job->spec->class_name);
   if (learned == NULL || learned->tasks < ENOUGH_TASKS)
     return job->spec->estimate_s;
   return job->spec->estimate_s
--- a/src/commit/ws-garbage.c
+++ b/src/commit/ws-garbage.c
@@ -13,7 +13,7 @@
 #define PAUSE_MS 3000
 #define BUSY_PAUSE_MS 500
 /* So many are left only while there is other work: they are read at every start. */
-#define MOST_LEFT 2000
+#define MAX_LEFTOVER_RECORDS 2000
 
 /* Whether the key is a record of tasks of a job that has ended. */
 static gboolean
@@ -60,8 +60,8 @@
   WsTxn *txn = ws_txn_new();
   ws_txn_compare(txn, core->replica, WS_KEY_EPOCH);
   guint count = add_left_over(core, txn);
-  gboolean may_write = count > MOST_LEFT
-                       || (!ws_assign_is_behind(core)
+  gboolean may_write = count > MAX_LEFTOVER_RECORDS
+                       || (!ws_assignments_have_backlog(core)
                            && ws_store_has_write_budget(core, core->settings->state_txn_ops / 2));
   core->garbage_ms = core->now + (count > 0 ? BUSY_PAUSE_MS : PAUSE_MS);
   if (count > 0 && may_write)
--- a/src/commit/ws-refused-jobs.h
+++ b/src/commit/ws-job-quarantine.h
@@ -9,16 +9,16 @@
 
 #include <glib.h>
 
-typedef struct _WsRefusedJobs WsRefusedJobs;
+typedef struct _WsJobQuarantine WsJobQuarantine;
 
-WsRefusedJobs *ws_refused_jobs_new(void);
-void ws_refused_jobs_free(WsRefusedJobs *refused);
+WsJobQuarantine *ws_job_quarantine_new(void);
+void ws_job_quarantine_free(WsJobQuarantine *refused);
 
 /** A transaction of these jobs (indices, of guint) was refused. */
-void ws_refused_jobs_note(WsRefusedJobs *refused, gint64 now_ms, const GArray *jobs);
+void ws_job_quarantine_add(WsJobQuarantine *refused, gint64 now_ms, const GArray *jobs);
 
 /** Whether transactions hold one job each for now. */
-gboolean ws_refused_jobs_one_at_a_time(const WsRefusedJobs *refused, gint64 now_ms);
+gboolean ws_job_quarantine_is_isolating(const WsJobQuarantine *refused, gint64 now_ms);
 
 /** Whether the job is left out for now. */
-gboolean ws_refused_jobs_has(const WsRefusedJobs *refused, gint64 now_ms, guint job);
+gboolean ws_job_quarantine_has(const WsJobQuarantine *refused, gint64 now_ms, guint job);
--- a/src/commit/ws-unproven.c
+++ b/src/commit/ws-legacy-releases.c
@@ -1,4 +1,4 @@
-#include "commit/ws-unproven.h"
+#include "commit/ws-legacy-releases.h"
 #include "commit/ws-releases.h"
 
 #include "membership/ws-membership.h"
@@ -7,9 +7,9 @@
 #include <string.h>
 
 #define STATUS_TIMEOUT_MS 1000
-#define STATUS_AGAIN_MS 1500
+#define STATUS_RETRY_MS 1500
 /* Those versions repeat a release every 2 s; after such a pause it begins anew. */
-#define REPEATED_WITHIN_MS 5000
+#define HINT_REPEAT_MS 5000
 
 typedef struct {
   WsRelease release;
@@ -18,29 +18,29 @@
   gint64 asked_ms; /* when its worker was last asked */
 } Hint;
 
-struct _WsUnproven {
+struct _WsLegacyReleases {
   GArray *hints; /* of Hint */
 };
 
-WsUnproven *
-ws_unproven_new(void)
+WsLegacyReleases *
+ws_legacy_releases_new(void)
 {
-  WsUnproven *unproven = g_new0(WsUnproven, 1);
-  unproven->hints = g_array_new(FALSE, FALSE, sizeof(Hint));
-  return unproven;
+  WsLegacyReleases *legacy_releases = g_new0(WsLegacyReleases, 1);
+  legacy_releases->hints = g_array_new(FALSE, FALSE, sizeof(Hint));
+  return legacy_releases;
 }
 
 void
-ws_unproven_free(WsUnproven *unproven)
+ws_legacy_releases_free(WsLegacyReleases *legacy_releases)
 {
-  g_array_unref(unproven->hints);
-  g_free(unproven);
+  g_array_unref(legacy_releases->hints);
+  g_free(legacy_releases);
 }
 
 static Hint *
 find_hint(WsCore *core, const WsRelease *release)
 {
-  GArray *hints = core->unproven->hints;
+  GArray *hints = core->legacy_releases->hints;
   for (guint i = 0; i < hints->len; i++) {
     Hint *hint = &g_array_index(hints, Hint, i);
     if (hint->release.job == release->job && hint->release.task == release->task
@@ -78,7 +78,7 @@
   if (heartbeat == NULL || strcmp(heartbeat->machine, machine->name) != 0
       || heartbeat->token != core->replica->epoch.number || !ws_is_leader(core))
     return;
-  const GArray *hints = core->unproven->hints;
+  const GArray *hints = core->legacy_releases->hints;
   for (guint i = 0; i < hints->len; i++) {
     const Hint *hint = &g_array_index(hints, Hint, i);
     const WsAssignment *assignment = ws_release_assignment(core->replica, &hint->release);
@@ -92,7 +92,7 @@
 ask_worker(WsCore *core, Hint *hint, const WsMachine *machine)
 {
   if (machine->endpoint == NULL
-      || (hint->asked_ms > 0 && core->now - hint->asked_ms < STATUS_AGAIN_MS))
+      || (hint->asked_ms > 0 && core->now - hint->asked_ms < STATUS_RETRY_MS))
     return;
   hint->asked_ms = core->now;
   ws_call(core, "GET", machine->endpoint, "/status", NULL, STATUS_TIMEOUT_MS, on_status,
@@ -100,7 +100,7 @@
 }
 
 void
-ws_unproven_release(WsCore *core, const WsRelease *release)
+ws_legacy_releases_add(WsCore *core, const WsRelease *release)
 {
   const WsAssignment *assignment = ws_release_assignment(core->replica, release);
   if (assignment == NULL)
@@ -113,7 +113,7 @@
   if (machine->owner == core->settings->self)
     return;
   Hint *hint = find_hint(core, release);
-  if (core->now - hint->last_ms > REPEATED_WITHIN_MS)
+  if (core->now - hint->last_ms > HINT_REPEAT_MS)
     hint->since_ms = core->now;
   hint->last_ms = core->now;
   if ((double)(core->now - hint->since_ms) > core->settings->lease_s * 1000.0)
@@ -123,9 +123,9 @@
 }
 
 void
-ws_unproven_note_epoch(WsCore *core)
+ws_legacy_releases_begin_epoch(WsCore *core)
 {
-  GArray *hints = core->unproven->hints;
+  GArray *hints = core->legacy_releases->hints;
   for (guint i = hints->len; i-- > 0;)
     if (ws_release_assignment(core->replica, &g_array_index(hints, Hint, i).release) == NULL)
       g_array_remove_index_fast(hints, i);
--- a/src/commit/ws-unproven.h
+++ b/src/commit/ws-legacy-releases.h
@@ -12,11 +12,11 @@
 #include "context/ws-context.h"
 #include "storage/ws-evidence.h"
 
-WsUnproven *ws_unproven_new(void);
-void ws_unproven_free(WsUnproven *unproven);
+WsLegacyReleases *ws_legacy_releases_new(void);
+void ws_legacy_releases_free(WsLegacyReleases *legacy_releases);
 
 /** Takes a release without evidence; its evidence isn't read. For the leader. */
-void ws_unproven_release(WsCore *core, const WsRelease *release);
+void ws_legacy_releases_add(WsCore *core, const WsRelease *release);
 
 /** Forgets the hints whose attempts are no longer on the records. */
-void ws_unproven_note_epoch(WsCore *core);
+void ws_legacy_releases_begin_epoch(WsCore *core);
--- a/src/commit/ws-release-order.c
+++ b/src/commit/ws-release-order.c
@@ -4,7 +4,7 @@
 #include "storage/ws-gang-phase.h"
 
 /* What a release weighs at least; the longer it has been known, the more. */
-#define LEAST_WEIGHT_MS 300
+#define MIN_WEIGHT_MS 300
 
 /* Sums over all pending releases. */
 typedef struct {
@@ -54,7 +54,7 @@
 static void
 sums_add(Sums *sums, const WsCore *core, const WsPendingRelease *pending, const WsJob *job)
 {
-  gint64 weight = LEAST_WEIGHT_MS + core->now - pending->known_ms;
+  gint64 weight = MIN_WEIGHT_MS + core->now - pending->known_ms;
   gpointer job_key = GUINT_TO_POINTER(job->index);
   add_to_sum(sums->known_of_job, job_key, 1);
   add_to_sum(sums->done_of_job, job_key, pending->release.done ? 1 : 0);
@@ -80,7 +80,7 @@
 static gint
 by_weight(gconstpointer a, gconstpointer b)
 {
-  const WsPendingEnd *first = a, *second = b;
+  const WsOrderedRelease *first = a, *second = b;
   if (first->ends_job != second->ends_job)
     return first->ends_job ? -1 : 1;
   if (first->ends_job && first->accepted_ms != second->accepted_ms)
@@ -105,7 +105,7 @@
    An older version of the program may have left it larger than may be written now: then its ends
    wait until there are enough of them. */
 static gboolean
-can_be_written(const WsCore *core, const GArray *ends, const WsPendingEnd *end)
+can_be_written(const WsCore *core, const GArray *ends, const WsOrderedRelease *end)
 {
   const WsJob *job = ws_replica_job(core->replica, end->release.job);
   const WsChunk *chunk = job->spec != NULL ? ws_job_chunk(job, end->release.task) : NULL;
@@ -113,7 +113,7 @@
     return TRUE;
   WsChunk *rest = ws_chunk_copy(chunk);
   for (guint i = 0; i < ends->len; i++) {
-    const WsRelease *other = &g_array_index(ends, WsPendingEnd, i).release;
+    const WsRelease *other = &g_array_index(ends, WsOrderedRelease, i).release;
     if (is_same_chunk(other, &end->release))
       ws_chunk_remove(rest, other->task);
   }
@@ -128,16 +128,16 @@
 {
   g_autofree gboolean *held = g_new0(gboolean, MAX(ends->len, 1u));
   for (guint i = 0; i < ends->len; i++)
-    held[i] = !can_be_written(core, ends, &g_array_index(ends, WsPendingEnd, i));
+    held[i] = !can_be_written(core, ends, &g_array_index(ends, WsOrderedRelease, i));
   for (guint i = ends->len; i-- > 0;)
     if (held[i])
       g_array_remove_index(ends, i);
 }
 
 GArray *
-ws_release_order(const WsCore *core, GHashTable *pending)
+ws_releases_sort(const WsCore *core, GHashTable *pending)
 {
-  GArray *ends = g_array_new(FALSE, FALSE, sizeof(WsPendingEnd));
+  GArray *ends = g_array_new(FALSE, FALSE, sizeof(WsOrderedRelease));
   Sums sums;
   sums_init(&sums, core->settings);
   GHashTableIter iter;
@@ -146,12 +146,12 @@
   while (g_hash_table_iter_next(&iter, NULL, &value)) {
     const WsPendingRelease *known = value;
     const WsJob *job = ws_replica_job(core->replica, known->release.job);
-    WsPendingEnd end = { .release = known->release, .accepted_ms = job->at_ms };
+    WsOrderedRelease end = { .release = known->release, .accepted_ms = job->at_ms };
     g_array_append_val(ends, end);
     sums_add(&sums, core, known, job);
   }
   for (guint i = 0; i < ends->len; i++) {
-    WsPendingEnd *end = &g_array_index(ends, WsPendingEnd, i);
+    WsOrderedRelease *end = &g_array_index(ends, WsOrderedRelease, i);
     const WsJob *job = ws_replica_job(core->replica, end->release.job);
     end->ends_job = would_end(&sums, job);
     end->of_chunk = get_sum(sums.of_chunk, chunk_key(&end->release));
--- a/src/commit/ws-release-order.h
+++ b/src/commit/ws-release-order.h
@@ -23,13 +23,13 @@
   gint64 accepted_ms; /* when its job was */
   gint64 of_team_use; /* what all releases weigh whose teams share a record */
   gint64 of_chunk;    /* and all of its chunk */
-} WsPendingEnd;
+} WsOrderedRelease;
 
 /**
- * Returns the pending releases (of WsPendingEnd) in the order in which they should be written:
+ * Returns the pending releases (of WsOrderedRelease) in the order in which they should be written:
  * first those that end a job, the job accepted first before others, then those that share records
  * with most others and have waited longest. The caller frees the array.
  *
  * @pending: of WsPendingRelease, by whatever key
  */
-GArray *ws_release_order(const WsCore *core, GHashTable *pending);
+GArray *ws_releases_sort(const WsCore *core, GHashTable *pending);
--- a/src/commit/ws-releases.c
+++ b/src/commit/ws-releases.c
@@ -5,7 +5,7 @@
 #include "membership/ws-membership.h"
 
 /* What was handed in and came to nothing for so long is handed in again. */
-#define FORWARD_AGAIN_MS 2000
+#define FORWARD_RETRY_MS 2000
 
 struct _WsReleases {
   GHashTable *pending; /* task -> WsPendingRelease */
@@ -33,7 +33,7 @@
 }
 
 gint64
-ws_releases_oldest_ms(const WsCore *core)
+ws_releases_oldest_age_ms(const WsCore *core)
 {
   gint64 oldest_ms = core->now;
   GHashTableIter iter;
@@ -47,7 +47,7 @@
 GArray *
 ws_releases_in_order(const WsCore *core)
 {
-  return ws_release_order(core, core->releases->pending);
+  return ws_releases_sort(core, core->releases->pending);
 }
 
 void
@@ -57,7 +57,7 @@
 }
 
 void
-ws_releases_forward_again(WsCore *core)
+ws_releases_reset_forwarding(WsCore *core)
 {
   GHashTableIter iter;
   gpointer known;
@@ -105,8 +105,8 @@
 }
 
 void
-ws_releases_add_shown(WsCore *core, const WsJob *job, const WsAssignment *assignment,
-                      WsEvidenceKind kind, gboolean done)
+ws_releases_add_reported(WsCore *core, const WsJob *job, const WsAssignment *assignment,
+                         WsEvidenceKind kind, gboolean done)
 {
   const WsMachine *machine = ws_replica_machine(core->replica, assignment->machine);
   WsRelease release = { job->index, assignment->task, assignment->attempt, done,
@@ -115,7 +115,7 @@
 }
 
 void
-ws_releases_shown_present(WsCore *core, const WsJob *job, const WsAssignment *assignment)
+ws_releases_refute(WsCore *core, const WsJob *job, const WsAssignment *assignment)
 {
   gpointer key = ws_task_key(job->index, assignment->task);
   const WsPendingRelease *known = g_hash_table_lookup(core->releases->pending, key);
@@ -174,7 +174,7 @@
     WsPendingRelease *known = value;
     if (!ws_release_holds(core->replica, &known->release)) {
       g_hash_table_iter_remove(&iter);
-    } else if (known->asked_ms == 0 || core->now - known->asked_ms >= FORWARD_AGAIN_MS) {
+    } else if (known->asked_ms == 0 || core->now - known->asked_ms >= FORWARD_RETRY_MS) {
       known->asked_ms = core->now;
       restate(core, &known->release);
       ws_peer_request_release(core, &known->release);
@@ -183,8 +183,8 @@
 }
 
 void
-ws_releases_note_epoch(WsCore *core)
+ws_releases_begin_epoch(WsCore *core)
 {
   drop_void(core);
-  ws_releases_forward_again(core);
+  ws_releases_reset_forwarding(core);
 }
--- a/src/commit/ws-releases.h
+++ b/src/commit/ws-releases.h
@@ -18,11 +18,11 @@
 void ws_releases_add(WsCore *core, const WsRelease *release);
 
 /** Adds the release of an attempt by the newest message of its machine's worker. */
-void ws_releases_add_shown(WsCore *core, const WsJob *job, const WsAssignment *assignment,
-                           WsEvidenceKind kind, gboolean done);
+void ws_releases_add_reported(WsCore *core, const WsJob *job, const WsAssignment *assignment,
+                              WsEvidenceKind kind, gboolean done);
 
 /** The worker shows the attempt: what said that it is gone was wrong. */
-void ws_releases_shown_present(WsCore *core, const WsJob *job, const WsAssignment *assignment);
+void ws_releases_refute(WsCore *core, const WsJob *job, const WsAssignment *assignment);
 
 /** Whether the attempt's release waits to be written: until then nobody may launch it. */
 gboolean ws_releases_has(const WsCore *core, const WsJob *job, const WsAssignment *assignment);
@@ -33,9 +33,10 @@
 guint ws_releases_count(const WsCore *core);
 
 /** For how long, in milliseconds, the oldest one has waited to be written. */
-gint64 ws_releases_oldest_ms(const WsCore *core);
+gint64 ws_releases_oldest_age_ms(const WsCore *core);
 
-/** The releases (of WsPendingEnd) in the order in which they are to be written. The caller frees.
+/** The releases (of WsOrderedRelease) in the order in which they are to be written. The caller
+ * frees.
  */
 GArray *ws_releases_in_order(const WsCore *core);
 
@@ -43,7 +44,7 @@
 void ws_releases_forward(WsCore *core);
 
 /** Everything is to be handed in once more. */
-void ws_releases_forward_again(WsCore *core);
+void ws_releases_reset_forwarding(WsCore *core);
 
 /** Drops what doesn't hold in the new epoch, and hands in the rest once more. */
-void ws_releases_note_epoch(WsCore *core);
+void ws_releases_begin_epoch(WsCore *core);
--- a/src/commit/ws-write-stats.c
+++ b/src/commit/ws-write-stats.c
@@ -64,7 +64,7 @@
   if (*text != '\0')
     g_info("changes in %.0f s: %s; waiting: assignments for %.1f s, ends for %.1f s",
            (double)(core->now - stats->since_ms) / 1000.0, text,
-           (double)ws_assign_oldest_ms(core) / 1000.0,
-           (double)ws_releases_oldest_ms(core) / 1000.0);
+           (double)ws_assignments_oldest_age_ms(core) / 1000.0,
+           (double)ws_releases_oldest_age_ms(core) / 1000.0);
   *stats = (WsWriteStats){ .since_ms = core->now };
 }
--- a/src/context/ws-context.h
+++ b/src/context/ws-context.h
@@ -18,7 +18,7 @@
 typedef struct _WsStore WsStore;
 typedef struct _WsElection WsElection;
 typedef struct _WsPeer WsPeer;
-typedef struct _WsAssign WsAssign;
+typedef struct _WsAssignments WsAssignments;
 typedef struct _WsFleet WsFleet;
 typedef struct _WsRentals WsRentals;
 typedef struct _WsReturns WsReturns;
@@ -29,7 +29,7 @@
 typedef struct _WsCancellations WsCancellations;
 typedef struct _WsReservations WsReservations;
 typedef struct _WsWriteStats WsWriteStats;
-typedef struct _WsUnproven WsUnproven;
+typedef struct _WsLegacyReleases WsLegacyReleases;
 typedef struct _WsReleases WsReleases;
 
 struct _WsCore {
@@ -44,7 +44,7 @@
   guint64 next_call;
   WsStore *store;
   WsElection *election;
-  WsAssign *assign;
+  WsAssignments *assignments;
   WsFleet *fleet;
   WsRentals *rentals;
   WsReturns *returns;
@@ -55,10 +55,10 @@
   WsCancellations *cancellations;
   WsReservations *reservations;
   WsWriteStats *write_stats;
-  WsUnproven *unproven;
+  WsLegacyReleases *legacy_releases;
   WsReleases *releases;
   gint64 cancellations_known_ms; /* when this node last knew all that was confirmed to users */
-  GHashTable *run_times;         /* by class */
+  GHashTable *estimator;         /* by class */
   WsPeer *peers;
   guint64 gossip_revision;              /* counts what changed about this node's machines */
   gboolean is_reached_from_other_zones; /* cut off, yet heard by machines of other zones */
--- a/src/core/ws-core.c
+++ b/src/core/ws-core.c
@@ -8,7 +8,7 @@
 #include "scheduling/ws-scheduling.h"
 #include "api/ws-users.h"
 #include "commit/ws-releases.h"
-#include "commit/ws-unproven.h"
+#include "commit/ws-legacy-releases.h"
 #include "commit/ws-write-stats.h"
 
 #include <string.h>
@@ -27,7 +27,7 @@
   ws_context_init_calls(core);
   core->store = ws_store_new(settings);
   core->election = ws_election_new();
-  core->assign = ws_assign_new();
+  core->assignments = ws_assignments_new();
   core->fleet = ws_fleet_new(settings);
   core->rentals = ws_rentals_new();
   core->returns = ws_returns_new();
@@ -38,9 +38,9 @@
   core->cancellations = ws_cancellations_new(settings);
   core->reservations = ws_reservations_new();
   core->write_stats = ws_write_stats_new();
-  core->unproven = ws_unproven_new();
+  core->legacy_releases = ws_legacy_releases_new();
   core->releases = ws_releases_new();
-  core->run_times = ws_estimator_new();
+  core->estimator = ws_estimator_new();
   core->peers = g_new0(WsPeer, settings->nodes->len);
   core->partition_ms = g_new0(gint64, MAX(settings->zones->len, 1u));
   core->confirmed_partition_ms = g_new0(gint64, MAX(settings->zones->len, 1u));
@@ -62,7 +62,7 @@
   ws_context_clear_calls(core);
   ws_store_free(core->store);
   ws_election_free(core->election);
-  ws_assign_free(core->assign);
+  ws_assignments_free(core->assignments);
   ws_fleet_free(core->fleet);
   ws_rentals_free(core->rentals);
   ws_returns_free(core->returns);
@@ -73,9 +73,9 @@
   ws_cancellations_free(core->cancellations);
   ws_reservations_free(core->reservations);
   ws_write_stats_free(core->write_stats);
-  ws_unproven_free(core->unproven);
+  ws_legacy_releases_free(core->legacy_releases);
   ws_releases_free(core->releases);
-  g_hash_table_unref(core->run_times);
+  g_hash_table_unref(core->estimator);
   ws_replica_free(core->replica);
   g_free(core->peers);
   g_free(core->partition_ms);
@@ -140,8 +140,8 @@
   core->epoch_known_ms = core->now;
   core->plan_due = TRUE;
   core->new_epoch_needed = FALSE;
-  ws_assign_note_epoch(core);
-  ws_unproven_note_epoch(core);
+  ws_assignments_begin_epoch(core);
+  ws_legacy_releases_begin_epoch(core);
   ws_peer_requests_clear(core);
   ws_reservations_clear(core);
   ws_gossip_begin_epoch(core);
@@ -171,7 +171,7 @@
   ws_cancellations_pump(core);
   ws_plan_tick(core);
   ws_termination_pump(core);
-  ws_assign_pump(core);
+  ws_assignments_pump(core);
   ws_peer_requests_pump(core);
   ws_store_pump(core);
 }
--- a/src/fleet/ws-returns.c
+++ b/src/fleet/ws-returns.c
@@ -135,7 +135,7 @@
     WsJob *job = ws_replica_job(core->replica, ref->job);
     const WsAssignment *assignment = ws_job_assignment(job, ref->task);
     if (assignment != NULL)
-      ws_releases_add_shown(core, job, assignment, WS_EVIDENCE_RETURNED, FALSE);
+      ws_releases_add_reported(core, job, assignment, WS_EVIDENCE_RETURNED, FALSE);
   }
 }
 
--- a/src/membership/ws-peer-requests.c
+++ b/src/membership/ws-peer-requests.c
@@ -16,11 +16,11 @@
 #include "workers/ws-workers.h"
 #include "scheduling/ws-scheduling.h"
 #include "commit/ws-releases.h"
-#include "commit/ws-unproven.h"
+#include "commit/ws-legacy-releases.h"
 
 #include <string.h>
 
-#define GATHER_MS 60
+#define BATCHING_MS 60
 #define MAILBOX_PAUSE_MS 1000
 #define REQUEST_TIMEOUT_MS 1500
 #define MOST_ITEMS 48
@@ -130,7 +130,7 @@
   release.attempt = (guint64)json_integer_value(json_array_get(item, 2));
   release.done = json_is_true(json_array_get(item, 3));
   if (!ws_evidence_parse(core->replica, item, &release.evidence))
-    ws_unproven_release(core, &release);
+    ws_legacy_releases_add(core, &release);
   else if (ws_release_holds(core->replica, &release))
     ws_releases_add(core, &release);
   else
@@ -145,7 +145,7 @@
   const char *name = json_string_value(json_array_get(item, 2));
   const WsMachine *machine = name != NULL ? ws_replica_find_machine(core->replica, name) : NULL;
   if (job != NULL && machine != NULL)
-    ws_assign_propose(core, job->index, task, machine->index);
+    ws_assignments_propose(core, job->index, task, machine->index);
 }
 
 static void
@@ -340,6 +340,6 @@
   }
   if (core->now < core->peer_requests->next_ms)
     return;
-  core->peer_requests->next_ms = core->now + GATHER_MS;
+  core->peer_requests->next_ms = core->now + BATCHING_MS;
   send_all(core);
 }
--- a/src/scheduling/ws-place.c
+++ b/src/scheduling/ws-place.c
@@ -125,7 +125,7 @@
     if (is_usable(core, machine))
       look_at(map, machine);
   }
-  ws_assign_each_forwarded(core, take_forwarded, map);
+  ws_assignments_foreach_forwarded(core, take_forwarded, map);
   for (guint i = 0; i < replica->machines->len; i++) {
     if (map->slots[i].usable && ws_amount_fits(least, &map->slots[i].free))
       g_array_append_val(map->open, i);
--- a/src/scheduling/ws-plan.c
+++ b/src/scheduling/ws-plan.c
@@ -182,7 +182,7 @@
     return ROOM_COMES;
   machine = ws_places_take(places, WS_ROOM_NOW);
   if (machine != NULL) {
-    ws_assign_propose(run->core, job->index, task, machine->index);
+    ws_assignments_propose(run->core, job->index, task, machine->index);
     return PLACED;
   }
   return room_comes(run, places, job, WS_ROOM_COMING, WS_ROOM_TAKEN) ? ROOM_COMES : NO_ROOM;
@@ -192,7 +192,7 @@
 is_waiting(const WsCore *core, const WsJob *job, guint task)
 {
   return !ws_job_task_done(job, task) && ws_job_assignment(job, task) == NULL
-         && !ws_assign_pending(core, job->index, task);
+         && !ws_assignments_is_pending(core, job->index, task);
 }
 
 static void
@@ -215,7 +215,7 @@
   if (chunk != NULL && chunk->done_count + chunk->on->len == WS_CHUNK_TASKS)
     return;
   for (guint task = first; task < end && places > 0 && tasks->len < most; task++) {
-    if (ws_assign_pending(core, job->index, task)) {
+    if (ws_assignments_is_pending(core, job->index, task)) {
       places--;
     } else if (is_waiting(core, job, task)) {
       g_array_append_val(tasks, task);
@@ -274,8 +274,8 @@
   }
   ws_amount_add(&run->use[job->team], &job->spec->need, tasks->len);
   for (guint i = 0; i < tasks->len; i++)
-    ws_assign_propose(core, job->index, g_array_index(tasks, guint, i),
-                      g_array_index(machines, guint, i));
+    ws_assignments_propose(core, job->index, g_array_index(tasks, guint, i),
+                           g_array_index(machines, guint, i));
 }
 
 static void
@@ -437,7 +437,8 @@
 {
   if (core->now < core->plan->next_ms || !ws_is_active_member(core)
       || (!core->plan_due && core->now < core->plan->next_ms + UNASKED_MS)
-      || core->replica->catalog == NULL || !ws_assign_idle(core) || !ws_store_is_available(core))
+      || core->replica->catalog == NULL || !ws_assignments_are_idle(core)
+      || !ws_store_is_available(core))
     return;
   core->plan_due = FALSE;
   core->plan->next_ms = core->now + PAUSE_MS;
--- a/src/storage/ws-team-use.c
+++ b/src/storage/ws-team-use.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 /* A team's part of a record, beside its name: two amounts of up to 19 digits, and punctuation. */
-#define BYTES_A_TEAM 48
+#define BYTES_PER_TEAM 48
 /* A record is filled to this part of the largest value, as names spread unevenly. */
 #define FILLED_PART 0.5
 
@@ -13,7 +13,7 @@
   double bytes = 0.0;
   for (guint t = 0; t < settings->teams->len; t++) {
     const WsTeamSettings *team = g_ptr_array_index(settings->teams, t);
-    bytes += (double)strlen(team->name) + BYTES_A_TEAM;
+    bytes += (double)strlen(team->name) + BYTES_PER_TEAM;
   }
   return 1 + (guint)(bytes / (FILLED_PART * settings->state_value_kb * 1024.0));
 }
--- a/src/workers/ws-workers.c
+++ b/src/workers/ws-workers.c
@@ -111,10 +111,10 @@
     return;
   if (task->state == WS_TASK_EXITED) {
     note_exit(core, machine, job, assignment, task->why);
-    ws_releases_add_shown(core, job, assignment, WS_EVIDENCE_EXITED, task->why == WS_EXIT_DONE);
+    ws_releases_add_reported(core, job, assignment, WS_EVIDENCE_EXITED, task->why == WS_EXIT_DONE);
     return;
   }
-  ws_releases_shown_present(core, job, assignment);
+  ws_releases_refute(core, job, assignment);
   if (task->state != assignment->state)
     g_debug("task %s/%u on %s: state %d", job->id, assignment->task, machine->name, task->state);
   assignment->state = task->state;
@@ -270,7 +270,7 @@
     return;
   }
   if (answer->confirmed && answer->machine->indeterminate_launches == 0)
-    ws_releases_add_shown(answer->core, job, assignment, WS_EVIDENCE_ABSENT, FALSE);
+    ws_releases_add_reported(answer->core, job, assignment, WS_EVIDENCE_ABSENT, FALSE);
 }
 
 static void
--- a/tests/sim/state.c
+++ b/tests/sim/state.c
@@ -29,7 +29,7 @@
   guint64 revision;
   guint64 next_lease;
   gint64 ticked_ms;
-  guint most_ops;
+  guint max_operations;
   gsize most_bytes; /* of a value */
   guint refused_for_size;
 };
@@ -58,7 +58,7 @@
 sim_state_new(void)
 {
   SimState *state = g_new0(SimState, 1);
-  state->most_ops = 16; /* as the settings of the tests say */
+  state->max_operations = 16; /* as the settings of the tests say */
   state->most_bytes = (gsize)16 * 1024;
   state->entries = g_tree_new_full(compare, NULL, g_free, entry_free);
   state->leases = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
@@ -186,9 +186,9 @@
   g_autofree char *text = json_dumps(body, JSON_COMPACT);
   if (strlen(text) > 65536)
     return "longer than 64 KiB";
-  if (json_array_size(json_object_get(body, "apply")) > state->most_ops)
+  if (json_array_size(json_object_get(body, "apply")) > state->max_operations)
     return "too many operations";
-  if (json_array_size(json_object_get(body, "if")) > 4 * (size_t)state->most_ops)
+  if (json_array_size(json_object_get(body, "if")) > 4 * (size_t)state->max_operations)
     return "too many conditions";
   json_array_foreach(json_object_get(body, "apply"), i, item)
   {
@@ -341,9 +341,9 @@
 }
 
 void
-sim_state_set_limits(SimState *state, guint most_ops, gsize most_bytes)
+sim_state_set_limits(SimState *state, guint max_operations, gsize most_bytes)
 {
-  state->most_ops = most_ops;
+  state->max_operations = max_operations;
   state->most_bytes = most_bytes;
 }
 
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -304,7 +304,7 @@
     add_pending(pending, chunk, known);
     ((WsPendingRelease *)g_hash_table_lookup(pending, GUINT_TO_POINTER(known + 1)))->release.job
         = job->index;
-    g_autoptr(GArray) ends = ws_release_order(&core, pending);
+    g_autoptr(GArray) ends = ws_releases_sort(&core, pending);
     g_assert_true(ends->len == 0 || ends->len == known + 1);
     if (ends->len > 0)
       break;
