--- a/src/api/ws-users.c
+++ b/src/api/ws-users.c
@@ -19,8 +19,8 @@
 typedef struct {
   RequestKind kind;
   char *id;
-  WsSubmission *spec; /* of a submission */
-  gpointer handle;    /* under which it is answered */
+  WsJobSpec *spec; /* of a submission */
+  gpointer handle; /* under which it is answered */
   guint tries;
   gboolean has_read; /* the replica was brought up to date since the request came in */
 } UserRequest;
@@ -31,7 +31,7 @@
 user_request_free(UserRequest *user_request)
 {
   g_free(user_request->id);
-  ws_submission_free(user_request->spec);
+  ws_job_spec_free(user_request->spec);
   g_free(user_request);
 }
 
@@ -61,13 +61,13 @@
 {
   const char *state = job->state == WS_JOB_DONE        ? "done"
                       : job->state == WS_JOB_CANCELLED ? "cancelled"
-                      : job->on_count > 0              ? "running"
+                      : job->assigned_count > 0        ? "running"
                                                        : "queued";
-  guint done = job->state == WS_JOB_DONE ? job->tasks : job->done_count;
+  guint done = job->state == WS_JOB_DONE ? job->tasks : job->completed_count;
   json_t *body = json_pack("{s:s, s:s}", "id", job->id, W_STATE, state);
   if (user_request->kind == REQUEST_POLL) {
     json_object_set_new(body, "done", json_integer(done));
-    json_object_set_new(body, "running", json_integer(job->on_count));
+    json_object_set_new(body, "running", json_integer(job->assigned_count));
   }
   end(core, user_request, status, body);
 }
@@ -125,16 +125,16 @@
 
 /* Whether the job's record is one that the state service takes, also with what is added later. */
 static gboolean
-fits_record(const WsCore *core, const WsSubmission *spec)
+fits_record(const WsCore *core, const WsJobSpec *spec)
 {
-  g_autoptr(json_t) value = ws_submission_encode(spec);
+  g_autoptr(json_t) value = ws_job_spec_encode(spec);
   g_autofree char *text = ws_json_text(value);
   return strlen(text) + JOB_RECORD_BYTES <= core->settings->state_record_bytes;
 }
 
 /* Whether all tasks of a gang could ever run at once. */
 static gboolean
-can_gather(const WsCore *core, const WsSubmission *spec)
+can_gather(const WsCore *core, const WsJobSpec *spec)
 {
   if (spec->kind != WS_KIND_GANG)
     return TRUE;
@@ -150,19 +150,19 @@
 }
 
 static gboolean
-within_limit(const WsSubmission *spec, const WsTeamSettings *team)
+within_limit(const WsJobSpec *spec, const WsTeamSettings *team)
 {
-  WsAmount need = { 0 };
-  ws_amount_add(&need, &spec->need, spec->kind == WS_KIND_ARRAY ? 1 : (gint64)spec->tasks);
+  WsResources need = { 0 };
+  ws_resources_add(&need, &spec->need, spec->kind == WS_KIND_ARRAY ? 1 : (gint64)spec->tasks);
   return ws_team_allows(team, &need);
 }
 
 static gboolean
-fits_a_type(const WsCore *core, const WsSubmission *spec)
+fits_a_type(const WsCore *core, const WsJobSpec *spec)
 {
   for (guint t = 0; t < core->replica->catalog->len; t++) {
     const WsType *type = ws_replica_type(core->replica, t);
-    if (ws_type_allowed(spec, type) && ws_amount_fits(&spec->need, &type->room))
+    if (ws_constraints_allow_type(spec, type) && ws_resources_fit(&spec->need, &type->room))
       return TRUE;
   }
   return FALSE;
@@ -170,7 +170,7 @@
 
 /* Why the job can never run, or NULL. */
 static const char *
-never_runs(const WsCore *core, const WsSubmission *spec)
+never_runs(const WsCore *core, const WsJobSpec *spec)
 {
   guint team = ws_replica_find_team(core->replica, spec->team);
   if (team == WS_NONE)
@@ -191,8 +191,8 @@
 static void
 accept(WsCore *core, UserRequest *user_request)
 {
-  WsJob job = { .id = user_request->id, .spec = user_request->spec, .at_ms = core->wall };
-  guint home = ws_plan_home(core, user_request->spec);
+  WsJob job = { .id = user_request->id, .spec = user_request->spec, .accepted_ms = core->wall };
+  guint home = ws_plan_choose_coordinator(core, user_request->spec);
   const char *name = home == WS_NONE ? "" : ws_settings_node(core->settings, home)->name;
   g_autofree char *key = ws_key_job(user_request->id);
   WsTxn *txn = ws_txn_new();
@@ -276,13 +276,13 @@
 }
 
 static void
-begin(WsCore *core, RequestKind kind, const char *id, WsSubmission *spec, gpointer request)
+begin(WsCore *core, RequestKind kind, const char *id, WsJobSpec *spec, gpointer request)
 {
   const WsJob *job = ws_replica_find_job(core->replica, id);
   gboolean is_final = job != NULL && job->state != WS_JOB_ACTIVE;
   if (!ws_store_is_loaded(core) || (!is_final && !ws_store_is_available(core))) {
     ws_answer_later(core, request, 2);
-    ws_submission_free(spec);
+    ws_job_spec_free(spec);
     return;
   }
   UserRequest *user_request = g_new0(UserRequest, 1);
@@ -304,7 +304,7 @@
   }
   g_autoptr(json_t) message = ws_json_parse(body, length);
   g_autofree char *reason = NULL;
-  WsSubmission *spec = ws_submission_parse(message, &reason);
+  WsJobSpec *spec = ws_job_spec_parse(message, &reason);
   if (spec == NULL) {
     ws_answer_reason(core, request, 400, reason);
     return;
--- a/src/commit/ws-assignments.c
+++ b/src/commit/ws-assignments.c
@@ -173,7 +173,7 @@
         = ws_replica_job(core->replica, g_array_index(core->assignments->ending, guint, i));
     g_info("job %s is %s, %.0f s after it was accepted", job->id,
            job->state == WS_JOB_DONE ? "done" : "cancelled and gone",
-           (double)(core->wall - job->at_ms) / 1000.0);
+           (double)(core->wall - job->accepted_ms) / 1000.0);
   }
 }
 
--- a/src/commit/ws-batch.c
+++ b/src/commit/ws-batch.c
@@ -28,9 +28,9 @@
 struct _WsBatch {
   WsCore *core;
   GPtrArray *works;          /* of Work */
-  WsAmount *use;             /* of each team, as the transaction leaves it */
+  WsResources *use;          /* of each team, as the transaction leaves it */
   gboolean *touched;         /* by record of teams' use */
-  GHashTable *room;          /* machine index -> WsAmount taken by this batch */
+  GHashTable *room;          /* machine index -> WsResources taken by this batch */
   GHashTable *joined;        /* index of each machine that gets a task */
   GPtrArray *rental_batches; /* of interned names: the rental batches that name them, each once, in
                                 the order in which their machines got tasks */
@@ -56,7 +56,7 @@
   WsBatch *batch = g_new0(WsBatch, 1);
   batch->core = core;
   batch->works = g_ptr_array_new_with_free_func(work_free);
-  batch->use = g_memdup2(core->replica->team_use, sizeof(WsAmount) * MAX(teams, 1u));
+  batch->use = g_memdup2(core->replica->team_use, sizeof(WsResources) * MAX(teams, 1u));
   batch->touched = g_new0(gboolean, ws_team_use_groups(core->settings));
   batch->room = g_hash_table_new_full(NULL, NULL, NULL, g_free);
   batch->joined = g_hash_table_new(NULL, NULL);
@@ -137,8 +137,8 @@
     const WsChunk *chunk = chunk_after(batch, job, c);
     if (chunk == NULL)
       continue;
-    done += chunk->done_count;
-    *on += chunk->on->len;
+    done += chunk->completed_count;
+    *on += chunk->assignments->len;
   }
   return done;
 }
@@ -175,7 +175,7 @@
     const WsChunk *chunk = ws_job_chunk(job, task);
     ops += ends ? 0 : 1;
     conditions += 1 + (all_chunks_matter(job) ? ws_job_chunk_count(job) : 1);
-    bytes += BYTES_PER_CHUNK + BYTES_PER_TASK * (chunk != NULL ? chunk->on->len : 0);
+    bytes += BYTES_PER_CHUNK + BYTES_PER_TASK * (chunk != NULL ? chunk->assignments->len : 0);
   }
   if (joins != NULL && !g_hash_table_contains(batch->joined, GUINT_TO_POINTER(joins->index)))
     conditions++;
@@ -210,15 +210,15 @@
 use_team(WsBatch *batch, const WsJob *job, gint64 times)
 {
   batch->touched[ws_team_use_group(batch->core->settings, job->team)] = TRUE;
-  ws_amount_add(&batch->use[job->team], &job->spec->need, times);
+  ws_resources_add(&batch->use[job->team], &job->spec->need, times);
 }
 
-static WsAmount *
+static WsResources *
 taken(WsBatch *batch, guint machine)
 {
-  WsAmount *amount = g_hash_table_lookup(batch->room, GUINT_TO_POINTER(machine));
+  WsResources *amount = g_hash_table_lookup(batch->room, GUINT_TO_POINTER(machine));
   if (amount == NULL) {
-    amount = g_new0(WsAmount, 1);
+    amount = g_new0(WsResources, 1);
     g_hash_table_insert(batch->room, GUINT_TO_POINTER(machine), amount);
   }
   return amount;
@@ -242,7 +242,7 @@
   guint64 last = 0;
   for (guint c = 0; c < ws_job_chunk_count(job); c++) {
     const WsChunk *chunk = chunk_after(batch, job, c);
-    last = MAX(last, chunk != NULL ? chunk->attempts : 0);
+    last = MAX(last, chunk != NULL ? chunk->last_attempt : 0);
   }
   return last;
 }
@@ -250,7 +250,7 @@
 static void
 release_task(WsBatch *batch, const WsJob *job, WsChunk *chunk, guint task, guint machine)
 {
-  ws_amount_add(taken(batch, machine), &job->spec->need, -1);
+  ws_resources_add(taken(batch, machine), &job->spec->need, -1);
   ws_chunk_remove(chunk, task);
   use_team(batch, job, -1);
 }
@@ -295,7 +295,7 @@
   WsChunk *chunk = open_chunk(batch, job, release->task);
   release_task(batch, job, chunk, release->task, assignment->machine);
   if (ws_job_is_gang(job))
-    chunk->attempts = last_attempt(batch, job) + 1;
+    chunk->last_attempt = last_attempt(batch, job) + 1;
   if (release->done)
     ws_chunk_set_done(chunk, release->task);
   return WS_BATCH_ADDED;
@@ -309,8 +309,8 @@
   const WsReplica *replica = batch->core->replica;
   for (guint c = 0; c < ws_job_chunk_count(job); c++) {
     const WsChunk *chunk = chunk_after(batch, job, c);
-    for (guint i = 0; chunk != NULL && i < chunk->on->len; i++) {
-      const WsAssignment *assignment = &g_array_index(chunk->on, WsAssignment, i);
+    for (guint i = 0; chunk != NULL && i < chunk->assignments->len; i++) {
+      const WsAssignment *assignment = &g_array_index(chunk->assignments, WsAssignment, i);
       guint zone = ws_replica_machine(replica, assignment->machine)->zone;
       if (zone != WS_NONE)
         counts[zone]++;
@@ -321,10 +321,10 @@
 static gboolean
 machine_has_room(WsBatch *batch, const WsMachine *machine, const WsJob *job)
 {
-  WsAmount room = ws_replica_type(batch->core->replica, machine->type)->room;
-  ws_amount_add(&room, &machine->used, -1);
-  ws_amount_add(&room, taken(batch, machine->index), -1);
-  return ws_amount_fits(&job->spec->need, &room);
+  WsResources room = ws_replica_type(batch->core->replica, machine->type)->room;
+  ws_resources_add(&room, &machine->used, -1);
+  ws_resources_add(&room, taken(batch, machine->index), -1);
+  return ws_resources_fit(&job->spec->need, &room);
 }
 
 /* What was freed for a more urgent job isn't given away. */
@@ -333,12 +333,12 @@
 {
   if (ws_reservations_is_empty(batch->core))
     return TRUE;
-  WsAmount left = ws_replica_type(batch->core->replica, machine->type)->room;
-  WsAmount use = batch->use[job->team];
-  ws_amount_add(&left, &machine->used, -1);
-  ws_amount_add(&left, taken(batch, machine->index), -1);
-  ws_amount_add(&left, &job->spec->need, -1);
-  ws_amount_add(&use, &job->spec->need, 1);
+  WsResources left = ws_replica_type(batch->core->replica, machine->type)->room;
+  WsResources use = batch->use[job->team];
+  ws_resources_add(&left, &machine->used, -1);
+  ws_resources_add(&left, taken(batch, machine->index), -1);
+  ws_resources_add(&left, &job->spec->need, -1);
+  ws_resources_add(&use, &job->spec->need, 1);
   guint tasks_on;
   (void)count_after(batch, job, &tasks_on);
   return ws_reservations_allow(batch->core, job, tasks_on + 1, machine->index, &left, &use);
@@ -352,7 +352,7 @@
     return TRUE;
   g_autofree guint *counts = g_new0(guint, zones);
   count_zones(batch, job, counts);
-  return ws_zone_allowed(job, counts, zones, zone);
+  return ws_constraints_allow_zone(job, counts, zones, zone);
 }
 
 /* Whether the record of the task's chunk takes one more assignment. */
@@ -374,9 +374,9 @@
          && ws_chunk_find(chunk_after(batch, job, proposal->task / WS_CHUNK_TASKS), proposal->task)
                 == NULL
          && ws_job_assignment(job, proposal->task) == NULL && !ws_gang_is_ending(job)
-         && record_has_place(batch, job, proposal->task) && machine->stored && !machine->marked
-         && !machine->marking
-         && ws_plan_allowed(batch->core->replica, job->spec, job->zone, machine)
+         && record_has_place(batch, job, proposal->task) && machine->is_recorded
+         && !machine->is_marked && !machine->mark_is_pending
+         && ws_constraints_allow_machine(batch->core->replica, job->spec, job->zone, machine)
          && machine_has_room(batch, machine, job)
          && ws_team_has_room(batch->core->settings, job->team, &batch->use[job->team],
                              &job->spec->need)
@@ -390,7 +390,7 @@
 {
   guint on;
   if (!ws_job_is_gang(job))
-    return chunk->attempts + 1;
+    return chunk->last_attempt + 1;
   (void)count_after(batch, job, &on);
   return last_attempt(batch, job) + (on == 0 ? 1 : 0);
 }
@@ -414,10 +414,10 @@
   WsChunk *chunk = open_chunk(batch, job, proposal->task);
   WsAssignment assignment = { .task = proposal->task, .machine = proposal->machine };
   assignment.attempt = next_attempt(batch, job, chunk);
-  chunk->attempts = assignment.attempt;
-  assignment.at_ms = batch->core->wall;
+  chunk->last_attempt = assignment.attempt;
+  assignment.assigned_ms = batch->core->wall;
   ws_chunk_add(chunk, &assignment);
-  ws_amount_add(taken(batch, proposal->machine), &job->spec->need, 1);
+  ws_resources_add(taken(batch, proposal->machine), &job->spec->need, 1);
   g_hash_table_add(batch->joined, GUINT_TO_POINTER(proposal->machine));
   add_rental_batch(batch, ws_replica_machine(batch->core->replica, proposal->machine));
   use_team(batch, job, 1);
--- a/src/commit/ws-estimator.c
+++ b/src/commit/ws-estimator.c
@@ -25,7 +25,7 @@
 ws_estimator_add(WsCore *core, const WsJob *job, const WsAssignment *assignment)
 {
   /* A large record leaves out when its tasks were assigned. */
-  gboolean is_timed = assignment->at_ms > 0;
+  gboolean is_timed = assignment->assigned_ms > 0;
   if (job->spec->estimate_s <= 0.0 || !is_timed || core->replica->catalog == NULL)
     return;
   ClassRunTimes *learned = g_hash_table_lookup(core->estimator, job->spec->class_name);
@@ -33,7 +33,7 @@
     learned = g_new0(ClassRunTimes, 1);
     g_hash_table_insert(core->estimator, g_strdup(job->spec->class_name), learned);
   }
-  double passed_s = (double)(core->wall - assignment->at_ms) / 1000.0;
+  double passed_s = (double)(core->wall - assignment->assigned_ms) / 1000.0;
   learned->tasks++;
   learned->ran_s += MAX(passed_s - ON_THE_WAY_S - 0.5 * ws_job_fetch_s(core->replica, job), 0.0);
   learned->estimated_s += job->spec->estimate_s;
--- a/src/commit/ws-release-order.c
+++ b/src/commit/ws-release-order.c
@@ -73,8 +73,8 @@
   if (job->state == WS_JOB_ACTIVE && ws_job_is_gang(job))
     return get_sum(sums->done_of_job, key) > 0;
   return job->state == WS_JOB_ACTIVE
-             ? job->done_count + get_sum(sums->done_of_job, key) == job->tasks
-             : job->on_count == get_sum(sums->known_of_job, key);
+             ? job->completed_count + get_sum(sums->done_of_job, key) == job->tasks
+             : job->assigned_count == get_sum(sums->known_of_job, key);
 }
 
 static gint
@@ -146,7 +146,7 @@
   while (g_hash_table_iter_next(&iter, NULL, &value)) {
     const WsPendingRelease *known = value;
     const WsJob *job = ws_replica_job(core->replica, known->release.job);
-    WsOrderedRelease end = { .release = known->release, .accepted_ms = job->at_ms };
+    WsOrderedRelease end = { .release = known->release, .accepted_ms = job->accepted_ms };
     g_array_append_val(ends, end);
     sums_add(&sums, core, known, job);
   }
--- a/src/commit/ws-write-stats.c
+++ b/src/commit/ws-write-stats.c
@@ -10,7 +10,7 @@
 } PURPOSES[] = {
   { WS_KEYS_JOB, "jobs" },          { WS_KEYS_TASKS, "tasks" },
   { WS_KEYS_TEAM_USE, "team use" }, { WS_KEYS_RENTAL_BATCH, "machines" },
-  { WS_KEYS_MARK, "marks" },        { WS_KEYS_RENT, "rentals" },
+  { WS_KEYS_MARK, "marks" },        { WS_KEYS_RENTAL_INTENT, "rentals" },
   { WS_KEYS_MEMBER, "members" },    { WS_KEYS_MAILBOX, "messages" },
   { WS_PREFIX, "other" },
 };
--- a/src/core/ws-core.c
+++ b/src/core/ws-core.c
@@ -116,7 +116,7 @@
     WsMachine *machine = ws_replica_machine(core->replica, i);
     machine->owned_ms = now_ms;
     machine->empty_ms = 0;
-    machine->sparse_ms = 0;
+    machine->underused_ms = 0;
     machine->unacknowledged_ms = 0;
   }
   ws_election_resume(core, now_ms);
@@ -148,11 +148,11 @@
   for (guint i = 0; i < core->replica->machines->len; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, i);
     machine->redirected_ms = 0;
-    machine->status_failed = 0;
+    machine->failed_probes = 0;
     machine->unacknowledged_ms = 0;
-    if (machine->owner_seen != machine->owner)
+    if (machine->handled_owner != machine->owner)
       machine->owned_ms = core->now;
-    machine->owner_seen = machine->owner;
+    machine->handled_owner = machine->owner;
   }
   g_info("epoch %" G_GUINT64_FORMAT " at revision %" G_GUINT64_FORMAT ": %u members, leader %s",
          core->handled_epoch, ws_replica_version(core->replica, WS_KEY_EPOCH),
--- a/src/fleet/ws-cloud-list.c
+++ b/src/fleet/ws-cloud-list.c
@@ -33,7 +33,7 @@
   g_autoptr(GArray) machines = data;
   for (guint i = 0; i < machines->len; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, g_array_index(machines, guint, i));
-    machine->marking = FALSE;
+    machine->mark_is_pending = FALSE;
     if (result == WS_TXN_COMMITTED)
       g_info("machine %s wasn't expected; it is used or given back", machine->name);
     else
@@ -45,11 +45,11 @@
 void
 ws_cloud_list_reconcile(WsCore *core, WsMachine *machine, gint64 at_ms)
 {
-  if (machine->marking || machine->type_name == NULL || machine->zone == WS_NONE
+  if (machine->mark_is_pending || machine->type_name == NULL || machine->zone == WS_NONE
       || ws_returns_is_confirmed(core, machine->name) || !ws_is_active_member(core))
     return;
   machine->needs_record = TRUE;
-  machine->at_ms = at_ms;
+  machine->rented_ms = at_ms;
 }
 
 static gboolean
@@ -70,17 +70,17 @@
   rental_batch->type = g_strdup(first->type_name);
   rental_batch->zone = g_strdup(zone);
   rental_batch->spot = first->spot;
-  rental_batch->at_ms = first->at_ms;
+  rental_batch->rented_ms = first->rented_ms;
   rental_batch->machines = g_array_new(FALSE, FALSE, sizeof(guint));
   for (guint i = first->index; i < core->replica->machines->len; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, i);
     if (!machine->needs_record || machine->zone != first->zone || !belongs(rental_batch, machine)
-        || rental_batch->machines->len >= ws_rental_batch_most_machines(core->settings)
+        || rental_batch->machines->len >= ws_rental_batch_max_machines(core->settings)
         || !ws_rental_batch_has_place(rental_batch, core->replica, machine->name))
       continue;
     machine->needs_record = FALSE;
-    machine->marking = TRUE;
-    machine->marking_ms = core->now;
+    machine->mark_is_pending = TRUE;
+    machine->mark_pending_ms = core->now;
     g_array_append_val(rental_batch->machines, machine->index);
     g_array_append_val(machines, machine->index);
   }
@@ -97,7 +97,7 @@
   ws_txn_compare(txn, core->replica, WS_KEY_EPOCH);
   for (guint i = 0; i < core->replica->machines->len; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, i);
-    if (machine->stored || ws_returns_is_confirmed(core, machine->name))
+    if (machine->is_recorded || ws_returns_is_confirmed(core, machine->name))
       machine->needs_record = FALSE;
     if (!machine->needs_record || ws_txn_operation_count(txn) >= core->settings->state_txn_ops)
       continue;
@@ -116,12 +116,12 @@
 }
 
 static void
-take_listed(WsCore *core, const WsListed *listed)
+take_listed(WsCore *core, const WsListedMachine *listed)
 {
   if (ws_returns_is_confirmed(core, listed->id))
     return;
   WsMachine *machine = ws_replica_get_machine(core->replica, listed->id);
-  if (!machine->stored) {
+  if (!machine->is_recorded) {
     /* A list may be old, also older than the one before: a machine that was returned by an earlier
        leader would be taken for a new one. */
     if (machine->listed_ms == 0)
@@ -153,7 +153,7 @@
   for (guint i = 0; i < machines->len; i++)
     take_listed(core, g_ptr_array_index(machines, i));
   if (more && machines->len > 0) {
-    list->after = g_strdup(((WsListed *)g_ptr_array_index(machines, machines->len - 1))->id);
+    list->after = g_strdup(((WsListedMachine *)g_ptr_array_index(machines, machines->len - 1))->id);
     list->next_ms = core->now;
   }
 }
--- a/src/fleet/ws-consolidation.c
+++ b/src/fleet/ws-consolidation.c
@@ -18,10 +18,10 @@
 
 /* What is consolidated together, in thought. */
 typedef struct {
-  WsAmount *taken;   /* by machine: what moves there */
-  gboolean *closing; /* by machine */
-  GHashTable *jobs;  /* index of each whose task moves */
-  guint machines;    /* so many */
+  WsResources *taken; /* by machine: what moves there */
+  gboolean *closing;  /* by machine */
+  GHashTable *jobs;   /* index of each whose task moves */
+  guint machines;     /* so many */
 } Batch;
 
 static gboolean
@@ -29,12 +29,12 @@
 {
   for (guint i = 0; i < core->replica->active->len; i++) {
     const WsJob *job = g_ptr_array_index(core->replica->active, i);
-    if (job->state == WS_JOB_ACTIVE && job->on_count + job->done_count < job->tasks)
+    if (job->state == WS_JOB_ACTIVE && job->assigned_count + job->completed_count < job->tasks)
       return FALSE;
   }
   for (guint i = 0; i < core->replica->machines->len; i++) {
     const WsMachine *machine = ws_replica_machine(core->replica, i);
-    if (machine->stored && (machine->marked || machine->marking))
+    if (machine->is_recorded && (machine->is_marked || machine->mark_is_pending))
       return FALSE;
   }
   return core->now - core->epoch_known_ms > 15000;
@@ -49,22 +49,22 @@
   ws_job_count_zones(core->replica, job, counts);
   if (counts[from] > 0)
     counts[from]--;
-  return ws_zone_allowed(job, counts, zones, to);
+  return ws_constraints_allow_zone(job, counts, zones, to);
 }
 
 static gboolean
 is_target(const WsCore *core, const Batch *batch, const WsMachine *machine, const WsMachine *target,
           const WsJob *job)
 {
-  if (target == machine || !target->stored || target->marked || batch->closing[target->index]
-      || target->notice_ms != 0 || target->tasks->len == 0
+  if (target == machine || !target->is_recorded || target->is_marked
+      || batch->closing[target->index] || target->interruption_ms != 0 || target->tasks->len == 0
       || !ws_machine_has_image(target, job->image) || !ws_machine_is_up(core, target)
-      || !ws_plan_allowed(core->replica, job->spec, job->zone, target))
+      || !ws_constraints_allow_machine(core->replica, job->spec, job->zone, target))
     return FALSE;
-  WsAmount room = ws_replica_type(core->replica, target->type)->room;
-  ws_amount_add(&room, &target->used, -1);
-  ws_amount_add(&room, &batch->taken[target->index], -1);
-  return ws_amount_fits(&job->spec->need, &room)
+  WsResources room = ws_replica_type(core->replica, target->type)->room;
+  ws_resources_add(&room, &target->used, -1);
+  ws_resources_add(&room, &batch->taken[target->index], -1);
+  return ws_resources_fit(&job->spec->need, &room)
          && may_move(core, job, machine->zone, target->zone);
 }
 
@@ -73,7 +73,7 @@
 static gboolean
 may_close(const WsCore *core, const Batch *batch, const WsMachine *machine)
 {
-  const WsAmount *moved = &batch->taken[machine->index];
+  const WsResources *moved = &batch->taken[machine->index];
   for (guint i = 0; i < machine->tasks->len; i++) {
     const WsTaskRef *ref = &g_array_index(machine->tasks, WsTaskRef, i);
     const WsJob *job = ws_replica_job(core->replica, ref->job);
@@ -107,7 +107,7 @@
     const WsMachine *target = find_target(core, batch, machine, job);
     if (target == NULL)
       return FALSE;
-    ws_amount_add(&batch->taken[target->index], &job->spec->need, 1);
+    ws_resources_add(&batch->taken[target->index], &job->spec->need, 1);
   }
   return TRUE;
 }
@@ -126,8 +126,8 @@
 static gboolean
 is_sparse(const WsCore *core, const WsMachine *machine)
 {
-  const WsAmount *room = &ws_replica_type(core->replica, machine->type)->room;
-  return machine->stored && machine->type != WS_NONE && !machine->marked && !machine->spot
+  const WsResources *room = &ws_replica_type(core->replica, machine->type)->room;
+  return machine->is_recorded && machine->type != WS_NONE && !machine->is_marked && !machine->spot
          && ws_machine_is_up(core, machine) && 2 * machine->used.cpus <= room->cpus
          && 2 * machine->used.gpus <= room->gpus;
 }
@@ -137,12 +137,12 @@
 is_due(const WsCore *core, WsMachine *machine)
 {
   if (!is_sparse(core, machine)) {
-    machine->sparse_ms = 0;
+    machine->underused_ms = 0;
     return FALSE;
   }
-  if (machine->sparse_ms == 0)
-    machine->sparse_ms = core->now;
-  return core->now - machine->sparse_ms >= (gint64)(core->properties->hold_s * 1000.0);
+  if (machine->underused_ms == 0)
+    machine->underused_ms = core->now;
+  return core->now - machine->underused_ms >= (gint64)(core->properties->hold_s * 1000.0);
 }
 
 static void
@@ -150,10 +150,10 @@
 {
   guint count = core->replica->machines->len, stored = 0, looked = 0;
   for (guint i = 0; i < count; i++)
-    stored += ws_replica_machine(core->replica, i)->stored ? 1 : 0;
+    stored += ws_replica_machine(core->replica, i)->is_recorded ? 1 : 0;
   for (guint i = 0; i < count; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, i);
-    if (!machine->stored || machine->type == WS_NONE || !ws_owns_machine(core, machine)
+    if (!machine->is_recorded || machine->type == WS_NONE || !ws_owns_machine(core, machine)
         || !is_due(core, machine) || looked >= MOST_LOOKS || !may_close(core, batch, machine)
         || batch->machines > stored / MACHINES_A_CONSOLIDATION)
       continue;
@@ -162,7 +162,7 @@
       continue;
     }
     looked++;
-    machine->sparse_ms = core->now; /* the others have their turn first */
+    machine->underused_ms = core->now; /* the others have their turn first */
   }
 }
 
@@ -185,7 +185,7 @@
     return;
   guint count = MAX(core->replica->machines->len, 1u);
   Batch batch
-      = { g_new0(WsAmount, count), g_new0(gboolean, count), g_hash_table_new(NULL, NULL), 0 };
+      = { g_new0(WsResources, count), g_new0(gboolean, count), g_hash_table_new(NULL, NULL), 0 };
   consolidate_some(core, &batch);
   g_free(batch.taken);
   g_free(batch.closing);
--- a/src/fleet/ws-fleet.c
+++ b/src/fleet/ws-fleet.c
@@ -85,12 +85,13 @@
   gint64 patience_ms = (gint64)(core->settings->lease_s * 1000.0);
   for (guint i = 0; i < core->replica->machines->len; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, i);
-    if (!machine->stored || machine->marked || machine->heard_ms > 0 || machine->type == WS_NONE
-        || machine->tasks->len > 0 || core->now - core->epoch_known_ms < patience_ms
+    if (!machine->is_recorded || machine->is_marked || machine->heard_ms > 0
+        || machine->type == WS_NONE || machine->tasks->len > 0
+        || core->now - core->epoch_known_ms < patience_ms
         || ws_zone_is_partitioned(core, machine->zone))
       continue;
     double boot_s = ws_replica_type(core->replica, machine->type)->boot_s;
-    if ((double)(core->wall - machine->at_ms) / 1000.0 > BOOT_PATIENCE * boot_s + 5.0)
+    if ((double)(core->wall - machine->rented_ms) / 1000.0 > BOOT_PATIENCE * boot_s + 5.0)
       ws_termination_mark(core, machine, "never up", TRUE);
   }
 }
--- a/src/fleet/ws-rentals.c
+++ b/src/fleet/ws-rentals.c
@@ -105,7 +105,7 @@
 has_unsent(const WsCore *core)
 {
   for (guint i = 0; i < core->replica->rents->len; i++) {
-    const WsRent *rent = g_ptr_array_index(core->replica->rents, i);
+    const WsRentalIntent *rent = g_ptr_array_index(core->replica->rents, i);
     if (!g_hash_table_contains(core->rentals->renting, rent->request))
       return TRUE;
   }
@@ -118,15 +118,15 @@
   WsRentals *rentals = core->rentals;
   g_autofree char *request = g_strdup_printf("r-%" G_GUINT64_FORMAT "-%" G_GUINT64_FORMAT,
                                              core->replica->epoch.number, ++rentals->requests);
-  g_autofree char *key = ws_key(WS_KEYS_RENT, request);
-  WsRent rent = { .type = ws_replica_type(core->replica, type)->name,
-                  .zone = g_ptr_array_index(core->settings->zones, zone),
-                  .spot = spot,
-                  .count = machines };
+  g_autofree char *key = ws_key(WS_KEYS_RENTAL_INTENT, request);
+  WsRentalIntent rent = { .type = ws_replica_type(core->replica, type)->name,
+                          .zone = g_ptr_array_index(core->settings->zones, zone),
+                          .spot = spot,
+                          .count = machines };
   g_info("renting %u %s machines of type %s in %s", rent.count, spot ? "spot" : "ordinary",
          rent.type, rent.zone);
   ws_txn_compare_version(rentals->intent, key, 0);
-  ws_txn_put(rentals->intent, key, ws_rent_encode(&rent));
+  ws_txn_put(rentals->intent, key, ws_rental_intent_encode(&rent));
 }
 
 void
@@ -139,7 +139,7 @@
     rentals->intent = ws_txn_new();
     ws_txn_compare(rentals->intent, core->replica, WS_KEY_EPOCH);
   }
-  guint most = ws_rental_batch_most_machines(core->settings);
+  guint most = ws_rental_batch_max_machines(core->settings);
   for (guint left = machines;
        left > 0 && ws_txn_operation_count(rentals->intent) < core->settings->state_txn_ops;
        left -= MIN(left, most))
@@ -156,11 +156,11 @@
   ws_txn_commit(core, g_steal_pointer(&rentals->intent), WS_REQUEST_TASK, on_intended, NULL);
 }
 
-static WsRent *
+static WsRentalIntent *
 find_rent(const WsCore *core, const char *request)
 {
   for (guint i = 0; i < core->replica->rents->len; i++) {
-    WsRent *rent = g_ptr_array_index(core->replica->rents, i);
+    WsRentalIntent *rent = g_ptr_array_index(core->replica->rents, i);
     if (strcmp(rent->request, request) == 0)
       return rent;
   }
@@ -189,8 +189,8 @@
 /* Adds the first machines of the names to the transaction as one rental batch. Returns how many
    names were used up. */
 static guint
-add_rental_batch(WsCore *core, WsTxn *txn, const WsRent *rent, guint number, GPtrArray *names,
-                 guint first)
+add_rental_batch(WsCore *core, WsTxn *txn, const WsRentalIntent *rent, guint number,
+                 GPtrArray *names, guint first)
 {
   g_autofree char *name
       = number == 0 ? g_strdup(rent->request) : g_strdup_printf("%s.%u", rent->request, number);
@@ -199,7 +199,7 @@
   WsRentalBatch rental_batch = { .type = rent->type,
                                  .zone = rent->zone,
                                  .spot = rent->spot,
-                                 .at_ms = core->wall,
+                                 .rented_ms = core->wall,
                                  .machines = machines };
   guint next = first;
   for (; next < names->len; next++) {
@@ -219,9 +219,9 @@
 /* The intent goes and the machines get their rental batch in one transaction; more rental batches
    than one, where their names are long. What doesn't fit is found in the cloud's list. */
 static void
-close_rent(WsCore *core, const WsRent *rent, GPtrArray *names)
+close_rent(WsCore *core, const WsRentalIntent *rent, GPtrArray *names)
 {
-  g_autofree char *key = ws_key(WS_KEYS_RENT, rent->request);
+  g_autofree char *key = ws_key(WS_KEYS_RENTAL_INTENT, rent->request);
   WsTxn *txn = ws_txn_new();
   ws_txn_compare(txn, core->replica, WS_KEY_EPOCH);
   /* Carried out late, after the rental batch has shrunk, it would bring returned machines back. */
@@ -241,7 +241,7 @@
 on_rented(WsCore *core, guint status, const json_t *body, gpointer data)
 {
   g_autofree char *request = data;
-  const WsRent *rent = find_rent(core, request);
+  const WsRentalIntent *rent = find_rent(core, request);
   g_autoptr(GPtrArray) names = status == 200 ? ws_names_parse(body) : NULL;
   gboolean no_capacity
       = status == 503
@@ -261,7 +261,7 @@
 }
 
 static void
-send_rent(WsCore *core, const WsRent *rent)
+send_rent(WsCore *core, const WsRentalIntent *rent)
 {
   WsRentals *rentals = core->rentals;
   const gint64 *retry_ms = g_hash_table_lookup(rentals->retries, rent->request);
--- a/src/fleet/ws-returns.c
+++ b/src/fleet/ws-returns.c
@@ -39,7 +39,7 @@
 ws_returns_is_confirmed(const WsCore *core, const char *name)
 {
   const WsMachine *machine = ws_replica_find_machine(core->replica, name);
-  return (machine != NULL && machine->gone)
+  return (machine != NULL && machine->is_returned)
          || g_hash_table_contains(core->returns->confirmed, name);
 }
 
@@ -50,7 +50,7 @@
   core->returns->clearing = FALSE;
   for (guint i = 0; i < machines->len; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, g_array_index(machines, guint, i));
-    machine->marking = FALSE;
+    machine->mark_is_pending = FALSE;
     if (result == WS_TXN_COMMITTED)
       g_info("machine %s is returned and its mark cleared", machine->name);
   }
@@ -116,8 +116,8 @@
   for (guint i = 0; i < machines->len; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, g_array_index(machines, guint, i));
     g_autofree char *mark = ws_key(WS_KEYS_MARK, machine->name);
-    machine->marking = TRUE;
-    machine->marking_ms = core->now;
+    machine->mark_is_pending = TRUE;
+    machine->mark_pending_ms = core->now;
     ws_txn_delete(txn, mark);
   }
   for (guint i = 0; i < core->replica->rental_batches->len; i++)
@@ -156,7 +156,7 @@
 is_lost(const WsCore *core, const WsMachine *machine)
 {
   gint64 since_ms = MAX(machine->heard_ms, core->epoch_known_ms);
-  return !machine->stored && !machine->marked && machine->tasks->len > 0
+  return !machine->is_recorded && !machine->is_marked && machine->tasks->len > 0
          && (double)(core->now - since_ms) > core->settings->lease_s * 1000.0;
 }
 
@@ -168,8 +168,8 @@
     WsMachine *machine = ws_replica_machine(core->replica, i);
     if (is_lost(core, machine))
       release_all(core, machine);
-    if (!machine->marked || machine->marking || !ws_returns_is_confirmed(core, machine->name)
-        || !knows_what_is_on(core, machine))
+    if (!machine->is_marked || machine->mark_is_pending
+        || !ws_returns_is_confirmed(core, machine->name) || !knows_what_is_on(core, machine))
       continue;
     release_all(core, machine);
     if (machine->tasks->len == 0 && over->len < core->settings->state_txn_ops)
@@ -247,12 +247,12 @@
   g_hash_table_iter_init(&iter, core->returns->unmarked);
   while (g_hash_table_iter_next(&iter, &name, NULL)) {
     WsMachine *machine = ws_replica_find_machine(core->replica, name);
-    if (machine == NULL || machine->gone)
+    if (machine == NULL || machine->is_returned)
       g_hash_table_iter_remove(&iter);
     else if (!ws_returns_is_confirmed(core, name) && names->len < MOST_A_RETURN)
       g_ptr_array_add(names, g_strdup(name));
-    else if (ws_returns_is_confirmed(core, name) && machine->stored && !machine->mark_now
-             && ws_is_active_member(core))
+    else if (ws_returns_is_confirmed(core, name) && machine->is_recorded
+             && !machine->mark_is_immediate && ws_is_active_member(core))
       ws_termination_mark(core, machine, "cancelled", TRUE);
   }
   send_return(core, names);
@@ -264,8 +264,9 @@
   GPtrArray *names = g_ptr_array_new_with_free_func(g_free);
   for (guint i = 0; i < core->replica->machines->len; i++) {
     const WsMachine *machine = ws_replica_machine(core->replica, i);
-    if (machine->marked && !ws_returns_is_confirmed(core, machine->name)
-        && (machine->mark_now || (machine->tasks->len == 0 && knows_what_is_on(core, machine)))
+    if (machine->is_marked && !ws_returns_is_confirmed(core, machine->name)
+        && (machine->mark_is_immediate
+            || (machine->tasks->len == 0 && knows_what_is_on(core, machine)))
         && names->len < MOST_A_RETURN)
       g_ptr_array_add(names, g_strdup(machine->name));
   }
--- a/src/fleet/ws-termination.c
+++ b/src/fleet/ws-termination.c
@@ -36,11 +36,12 @@
     return TRUE;
   for (guint i = 0; i < core->replica->machines->len; i++) {
     const WsMachine *other = ws_replica_machine(core->replica, i);
-    if (!other->stored || other == machine || other->zone != machine->zone
+    if (!other->is_recorded || other == machine || other->zone != machine->zone
         || g_strcmp0(other->type_name, machine->type_name) != 0)
       continue;
     total++;
-    unavailable += other->marked || other->marking || !ws_machine_is_up(core, other) ? 1 : 0;
+    unavailable
+        += other->is_marked || other->mark_is_pending || !ws_machine_is_up(core, other) ? 1 : 0;
   }
   return unavailable + 1 <= ws_budget_allowed(budget, total + 1);
 }
@@ -116,7 +117,7 @@
   for (guint i = 0; i < writing->len; i++) {
     const Marking *marking = &g_array_index(writing, Marking, i);
     WsMachine *machine = ws_replica_machine(core->replica, marking->machine);
-    machine->marking = FALSE;
+    machine->mark_is_pending = FALSE;
     if (result == WS_TXN_COMMITTED)
       g_info("machine %s (%s, %s, %u tasks) is marked: %s", machine->name,
              machine->spot ? "spot" : "ordinary",
@@ -133,14 +134,14 @@
 void
 ws_termination_mark(WsCore *core, WsMachine *machine, const char *why, gboolean now)
 {
-  if (machine->marking || (machine->marked && (!now || machine->mark_now))
+  if (machine->mark_is_pending || (machine->is_marked && (!now || machine->mark_is_immediate))
       || !ws_store_is_available(core))
     return;
   /* Owners take a returned machine for silent until its mark is cleared. */
-  if (machine->marked && ws_returns_is_confirmed(core, machine->name))
+  if (machine->is_marked && ws_returns_is_confirmed(core, machine->name))
     return;
-  machine->marking = TRUE;
-  machine->marking_ms = core->now;
+  machine->mark_is_pending = TRUE;
+  machine->mark_pending_ms = core->now;
   if (!ws_is_leader(core)) {
     ws_peer_request_mark(core, machine, why, now);
     return;
@@ -162,9 +163,9 @@
     Marking marking = g_array_index(termination->wanted, Marking, 0);
     WsMachine *machine = ws_replica_machine(core->replica, marking.machine);
     /* Two owners may have chosen at once what the budget allows only one of. */
-    if (!machine->stored || !ws_is_leader(core)
+    if (!machine->is_recorded || !ws_is_leader(core)
         || (!marking.now && strcmp(marking.why, "notice") != 0 && !budget_allows(core, machine))) {
-      machine->marking = FALSE;
+      machine->mark_is_pending = FALSE;
       g_array_remove_index(termination->wanted, 0);
       continue;
     }
@@ -190,7 +191,7 @@
     return TRUE;
   if (core->now < machine->stop_after_ms)
     return FALSE;
-  guint down = job->tasks - job->on_count;
+  guint down = job->tasks - job->assigned_count;
   if (down == 0) {
     machine->stop_backoff_ms = 0;
     machine->stop_after_ms = core->now + (gint64)(core->properties->backoff_min_s * 1000.0);
@@ -232,11 +233,11 @@
 static void
 tend(WsCore *core, WsMachine *machine)
 {
-  if (machine->notice_ms > 0 && !machine->marked)
+  if (machine->interruption_ms > 0 && !machine->is_marked)
     ws_termination_mark(core, machine, "notice", FALSE);
-  else if (machine->bad_jobs >= 2 && !machine->marked)
+  else if (machine->failed_jobs >= 2 && !machine->is_marked)
     ws_termination_mark(core, machine, "faulty", FALSE);
-  else if (!machine->marked)
+  else if (!machine->is_marked)
     mark_if_idle(core, machine);
 }
 
@@ -248,9 +249,9 @@
     /* Nothing came of it. Also on machines that this node no longer owns: one that had asked for a
        mark and then led refused everybody else's marks of that machine, and it was never returned.
      */
-    if (machine->marking && core->now - machine->marking_ms > FORWARDED_MS)
-      machine->marking = FALSE;
-    if (machine->stored && ws_owns_machine(core, machine))
+    if (machine->mark_is_pending && core->now - machine->mark_pending_ms > FORWARDED_MS)
+      machine->mark_is_pending = FALSE;
+    if (machine->is_recorded && ws_owns_machine(core, machine))
       tend(core, machine);
   }
   ws_consolidation_tick(core);
--- a/src/membership/ws-failure-detector.c
+++ b/src/membership/ws-failure-detector.c
@@ -105,7 +105,7 @@
    */
   if (heartbeat == NULL || strcmp(heartbeat->machine, machine->name) != 0
       || !ws_owns_machine(core, machine) || !ws_workers_note_status(core, machine, heartbeat)) {
-    machine->status_failed++;
+    machine->failed_probes++;
     return;
   }
   /* It is there and reports to somebody else, maybe to a node whose epoch is over. */
@@ -174,7 +174,8 @@
       return TRUE;
   for (guint i = 0; i < core->replica->machines->len; i++) {
     const WsMachine *machine = ws_replica_machine(core->replica, i);
-    if (machine->zone != zone || !machine->stored || machine->marked || silent_since(machine) == 0)
+    if (machine->zone != zone || !machine->is_recorded || machine->is_marked
+        || silent_since(machine) == 0)
       continue;
     all++;
     silent += ws_machine_is_silent(core, machine) ? 1 : 0;
@@ -191,8 +192,8 @@
   guint silent = 0, all = 0;
   for (guint i = 0; i < core->replica->machines->len; i++) {
     const WsMachine *machine = ws_replica_machine(core->replica, i);
-    if (machine->spot || !machine->stored || silent_since(machine) == 0
-        || (machine->marked && g_strcmp0(machine->mark_why, "silent") != 0)
+    if (machine->spot || !machine->is_recorded || silent_since(machine) == 0
+        || (machine->is_marked && g_strcmp0(machine->mark_reason, "silent") != 0)
         || is_or_was_partitioned(core, machine->zone))
       continue;
     all++;
@@ -214,8 +215,8 @@
   guint silent = 0, all = 0;
   for (guint i = 0; (out_ms > 0 || !has_node) && i < core->replica->machines->len; i++) {
     const WsMachine *machine = ws_replica_machine(core->replica, i);
-    if (machine->zone != zone || !machine->stored || machine->marked || silent_since(machine) == 0
-        || (has_node && !ws_owns_machine(core, machine)))
+    if (machine->zone != zone || !machine->is_recorded || machine->is_marked
+        || silent_since(machine) == 0 || (has_node && !ws_owns_machine(core, machine)))
       continue;
     all++;
     silent += ws_machine_is_silent(core, machine) ? 1 : 0;
@@ -266,14 +267,14 @@
   if (silent_ms <= patience_ms(core))
     return;
   find_partitions(core, partitions);
-  if (machine->endpoint != NULL && core->now - machine->status_ms >= STATUS_PAUSE_MS
+  if (machine->endpoint != NULL && core->now - machine->probed_ms >= STATUS_PAUSE_MS
       && core->probes_in_flight < MOST_STATUS_CALLS) {
-    machine->status_ms = core->now;
+    machine->probed_ms = core->now;
     core->probes_in_flight++;
     ws_call(core, "GET", machine->endpoint, "/status", NULL, STATUS_TIMEOUT_MS, on_status,
             GUINT_TO_POINTER(machine->index));
   }
-  gboolean failed = machine->endpoint == NULL || machine->status_failed >= 2;
+  gboolean failed = machine->endpoint == NULL || machine->failed_probes >= 2;
   gboolean is_cut = core->is_unreached_by_workers || partitions->is_interruption
                     || (machine->zone != WS_NONE && partitions->zones[machine->zone]);
   gint64 patience
@@ -306,14 +307,14 @@
   guint deaf = 0, all = 0;
   for (guint i = 0; i < core->replica->machines->len; i++) {
     const WsMachine *machine = ws_replica_machine(core->replica, i);
-    if (!machine->stored || machine->marked || !ws_owns_machine(core, machine))
+    if (!machine->is_recorded || machine->is_marked || !ws_owns_machine(core, machine))
       continue;
     all++;
     deaf += ws_machine_is_outbound_unreachable(core, machine) ? 1 : 0;
   }
   for (guint i = 0; deaf > 0 && i < core->replica->machines->len; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, i);
-    if (machine->stored && ws_owns_machine(core, machine) && !machine->mark_now)
+    if (machine->is_recorded && ws_owns_machine(core, machine) && !machine->mark_is_immediate)
       watch_outbound_unreachable(core, machine, deaf, all);
   }
 }
@@ -326,7 +327,7 @@
   guint own = 0;
   for (guint i = 0; i < core->replica->machines->len; i++) {
     const WsMachine *machine = ws_replica_machine(core->replica, i);
-    own += machine->stored && machine->heard_ms > 0 && ws_owns_machine(core, machine) ? 1 : 0;
+    own += machine->is_recorded && machine->heard_ms > 0 && ws_owns_machine(core, machine) ? 1 : 0;
   }
   double usual_ms = UNHEARD_REPORTS * core->settings->report_s * 1000.0 / MAX(own, 1u);
   gint64 since_ms = MAX(core->report_ms, core->epoch_known_ms);
@@ -348,7 +349,7 @@
     find_partition(core, z);
   for (guint i = 0; i < count; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, (core->next_probe + i) % count);
-    if (!machine->stored || !ws_owns_machine(core, machine))
+    if (!machine->is_recorded || !ws_owns_machine(core, machine))
       continue;
     /* A machine that isn't heard doesn't learn a higher token either. */
     if (machine->indeterminate_launches > 0
@@ -356,7 +357,7 @@
         && ws_machine_is_up(core, machine))
       core->new_epoch_needed = TRUE;
     gboolean had_room = core->probes_in_flight < MOST_STATUS_CALLS;
-    if (!machine->marked || !machine->mark_now) {
+    if (!machine->is_marked || !machine->mark_is_immediate) {
       watch_machine(core, machine, &partitions);
       watch_inbound_unreachable(core, machine);
     }
--- a/src/membership/ws-gossip.c
+++ b/src/membership/ws-gossip.c
@@ -123,25 +123,25 @@
                           json_string(ws_names_get(&core->replica->images,
                                                    g_array_index(machine->images, guint, i))));
   return json_pack("{s:s, s:b, s:s, s:b, s:o}", "name", machine->name, "up",
-                   machine->said & SAID_UP, "endpoint",
+                   machine->announced_state & SAID_UP, "endpoint",
                    machine->endpoint != NULL ? machine->endpoint : "", "notice",
-                   machine->said & SAID_NOTICE, "images", images);
+                   machine->announced_state & SAID_NOTICE, "images", images);
 }
 
 static void
 note_news(WsCore *core, WsMachine *machine)
 {
-  guint said
+  guint announced_state
       = (ws_machine_is_up(core, machine) && !ws_machine_is_outbound_unreachable(core, machine)
                  && !ws_machine_is_inbound_unreachable(core, machine)
              ? SAID_UP
              : 0u)
-        | (machine->notice_ms > 0 ? SAID_NOTICE : 0u);
-  if (said == machine->said && !machine->has_news)
+        | (machine->interruption_ms > 0 ? SAID_NOTICE : 0u);
+  if (announced_state == machine->announced_state && !machine->announcement_is_due)
     return;
-  machine->said = said;
-  machine->has_news = FALSE;
-  machine->said_rev = ++core->gossip_revision;
+  machine->announced_state = announced_state;
+  machine->announcement_is_due = FALSE;
+  machine->announced_revision = ++core->gossip_revision;
 }
 
 static json_t *
@@ -154,10 +154,10 @@
       reachable_nodes |= 1u << n;
   for (guint i = 0; i < core->replica->machines->len; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, i);
-    if (!machine->stored || !ws_owns_machine(core, machine))
+    if (!machine->is_recorded || !ws_owns_machine(core, machine))
       continue;
     note_news(core, machine);
-    if (machine->said_rev > peer->acknowledged_revision)
+    if (machine->announced_revision > peer->acknowledged_revision)
       json_array_append_new(machines, encode_machine(core, machine));
   }
   return json_pack("{s:s, s:s, s:I, s:b, s:i, s:b, s:b, s:I, s:I, s:I, s:I, s:b, s:i, s:o}", "node",
@@ -200,12 +200,12 @@
   WsMachine *machine = ws_replica_find_machine(core->replica, name);
   if (machine == NULL || ws_owns_machine(core, machine))
     return;
-  machine->peer_up = up;
+  machine->is_up_at_owner = up;
   if (up && machine->up_ms == 0)
     machine->up_ms = core->now;
   if (machine->endpoint == NULL && *endpoint != '\0')
     machine->endpoint = g_strdup(endpoint);
-  machine->notice_ms = notice ? MAX(machine->notice_ms, core->now) : 0;
+  machine->interruption_ms = notice ? MAX(machine->interruption_ms, core->now) : 0;
   take_images(core, machine, json_object_get(item, "images"));
   core->plan_due = TRUE;
 }
@@ -223,14 +223,14 @@
     return;
   for (guint m = 0; base == 0 && m < core->replica->machines->len; m++)
     if (ws_replica_machine(core->replica, m)->owner == node)
-      ws_replica_machine(core->replica, m)->peer_up = FALSE;
+      ws_replica_machine(core->replica, m)->is_up_at_owner = FALSE;
   if (base == 0 || base == peer->received_revision) {
     json_array_foreach(json_object_get(message, "machines"), i, item) take_machine(core, item);
     peer->received_revision = rev;
   }
   for (guint m = 0; m < core->replica->machines->len; m++) {
     WsMachine *machine = ws_replica_machine(core->replica, m);
-    if (machine->owner == node && machine->peer_up)
+    if (machine->owner == node && machine->is_up_at_owner)
       machine->heard_ms = core->now;
   }
 }
--- a/src/membership/ws-peer-requests.c
+++ b/src/membership/ws-peer-requests.c
@@ -178,11 +178,11 @@
   guint task = 0;
   WsJob *job = job_of(core, item, &task);
   WsAssignment *assignment = job != NULL ? ws_job_assignment(job, task) : NULL;
-  if (assignment == NULL || assignment->stopping
+  if (assignment == NULL || assignment->is_stop_requested
       || assignment->attempt != (guint64)json_integer_value(json_array_get(item, 2))
       || !ws_owns_machine(core, ws_replica_machine(core->replica, assignment->machine)))
     return;
-  assignment->stopping = TRUE;
+  assignment->is_stop_requested = TRUE;
   ws_worker_rpc_halt(core, job, assignment);
 }
 
--- a/src/protocol/ws-cloud.c
+++ b/src/protocol/ws-cloud.c
@@ -16,7 +16,7 @@
 static void
 listed_free(gpointer data)
 {
-  WsListed *listed = data;
+  WsListedMachine *listed = data;
   g_free(listed->id);
   g_free(listed->endpoint);
   g_free(listed->type);
@@ -88,7 +88,7 @@
 }
 
 static gboolean
-parse_listed(const json_t *item, WsListed *listed)
+parse_listed(const json_t *item, WsListedMachine *listed)
 {
   const char *id, *endpoint = NULL, *type, *zone, *state;
   if (!ws_json_string(item, "id", &id) || !ws_json_string_or_null(item, "endpoint", &endpoint)
@@ -115,7 +115,7 @@
   const json_t *item;
   json_array_foreach(list, i, item)
   {
-    WsListed *listed = g_new0(WsListed, 1);
+    WsListedMachine *listed = g_new0(WsListedMachine, 1);
     g_ptr_array_add(machines, listed);
     if (!parse_listed(item, listed))
       return NULL;
--- a/src/protocol/ws-cloud.h
+++ b/src/protocol/ws-cloud.h
@@ -1,11 +1,11 @@
 /* The cloud's messages. */
 #pragma once
 
-#include "protocol/ws-submission.h"
+#include "protocol/ws-job-spec.h"
 
 typedef struct {
   char *name;
-  WsAmount room;
+  WsResources room;
   double cache_gb;
   double fetch_gb_per_s;
   double price;
@@ -22,10 +22,11 @@
   gboolean spot;
   gboolean failed;
   double age_s;
-} WsListed;
+} WsListedMachine;
 
-GPtrArray *ws_catalog_parse(const json_t *message);                 /* of WsType, or NULL */
-GPtrArray *ws_listing_parse(const json_t *message, gboolean *more); /* of WsListed, or NULL */
+GPtrArray *ws_catalog_parse(const json_t *message); /* of WsType, or NULL */
+GPtrArray *ws_listing_parse(const json_t *message,
+                            gboolean *more);      /* of WsListedMachine, or NULL */
 GPtrArray *ws_names_parse(const json_t *message); /* machine names of a rental, or NULL */
 json_t *ws_rental_encode(const char *request, const char *type, const char *zone, gboolean spot,
                          guint count);
--- a/src/protocol/ws-heartbeat.c
+++ b/src/protocol/ws-heartbeat.c
@@ -1,6 +1,6 @@
 #include "protocol/ws-heartbeat.h"
 
-#include "protocol/ws-submission.h"
+#include "protocol/ws-job-spec.h"
 #include "protocol/ws-field-names.h"
 
 #include <string.h>
@@ -116,7 +116,7 @@
     return W_SEQ;
   if (!ws_json_count(m, W_TOKEN, &r->token))
     return W_TOKEN;
-  if (!ws_json_number_or_null(m, W_NOTICE, &r->notice_s))
+  if (!ws_json_number_or_null(m, W_NOTICE, &r->interruption_s))
     return W_NOTICE;
   r->machine = g_strdup(machine);
   r->endpoint = g_strdup(endpoint);
@@ -133,7 +133,7 @@
     return NULL;
   }
   g_autoptr(WsHeartbeat) heartbeat = g_new0(WsHeartbeat, 1);
-  heartbeat->notice_s = -1.0;
+  heartbeat->interruption_s = -1.0;
   heartbeat->tasks = g_array_new(FALSE, TRUE, sizeof(WsTaskStatus));
   g_array_set_clear_func(heartbeat->tasks, clear_task);
   const char *bad = parse_members(message, heartbeat);
--- a/src/protocol/ws-heartbeat.h
+++ b/src/protocol/ws-heartbeat.h
@@ -40,8 +40,8 @@
   guint64 session;
   guint64 seq;
   guint64 token;
-  double notice_s; /* negative: none */
-  GArray *tasks;   /* of WsTaskStatus */
+  double interruption_s; /* negative: none */
+  GArray *tasks;         /* of WsTaskStatus */
 } WsHeartbeat;
 
 /* The attempt as the report shows it; NULL: it doesn't. */
--- a/src/protocol/ws-submission.c
+++ b/src/protocol/ws-job-spec.c
@@ -1,4 +1,4 @@
-#include "protocol/ws-submission.h"
+#include "protocol/ws-job-spec.h"
 
 #include "protocol/ws-field-names.h"
 
@@ -23,13 +23,13 @@
 }
 
 gboolean
-ws_amount_fits(const WsAmount *need, const WsAmount *room)
+ws_resources_fit(const WsResources *need, const WsResources *room)
 {
   return need->cpus <= room->cpus && need->gpus <= room->gpus && need->memory <= room->memory;
 }
 
 void
-ws_amount_add(WsAmount *sum, const WsAmount *part, gint64 times)
+ws_resources_add(WsResources *sum, const WsResources *part, gint64 times)
 {
   sum->cpus += part->cpus * times;
   sum->gpus += part->gpus * times;
@@ -132,7 +132,7 @@
 
 /* The name of the first member that is missing or invalid, or NULL. */
 static const char *
-read_members(const json_t *m, WsSubmission *s)
+read_members(const json_t *m, WsJobSpec *s)
 {
   guint kind = 0, priority = 0;
   const char *bad = !id(m, &s->id)                                ? "id"
@@ -161,14 +161,14 @@
   return bad;
 }
 
-WsSubmission *
-ws_submission_parse(const json_t *message, char **reason)
+WsJobSpec *
+ws_job_spec_parse(const json_t *message, char **reason)
 {
   if (!json_is_object(message)) {
     *reason = g_strdup("not a JSON object");
     return NULL;
   }
-  g_autoptr(WsSubmission) submission = g_new0(WsSubmission, 1);
+  g_autoptr(WsJobSpec) submission = g_new0(WsJobSpec, 1);
   const char *bad = read_members(message, submission);
   if (bad != NULL) {
     *reason = g_strdup_printf("%s is missing or invalid", bad);
@@ -195,7 +195,7 @@
 }
 
 json_t *
-ws_submission_encode(const WsSubmission *s)
+ws_job_spec_encode(const WsJobSpec *s)
 {
   json_t *m = json_pack("{s:s, s:s, s:s, s:s, s:s, s:i}", "id", s->id, W_CLASS, s->class_name,
                         W_TEAM, s->team, W_KIND, KINDS[s->kind], W_PRIORITY,
@@ -218,7 +218,7 @@
 }
 
 void
-ws_submission_free(WsSubmission *submission)
+ws_job_spec_free(WsJobSpec *submission)
 {
   if (submission == NULL)
     return;
--- a/src/protocol/ws-submission.h
+++ b/src/protocol/ws-job-spec.h
@@ -12,7 +12,7 @@
   gint64 cpus;
   gint64 gpus;
   gint64 memory;
-} WsAmount;
+} WsResources;
 
 typedef struct {
   char *id;
@@ -21,7 +21,7 @@
   WsKind kind;
   WsPriority priority;
   guint tasks;
-  WsAmount need;
+  WsResources need;
   char **types; /* NULL: any */
   char *zone;   /* NULL: any */
   gboolean one_zone;
@@ -33,15 +33,15 @@
   double checkpoint_s;
   double save_s;
   double deadline_s; /* negative: none */
-} WsSubmission;
+} WsJobSpec;
 
 /* NULL and a one-line reason if the message is not a valid submission. */
-WsSubmission *ws_submission_parse(const json_t *message, char **reason);
-json_t *ws_submission_encode(const WsSubmission *submission);
-void ws_submission_free(WsSubmission *submission);
+WsJobSpec *ws_job_spec_parse(const json_t *message, char **reason);
+json_t *ws_job_spec_encode(const WsJobSpec *submission);
+void ws_job_spec_free(WsJobSpec *submission);
 gboolean ws_job_id_valid(const char *id);
 
-gboolean ws_amount_fits(const WsAmount *need, const WsAmount *room);
-void ws_amount_add(WsAmount *sum, const WsAmount *part, gint64 times);
+gboolean ws_resources_fit(const WsResources *need, const WsResources *room);
+void ws_resources_add(WsResources *sum, const WsResources *part, gint64 times);
 
-G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsSubmission, ws_submission_free)
+G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsJobSpec, ws_job_spec_free)
--- a/src/protocol/ws-settings.c
+++ b/src/protocol/ws-settings.c
@@ -4,13 +4,13 @@
 #include <string.h>
 
 /* A set of nodes is kept as bits. */
-#define MOST_NODES 31u
+#define MAX_NODES 31u
 /* A record of 128 tasks or of 50 machines fits in so much. */
-#define LEAST_VALUE_KB 8.0
+#define MIN_VALUE_KB 8.0
 /* Under lower limits to come a record holds fewer tasks or machines; a submission, a team's use and
    a few tasks must fit, and a transaction must take a task, its job, a team's use and one more. */
-#define LEAST_NEXT_VALUE_KB 1.0
-#define LEAST_TXN_OPS 4
+#define MIN_NEXT_VALUE_KB 1.0
+#define MIN_TXN_OPERATIONS 4
 /* Kept free in each record, since the state service may count a value's bytes in another form. */
 #define RECORD_MARGIN_PART 0.03
 /* Where the settings don't say, none of the service's jobs are gangs. */
@@ -85,7 +85,7 @@
   size_t i;
   const json_t *peer;
   json_array_foreach(peers, i, peer) if (!add_node(settings, peer, FALSE)) return "peers";
-  if (settings->nodes->len > MOST_NODES)
+  if (settings->nodes->len > MAX_NODES)
     return "peers (31 nodes are the most)";
   const WsNode *self = g_ptr_array_index(settings->nodes, 0);
   g_ptr_array_sort(settings->nodes, by_name);
@@ -186,9 +186,9 @@
       = next != NULL && !json_is_null(next) && !json_is_object(next) ? "params.state.next"
         : !lower(next, "rps", 0.0, &settings->state_rps)             ? "params.state.next.rps"
         : !lower(next, "write_rps", 0.0, &settings->state_write_rps) ? "params.state.next.write_rps"
-        : !lower(next, "value_kb", LEAST_NEXT_VALUE_KB, &value_kb)
+        : !lower(next, "value_kb", MIN_NEXT_VALUE_KB, &value_kb)
             ? "params.state.next.value_kb (1 is the least)"
-        : !lower(next, "txn_ops", LEAST_TXN_OPS, &ops)
+        : !lower(next, "txn_ops", MIN_TXN_OPERATIONS, &ops)
             ? "params.state.next.txn_ops (4 is the least)"
             : NULL;
   settings->state_txn_ops = (guint64)ops;
@@ -227,9 +227,10 @@
         : !positive(workers, "cancel_s", &s->cancel_s)       ? "params.workers.cancel_s"
         : !positive(state, "rps", &s->state_rps)             ? "params.state.rps"
         : !positive(state, "write_rps", &s->state_write_rps) ? "params.state.write_rps"
-        : !positive(state, "value_kb", &s->state_value_kb) || s->state_value_kb < LEAST_VALUE_KB
+        : !positive(state, "value_kb", &s->state_value_kb) || s->state_value_kb < MIN_VALUE_KB
             ? "params.state.value_kb (8 is the least)"
-        : !ws_json_count(state, "txn_ops", &s->state_txn_ops) || s->state_txn_ops < LEAST_TXN_OPS
+        : !ws_json_count(state, "txn_ops", &s->state_txn_ops)
+                || s->state_txn_ops < MIN_TXN_OPERATIONS
             ? "params.state.txn_ops"
         : !positive(cloud, "rps", &s->cloud_rps)                 ? "params.cloud.rps"
         : !positive(cloud, "list_lag_s", &s->list_lag_s)         ? "params.cloud.list_lag_s"
@@ -277,17 +278,18 @@
 }
 
 gboolean
-ws_team_allows(const WsTeamSettings *team, const WsAmount *use)
+ws_team_allows(const WsTeamSettings *team, const WsResources *use)
 {
   return (team->limit.cpus == 0 || use->cpus <= team->limit.cpus)
          && (team->limit.gpus == 0 || use->gpus <= team->limit.gpus);
 }
 
 gboolean
-ws_team_has_room(const WsSettings *settings, guint team, const WsAmount *use, const WsAmount *need)
+ws_team_has_room(const WsSettings *settings, guint team, const WsResources *use,
+                 const WsResources *need)
 {
-  WsAmount more = *use;
-  ws_amount_add(&more, need, 1);
+  WsResources more = *use;
+  ws_resources_add(&more, need, 1);
   return ws_team_allows(g_ptr_array_index(settings->teams, team), &more);
 }
 
--- a/src/protocol/ws-settings.h
+++ b/src/protocol/ws-settings.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "protocol/ws-names.h"
-#include "protocol/ws-submission.h"
+#include "protocol/ws-job-spec.h"
 
 typedef struct {
   char *name;
@@ -12,8 +12,8 @@
 
 typedef struct {
   char *name;
-  WsAmount guarantee; /* 0: none in that dimension */
-  WsAmount limit;     /* 0: no limit in that dimension */
+  WsResources guarantee; /* 0: none in that dimension */
+  WsResources limit;     /* 0: no limit in that dimension */
 } WsTeamSettings;
 
 /* How soon the tasks of a class are expected to begin, or its jobs to be complete. */
@@ -54,10 +54,10 @@
 
 WsSettings *ws_settings_parse(const json_t *message, char **reason);
 /* Whether one more such need is within the limit of the team. */
-gboolean ws_team_has_room(const WsSettings *settings, guint team, const WsAmount *use,
-                          const WsAmount *need);
+gboolean ws_team_has_room(const WsSettings *settings, guint team, const WsResources *use,
+                          const WsResources *need);
 /* Whether the use is within the team's limit. */
-gboolean ws_team_allows(const WsTeamSettings *team, const WsAmount *use);
+gboolean ws_team_allows(const WsTeamSettings *team, const WsResources *use);
 void ws_settings_free(WsSettings *settings);
 const WsNode *ws_settings_node(const WsSettings *settings, guint node);
 /* Negative: nothing is said about the class. */
--- a/src/scheduling/ws-demand.c
+++ b/src/scheduling/ws-demand.c
@@ -25,7 +25,7 @@
   guint type;
   guint zone;
   gboolean spot;
-  WsAmount room;
+  WsResources room;
   gboolean is_new;
   gboolean on_order;
   gboolean is_running; /* what running tasks will leave some time soon */
@@ -39,7 +39,7 @@
 };
 
 static Virtual *
-add_virtual(WsDemand *demand, guint type, guint zone, gboolean spot, const WsAmount *room,
+add_virtual(WsDemand *demand, guint type, guint zone, gboolean spot, const WsResources *room,
             gboolean is_new)
 {
   Virtual made = { type, zone, spot, *room, is_new, FALSE, FALSE };
@@ -53,11 +53,11 @@
 add_running(WsDemand *demand, const WsMachine *machine)
 {
   const WsReplica *replica = demand->core->replica;
-  WsAmount soon = { 0 };
+  WsResources soon = { 0 };
   for (guint i = 0; i < machine->tasks->len; i++) {
     const WsJob *job = ws_replica_job(replica, g_array_index(machine->tasks, WsTaskRef, i).job);
     if (job->spec->kind == WS_KIND_ARRAY)
-      ws_amount_add(&soon, &job->spec->need, 1);
+      ws_resources_add(&soon, &job->spec->need, 1);
   }
   soon.cpus /= 2;
   soon.gpus /= 2;
@@ -72,7 +72,7 @@
 {
   const WsReplica *replica = demand->core->replica;
   for (guint i = 0; i < replica->rents->len; i++) {
-    const WsRent *rent = g_ptr_array_index(replica->rents, i);
+    const WsRentalIntent *rent = g_ptr_array_index(replica->rents, i);
     guint type = ws_replica_find_type(replica, rent->type),
           zone = ws_replica_find_zone(replica, rent->zone);
     for (guint n = 0; n < rent->count && type != WS_NONE && zone != WS_NONE; n++)
@@ -85,7 +85,7 @@
 static gboolean
 is_booting(const WsCore *core, const WsMachine *machine)
 {
-  double age_s = (double)(core->wall - machine->at_ms) / 1000.0;
+  double age_s = (double)(core->wall - machine->rented_ms) / 1000.0;
   return machine->heard_ms == 0
          && age_s < 1.6 * ws_replica_type(core->replica, machine->type)->boot_s;
 }
@@ -101,10 +101,10 @@
   demand->by_zone = g_new0(guint, core->settings->zones->len);
   for (guint i = 0; i < replica->machines->len; i++) {
     const WsMachine *machine = ws_replica_machine(replica, i);
-    if (!machine->stored || machine->type == WS_NONE || machine->zone == WS_NONE)
+    if (!machine->is_recorded || machine->type == WS_NONE || machine->zone == WS_NONE)
       continue;
     demand->by_zone[machine->zone]++;
-    if (machine->marked || ws_zone_is_partitioned(core, machine->zone))
+    if (machine->is_marked || ws_zone_is_partitioned(core, machine->zone))
       continue; /* nobody hears of a machine that comes up behind a cut */
     if (is_booting(core, machine))
       add_virtual(demand, machine->type, machine->zone, machine->spot,
@@ -123,8 +123,8 @@
   const WsCore *core = demand->core;
   double allowed_s = ws_job_allowed_s(core->replica, job);
   double begin_s = ws_settings_begin_within(core->settings, job->spec->class_name);
-  double used_s
-      = (double)(core->wall - job->at_ms) / 1000.0 + ws_replica_type(core->replica, 0)->boot_s;
+  double used_s = (double)(core->wall - job->accepted_ms) / 1000.0
+                  + ws_replica_type(core->replica, 0)->boot_s;
   double end_s = 1.2 * ws_estimator_run_s(core, job) + ws_job_fetch_s(core->replica, job);
   double part = job->spec->deadline_s >= 0.0 ? USED_SLACK : USED_CLASS_SLACK;
   double spare_s = allowed_s >= 0.0 ? part * (allowed_s - used_s - end_s) : DEFAULT_SLACK_S;
@@ -146,10 +146,10 @@
 
 /* What the task takes of a place that is there for a while: less, if others can follow it and
    still be in time. */
-static WsAmount
+static WsResources
 share(const WsDemand *demand, const WsJob *job)
 {
-  WsAmount need = job->spec->need;
+  WsResources need = job->spec->need;
   double run_s = ws_estimator_run_s(demand->core, job) + 5.0;
   double part = job->spec->kind == WS_KIND_ARRAY
                     ? MAX(LEAST_SHARE, run_s / (run_s + slack_s(demand, job)))
@@ -178,7 +178,7 @@
 
 /* Returns how many of the tasks found room. */
 static guint
-put_in(WsDemand *demand, const WsJob *job, const WsAmount *need, guint tasks)
+put_in(WsDemand *demand, const WsJob *job, const WsResources *need, guint tasks)
 {
   gboolean waits = job->spec->kind == WS_KIND_ARRAY && may_wait(demand, job);
   gint64 smallest = ws_smallest_room(demand->core->replica, job->spec);
@@ -189,10 +189,11 @@
         || !zone_fits(demand, job, machine->zone)
         || (machine->is_running
             && ws_replica_type(demand->core->replica, machine->type)->room.cpus > smallest)
-        || !ws_type_allowed(job->spec, ws_replica_type(demand->core->replica, machine->type)))
+        || !ws_constraints_allow_type(job->spec,
+                                      ws_replica_type(demand->core->replica, machine->type)))
       continue;
-    for (; placed < tasks && ws_amount_fits(need, &machine->room); placed++)
-      ws_amount_add(&machine->room, need, -1);
+    for (; placed < tasks && ws_resources_fit(need, &machine->room); placed++)
+      ws_resources_add(&machine->room, need, -1);
     if (placed == tasks)
       break;
   }
@@ -218,13 +219,14 @@
 }
 
 static gboolean
-want_new(WsDemand *demand, const WsJob *job, gboolean spot, const WsAmount *need)
+want_new(WsDemand *demand, const WsJob *job, gboolean spot, const WsResources *need)
 {
   const WsReplica *replica = demand->core->replica;
   guint best = WS_NONE, best_zone = WS_NONE;
   for (guint t = 0; t < replica->catalog->len; t++) {
     const WsType *type = ws_replica_type(replica, t);
-    if (!ws_type_allowed(job->spec, type) || !ws_amount_fits(&job->spec->need, &type->room))
+    if (!ws_constraints_allow_type(job->spec, type)
+        || !ws_resources_fit(&job->spec->need, &type->room))
       continue;
     guint zone = pick_zone(demand, job, t, spot);
     if (zone == WS_NONE
@@ -235,8 +237,8 @@
   }
   if (best == WS_NONE)
     return FALSE;
-  WsAmount room = ws_replica_type(replica, best)->room;
-  ws_amount_add(&room, need, -1);
+  WsResources room = ws_replica_type(replica, best)->room;
+  ws_resources_add(&room, need, -1);
   add_virtual(demand, best, best_zone, spot, &room, TRUE);
   demand->by_zone[best_zone]++;
   return TRUE;
@@ -246,7 +248,7 @@
 void
 ws_demand_add(WsDemand *demand, const WsJob *job, guint tasks)
 {
-  WsAmount need = share(demand, job);
+  WsResources need = share(demand, job);
   guint wanted = with_extra(demand, job, tasks);
   guint left = wanted - put_in(demand, job, &need, wanted);
   while (left > 0) {
@@ -256,8 +258,8 @@
       return;
     left--;
     Virtual *made = &g_array_index(demand->machines, Virtual, machines);
-    for (; left > 0 && ws_amount_fits(&need, &made->room); left--)
-      ws_amount_add(&made->room, &need, -1);
+    for (; left > 0 && ws_resources_fit(&need, &made->room); left--)
+      ws_resources_add(&made->room, &need, -1);
   }
 }
 
@@ -270,10 +272,10 @@
     const Virtual *machine = &g_array_index(demand->machines, Virtual, i);
     const WsType *type = ws_replica_type(demand->core->replica, machine->type);
     if (machine->is_running || machine->zone != zone || (machine->spot && !job->spec->spot)
-        || !ws_type_allowed(job->spec, type))
+        || !ws_constraints_allow_type(job->spec, type))
       continue;
-    for (WsAmount room = machine->room; ws_amount_fits(&job->spec->need, &room); count++)
-      ws_amount_add(&room, &job->spec->need, -1);
+    for (WsResources room = machine->room; ws_resources_fit(&job->spec->need, &room); count++)
+      ws_resources_add(&room, &job->spec->need, -1);
   }
   return count;
 }
@@ -289,7 +291,8 @@
       return zone;
   for (guint t = 0; t < replica->catalog->len; t++) {
     const WsType *type = ws_replica_type(replica, t);
-    if (!ws_type_allowed(job->spec, type) || !ws_amount_fits(&job->spec->need, &type->room))
+    if (!ws_constraints_allow_type(job->spec, type)
+        || !ws_resources_fit(&job->spec->need, &type->room))
       continue;
     guint zone = pick_zone(demand, job, t, FALSE);
     if (zone == WS_NONE && job->spec->spot)
@@ -317,9 +320,9 @@
 {
   for (guint i = 0; i < demand->machines->len; i++) {
     Virtual *machine = &g_array_index(demand->machines, Virtual, i);
-    if (!machine->is_new || machine->spot || !ws_amount_fits(&job->spec->need, &machine->room))
+    if (!machine->is_new || machine->spot || !ws_resources_fit(&job->spec->need, &machine->room))
       continue;
-    ws_amount_add(&machine->room, &job->spec->need, -1);
+    ws_resources_add(&machine->room, &job->spec->need, -1);
     return TRUE;
   }
   return FALSE;
@@ -328,24 +331,24 @@
 /* Places for one more critical task on ordinary machines, up to what is enough: free ones, and
    those of arrays, which may be stopped for it. */
 static guint
-count_places(const WsCore *core, const WsAmount *need, const WsMachine *without, guint enough)
+count_places(const WsCore *core, const WsResources *need, const WsMachine *without, guint enough)
 {
   const WsReplica *replica = core->replica;
   guint places = 0;
   for (guint i = 0; i < replica->machines->len && places < enough; i++) {
     const WsMachine *machine = ws_replica_machine(replica, i);
-    if (machine == without || !machine->stored || machine->marked || machine->spot
+    if (machine == without || !machine->is_recorded || machine->is_marked || machine->spot
         || machine->type == WS_NONE || machine->zone == WS_NONE
         || !(is_booting(core, machine) || ws_machine_is_up(core, machine)))
       continue;
-    WsAmount room = ws_replica_type(replica, machine->type)->room;
+    WsResources room = ws_replica_type(replica, machine->type)->room;
     for (guint k = 0; k < machine->tasks->len; k++) {
       const WsJob *job = ws_replica_job(replica, g_array_index(machine->tasks, WsTaskRef, k).job);
       if (job->spec->kind == WS_KIND_SERVICE)
-        ws_amount_add(&room, &job->spec->need, -1);
+        ws_resources_add(&room, &job->spec->need, -1);
     }
-    for (; ws_amount_fits(need, &room) && places < enough; places++)
-      ws_amount_add(&room, need, -1);
+    for (; ws_resources_fit(need, &room) && places < enough; places++)
+      ws_resources_add(&room, need, -1);
   }
   return places;
 }
@@ -387,8 +390,8 @@
     Virtual *machine = &g_array_index(demand->machines, Virtual, i);
     if (!machine->on_order)
       continue;
-    for (; !machine->spot && ws_amount_fits(&job->spec->need, &machine->room); places++)
-      ws_amount_add(&machine->room, &job->spec->need, -1);
+    for (; !machine->spot && ws_resources_fit(&job->spec->need, &machine->room); places++)
+      ws_resources_add(&machine->room, &job->spec->need, -1);
   }
   for (; places < core->properties->spare_tasks; places++)
     if (!put_in_new(demand, job) && !want_new(demand, job, FALSE, &job->spec->need))
--- a/src/scheduling/ws-gang-place.c
+++ b/src/scheduling/ws-gang-place.c
@@ -107,8 +107,8 @@
 change_room(WsRoomMap *map, const WsJob *job, const GArray *machines, gint64 tasks_each)
 {
   for (guint i = 0; i < machines->len; i++)
-    ws_amount_add(&map->slots[g_array_index(machines, guint, i)].free, &job->spec->need,
-                  tasks_each);
+    ws_resources_add(&map->slots[g_array_index(machines, guint, i)].free, &job->spec->need,
+                     tasks_each);
 }
 
 /* A machine that is kept for a gang, and for how many of its tasks. */
@@ -119,24 +119,24 @@
 } Kept;
 
 static guint
-count_places(const WsAmount *need, WsAmount room)
+count_places(const WsResources *need, WsResources room)
 {
   guint places = 0;
-  for (; ws_amount_fits(need, &room) && places < WS_MAX_TASKS; places++)
-    ws_amount_add(&room, need, -1);
+  for (; ws_resources_fit(need, &room) && places < WS_MAX_TASKS; places++)
+    ws_resources_add(&room, need, -1);
   return places;
 }
 
 /* What arrays leave of the machine when their tasks have ended. */
-static WsAmount
+static WsResources
 room_without_arrays(const WsCore *core, const WsMachine *machine)
 {
-  WsAmount room = ws_replica_type(core->replica, machine->type)->room;
+  WsResources room = ws_replica_type(core->replica, machine->type)->room;
   for (guint i = 0; i < machine->tasks->len; i++) {
     const WsTaskRef *ref = &g_array_index(machine->tasks, WsTaskRef, i);
     const WsJob *job = ws_replica_job(core->replica, ref->job);
     if (job->spec->kind != WS_KIND_ARRAY)
-      ws_amount_add(&room, &job->spec->need, -1);
+      ws_resources_add(&room, &job->spec->need, -1);
   }
   return room;
 }
@@ -156,7 +156,7 @@
 choose_kept(WsRoomMap *map, const WsJob *job, guint tasks, guint *counts, guint zone)
 {
   const WsReplica *replica = map->core->replica;
-  const WsAmount *need = &job->spec->need;
+  const WsResources *need = &job->spec->need;
   g_autoptr(WsPlaces) places = ws_places_new(map, job, counts);
   g_autoptr(GArray) kept = g_array_new(FALSE, FALSE, sizeof(Kept));
   for (guint i = 0; i < replica->machines->len; i++) {
@@ -211,7 +211,7 @@
   g_autoptr(GArray) kept = choose_best_kept(map, job, tasks, counts);
   for (guint i = 0; kept != NULL && i < kept->len; i++) {
     const Kept *at = &g_array_index(kept, Kept, i);
-    map->slots[at->machine].free = (WsAmount){ 0 };
+    map->slots[at->machine].free = (WsResources){ 0 };
     ws_reservations_keep(map->core, job, at->machine, at->places);
   }
 }
--- a/src/scheduling/ws-gang.c
+++ b/src/scheduling/ws-gang.c
@@ -35,8 +35,8 @@
 stop_task(WsCore *core, WsJob *job, WsAssignment *assignment)
 {
   const WsMachine *machine = ws_replica_machine(core->replica, assignment->machine);
-  assignment->stopping = TRUE;
-  assignment->stop_asked_ms = core->now;
+  assignment->is_stop_requested = TRUE;
+  assignment->stop_forwarded_ms = core->now;
   if (ws_owns_machine(core, machine))
     ws_worker_rpc_halt(core, job, assignment);
   else
@@ -48,7 +48,7 @@
 {
   if (!all_reachable(core, job))
     return FALSE;
-  g_info("gang %s stops: %u tasks save their progress", job->id, job->on_count);
+  g_info("gang %s stops: %u tasks save their progress", job->id, job->assigned_count);
   WsAssignmentIter iter;
   ws_assignment_iter_init(&iter, job);
   WsAssignment *assignment;
@@ -62,7 +62,7 @@
 is_to_be_drained(const WsCore *core, const WsAssignment *assignment)
 {
   const WsMachine *machine = ws_replica_machine(core->replica, assignment->machine);
-  return machine->marked && !machine->mark_now && ws_owns_machine(core, machine)
+  return machine->is_marked && !machine->mark_is_immediate && ws_owns_machine(core, machine)
          && assignment->state == WS_TASK_RUNNING;
 }
 
@@ -84,7 +84,7 @@
 {
   return ws_owns_machine(core, ws_replica_machine(core->replica, assignment->machine))
          && assignment->state < WS_TASK_SAVING && assignment->state != WS_TASK_ASSIGNED
-         && core->now - assignment->stop_asked_ms >= HALT_RETRY_MS;
+         && core->now - assignment->stop_forwarded_ms >= HALT_RETRY_MS;
 }
 
 /* One halt of each task on this node's machines, unless one was sent a moment ago. */
@@ -95,9 +95,9 @@
   ws_assignment_iter_init(&iter, job);
   WsAssignment *assignment;
   while ((assignment = ws_assignment_iter_next(&iter)) != NULL) {
-    if ((!all && !assignment->stopping) || !may_halt(core, assignment))
+    if ((!all && !assignment->is_stop_requested) || !may_halt(core, assignment))
       continue;
-    assignment->stop_asked_ms = core->now;
+    assignment->stop_forwarded_ms = core->now;
     ws_worker_rpc_halt(core, job, assignment);
   }
 }
@@ -128,7 +128,7 @@
 {
   for (guint i = 0; i < core->replica->active->len; i++) {
     WsJob *job = g_ptr_array_index(core->replica->active, i);
-    if (ws_job_is_gang(job) && job->on_count > 0 && job->state == WS_JOB_ACTIVE
+    if (ws_job_is_gang(job) && job->assigned_count > 0 && job->state == WS_JOB_ACTIVE
         && !ws_cancellations_has(core, job))
       tend(core, job);
   }
--- a/src/scheduling/ws-place.c
+++ b/src/scheduling/ws-place.c
@@ -56,9 +56,9 @@
 static gboolean
 is_usable(const WsCore *core, const WsMachine *machine)
 {
-  return machine->stored && machine->type != WS_NONE && !machine->marked && !machine->marking
-         && machine->notice_ms == 0 && machine->bad_jobs < 2 && ws_machine_is_up(core, machine)
-         && !ws_machine_is_outbound_unreachable(core, machine)
+  return machine->is_recorded && machine->type != WS_NONE && !machine->is_marked
+         && !machine->mark_is_pending && machine->interruption_ms == 0 && machine->failed_jobs < 2
+         && ws_machine_is_up(core, machine) && !ws_machine_is_outbound_unreachable(core, machine)
          && !ws_machine_is_inbound_unreachable(core, machine) && machine->owner != WS_NONE;
 }
 
@@ -67,7 +67,7 @@
 {
   WsRoomMap *map = data;
   if (job->spec != NULL)
-    ws_amount_add(&map->slots[machine].free, &job->spec->need, -1);
+    ws_resources_add(&map->slots[machine].free, &job->spec->need, -1);
 }
 
 static void
@@ -78,16 +78,17 @@
   gboolean has_array = FALSE, is_freed = FALSE;
   slot->usable = TRUE;
   slot->free = ws_replica_type(replica, machine->type)->room;
-  ws_amount_add(&slot->free, &machine->used, -1);
+  ws_resources_add(&slot->free, &machine->used, -1);
   for (guint k = 0; k < machine->tasks->len; k++) {
     const WsTaskRef *ref = &g_array_index(machine->tasks, WsTaskRef, k);
     const WsJob *job = ws_replica_job(replica, ref->job);
     const WsAssignment *assignment = ws_job_assignment(job, ref->task);
     has_array = has_array || job->spec->kind == WS_KIND_ARRAY;
     slot->has_service = slot->has_service || job->spec->kind == WS_KIND_SERVICE;
-    if (assignment == NULL || !(assignment->stopping || ws_cancellations_has(map->core, job)))
+    if (assignment == NULL
+        || !(assignment->is_stop_requested || ws_cancellations_has(map->core, job)))
       continue;
-    ws_amount_add(&slot->coming, &job->spec->need, 1);
+    ws_resources_add(&slot->coming, &job->spec->need, 1);
     is_freed = TRUE;
   }
   if (has_array)
@@ -102,7 +103,7 @@
   const WsReplica *replica = map->core->replica;
   for (guint i = 0; i < replica->active->len; i++) {
     const WsJob *job = g_ptr_array_index(replica->active, i);
-    if (job->on_count == 0 || job->spec->kind != WS_KIND_ARRAY)
+    if (job->assigned_count == 0 || job->spec->kind != WS_KIND_ARRAY)
       continue;
     map->lowest = MAX(map->lowest, (guint)job->spec->priority);
     map->borrowing = map->borrowing || !job->guaranteed;
@@ -112,7 +113,7 @@
 /* Machines on which nothing that waits has room aren't looked at job by job: nearly every machine
    has some processors left, and when the cluster is full hundreds of jobs wait. */
 void
-ws_room_map_init(WsRoomMap *map, WsCore *core, const WsAmount *least)
+ws_room_map_init(WsRoomMap *map, WsCore *core, const WsResources *least)
 {
   const WsReplica *replica = core->replica;
   *map = (WsRoomMap){ .core = core, .least = *least, .looks = MOST_LOOKS };
@@ -127,7 +128,7 @@
   }
   ws_assignments_foreach_forwarded(core, take_forwarded, map);
   for (guint i = 0; i < replica->machines->len; i++) {
-    if (map->slots[i].usable && ws_amount_fits(least, &map->slots[i].free))
+    if (map->slots[i].usable && ws_resources_fit(least, &map->slots[i].free))
       g_array_append_val(map->open, i);
   }
   map->steps = replica->machines->len;
@@ -148,7 +149,7 @@
 /* Whether the task would leave the machine's free accelerators with less than their share of its
    processors or memory. */
 static gboolean
-blocks_accelerators(const WsAmount *room, const WsAmount *free, const WsAmount *need)
+blocks_accelerators(const WsResources *room, const WsResources *free, const WsResources *need)
 {
   if (need->gpus > 0 || free->gpus <= 0)
     return FALSE;
@@ -159,7 +160,7 @@
 /* How much a gang that has to fetch its image likes the machine: the more processors it has beside
    the share of its free accelerators, the more gangs to come find the image there and have room. */
 static double
-roominess(const WsAmount *room, const WsAmount *free)
+roominess(const WsResources *room, const WsResources *free)
 {
   gint64 reserved = room->gpus > 0 ? free->gpus * room->cpus / room->gpus : 0;
   return room->cpus > 0 ? (double)MAX(free->cpus - reserved, 0) / (double)room->cpus : 0.0;
@@ -170,7 +171,7 @@
 worth_of_fetching(const WsPlaces *places, const WsMachine *machine)
 {
   const WsReplica *replica = places->map->core->replica;
-  const WsAmount *room = &ws_replica_type(replica, machine->type)->room;
+  const WsResources *room = &ws_replica_type(replica, machine->type)->room;
   double value = ROOMY * roominess(room, &places->map->slots[machine->index].free);
   for (guint i = 0; i < machine->images->len; i++) {
     guint image = g_array_index(machine->images, guint, i);
@@ -192,7 +193,7 @@
 {
   const WsReplica *replica = places->map->core->replica;
   const WsJob *job = places->job;
-  const WsAmount *room = &ws_replica_type(replica, machine->type)->room;
+  const WsResources *room = &ws_replica_type(replica, machine->type)->room;
   const WsSlot *slot = &places->map->slots[machine->index];
   gboolean is_service = job->spec->kind == WS_KIND_SERVICE;
   double value = ws_machine_has_image(machine, job->image) ? IMAGE_THERE : 0.0;
@@ -226,8 +227,8 @@
 static gboolean
 in_part(const WsReplica *replica, const WsJob *job, const WsMachine *machine)
 {
-  return job->home == WS_NONE || !ws_epoch_has_node(&replica->epoch, job->home)
-         || machine->owner == job->home;
+  return job->coordinator == WS_NONE || !ws_epoch_has_node(&replica->epoch, job->coordinator)
+         || machine->owner == job->coordinator;
 }
 
 gboolean
@@ -236,20 +237,20 @@
   const WsReplica *replica = places->map->core->replica;
   const WsJob *job = places->job;
   return places->map->slots[machine->index].usable
-         && ws_plan_allowed(replica, job->spec, job->zone, machine)
-         && machine->last_bad_job != job->index && in_part(replica, job, machine);
+         && ws_constraints_allow_machine(replica, job->spec, job->zone, machine)
+         && machine->last_failed_job != job->index && in_part(replica, job, machine);
 }
 
 static gboolean
 fits(const WsPlaces *places, WsRoom kind, guint machine)
 {
   const WsSlot *slot = &places->map->slots[machine];
-  WsAmount room = slot->free;
+  WsResources room = slot->free;
   if (kind >= WS_ROOM_TAKEN)
     return TRUE; /* the cost has said so */
   if (kind != WS_ROOM_NOW)
-    ws_amount_add(&room, &slot->coming, 1);
-  return ws_amount_fits(&places->job->spec->need, &room);
+    ws_resources_add(&room, &slot->coming, 1);
+  return ws_resources_fit(&places->job->spec->need, &room);
 }
 
 /* Whether a machine that is rented now would do for the job: then nothing is stopped for it, since
@@ -259,13 +260,14 @@
 {
   const WsReplica *replica = core->replica;
   double allowed_s = ws_job_allowed_s(replica, job);
-  double left_s = allowed_s - (double)(core->wall - job->at_ms) / 1000.0
+  double left_s = allowed_s - (double)(core->wall - job->accepted_ms) / 1000.0
                   - ws_estimator_run_s(core, job) - ws_job_fetch_s(replica, job);
   if (allowed_s < 0.0)
     return FALSE;
   for (guint t = 0; t < replica->catalog->len; t++) {
     const WsType *type = ws_replica_type(replica, t);
-    if (!ws_type_allowed(job->spec, type) || !ws_amount_fits(&job->spec->need, &type->room)
+    if (!ws_constraints_allow_type(job->spec, type)
+        || !ws_resources_fit(&job->spec->need, &type->room)
         || left_s < BOOT_PATIENCE * type->boot_s)
       continue;
     for (char **zone = type->zones; *zone != NULL; zone++) {
@@ -280,12 +282,12 @@
 }
 
 gint64
-ws_smallest_room(const WsReplica *replica, const WsSubmission *spec)
+ws_smallest_room(const WsReplica *replica, const WsJobSpec *spec)
 {
   gint64 smallest = G_MAXINT64;
   for (guint t = 0; t < replica->catalog->len; t++) {
     const WsType *type = ws_replica_type(replica, t);
-    if (ws_type_allowed(spec, type) && ws_amount_fits(&spec->need, &type->room))
+    if (ws_constraints_allow_type(spec, type) && ws_resources_fit(&spec->need, &type->room))
       smallest = MIN(smallest, type->room.cpus);
   }
   return smallest;
@@ -353,7 +355,7 @@
 drop_full(WsRoomMap *map)
 {
   for (guint i = map->open->len; i-- > 0;)
-    if (!ws_amount_fits(&map->least, &map->slots[g_array_index(map->open, guint, i)].free))
+    if (!ws_resources_fit(&map->least, &map->slots[g_array_index(map->open, guint, i)].free))
       g_array_remove_index_fast(map->open, i);
 }
 
@@ -435,7 +437,7 @@
     if (places->only_zone != WS_NONE && zone != places->only_zone)
       continue;
     double value = candidate->value - (is_service ? SAME_ZONE * places->counts[zone] : 0.0);
-    if (!ws_zone_allowed(places->job, places->counts, zones, zone)
+    if (!ws_constraints_allow_zone(places->job, places->counts, zones, zone)
         || (best != NULL && value <= most))
       continue;
     best = candidate;
@@ -484,7 +486,7 @@
     return NULL;
   WsMachine *machine = ws_replica_machine(places->map->core->replica, best->machine);
   best->spent = kind >= WS_ROOM_TAKEN || places->job->spec->kind != WS_KIND_ARRAY;
-  ws_amount_add(&places->map->slots[best->machine].free, &places->job->spec->need, -1);
+  ws_resources_add(&places->map->slots[best->machine].free, &places->job->spec->need, -1);
   places->counts[machine->zone]++;
   return machine;
 }
@@ -499,14 +501,14 @@
 ws_places_take_again(WsPlaces *places, const WsMachine *machine)
 {
   const WsReplica *replica = places->map->core->replica;
-  WsAmount *free = &places->map->slots[machine->index].free;
-  const WsAmount *need = &places->job->spec->need;
+  WsResources *free = &places->map->slots[machine->index].free;
+  const WsResources *need = &places->job->spec->need;
   guint zones = places->map->core->settings->zones->len;
-  if (!ws_amount_fits(need, free)
+  if (!ws_resources_fit(need, free)
       || blocks_accelerators(&ws_replica_type(replica, machine->type)->room, free, need)
-      || !ws_zone_allowed(places->job, places->counts, zones, machine->zone))
+      || !ws_constraints_allow_zone(places->job, places->counts, zones, machine->zone))
     return FALSE;
-  ws_amount_add(free, need, -1);
+  ws_resources_add(free, need, -1);
   places->counts[machine->zone]++;
   return TRUE;
 }
@@ -517,19 +519,19 @@
   for (guint i = 0; i < machines->len; i++) {
     guint index = g_array_index(machines, guint, i);
     const WsMachine *machine = ws_replica_machine(places->map->core->replica, index);
-    ws_amount_add(&places->map->slots[index].free, &places->job->spec->need, 1);
+    ws_resources_add(&places->map->slots[index].free, &places->job->spec->need, 1);
     places->counts[machine->zone]--;
   }
 }
 
 gboolean
-ws_places_would_fit(const WsPlaces *places, const WsMachine *machine, const WsAmount *freed)
+ws_places_would_fit(const WsPlaces *places, const WsMachine *machine, const WsResources *freed)
 {
   const WsSlot *slot = &places->map->slots[machine->index];
   guint zones = places->map->core->settings->zones->len;
-  WsAmount room = slot->free;
-  ws_amount_add(&room, &slot->coming, 1);
-  ws_amount_add(&room, freed, 1);
-  return ws_places_is_eligible(places, machine) && ws_amount_fits(&places->job->spec->need, &room)
-         && ws_zone_allowed(places->job, places->counts, zones, machine->zone);
+  WsResources room = slot->free;
+  ws_resources_add(&room, &slot->coming, 1);
+  ws_resources_add(&room, freed, 1);
+  return ws_places_is_eligible(places, machine) && ws_resources_fit(&places->job->spec->need, &room)
+         && ws_constraints_allow_zone(places->job, places->counts, zones, machine->zone);
 }
--- a/src/scheduling/ws-place.h
+++ b/src/scheduling/ws-place.h
@@ -16,7 +16,7 @@
 typedef struct {
   WsCore *core;
   WsSlot *slots;      /* of each machine */
-  WsAmount least;     /* what is waited for takes at least so much */
+  WsResources least;  /* what is waited for takes at least so much */
   GArray *open;       /* of guint: machines with that much free */
   GArray *coming;     /* of guint: machines where something is being stopped */
   GArray *busy;       /* of guint: machines with tasks of arrays */
@@ -28,7 +28,7 @@
 
 typedef struct _WsPlaces WsPlaces;
 
-void ws_room_map_init(WsRoomMap *map, WsCore *core, const WsAmount *least);
+void ws_room_map_init(WsRoomMap *map, WsCore *core, const WsResources *least);
 void ws_room_map_clear(WsRoomMap *map);
 
 WsPlaces *ws_places_new(WsRoomMap *map, const WsJob *job, guint *counts /* of tasks by zone */);
@@ -48,5 +48,5 @@
 void ws_places_put_back(WsPlaces *places, const GArray *machines);
 /* Whether a task could go to the machine if so much more of it were free. */
 gboolean ws_places_would_fit(const WsPlaces *places, const WsMachine *machine,
-                             const WsAmount *freed);
+                             const WsResources *freed);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsPlaces, ws_places_free)
--- a/src/scheduling/ws-plan.c
+++ b/src/scheduling/ws-plan.c
@@ -33,7 +33,7 @@
 typedef struct {
   WsCore *core;
   WsRoomMap map;
-  WsAmount *use;
+  WsResources *use;
   WsDemand *demand;     /* only a leader's plan has one */
   GHashTable *reserved; /* machine -> tasks of the job at hand for which room is being made there */
 } Run;
@@ -54,8 +54,8 @@
 static guint
 acting_node(const WsReplica *replica, const WsJob *job)
 {
-  return job->home != WS_NONE && ws_epoch_has_node(&replica->epoch, job->home)
-             ? job->home
+  return job->coordinator != WS_NONE && ws_epoch_has_node(&replica->epoch, job->coordinator)
+             ? job->coordinator
              : replica->epoch.leader;
 }
 
@@ -69,10 +69,11 @@
     const WsTaskRef *ref = &g_array_index(machine->tasks, WsTaskRef, i);
     const WsJob *victim = ws_replica_job(core->replica, ref->job);
     WsAssignment *assignment = ws_job_assignment(victim, ref->task);
-    if (assignment == NULL || !assignment->stopping
-        || (assignment->stop_asked_ms > 0 && core->now - assignment->stop_asked_ms < STOP_AGAIN_MS))
+    if (assignment == NULL || !assignment->is_stop_requested
+        || (assignment->stop_forwarded_ms > 0
+            && core->now - assignment->stop_forwarded_ms < STOP_AGAIN_MS))
       continue;
-    assignment->stop_asked_ms = core->now;
+    assignment->stop_forwarded_ms = core->now;
     ws_peer_request_stop(core, machine->owner, victim, assignment);
   }
 }
@@ -84,7 +85,7 @@
   WsSlot slot = run->map.slots[machine->index];
   g_info("job %s needs room on %s: less urgent tasks there stop", job->id, machine->name);
   /* The room was taken already, by whoever looked for it. */
-  ws_amount_add(&slot.free, &job->spec->need, 1);
+  ws_resources_add(&slot.free, &job->spec->need, 1);
   ws_preempt(core, job, machine, &slot);
   run->map.slots[machine->index].coming = slot.coming;
   ask_stops(core, machine);
@@ -116,7 +117,7 @@
 }
 
 static gboolean
-makes_place(const WsMachine *machine, const WsAmount *freed, gpointer data)
+makes_place(const WsMachine *machine, const WsResources *freed, gpointer data)
 {
   return ws_places_would_fit(data, machine, freed);
 }
@@ -212,7 +213,7 @@
   guint end = MIN(first + WS_CHUNK_TASKS, job->tasks);
   const WsChunk *chunk = ws_job_chunk(job, first);
   guint places = ws_chunk_free_places(chunk, core->replica);
-  if (chunk != NULL && chunk->done_count + chunk->on->len == WS_CHUNK_TASKS)
+  if (chunk != NULL && chunk->completed_count + chunk->assignments->len == WS_CHUNK_TASKS)
     return;
   for (guint task = first; task < end && places > 0 && tasks->len < most; task++) {
     if (ws_assignments_is_pending(core, job->index, task)) {
@@ -237,8 +238,8 @@
 static gboolean
 team_has_room_for(const Run *run, const WsJob *job, guint tasks)
 {
-  WsAmount need = { 0 };
-  ws_amount_add(&need, &job->spec->need, tasks);
+  WsResources need = { 0 };
+  ws_resources_add(&need, &job->spec->need, tasks);
   return ws_team_has_room(run->core->settings, job->team, &run->use[job->team], &need);
 }
 
@@ -253,7 +254,7 @@
     return;
   ws_gang_hold_room(&run->map, job, tasks, counts);
   ws_reservations_keep(run->core, job, WS_NONE, tasks);
-  ws_amount_add(&run->use[job->team], &job->spec->need, tasks);
+  ws_resources_add(&run->use[job->team], &job->spec->need, tasks);
 }
 
 /* All of a gang's tasks or none: a few of them would only hold their places and wait. */
@@ -261,7 +262,7 @@
 place_gang(Run *run, WsJob *job, const GArray *tasks, guint *counts)
 {
   WsCore *core = run->core;
-  gboolean all = tasks->len + job->on_count + job->done_count == job->tasks;
+  gboolean all = tasks->len + job->assigned_count + job->completed_count == job->tasks;
   if (!all || ws_gang_is_ending(job))
     return;
   gboolean team_has_room = team_has_room_for(run, job, tasks->len);
@@ -272,7 +273,7 @@
     gather_room(run, job, tasks->len, counts, team_has_room);
     return;
   }
-  ws_amount_add(&run->use[job->team], &job->spec->need, tasks->len);
+  ws_resources_add(&run->use[job->team], &job->spec->need, tasks->len);
   for (guint i = 0; i < tasks->len; i++)
     ws_assignments_propose(core, job->index, g_array_index(tasks, guint, i),
                            g_array_index(machines, guint, i));
@@ -289,7 +290,7 @@
       make_team_room(run, places, job);
       break;
     }
-    ws_amount_add(&run->use[job->team], &job->spec->need, 1);
+    ws_resources_add(&run->use[job->team], &job->spec->need, 1);
     Outcome outcome
         = has_room ? place_task(run, places, job, g_array_index(tasks, guint, i)) : NO_ROOM;
     has_room = has_room && outcome != NO_ROOM;
@@ -307,7 +308,7 @@
 place_job(Run *run, WsJob *job, guint most)
 {
   WsCore *core = run->core;
-  if (job->done_count + job->on_count >= job->tasks)
+  if (job->completed_count + job->assigned_count >= job->tasks)
     return 0;
   g_autofree guint *counts = g_new0(guint, core->settings->zones->len);
   g_autoptr(GArray) tasks
@@ -341,8 +342,8 @@
   ws_txn_compare(txn, core->replica, WS_KEY_EPOCH);
   for (guint i = 0; i < core->replica->active->len && ws_txn_operation_count(txn) < 4; i++) {
     const WsJob *job = g_ptr_array_index(core->replica->active, i);
-    if (job->state != WS_JOB_ACTIVE || job->home != core->settings->self || job->unplaced_ms == 0
-        || core->now - job->unplaced_ms < SPILL_MS)
+    if (job->state != WS_JOB_ACTIVE || job->coordinator != core->settings->self
+        || job->unplaced_ms == 0 || core->now - job->unplaced_ms < SPILL_MS)
       continue;
     g_autofree char *key = ws_key_job(job->id);
     ws_txn_compare(txn, core->replica, key);
@@ -362,7 +363,7 @@
 {
   for (guint i = 0; i < core->replica->active->len; i++) {
     const WsJob *job = g_ptr_array_index(core->replica->active, i);
-    if (job->state == WS_JOB_ACTIVE && job->done_count + job->on_count < job->tasks
+    if (job->state == WS_JOB_ACTIVE && job->completed_count + job->assigned_count < job->tasks
         && acting_node(core->replica, job) == core->settings->self)
       return TRUE;
   }
@@ -381,15 +382,15 @@
 static gboolean
 is_for_us(const WsCore *core, const WsJob *job)
 {
-  return job->done_count + job->on_count < job->tasks && core->now >= job->retry_ms
+  return job->completed_count + job->assigned_count < job->tasks && core->now >= job->retry_ms
          && acting_node(core->replica, job) == core->settings->self;
 }
 
 /* What every waiting task takes at least. */
-static WsAmount
+static WsResources
 least_needed(const WsCore *core, const GArray *jobs)
 {
-  WsAmount least = { G_MAXINT64, G_MAXINT64, G_MAXINT64 };
+  WsResources least = { G_MAXINT64, G_MAXINT64, G_MAXINT64 };
   for (guint i = 0; i < jobs->len; i++) {
     const WsJob *job = g_array_index(jobs, WsWaiting, i).job;
     if (!is_for_us(core, job))
@@ -406,10 +407,10 @@
 {
   Run run = { .core = core };
   g_autoptr(GArray) jobs = ws_queue_jobs(core);
-  WsAmount least = least_needed(core, jobs);
+  WsResources least = least_needed(core, jobs);
   ws_room_map_init(&run.map, core, &least);
-  run.use
-      = g_memdup2(core->replica->team_use, sizeof(WsAmount) * MAX(core->settings->teams->len, 1u));
+  run.use = g_memdup2(core->replica->team_use,
+                      sizeof(WsResources) * MAX(core->settings->teams->len, 1u));
   run.reserved = g_hash_table_new(NULL, NULL);
   run.demand = ws_is_leader(core) ? ws_demand_new(core) : NULL;
   guint left = TASKS_A_PLAN;
@@ -450,7 +451,7 @@
 /* The part with most room that fits the whole job, or WS_NONE. The attempt of a gang is planned and
    written by one node, the leader. */
 guint
-ws_plan_home(WsCore *core, const WsSubmission *spec)
+ws_plan_choose_coordinator(WsCore *core, const WsJobSpec *spec)
 {
   if (!ws_is_active_member(core) || core->replica->catalog == NULL || spec->spread || spec->one_zone
       || spec->kind == WS_KIND_GANG)
@@ -461,10 +462,10 @@
   guint zone = ws_replica_find_zone(core->replica, spec->zone);
   for (guint i = 0; i < map.open->len; i++) {
     const WsMachine *machine = ws_replica_machine(core->replica, g_array_index(map.open, guint, i));
-    if (!ws_plan_allowed(core->replica, spec, zone, machine))
+    if (!ws_constraints_allow_machine(core->replica, spec, zone, machine))
       continue;
-    for (WsAmount room = map.slots[machine->index].free; ws_amount_fits(&spec->need, &room);
-         ws_amount_add(&room, &spec->need, -1))
+    for (WsResources room = map.slots[machine->index].free; ws_resources_fit(&spec->need, &room);
+         ws_resources_add(&room, &spec->need, -1))
       if (++places[machine->owner] > WS_MAX_TASKS)
         break;
   }
--- a/src/scheduling/ws-preempt.c
+++ b/src/scheduling/ws-preempt.c
@@ -12,8 +12,8 @@
 beyond_guarantee(const WsCore *core, const WsJob *victim)
 {
   const WsTeamSettings *team = g_ptr_array_index(core->settings->teams, victim->team);
-  WsAmount use = core->replica->team_use[victim->team];
-  ws_amount_add(&use, &victim->spec->need, -1);
+  WsResources use = core->replica->team_use[victim->team];
+  ws_resources_add(&use, &victim->spec->need, -1);
   return (team->guarantee.gpus > 0 && use.gpus >= team->guarantee.gpus)
          || (team->guarantee.cpus > 0 && use.cpus >= team->guarantee.cpus)
          || (team->guarantee.gpus == 0 && team->guarantee.cpus == 0);
@@ -24,8 +24,8 @@
 static gboolean
 begins_at_last(const WsCore *core, const WsJob *victim, guint victim_tasks_on)
 {
-  return core->wall - victim->at_ms > (gint64)(WS_BEGIN_WITHIN_S * 1000.0)
-         && victim->done_count == 0 && victim_tasks_on <= ws_queue_protected_tasks(victim);
+  return core->wall - victim->accepted_ms > (gint64)(WS_BEGIN_WITHIN_S * 1000.0)
+         && victim->completed_count == 0 && victim_tasks_on <= ws_queue_protected_tasks(victim);
 }
 
 gboolean
@@ -52,7 +52,7 @@
 gboolean
 ws_preempt_allowed(const WsCore *core, const WsJob *job, const WsJob *victim)
 {
-  return ws_preempt_outranks(core, job, victim, victim->on_count);
+  return ws_preempt_outranks(core, job, victim, victim->assigned_count);
 }
 
 /* What is lost of the victim's work is no more than a few times what would be done in its place: a
@@ -61,10 +61,11 @@
 loses_little(const WsCore *core, const WsJob *job, const WsJob *victim,
              const WsAssignment *assignment)
 {
-  gint64 left = job->tasks - job->done_count - job->on_count;
+  gint64 left = job->tasks - job->completed_count - job->assigned_count;
   gint64 cpus = MIN(left * job->spec->need.cpus, victim->spec->need.cpus);
   double gain = (double)cpus * MAX(ws_estimator_run_s(core, job), 1.0);
-  double lost = (double)victim->spec->need.cpus * (double)(core->wall - assignment->at_ms) / 1000.0;
+  double lost
+      = (double)victim->spec->need.cpus * (double)(core->wall - assignment->assigned_ms) / 1000.0;
   return lost <= MOST_LOST * gain;
 }
 
@@ -74,7 +75,7 @@
 {
   if (job->spec->priority < victim->spec->priority)
     return job->spec->priority == WS_CRITICAL || loses_little(core, job, victim, assignment);
-  return (double)(core->wall - assignment->at_ms) < 500.0 * victim->spec->estimate_s;
+  return (double)(core->wall - assignment->assigned_ms) < 500.0 * victim->spec->estimate_s;
 }
 
 /* The cheapest task on the machine that may be stopped and is not yet: the youngest one. */
@@ -87,10 +88,11 @@
     const WsTaskRef *ref = &g_array_index(machine->tasks, WsTaskRef, i);
     WsJob *victim = ws_replica_job(core->replica, ref->job);
     WsAssignment *assignment = ws_job_assignment(victim, ref->task);
-    if (assignment == NULL || assignment->stopping || assignment->at_ms >= younger_than_ms
-        || !ws_preempt_allowed(core, job, victim) || !is_worth(core, job, victim, assignment))
+    if (assignment == NULL || assignment->is_stop_requested
+        || assignment->assigned_ms >= younger_than_ms || !ws_preempt_allowed(core, job, victim)
+        || !is_worth(core, job, victim, assignment))
       continue;
-    if (best == NULL || assignment->at_ms > best->at_ms) {
+    if (best == NULL || assignment->assigned_ms > best->assigned_ms) {
       best = assignment;
       *owner = victim;
     }
@@ -101,18 +103,18 @@
 double
 ws_preempt_cost(const WsCore *core, const WsJob *job, const WsMachine *machine, const WsSlot *slot)
 {
-  WsAmount room = slot->free;
+  WsResources room = slot->free;
   double cost = 0.0;
   gint64 younger_than_ms = G_MAXINT64;
-  ws_amount_add(&room, &slot->coming, 1);
-  while (!ws_amount_fits(&job->spec->need, &room)) {
+  ws_resources_add(&room, &slot->coming, 1);
+  while (!ws_resources_fit(&job->spec->need, &room)) {
     WsJob *victim = NULL;
     const WsAssignment *assignment = cheapest(core, job, machine, younger_than_ms, &victim);
     if (assignment == NULL)
       return -1.0;
-    younger_than_ms = assignment->at_ms;
-    ws_amount_add(&room, &victim->spec->need, 1);
-    cost += 5.0 + (double)(core->wall - assignment->at_ms) / 1000.0;
+    younger_than_ms = assignment->assigned_ms;
+    ws_resources_add(&room, &victim->spec->need, 1);
+    cost += 5.0 + (double)(core->wall - assignment->assigned_ms) / 1000.0;
   }
   return cost;
 }
@@ -120,16 +122,16 @@
 void
 ws_preempt(WsCore *core, const WsJob *job, WsMachine *machine, WsSlot *slot)
 {
-  WsAmount room = slot->free;
-  ws_amount_add(&room, &slot->coming, 1);
-  while (!ws_amount_fits(&job->spec->need, &room)) {
+  WsResources room = slot->free;
+  ws_resources_add(&room, &slot->coming, 1);
+  while (!ws_resources_fit(&job->spec->need, &room)) {
     WsJob *victim = NULL;
     WsAssignment *assignment = cheapest(core, job, machine, G_MAXINT64, &victim);
     if (assignment == NULL)
       return;
-    assignment->stopping = TRUE;
-    ws_amount_add(&room, &victim->spec->need, 1);
-    ws_amount_add(&slot->coming, &victim->spec->need, 1);
+    assignment->is_stop_requested = TRUE;
+    ws_resources_add(&room, &victim->spec->need, 1);
+    ws_resources_add(&slot->coming, &victim->spec->need, 1);
     if (ws_owns_machine(core, machine))
       ws_worker_rpc_halt(core, victim, assignment);
   }
@@ -145,14 +147,14 @@
 youngest_first(gconstpointer a, gconstpointer b)
 {
   const TeamVictim *first = a, *second = b;
-  gint64 difference_ms = second->assignment->at_ms - first->assignment->at_ms;
+  gint64 difference_ms = second->assignment->assigned_ms - first->assignment->assigned_ms;
   return difference_ms < 0 ? -1 : difference_ms > 0;
 }
 
 /* Adds the tasks of the candidate that may be stopped; what is on its way out is counted. */
 static void
 add_team_victims(const WsCore *core, const WsJob *job, WsJob *candidate, GArray *victims,
-                 WsAmount *coming)
+                 WsResources *coming)
 {
   gboolean is_cancelled = ws_cancellations_has(core, candidate);
   gboolean may_stop = !is_cancelled && ws_preempt_allowed(core, job, candidate);
@@ -161,8 +163,8 @@
   WsAssignment *assignment;
   while ((assignment = ws_assignment_iter_next(&iter)) != NULL) {
     TeamVictim victim = { candidate, assignment };
-    if (is_cancelled || assignment->stopping)
-      ws_amount_add(coming, &candidate->spec->need, 1);
+    if (is_cancelled || assignment->is_stop_requested)
+      ws_resources_add(coming, &candidate->spec->need, 1);
     else if (may_stop)
       g_array_append_val(victims, victim);
   }
@@ -186,12 +188,12 @@
 
 /* How many of the victims must stop before the team has room for the job; 0: even all don't do. */
 static guint
-count_needed(const WsCore *core, const WsJob *job, const WsAmount *use, const GArray *victims)
+count_needed(const WsCore *core, const WsJob *job, const WsResources *use, const GArray *victims)
 {
-  WsAmount left = *use;
+  WsResources left = *use;
   for (guint i = 0; i < victims->len; i++) {
     const TeamVictim *victim = &g_array_index(victims, TeamVictim, i);
-    ws_amount_add(&left, &victim->job->spec->need, -1);
+    ws_resources_add(&left, &victim->job->spec->need, -1);
     if (ws_team_has_room(core->settings, job->team, &left, &job->spec->need))
       return i + 1;
   }
@@ -203,7 +205,7 @@
 {
   for (guint i = 0; i < count; i++) {
     const TeamVictim *victim = &g_array_index(victims, TeamVictim, i);
-    victim->assignment->stopping = TRUE;
+    victim->assignment->is_stop_requested = TRUE;
     g_array_append_val(machines, victim->assignment->machine);
     if (ws_owns_machine(core, ws_replica_machine(core->replica, victim->assignment->machine)))
       ws_worker_rpc_halt(core, victim->job, victim->assignment);
@@ -211,17 +213,17 @@
 }
 
 WsTeamRoom
-ws_preempt_in_team(WsCore *core, const WsJob *job, const WsAmount *use, gboolean has_place,
+ws_preempt_in_team(WsCore *core, const WsJob *job, const WsResources *use, gboolean has_place,
                    WsPlaceFunc makes_place, gpointer data, GArray *machines)
 {
   g_autoptr(GArray) victims = g_array_new(FALSE, FALSE, sizeof(TeamVictim));
-  WsAmount coming = { 0 }, left = *use;
+  WsResources coming = { 0 }, left = *use;
   for (guint i = 0; i < core->replica->active->len; i++) {
     WsJob *candidate = g_ptr_array_index(core->replica->active, i);
     if (candidate->team == job->team && candidate->spec != NULL)
       add_team_victims(core, job, candidate, victims, &coming);
   }
-  ws_amount_add(&left, &coming, -1);
+  ws_resources_add(&left, &coming, -1);
   if (ws_team_has_room(core->settings, job->team, &left, &job->spec->need))
     return WS_TEAM_ROOM_COMES;
   g_array_sort(victims, youngest_first);
--- a/src/scheduling/ws-queue.c
+++ b/src/scheduling/ws-queue.c
@@ -16,11 +16,13 @@
 by_age(gconstpointer a, gconstpointer b)
 {
   const WsWaiting *first = a, *second = b;
-  return first->job->at_ms < second->job->at_ms ? -1 : first->job->at_ms > second->job->at_ms;
+  return first->job->accepted_ms < second->job->accepted_ms
+             ? -1
+             : first->job->accepted_ms > second->job->accepted_ms;
 }
 
 static gboolean
-within(const WsAmount *need, const WsAmount *guarantee)
+within(const WsResources *need, const WsResources *guarantee)
 {
   return (guarantee->cpus > 0 || guarantee->gpus > 0)
          && (guarantee->cpus == 0 || need->cpus <= guarantee->cpus)
@@ -32,7 +34,7 @@
 shortest_s(const WsCore *core, const WsJob *job, guint left)
 {
   const WsTeamSettings *team = g_ptr_array_index(core->settings->teams, job->team);
-  const WsAmount *need = &job->spec->need;
+  const WsResources *need = &job->spec->need;
   gint64 at_once = left;
   if (team->limit.gpus > 0 && need->gpus > 0)
     at_once = MIN(at_once, team->limit.gpus / need->gpus);
@@ -51,8 +53,8 @@
 gboolean
 ws_queue_is_overdue(const WsCore *core, const WsJob *job)
 {
-  double waited_s = (double)(core->wall - job->at_ms) / 1000.0;
-  return waited_s > WS_BEGIN_WITHIN_S && job->on_count == 0 && job->done_count == 0;
+  double waited_s = (double)(core->wall - job->accepted_ms) / 1000.0;
+  return waited_s > WS_BEGIN_WITHIN_S && job->assigned_count == 0 && job->completed_count == 0;
 }
 
 static void
@@ -60,10 +62,11 @@
 {
   const WsJob *job = waiting->job;
   double within_s = ws_job_allowed_s(core->replica, job);
-  guint left = job->tasks - job->done_count;
-  double waited_s = (double)(core->wall - job->at_ms) / 1000.0;
+  guint left = job->tasks - job->completed_count;
+  double waited_s = (double)(core->wall - job->accepted_ms) / 1000.0;
   double end_s = waited_s + HOPE * shortest_s(core, job, left);
-  waiting->weight = ws_estimator_run_s(core, job) * (left - job->on_count) - PATIENCE * waited_s;
+  waiting->weight
+      = ws_estimator_run_s(core, job) * (left - job->assigned_count) - PATIENCE * waited_s;
   waiting->is_overdue = ws_queue_is_overdue(core, job);
   if (within_s >= 0.0 && waited_s < MAX(NOT_GIVEN_UP_S, 2.0 * within_s))
     waiting->lateness = end_s <= within_s ? 0 : end_s <= 1.5 * within_s ? 1 : 2;
@@ -83,11 +86,11 @@
     g_array_append_val(jobs, waiting);
   }
   g_array_sort(jobs, by_age);
-  g_autofree WsAmount *sums = g_new0(WsAmount, MAX(core->settings->teams->len, 1u));
+  g_autofree WsResources *sums = g_new0(WsResources, MAX(core->settings->teams->len, 1u));
   for (guint i = 0; i < jobs->len; i++) {
     WsWaiting *waiting = &g_array_index(jobs, WsWaiting, i);
     const WsTeamSettings *team = g_ptr_array_index(core->settings->teams, waiting->job->team);
-    ws_amount_add(&sums[waiting->job->team], &waiting->job->spec->need, waiting->job->tasks);
+    ws_resources_add(&sums[waiting->job->team], &waiting->job->spec->need, waiting->job->tasks);
     waiting->job->guaranteed = within(&sums[waiting->job->team], &team->guarantee);
   }
   return jobs;
--- a/src/scheduling/ws-reservation.c
+++ b/src/scheduling/ws-reservation.c
@@ -109,7 +109,7 @@
 {
   if (ws_preempt_outranks(core, job, other, other_tasks_on))
     return TRUE;
-  gboolean is_older = ws_queue_is_overdue(core, other) && other->at_ms <= job->at_ms;
+  gboolean is_older = ws_queue_is_overdue(core, other) && other->accepted_ms <= job->accepted_ms;
   return ws_job_is_gang(job) && ws_queue_is_overdue(core, job)
          && other->spec->priority != WS_CRITICAL && !is_older;
 }
@@ -124,17 +124,17 @@
       || job->spec == NULL || ws_cancellations_has(core, job)
       || !goes_before(core, job, other, other_tasks_on))
     return 0;
-  guint settled = job->done_count + job->on_count;
+  guint settled = job->completed_count + job->assigned_count;
   return MIN(entry->tasks, job->tasks - MIN(settled, job->tasks));
 }
 
 gboolean
 ws_reservations_allow(const WsCore *core, const WsJob *job, guint tasks_on, guint machine,
-                      const WsAmount *machine_free, const WsAmount *team_use)
+                      const WsResources *machine_free, const WsResources *team_use)
 {
   const GArray *entries = core->reservations->entries;
-  const WsAmount nothing = { 0 };
-  WsAmount reserved_on_machine = { 0 }, use = *team_use;
+  const WsResources nothing = { 0 };
+  WsResources reserved_on_machine = { 0 }, use = *team_use;
   for (guint i = 0; i < entries->len; i++) {
     const WsReservation *entry = &g_array_index(entries, WsReservation, i);
     guint tasks = counted_tasks(core, entry, job, tasks_on);
@@ -142,10 +142,10 @@
       continue;
     const WsJob *urgent = ws_replica_job(core->replica, entry->job);
     if (entry->machine == machine)
-      ws_amount_add(&reserved_on_machine, &urgent->spec->need, tasks);
+      ws_resources_add(&reserved_on_machine, &urgent->spec->need, tasks);
     else if (entry->machine == WS_NONE && urgent->team == job->team)
-      ws_amount_add(&use, &urgent->spec->need, tasks);
+      ws_resources_add(&use, &urgent->spec->need, tasks);
   }
-  return ws_amount_fits(&reserved_on_machine, machine_free)
+  return ws_resources_fit(&reserved_on_machine, machine_free)
          && ws_team_has_room(core->settings, job->team, &use, &nothing);
 }
--- a/src/scheduling/ws-scheduling.h
+++ b/src/scheduling/ws-scheduling.h
@@ -29,7 +29,7 @@
 WsPlan *ws_plan_new(void);
 void ws_plan_free(WsPlan *plan);
 void ws_plan_tick(WsCore *core);
-guint ws_plan_home(WsCore *core, const WsSubmission *spec);
+guint ws_plan_choose_coordinator(WsCore *core, const WsJobSpec *spec);
 
 typedef struct _WsDemand WsDemand;
 WsDemand *ws_demand_new(WsCore *core);
@@ -41,8 +41,8 @@
 gboolean ws_spare_without(const WsCore *core, const WsMachine *machine);
 
 typedef struct {
-  WsAmount free;   /* room now, less what this plan gave away */
-  WsAmount coming; /* what tasks that are being stopped will leave */
+  WsResources free;   /* room now, less what this plan gave away */
+  WsResources coming; /* what tasks that are being stopped will leave */
   gboolean usable;
   gboolean has_service;
 } WsSlot;
@@ -57,9 +57,9 @@
                        const WsSlot *slot);
 void ws_preempt(WsCore *core, const WsJob *job, WsMachine *machine, WsSlot *slot);
 /* Processors of the smallest allowed type that has room for one task. */
-gint64 ws_smallest_room(const WsReplica *replica, const WsSubmission *spec);
+gint64 ws_smallest_room(const WsReplica *replica, const WsJobSpec *spec);
 /* Whether the job could start on the machine if so much more of it were free. */
-typedef gboolean (*WsPlaceFunc)(const WsMachine *machine, const WsAmount *freed, gpointer data);
+typedef gboolean (*WsPlaceFunc)(const WsMachine *machine, const WsResources *freed, gpointer data);
 typedef enum {
   WS_TEAM_FULL,      /* with work that may not be stopped for the job */
   WS_TEAM_NO_PLACE,  /* stops would make room in the team, but the job has no place to start */
@@ -69,7 +69,7 @@
    room for one task of the job. Nothing is stopped unless that task can then start: either it has a
    place, or makes_place says that the end of one of the stopped tasks leaves it one. use: of the
    team, as planned. The machines of what stops are appended to machines (of guint). */
-WsTeamRoom ws_preempt_in_team(WsCore *core, const WsJob *job, const WsAmount *use,
+WsTeamRoom ws_preempt_in_team(WsCore *core, const WsJob *job, const WsResources *use,
                               gboolean has_place, WsPlaceFunc makes_place, gpointer data,
                               GArray *machines);
 
@@ -134,4 +134,4 @@
  * @team_use: what the team would use
  */
 gboolean ws_reservations_allow(const WsCore *core, const WsJob *job, guint tasks_on, guint machine,
-                               const WsAmount *machine_free, const WsAmount *team_use);
+                               const WsResources *machine_free, const WsResources *team_use);
--- a/src/storage/ws-chunk.c
+++ b/src/storage/ws-chunk.c
@@ -6,9 +6,9 @@
   WsChunk *copy = g_new0(WsChunk, 1);
   if (chunk != NULL) {
     *copy = *chunk;
-    copy->on = g_array_copy(chunk->on);
+    copy->assignments = g_array_copy(chunk->assignments);
   } else {
-    copy->on = g_array_new(FALSE, FALSE, sizeof(WsAssignment));
+    copy->assignments = g_array_new(FALSE, FALSE, sizeof(WsAssignment));
   }
   return copy;
 }
@@ -17,8 +17,8 @@
 ws_chunk_add(WsChunk *chunk, const WsAssignment *assignment)
 {
   ws_chunk_remove(chunk, assignment->task);
-  g_array_append_vals(chunk->on, assignment, 1);
-  chunk->at[assignment->task % WS_CHUNK_TASKS] = (guint8)chunk->on->len;
+  g_array_append_vals(chunk->assignments, assignment, 1);
+  chunk->at[assignment->task % WS_CHUNK_TASKS] = (guint8)chunk->assignments->len;
 }
 
 void
@@ -29,9 +29,9 @@
     return;
   guint index = *at - 1u;
   *at = 0;
-  g_array_remove_index_fast(chunk->on, index);
-  if (index < chunk->on->len)
-    chunk->at[g_array_index(chunk->on, WsAssignment, index).task % WS_CHUNK_TASKS]
+  g_array_remove_index_fast(chunk->assignments, index);
+  if (index < chunk->assignments->len)
+    chunk->at[g_array_index(chunk->assignments, WsAssignment, index).task % WS_CHUNK_TASKS]
         = (guint8)(index + 1);
 }
 
@@ -39,7 +39,7 @@
 ws_chunk_find(const WsChunk *chunk, guint task)
 {
   guint8 at = chunk != NULL ? chunk->at[task % WS_CHUNK_TASKS] : 0;
-  return at != 0 ? &g_array_index(chunk->on, WsAssignment, at - 1u) : NULL;
+  return at != 0 ? &g_array_index(chunk->assignments, WsAssignment, at - 1u) : NULL;
 }
 
 void
@@ -49,7 +49,7 @@
   if (ws_chunk_is_done(chunk, task))
     return;
   chunk->done[bit / 8] |= (guint8)(1u << (bit % 8));
-  chunk->done_count++;
+  chunk->completed_count++;
 }
 
 gboolean
@@ -64,6 +64,6 @@
 {
   if (chunk == NULL)
     return;
-  g_array_unref(chunk->on);
+  g_array_unref(chunk->assignments);
   g_free(chunk);
 }
--- a/src/storage/ws-chunk.h
+++ b/src/storage/ws-chunk.h
@@ -16,22 +16,24 @@
   guint task;
   guint machine;
   guint64 attempt;
-  gint64 at_ms; /* wall clock of the assignment */
+  gint64 assigned_ms; /* wall clock */
   /* soft: */
   guint64 since_version; /* of the record that first named it; 0: not known */
   WsTaskState state;
-  gboolean seen_gone;   /* the worker has shown that a cancelled task's attempt is not there */
-  gint64 stop_asked_ms; /* when another owner was last asked to stop it */
-  gboolean launch_sent; /* its launch was in an answer to a report */
-  gboolean stopping;    /* a stop is wanted, so that something else gets the room or the machine */
+  gboolean
+      is_confirmed_gone;    /* the worker has shown that a cancelled task's attempt is not there */
+  gint64 stop_forwarded_ms; /* when another owner was last asked to stop it */
+  gboolean launch_sent;     /* its launch was in an answer to a report */
+  gboolean
+      is_stop_requested; /* a stop is wanted, so that something else gets the room or the machine */
 } WsAssignment;
 
 typedef struct {
-  guint64 attempts;          /* the last attempt number given out */
-  GArray *on;                /* of WsAssignment; see ws_chunk_add */
+  guint64 last_attempt;      /* the last attempt number given out */
+  GArray *assignments;       /* of WsAssignment; see ws_chunk_add */
   guint8 at[WS_CHUNK_TASKS]; /* of each task: 0, or one more than its place among the assignments */
   guint8 done[WS_CHUNK_TASKS / 8];
-  guint done_count;
+  guint completed_count;
 } WsChunk;
 
 /** A copy that the caller frees; @chunk NULL: an empty one. */
--- a/src/storage/ws-constraints.c
+++ b/src/storage/ws-constraints.c
@@ -1,22 +1,22 @@
 #include "storage/ws-constraints.h"
 
 gboolean
-ws_type_allowed(const WsSubmission *spec, const WsType *type)
+ws_constraints_allow_type(const WsJobSpec *spec, const WsType *type)
 {
   return spec->types == NULL || g_strv_contains((const gchar *const *)spec->types, type->name);
 }
 
 gboolean
-ws_plan_allowed(const WsReplica *replica, const WsSubmission *spec, guint zone,
-                const WsMachine *machine)
+ws_constraints_allow_machine(const WsReplica *replica, const WsJobSpec *spec, guint zone,
+                             const WsMachine *machine)
 {
   return machine->type != WS_NONE && machine->zone != WS_NONE
-         && ws_type_allowed(spec, ws_replica_type(replica, machine->type))
+         && ws_constraints_allow_type(spec, ws_replica_type(replica, machine->type))
          && (spec->zone == NULL || zone == machine->zone) && (spec->spot || !machine->spot);
 }
 
 gboolean
-ws_zone_allowed(const WsJob *job, const guint *counts, guint zones, guint zone)
+ws_constraints_allow_zone(const WsJob *job, const guint *counts, guint zones, guint zone)
 {
   if (job->spec->one_zone)
     for (guint z = 0; z < zones; z++)
--- a/src/storage/ws-gang-phase.c
+++ b/src/storage/ws-gang-phase.c
@@ -18,7 +18,7 @@
 is_stopping(const WsAssignment *assignment, guint64 last_attempt)
 {
   (void)last_attempt;
-  return assignment->stopping || assignment->state == WS_TASK_SAVING;
+  return assignment->is_stop_requested || assignment->state == WS_TASK_SAVING;
 }
 
 static gboolean
@@ -51,7 +51,7 @@
 WsGangPhase
 ws_gang_phase(const WsJob *job)
 {
-  if (job->on_count == 0)
+  if (job->assigned_count == 0)
     return WS_GANG_WAITING;
   if (has_any(job, is_of_older_attempt))
     return WS_GANG_ENDING;
@@ -59,8 +59,8 @@
     return WS_GANG_STOPPING;
   if (has_any(job, is_running))
     return WS_GANG_RUNNING;
-  return job->on_count < job->tasks || has_any(job, is_not_ready) ? WS_GANG_LAUNCHED
-                                                                  : WS_GANG_GATHERING;
+  return job->assigned_count < job->tasks || has_any(job, is_not_ready) ? WS_GANG_LAUNCHED
+                                                                        : WS_GANG_GATHERING;
 }
 
 gboolean
--- a/src/storage/ws-keys.h
+++ b/src/storage/ws-keys.h
@@ -15,7 +15,7 @@
 #define WS_KEYS_TEAM WS_PREFIX "team/"
 #define WS_KEYS_RENTAL_BATCH WS_PREFIX "lot/"
 #define WS_KEYS_MARK WS_PREFIX "mark/"
-#define WS_KEYS_RENT WS_PREFIX "rent/"
+#define WS_KEYS_RENTAL_INTENT WS_PREFIX "rent/"
 #define WS_KEYS_MAILBOX WS_PREFIX "mail/"
 
 char *ws_key_job(const char *id);
--- a/src/storage/ws-records.c
+++ b/src/storage/ws-records.c
@@ -24,9 +24,9 @@
 static gsize
 bytes_without_times(const WsChunk *chunk, const WsReplica *replica)
 {
-  gsize bytes = BYTES_AROUND_CHUNK + count_digits(chunk->attempts) + 2 * sizeof chunk->done;
-  for (guint i = 0; i < chunk->on->len; i++) {
-    const WsAssignment *assignment = &g_array_index(chunk->on, WsAssignment, i);
+  gsize bytes = BYTES_AROUND_CHUNK + count_digits(chunk->last_attempt) + 2 * sizeof chunk->done;
+  for (guint i = 0; i < chunk->assignments->len; i++) {
+    const WsAssignment *assignment = &g_array_index(chunk->assignments, WsAssignment, i);
     const char *machine = ws_replica_machine(replica, assignment->machine)->name;
     bytes += BYTES_AROUND_ASSIGNMENT + count_digits(assignment->task)
              + count_digits(assignment->attempt) + strlen(machine);
@@ -67,21 +67,22 @@
 ws_chunk_encode(const WsChunk *chunk, const WsReplica *replica)
 {
   json_t *on = json_array();
-  gboolean has_times = bytes_without_times(chunk, replica) + (gsize)BYTES_OF_TIME * chunk->on->len
-                       <= replica->settings->state_record_bytes;
-  for (guint i = 0; i < chunk->on->len; i++) {
-    const WsAssignment *assignment = &g_array_index(chunk->on, WsAssignment, i);
+  gboolean has_times
+      = bytes_without_times(chunk, replica) + (gsize)BYTES_OF_TIME * chunk->assignments->len
+        <= replica->settings->state_record_bytes;
+  for (guint i = 0; i < chunk->assignments->len; i++) {
+    const WsAssignment *assignment = &g_array_index(chunk->assignments, WsAssignment, i);
     json_t *item = json_pack("[i, s, I]", (int)assignment->task,
                              ws_replica_machine(replica, assignment->machine)->name,
                              (json_int_t)assignment->attempt);
     if (has_times)
-      json_array_append_new(item, json_integer((json_int_t)assignment->at_ms));
+      json_array_append_new(item, json_integer((json_int_t)assignment->assigned_ms));
     json_array_append_new(on, item);
   }
   char hex[2 * sizeof chunk->done + 1];
   for (guint i = 0; i < sizeof chunk->done; i++)
     g_snprintf(hex + (gsize)2 * i, 3, "%02x", chunk->done[i]);
-  return json_pack("{s:I, s:o, s:s}", "a", (json_int_t)chunk->attempts, "on", on, "d", hex);
+  return json_pack("{s:I, s:o, s:s}", "a", (json_int_t)chunk->last_attempt, "on", on, "d", hex);
 }
 
 static gboolean
@@ -96,7 +97,7 @@
       return FALSE;
     chunk->done[i] = (guint8)(high << 4 | low);
     for (guint bits = chunk->done[i]; bits != 0; bits &= bits - 1)
-      chunk->done_count++;
+      chunk->completed_count++;
   }
   return TRUE;
 }
@@ -108,8 +109,8 @@
   const char *hex = "";
   size_t i;
   const json_t *item;
-  gboolean good = ws_json_count(value, "a", &chunk->attempts) && ws_json_string(value, "d", &hex)
-                  && decode_done(chunk, hex);
+  gboolean good = ws_json_count(value, "a", &chunk->last_attempt)
+                  && ws_json_string(value, "d", &hex) && decode_done(chunk, hex);
   json_array_foreach(json_object_get(value, "on"), i, item)
   {
     const char *machine = json_string_value(json_array_get(item, 1));
@@ -119,7 +120,7 @@
     WsAssignment assignment = { 0 };
     assignment.task = (guint)json_integer_value(json_array_get(item, 0));
     assignment.attempt = (guint64)json_integer_value(json_array_get(item, 2));
-    assignment.at_ms = json_integer_value(json_array_get(item, 3));
+    assignment.assigned_ms = json_integer_value(json_array_get(item, 3));
     assignment.machine = ws_replica_get_machine(replica, machine)->index;
     ws_chunk_add(chunk, &assignment);
   }
@@ -154,9 +155,9 @@
 json_t *
 ws_job_encode(const WsJob *job, WsJobState state, const char *home)
 {
-  json_t *value
-      = json_pack("{s:s, s:I, s:s, s:o}", "s", JOB_STATES[state], "at", (json_int_t)job->at_ms,
-                  "home", home, "spec", ws_submission_encode(job->spec));
+  json_t *value = json_pack("{s:s, s:I, s:s, s:o}", "s", JOB_STATES[state], "at",
+                            (json_int_t)job->accepted_ms, "home", home, "spec",
+                            ws_job_spec_encode(job->spec));
   if (state == WS_JOB_CANCELLED)
     json_object_set_new(value, "cancelled", json_integer((json_int_t)job->cancelled_ms));
   return value;
@@ -209,15 +210,15 @@
   (void)ws_json_count(value, "at", &at);
   (void)ws_json_count(value, "cancelled", &cancelled);
   (void)ws_json_string(value, "home", &home);
-  job->at_ms = (gint64)at;
+  job->accepted_ms = (gint64)at;
   job->cancelled_ms = (gint64)cancelled;
   if (is_cancelled)
     g_array_append_val(replica->cancelled, job->index);
-  job->home = ws_settings_find_node(replica->settings, home);
+  job->coordinator = ws_settings_find_node(replica->settings, home);
   if (job->spec != NULL)
     return;
   g_autofree char *reason = NULL;
-  WsSubmission *parsed = ws_submission_parse(spec, &reason);
+  WsJobSpec *parsed = ws_job_spec_parse(spec, &reason);
   if (parsed != NULL)
     ws_replica_describe_job(replica, job, parsed);
   else
@@ -227,7 +228,7 @@
 /* The other records. */
 
 json_t *
-ws_amount_encode(const WsAmount *amount)
+ws_resources_encode(const WsResources *amount)
 {
   return json_pack("{s:I, s:I}", "c", (json_int_t)amount->cpus, "g", (json_int_t)amount->gpus);
 }
@@ -253,7 +254,7 @@
 }
 
 guint
-ws_rental_batch_most_machines(const WsSettings *settings)
+ws_rental_batch_max_machines(const WsSettings *settings)
 {
   gsize left = (gsize)settings->state_record_bytes - (gsize)2 * BYTES_AROUND_BATCH;
   return MIN((guint)(left / (BYTES_AROUND_NAME + BYTES_OF_ORDINARY_NAME)), MOST_MACHINES_A_BATCH);
@@ -270,7 +271,7 @@
             ws_replica_machine(replica, g_array_index(rental_batch->machines, guint, i))->name));
   return json_pack("{s:s, s:s, s:b, s:I, s:o}", "type", rental_batch->type, "zone",
                    rental_batch->zone, "spot", rental_batch->spot, "at",
-                   (json_int_t)rental_batch->at_ms, "names", names);
+                   (json_int_t)rental_batch->rented_ms, "names", names);
 }
 
 static WsRentalBatch *
@@ -295,10 +296,10 @@
     WsMachine *machine = ws_replica_get_machine(replica, json_string_value(item));
     g_array_append_val(rental_batch->machines, machine->index);
     ws_replica_describe_machine(replica, machine, type, zone, spot);
-    machine->stored = TRUE;
+    machine->is_recorded = TRUE;
     machine->rental_batches++;
     machine->rental_batch = g_intern_string(name);
-    machine->at_ms = (gint64)at;
+    machine->rented_ms = (gint64)at;
   }
   return rental_batch;
 }
@@ -312,8 +313,8 @@
     machine->rental_batches--;
     if (machine->rental_batches > 0)
       continue;
-    machine->stored = FALSE;
-    machine->gone = TRUE;
+    machine->is_recorded = FALSE;
+    machine->is_returned = TRUE;
   }
 }
 
@@ -357,19 +358,19 @@
 {
   WsMachine *machine = ws_replica_get_machine(replica, name);
   const char *why = "";
-  machine->marked = value != NULL;
-  machine->mark_now = FALSE;
-  machine->marking = FALSE;
-  g_clear_pointer(&machine->mark_why, g_free);
+  machine->is_marked = value != NULL;
+  machine->mark_is_immediate = FALSE;
+  machine->mark_is_pending = FALSE;
+  g_clear_pointer(&machine->mark_reason, g_free);
   if (value == NULL)
     return;
   (void)ws_json_string(value, "why", &why);
-  (void)ws_json_bool(value, "now", &machine->mark_now);
-  machine->mark_why = g_strdup(why);
+  (void)ws_json_bool(value, "now", &machine->mark_is_immediate);
+  machine->mark_reason = g_strdup(why);
 }
 
 json_t *
-ws_rent_encode(const WsRent *rent)
+ws_rental_intent_encode(const WsRentalIntent *rent)
 {
   return json_pack("{s:s, s:s, s:b, s:i}", "type", rent->type, "zone", rent->zone, "spot",
                    rent->spot, "count", (int)rent->count);
@@ -379,7 +380,7 @@
 apply_rent(WsReplica *replica, const char *request, const json_t *value)
 {
   for (guint i = 0; i < replica->rents->len; i++) {
-    const WsRent *rent = g_ptr_array_index(replica->rents, i);
+    const WsRentalIntent *rent = g_ptr_array_index(replica->rents, i);
     if (strcmp(rent->request, request) == 0) {
       g_ptr_array_remove_index(replica->rents, i);
       break;
@@ -395,8 +396,8 @@
     g_warning("record of rental %s is damaged", request);
     return;
   }
-  WsRent *rent = g_new0(WsRent, 1);
-  *rent = (WsRent){ g_strdup(request), g_strdup(type), g_strdup(zone), spot, (guint)count };
+  WsRentalIntent *rent = g_new0(WsRentalIntent, 1);
+  *rent = (WsRentalIntent){ g_strdup(request), g_strdup(type), g_strdup(zone), spot, (guint)count };
   g_ptr_array_add(replica->rents, rent);
 }
 
@@ -453,7 +454,7 @@
                 { WS_KEYS_TEAM_USE, ws_team_use_apply },
                 { WS_KEYS_RENTAL_BATCH, apply_rental_batch },
                 { WS_KEYS_MARK, apply_mark },
-                { WS_KEYS_RENT, apply_rent },
+                { WS_KEYS_RENTAL_INTENT, apply_rent },
                 { WS_KEYS_MEMBER, apply_member },
                 { WS_KEYS_MAILBOX, apply_mailbox } };
   if (strcmp(key, WS_KEY_EPOCH) == 0) {
@@ -478,8 +479,8 @@
 static void
 note_removed(WsReplica *replica, const char *key, guint64 version)
 {
-  WsRemoved *removed = g_new0(WsRemoved, 1);
-  *removed = (WsRemoved){ g_strdup(key), version };
+  WsRemovedKey *removed = g_new0(WsRemovedKey, 1);
+  *removed = (WsRemovedKey){ g_strdup(key), version };
   g_queue_push_tail(&replica->removed, removed);
 }
 
@@ -531,7 +532,7 @@
   if (revision <= replica->revision)
     return;
   replica->revision = revision;
-  WsRemoved *removed;
+  WsRemovedKey *removed;
   while ((removed = g_queue_peek_head(&replica->removed)) != NULL && removed->version <= revision) {
     const WsKeyVersion *known = g_hash_table_lookup(replica->versions, removed->key);
     if (known != NULL && !known->present && known->version <= revision)
--- a/src/storage/ws-replica.c
+++ b/src/storage/ws-replica.c
@@ -9,7 +9,7 @@
   for (guint i = 0; i < job->chunks->len; i++)
     ws_chunk_free(g_ptr_array_index(job->chunks, i));
   g_free(job->id);
-  ws_submission_free(job->spec);
+  ws_job_spec_free(job->spec);
   g_ptr_array_unref(job->chunks);
   g_free(job);
 }
@@ -20,7 +20,7 @@
   WsMachine *machine = data;
   g_free(machine->type_name);
   g_free(machine->endpoint);
-  g_free(machine->mark_why);
+  g_free(machine->mark_reason);
   g_array_unref(machine->tasks);
   g_array_unref(machine->images);
   g_free(machine);
@@ -29,7 +29,7 @@
 static void
 rent_free(gpointer data)
 {
-  WsRent *rent = data;
+  WsRentalIntent *rent = data;
   g_free(rent->request);
   g_free(rent->type);
   g_free(rent->zone);
@@ -55,7 +55,7 @@
 static void
 removed_free(gpointer data)
 {
-  g_free(((WsRemoved *)data)->key);
+  g_free(((WsRemovedKey *)data)->key);
   g_free(data);
 }
 
@@ -79,7 +79,7 @@
   replica->fresh = g_array_new(FALSE, FALSE, sizeof(WsTaskRef));
   replica->cancelled = g_array_new(FALSE, FALSE, sizeof(guint));
   g_queue_init(&replica->removed);
-  replica->team_use = g_new0(WsAmount, MAX(settings->teams->len, 1u));
+  replica->team_use = g_new0(WsResources, MAX(settings->teams->len, 1u));
   replica->team_is_recorded = g_new0(gboolean, MAX(settings->teams->len, 1u));
   ws_names_init(&replica->images);
   return replica;
@@ -159,8 +159,8 @@
   machine->index = replica->machines->len;
   machine->type = WS_NONE;
   machine->zone = WS_NONE;
-  machine->last_bad_job = WS_NONE;
-  machine->owner_seen = WS_NONE;
+  machine->last_failed_job = WS_NONE;
+  machine->handled_owner = WS_NONE;
   machine->tasks = g_array_new(FALSE, FALSE, sizeof(WsTaskRef));
   machine->images = g_array_new(FALSE, FALSE, sizeof(guint));
   g_ptr_array_add(replica->machines, machine);
@@ -268,8 +268,8 @@
 {
   for (; iter->chunk < iter->job->chunks->len; iter->chunk++) {
     const WsChunk *chunk = g_ptr_array_index(iter->job->chunks, iter->chunk);
-    if (chunk != NULL && iter->place < chunk->on->len)
-      return &g_array_index(chunk->on, WsAssignment, iter->place++);
+    if (chunk != NULL && iter->place < chunk->assignments->len)
+      return &g_array_index(chunk->assignments, WsAssignment, iter->place++);
     iter->place = 0;
   }
   return NULL;
@@ -308,7 +308,7 @@
   guint64 last = 0;
   for (guint c = 0; c < job->chunks->len; c++) {
     const WsChunk *chunk = g_ptr_array_index(job->chunks, c);
-    last = MAX(last, chunk != NULL ? chunk->attempts : 0);
+    last = MAX(last, chunk != NULL ? chunk->last_attempt : 0);
   }
   return last;
 }
@@ -325,7 +325,7 @@
   WsMachine *machine = ws_replica_machine(replica, assignment->machine);
   WsTaskRef ref = { job->index, assignment->task };
   g_array_append_val(machine->tasks, ref);
-  ws_amount_add(&machine->used, &job->spec->need, 1);
+  ws_resources_add(&machine->used, &job->spec->need, 1);
   machine->empty_ms = 0;
 }
 
@@ -337,7 +337,7 @@
     const WsTaskRef *ref = &g_array_index(machine->tasks, WsTaskRef, i);
     if (ref->job == job->index && ref->task == assignment->task) {
       g_array_remove_index_fast(machine->tasks, i);
-      ws_amount_add(&machine->used, &job->spec->need, -1);
+      ws_resources_add(&machine->used, &job->spec->need, -1);
       return;
     }
   }
@@ -349,10 +349,10 @@
   WsChunk *old = index < job->chunks->len ? g_ptr_array_index(job->chunks, index) : NULL;
   if (old == NULL)
     return;
-  for (guint i = 0; i < old->on->len; i++)
-    unlink_assignment(replica, job, &g_array_index(old->on, WsAssignment, i));
-  job->on_count -= old->on->len;
-  job->done_count -= old->done_count;
+  for (guint i = 0; i < old->assignments->len; i++)
+    unlink_assignment(replica, job, &g_array_index(old->assignments, WsAssignment, i));
+  job->assigned_count -= old->assignments->len;
+  job->completed_count -= old->completed_count;
 }
 
 /* What a node knows beyond the record survives a new version of the record; what wasn't there is
@@ -360,8 +360,8 @@
 static void
 keep_soft(WsReplica *replica, const WsJob *job, WsChunk *chunk, const WsChunk *old)
 {
-  for (guint i = 0; i < chunk->on->len; i++) {
-    WsAssignment *fresh = &g_array_index(chunk->on, WsAssignment, i);
+  for (guint i = 0; i < chunk->assignments->len; i++) {
+    WsAssignment *fresh = &g_array_index(chunk->assignments, WsAssignment, i);
     const WsAssignment *known = ws_chunk_find(old, fresh->task);
     if (known != NULL && known->attempt == fresh->attempt && known->machine == fresh->machine) {
       *fresh = *known;
@@ -370,7 +370,7 @@
     fresh->since_version = replica->is_loading ? 0 : replica->applying;
     WsTaskRef ref = { job->index, fresh->task };
     g_array_append_val(replica->fresh, ref);
-    ws_replica_machine(replica, fresh->machine)->sparse_ms = 0; /* its hold begins anew */
+    ws_replica_machine(replica, fresh->machine)->underused_ms = 0; /* its hold begins anew */
   }
 }
 
@@ -383,10 +383,10 @@
   WsChunk *old = g_ptr_array_index(job->chunks, index);
   if (chunk != NULL) {
     keep_soft(replica, job, chunk, old);
-    for (guint i = 0; i < chunk->on->len; i++)
-      link_assignment(replica, job, &g_array_index(chunk->on, WsAssignment, i));
-    job->on_count += chunk->on->len;
-    job->done_count += chunk->done_count;
+    for (guint i = 0; i < chunk->assignments->len; i++)
+      link_assignment(replica, job, &g_array_index(chunk->assignments, WsAssignment, i));
+    job->assigned_count += chunk->assignments->len;
+    job->completed_count += chunk->completed_count;
   }
   g_ptr_array_index(job->chunks, index) = chunk;
   ws_chunk_free(old);
@@ -399,7 +399,7 @@
   job->index = replica->jobs->len;
   job->id = g_strdup(id);
   job->chunks = g_ptr_array_new();
-  job->home = WS_NONE;
+  job->coordinator = WS_NONE;
   g_ptr_array_add(replica->jobs, job);
   g_hash_table_insert(replica->job_index, job->id, job);
   return job;
@@ -412,12 +412,12 @@
     ws_replica_replace_chunk(replica, job, i, NULL);
   g_ptr_array_set_size(job->chunks, 0);
   g_ptr_array_remove(replica->active, job);
-  ws_submission_free(job->spec);
+  ws_job_spec_free(job->spec);
   job->spec = NULL;
 }
 
 void
-ws_replica_describe_job(WsReplica *replica, WsJob *job, WsSubmission *spec)
+ws_replica_describe_job(WsReplica *replica, WsJob *job, WsJobSpec *spec)
 {
   job->spec = spec;
   job->tasks = spec->tasks;
--- a/src/storage/ws-replica.h
+++ b/src/storage/ws-replica.h
@@ -16,17 +16,17 @@
   guint index;
   char *id;
   WsJobState state;
-  WsSubmission *spec; /* NULL once the record has shrunk to its final form */
+  WsJobSpec *spec; /* NULL once the record has shrunk to its final form */
   guint tasks;
   guint team;
   guint image;
   guint zone;          /* WS_NONE: any */
-  guint home;          /* a node, or WS_NONE: the leader */
-  gint64 at_ms;        /* wall clock */
+  guint coordinator;   /* a node, or WS_NONE: the leader */
+  gint64 accepted_ms;  /* wall clock */
   gint64 cancelled_ms; /* wall clock of the cancellation; 0: there is none, or nobody wrote when */
   GPtrArray *chunks;   /* of WsChunk or NULL */
-  guint done_count;
-  guint on_count;
+  guint completed_count;
+  guint assigned_count;
   /* soft: */
   guint errors;
   guint incomplete;    /* ends of a gang's tasks whose others didn't come in time */
@@ -47,8 +47,8 @@
   guint64 owner_since; /* the epoch from which on the same run of the owner has owned it, as far
                           as this node can tell */
   guint64 owner_since_version; /* of that epoch's record */
-  gboolean stored; /* a rental batch names it: the machine is ours, and is charged for */
-  gboolean gone;   /* no rental batch names it any more: the cloud has confirmed its return */
+  gboolean is_recorded; /* a rental batch names it: the machine is ours, and is charged for */
+  gboolean is_returned; /* no rental batch names it any more: the cloud has confirmed its return */
   const char *rental_batch; /* interned: the last one that named it */
   guint rental_batches;     /* how many rental batches name it: two, if two nodes met it at the same
                                time */
@@ -56,29 +56,29 @@
   char *type_name;
   guint zone;
   gboolean spot;
-  gint64 at_ms; /* wall clock of the rental */
-  gboolean marked;
-  char *mark_why;
-  gboolean mark_now; /* without drain: nothing on it can be talked to */
-  GArray *tasks;     /* of WsTaskRef */
-  WsAmount used;
+  gint64 rented_ms; /* wall clock */
+  gboolean is_marked;
+  char *mark_reason;
+  gboolean mark_is_immediate; /* without drain: nothing on it can be talked to */
+  GArray *tasks;              /* of WsTaskRef */
+  WsResources used;
   /* soft: */
   char *endpoint;
   gint64 heard_ms;    /* when its last report came, here or at a peer; 0: never */
   gint64 reported_ms; /* when a report of its own last came, not an answer to a call; 0: never */
   gint64 session_ms;  /* when this node saw it begin a session anew; 0: never */
   gint64 up_ms;
-  guint owner_seen; /* the owner when an epoch was last noticed */
-  gint64 owned_ms;  /* since when it is that one */
+  guint handled_owner; /* the owner when an epoch was last noticed */
+  gint64 owned_ms;     /* since when it is that one */
   guint64 session;
   guint64 seq;
   guint64 token;
-  gint64 notice_ms; /* when the cloud takes it; 0: no notice */
-  gint64 empty_ms;  /* since when nothing is on it; 0: something is */
-  gint64 sparse_ms; /* since when it holds little; 0: it doesn't */
-  GArray *images;   /* of guint, oldest first */
-  guint bad_jobs;   /* jobs that failed here since one last succeeded */
-  guint last_bad_job;
+  gint64 interruption_ms; /* when the cloud takes it; 0: no notice */
+  gint64 empty_ms;        /* since when nothing is on it; 0: something is */
+  gint64 underused_ms;    /* since when it holds little; 0: it doesn't */
+  GArray *images;         /* of guint, oldest first */
+  guint failed_jobs;      /* jobs that failed here since one last succeeded */
+  guint last_failed_job;
   guint64 halt_session; /* as the worker last told whoever halts a cancelled task there */
   guint64 halt_token;
   guint indeterminate_launches; /* direct launches without an answer */
@@ -86,20 +86,20 @@
   guint64 indeterminate_token;
   guint64 indeterminate_session;
   gint64 unacknowledged_ms; /* since when what it is told has come to nothing; 0: it hasn't */
-  guint halts_in_a_row;
-  gint64 sent_away_ms; /* when it was last sent away by this node, while cut off */
-  gboolean peer_up;    /* its owner says that it is up */
-  guint said;          /* what the peers are told: up, notice */
-  guint64 said_rev;    /* when that changed last */
-  gboolean has_news;   /* images or endpoint have changed since */
-  gint64 status_ms;    /* when it was last asked for its status */
-  guint status_failed;
+  guint consecutive_halts;
+  gint64 sent_away_ms;          /* when it was last sent away by this node, while cut off */
+  gboolean is_up_at_owner;      /* its owner says that it is up */
+  guint announced_state;        /* what the peers are told: up, notice */
+  guint64 announced_revision;   /* when that changed last */
+  gboolean announcement_is_due; /* images or endpoint have changed since */
+  gint64 probed_ms;             /* when it was last asked for its status */
+  guint failed_probes;
   gint64 redirected_ms;
-  gboolean needs_record; /* it waits for a rental batch */
-  gint64 listed_ms;      /* since when lists show it although it has no record; 0: they don't */
-  gboolean marking;      /* its mark or its rental batch is being written */
-  gint64 marking_ms;     /* since when */
-  gint64 stop_after_ms;  /* the next stop of a drain */
+  gboolean needs_record;    /* it waits for a rental batch */
+  gint64 listed_ms;         /* since when lists show it although it has no record; 0: they don't */
+  gboolean mark_is_pending; /* its mark or its rental batch is being written */
+  gint64 mark_pending_ms;   /* since when */
+  gint64 stop_after_ms;     /* the next stop of a drain */
   guint stop_backoff_ms;
 } WsMachine;
 
@@ -109,7 +109,7 @@
   char *zone;
   gboolean spot;
   guint count;
-} WsRent;
+} WsRentalIntent;
 
 /* Machines that came together: one record for all of them, since the state service's changes are
    few and machines come by the hundred. */
@@ -118,7 +118,7 @@
   char *type;
   char *zone;
   gboolean spot;
-  gint64 at_ms;
+  gint64 rented_ms; /* wall clock */
   GArray *machines; /* of guint */
 } WsRentalBatch;
 
@@ -130,12 +130,12 @@
 typedef struct {
   char *key;
   guint64 version;
-} WsRemoved;
+} WsRemovedKey;
 
 typedef struct {
   const WsSettings *settings;
   GHashTable *versions; /* key -> WsKeyVersion */
-  GQueue removed;       /* of WsRemoved: removed keys still among the versions */
+  GQueue removed;       /* of WsRemovedKey: removed keys still among the versions */
   GArray *fresh;        /* of WsTaskRef: assigned since somebody last emptied it */
   GArray *cancelled;    /* of guint: jobs with tasks cancelled since somebody last emptied it */
   guint64 revision;     /* everything up to here has been applied */
@@ -151,10 +151,10 @@
   GPtrArray *machines;
   GHashTable *machine_index;
   gsize longest_name;        /* of a machine, in bytes */
-  GPtrArray *rents;          /* of WsRent */
+  GPtrArray *rents;          /* of WsRentalIntent */
   GPtrArray *rental_batches; /* of WsRentalBatch */
   GQueue mailbox;            /* of json_t: what nodes left in the store for each other */
-  WsAmount *team_use;
+  WsResources *team_use;
   gboolean *team_is_recorded; /* its use comes from the record that it belongs to */
   WsNames images;
   GPtrArray *catalog; /* of WsType, NULL: not known yet */
@@ -183,7 +183,7 @@
 /* The machine's owner under the present epoch; last: the epoch before, NULL: the machine is new. */
 void ws_replica_find_owner(WsReplica *replica, WsMachine *machine, const WsEpoch *last);
 WsJob *ws_replica_add_job(WsReplica *replica, const char *id);
-void ws_replica_describe_job(WsReplica *replica, WsJob *job, WsSubmission *spec /* taken */);
+void ws_replica_describe_job(WsReplica *replica, WsJob *job, WsJobSpec *spec /* taken */);
 void ws_replica_shrink_job(WsReplica *replica, WsJob *job);
 void ws_replica_replace_chunk(WsReplica *replica, WsJob *job, guint index,
                               WsChunk *chunk /* taken */);
@@ -227,13 +227,13 @@
 /* How many more tasks may be assigned in the chunk before its record is too large, whatever their
    machines are called. chunk: NULL for an empty one. */
 guint ws_chunk_free_places(const WsChunk *chunk, const WsReplica *replica);
-json_t *ws_amount_encode(const WsAmount *amount);
+json_t *ws_resources_encode(const WsResources *amount);
 json_t *ws_rental_batch_encode(const WsRentalBatch *rental_batch, const WsReplica *replica);
 /* Whether the rental batch's record takes one more machine of the name. */
 gboolean ws_rental_batch_has_place(const WsRentalBatch *rental_batch, const WsReplica *replica,
                                    const char *machine);
 /* How many machines of ordinary names a rental batch's record takes; the cloud gives 50 at once. */
-guint ws_rental_batch_most_machines(const WsSettings *settings);
+guint ws_rental_batch_max_machines(const WsSettings *settings);
 void ws_rental_batch_free(WsRentalBatch *rental_batch);
-json_t *ws_rent_encode(const WsRent *rent);
+json_t *ws_rental_intent_encode(const WsRentalIntent *rent);
 json_t *ws_mark_encode(const char *why, gboolean now);
--- a/src/storage/ws-team-use.c
+++ b/src/storage/ws-team-use.c
@@ -32,13 +32,13 @@
 }
 
 json_t *
-ws_team_use_encode(const WsSettings *settings, guint group, const WsAmount *use)
+ws_team_use_encode(const WsSettings *settings, guint group, const WsResources *use)
 {
   json_t *value = json_object();
   for (guint t = 0; t < settings->teams->len; t++) {
     const WsTeamSettings *team = g_ptr_array_index(settings->teams, t);
     if (ws_team_use_group(settings, t) == group)
-      json_object_set_new(value, team->name, ws_amount_encode(&use[t]));
+      json_object_set_new(value, team->name, ws_resources_encode(&use[t]));
   }
   return value;
 }
--- a/src/storage/ws-team-use.h
+++ b/src/storage/ws-team-use.h
@@ -19,7 +19,7 @@
 char *ws_team_use_key(guint group);
 
 /** The record's value. @use: of each team. */
-json_t *ws_team_use_encode(const WsSettings *settings, guint group, const WsAmount *use);
+json_t *ws_team_use_encode(const WsSettings *settings, guint group, const WsResources *use);
 
 /**
  * Takes a record into the replica.
--- a/src/workers/ws-cancellations.c
+++ b/src/workers/ws-cancellations.c
@@ -236,7 +236,7 @@
   const WsTaskRef *ref = &g_array_index(machine->tasks, WsTaskRef, i);
   *job = ws_replica_job(core->replica, ref->job);
   WsAssignment *assignment = (*job)->spec != NULL ? ws_job_assignment(*job, ref->task) : NULL;
-  return assignment != NULL && !assignment->seen_gone && ws_cancellations_has(core, *job)
+  return assignment != NULL && !assignment->is_confirmed_gone && ws_cancellations_has(core, *job)
              ? assignment
              : NULL;
 }
@@ -251,7 +251,7 @@
   for (guint i = 0; machine->indeterminate_launches == 0 && i < machine->tasks->len; i++) {
     WsAssignment *assignment = unhalted(core, machine, i, &job);
     if (assignment != NULL && is_halted(heartbeat, job, assignment))
-      assignment->seen_gone = TRUE;
+      assignment->is_confirmed_gone = TRUE;
   }
 }
 
@@ -358,10 +358,11 @@
 give_back(WsCore *core, WsMachine *machine, gint64 age_ms)
 {
   double part = (double)age_ms / (core->settings->cancel_s * 1000.0);
-  if (part < MARK_DEADLINE_SHARE || machine->gone || ws_returns_is_confirmed(core, machine->name))
+  if (part < MARK_DEADLINE_SHARE || machine->is_returned
+      || ws_returns_is_confirmed(core, machine->name))
     return;
   if (ws_store_is_available(core)) {
-    if (ws_is_active_member(core) && machine->stored && !machine->mark_now)
+    if (ws_is_active_member(core) && machine->is_recorded && !machine->mark_is_immediate)
       ws_termination_mark(core, machine, "cancelled", TRUE);
   } else if (part >= RETURN_DEADLINE_SHARE && returns_unmarked(core)) {
     ws_returns_add_unmarked(core, machine);
@@ -411,7 +412,8 @@
       continue;
     ws_assignment_iter_init(&iter, job);
     while ((assignment = ws_assignment_iter_next(&iter)) != NULL)
-      if (!assignment->seen_gone && g_hash_table_add(seen, GUINT_TO_POINTER(assignment->machine)))
+      if (!assignment->is_confirmed_gone
+          && g_hash_table_add(seen, GUINT_TO_POINTER(assignment->machine)))
         tend_machine(core, ws_replica_machine(core->replica, assignment->machine));
   }
 }
--- a/src/workers/ws-worker-rpc.c
+++ b/src/workers/ws-worker-rpc.c
@@ -112,7 +112,7 @@
   if (!ws_job_is_gang(job))
     return job->spec->save_s + GRACE_MARGIN_S;
   /* Once a task is lost the others can save nothing. */
-  if (ws_gang_is_ending(job) && !assignment->stopping)
+  if (ws_gang_is_ending(job) && !assignment->is_stop_requested)
     return 0.0;
   return job->spec->save_s + core->settings->gang_peer_s + GRACE_MARGIN_S;
 }
--- a/src/workers/ws-workers.c
+++ b/src/workers/ws-workers.c
@@ -36,7 +36,8 @@
   guint count = machine->images->len;
   if (count > 0 && g_array_index(machine->images, guint, count - 1) == image)
     return;
-  machine->has_news = machine->has_news || !ws_machine_has_image(machine, image);
+  machine->announcement_is_due
+      = machine->announcement_is_due || !ws_machine_has_image(machine, image);
   for (guint i = 0; i < machine->images->len; i++)
     if (g_array_index(machine->images, guint, i) == image) {
       g_array_remove_index(machine->images, i);
@@ -54,9 +55,9 @@
 {
   job->errors++;
   job->retry_ms = core->now + 500 * (gint64)(1u << MIN(job->errors, 7u));
-  if (machine->last_bad_job != job->index)
-    machine->bad_jobs++;
-  machine->last_bad_job = job->index;
+  if (machine->last_failed_job != job->index)
+    machine->failed_jobs++;
+  machine->last_failed_job = job->index;
   g_info("a task of job %s failed on %s", job->id, machine->name);
 }
 
@@ -83,8 +84,8 @@
   if (why == WS_EXIT_INCOMPLETE)
     back_off_gang(core, job);
   if (why == WS_EXIT_DONE) {
-    machine->bad_jobs = 0;
-    machine->last_bad_job = WS_NONE;
+    machine->failed_jobs = 0;
+    machine->last_failed_job = WS_NONE;
     job->errors = 0;
   }
 }
@@ -158,19 +159,19 @@
         = 0; /* from now on the worker refuses what was sent under the older token */
   machine->token = MAX(machine->token, heartbeat->token);
   machine->heard_ms = core->now;
-  machine->status_failed = 0;
+  machine->failed_probes = 0;
   if (machine->up_ms == 0) {
     machine->up_ms = core->now;
     g_info("machine %s is up", machine->name);
   }
-  if (heartbeat->notice_s < 0.0)
-    machine->notice_ms = 0;
-  else if (machine->notice_ms == 0)
-    machine->notice_ms = core->now + (gint64)(heartbeat->notice_s * 1000.0);
+  if (heartbeat->interruption_s < 0.0)
+    machine->interruption_ms = 0;
+  else if (machine->interruption_ms == 0)
+    machine->interruption_ms = core->now + (gint64)(heartbeat->interruption_s * 1000.0);
   if (g_strcmp0(machine->endpoint, heartbeat->endpoint) != 0) {
     g_free(machine->endpoint);
     machine->endpoint = g_strdup(heartbeat->endpoint);
-    machine->has_news = TRUE;
+    machine->announcement_is_due = TRUE;
   }
   return TRUE;
 }
@@ -220,7 +221,7 @@
 static gboolean
 is_drained(WsCore *core, WsMachine *machine, WsJob *job, const WsAssignment *assignment)
 {
-  if (!machine->marked || (ws_job_is_gang(job) && assignment->state >= WS_TASK_RUNNING))
+  if (!machine->is_marked || (ws_job_is_gang(job) && assignment->state >= WS_TASK_RUNNING))
     return FALSE;
   return ws_termination_may_stop(core, machine, job, assignment);
 }
@@ -245,7 +246,7 @@
   gboolean is_cancelled = ws_cancellations_has(answer->core, job);
   if (task->state == WS_TASK_SAVING && !is_cancelled)
     return;
-  if (is_cancelled || assignment->stopping || ws_gang_is_ending(job)
+  if (is_cancelled || assignment->is_stop_requested || ws_gang_is_ending(job)
       || is_drained(answer->core, machine, job, assignment))
     command(answer, WS_OP_HALT, task->job, task->task, task->attempt,
             ws_halt_grace_s(answer->core, job, assignment));
@@ -258,8 +259,8 @@
 static void
 command_absent(Answer *answer, WsJob *job, WsAssignment *assignment)
 {
-  gboolean unwanted = ws_cancellations_has(answer->core, job) || assignment->stopping
-                      || answer->machine->marked || ws_gang_is_ending(job)
+  gboolean unwanted = ws_cancellations_has(answer->core, job) || assignment->is_stop_requested
+                      || answer->machine->is_marked || ws_gang_is_ending(job)
                       || ws_releases_has(answer->core, job, assignment);
   if (!unwanted && !ws_has_all_cancellations(answer->core))
     return; /* it may be cancelled, and nobody could have told us */
@@ -296,9 +297,9 @@
 note_unacknowledged(Answer *answer)
 {
   WsMachine *machine = answer->machine;
-  machine->halts_in_a_row = answer->halts ? machine->halts_in_a_row + 1 : 0;
+  machine->consecutive_halts = answer->halts ? machine->consecutive_halts + 1 : 0;
   gboolean is_unacknowledged
-      = answer->is_unacknowledged || !answer->confirmed || machine->halts_in_a_row > 1;
+      = answer->is_unacknowledged || !answer->confirmed || machine->consecutive_halts > 1;
   if (!is_unacknowledged)
     machine->unacknowledged_ms = 0;
   else if (machine->unacknowledged_ms == 0)
@@ -317,20 +318,20 @@
                     .commands = json_array(),
                     .confirmed = heartbeat->token == token(core),
                     .is_behind = !ws_has_caught_up_with_epoch(core) };
-  gboolean was_usable = ws_machine_is_up(core, machine) && machine->notice_ms == 0;
+  gboolean was_usable = ws_machine_is_up(core, machine) && machine->interruption_ms == 0;
   if (!take_header(core, machine, heartbeat))
     return ws_heartbeat_answer_encode(token(core), answer.commands);
   machine->reported_ms = core->now;
   /* A copy of an old report may come from a machine that was returned before this node began; only
      one that has had an answer of this epoch is there. */
-  if (!machine->stored && answer.confirmed)
+  if (!machine->is_recorded && answer.confirmed)
     ws_cloud_list_reconcile(core, machine, core->wall);
   if (answer.confirmed)
     for (guint i = 0; i < heartbeat->tasks->len; i++)
       take_task(core, machine, &g_array_index(heartbeat->tasks, WsTaskStatus, i));
   command_all(&answer);
   note_unacknowledged(&answer);
-  core->plan_due = core->plan_due || !was_usable || machine->notice_ms > 0;
+  core->plan_due = core->plan_due || !was_usable || machine->interruption_ms > 0;
   return ws_heartbeat_answer_encode(token(core), answer.commands);
 }
 
--- a/tests/sim/rig.c
+++ b/tests/sim/rig.c
@@ -184,7 +184,7 @@
 rig_lift_limits(Rig *rig)
 {
   for (guint t = 0; t < rig->settings->teams->len; t++)
-    ((WsTeamSettings *)g_ptr_array_index(rig->settings->teams, t))->limit = (WsAmount){ 0 };
+    ((WsTeamSettings *)g_ptr_array_index(rig->settings->teams, t))->limit = (WsResources){ 0 };
 }
 
 json_t *
--- a/tests/sim/sim-checker.c
+++ b/tests/sim/sim-checker.c
@@ -166,9 +166,10 @@
   guint taken = 0;
   for (guint k = 0; k < machine->worker->tasks->len; k++)
     taken += strcmp(g_array_index(machine->worker->tasks, SimTask, k).state, "exited") != 0;
-  return sim_is_up(sim, machine) && !sim_hangs(sim, machine) && machine->worker->notice_ms == 0
-         && sim->now_ms >= machine->deaf_until_ms && sim->now_ms >= machine->mute_until_ms
-         && (job->spec.spot || !machine->worker->spot) && taken < SIM_PLACES;
+  return sim_is_up(sim, machine) && !sim_hangs(sim, machine)
+         && machine->worker->interruption_ms == 0 && sim->now_ms >= machine->deaf_until_ms
+         && sim->now_ms >= machine->mute_until_ms && (job->spec.spot || !machine->worker->spot)
+         && taken < SIM_PLACES;
 }
 
 /* Once the troubles are over no job waits for long while a machine that fits has room and its team
--- a/tests/sim/sim-cloud.c
+++ b/tests/sim/sim-cloud.c
@@ -146,7 +146,7 @@
   sim->lost_tasks += tasks - machine->worker->tasks->len;
   if (sim_hangs(sim, machine))
     return;
-  if (machine->worker->notice_ms > 0 && sim->now_ms >= machine->worker->notice_ms) {
+  if (machine->worker->interruption_ms > 0 && sim->now_ms >= machine->worker->interruption_ms) {
     machine->returned = TRUE;
     g_array_set_size(machine->worker->tasks, 0);
     return;
--- a/tests/sim/sim-faults.c
+++ b/tests/sim/sim-faults.c
@@ -66,8 +66,8 @@
 static void
 give_notice(const Sim *sim, Machine *machine, double seconds)
 {
-  if (machine->worker->spot && machine->worker->notice_ms == 0)
-    machine->worker->notice_ms = sim->now_ms + (gint64)(seconds * 1000.0);
+  if (machine->worker->spot && machine->worker->interruption_ms == 0)
+    machine->worker->interruption_ms = sim->now_ms + (gint64)(seconds * 1000.0);
 }
 
 void
--- a/tests/sim/worker.c
+++ b/tests/sim/worker.c
@@ -61,8 +61,9 @@
     json_array_append_new(tasks, item);
   }
   g_autofree char *endpoint = g_strdup_printf("w-%s:1", worker->name);
-  json_t *notice = worker->notice_ms > 0 ? json_real((double)(worker->notice_ms - now_ms) / 1000.0)
-                                         : json_null();
+  json_t *notice = worker->interruption_ms > 0
+                       ? json_real((double)(worker->interruption_ms - now_ms) / 1000.0)
+                       : json_null();
   return json_pack("{s:s, s:s, s:s, s:s, s:b, s:I, s:I, s:I, s:o, s:o}", "stroj", worker->name,
                    "endpoint", endpoint, "typ", worker->type, "hala", worker->zone, "vypujcky",
                    worker->spot, "smena", (json_int_t)worker->session, "poradi",
--- a/tests/sim/worker.h
+++ b/tests/sim/worker.h
@@ -29,9 +29,9 @@
   guint64 session;
   guint64 seq;
   guint64 token;
-  gint64 renewed_ms; /* when the last answered report was sent */
-  gint64 notice_ms;  /* 0: none */
-  GArray *tasks;     /* of SimTask */
+  gint64 renewed_ms;      /* when the last answered report was sent */
+  gint64 interruption_ms; /* 0: none */
+  GArray *tasks;          /* of SimTask */
 } SimWorker;
 
 /* What a start needs to know of a job; negative run_s: a service. */
--- a/tests/test-gangs.c
+++ b/tests/test-gangs.c
@@ -33,26 +33,26 @@
 {
   WsJob *job = g_new0(WsJob, 1);
   WsChunk *chunk = ws_chunk_copy(NULL);
-  job->spec = g_new0(WsSubmission, 1);
+  job->spec = g_new0(WsJobSpec, 1);
   job->spec->kind = WS_KIND_GANG;
   job->tasks = GANG_TASKS;
   job->chunks = g_ptr_array_new();
   g_ptr_array_add(job->chunks, chunk);
-  chunk->attempts = 7;
+  chunk->last_attempt = 7;
   for (guint task = 0; task < GANG_TASKS; task++) {
     if (g_rand_int_range(rand, 0, 8) == 0)
       continue;
     WsAssignment assignment = { .task = task, .attempt = 7 };
     assignment.state = (WsTaskState)g_rand_int_range(rand, WS_TASK_ASSIGNED, WS_TASK_EXITED);
     assignment.attempt -= g_rand_int_range(rand, 0, 8) == 0 ? 1 : 0;
-    assignment.stopping = g_rand_int_range(rand, 0, 8) == 0;
+    assignment.is_stop_requested = g_rand_int_range(rand, 0, 8) == 0;
     expected->assigned++;
     expected->older += assignment.attempt < 7 ? 1 : 0;
-    expected->stopping += assignment.stopping ? 1 : 0;
+    expected->stopping += assignment.is_stop_requested ? 1 : 0;
     expected->states[assignment.state]++;
     ws_chunk_add(chunk, &assignment);
   }
-  job->on_count = expected->assigned;
+  job->assigned_count = expected->assigned;
   return job;
 }
 
--- a/tests/test-protocol.c
+++ b/tests/test-protocol.c
@@ -11,12 +11,12 @@
 {
   g_autoptr(json_t) message = ws_gen_submission(rand);
   g_autofree char *reason = NULL;
-  g_autoptr(WsSubmission) first = ws_submission_parse(message, &reason);
+  g_autoptr(WsJobSpec) first = ws_job_spec_parse(message, &reason);
   g_assert_nonnull(first);
-  g_autoptr(json_t) encoded = ws_submission_encode(first);
-  g_autoptr(WsSubmission) second = ws_submission_parse(encoded, &reason);
+  g_autoptr(json_t) encoded = ws_job_spec_encode(first);
+  g_autoptr(WsJobSpec) second = ws_job_spec_parse(encoded, &reason);
   g_assert_nonnull(second);
-  g_autoptr(json_t) again = ws_submission_encode(second);
+  g_autoptr(json_t) again = ws_job_spec_encode(second);
   g_assert_true(json_equal(encoded, again));
   g_assert_cmpint(json_integer_value(json_object_get(encoded, "kusy")), ==, first->tasks);
   g_assert_cmpfloat_with_epsilon(json_number_value(json_object_get(message, "cpus")),
@@ -47,7 +47,7 @@
     json_object_set_new(message, name, json_array());
   }
   g_autofree char *reason = NULL;
-  g_assert_null(ws_submission_parse(message, &reason));
+  g_assert_null(ws_job_spec_parse(message, &reason));
   g_assert_nonnull(strstr(reason, name));
 }
 
@@ -69,14 +69,14 @@
   json_object_del(message, "hala");
   json_object_del(message, "termin_s");
   json_object_set_new(message, "novinka", json_true());
-  g_autoptr(WsSubmission) submission = ws_submission_parse(message, &reason);
+  g_autoptr(WsJobSpec) submission = ws_job_spec_parse(message, &reason);
   g_assert_nonnull(submission);
   g_assert_cmpfloat(submission->deadline_s, <, 0.0);
   json_object_set_new(message, "kusy", json_integer(100001));
-  g_assert_null(ws_submission_parse(message, &reason));
+  g_assert_null(ws_job_spec_parse(message, &reason));
   g_autofree char *reason_of_list = NULL;
   g_autoptr(json_t) list = json_array();
-  g_assert_null(ws_submission_parse(list, &reason_of_list));
+  g_assert_null(ws_job_spec_parse(list, &reason_of_list));
   static const char *const BAD[] = { "", "req-", "job-1", "req-a/b", "req-a b", "req-../x" };
   for (guint i = 0; i < G_N_ELEMENTS(BAD); i++)
     g_assert_false(ws_job_id_valid(BAD[i]));
@@ -87,11 +87,11 @@
 static void
 test_amounts(void)
 {
-  WsAmount sum = { 0 }, tenth = { 100, 100, 100 }, limit = { 300, 300, 300 };
-  ws_amount_add(&sum, &tenth, 3);
-  g_assert_true(ws_amount_fits(&sum, &limit));
-  ws_amount_add(&sum, &tenth, 1);
-  g_assert_false(ws_amount_fits(&sum, &limit));
+  WsResources sum = { 0 }, tenth = { 100, 100, 100 }, limit = { 300, 300, 300 };
+  ws_resources_add(&sum, &tenth, 3);
+  g_assert_true(ws_resources_fit(&sum, &limit));
+  ws_resources_add(&sum, &tenth, 1);
+  g_assert_false(ws_resources_fit(&sum, &limit));
 }
 
 static const char REPORT[]
--- a/tests/test-storage.c
+++ b/tests/test-storage.c
@@ -74,7 +74,7 @@
     linked += machine->tasks->len;
     g_assert_cmpint(machine->used.cpus, ==, job->spec->need.cpus * machine->tasks->len);
   }
-  g_assert_cmpuint(linked, ==, job->on_count);
+  g_assert_cmpuint(linked, ==, job->assigned_count);
 }
 
 /* A node's own writes come early and again through the watch: the replica ends up the same, and
@@ -101,7 +101,7 @@
   for (guint m = 0; m < 3; m++) {
     g_autofree char *name = g_strdup_printf("m-%u", m);
     WsMachine *a = ws_replica_get_machine(plain, name), *b = ws_replica_get_machine(early, name);
-    g_assert_cmpint(a->marked, ==, b->marked);
+    g_assert_cmpint(a->is_marked, ==, b->is_marked);
     g_assert_cmpint(a->used.cpus, ==, b->used.cpus);
   }
   g_assert_cmpuint(ws_replica_version(plain, "w/task/req-1/0"), ==,
@@ -129,9 +129,9 @@
   ws_replica_apply(replica, "w/mark/m-3", mark, 9);
   g_hash_table_add(read, (gpointer) "w/mark/m-2");
   ws_replica_forget_missing(replica, read, 7);
-  g_assert_false(ws_replica_find_machine(replica, "m-1")->marked);
-  g_assert_true(ws_replica_find_machine(replica, "m-2")->marked);
-  g_assert_true(ws_replica_find_machine(replica, "m-3")->marked); /* newer than what was read */
+  g_assert_false(ws_replica_find_machine(replica, "m-1")->is_marked);
+  g_assert_true(ws_replica_find_machine(replica, "m-2")->is_marked);
+  g_assert_true(ws_replica_find_machine(replica, "m-3")->is_marked); /* newer than what was read */
   g_assert_cmpuint(ws_replica_version(replica, "w/mark/m-1"), ==, 0);
   ws_replica_free(replica);
 }
@@ -159,7 +159,7 @@
   warnings = 0;
   ws_replica_apply(replica, "w/task/req-1/0", damaged, 2);
   g_assert_cmpuint(warnings, ==, 1);
-  g_assert_cmpuint(ws_replica_find_job(replica, "req-1")->on_count, ==, 0);
+  g_assert_cmpuint(ws_replica_find_job(replica, "req-1")->assigned_count, ==, 0);
   ws_replica_free(replica);
 }
 
@@ -184,9 +184,9 @@
     settings->state_value_kb = 8.0;
     add_teams(settings, (guint)g_rand_int_range(rand, 0, 400));
     WsReplica *replica = ws_replica_new(settings);
-    g_autofree WsAmount *use = g_new0(WsAmount, settings->teams->len);
+    g_autofree WsResources *use = g_new0(WsResources, settings->teams->len);
     for (guint t = 0; t < settings->teams->len; t++)
-      use[t] = (WsAmount){ .cpus = g_rand_int(rand), .gpus = g_rand_int(rand) };
+      use[t] = (WsResources){ .cpus = g_rand_int(rand), .gpus = g_rand_int(rand) };
     g_autoptr(json_t) old = json_pack("{s:i, s:i}", "c", 1, "g", 2);
     ws_replica_apply(replica, "w/team/red", old, 1);
     g_assert_cmpint(replica->team_use[0].gpus, ==, 2);
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -76,11 +76,11 @@
   const WsMachine *machine = ws_replica_find_machine(replica, "m-000000");
   g_assert_cmpint(ws_replica_find_job(replica, "req-000000")->state, ==, WS_JOB_DONE);
   g_assert_cmpint(ws_replica_find_job(replica, "req-000003")->state, ==, WS_JOB_CANCELLED);
-  g_assert_cmpuint(job->on_count, ==, 5);
+  g_assert_cmpuint(job->assigned_count, ==, 5);
   g_assert_cmpuint(ws_job_assignment(job, 4)->attempt, ==, 5);
-  g_assert_cmpint(ws_job_assignment(job, 4)->at_ms, ==, 1016404);
+  g_assert_cmpint(ws_job_assignment(job, 4)->assigned_ms, ==, 1016404);
   g_assert_cmpuint(machine->tasks->len, ==, 4);
-  g_assert_true(machine->stored && machine->marked && !machine->mark_now);
+  g_assert_true(machine->is_recorded && machine->is_marked && !machine->mark_is_immediate);
   g_assert_cmpint(replica->team_use[0].gpus, ==, 5000);
   g_assert_cmpuint(replica->rents->len, ==, 1);
   g_assert_cmpuint(replica->members->len, ==, 2);
@@ -113,7 +113,7 @@
   assert_written_as(ws_epoch_encode(&replica->epoch, settings), "w/epoch");
   assert_written_as(ws_rental_batch_encode(g_ptr_array_index(replica->rental_batches, 0), replica),
                     "w/lot/r-1-1");
-  assert_written_as(ws_rent_encode(g_ptr_array_index(replica->rents, 0)), "w/rent/r-1-4");
+  assert_written_as(ws_rental_intent_encode(g_ptr_array_index(replica->rents, 0)), "w/rent/r-1-4");
   assert_written_as(ws_mark_encode("notice", FALSE), "w/mark/m-000000");
   ws_replica_free(replica);
 }
@@ -196,7 +196,7 @@
   for (guint task = 0; task < tasks; task++) {
     g_autofree char *name = g_strdup_printf("m-%06d", g_rand_int_range(rand, 0, 1000000));
     WsAssignment assignment
-        = { .task = task, .attempt = ++chunk->attempts, .at_ms = 1234567890123 };
+        = { .task = task, .attempt = ++chunk->last_attempt, .assigned_ms = 1234567890123 };
     assignment.machine = ws_replica_get_machine(replica, name)->index;
     ws_chunk_add(chunk, &assignment);
   }
@@ -235,8 +235,9 @@
   settings->state_record_bytes = NEXT_BYTES;
   WsReplica *replica = ws_replica_new(settings);
   g_autoptr(GArray) machines = g_array_new(FALSE, FALSE, sizeof(guint));
-  WsRentalBatch rental_batch
-      = { .type = (char *)"g4", .zone = (char *)"a", .at_ms = 1234567890123, .machines = machines };
+  WsRentalBatch rental_batch = {
+    .type = (char *)"g4", .zone = (char *)"a", .rented_ms = 1234567890123, .machines = machines
+  };
   for (guint i = 0;; i++) {
     g_autofree char *name = g_strdup_printf("machine-with-a-long-name-%060u", i);
     if (!ws_rental_batch_has_place(&rental_batch, replica, name))
@@ -248,7 +249,7 @@
   g_autofree char *text = ws_json_text(value);
   g_assert_cmpuint(strlen(text), <=, NEXT_BYTES);
   g_assert_cmpuint(machines->len, >, 15);
-  g_assert_cmpuint(ws_rental_batch_most_machines(settings), ==, 50);
+  g_assert_cmpuint(ws_rental_batch_max_machines(settings), ==, 50);
   ws_replica_free(replica);
 }
 
--- a/tests/ws-gen.h
+++ b/tests/ws-gen.h
@@ -1,7 +1,7 @@
 /* Generated inputs. Each case has a seed of its own, which is printed when the case fails. */
 #pragma once
 
-#include "protocol/ws-submission.h"
+#include "protocol/ws-job-spec.h"
 
 typedef void (*WsCase)(GRand *rand);
 
