--- a/src/commit/ws-legacy-releases.c
+++ b/src/commit/ws-legacy-releases.c
@@ -117,7 +117,7 @@
     hint->since_ms = core->now;
   hint->last_ms = core->now;
   if ((double)(core->now - hint->since_ms) > core->settings->lease_s * 1000.0)
-    ws_termination_mark(core, machine, "unproven", TRUE);
+    ws_termination_request_mark(core, machine, "unproven", TRUE);
   else
     ask_worker(core, hint, machine);
 }
--- a/src/fleet/ws-cloud-list.c
+++ b/src/fleet/ws-cloud-list.c
@@ -135,7 +135,7 @@
   if (machine->endpoint == NULL && listed->endpoint != NULL)
     machine->endpoint = g_strdup(listed->endpoint);
   if (listed->failed && !ws_machine_is_up(core, machine))
-    ws_termination_mark(core, machine, "failed", TRUE);
+    ws_termination_request_mark(core, machine, "failed", TRUE);
 }
 
 static void
@@ -162,7 +162,7 @@
 ws_cloud_list_tick(WsCore *core)
 {
   WsCloudList *list = core->cloud_list;
-  if (list->listing || core->now < list->next_ms || !ws_fleet_take_call(core))
+  if (list->listing || core->now < list->next_ms || !ws_fleet_take_call_budget(core))
     return;
   list->listing = TRUE;
   g_autofree char *path = list->after == NULL
--- a/src/fleet/ws-consolidation.c
+++ b/src/fleet/ws-consolidation.c
@@ -12,7 +12,7 @@
  * others. */
 #define MOST_LOOKS 4
 /* One in so many machines is consolidated at a time. */
-#define MACHINES_A_CONSOLIDATION 50
+#define MACHINES_PER_CONSOLIDATION 50
 /* How long each node's turn is; in its first half it may begin. */
 #define TURN_MS 2000
 
@@ -120,7 +120,7 @@
   for (guint i = 0; i < machine->tasks->len; i++)
     g_hash_table_add(batch->jobs,
                      GUINT_TO_POINTER(g_array_index(machine->tasks, WsTaskRef, i).job));
-  ws_termination_mark(core, machine, "merge", FALSE);
+  ws_termination_request_mark(core, machine, "merge", FALSE);
 }
 
 static gboolean
@@ -142,7 +142,7 @@
   }
   if (machine->underused_ms == 0)
     machine->underused_ms = core->now;
-  return core->now - machine->underused_ms >= (gint64)(core->properties->hold_s * 1000.0);
+  return core->now - machine->underused_ms >= (gint64)(core->properties->idle_timeout_s * 1000.0);
 }
 
 static void
@@ -155,9 +155,9 @@
     WsMachine *machine = ws_replica_machine(core->replica, i);
     if (!machine->is_recorded || machine->type == WS_NONE || !ws_owns_machine(core, machine)
         || !is_due(core, machine) || looked >= MOST_LOOKS || !may_close(core, batch, machine)
-        || batch->machines > stored / MACHINES_A_CONSOLIDATION)
+        || batch->machines > stored / MACHINES_PER_CONSOLIDATION)
       continue;
-    if (fits_elsewhere(core, batch, machine) && ws_termination_allowed(core, machine)) {
+    if (fits_elsewhere(core, batch, machine) && ws_termination_is_allowed(core, machine)) {
       consolidate(core, batch, machine);
       continue;
     }
--- a/src/fleet/ws-fleet.c
+++ b/src/fleet/ws-fleet.c
@@ -32,7 +32,7 @@
 }
 
 gboolean
-ws_fleet_take_call(WsCore *core)
+ws_fleet_take_call_budget(WsCore *core)
 {
   return ws_rate_take(&core->fleet->calls, 1.0, core->now);
 }
@@ -71,7 +71,7 @@
 keep_catalog(WsCore *core)
 {
   WsFleet *fleet = core->fleet;
-  if (fleet->catalog_asked || core->now < fleet->catalog_ms || !ws_fleet_take_call(core))
+  if (fleet->catalog_asked || core->now < fleet->catalog_ms || !ws_fleet_take_call_budget(core))
     return;
   fleet->catalog_asked = TRUE;
   ws_call(core, "GET", core->settings->cloud_addr, "/catalog", NULL, 3000, on_catalog, NULL);
@@ -92,7 +92,7 @@
       continue;
     double boot_s = ws_replica_type(core->replica, machine->type)->boot_s;
     if ((double)(core->wall - machine->rented_ms) / 1000.0 > BOOT_PATIENCE * boot_s + 5.0)
-      ws_termination_mark(core, machine, "never up", TRUE);
+      ws_termination_request_mark(core, machine, "never up", TRUE);
   }
 }
 
--- a/src/fleet/ws-fleet.h
+++ b/src/fleet/ws-fleet.h
@@ -8,13 +8,13 @@
 
 #include "commit/ws-commit.h"
 
-gboolean ws_termination_allowed(const WsCore *core, const WsMachine *machine);
+gboolean ws_termination_is_allowed(const WsCore *core, const WsMachine *machine);
 WsTermination *ws_termination_new(void);
 void ws_termination_free(WsTermination *termination);
 void ws_termination_tick(WsCore *core);
 /* The leader writes the marks that were asked for. */
 void ws_termination_pump(WsCore *core);
-void ws_termination_mark(WsCore *core, WsMachine *machine, const char *why, gboolean now);
+void ws_termination_request_mark(WsCore *core, WsMachine *machine, const char *why, gboolean now);
 gboolean ws_termination_may_stop(WsCore *core, WsMachine *machine, WsJob *job,
                                  const WsAssignment *assignment);
 
@@ -29,7 +29,7 @@
 void ws_fleet_free(WsFleet *fleet);
 
 /** Takes one call to the cloud from the budget; FALSE: not now. */
-gboolean ws_fleet_take_call(WsCore *core);
+gboolean ws_fleet_take_call_budget(WsCore *core);
 
 /** Periodic work; what only the leader may do is left out on other nodes. */
 void ws_fleet_tick(WsCore *core);
@@ -46,11 +46,11 @@
 WsRentals *ws_rentals_new(void);
 void ws_rentals_free(WsRentals *rentals);
 
-/** Notes how many machines of a kind are wanted; ws_rentals_intend() writes it down. */
-void ws_rentals_need(WsCore *core, guint type, guint zone, gboolean spot, guint machines);
+/** Notes how many machines of a kind are wanted; ws_rentals_record_intents() writes it down. */
+void ws_rentals_request(WsCore *core, guint type, guint zone, gboolean spot, guint machines);
 
 /** Writes down what was needed since the last call. */
-void ws_rentals_intend(WsCore *core);
+void ws_rentals_record_intents(WsCore *core);
 
 /** Whether the cloud had none of the kind a short while ago. */
 gboolean ws_rentals_no_capacity(const WsCore *core, guint type, guint zone, gboolean spot);
@@ -76,7 +76,7 @@
 gboolean ws_returns_is_confirmed(const WsCore *core, const char *machine);
 
 /** The one return without a mark: a cancelled task must go, and the state service takes none. */
-void ws_returns_add_unmarked(WsCore *core, const WsMachine *machine);
+void ws_returns_request_unmarked(WsCore *core, const WsMachine *machine);
 
 /** Returns what was added unmarked, and marks it as soon as that is possible; on every node. */
 void ws_returns_tick_unmarked(WsCore *core);
--- a/src/fleet/ws-rentals.c
+++ b/src/fleet/ws-rentals.c
@@ -4,12 +4,12 @@
 
 #include <string.h>
 
-#define FIRST_NO_CAPACITY_MS 5000
-#define MOST_NO_CAPACITY_MS 40000
+#define MIN_CAPACITY_BACKOFF_MS 5000
+#define MAX_CAPACITY_BACKOFF_MS 40000
 /* Asking in vain costs two changes of the state service: the intent, and its end. Asking for all
    kinds of machines takes no more than this part of the changes. */
 #define VAIN_RENTALS_PART 0.03
-#define CHANGES_A_RENTAL 2.0
+#define OPERATIONS_PER_RENTAL 2.0
 #define RETRY_MS 1500
 
 /* Until when a kind of machine isn't asked for, since the cloud had none. */
@@ -68,8 +68,8 @@
   for (guint t = 0; core->replica->catalog != NULL && t < core->replica->catalog->len; t++)
     kinds += 2.0 * g_strv_length(ws_replica_type(core->replica, t)->zones);
   double per_second = VAIN_RENTALS_PART * core->settings->state_write_rps;
-  double period_ms = 1000.0 * CHANGES_A_RENTAL * kinds / per_second;
-  return MAX(1.0, period_ms / MOST_NO_CAPACITY_MS);
+  double period_ms = 1000.0 * OPERATIONS_PER_RENTAL * kinds / per_second;
+  return MAX(1.0, period_ms / MAX_CAPACITY_BACKOFF_MS);
 }
 
 void
@@ -86,8 +86,8 @@
     g_hash_table_insert(core->rentals->backoffs, key, backoff);
   }
   double factor = backoff_factor(core);
-  backoff->backoff_ms = CLAMP(backoff->backoff_ms * 2, (guint)(FIRST_NO_CAPACITY_MS * factor),
-                              (guint)(MOST_NO_CAPACITY_MS * factor));
+  backoff->backoff_ms = CLAMP(backoff->backoff_ms * 2, (guint)(MIN_CAPACITY_BACKOFF_MS * factor),
+                              (guint)(MAX_CAPACITY_BACKOFF_MS * factor));
   backoff->until_ms = core->now + backoff->backoff_ms;
 }
 
@@ -130,7 +130,7 @@
 }
 
 void
-ws_rentals_need(WsCore *core, guint type, guint zone, gboolean spot, guint machines)
+ws_rentals_request(WsCore *core, guint type, guint zone, gboolean spot, guint machines)
 {
   WsRentals *rentals = core->rentals;
   if (rentals->intending || has_unsent(core))
@@ -147,7 +147,7 @@
 }
 
 void
-ws_rentals_intend(WsCore *core)
+ws_rentals_record_intents(WsCore *core)
 {
   WsRentals *rentals = core->rentals;
   if (rentals->intent == NULL)
@@ -266,7 +266,7 @@
   WsRentals *rentals = core->rentals;
   const gint64 *retry_ms = g_hash_table_lookup(rentals->retries, rent->request);
   if (g_hash_table_contains(rentals->renting, rent->request)
-      || (retry_ms != NULL && core->now < *retry_ms) || !ws_fleet_take_call(core))
+      || (retry_ms != NULL && core->now < *retry_ms) || !ws_fleet_take_call_budget(core))
     return;
   g_hash_table_add(rentals->renting, g_strdup(rent->request));
   ws_call(core, "POST", core->settings->cloud_addr, "/machines",
--- a/src/fleet/ws-returns.c
+++ b/src/fleet/ws-returns.c
@@ -6,7 +6,7 @@
 
 #include <string.h>
 
-#define MOST_A_RETURN 100
+#define MAX_MACHINES_PER_RETURN 100
 
 struct _WsReturns {
   GHashTable *confirmed; /* names of machines */
@@ -217,7 +217,7 @@
 {
   WsReturns *returns = core->returns;
   if (names->len == 0 || returns->returning || core->now < returns->next_ms
-      || !ws_fleet_take_call(core)) {
+      || !ws_fleet_take_call_budget(core)) {
     g_ptr_array_unref(names);
     return;
   }
@@ -227,7 +227,7 @@
 }
 
 void
-ws_returns_add_unmarked(WsCore *core, const WsMachine *machine)
+ws_returns_request_unmarked(WsCore *core, const WsMachine *machine)
 {
   if (g_hash_table_add(core->returns->unmarked, g_strdup(machine->name)))
     g_message("machine %s holds a cancelled task and the state service takes no mark: it is"
@@ -249,11 +249,11 @@
     WsMachine *machine = ws_replica_find_machine(core->replica, name);
     if (machine == NULL || machine->is_returned)
       g_hash_table_iter_remove(&iter);
-    else if (!ws_returns_is_confirmed(core, name) && names->len < MOST_A_RETURN)
+    else if (!ws_returns_is_confirmed(core, name) && names->len < MAX_MACHINES_PER_RETURN)
       g_ptr_array_add(names, g_strdup(name));
     else if (ws_returns_is_confirmed(core, name) && machine->is_recorded
              && !machine->mark_is_immediate && ws_is_active_member(core))
-      ws_termination_mark(core, machine, "cancelled", TRUE);
+      ws_termination_request_mark(core, machine, "cancelled", TRUE);
   }
   send_return(core, names);
 }
@@ -267,7 +267,7 @@
     if (machine->is_marked && !ws_returns_is_confirmed(core, machine->name)
         && (machine->mark_is_immediate
             || (machine->tasks->len == 0 && knows_what_is_on(core, machine)))
-        && names->len < MOST_A_RETURN)
+        && names->len < MAX_MACHINES_PER_RETURN)
       g_ptr_array_add(names, g_strdup(machine->name));
   }
   send_return(core, names);
--- a/src/fleet/ws-termination.c
+++ b/src/fleet/ws-termination.c
@@ -12,7 +12,7 @@
 
 #include <string.h>
 
-#define FORWARDED_MS 5000
+#define FORWARDED_MARK_TIMEOUT_MS 5000
 
 static const WsBudget *
 budget_for(const WsCore *core, const WsMachine *machine)
@@ -132,7 +132,7 @@
 
 /* An owner's choice is forwarded to the leader, who alone writes marks. */
 void
-ws_termination_mark(WsCore *core, WsMachine *machine, const char *why, gboolean now)
+ws_termination_request_mark(WsCore *core, WsMachine *machine, const char *why, gboolean now)
 {
   if (machine->mark_is_pending || (machine->is_marked && (!now || machine->mark_is_immediate))
       || !ws_store_is_available(core))
@@ -207,10 +207,10 @@
 }
 
 gboolean
-ws_termination_allowed(const WsCore *core, const WsMachine *machine)
+ws_termination_is_allowed(const WsCore *core, const WsMachine *machine)
 {
   return zone_is_whole(core, machine->zone) && budget_allows(core, machine)
-         && (machine->spot || ws_spare_without(core, machine));
+         && (machine->spot || ws_headroom_remains_without(core, machine));
 }
 
 /* While the state service is away nothing is placed: a machine that is empty then isn't idle.
@@ -224,19 +224,19 @@
   }
   if (machine->empty_ms == 0)
     machine->empty_ms = core->now;
-  if (core->now - machine->empty_ms < (gint64)(core->properties->hold_s * 1000.0))
+  if (core->now - machine->empty_ms < (gint64)(core->properties->idle_timeout_s * 1000.0))
     return;
-  if (ws_termination_allowed(core, machine))
-    ws_termination_mark(core, machine, "idle", FALSE);
+  if (ws_termination_is_allowed(core, machine))
+    ws_termination_request_mark(core, machine, "idle", FALSE);
 }
 
 static void
 tend(WsCore *core, WsMachine *machine)
 {
   if (machine->interruption_ms > 0 && !machine->is_marked)
-    ws_termination_mark(core, machine, "notice", FALSE);
+    ws_termination_request_mark(core, machine, "notice", FALSE);
   else if (machine->failed_jobs >= 2 && !machine->is_marked)
-    ws_termination_mark(core, machine, "faulty", FALSE);
+    ws_termination_request_mark(core, machine, "faulty", FALSE);
   else if (!machine->is_marked)
     mark_if_idle(core, machine);
 }
@@ -249,7 +249,8 @@
     /* Nothing came of it. Also on machines that this node no longer owns: one that had asked for a
        mark and then led refused everybody else's marks of that machine, and it was never returned.
      */
-    if (machine->mark_is_pending && core->now - machine->mark_pending_ms > FORWARDED_MS)
+    if (machine->mark_is_pending
+        && core->now - machine->mark_pending_ms > FORWARDED_MARK_TIMEOUT_MS)
       machine->mark_is_pending = FALSE;
     if (machine->is_recorded && ws_owns_machine(core, machine))
       tend(core, machine);
--- a/src/membership/ws-failure-detector.c
+++ b/src/membership/ws-failure-detector.c
@@ -91,7 +91,7 @@
 watch_inbound_unreachable(WsCore *core, WsMachine *machine)
 {
   if (machine->tasks->len > 0 && ws_machine_is_inbound_unreachable(core, machine))
-    ws_termination_mark(core, machine, "mute", TRUE);
+    ws_termination_request_mark(core, machine, "mute", TRUE);
 }
 
 static void
@@ -288,7 +288,7 @@
   if (has_cancelled(core, machine))
     patience = MIN(patience, (gint64)(core->settings->cancel_s * 400.0));
   if (failed && silent_ms > patience)
-    ws_termination_mark(core, machine, "silent", TRUE);
+    ws_termination_request_mark(core, machine, "silent", TRUE);
 }
 
 static void
@@ -298,7 +298,7 @@
   double part = many ? 1.0 : OUTBOUND_PATIENCE_PART;
   if (ws_machine_is_up(core, machine)
       && (double)unacknowledged_for_ms(core, machine) > part * core->settings->lease_s * 1000.0)
-    ws_termination_mark(core, machine, "deaf", TRUE);
+    ws_termination_request_mark(core, machine, "deaf", TRUE);
 }
 
 static void
--- a/src/membership/ws-peer-requests.c
+++ b/src/membership/ws-peer-requests.c
@@ -169,7 +169,7 @@
   const char *why = json_string_value(json_array_get(item, 1));
   WsMachine *machine = name != NULL ? ws_replica_find_machine(core->replica, name) : NULL;
   if (machine != NULL && why != NULL)
-    ws_termination_mark(core, machine, why, json_is_true(json_array_get(item, 2)));
+    ws_termination_request_mark(core, machine, why, json_is_true(json_array_get(item, 2)));
 }
 
 static void
--- a/src/protocol/ws-properties.c
+++ b/src/protocol/ws-properties.c
@@ -17,10 +17,10 @@
 ws_properties_new(void)
 {
   WsProperties *properties = g_new0(WsProperties, 1);
-  properties->hold_s = 20.0;
+  properties->idle_timeout_s = 20.0;
   properties->backoff_min_s = 1.0;
   properties->backoff_max_s = 30.0;
-  properties->spare_tasks = 1;
+  properties->headroom_tasks = 1;
   properties->budgets = g_ptr_array_new_with_free_func(budget_free);
   return properties;
 }
@@ -97,13 +97,13 @@
 {
   const char *const bad_seconds = "not a number of seconds above 0 and up to 3600";
   if (strcmp(key, "giveback.hold_s") == 0)
-    return seconds(value, &p->hold_s) ? NULL : bad_seconds;
+    return seconds(value, &p->idle_timeout_s) ? NULL : bad_seconds;
   if (strcmp(key, "giveback.backoff_min_s") == 0)
     return seconds(value, &p->backoff_min_s) ? NULL : bad_seconds;
   if (strcmp(key, "giveback.backoff_max_s") == 0)
     return seconds(value, &p->backoff_max_s) ? NULL : bad_seconds;
   if (strcmp(key, "fleet.spare_tasks") == 0)
-    return count(value, 1000, &p->spare_tasks) ? NULL : "not a count up to 1000";
+    return count(value, 1000, &p->headroom_tasks) ? NULL : "not a count up to 1000";
   if (g_str_has_prefix(key, "budget."))
     return parse_budget(p, key, value, zones);
   return "unknown key";
--- a/src/protocol/ws-properties.h
+++ b/src/protocol/ws-properties.h
@@ -12,11 +12,11 @@
 } WsBudget;
 
 typedef struct {
-  double hold_s;
+  double idle_timeout_s;
   double backoff_min_s;
   double backoff_max_s;
-  guint spare_tasks;  /* room for this many of the largest tasks seen is kept rented */
-  GPtrArray *budgets; /* of WsBudget */
+  guint headroom_tasks; /* room for this many of the largest tasks seen is kept rented */
+  GPtrArray *budgets;   /* of WsBudget */
 } WsProperties;
 
 WsProperties *ws_properties_new(void);
--- a/src/scheduling/ws-demand.c
+++ b/src/scheduling/ws-demand.c
@@ -368,13 +368,13 @@
 }
 
 gboolean
-ws_spare_without(const WsCore *core, const WsMachine *machine)
+ws_headroom_remains_without(const WsCore *core, const WsMachine *machine)
 {
   const WsJob *job = typical_critical(core->replica);
-  if (job == NULL || core->properties->spare_tasks == 0)
+  if (job == NULL || core->properties->headroom_tasks == 0)
     return TRUE;
-  return count_places(core, &job->spec->need, machine, core->properties->spare_tasks)
-         >= core->properties->spare_tasks;
+  return count_places(core, &job->spec->need, machine, core->properties->headroom_tasks)
+         >= core->properties->headroom_tasks;
 }
 
 /* Critical jobs can't wait for a machine to boot, so some places for them are always kept. */
@@ -385,15 +385,15 @@
   const WsJob *job = typical_critical(core->replica);
   if (job == NULL)
     return;
-  guint places = count_places(core, &job->spec->need, NULL, core->properties->spare_tasks);
-  for (guint i = 0; i < demand->machines->len && places < core->properties->spare_tasks; i++) {
+  guint places = count_places(core, &job->spec->need, NULL, core->properties->headroom_tasks);
+  for (guint i = 0; i < demand->machines->len && places < core->properties->headroom_tasks; i++) {
     Virtual *machine = &g_array_index(demand->machines, Virtual, i);
     if (!machine->on_order)
       continue;
     for (; !machine->spot && ws_resources_fit(&job->spec->need, &machine->room); places++)
       ws_resources_add(&machine->room, &job->spec->need, -1);
   }
-  for (; places < core->properties->spare_tasks; places++)
+  for (; places < core->properties->headroom_tasks; places++)
     if (!put_in_new(demand, job) && !want_new(demand, job, FALSE, &job->spec->need))
       return;
 }
@@ -415,9 +415,9 @@
       count++;
     }
     if (count > 0)
-      ws_rentals_need(demand->core, first.type, first.zone, first.spot, count);
+      ws_rentals_request(demand->core, first.type, first.zone, first.spot, count);
   }
-  ws_rentals_intend(demand->core);
+  ws_rentals_record_intents(demand->core);
   g_array_unref(demand->machines);
   g_free(demand->by_zone);
   g_free(demand);
--- a/src/scheduling/ws-preempt.c
+++ b/src/scheduling/ws-preempt.c
@@ -6,7 +6,7 @@
 #include "workers/ws-workers.h"
 
 /* How many times what is done in its place a victim may lose. */
-#define MOST_LOST 2.0
+#define MAX_LOST_MACHINES 2.0
 
 static gboolean
 beyond_guarantee(const WsCore *core, const WsJob *victim)
@@ -66,7 +66,7 @@
   double gain = (double)cpus * MAX(ws_estimator_run_s(core, job), 1.0);
   double lost
       = (double)victim->spec->need.cpus * (double)(core->wall - assignment->assigned_ms) / 1000.0;
-  return lost <= MOST_LOST * gain;
+  return lost <= MAX_LOST_MACHINES * gain;
 }
 
 /* A guarantee among equals isn't worth work that is half done: its place is soon free. */
--- a/src/scheduling/ws-scheduling.h
+++ b/src/scheduling/ws-scheduling.h
@@ -38,7 +38,7 @@
 void ws_demand_add_gang(WsDemand *demand, const WsJob *job, guint tasks);
 void ws_demand_end(WsDemand *demand); /* takes it */
 /* Whether the places kept for critical jobs are there without the machine too. */
-gboolean ws_spare_without(const WsCore *core, const WsMachine *machine);
+gboolean ws_headroom_remains_without(const WsCore *core, const WsMachine *machine);
 
 typedef struct {
   WsResources free;   /* room now, less what this plan gave away */
--- a/src/storage/ws-records.c
+++ b/src/storage/ws-records.c
@@ -238,7 +238,7 @@
 /* Quotation marks and comma around a name, and an ordinary name. */
 #define BYTES_AROUND_NAME 3
 #define BYTES_OF_ORDINARY_NAME 20
-#define MOST_MACHINES_A_BATCH 50
+#define MAX_MACHINES_PER_BATCH 50
 
 gboolean
 ws_rental_batch_has_place(const WsRentalBatch *rental_batch, const WsReplica *replica,
@@ -257,7 +257,7 @@
 ws_rental_batch_max_machines(const WsSettings *settings)
 {
   gsize left = (gsize)settings->state_record_bytes - (gsize)2 * BYTES_AROUND_BATCH;
-  return MIN((guint)(left / (BYTES_AROUND_NAME + BYTES_OF_ORDINARY_NAME)), MOST_MACHINES_A_BATCH);
+  return MIN((guint)(left / (BYTES_AROUND_NAME + BYTES_OF_ORDINARY_NAME)), MAX_MACHINES_PER_BATCH);
 }
 
 json_t *
--- a/src/workers/ws-cancellations.c
+++ b/src/workers/ws-cancellations.c
@@ -363,9 +363,9 @@
     return;
   if (ws_store_is_available(core)) {
     if (ws_is_active_member(core) && machine->is_recorded && !machine->mark_is_immediate)
-      ws_termination_mark(core, machine, "cancelled", TRUE);
+      ws_termination_request_mark(core, machine, "cancelled", TRUE);
   } else if (part >= RETURN_DEADLINE_SHARE && returns_unmarked(core)) {
-    ws_returns_add_unmarked(core, machine);
+    ws_returns_request_unmarked(core, machine);
   }
 }
 
--- a/tests/sim/sim.c
+++ b/tests/sim/sim.c
@@ -87,7 +87,7 @@
   sim->events = g_sequence_new(g_free);
   sim->state = sim_state_new();
   sim->properties = ws_properties_new();
-  sim->properties->hold_s = 5.0;
+  sim->properties->idle_timeout_s = 5.0;
   sim->machines = g_ptr_array_new();
   sim->jobs = g_ptr_array_new();
   sim->rentals = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, names_free);
--- a/tests/test-combined-faults.c
+++ b/tests/test-combined-faults.c
@@ -38,7 +38,7 @@
 {
   Sim *sim = sim_new(seed);
   g_test_message("%s, seed %u", gap->name, seed);
-  sim_properties(sim)->hold_s = 60.0;
+  sim_properties(sim)->idle_timeout_s = 60.0;
   sim_run(sim, 3.0);
   sim_submit(sim, &LONG);
   sim_submit(sim, &BLUE_LONG);
@@ -102,7 +102,7 @@
   static const SimJob ARRAY = { .tasks = 4, .team = "blue", .priority = "standard", .run_s = 16.0 };
   for (guint32 seed = 560; seed < 564; seed++) {
     Sim *sim = sim_new(seed);
-    sim_properties(sim)->hold_s = 60.0;
+    sim_properties(sim)->idle_timeout_s = 60.0;
     sim_run(sim, 3.0);
     sim_submit(sim, &ARRAY);
     for (guint i = 0; i < 90 && sim_done_jobs(sim) == 0; i++)
--- a/tests/test-core.c
+++ b/tests/test-core.c
@@ -53,7 +53,7 @@
   static const SimJob BLUE
       = { .tasks = 8, .service = TRUE, .team = "blue", .priority = "standard" };
   Sim *sim = sim_new(seed);
-  sim_properties(sim)->hold_s = 600.0; /* until the test sets another */
+  sim_properties(sim)->idle_timeout_s = 600.0; /* until the test sets another */
   sim_run(sim, 3.0);
   sim_submit(sim, &RED);
   sim_submit(sim, &BLUE);
@@ -86,7 +86,7 @@
   g_assert_cmpuint(in_b, >, 0);
   add_budget(sim, "a", TRUE, TRUE, 100);
   add_budget(sim, "b", FALSE, FALSE, 0);
-  sim_properties(sim)->hold_s = 5.0;
+  sim_properties(sim)->idle_timeout_s = 5.0;
   sim_run(sim, 60.0);
   g_assert_cmpuint(sim_machines_in(sim, "a"), ==, in_a);
   g_assert_cmpuint(sim_machines_in(sim, "b"), ==, in_b);
@@ -106,7 +106,7 @@
   guint in_a = sim_machines_in(sim, "a");
   sim_faults(sim)->cut = 1;
   sim_run(sim, 3.0);
-  sim_properties(sim)->hold_s = 5.0;
+  sim_properties(sim)->idle_timeout_s = 5.0;
   sim_run(sim, 6.0); /* with the pause before it, less than the lease less one report */
   g_assert_cmpuint(sim_machines_in(sim, "a"), ==, in_a);
   sim_faults(sim)->cut = 0;
--- a/tests/test-evidence.c
+++ b/tests/test-evidence.c
@@ -581,7 +581,7 @@
       = { .tasks = 3, .team = "blue", .priority = "urgent", .spot = TRUE, .run_s = 4.0 };
   Sim *sim = sim_new(seed);
   GRand *rand = sim_rand(sim);
-  sim_properties(sim)->hold_s = 60.0;
+  sim_properties(sim)->idle_timeout_s = 60.0;
   sim_faults(sim)->most_machines = 3;
   sim_run(sim, 3.0);
   sim_submit(sim, &LOW);
--- a/tests/test-gangs.c
+++ b/tests/test-gangs.c
@@ -100,7 +100,7 @@
 {
   Sim *sim = sim_new(seed);
   g_test_message("seed %u", seed);
-  sim_properties(sim)->hold_s = 30.0;
+  sim_properties(sim)->idle_timeout_s = 30.0;
   sim_run(sim, 3.0);
   sim_submit(sim, gang);
   return sim;
--- a/tests/test-properties.c
+++ b/tests/test-properties.c
@@ -20,7 +20,7 @@
   g_assert_true(parse("# a comment\ngiveback.hold_s = 7.5\nbudget.g8.a.minAvailable=50%\n"
                       "budget.g8.b.maxUnavailable=2\n",
                       &properties, &reason));
-  g_assert_cmpfloat(properties->hold_s, ==, 7.5);
+  g_assert_cmpfloat(properties->idle_timeout_s, ==, 7.5);
   g_assert_cmpuint(properties->budgets->len, ==, 2);
 }
 
