--- a/src/api/ws-users.c
+++ b/src/api/ws-users.c
@@ -115,7 +115,7 @@
            user_request->id, user_request->spec->tasks, user_request->spec->class_name,
            user_request->spec->team, user_request->spec->estimate_s,
            user_request->spec->deadline_s);
-    core->plan_due = TRUE;
+    core->replan_is_needed = TRUE;
     end(core, user_request, 201,
         json_pack("{s:s, s:s}", "id", user_request->id, W_STATE, "queued"));
   } else {
@@ -162,7 +162,7 @@
 {
   for (guint t = 0; t < core->replica->catalog->len; t++) {
     const WsType *type = ws_replica_type(core->replica, t);
-    if (ws_constraints_allow_type(spec, type) && ws_resources_fit(&spec->need, &type->room))
+    if (ws_constraints_allow_type(spec, type) && ws_resources_fit(&spec->need, &type->capacity))
       return TRUE;
   }
   return FALSE;
--- a/src/commit/ws-assignments.c
+++ b/src/commit/ws-assignments.c
@@ -184,7 +184,7 @@
   WsAssignments *assignments = core->assignments;
   assignments->busy = FALSE;
   assignments->next_ms = core->now + BATCHING_MS;
-  core->plan_due = TRUE;
+  core->replan_is_needed = TRUE;
   for (guint i = 0; i < assignments->writing->len; i++) {
     const WsProposal *proposal = &g_array_index(assignments->writing, WsProposal, i);
     g_hash_table_remove(assignments->proposed, ws_task_key(proposal->job, proposal->task));
--- a/src/commit/ws-batch.c
+++ b/src/commit/ws-batch.c
@@ -321,7 +321,7 @@
 static gboolean
 machine_has_room(WsBatch *batch, const WsMachine *machine, const WsJob *job)
 {
-  WsResources room = ws_replica_type(batch->core->replica, machine->type)->room;
+  WsResources room = ws_replica_type(batch->core->replica, machine->type)->capacity;
   ws_resources_add(&room, &machine->used, -1);
   ws_resources_add(&room, taken(batch, machine->index), -1);
   return ws_resources_fit(&job->spec->need, &room);
@@ -333,7 +333,7 @@
 {
   if (ws_reservations_is_empty(batch->core))
     return TRUE;
-  WsResources left = ws_replica_type(batch->core->replica, machine->type)->room;
+  WsResources left = ws_replica_type(batch->core->replica, machine->type)->capacity;
   WsResources use = batch->use[job->team];
   ws_resources_add(&left, &machine->used, -1);
   ws_resources_add(&left, taken(batch, machine->index), -1);
@@ -421,7 +421,7 @@
   g_hash_table_add(batch->joined, GUINT_TO_POINTER(proposal->machine));
   add_rental_batch(batch, ws_replica_machine(batch->core->replica, proposal->machine));
   use_team(batch, job, 1);
-  ws_reservations_use(batch->core, job, proposal->machine);
+  ws_reservations_consume(batch->core, job, proposal->machine);
   return WS_BATCH_ADDED;
 }
 
--- a/src/context/ws-context.h
+++ b/src/context/ws-context.h
@@ -71,7 +71,7 @@
   guint64 plans;
   gint64 *partition_ms;           /* by zone: when it last seemed to be cut off; 0: never */
   gint64 *confirmed_partition_ms; /* by zone: when that was last sure */
-  gboolean plan_due;
+  gboolean replan_is_needed;
   gint64 epoch_known_ms; /* since when the present epoch is known */
   guint64 handled_epoch;
   gboolean is_stalled; /* stood still, and has not renewed and read since */
--- a/src/core/ws-core.c
+++ b/src/core/ws-core.c
@@ -138,7 +138,7 @@
     return;
   core->handled_epoch = core->replica->epoch.number;
   core->epoch_known_ms = core->now;
-  core->plan_due = TRUE;
+  core->replan_is_needed = TRUE;
   core->new_epoch_needed = FALSE;
   ws_assignments_begin_epoch(core);
   ws_legacy_releases_begin_epoch(core);
--- a/src/fleet/ws-cloud-list.c
+++ b/src/fleet/ws-cloud-list.c
@@ -39,7 +39,7 @@
     else
       machine->needs_record = TRUE;
   }
-  core->plan_due = TRUE;
+  core->replan_is_needed = TRUE;
 }
 
 void
--- a/src/fleet/ws-consolidation.c
+++ b/src/fleet/ws-consolidation.c
@@ -61,7 +61,7 @@
       || !ws_machine_has_image(target, job->image) || !ws_machine_is_up(core, target)
       || !ws_constraints_allow_machine(core->replica, job->spec, job->zone, target))
     return FALSE;
-  WsResources room = ws_replica_type(core->replica, target->type)->room;
+  WsResources room = ws_replica_type(core->replica, target->type)->capacity;
   ws_resources_add(&room, &target->used, -1);
   ws_resources_add(&room, &batch->taken[target->index], -1);
   return ws_resources_fit(&job->spec->need, &room)
@@ -126,7 +126,7 @@
 static gboolean
 is_sparse(const WsCore *core, const WsMachine *machine)
 {
-  const WsResources *room = &ws_replica_type(core->replica, machine->type)->room;
+  const WsResources *room = &ws_replica_type(core->replica, machine->type)->capacity;
   return machine->is_recorded && machine->type != WS_NONE && !machine->is_marked && !machine->spot
          && ws_machine_is_up(core, machine) && 2 * machine->used.cpus <= room->cpus
          && 2 * machine->used.gpus <= room->gpus;
--- a/src/fleet/ws-fleet.c
+++ b/src/fleet/ws-fleet.c
@@ -43,7 +43,7 @@
 on_catalog_kept(WsCore *core, WsTxnResult result, gpointer data)
 {
   (void)data;
-  core->plan_due = TRUE;
+  core->replan_is_needed = TRUE;
   if (result != WS_TXN_COMMITTED)
     core->fleet->catalog_ms = core->now + RETRY_MS;
 }
--- a/src/fleet/ws-rentals.c
+++ b/src/fleet/ws-rentals.c
@@ -182,7 +182,7 @@
   if (result != WS_TXN_COMMITTED)
     retry_rent(core, request);
   g_hash_table_remove(core->rentals->renting, request);
-  core->plan_due = TRUE;
+  core->replan_is_needed = TRUE;
   g_free(request);
 }
 
--- a/src/fleet/ws-termination.c
+++ b/src/fleet/ws-termination.c
@@ -127,7 +127,7 @@
              machine->tasks->len, marking->why);
   }
   g_array_set_size(writing, 0);
-  core->plan_due = TRUE;
+  core->replan_is_needed = TRUE;
 }
 
 /* An owner's choice is forwarded to the leader, who alone writes marks. */
--- a/src/membership/ws-election.c
+++ b/src/membership/ws-election.c
@@ -67,7 +67,7 @@
   if (!current || !election->is_renewed || election->wakes != GPOINTER_TO_UINT(data))
     return;
   core->is_stalled = FALSE;
-  core->plan_due = TRUE;
+  core->replan_is_needed = TRUE;
 }
 
 static void
--- a/src/membership/ws-gossip.c
+++ b/src/membership/ws-gossip.c
@@ -207,7 +207,7 @@
     machine->endpoint = g_strdup(endpoint);
   machine->interruption_ms = notice ? MAX(machine->interruption_ms, core->now) : 0;
   take_images(core, machine, json_object_get(item, "images"));
-  core->plan_due = TRUE;
+  core->replan_is_needed = TRUE;
 }
 
 /* Machines that their owner called up are up for as long as it says nothing else. */
--- a/src/membership/ws-peer-requests.c
+++ b/src/membership/ws-peer-requests.c
@@ -159,7 +159,7 @@
     return;
   const WsMachine *machine = ws_replica_find_machine(core->replica, name);
   if (machine != NULL || *name == '\0')
-    ws_reservations_keep(core, job, machine != NULL ? machine->index : WS_NONE, (guint)tasks);
+    ws_reservations_renew(core, job, machine != NULL ? machine->index : WS_NONE, (guint)tasks);
 }
 
 static void
--- a/src/protocol/ws-cloud.c
+++ b/src/protocol/ws-cloud.c
@@ -55,8 +55,9 @@
 parse_type(const json_t *item, WsType *type)
 {
   const char *name;
-  if (!ws_json_string(item, W_NAME, &name) || !capacity(item, "cpus", &type->room.cpus)
-      || !capacity(item, W_GPUS, &type->room.gpus) || !capacity(item, "mem_gb", &type->room.memory)
+  if (!ws_json_string(item, W_NAME, &name) || !capacity(item, "cpus", &type->capacity.cpus)
+      || !capacity(item, W_GPUS, &type->capacity.gpus)
+      || !capacity(item, "mem_gb", &type->capacity.memory)
       || !ws_json_number(item, W_CACHE_GB, &type->cache_gb)
       || !ws_json_number(item, W_FETCH_RATE, &type->fetch_gb_per_s)
       || !ws_json_number(item, "price", &type->price)
--- a/src/protocol/ws-cloud.h
+++ b/src/protocol/ws-cloud.h
@@ -5,7 +5,7 @@
 
 typedef struct {
   char *name;
-  WsResources room;
+  WsResources capacity;
   double cache_gb;
   double fetch_gb_per_s;
   double price;
--- a/src/scheduling/ws-place.c
+++ b/src/scheduling/ws-candidates.c
@@ -1,4 +1,4 @@
-#include "scheduling/ws-place.h"
+#include "scheduling/ws-candidates.h"
 #include "scheduling/ws-scheduling.h"
 
 #include "membership/ws-membership.h"
@@ -41,14 +41,14 @@
   gboolean spent; /* no longer has room, or has a task of this very service already */
 } Candidate;
 
-struct _WsPlaces {
-  WsRoomMap *map;
+struct _WsCandidates {
+  WsCapacityMap *map;
   const WsJob *job;
   guint *counts;
   guint only_zone;              /* WS_NONE: any */
   GHashTable *gang_images;      /* of a gang: the images of other gangs; else NULL */
   gint64 smallest;              /* processors of the smallest type that has room for a task */
-  GArray *kinds[WS_ROOM_KINDS]; /* of Candidate, the best first; NULL: not looked for yet */
+  GArray *kinds[WS_SLOT_KINDS]; /* of Candidate, the best first; NULL: not looked for yet */
 };
 
 /* What is there. */
@@ -65,19 +65,19 @@
 static void
 take_forwarded(const WsJob *job, guint machine, gpointer data)
 {
-  WsRoomMap *map = data;
+  WsCapacityMap *map = data;
   if (job->spec != NULL)
     ws_resources_add(&map->slots[machine].free, &job->spec->need, -1);
 }
 
 static void
-look_at(WsRoomMap *map, const WsMachine *machine)
+look_at(WsCapacityMap *map, const WsMachine *machine)
 {
   const WsReplica *replica = map->core->replica;
   WsSlot *slot = &map->slots[machine->index];
   gboolean has_array = FALSE, is_freed = FALSE;
   slot->usable = TRUE;
-  slot->free = ws_replica_type(replica, machine->type)->room;
+  slot->free = ws_replica_type(replica, machine->type)->capacity;
   ws_resources_add(&slot->free, &machine->used, -1);
   for (guint k = 0; k < machine->tasks->len; k++) {
     const WsTaskRef *ref = &g_array_index(machine->tasks, WsTaskRef, k);
@@ -98,7 +98,7 @@
 }
 
 static void
-look_at_victims(WsRoomMap *map)
+look_at_victims(WsCapacityMap *map)
 {
   const WsReplica *replica = map->core->replica;
   for (guint i = 0; i < replica->active->len; i++) {
@@ -113,10 +113,10 @@
 /* Machines on which nothing that waits has room aren't looked at job by job: nearly every machine
    has some processors left, and when the cluster is full hundreds of jobs wait. */
 void
-ws_room_map_init(WsRoomMap *map, WsCore *core, const WsResources *least)
+ws_capacity_map_init(WsCapacityMap *map, WsCore *core, const WsResources *least)
 {
   const WsReplica *replica = core->replica;
-  *map = (WsRoomMap){ .core = core, .least = *least, .looks = MOST_LOOKS };
+  *map = (WsCapacityMap){ .core = core, .least = *least, .looks = MOST_LOOKS };
   map->slots = g_new0(WsSlot, MAX(replica->machines->len, 1u));
   map->open = g_array_new(FALSE, FALSE, sizeof(guint));
   map->coming = g_array_new(FALSE, FALSE, sizeof(guint));
@@ -136,7 +136,7 @@
 }
 
 void
-ws_room_map_clear(WsRoomMap *map)
+ws_capacity_map_clear(WsCapacityMap *map)
 {
   g_array_unref(map->open);
   g_array_unref(map->coming);
@@ -168,10 +168,10 @@
 
 /* What the machine is worth to a gang that has to fetch its image there. */
 static double
-worth_of_fetching(const WsPlaces *places, const WsMachine *machine)
+worth_of_fetching(const WsCandidates *places, const WsMachine *machine)
 {
   const WsReplica *replica = places->map->core->replica;
-  const WsResources *room = &ws_replica_type(replica, machine->type)->room;
+  const WsResources *room = &ws_replica_type(replica, machine->type)->capacity;
   double value = ROOMY * roominess(room, &places->map->slots[machine->index].free);
   for (guint i = 0; i < machine->images->len; i++) {
     guint image = g_array_index(machine->images, guint, i);
@@ -189,11 +189,11 @@
 }
 
 static double
-worth(const WsPlaces *places, const WsMachine *machine)
+worth(const WsCandidates *places, const WsMachine *machine)
 {
   const WsReplica *replica = places->map->core->replica;
   const WsJob *job = places->job;
-  const WsResources *room = &ws_replica_type(replica, machine->type)->room;
+  const WsResources *room = &ws_replica_type(replica, machine->type)->capacity;
   const WsSlot *slot = &places->map->slots[machine->index];
   gboolean is_service = job->spec->kind == WS_KIND_SERVICE;
   double value = ws_machine_has_image(machine, job->image) ? IMAGE_THERE : 0.0;
@@ -232,7 +232,7 @@
 }
 
 gboolean
-ws_places_is_eligible(const WsPlaces *places, const WsMachine *machine)
+ws_candidates_is_eligible(const WsCandidates *places, const WsMachine *machine)
 {
   const WsReplica *replica = places->map->core->replica;
   const WsJob *job = places->job;
@@ -242,13 +242,13 @@
 }
 
 static gboolean
-fits(const WsPlaces *places, WsRoom kind, guint machine)
+fits(const WsCandidates *places, WsSlotKind kind, guint machine)
 {
   const WsSlot *slot = &places->map->slots[machine];
   WsResources room = slot->free;
-  if (kind >= WS_ROOM_TAKEN)
+  if (kind >= WS_SLOT_BY_PREEMPTION)
     return TRUE; /* the cost has said so */
-  if (kind != WS_ROOM_NOW)
+  if (kind != WS_SLOT_FREE)
     ws_resources_add(&room, &slot->coming, 1);
   return ws_resources_fit(&places->job->spec->need, &room);
 }
@@ -267,7 +267,7 @@
   for (guint t = 0; t < replica->catalog->len; t++) {
     const WsType *type = ws_replica_type(replica, t);
     if (!ws_constraints_allow_type(job->spec, type)
-        || !ws_resources_fit(&job->spec->need, &type->room)
+        || !ws_resources_fit(&job->spec->need, &type->capacity)
         || left_s < BOOT_PATIENCE * type->boot_s)
       continue;
     for (char **zone = type->zones; *zone != NULL; zone++) {
@@ -282,28 +282,28 @@
 }
 
 gint64
-ws_smallest_room(const WsReplica *replica, const WsJobSpec *spec)
+ws_smallest_fitting_cpus(const WsReplica *replica, const WsJobSpec *spec)
 {
   gint64 smallest = G_MAXINT64;
   for (guint t = 0; t < replica->catalog->len; t++) {
     const WsType *type = ws_replica_type(replica, t);
-    if (ws_constraints_allow_type(spec, type) && ws_resources_fit(&spec->need, &type->room))
-      smallest = MIN(smallest, type->room.cpus);
+    if (ws_constraints_allow_type(spec, type) && ws_resources_fit(&spec->need, &type->capacity))
+      smallest = MIN(smallest, type->capacity.cpus);
   }
   return smallest;
 }
 
 static void
-consider(WsPlaces *places, WsRoom kind, const WsMachine *machine)
+consider(WsCandidates *places, WsSlotKind kind, const WsMachine *machine)
 {
   const WsJob *job = places->job;
   WsCore *core = places->map->core;
   Candidate candidate = { machine->index, 0.0, FALSE };
-  gboolean needs_image = kind == WS_ROOM_CACHED || kind == WS_ROOM_TAKEN_CACHED;
-  if (!ws_places_is_eligible(places, machine) || !fits(places, kind, machine->index)
+  gboolean needs_image = kind == WS_SLOT_WITH_IMAGE || kind == WS_SLOT_BY_PREEMPTION_WITH_IMAGE;
+  if (!ws_candidates_is_eligible(places, machine) || !fits(places, kind, machine->index)
       || (needs_image && !ws_machine_has_image(machine, job->image)))
     return;
-  if (kind >= WS_ROOM_TAKEN) {
+  if (kind >= WS_SLOT_BY_PREEMPTION) {
     double cost = ws_preempt_cost(core, job, machine, &places->map->slots[machine->index]);
     if (cost < 0.0)
       return;
@@ -324,21 +324,21 @@
 }
 
 static gboolean
-has_victims(const WsRoomMap *map, const WsJob *job)
+has_victims(const WsCapacityMap *map, const WsJob *job)
 {
   return (guint)job->spec->priority < map->lowest || (job->guaranteed && map->borrowing);
 }
 
 static const GArray *
-machines_of(const WsRoomMap *map, WsRoom kind)
+machines_of(const WsCapacityMap *map, WsSlotKind kind)
 {
-  if (kind == WS_ROOM_NOW)
+  if (kind == WS_SLOT_FREE)
     return map->open;
-  return kind >= WS_ROOM_TAKEN ? map->busy : map->coming;
+  return kind >= WS_SLOT_BY_PREEMPTION ? map->busy : map->coming;
 }
 
 static gboolean
-may_look_for_victims(WsRoomMap *map, const WsJob *job)
+may_look_for_victims(WsCapacityMap *map, const WsJob *job)
 {
   if (!has_victims(map, job))
     return FALSE;
@@ -352,7 +352,7 @@
 
 /* What the jobs before this one have filled up. */
 static void
-drop_full(WsRoomMap *map)
+drop_full(WsCapacityMap *map)
 {
   for (guint i = map->open->len; i-- > 0;)
     if (!ws_resources_fit(&map->least, &map->slots[g_array_index(map->open, guint, i)].free))
@@ -360,13 +360,13 @@
 }
 
 static void
-look_for(WsPlaces *places, WsRoom kind)
+look_for(WsCandidates *places, WsSlotKind kind)
 {
-  WsRoomMap *map = places->map;
+  WsCapacityMap *map = places->map;
   places->kinds[kind] = g_array_new(FALSE, FALSE, sizeof(Candidate));
-  if (kind >= WS_ROOM_TAKEN && !may_look_for_victims(map, places->job))
+  if (kind >= WS_SLOT_BY_PREEMPTION && !may_look_for_victims(map, places->job))
     return;
-  if (kind == WS_ROOM_NOW)
+  if (kind == WS_SLOT_FREE)
     drop_full(map);
   const GArray *machines = machines_of(map, kind);
   for (guint i = 0; i < machines->len; i++)
@@ -388,25 +388,25 @@
   return images;
 }
 
-WsPlaces *
-ws_places_new(WsRoomMap *map, const WsJob *job, guint *counts)
+WsCandidates *
+ws_candidates_new(WsCapacityMap *map, const WsJob *job, guint *counts)
 {
-  WsPlaces *places = g_new0(WsPlaces, 1);
-  *places = (WsPlaces){ .map = map,
-                        .job = job,
-                        .counts = counts,
-                        .only_zone = WS_NONE,
-                        .smallest = ws_smallest_room(map->core->replica, job->spec) };
+  WsCandidates *places = g_new0(WsCandidates, 1);
+  *places = (WsCandidates){ .map = map,
+                            .job = job,
+                            .counts = counts,
+                            .only_zone = WS_NONE,
+                            .smallest = ws_smallest_fitting_cpus(map->core->replica, job->spec) };
   if (job->spec->kind == WS_KIND_GANG)
     places->gang_images = find_gang_images(map->core->replica);
   return places;
 }
 
 void
-ws_places_free(WsPlaces *places)
+ws_candidates_free(WsCandidates *places)
 {
   g_clear_pointer(&places->gang_images, g_hash_table_unref);
-  for (guint kind = 0; kind < WS_ROOM_KINDS; kind++)
+  for (guint kind = 0; kind < WS_SLOT_KINDS; kind++)
     if (places->kinds[kind] != NULL)
       g_array_unref(places->kinds[kind]);
   g_free(places);
@@ -415,7 +415,7 @@
 /* The best candidate that is left: the first one of each zone is compared, since what a zone is
    worth depends on how many of the job's tasks are there already. */
 static Candidate *
-best_left(WsPlaces *places, WsRoom kind)
+best_left(WsCandidates *places, WsSlotKind kind)
 {
   const WsCore *core = places->map->core;
   guint zones = core->settings->zones->len, seen = 0;
@@ -448,10 +448,10 @@
 
 /* A service or gang comes back to the machines it has taken when there are no others. */
 static gboolean
-renew(WsPlaces *places, WsRoom kind)
+renew(WsCandidates *places, WsSlotKind kind)
 {
   gboolean any = FALSE;
-  if (places->job->spec->kind == WS_KIND_ARRAY || kind >= WS_ROOM_TAKEN)
+  if (places->job->spec->kind == WS_KIND_ARRAY || kind >= WS_SLOT_BY_PREEMPTION)
     return FALSE;
   for (guint i = 0; i < places->kinds[kind]->len; i++) {
     Candidate *candidate = &g_array_index(places->kinds[kind], Candidate, i);
@@ -463,7 +463,7 @@
 }
 
 static Candidate *
-find_best(WsPlaces *places, WsRoom kind)
+find_best(WsCandidates *places, WsSlotKind kind)
 {
   if (places->kinds[kind] == NULL)
     look_for(places, kind);
@@ -472,40 +472,40 @@
 }
 
 WsMachine *
-ws_places_peek(WsPlaces *places, WsRoom kind)
+ws_candidates_peek(WsCandidates *places, WsSlotKind kind)
 {
   const Candidate *best = find_best(places, kind);
   return best != NULL ? ws_replica_machine(places->map->core->replica, best->machine) : NULL;
 }
 
 WsMachine *
-ws_places_take(WsPlaces *places, WsRoom kind)
+ws_candidates_take(WsCandidates *places, WsSlotKind kind)
 {
   Candidate *best = find_best(places, kind);
   if (best == NULL)
     return NULL;
   WsMachine *machine = ws_replica_machine(places->map->core->replica, best->machine);
-  best->spent = kind >= WS_ROOM_TAKEN || places->job->spec->kind != WS_KIND_ARRAY;
+  best->spent = kind >= WS_SLOT_BY_PREEMPTION || places->job->spec->kind != WS_KIND_ARRAY;
   ws_resources_add(&places->map->slots[best->machine].free, &places->job->spec->need, -1);
   places->counts[machine->zone]++;
   return machine;
 }
 
 void
-ws_places_keep_to_zone(WsPlaces *places, guint zone)
+ws_candidates_restrict_to_zone(WsCandidates *places, guint zone)
 {
   places->only_zone = zone;
 }
 
 gboolean
-ws_places_take_again(WsPlaces *places, const WsMachine *machine)
+ws_candidates_take_again(WsCandidates *places, const WsMachine *machine)
 {
   const WsReplica *replica = places->map->core->replica;
   WsResources *free = &places->map->slots[machine->index].free;
   const WsResources *need = &places->job->spec->need;
   guint zones = places->map->core->settings->zones->len;
   if (!ws_resources_fit(need, free)
-      || blocks_accelerators(&ws_replica_type(replica, machine->type)->room, free, need)
+      || blocks_accelerators(&ws_replica_type(replica, machine->type)->capacity, free, need)
       || !ws_constraints_allow_zone(places->job, places->counts, zones, machine->zone))
     return FALSE;
   ws_resources_add(free, need, -1);
@@ -514,7 +514,7 @@
 }
 
 void
-ws_places_put_back(WsPlaces *places, const GArray *machines)
+ws_candidates_release(WsCandidates *places, const GArray *machines)
 {
   for (guint i = 0; i < machines->len; i++) {
     guint index = g_array_index(machines, guint, i);
@@ -525,13 +525,15 @@
 }
 
 gboolean
-ws_places_would_fit(const WsPlaces *places, const WsMachine *machine, const WsResources *freed)
+ws_candidates_would_fit(const WsCandidates *places, const WsMachine *machine,
+                        const WsResources *freed)
 {
   const WsSlot *slot = &places->map->slots[machine->index];
   guint zones = places->map->core->settings->zones->len;
   WsResources room = slot->free;
   ws_resources_add(&room, &slot->coming, 1);
   ws_resources_add(&room, freed, 1);
-  return ws_places_is_eligible(places, machine) && ws_resources_fit(&places->job->spec->need, &room)
+  return ws_candidates_is_eligible(places, machine)
+         && ws_resources_fit(&places->job->spec->need, &room)
          && ws_constraints_allow_zone(places->job, places->counts, zones, machine->zone);
 }
--- a/src/scheduling/ws-place.h
+++ b/src/scheduling/ws-candidates.h
@@ -5,13 +5,13 @@
 #include "scheduling/ws-scheduling.h"
 
 typedef enum {
-  WS_ROOM_NOW,    /* free */
-  WS_ROOM_COMING, /* free, or being freed by tasks that stop */
-  WS_ROOM_CACHED, /* the same, where the image is */
-  WS_ROOM_TAKEN,  /* after less urgent tasks stop */
-  WS_ROOM_TAKEN_CACHED,
-  WS_ROOM_KINDS
-} WsRoom;
+  WS_SLOT_FREE,          /* free */
+  WS_SLOT_FREEING,       /* free, or being freed by tasks that stop */
+  WS_SLOT_WITH_IMAGE,    /* the same, where the image is */
+  WS_SLOT_BY_PREEMPTION, /* after less urgent tasks stop */
+  WS_SLOT_BY_PREEMPTION_WITH_IMAGE,
+  WS_SLOT_KINDS
+} WsSlotKind;
 
 typedef struct {
   WsCore *core;
@@ -24,29 +24,30 @@
   gboolean borrowing; /* some of them are beyond a guarantee */
   guint steps;        /* machines looked at: what a plan costs */
   guint looks;        /* for how many more jobs victims are looked for */
-} WsRoomMap;
+} WsCapacityMap;
 
-typedef struct _WsPlaces WsPlaces;
+typedef struct _WsCandidates WsCandidates;
 
-void ws_room_map_init(WsRoomMap *map, WsCore *core, const WsResources *least);
-void ws_room_map_clear(WsRoomMap *map);
+void ws_capacity_map_init(WsCapacityMap *map, WsCore *core, const WsResources *least);
+void ws_capacity_map_clear(WsCapacityMap *map);
 
-WsPlaces *ws_places_new(WsRoomMap *map, const WsJob *job, guint *counts /* of tasks by zone */);
-void ws_places_free(WsPlaces *places);
+WsCandidates *ws_candidates_new(WsCapacityMap *map, const WsJob *job,
+                                guint *counts /* of tasks by zone */);
+void ws_candidates_free(WsCandidates *places);
 /* The best machine of the kind, or NULL. */
-WsMachine *ws_places_peek(WsPlaces *places, WsRoom kind);
+WsMachine *ws_candidates_peek(WsCandidates *places, WsSlotKind kind);
 /* The same; the room for one task is taken, and counted in its zone. */
-WsMachine *ws_places_take(WsPlaces *places, WsRoom kind);
+WsMachine *ws_candidates_take(WsCandidates *places, WsSlotKind kind);
 /* Whether the job may use the machine at all, whatever room it has. */
-gboolean ws_places_is_eligible(const WsPlaces *places, const WsMachine *machine);
+gboolean ws_candidates_is_eligible(const WsCandidates *places, const WsMachine *machine);
 /* From now on only machines of the zone are found; WS_NONE: of any. */
-void ws_places_keep_to_zone(WsPlaces *places, guint zone);
+void ws_candidates_restrict_to_zone(WsCandidates *places, guint zone);
 /* Takes the room for one more task on a machine that was taken just now; FALSE: there is none, or
    it would take the processors that the machine's free accelerators need. */
-gboolean ws_places_take_again(WsPlaces *places, const WsMachine *machine);
+gboolean ws_candidates_take_again(WsCandidates *places, const WsMachine *machine);
 /* Gives back the room for a task on each of the machines (of guint). */
-void ws_places_put_back(WsPlaces *places, const GArray *machines);
+void ws_candidates_release(WsCandidates *places, const GArray *machines);
 /* Whether a task could go to the machine if so much more of it were free. */
-gboolean ws_places_would_fit(const WsPlaces *places, const WsMachine *machine,
-                             const WsResources *freed);
-G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsPlaces, ws_places_free)
+gboolean ws_candidates_would_fit(const WsCandidates *places, const WsMachine *machine,
+                                 const WsResources *freed);
+G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsCandidates, ws_candidates_free)
--- a/src/scheduling/ws-demand.c
+++ b/src/scheduling/ws-demand.c
@@ -76,7 +76,7 @@
     guint type = ws_replica_find_type(replica, rent->type),
           zone = ws_replica_find_zone(replica, rent->zone);
     for (guint n = 0; n < rent->count && type != WS_NONE && zone != WS_NONE; n++)
-      add_virtual(demand, type, zone, rent->spot, &ws_replica_type(replica, type)->room, FALSE)
+      add_virtual(demand, type, zone, rent->spot, &ws_replica_type(replica, type)->capacity, FALSE)
           ->on_order
           = TRUE;
   }
@@ -108,7 +108,7 @@
       continue; /* nobody hears of a machine that comes up behind a cut */
     if (is_booting(core, machine))
       add_virtual(demand, machine->type, machine->zone, machine->spot,
-                  &ws_replica_type(replica, machine->type)->room, FALSE);
+                  &ws_replica_type(replica, machine->type)->capacity, FALSE);
     else if (ws_machine_is_up(core, machine))
       add_running(demand, machine);
   }
@@ -181,14 +181,14 @@
 put_in(WsDemand *demand, const WsJob *job, const WsResources *need, guint tasks)
 {
   gboolean waits = job->spec->kind == WS_KIND_ARRAY && may_wait(demand, job);
-  gint64 smallest = ws_smallest_room(demand->core->replica, job->spec);
+  gint64 smallest = ws_smallest_fitting_cpus(demand->core->replica, job->spec);
   guint placed = 0;
   for (guint i = 0; i < demand->machines->len; i++) {
     Virtual *machine = &g_array_index(demand->machines, Virtual, i);
     if ((machine->spot && !job->spec->spot) || (machine->is_running && !waits)
         || !zone_fits(demand, job, machine->zone)
         || (machine->is_running
-            && ws_replica_type(demand->core->replica, machine->type)->room.cpus > smallest)
+            && ws_replica_type(demand->core->replica, machine->type)->capacity.cpus > smallest)
         || !ws_constraints_allow_type(job->spec,
                                       ws_replica_type(demand->core->replica, machine->type)))
       continue;
@@ -226,7 +226,7 @@
   for (guint t = 0; t < replica->catalog->len; t++) {
     const WsType *type = ws_replica_type(replica, t);
     if (!ws_constraints_allow_type(job->spec, type)
-        || !ws_resources_fit(&job->spec->need, &type->room))
+        || !ws_resources_fit(&job->spec->need, &type->capacity))
       continue;
     guint zone = pick_zone(demand, job, t, spot);
     if (zone == WS_NONE
@@ -237,7 +237,7 @@
   }
   if (best == WS_NONE)
     return FALSE;
-  WsResources room = ws_replica_type(replica, best)->room;
+  WsResources room = ws_replica_type(replica, best)->capacity;
   ws_resources_add(&room, need, -1);
   add_virtual(demand, best, best_zone, spot, &room, TRUE);
   demand->by_zone[best_zone]++;
@@ -292,7 +292,7 @@
   for (guint t = 0; t < replica->catalog->len; t++) {
     const WsType *type = ws_replica_type(replica, t);
     if (!ws_constraints_allow_type(job->spec, type)
-        || !ws_resources_fit(&job->spec->need, &type->room))
+        || !ws_resources_fit(&job->spec->need, &type->capacity))
       continue;
     guint zone = pick_zone(demand, job, t, FALSE);
     if (zone == WS_NONE && job->spec->spot)
@@ -341,7 +341,7 @@
         || machine->type == WS_NONE || machine->zone == WS_NONE
         || !(is_booting(core, machine) || ws_machine_is_up(core, machine)))
       continue;
-    WsResources room = ws_replica_type(replica, machine->type)->room;
+    WsResources room = ws_replica_type(replica, machine->type)->capacity;
     for (guint k = 0; k < machine->tasks->len; k++) {
       const WsJob *job = ws_replica_job(replica, g_array_index(machine->tasks, WsTaskRef, k).job);
       if (job->spec->kind == WS_KIND_SERVICE)
--- a/src/scheduling/ws-gang-place.c
+++ b/src/scheduling/ws-gang-place.c
@@ -8,16 +8,16 @@
 /* Takes room for the tasks, as many as fit on one machine before the next is chosen; of those that
    have to fetch the image, no more than @most_where_fetched. */
 static GArray *
-take_machines(WsPlaces *places, const WsJob *job, guint tasks, guint most_where_fetched)
+take_machines(WsCandidates *places, const WsJob *job, guint tasks, guint most_where_fetched)
 {
   g_autoptr(GArray) machines = g_array_new(FALSE, FALSE, sizeof(guint));
   const WsMachine *machine = NULL;
   guint left_here = 0;
   for (guint i = 0; i < tasks; i++) {
-    if (left_here == 0 || !ws_places_take_again(places, machine)) {
-      machine = ws_places_take(places, WS_ROOM_NOW);
+    if (left_here == 0 || !ws_candidates_take_again(places, machine)) {
+      machine = ws_candidates_take(places, WS_SLOT_FREE);
       if (machine == NULL) {
-        ws_places_put_back(places, machines);
+        ws_candidates_release(places, machines);
         return NULL;
       }
       left_here = ws_machine_has_image(machine, job->image) ? tasks : most_where_fetched;
@@ -57,22 +57,22 @@
 
 /* Tries the zone (WS_NONE: all) and leaves the map as it was. */
 static GArray *
-try_zone(WsRoomMap *map, const WsJob *job, guint tasks, const guint *counts, guint zone,
+try_zone(WsCapacityMap *map, const WsJob *job, guint tasks, const guint *counts, guint zone,
          guint most_where_fetched)
 {
   guint zones = map->core->settings->zones->len;
   g_autofree guint *zone_counts = g_memdup2(counts, sizeof(guint) * zones);
-  g_autoptr(WsPlaces) places = ws_places_new(map, job, zone_counts);
-  ws_places_keep_to_zone(places, zone);
+  g_autoptr(WsCandidates) places = ws_candidates_new(map, job, zone_counts);
+  ws_candidates_restrict_to_zone(places, zone);
   GArray *machines = take_machines(places, job, tasks, most_where_fetched);
   if (machines != NULL)
-    ws_places_put_back(places, machines);
+    ws_candidates_release(places, machines);
   return machines;
 }
 
 /* The same packed on few machines, if none of them has to fetch the image, or else spread. */
 static GArray *
-place_in_zone(WsRoomMap *map, const WsJob *job, guint tasks, const guint *counts, guint zone)
+place_in_zone(WsCapacityMap *map, const WsJob *job, guint tasks, const guint *counts, guint zone)
 {
   GArray *packed = try_zone(map, job, tasks, counts, zone, tasks);
   if (packed == NULL || cost_of(map->core, job, packed).fetches == 0)
@@ -86,7 +86,7 @@
 }
 
 static guint
-best_zone(WsRoomMap *map, const WsJob *job, guint tasks, const guint *counts)
+best_zone(WsCapacityMap *map, const WsJob *job, guint tasks, const guint *counts)
 {
   guint best = WS_NONE;
   Cost least = { 0 };
@@ -104,7 +104,7 @@
 }
 
 static void
-change_room(WsRoomMap *map, const WsJob *job, const GArray *machines, gint64 tasks_each)
+change_room(WsCapacityMap *map, const WsJob *job, const GArray *machines, gint64 tasks_each)
 {
   for (guint i = 0; i < machines->len; i++)
     ws_resources_add(&map->slots[g_array_index(machines, guint, i)].free, &job->spec->need,
@@ -131,7 +131,7 @@
 static WsResources
 room_without_arrays(const WsCore *core, const WsMachine *machine)
 {
-  WsResources room = ws_replica_type(core->replica, machine->type)->room;
+  WsResources room = ws_replica_type(core->replica, machine->type)->capacity;
   for (guint i = 0; i < machine->tasks->len; i++) {
     const WsTaskRef *ref = &g_array_index(machine->tasks, WsTaskRef, i);
     const WsJob *job = ws_replica_job(core->replica, ref->job);
@@ -153,15 +153,15 @@
 /* The machines of the zone (WS_NONE: of all) to keep, those with most free places first, as many as
    the tasks need. Returns NULL if they never had room for all. */
 static GArray *
-choose_kept(WsRoomMap *map, const WsJob *job, guint tasks, guint *counts, guint zone)
+choose_kept(WsCapacityMap *map, const WsJob *job, guint tasks, guint *counts, guint zone)
 {
   const WsReplica *replica = map->core->replica;
   const WsResources *need = &job->spec->need;
-  g_autoptr(WsPlaces) places = ws_places_new(map, job, counts);
+  g_autoptr(WsCandidates) places = ws_candidates_new(map, job, counts);
   g_autoptr(GArray) kept = g_array_new(FALSE, FALSE, sizeof(Kept));
   for (guint i = 0; i < replica->machines->len; i++) {
     const WsMachine *machine = ws_replica_machine(replica, i);
-    if (!ws_places_is_eligible(places, machine) || (zone != WS_NONE && machine->zone != zone))
+    if (!ws_candidates_is_eligible(places, machine) || (zone != WS_NONE && machine->zone != zone))
       continue;
     Kept candidate = { i, count_places(need, map->slots[i].free),
                        count_places(need, room_without_arrays(map->core, machine)) };
@@ -186,7 +186,7 @@
 }
 
 static GArray *
-choose_best_kept(WsRoomMap *map, const WsJob *job, guint tasks, guint *counts)
+choose_best_kept(WsCapacityMap *map, const WsJob *job, guint tasks, guint *counts)
 {
   GArray *best = NULL;
   if (!job->spec->one_zone)
@@ -206,18 +206,18 @@
 }
 
 void
-ws_gang_hold_room(WsRoomMap *map, const WsJob *job, guint tasks, guint *counts)
+ws_gang_reserve_capacity(WsCapacityMap *map, const WsJob *job, guint tasks, guint *counts)
 {
   g_autoptr(GArray) kept = choose_best_kept(map, job, tasks, counts);
   for (guint i = 0; kept != NULL && i < kept->len; i++) {
     const Kept *at = &g_array_index(kept, Kept, i);
     map->slots[at->machine].free = (WsResources){ 0 };
-    ws_reservations_keep(map->core, job, at->machine, at->places);
+    ws_reservations_renew(map->core, job, at->machine, at->places);
   }
 }
 
 GArray *
-ws_gang_place(WsRoomMap *map, const WsJob *job, guint tasks, guint *counts)
+ws_gang_place(WsCapacityMap *map, const WsJob *job, guint tasks, guint *counts)
 {
   guint zone = job->spec->one_zone ? best_zone(map, job, tasks, counts) : WS_NONE;
   if (job->spec->one_zone && zone == WS_NONE)
--- a/src/scheduling/ws-gang-place.h
+++ b/src/scheduling/ws-gang-place.h
@@ -3,7 +3,7 @@
  */
 #pragma once
 
-#include "scheduling/ws-place.h"
+#include "scheduling/ws-candidates.h"
 
 /**
  * Finds machines for @tasks tasks of the gang and takes the room on the map.
@@ -13,7 +13,7 @@
  * loss of any one ends the attempt. @counts: its tasks that have machines, by zone. Returns indices
  * of machines (of guint), or NULL if there isn't room for every task.
  */
-GArray *ws_gang_place(WsRoomMap *map, const WsJob *job, guint tasks, guint *counts);
+GArray *ws_gang_place(WsCapacityMap *map, const WsJob *job, guint tasks, guint *counts);
 
 /**
  * Keeps machines for a gang that doesn't fit yet: what isn't critical gets no place there.
@@ -22,4 +22,4 @@
  * places at once. The machines are those with most room already, in one zone if the gang must be,
  * and as many as have room for all its tasks once the arrays' tasks there have ended.
  */
-void ws_gang_hold_room(WsRoomMap *map, const WsJob *job, guint tasks, guint *counts);
+void ws_gang_reserve_capacity(WsCapacityMap *map, const WsJob *job, guint tasks, guint *counts);
--- a/src/scheduling/ws-plan.c
+++ b/src/scheduling/ws-plan.c
@@ -32,7 +32,7 @@
 
 typedef struct {
   WsCore *core;
-  WsRoomMap map;
+  WsCapacityMap map;
   WsResources *use;
   WsDemand *demand;     /* only a leader's plan has one */
   GHashTable *reserved; /* machine -> tasks of the job at hand for which room is being made there */
@@ -112,35 +112,35 @@
   gpointer machine, tasks;
   g_hash_table_iter_init(&iter, run->reserved);
   while (g_hash_table_iter_next(&iter, &machine, &tasks))
-    ws_reservations_keep(run->core, job, GPOINTER_TO_UINT(machine), GPOINTER_TO_UINT(tasks));
+    ws_reservations_renew(run->core, job, GPOINTER_TO_UINT(machine), GPOINTER_TO_UINT(tasks));
   g_hash_table_remove_all(run->reserved);
 }
 
 static gboolean
 makes_place(const WsMachine *machine, const WsResources *freed, gpointer data)
 {
-  return ws_places_would_fit(data, machine, freed);
+  return ws_candidates_would_fit(data, machine, freed);
 }
 
 /* A team whose own less urgent work fills its limit has some of it stopped for the urgent job, if
    that can start then. Where it has no place yet, one is rented for it first. */
 static void
-make_team_room(Run *run, WsPlaces *places, const WsJob *job)
+make_team_room(Run *run, WsCandidates *places, const WsJob *job)
 {
   WsCore *core = run->core;
   g_autoptr(GArray) machines = g_array_new(FALSE, FALSE, sizeof(guint));
-  const WsMachine *place = ws_places_peek(places, WS_ROOM_NOW);
+  const WsMachine *place = ws_candidates_peek(places, WS_SLOT_FREE);
   if (place == NULL)
-    place = ws_places_peek(places, WS_ROOM_COMING);
-  WsTeamRoom room = ws_preempt_in_team(core, job, &run->use[job->team], place != NULL, makes_place,
-                                       places, machines);
+    place = ws_candidates_peek(places, WS_SLOT_FREEING);
+  WsTeamCapacity room = ws_preempt_in_team(core, job, &run->use[job->team], place != NULL,
+                                           makes_place, places, machines);
   if (place == NULL && machines->len > 0) /* the first one that stops leaves the place */
     place = ws_replica_machine(core->replica, g_array_index(machines, guint, 0));
-  if (room == WS_TEAM_ROOM_COMES)
-    ws_reservations_keep(core, job, WS_NONE, 1);
-  if (room == WS_TEAM_ROOM_COMES && place != NULL)
+  if (room == WS_TEAM_CAPACITY_FREEING)
+    ws_reservations_renew(core, job, WS_NONE, 1);
+  if (room == WS_TEAM_CAPACITY_FREEING && place != NULL)
     reserve(run, place->index);
-  if (room == WS_TEAM_NO_PLACE && run->demand != NULL)
+  if (room == WS_TEAM_NO_SLOT && run->demand != NULL)
     ws_demand_add(run->demand, job, 1);
   for (guint i = 0; i < machines->len; i++) {
     const WsMachine *machine = ws_replica_machine(core->replica, g_array_index(machines, guint, i));
@@ -161,11 +161,11 @@
 }
 
 static gboolean
-room_comes(Run *run, WsPlaces *places, const WsJob *job, WsRoom coming, WsRoom taken)
+room_comes(Run *run, WsCandidates *places, const WsJob *job, WsSlotKind coming, WsSlotKind taken)
 {
-  WsMachine *machine = ws_places_take(places, coming);
+  WsMachine *machine = ws_candidates_take(places, coming);
   if (machine == NULL) {
-    machine = ws_places_take(places, taken);
+    machine = ws_candidates_take(places, taken);
     if (machine != NULL)
       preempt_on(run, job, machine);
   }
@@ -175,18 +175,19 @@
 }
 
 static Outcome
-place_task(Run *run, WsPlaces *places, const WsJob *job, guint task)
+place_task(Run *run, WsCandidates *places, const WsJob *job, guint task)
 {
-  WsMachine *machine = ws_places_peek(places, WS_ROOM_NOW);
+  WsMachine *machine = ws_candidates_peek(places, WS_SLOT_FREE);
   if ((machine == NULL || !ws_machine_has_image(machine, job->image)) && waits_for_image(run, job)
-      && room_comes(run, places, job, WS_ROOM_CACHED, WS_ROOM_TAKEN_CACHED))
+      && room_comes(run, places, job, WS_SLOT_WITH_IMAGE, WS_SLOT_BY_PREEMPTION_WITH_IMAGE))
     return ROOM_COMES;
-  machine = ws_places_take(places, WS_ROOM_NOW);
+  machine = ws_candidates_take(places, WS_SLOT_FREE);
   if (machine != NULL) {
     ws_assignments_propose(run->core, job->index, task, machine->index);
     return PLACED;
   }
-  return room_comes(run, places, job, WS_ROOM_COMING, WS_ROOM_TAKEN) ? ROOM_COMES : NO_ROOM;
+  return room_comes(run, places, job, WS_SLOT_FREEING, WS_SLOT_BY_PREEMPTION) ? ROOM_COMES
+                                                                              : NO_ROOM;
 }
 
 static gboolean
@@ -252,8 +253,8 @@
     ws_demand_add_gang(run->demand, job, tasks);
   if (!ws_queue_is_overdue(run->core, job))
     return;
-  ws_gang_hold_room(&run->map, job, tasks, counts);
-  ws_reservations_keep(run->core, job, WS_NONE, tasks);
+  ws_gang_reserve_capacity(&run->map, job, tasks, counts);
+  ws_reservations_renew(run->core, job, WS_NONE, tasks);
   ws_resources_add(&run->use[job->team], &job->spec->need, tasks);
 }
 
@@ -282,7 +283,7 @@
 static void
 place_tasks(Run *run, WsJob *job, const GArray *tasks, guint *counts)
 {
-  g_autoptr(WsPlaces) places = ws_places_new(&run->map, job, counts);
+  g_autoptr(WsCandidates) places = ws_candidates_new(&run->map, job, counts);
   guint unplaced = 0, wanted = 0;
   gboolean has_room = TRUE;
   for (guint i = 0; i < tasks->len; i++) {
@@ -329,7 +330,7 @@
   (void)result;
   (void)data;
   core->plan->spilling = FALSE;
-  core->plan_due = TRUE;
+  core->replan_is_needed = TRUE;
 }
 
 /* A job that its part can't take goes to the leader, who may place it anywhere. */
@@ -408,7 +409,7 @@
   Run run = { .core = core };
   g_autoptr(GArray) jobs = ws_queue_jobs(core);
   WsResources least = least_needed(core, jobs);
-  ws_room_map_init(&run.map, core, &least);
+  ws_capacity_map_init(&run.map, core, &least);
   run.use = g_memdup2(core->replica->team_use,
                       sizeof(WsResources) * MAX(core->settings->teams->len, 1u));
   run.reserved = g_hash_table_new(NULL, NULL);
@@ -430,18 +431,18 @@
     ws_demand_end(run.demand);
   g_hash_table_unref(run.reserved);
   g_free(run.use);
-  ws_room_map_clear(&run.map);
+  ws_capacity_map_clear(&run.map);
 }
 
 void
 ws_plan_tick(WsCore *core)
 {
   if (core->now < core->plan->next_ms || !ws_is_active_member(core)
-      || (!core->plan_due && core->now < core->plan->next_ms + UNASKED_MS)
+      || (!core->replan_is_needed && core->now < core->plan->next_ms + UNASKED_MS)
       || core->replica->catalog == NULL || !ws_assignments_are_idle(core)
       || !ws_store_is_available(core))
     return;
-  core->plan_due = FALSE;
+  core->replan_is_needed = FALSE;
   core->plan->next_ms = core->now + PAUSE_MS;
   if (ws_is_leader(core) || has_work(core))
     plan(core);
@@ -456,8 +457,8 @@
   if (!ws_is_active_member(core) || core->replica->catalog == NULL || spec->spread || spec->one_zone
       || spec->kind == WS_KIND_GANG)
     return WS_NONE;
-  WsRoomMap map;
-  ws_room_map_init(&map, core, &spec->need);
+  WsCapacityMap map;
+  ws_capacity_map_init(&map, core, &spec->need);
   g_autofree gint64 *places = g_new0(gint64, core->settings->nodes->len);
   guint zone = ws_replica_find_zone(core->replica, spec->zone);
   for (guint i = 0; i < map.open->len; i++) {
@@ -469,7 +470,7 @@
       if (++places[machine->owner] > WS_MAX_TASKS)
         break;
   }
-  ws_room_map_clear(&map);
+  ws_capacity_map_clear(&map);
   guint best = 0;
   for (guint n = 1; n < core->settings->nodes->len; n++)
     if (places[n] > places[best])
--- a/src/scheduling/ws-preempt.c
+++ b/src/scheduling/ws-preempt.c
@@ -212,7 +212,7 @@
   }
 }
 
-WsTeamRoom
+WsTeamCapacity
 ws_preempt_in_team(WsCore *core, const WsJob *job, const WsResources *use, gboolean has_place,
                    WsPlaceFunc makes_place, gpointer data, GArray *machines)
 {
@@ -225,12 +225,12 @@
   }
   ws_resources_add(&left, &coming, -1);
   if (ws_team_has_room(core->settings, job->team, &left, &job->spec->need))
-    return WS_TEAM_ROOM_COMES;
+    return WS_TEAM_CAPACITY_FREEING;
   g_array_sort(victims, youngest_first);
   if (count_needed(core, job, &left, victims) == 0)
     return WS_TEAM_FULL;
   if (!has_place && !put_place_first(core, victims, makes_place, data))
-    return WS_TEAM_NO_PLACE;
+    return WS_TEAM_NO_SLOT;
   stop_first(core, victims, count_needed(core, job, &left, victims), machines);
-  return WS_TEAM_ROOM_COMES;
+  return WS_TEAM_CAPACITY_FREEING;
 }
--- a/src/scheduling/ws-queue.c
+++ b/src/scheduling/ws-queue.c
@@ -5,7 +5,7 @@
 #include "workers/ws-workers.h"
 
 /* A job is given up as late only if it would be late at this part of its estimated time. */
-#define HOPE 0.6
+#define OPTIMISTIC_RUN_TIME_SHARE 0.6
 /* Seconds of work that a second of waiting outweighs, so that large jobs don't starve. */
 #define PATIENCE 5.0
 /* A job that is still not done after so long isn't given up as late any more. */
@@ -64,7 +64,7 @@
   double within_s = ws_job_allowed_s(core->replica, job);
   guint left = job->tasks - job->completed_count;
   double waited_s = (double)(core->wall - job->accepted_ms) / 1000.0;
-  double end_s = waited_s + HOPE * shortest_s(core, job, left);
+  double end_s = waited_s + OPTIMISTIC_RUN_TIME_SHARE * shortest_s(core, job, left);
   waiting->weight
       = ws_estimator_run_s(core, job) * (left - job->assigned_count) - PATIENCE * waited_s;
   waiting->is_overdue = ws_queue_is_overdue(core, job);
--- a/src/scheduling/ws-reservation.c
+++ b/src/scheduling/ws-reservation.c
@@ -63,7 +63,7 @@
 }
 
 void
-ws_reservations_keep(WsCore *core, const WsJob *job, guint machine, guint tasks)
+ws_reservations_renew(WsCore *core, const WsJob *job, guint machine, guint tasks)
 {
   drop_expired(core);
   WsReservation *entry = find_entry(core, job->index, machine);
@@ -94,7 +94,7 @@
 }
 
 void
-ws_reservations_use(WsCore *core, const WsJob *job, guint machine)
+ws_reservations_consume(WsCore *core, const WsJob *job, guint machine)
 {
   use_entry(core, job->index, machine);
   use_entry(core, job->index, WS_NONE);
--- a/src/scheduling/ws-scheduling.h
+++ b/src/scheduling/ws-scheduling.h
@@ -57,21 +57,21 @@
                        const WsSlot *slot);
 void ws_preempt(WsCore *core, const WsJob *job, WsMachine *machine, WsSlot *slot);
 /* Processors of the smallest allowed type that has room for one task. */
-gint64 ws_smallest_room(const WsReplica *replica, const WsJobSpec *spec);
+gint64 ws_smallest_fitting_cpus(const WsReplica *replica, const WsJobSpec *spec);
 /* Whether the job could start on the machine if so much more of it were free. */
 typedef gboolean (*WsPlaceFunc)(const WsMachine *machine, const WsResources *freed, gpointer data);
 typedef enum {
-  WS_TEAM_FULL,      /* with work that may not be stopped for the job */
-  WS_TEAM_NO_PLACE,  /* stops would make room in the team, but the job has no place to start */
-  WS_TEAM_ROOM_COMES /* tasks are being stopped */
-} WsTeamRoom;
+  WS_TEAM_FULL,    /* with work that may not be stopped for the job */
+  WS_TEAM_NO_SLOT, /* stops would make room in the team, but the job has no place to start */
+  WS_TEAM_CAPACITY_FREEING /* tasks are being stopped */
+} WsTeamCapacity;
 /* Stops less urgent tasks of the job's own team, the youngest first, until the team's limit leaves
    room for one task of the job. Nothing is stopped unless that task can then start: either it has a
    place, or makes_place says that the end of one of the stopped tasks leaves it one. use: of the
    team, as planned. The machines of what stops are appended to machines (of guint). */
-WsTeamRoom ws_preempt_in_team(WsCore *core, const WsJob *job, const WsResources *use,
-                              gboolean has_place, WsPlaceFunc makes_place, gpointer data,
-                              GArray *machines);
+WsTeamCapacity ws_preempt_in_team(WsCore *core, const WsJob *job, const WsResources *use,
+                                  gboolean has_place, WsPlaceFunc makes_place, gpointer data,
+                                  GArray *machines);
 
 /**
  * Gangs: jobs whose tasks run at the same time or not at all.
@@ -121,10 +121,10 @@
 void ws_reservations_clear(WsCore *core);
 
 /** Reserves or renews; a node that doesn't lead passes it to the leader. */
-void ws_reservations_keep(WsCore *core, const WsJob *job, guint machine, guint tasks);
+void ws_reservations_renew(WsCore *core, const WsJob *job, guint machine, guint tasks);
 
 /** The job was assigned a task on the machine. */
-void ws_reservations_use(WsCore *core, const WsJob *job, guint machine);
+void ws_reservations_consume(WsCore *core, const WsJob *job, guint machine);
 
 /**
  * Whether an assignment of the job leaves what is reserved for more urgent ones.
--- a/src/store/ws-store.c
+++ b/src/store/ws-store.c
@@ -278,7 +278,7 @@
   store->is_loading = FALSE;
   store->is_loaded = TRUE;
   core->replica->is_loading = FALSE;
-  core->plan_due = TRUE;
+  core->replan_is_needed = TRUE;
   g_info("state read: revision %" G_GUINT64_FORMAT ", %u jobs open, %u machines",
          store->load_revision, core->replica->active->len, core->replica->machines->len);
 }
@@ -350,7 +350,7 @@
     ws_replica_apply(core->replica, key, json_object_get(event, "value"), version);
   else if (ws_json_string(event, "remove", &key))
     ws_replica_apply(core->replica, key, NULL, version);
-  core->plan_due = TRUE;
+  core->replan_is_needed = TRUE;
 }
 
 static void
--- a/src/workers/ws-workers.c
+++ b/src/workers/ws-workers.c
@@ -331,7 +331,7 @@
       take_task(core, machine, &g_array_index(heartbeat->tasks, WsTaskStatus, i));
   command_all(&answer);
   note_unacknowledged(&answer);
-  core->plan_due = core->plan_due || !was_usable || machine->interruption_ms > 0;
+  core->replan_is_needed = core->replan_is_needed || !was_usable || machine->interruption_ms > 0;
   return ws_heartbeat_answer_encode(token(core), answer.commands);
 }
 
--- a/tests/test-protocol.c
+++ b/tests/test-protocol.c
@@ -154,7 +154,7 @@
   g_autoptr(json_t) message = ws_json_parse(CATALOG, strlen(CATALOG));
   g_autoptr(GPtrArray) types = ws_catalog_parse(message);
   g_assert_cmpuint(types->len, ==, 1);
-  g_assert_cmpint(((WsType *)g_ptr_array_index(types, 0))->room.gpus, ==, 8000);
+  g_assert_cmpint(((WsType *)g_ptr_array_index(types, 0))->capacity.gpus, ==, 8000);
   g_autoptr(json_t) damaged = json_pack("{s:[{s:s}]}", "typy", "sku", "g8");
   g_assert_null(ws_catalog_parse(damaged));
   gboolean more;
