--- a/src/commit/ws-batch.c
+++ b/src/commit/ws-batch.c
@@ -375,7 +375,7 @@
                 == NULL
          && ws_job_assignment(job, proposal->task) == NULL && !ws_gang_is_ending(job)
          && record_has_place(batch, job, proposal->task) && machine->is_recorded
-         && !machine->is_marked && !machine->mark_is_pending
+         && !machine->is_marked && !machine->fleet.mark_is_pending
          && ws_constraints_allow_machine(batch->core->replica, job->spec, job->zone, machine)
          && machine_has_room(batch, machine, job)
          && ws_team_has_room(batch->core->settings, job->team, &batch->use[job->team],
--- a/src/commit/ws-legacy-releases.c
+++ b/src/commit/ws-legacy-releases.c
@@ -91,11 +91,11 @@
 static void
 ask_worker(WsCore *core, Hint *hint, const WsMachine *machine)
 {
-  if (machine->endpoint == NULL
+  if (machine->worker.endpoint == NULL
       || (hint->asked_ms > 0 && core->now - hint->asked_ms < STATUS_RETRY_MS))
     return;
   hint->asked_ms = core->now;
-  ws_call(core, "GET", machine->endpoint, "/status", NULL, STATUS_TIMEOUT_MS, on_status,
+  ws_call(core, "GET", machine->worker.endpoint, "/status", NULL, STATUS_TIMEOUT_MS, on_status,
           GUINT_TO_POINTER(machine->index));
 }
 
--- a/src/core/ws-core.c
+++ b/src/core/ws-core.c
@@ -114,10 +114,10 @@
   core->epoch_known_ms = now_ms;
   for (guint i = 0; i < core->replica->machines->len; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, i);
-    machine->owned_ms = now_ms;
-    machine->empty_ms = 0;
-    machine->underused_ms = 0;
-    machine->unacknowledged_ms = 0;
+    machine->worker.owned_ms = now_ms;
+    machine->fleet.empty_ms = 0;
+    machine->fleet.underused_ms = 0;
+    machine->worker.unacknowledged_ms = 0;
   }
   ws_election_resume(core, now_ms);
 }
@@ -147,12 +147,12 @@
   ws_gossip_begin_epoch(core);
   for (guint i = 0; i < core->replica->machines->len; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, i);
-    machine->redirected_ms = 0;
-    machine->failed_probes = 0;
-    machine->unacknowledged_ms = 0;
-    if (machine->handled_owner != machine->owner)
-      machine->owned_ms = core->now;
-    machine->handled_owner = machine->owner;
+    machine->worker.redirected_ms = 0;
+    machine->worker.failed_probes = 0;
+    machine->worker.unacknowledged_ms = 0;
+    if (machine->worker.handled_owner != machine->owner)
+      machine->worker.owned_ms = core->now;
+    machine->worker.handled_owner = machine->owner;
   }
   g_info("epoch %" G_GUINT64_FORMAT " at revision %" G_GUINT64_FORMAT ": %u members, leader %s",
          core->handled_epoch, ws_replica_version(core->replica, WS_KEY_EPOCH),
--- a/src/fleet/ws-cloud-list.c
+++ b/src/fleet/ws-cloud-list.c
@@ -33,11 +33,11 @@
   g_autoptr(GArray) machines = data;
   for (guint i = 0; i < machines->len; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, g_array_index(machines, guint, i));
-    machine->mark_is_pending = FALSE;
+    machine->fleet.mark_is_pending = FALSE;
     if (result == WS_TXN_COMMITTED)
       g_info("machine %s wasn't expected; it is used or given back", machine->name);
     else
-      machine->needs_record = TRUE;
+      machine->fleet.needs_record = TRUE;
   }
   core->replan_is_needed = TRUE;
 }
@@ -45,10 +45,10 @@
 void
 ws_cloud_list_reconcile(WsCore *core, WsMachine *machine, gint64 at_ms)
 {
-  if (machine->mark_is_pending || machine->type_name == NULL || machine->zone == WS_NONE
+  if (machine->fleet.mark_is_pending || machine->type_name == NULL || machine->zone == WS_NONE
       || ws_returns_is_confirmed(core, machine->name) || !ws_is_active_member(core))
     return;
-  machine->needs_record = TRUE;
+  machine->fleet.needs_record = TRUE;
   machine->rented_ms = at_ms;
 }
 
@@ -74,13 +74,14 @@
   rental_batch->machines = g_array_new(FALSE, FALSE, sizeof(guint));
   for (guint i = first->index; i < core->replica->machines->len; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, i);
-    if (!machine->needs_record || machine->zone != first->zone || !belongs(rental_batch, machine)
+    if (!machine->fleet.needs_record || machine->zone != first->zone
+        || !belongs(rental_batch, machine)
         || rental_batch->machines->len >= ws_rental_batch_max_machines(core->settings)
         || !ws_rental_batch_has_place(rental_batch, core->replica, machine->name))
       continue;
-    machine->needs_record = FALSE;
-    machine->mark_is_pending = TRUE;
-    machine->mark_pending_ms = core->now;
+    machine->fleet.needs_record = FALSE;
+    machine->fleet.mark_is_pending = TRUE;
+    machine->fleet.mark_pending_ms = core->now;
     g_array_append_val(rental_batch->machines, machine->index);
     g_array_append_val(machines, machine->index);
   }
@@ -98,8 +99,9 @@
   for (guint i = 0; i < core->replica->machines->len; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, i);
     if (machine->is_recorded || ws_returns_is_confirmed(core, machine->name))
-      machine->needs_record = FALSE;
-    if (!machine->needs_record || ws_txn_operation_count(txn) >= core->settings->state_txn_ops)
+      machine->fleet.needs_record = FALSE;
+    if (!machine->fleet.needs_record
+        || ws_txn_operation_count(txn) >= core->settings->state_txn_ops)
       continue;
     WsRentalBatch *rental_batch = gather_rental_batch(core, machine, machines);
     g_autofree char *key = ws_key(WS_KEYS_RENTAL_BATCH, rental_batch->name);
@@ -124,16 +126,16 @@
   if (!machine->is_recorded) {
     /* A list may be old, also older than the one before: a machine that was returned by an earlier
        leader would be taken for a new one. */
-    if (machine->listed_ms == 0)
-      machine->listed_ms = core->now;
-    if (core->now - machine->listed_ms < (gint64)(core->settings->list_lag_s * 3000.0))
+    if (machine->fleet.listed_ms == 0)
+      machine->fleet.listed_ms = core->now;
+    if (core->now - machine->fleet.listed_ms < (gint64)(core->settings->list_lag_s * 3000.0))
       return;
     ws_replica_describe_machine(core->replica, machine, listed->type, listed->zone, listed->spot);
     ws_cloud_list_reconcile(core, machine, core->wall - (gint64)(listed->age_s * 1000.0));
     return;
   }
-  if (machine->endpoint == NULL && listed->endpoint != NULL)
-    machine->endpoint = g_strdup(listed->endpoint);
+  if (machine->worker.endpoint == NULL && listed->endpoint != NULL)
+    machine->worker.endpoint = g_strdup(listed->endpoint);
   if (listed->failed && !ws_machine_is_up(core, machine))
     ws_termination_request_mark(core, machine, "failed", TRUE);
 }
--- a/src/fleet/ws-consolidation.c
+++ b/src/fleet/ws-consolidation.c
@@ -34,7 +34,7 @@
   }
   for (guint i = 0; i < core->replica->machines->len; i++) {
     const WsMachine *machine = ws_replica_machine(core->replica, i);
-    if (machine->is_recorded && (machine->is_marked || machine->mark_is_pending))
+    if (machine->is_recorded && (machine->is_marked || machine->fleet.mark_is_pending))
       return FALSE;
   }
   return core->now - core->epoch_known_ms > 15000;
@@ -57,8 +57,9 @@
           const WsJob *job)
 {
   if (target == machine || !target->is_recorded || target->is_marked
-      || batch->closing[target->index] || target->interruption_ms != 0 || target->tasks->len == 0
-      || !ws_machine_has_image(target, job->image) || !ws_machine_is_up(core, target)
+      || batch->closing[target->index] || target->worker.interruption_ms != 0
+      || target->tasks->len == 0 || !ws_machine_has_image(target, job->image)
+      || !ws_machine_is_up(core, target)
       || !ws_constraints_allow_machine(core->replica, job->spec, job->zone, target))
     return FALSE;
   WsResources room = ws_replica_type(core->replica, target->type)->capacity;
@@ -137,12 +138,13 @@
 is_due(const WsCore *core, WsMachine *machine)
 {
   if (!is_sparse(core, machine)) {
-    machine->underused_ms = 0;
+    machine->fleet.underused_ms = 0;
     return FALSE;
   }
-  if (machine->underused_ms == 0)
-    machine->underused_ms = core->now;
-  return core->now - machine->underused_ms >= (gint64)(core->properties->idle_timeout_s * 1000.0);
+  if (machine->fleet.underused_ms == 0)
+    machine->fleet.underused_ms = core->now;
+  return core->now - machine->fleet.underused_ms
+         >= (gint64)(core->properties->idle_timeout_s * 1000.0);
 }
 
 static void
@@ -162,7 +164,7 @@
       continue;
     }
     looked++;
-    machine->underused_ms = core->now; /* the others have their turn first */
+    machine->fleet.underused_ms = core->now; /* the others have their turn first */
   }
 }
 
--- a/src/fleet/ws-fleet.c
+++ b/src/fleet/ws-fleet.c
@@ -85,7 +85,7 @@
   gint64 patience_ms = (gint64)(core->settings->lease_s * 1000.0);
   for (guint i = 0; i < core->replica->machines->len; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, i);
-    if (!machine->is_recorded || machine->is_marked || machine->heard_ms > 0
+    if (!machine->is_recorded || machine->is_marked || machine->worker.heard_ms > 0
         || machine->type == WS_NONE || machine->tasks->len > 0
         || core->now - core->epoch_known_ms < patience_ms
         || ws_zone_is_partitioned(core, machine->zone))
--- a/src/fleet/ws-returns.c
+++ b/src/fleet/ws-returns.c
@@ -50,7 +50,7 @@
   core->returns->clearing = FALSE;
   for (guint i = 0; i < machines->len; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, g_array_index(machines, guint, i));
-    machine->mark_is_pending = FALSE;
+    machine->fleet.mark_is_pending = FALSE;
     if (result == WS_TXN_COMMITTED)
       g_info("machine %s is returned and its mark cleared", machine->name);
   }
@@ -116,8 +116,8 @@
   for (guint i = 0; i < machines->len; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, g_array_index(machines, guint, i));
     g_autofree char *mark = ws_key(WS_KEYS_MARK, machine->name);
-    machine->mark_is_pending = TRUE;
-    machine->mark_pending_ms = core->now;
+    machine->fleet.mark_is_pending = TRUE;
+    machine->fleet.mark_pending_ms = core->now;
     ws_txn_delete(txn, mark);
   }
   for (guint i = 0; i < core->replica->rental_batches->len; i++)
@@ -155,7 +155,7 @@
 static gboolean
 is_lost(const WsCore *core, const WsMachine *machine)
 {
-  gint64 since_ms = MAX(machine->heard_ms, core->epoch_known_ms);
+  gint64 since_ms = MAX(machine->worker.heard_ms, core->epoch_known_ms);
   return !machine->is_recorded && !machine->is_marked && machine->tasks->len > 0
          && (double)(core->now - since_ms) > core->settings->lease_s * 1000.0;
 }
@@ -168,7 +168,7 @@
     WsMachine *machine = ws_replica_machine(core->replica, i);
     if (is_lost(core, machine))
       release_all(core, machine);
-    if (!machine->is_marked || machine->mark_is_pending
+    if (!machine->is_marked || machine->fleet.mark_is_pending
         || !ws_returns_is_confirmed(core, machine->name) || !knows_what_is_on(core, machine))
       continue;
     release_all(core, machine);
--- a/src/fleet/ws-termination.c
+++ b/src/fleet/ws-termination.c
@@ -41,7 +41,8 @@
       continue;
     total++;
     unavailable
-        += other->is_marked || other->mark_is_pending || !ws_machine_is_up(core, other) ? 1 : 0;
+        += other->is_marked || other->fleet.mark_is_pending || !ws_machine_is_up(core, other) ? 1
+                                                                                              : 0;
   }
   return unavailable + 1 <= ws_budget_allowed(budget, total + 1);
 }
@@ -117,7 +118,7 @@
   for (guint i = 0; i < writing->len; i++) {
     const Marking *marking = &g_array_index(writing, Marking, i);
     WsMachine *machine = ws_replica_machine(core->replica, marking->machine);
-    machine->mark_is_pending = FALSE;
+    machine->fleet.mark_is_pending = FALSE;
     if (result == WS_TXN_COMMITTED)
       g_info("machine %s (%s, %s, %u tasks) is marked: %s", machine->name,
              machine->spot ? "spot" : "ordinary",
@@ -134,14 +135,14 @@
 void
 ws_termination_request_mark(WsCore *core, WsMachine *machine, const char *why, gboolean now)
 {
-  if (machine->mark_is_pending || (machine->is_marked && (!now || machine->mark_is_immediate))
+  if (machine->fleet.mark_is_pending || (machine->is_marked && (!now || machine->mark_is_immediate))
       || !ws_store_is_available(core))
     return;
   /* Owners take a returned machine for silent until its mark is cleared. */
   if (machine->is_marked && ws_returns_is_confirmed(core, machine->name))
     return;
-  machine->mark_is_pending = TRUE;
-  machine->mark_pending_ms = core->now;
+  machine->fleet.mark_is_pending = TRUE;
+  machine->fleet.mark_pending_ms = core->now;
   if (!ws_is_leader(core)) {
     ws_peer_request_mark(core, machine, why, now);
     return;
@@ -165,7 +166,7 @@
     /* Two owners may have chosen at once what the budget allows only one of. */
     if (!machine->is_recorded || !ws_is_leader(core)
         || (!marking.now && strcmp(marking.why, "notice") != 0 && !budget_allows(core, machine))) {
-      machine->mark_is_pending = FALSE;
+      machine->fleet.mark_is_pending = FALSE;
       g_array_remove_index(termination->wanted, 0);
       continue;
     }
@@ -189,20 +190,20 @@
 {
   if (job->spec->kind != WS_KIND_SERVICE || assignment->state < WS_TASK_RUNNING)
     return TRUE;
-  if (core->now < machine->stop_after_ms)
+  if (core->now < machine->fleet.stop_after_ms)
     return FALSE;
   guint down = job->tasks - job->assigned_count;
   if (down == 0) {
-    machine->stop_backoff_ms = 0;
-    machine->stop_after_ms = core->now + (gint64)(core->properties->backoff_min_s * 1000.0);
+    machine->fleet.stop_backoff_ms = 0;
+    machine->fleet.stop_after_ms = core->now + (gint64)(core->properties->backoff_min_s * 1000.0);
     return TRUE;
   }
   guint least = (guint)(core->properties->backoff_min_s * 1000.0);
   guint most = (guint)(core->properties->backoff_max_s * 1000.0);
-  machine->stop_backoff_ms = CLAMP(machine->stop_backoff_ms * 2, least, most);
-  machine->stop_after_ms = core->now + machine->stop_backoff_ms;
+  machine->fleet.stop_backoff_ms = CLAMP(machine->fleet.stop_backoff_ms * 2, least, most);
+  machine->fleet.stop_after_ms = core->now + machine->fleet.stop_backoff_ms;
   g_debug("the stop of a task of %s on %s backs off for %u ms", job->id, machine->name,
-          machine->stop_backoff_ms);
+          machine->fleet.stop_backoff_ms);
   return FALSE;
 }
 
@@ -219,12 +220,12 @@
 mark_if_idle(WsCore *core, WsMachine *machine)
 {
   if (machine->tasks->len > 0 || !ws_machine_is_up(core, machine) || !ws_store_is_available(core)) {
-    machine->empty_ms = 0;
+    machine->fleet.empty_ms = 0;
     return;
   }
-  if (machine->empty_ms == 0)
-    machine->empty_ms = core->now;
-  if (core->now - machine->empty_ms < (gint64)(core->properties->idle_timeout_s * 1000.0))
+  if (machine->fleet.empty_ms == 0)
+    machine->fleet.empty_ms = core->now;
+  if (core->now - machine->fleet.empty_ms < (gint64)(core->properties->idle_timeout_s * 1000.0))
     return;
   if (ws_termination_is_allowed(core, machine))
     ws_termination_request_mark(core, machine, "idle", FALSE);
@@ -233,9 +234,9 @@
 static void
 tend(WsCore *core, WsMachine *machine)
 {
-  if (machine->interruption_ms > 0 && !machine->is_marked)
+  if (machine->worker.interruption_ms > 0 && !machine->is_marked)
     ws_termination_request_mark(core, machine, "notice", FALSE);
-  else if (machine->failed_jobs >= 2 && !machine->is_marked)
+  else if (machine->fleet.failed_jobs >= 2 && !machine->is_marked)
     ws_termination_request_mark(core, machine, "faulty", FALSE);
   else if (!machine->is_marked)
     mark_if_idle(core, machine);
@@ -249,9 +250,9 @@
     /* Nothing came of it. Also on machines that this node no longer owns: one that had asked for a
        mark and then led refused everybody else's marks of that machine, and it was never returned.
      */
-    if (machine->mark_is_pending
-        && core->now - machine->mark_pending_ms > FORWARDED_MARK_TIMEOUT_MS)
-      machine->mark_is_pending = FALSE;
+    if (machine->fleet.mark_is_pending
+        && core->now - machine->fleet.mark_pending_ms > FORWARDED_MARK_TIMEOUT_MS)
+      machine->fleet.mark_is_pending = FALSE;
     if (machine->is_recorded && ws_owns_machine(core, machine))
       tend(core, machine);
   }
--- a/src/membership/ws-failure-detector.c
+++ b/src/membership/ws-failure-detector.c
@@ -38,7 +38,7 @@
 gboolean
 ws_machine_is_up(const WsCore *core, const WsMachine *machine)
 {
-  return machine->heard_ms > 0 && core->now - machine->heard_ms <= patience_ms(core);
+  return machine->worker.heard_ms > 0 && core->now - machine->worker.heard_ms <= patience_ms(core);
 }
 
 /* Since when nothing was heard of the machine although something should have been; 0: nothing is
@@ -48,10 +48,10 @@
 static gint64
 silent_since(const WsMachine *machine)
 {
-  if (machine->heard_ms == 0 && machine->tasks->len == 0)
+  if (machine->worker.heard_ms == 0 && machine->tasks->len == 0)
     return 0;
-  gint64 found_ms = machine->owned_ms > 0 ? machine->owned_ms + FIND_MS : 0;
-  return MAX(machine->heard_ms, found_ms);
+  gint64 found_ms = machine->worker.owned_ms > 0 ? machine->worker.owned_ms + FIND_MS : 0;
+  return MAX(machine->worker.heard_ms, found_ms);
 }
 
 gboolean
@@ -64,7 +64,7 @@
 static gint64
 unacknowledged_for_ms(const WsCore *core, const WsMachine *machine)
 {
-  return machine->unacknowledged_ms > 0 ? core->now - machine->unacknowledged_ms : 0;
+  return machine->worker.unacknowledged_ms > 0 ? core->now - machine->worker.unacknowledged_ms : 0;
 }
 
 gboolean
@@ -81,8 +81,8 @@
 gboolean
 ws_machine_is_inbound_unreachable(const WsCore *core, const WsMachine *machine)
 {
-  return machine->session_ms > machine->reported_ms && ws_machine_is_up(core, machine)
-         && core->now - machine->session_ms > patience_ms(core);
+  return machine->worker.session_ms > machine->worker.reported_ms && ws_machine_is_up(core, machine)
+         && core->now - machine->worker.session_ms > patience_ms(core);
 }
 
 /* The tasks that it held are gone, and those that were assigned since wait there in vain: they
@@ -105,7 +105,7 @@
    */
   if (heartbeat == NULL || strcmp(heartbeat->machine, machine->name) != 0
       || !ws_owns_machine(core, machine) || !ws_workers_note_status(core, machine, heartbeat)) {
-    machine->failed_probes++;
+    machine->worker.failed_probes++;
     return;
   }
   /* It is there and reports to somebody else, maybe to a node whose epoch is over. */
@@ -267,14 +267,14 @@
   if (silent_ms <= patience_ms(core))
     return;
   find_partitions(core, partitions);
-  if (machine->endpoint != NULL && core->now - machine->probed_ms >= STATUS_PAUSE_MS
+  if (machine->worker.endpoint != NULL && core->now - machine->worker.probed_ms >= STATUS_PAUSE_MS
       && core->probes_in_flight < MOST_STATUS_CALLS) {
-    machine->probed_ms = core->now;
+    machine->worker.probed_ms = core->now;
     core->probes_in_flight++;
-    ws_call(core, "GET", machine->endpoint, "/status", NULL, STATUS_TIMEOUT_MS, on_status,
+    ws_call(core, "GET", machine->worker.endpoint, "/status", NULL, STATUS_TIMEOUT_MS, on_status,
             GUINT_TO_POINTER(machine->index));
   }
-  gboolean failed = machine->endpoint == NULL || machine->failed_probes >= 2;
+  gboolean failed = machine->worker.endpoint == NULL || machine->worker.failed_probes >= 2;
   gboolean is_cut = core->is_unreached_by_workers || partitions->is_interruption
                     || (machine->zone != WS_NONE && partitions->zones[machine->zone]);
   gint64 patience
@@ -327,7 +327,9 @@
   guint own = 0;
   for (guint i = 0; i < core->replica->machines->len; i++) {
     const WsMachine *machine = ws_replica_machine(core->replica, i);
-    own += machine->is_recorded && machine->heard_ms > 0 && ws_owns_machine(core, machine) ? 1 : 0;
+    own += machine->is_recorded && machine->worker.heard_ms > 0 && ws_owns_machine(core, machine)
+               ? 1
+               : 0;
   }
   double usual_ms = UNHEARD_REPORTS * core->settings->report_s * 1000.0 / MAX(own, 1u);
   gint64 since_ms = MAX(core->report_ms, core->epoch_known_ms);
@@ -352,8 +354,8 @@
     if (!machine->is_recorded || !ws_owns_machine(core, machine))
       continue;
     /* A machine that isn't heard doesn't learn a higher token either. */
-    if (machine->indeterminate_launches > 0
-        && core->now - machine->indeterminate_ms > INDETERMINATE_MS
+    if (machine->worker.indeterminate_launches > 0
+        && core->now - machine->worker.indeterminate_ms > INDETERMINATE_MS
         && ws_machine_is_up(core, machine))
       core->new_epoch_needed = TRUE;
     gboolean had_room = core->probes_in_flight < MOST_STATUS_CALLS;
--- a/src/membership/ws-gossip.c
+++ b/src/membership/ws-gossip.c
@@ -118,14 +118,14 @@
 encode_machine(const WsCore *core, const WsMachine *machine)
 {
   json_t *images = json_array();
-  for (guint i = 0; i < machine->images->len; i++)
-    json_array_append_new(images,
-                          json_string(ws_names_get(&core->replica->images,
-                                                   g_array_index(machine->images, guint, i))));
+  for (guint i = 0; i < machine->worker.images->len; i++)
+    json_array_append_new(
+        images, json_string(ws_names_get(&core->replica->images,
+                                         g_array_index(machine->worker.images, guint, i))));
   return json_pack("{s:s, s:b, s:s, s:b, s:o}", "name", machine->name, "up",
-                   machine->announced_state & SAID_UP, "endpoint",
-                   machine->endpoint != NULL ? machine->endpoint : "", "notice",
-                   machine->announced_state & SAID_NOTICE, "images", images);
+                   machine->worker.announced_state & SAID_UP, "endpoint",
+                   machine->worker.endpoint != NULL ? machine->worker.endpoint : "", "notice",
+                   machine->worker.announced_state & SAID_NOTICE, "images", images);
 }
 
 static void
@@ -136,12 +136,12 @@
                  && !ws_machine_is_inbound_unreachable(core, machine)
              ? SAID_UP
              : 0u)
-        | (machine->interruption_ms > 0 ? SAID_NOTICE : 0u);
-  if (announced_state == machine->announced_state && !machine->announcement_is_due)
+        | (machine->worker.interruption_ms > 0 ? SAID_NOTICE : 0u);
+  if (announced_state == machine->worker.announced_state && !machine->worker.announcement_is_due)
     return;
-  machine->announced_state = announced_state;
-  machine->announcement_is_due = FALSE;
-  machine->announced_revision = ++core->gossip_revision;
+  machine->worker.announced_state = announced_state;
+  machine->worker.announcement_is_due = FALSE;
+  machine->worker.announced_revision = ++core->gossip_revision;
 }
 
 static json_t *
@@ -157,7 +157,7 @@
     if (!machine->is_recorded || !ws_owns_machine(core, machine))
       continue;
     note_news(core, machine);
-    if (machine->announced_revision > peer->acknowledged_revision)
+    if (machine->worker.announced_revision > peer->acknowledged_revision)
       json_array_append_new(machines, encode_machine(core, machine));
   }
   return json_pack("{s:s, s:s, s:I, s:b, s:i, s:b, s:b, s:I, s:I, s:I, s:I, s:b, s:i, s:o}", "node",
@@ -178,13 +178,13 @@
 {
   size_t i;
   const json_t *item;
-  g_array_set_size(machine->images, 0);
+  g_array_set_size(machine->worker.images, 0);
   json_array_foreach(images, i, item)
   {
     if (!json_is_string(item))
       continue;
     guint image = ws_names_intern(&core->replica->images, json_string_value(item));
-    g_array_append_val(machine->images, image);
+    g_array_append_val(machine->worker.images, image);
   }
 }
 
@@ -200,12 +200,12 @@
   WsMachine *machine = ws_replica_find_machine(core->replica, name);
   if (machine == NULL || ws_owns_machine(core, machine))
     return;
-  machine->is_up_at_owner = up;
-  if (up && machine->up_ms == 0)
-    machine->up_ms = core->now;
-  if (machine->endpoint == NULL && *endpoint != '\0')
-    machine->endpoint = g_strdup(endpoint);
-  machine->interruption_ms = notice ? MAX(machine->interruption_ms, core->now) : 0;
+  machine->worker.is_up_at_owner = up;
+  if (up && machine->worker.up_ms == 0)
+    machine->worker.up_ms = core->now;
+  if (machine->worker.endpoint == NULL && *endpoint != '\0')
+    machine->worker.endpoint = g_strdup(endpoint);
+  machine->worker.interruption_ms = notice ? MAX(machine->worker.interruption_ms, core->now) : 0;
   take_images(core, machine, json_object_get(item, "images"));
   core->replan_is_needed = TRUE;
 }
@@ -223,15 +223,15 @@
     return;
   for (guint m = 0; base == 0 && m < core->replica->machines->len; m++)
     if (ws_replica_machine(core->replica, m)->owner == node)
-      ws_replica_machine(core->replica, m)->is_up_at_owner = FALSE;
+      ws_replica_machine(core->replica, m)->worker.is_up_at_owner = FALSE;
   if (base == 0 || base == peer->received_revision) {
     json_array_foreach(json_object_get(message, "machines"), i, item) take_machine(core, item);
     peer->received_revision = rev;
   }
   for (guint m = 0; m < core->replica->machines->len; m++) {
     WsMachine *machine = ws_replica_machine(core->replica, m);
-    if (machine->owner == node && machine->is_up_at_owner)
-      machine->heard_ms = core->now;
+    if (machine->owner == node && machine->worker.is_up_at_owner)
+      machine->worker.heard_ms = core->now;
   }
 }
 
--- a/src/scheduling/ws-candidates.c
+++ b/src/scheduling/ws-candidates.c
@@ -57,8 +57,9 @@
 is_usable(const WsCore *core, const WsMachine *machine)
 {
   return machine->is_recorded && machine->type != WS_NONE && !machine->is_marked
-         && !machine->mark_is_pending && machine->interruption_ms == 0 && machine->failed_jobs < 2
-         && ws_machine_is_up(core, machine) && !ws_machine_is_outbound_unreachable(core, machine)
+         && !machine->fleet.mark_is_pending && machine->worker.interruption_ms == 0
+         && machine->fleet.failed_jobs < 2 && ws_machine_is_up(core, machine)
+         && !ws_machine_is_outbound_unreachable(core, machine)
          && !ws_machine_is_inbound_unreachable(core, machine) && machine->owner != WS_NONE;
 }
 
@@ -106,7 +107,7 @@
     if (job->assigned_count == 0 || job->spec->kind != WS_KIND_ARRAY)
       continue;
     map->lowest = MAX(map->lowest, (guint)job->spec->priority);
-    map->borrowing = map->borrowing || !job->guaranteed;
+    map->borrowing = map->borrowing || !job->status.guaranteed;
   }
 }
 
@@ -173,8 +174,8 @@
   const WsReplica *replica = places->map->core->replica;
   const WsResources *room = &ws_replica_type(replica, machine->type)->capacity;
   double value = ROOMY * roominess(room, &places->map->slots[machine->index].free);
-  for (guint i = 0; i < machine->images->len; i++) {
-    guint image = g_array_index(machine->images, guint, i);
+  for (guint i = 0; i < machine->worker.images->len; i++) {
+    guint image = g_array_index(machine->worker.images, guint, i);
     if (g_hash_table_contains(places->gang_images, GUINT_TO_POINTER(image)))
       value -= OTHER_GANGS_IMAGE;
   }
@@ -238,7 +239,7 @@
   const WsJob *job = places->job;
   return places->map->slots[machine->index].usable
          && ws_constraints_allow_machine(replica, job->spec, job->zone, machine)
-         && machine->last_failed_job != job->index && in_part(replica, job, machine);
+         && machine->fleet.last_failed_job != job->index && in_part(replica, job, machine);
 }
 
 static gboolean
@@ -326,7 +327,7 @@
 static gboolean
 has_victims(const WsCapacityMap *map, const WsJob *job)
 {
-  return (guint)job->spec->priority < map->lowest || (job->guaranteed && map->borrowing);
+  return (guint)job->spec->priority < map->lowest || (job->status.guaranteed && map->borrowing);
 }
 
 static const GArray *
--- a/src/scheduling/ws-demand.c
+++ b/src/scheduling/ws-demand.c
@@ -86,7 +86,7 @@
 is_booting(const WsCore *core, const WsMachine *machine)
 {
   double age_s = (double)(core->wall - machine->rented_ms) / 1000.0;
-  return machine->heard_ms == 0
+  return machine->worker.heard_ms == 0
          && age_s < 1.6 * ws_replica_type(core->replica, machine->type)->boot_s;
 }
 
--- a/src/scheduling/ws-plan.c
+++ b/src/scheduling/ws-plan.c
@@ -201,9 +201,9 @@
 note_unplaced(const WsCore *core, WsJob *job, gboolean is_unplaced)
 {
   if (!is_unplaced)
-    job->unplaced_ms = 0;
-  else if (job->unplaced_ms == 0)
-    job->unplaced_ms = core->now;
+    job->status.unplaced_ms = 0;
+  else if (job->status.unplaced_ms == 0)
+    job->status.unplaced_ms = core->now;
 }
 
 /* Adds waiting tasks of one chunk, as many as its record has places for. */
@@ -344,7 +344,7 @@
   for (guint i = 0; i < core->replica->active->len && ws_txn_operation_count(txn) < 4; i++) {
     const WsJob *job = g_ptr_array_index(core->replica->active, i);
     if (job->state != WS_JOB_ACTIVE || job->coordinator != core->settings->self
-        || job->unplaced_ms == 0 || core->now - job->unplaced_ms < SPILL_MS)
+        || job->status.unplaced_ms == 0 || core->now - job->status.unplaced_ms < SPILL_MS)
       continue;
     g_autofree char *key = ws_key_job(job->id);
     ws_txn_compare(txn, core->replica, key);
@@ -383,7 +383,8 @@
 static gboolean
 is_for_us(const WsCore *core, const WsJob *job)
 {
-  return job->completed_count + job->assigned_count < job->tasks && core->now >= job->retry_ms
+  return job->completed_count + job->assigned_count < job->tasks
+         && core->now >= job->status.retry_ms
          && acting_node(core->replica, job) == core->settings->self;
 }
 
--- a/src/storage/ws-evidence.c
+++ b/src/storage/ws-evidence.c
@@ -16,8 +16,8 @@
   return (WsEvidence){ .kind = kind,
                        .machine = machine->index,
                        .epoch = replica->epoch.number,
-                       .session = machine->session,
-                       .seq = machine->seq };
+                       .session = machine->worker.session,
+                       .seq = machine->worker.seq };
 }
 
 const WsAssignment *
--- a/src/storage/ws-replica.c
+++ b/src/storage/ws-replica.c
@@ -19,10 +19,10 @@
 {
   WsMachine *machine = data;
   g_free(machine->type_name);
-  g_free(machine->endpoint);
+  g_free(machine->worker.endpoint);
   g_free(machine->mark_reason);
   g_array_unref(machine->tasks);
-  g_array_unref(machine->images);
+  g_array_unref(machine->worker.images);
   g_free(machine);
 }
 
@@ -159,10 +159,10 @@
   machine->index = replica->machines->len;
   machine->type = WS_NONE;
   machine->zone = WS_NONE;
-  machine->last_failed_job = WS_NONE;
-  machine->handled_owner = WS_NONE;
+  machine->fleet.last_failed_job = WS_NONE;
+  machine->worker.handled_owner = WS_NONE;
   machine->tasks = g_array_new(FALSE, FALSE, sizeof(WsTaskRef));
-  machine->images = g_array_new(FALSE, FALSE, sizeof(guint));
+  machine->worker.images = g_array_new(FALSE, FALSE, sizeof(guint));
   g_ptr_array_add(replica->machines, machine);
   g_hash_table_insert(replica->machine_index, copy, machine);
   ws_replica_find_owner(replica, machine, NULL);
@@ -172,8 +172,8 @@
 gboolean
 ws_machine_has_image(const WsMachine *machine, guint image)
 {
-  for (guint i = 0; i < machine->images->len; i++)
-    if (g_array_index(machine->images, guint, i) == image)
+  for (guint i = 0; i < machine->worker.images->len; i++)
+    if (g_array_index(machine->worker.images, guint, i) == image)
       return TRUE;
   return FALSE;
 }
@@ -326,7 +326,7 @@
   WsTaskRef ref = { job->index, assignment->task };
   g_array_append_val(machine->tasks, ref);
   ws_resources_add(&machine->used, &job->spec->need, 1);
-  machine->empty_ms = 0;
+  machine->fleet.empty_ms = 0;
 }
 
 static void
@@ -370,7 +370,7 @@
     fresh->since_version = replica->is_loading ? 0 : replica->applying;
     WsTaskRef ref = { job->index, fresh->task };
     g_array_append_val(replica->fresh, ref);
-    ws_replica_machine(replica, fresh->machine)->underused_ms = 0; /* its hold begins anew */
+    ws_replica_machine(replica, fresh->machine)->fleet.underused_ms = 0; /* its hold begins anew */
   }
 }
 
--- a/src/storage/ws-replica.h
+++ b/src/storage/ws-replica.h
@@ -1,4 +1,4 @@
-/* The replica of the stored state, with the soft facts that a node adds to it.
+/* The replica of the stored state. What a node knows besides is in ws-status.h.
 
    Everything durable comes in through ws_replica_apply: one key, one value, one version. An older
    version of a key never replaces a newer one, so a node's own writes may be applied as soon as
@@ -6,6 +6,7 @@
 #pragma once
 
 #include "storage/ws-chunk.h"
+#include "storage/ws-status.h"
 #include "storage/ws-keys.h"
 #include "coordination/ws-epoch.h"
 #include "protocol/ws-cloud.h"
@@ -27,12 +28,7 @@
   GPtrArray *chunks;   /* of WsChunk or NULL */
   guint completed_count;
   guint assigned_count;
-  /* soft: */
-  guint errors;
-  guint incomplete;    /* ends of a gang's tasks whose others didn't come in time */
-  gboolean guaranteed; /* within its team's guarantee, with the team's earlier open jobs */
-  gint64 retry_ms;
-  gint64 unplaced_ms; /* since when its home could not place it; 0: it could */
+  WsJobStatus status; /* not stored */
 } WsJob;
 
 typedef struct {
@@ -62,45 +58,8 @@
   gboolean mark_is_immediate; /* without drain: nothing on it can be talked to */
   GArray *tasks;              /* of WsTaskRef */
   WsResources used;
-  /* soft: */
-  char *endpoint;
-  gint64 heard_ms;    /* when its last report came, here or at a peer; 0: never */
-  gint64 reported_ms; /* when a report of its own last came, not an answer to a call; 0: never */
-  gint64 session_ms;  /* when this node saw it begin a session anew; 0: never */
-  gint64 up_ms;
-  guint handled_owner; /* the owner when an epoch was last noticed */
-  gint64 owned_ms;     /* since when it is that one */
-  guint64 session;
-  guint64 seq;
-  guint64 token;
-  gint64 interruption_ms; /* when the cloud takes it; 0: no notice */
-  gint64 empty_ms;        /* since when nothing is on it; 0: something is */
-  gint64 underused_ms;    /* since when it holds little; 0: it doesn't */
-  GArray *images;         /* of guint, oldest first */
-  guint failed_jobs;      /* jobs that failed here since one last succeeded */
-  guint last_failed_job;
-  guint64 halt_session; /* as the worker last told whoever halts a cancelled task there */
-  guint64 halt_token;
-  guint indeterminate_launches; /* direct launches without an answer */
-  gint64 indeterminate_ms;
-  guint64 indeterminate_token;
-  guint64 indeterminate_session;
-  gint64 unacknowledged_ms; /* since when what it is told has come to nothing; 0: it hasn't */
-  guint consecutive_halts;
-  gint64 sent_away_ms;          /* when it was last sent away by this node, while cut off */
-  gboolean is_up_at_owner;      /* its owner says that it is up */
-  guint announced_state;        /* what the peers are told: up, notice */
-  guint64 announced_revision;   /* when that changed last */
-  gboolean announcement_is_due; /* images or endpoint have changed since */
-  gint64 probed_ms;             /* when it was last asked for its status */
-  guint failed_probes;
-  gint64 redirected_ms;
-  gboolean needs_record;    /* it waits for a rental batch */
-  gint64 listed_ms;         /* since when lists show it although it has no record; 0: they don't */
-  gboolean mark_is_pending; /* its mark or its rental batch is being written */
-  gint64 mark_pending_ms;   /* since when */
-  gint64 stop_after_ms;     /* the next stop of a drain */
-  guint stop_backoff_ms;
+  WsWorkerStatus worker; /* not stored */
+  WsFleetStatus fleet;   /* not stored */
 } WsMachine;
 
 typedef struct {
--- /dev/null
+++ b/src/storage/ws-status.h
@@ -0,0 +1,76 @@
+/**
+ * What a node knows of machines and jobs besides the records: it isn't stored, begins empty with
+ * each run of the node, and is never proof that something is gone.
+ *
+ * Times are of the steady clock, in milliseconds; 0: it hasn't happened.
+ */
+#pragma once
+
+#include <glib.h>
+
+/** What was heard of a machine's worker, and what it was told. Kept by membership and workers. */
+typedef struct {
+  char *endpoint;         /**< where it takes commands; NULL: not known yet */
+  gint64 heard_ms;        /**< its last heartbeat, here or at a peer */
+  gint64 reported_ms;     /**< its last heartbeat that was no answer to a call */
+  gint64 session_ms;      /**< when it was seen to begin a new incarnation */
+  gint64 up_ms;           /**< when it was first heard */
+  GArray *images;         /**< of guint: the images that it has, least recently used first */
+  gint64 interruption_ms; /**< when the cloud takes it back; 0: no interruption notice */
+
+  /* The newest message, by incarnation and sequence number. */
+  guint64 session;
+  guint64 seq;
+  guint64 token;
+
+  /* Ownership. */
+  guint handled_owner;  /**< the owner when an epoch was last handled */
+  gint64 owned_ms;      /**< since when it has been that one */
+  gint64 redirected_ms; /**< when the worker was last sent to its owner */
+  gint64 sent_away_ms;  /**< when it was last sent away by this node, while that was cut off */
+
+  /* Launches by RPC without an answer, which may be carried out later. */
+  guint indeterminate_launches;
+  gint64 indeterminate_ms; /**< since when there are any */
+  guint64 indeterminate_token;
+  guint64 indeterminate_session;
+
+  /* Failure detection. */
+  gint64 unacknowledged_ms; /**< since when what it is told has come to nothing */
+  guint consecutive_halts;
+  gint64 probed_ms; /**< when it was last asked for its status */
+  guint failed_probes;
+
+  /* The worker's incarnation and token as it last told whoever halts a cancelled task there. */
+  guint64 halt_session;
+  guint64 halt_token;
+
+  /* Gossip. */
+  gboolean is_up_at_owner;      /**< its owner says that it is up */
+  guint announced_state;        /**< what the peers are told: bits for up, interruption notice */
+  guint64 announced_revision;   /**< when that changed last, as a revision of the gossip */
+  gboolean announcement_is_due; /**< images or endpoint have changed since */
+} WsWorkerStatus;
+
+/** What the fleet is doing about a machine. Kept by fleet; mark_is_pending by whoever asks. */
+typedef struct {
+  gint64 empty_ms;     /**< since when nothing has been on it */
+  gint64 underused_ms; /**< since when it has held little */
+  guint failed_jobs;   /**< jobs that failed there since one last succeeded */
+  guint last_failed_job;
+  gboolean needs_record;    /**< it waits for a rental batch */
+  gint64 listed_ms;         /**< since when the cloud lists it although it has no record */
+  gboolean mark_is_pending; /**< its termination mark or rental batch is being written */
+  gint64 mark_pending_ms;   /**< since when */
+  gint64 stop_after_ms;     /**< when the next task of a service may be stopped there */
+  guint stop_backoff_ms;
+} WsFleetStatus;
+
+/** What scheduling knows of a job. */
+typedef struct {
+  guint errors;        /**< failures in a row */
+  guint incomplete;    /**< attempts of a gang that were not complete in time */
+  gboolean guaranteed; /**< within its team's guarantee, with the team's earlier open jobs */
+  gint64 retry_ms;     /**< when it may be placed again */
+  gint64 unplaced_ms;  /**< since when its coordinating node could not place it */
+} WsJobStatus;
--- a/src/workers/ws-cancellations.c
+++ b/src/workers/ws-cancellations.c
@@ -246,9 +246,9 @@
 note_gone(WsCore *core, WsMachine *machine, const WsHeartbeat *heartbeat)
 {
   WsJob *job;
-  machine->halt_session = heartbeat->session;
-  machine->halt_token = heartbeat->token;
-  for (guint i = 0; machine->indeterminate_launches == 0 && i < machine->tasks->len; i++) {
+  machine->worker.halt_session = heartbeat->session;
+  machine->worker.halt_token = heartbeat->token;
+  for (guint i = 0; machine->worker.indeterminate_launches == 0 && i < machine->tasks->len; i++) {
     WsAssignment *assignment = unhalted(core, machine, i, &job);
     if (assignment != NULL && is_halted(heartbeat, job, assignment))
       assignment->is_confirmed_gone = TRUE;
@@ -299,9 +299,10 @@
   halt_again(core, machine, HALT_RETRY_MS);
   core->cancellations->halt_calls++;
   Halt *sent = g_new0(Halt, 1);
-  *sent = (Halt){ machine->index, MAX(machine->session, machine->halt_session) > 0 };
+  *sent = (Halt){ machine->index, MAX(machine->worker.session, machine->worker.halt_session) > 0 };
   if (!sent->halts) {
-    ws_call(core, "GET", machine->endpoint, "/status", NULL, HALT_TIMEOUT_MS, on_halted, sent);
+    ws_call(core, "GET", machine->worker.endpoint, "/status", NULL, HALT_TIMEOUT_MS, on_halted,
+            sent);
     return;
   }
   json_t *commands = json_array();
@@ -311,9 +312,9 @@
       json_array_append_new(commands, ws_command_encode(WS_OP_HALT, job->id, assignment->task,
                                                         assignment->attempt, 0.0));
   }
-  ws_call(core, "POST", machine->endpoint, "/commands",
-          ws_commands_encode(MAX(machine->token, machine->halt_token),
-                             MAX(machine->session, machine->halt_session), commands),
+  ws_call(core, "POST", machine->worker.endpoint, "/commands",
+          ws_commands_encode(MAX(machine->worker.token, machine->worker.halt_token),
+                             MAX(machine->worker.session, machine->worker.halt_session), commands),
           HALT_TIMEOUT_MS, on_halted, sent);
 }
 
@@ -322,7 +323,7 @@
 {
   const gint64 *at_ms
       = g_hash_table_lookup(core->cancellations->halt_ms, GUINT_TO_POINTER(machine->index));
-  return machine->endpoint != NULL && core->cancellations->halt_calls < MAX_HALT_CALLS
+  return machine->worker.endpoint != NULL && core->cancellations->halt_calls < MAX_HALT_CALLS
          && (at_ms == NULL || core->now >= *at_ms);
 }
 
--- a/src/workers/ws-worker-rpc.c
+++ b/src/workers/ws-worker-rpc.c
@@ -26,10 +26,10 @@
   core->rpcs_in_flight--;
   /* Without an answer the launch may still be carried out minutes later, so the doubt stays until
      the worker has seen a higher token or begun a new session. */
-  if (status != 0 && direct->launches && machine->indeterminate_launches > 0
-      && machine->indeterminate_token == direct->token
-      && machine->indeterminate_session == direct->session)
-    machine->indeterminate_launches--;
+  if (status != 0 && direct->launches && machine->worker.indeterminate_launches > 0
+      && machine->worker.indeterminate_token == direct->token
+      && machine->worker.indeterminate_session == direct->session)
+    machine->worker.indeterminate_launches--;
   g_autofree char *reason = NULL;
   g_autoptr(WsHeartbeat) heartbeat
       = status == 200 || status == 409 ? ws_heartbeat_parse(body, &reason) : NULL;
@@ -43,23 +43,24 @@
 send_direct(WsCore *core, WsMachine *machine, json_t *commands, gboolean launches)
 {
   Direct *direct = g_new0(Direct, 1);
-  *direct = (Direct){ machine->index, core->replica->epoch.number, machine->session, launches };
+  *direct
+      = (Direct){ machine->index, core->replica->epoch.number, machine->worker.session, launches };
   core->rpcs_in_flight++;
   if (launches) {
-    if (machine->indeterminate_launches == 0)
-      machine->indeterminate_ms = core->now;
-    machine->indeterminate_launches++;
-    machine->indeterminate_token = direct->token;
-    machine->indeterminate_session = direct->session;
+    if (machine->worker.indeterminate_launches == 0)
+      machine->worker.indeterminate_ms = core->now;
+    machine->worker.indeterminate_launches++;
+    machine->worker.indeterminate_token = direct->token;
+    machine->worker.indeterminate_session = direct->session;
   }
-  ws_call(core, "POST", machine->endpoint, "/commands",
+  ws_call(core, "POST", machine->worker.endpoint, "/commands",
           ws_commands_encode(direct->token, direct->session, commands), 2000, on_direct, direct);
 }
 
 gboolean
 ws_worker_rpc_is_possible(const WsCore *core, const WsMachine *machine)
 {
-  return machine->endpoint != NULL && machine->token == core->replica->epoch.number
+  return machine->worker.endpoint != NULL && machine->worker.token == core->replica->epoch.number
          && ws_machine_is_up(core, machine) && !core->is_unreached_by_workers
          && ws_is_active_member(core);
 }
--- a/src/workers/ws-workers.c
+++ b/src/workers/ws-workers.c
@@ -33,19 +33,19 @@
 static void
 remember_image(WsMachine *machine, guint image)
 {
-  guint count = machine->images->len;
-  if (count > 0 && g_array_index(machine->images, guint, count - 1) == image)
+  guint count = machine->worker.images->len;
+  if (count > 0 && g_array_index(machine->worker.images, guint, count - 1) == image)
     return;
-  machine->announcement_is_due
-      = machine->announcement_is_due || !ws_machine_has_image(machine, image);
-  for (guint i = 0; i < machine->images->len; i++)
-    if (g_array_index(machine->images, guint, i) == image) {
-      g_array_remove_index(machine->images, i);
+  machine->worker.announcement_is_due
+      = machine->worker.announcement_is_due || !ws_machine_has_image(machine, image);
+  for (guint i = 0; i < machine->worker.images->len; i++)
+    if (g_array_index(machine->worker.images, guint, i) == image) {
+      g_array_remove_index(machine->worker.images, i);
       break;
     }
-  g_array_append_val(machine->images, image);
-  if (machine->images->len > MAX_KNOWN_IMAGES)
-    g_array_remove_index(machine->images, 0);
+  g_array_append_val(machine->worker.images, image);
+  if (machine->worker.images->len > MAX_KNOWN_IMAGES)
+    g_array_remove_index(machine->worker.images, 0);
 }
 
 /* A machine on which several jobs fail is faulty; a job that fails on several machines is wrong
@@ -53,11 +53,11 @@
 static void
 note_error(WsCore *core, WsMachine *machine, WsJob *job)
 {
-  job->errors++;
-  job->retry_ms = core->now + 500 * (gint64)(1u << MIN(job->errors, 7u));
-  if (machine->last_failed_job != job->index)
-    machine->failed_jobs++;
-  machine->last_failed_job = job->index;
+  job->status.errors++;
+  job->status.retry_ms = core->now + 500 * (gint64)(1u << MIN(job->status.errors, 7u));
+  if (machine->fleet.last_failed_job != job->index)
+    machine->fleet.failed_jobs++;
+  machine->fleet.last_failed_job = job->index;
   g_info("a task of job %s failed on %s", job->id, machine->name);
 }
 
@@ -66,8 +66,8 @@
 static void
 back_off_gang(WsCore *core, WsJob *job)
 {
-  job->incomplete = MIN(job->incomplete + 1, MAX_GANG_BACKOFFS);
-  job->retry_ms = core->now + MIN_GANG_BACKOFF_MS * (gint64)(1u << job->incomplete);
+  job->status.incomplete = MIN(job->status.incomplete + 1, MAX_GANG_BACKOFFS);
+  job->status.retry_ms = core->now + MIN_GANG_BACKOFF_MS * (gint64)(1u << job->status.incomplete);
   g_info("gang %s was not complete in time", job->id);
 }
 
@@ -80,13 +80,13 @@
   if (why == WS_EXIT_ERROR)
     note_error(core, machine, job);
   if (why == WS_EXIT_REFUSED)
-    job->retry_ms = core->now + 500;
+    job->status.retry_ms = core->now + 500;
   if (why == WS_EXIT_INCOMPLETE)
     back_off_gang(core, job);
   if (why == WS_EXIT_DONE) {
-    machine->failed_jobs = 0;
-    machine->last_failed_job = WS_NONE;
-    job->errors = 0;
+    machine->fleet.failed_jobs = 0;
+    machine->fleet.last_failed_job = WS_NONE;
+    job->status.errors = 0;
   }
 }
 
@@ -126,11 +126,11 @@
 static void
 begin_session(WsCore *core, WsMachine *machine, guint64 session)
 {
-  if (machine->session != 0) {
-    machine->session_ms = core->now;
+  if (machine->worker.session != 0) {
+    machine->worker.session_ms = core->now;
     g_info("machine %s begins session %" G_GUINT64_FORMAT, machine->name, session);
   }
-  machine->indeterminate_launches
+  machine->worker.indeterminate_launches
       = 0; /* a direct launch names its session, so an old one is refused */
   for (guint i = 0; i < machine->tasks->len; i++) {
     const WsTaskRef *ref = &g_array_index(machine->tasks, WsTaskRef, i);
@@ -147,31 +147,32 @@
 static gboolean
 take_header(WsCore *core, WsMachine *machine, const WsHeartbeat *heartbeat)
 {
-  if (heartbeat->session < machine->session
-      || (heartbeat->session == machine->session && heartbeat->seq <= machine->seq))
+  if (heartbeat->session < machine->worker.session
+      || (heartbeat->session == machine->worker.session && heartbeat->seq <= machine->worker.seq))
     return FALSE;
-  if (heartbeat->session > machine->session)
+  if (heartbeat->session > machine->worker.session)
     begin_session(core, machine, heartbeat->session);
-  machine->session = heartbeat->session;
-  machine->seq = heartbeat->seq;
-  if (heartbeat->token > machine->token && machine->indeterminate_token < heartbeat->token)
-    machine->indeterminate_launches
+  machine->worker.session = heartbeat->session;
+  machine->worker.seq = heartbeat->seq;
+  if (heartbeat->token > machine->worker.token
+      && machine->worker.indeterminate_token < heartbeat->token)
+    machine->worker.indeterminate_launches
         = 0; /* from now on the worker refuses what was sent under the older token */
-  machine->token = MAX(machine->token, heartbeat->token);
-  machine->heard_ms = core->now;
-  machine->failed_probes = 0;
-  if (machine->up_ms == 0) {
-    machine->up_ms = core->now;
+  machine->worker.token = MAX(machine->worker.token, heartbeat->token);
+  machine->worker.heard_ms = core->now;
+  machine->worker.failed_probes = 0;
+  if (machine->worker.up_ms == 0) {
+    machine->worker.up_ms = core->now;
     g_info("machine %s is up", machine->name);
   }
   if (heartbeat->interruption_s < 0.0)
-    machine->interruption_ms = 0;
-  else if (machine->interruption_ms == 0)
-    machine->interruption_ms = core->now + (gint64)(heartbeat->interruption_s * 1000.0);
-  if (g_strcmp0(machine->endpoint, heartbeat->endpoint) != 0) {
-    g_free(machine->endpoint);
-    machine->endpoint = g_strdup(heartbeat->endpoint);
-    machine->announcement_is_due = TRUE;
+    machine->worker.interruption_ms = 0;
+  else if (machine->worker.interruption_ms == 0)
+    machine->worker.interruption_ms = core->now + (gint64)(heartbeat->interruption_s * 1000.0);
+  if (g_strcmp0(machine->worker.endpoint, heartbeat->endpoint) != 0) {
+    g_free(machine->worker.endpoint);
+    machine->worker.endpoint = g_strdup(heartbeat->endpoint);
+    machine->worker.announcement_is_due = TRUE;
   }
   return TRUE;
 }
@@ -237,7 +238,7 @@
   if (assignment == NULL) {
     if (task->state != WS_TASK_EXITED)
       command(answer, WS_OP_HALT, task->job, task->task, task->attempt, 0.0);
-    else if (answer->confirmed && machine->indeterminate_launches == 0)
+    else if (answer->confirmed && machine->worker.indeterminate_launches == 0)
       command(answer, WS_OP_REAP, task->job, task->task, task->attempt, 0.0);
     return;
   }
@@ -270,7 +271,7 @@
     assignment->launch_sent = TRUE;
     return;
   }
-  if (answer->confirmed && answer->machine->indeterminate_launches == 0)
+  if (answer->confirmed && answer->machine->worker.indeterminate_launches == 0)
     ws_releases_add_reported(answer->core, job, assignment, WS_EVIDENCE_ABSENT, FALSE);
 }
 
@@ -297,13 +298,13 @@
 note_unacknowledged(Answer *answer)
 {
   WsMachine *machine = answer->machine;
-  machine->consecutive_halts = answer->halts ? machine->consecutive_halts + 1 : 0;
+  machine->worker.consecutive_halts = answer->halts ? machine->worker.consecutive_halts + 1 : 0;
   gboolean is_unacknowledged
-      = answer->is_unacknowledged || !answer->confirmed || machine->consecutive_halts > 1;
+      = answer->is_unacknowledged || !answer->confirmed || machine->worker.consecutive_halts > 1;
   if (!is_unacknowledged)
-    machine->unacknowledged_ms = 0;
-  else if (machine->unacknowledged_ms == 0)
-    machine->unacknowledged_ms = answer->core->now;
+    machine->worker.unacknowledged_ms = 0;
+  else if (machine->worker.unacknowledged_ms == 0)
+    machine->worker.unacknowledged_ms = answer->core->now;
 }
 
 json_t *
@@ -318,10 +319,10 @@
                     .commands = json_array(),
                     .confirmed = heartbeat->token == token(core),
                     .is_behind = !ws_has_caught_up_with_epoch(core) };
-  gboolean was_usable = ws_machine_is_up(core, machine) && machine->interruption_ms == 0;
+  gboolean was_usable = ws_machine_is_up(core, machine) && machine->worker.interruption_ms == 0;
   if (!take_header(core, machine, heartbeat))
     return ws_heartbeat_answer_encode(token(core), answer.commands);
-  machine->reported_ms = core->now;
+  machine->worker.reported_ms = core->now;
   /* A copy of an old report may come from a machine that was returned before this node began; only
      one that has had an answer of this epoch is there. */
   if (!machine->is_recorded && answer.confirmed)
@@ -331,7 +332,8 @@
       take_task(core, machine, &g_array_index(heartbeat->tasks, WsTaskStatus, i));
   command_all(&answer);
   note_unacknowledged(&answer);
-  core->replan_is_needed = core->replan_is_needed || !was_usable || machine->interruption_ms > 0;
+  core->replan_is_needed
+      = core->replan_is_needed || !was_usable || machine->worker.interruption_ms > 0;
   return ws_heartbeat_answer_encode(token(core), answer.commands);
 }
 
@@ -340,7 +342,8 @@
 static gboolean
 should_redirect(const WsCore *core, const WsMachine *machine, guint owner)
 {
-  if (machine->redirected_ms > 0 && core->now - machine->redirected_ms < REDIRECT_INTERVAL_MS)
+  if (machine->worker.redirected_ms > 0
+      && core->now - machine->worker.redirected_ms < REDIRECT_INTERVAL_MS)
     return FALSE;
   if (!ws_peer_is_reachable(core, owner))
     return FALSE;
@@ -374,7 +377,7 @@
     ws_relay_heartbeat(core, owner, body, request);
     return;
   }
-  machine->redirected_ms = core->now;
+  machine->worker.redirected_ms = core->now;
   ws_answer(core, request, 421, ws_redirect_encode(ws_settings_node(core->settings, owner)->name),
             0);
 }
@@ -400,12 +403,12 @@
     return FALSE;
   if (machine->zone != ws_replica_find_zone(core->replica, self->zone))
     core->is_reached_from_other_zones = TRUE;
-  gint64 since_ms = core->now - machine->sent_away_ms;
+  gint64 since_ms = core->now - machine->worker.sent_away_ms;
   if (!core->is_reached_from_other_zones
-      || (machine->sent_away_ms > 0
+      || (machine->worker.sent_away_ms > 0
           && (double)since_ms < KEPT_LEASE_SHARE * core->settings->lease_s * 1000.0))
     return FALSE;
-  machine->sent_away_ms = core->now;
+  machine->worker.sent_away_ms = core->now;
   return TRUE;
 }
 
