--- a/src/commit/ws-legacy-releases.c
+++ b/src/commit/ws-legacy-releases.c
@@ -76,7 +76,7 @@
   g_autofree char *reason = NULL;
   g_autoptr(WsHeartbeat) heartbeat = status == 200 ? ws_heartbeat_parse(body, &reason) : NULL;
   if (heartbeat == NULL || strcmp(heartbeat->machine, machine->name) != 0
-      || heartbeat->token != core->replica->epoch.number || !ws_is_leader(core))
+      || heartbeat->fencing_token != core->replica->epoch.number || !ws_is_leader(core))
     return;
   const GArray *hints = core->legacy_releases->hints;
   for (guint i = 0; i < hints->len; i++) {
--- a/src/membership/ws-failure-detector.c
+++ b/src/membership/ws-failure-detector.c
@@ -81,8 +81,8 @@
 gboolean
 ws_machine_is_inbound_unreachable(const WsCore *core, const WsMachine *machine)
 {
-  return machine->worker.session_ms > machine->worker.reported_ms && ws_machine_is_up(core, machine)
-         && core->now - machine->worker.session_ms > patience_ms(core);
+  return machine->worker.incarnation_changed_ms > machine->worker.reported_ms && ws_machine_is_up(core, machine)
+         && core->now - machine->worker.incarnation_changed_ms > patience_ms(core);
 }
 
 /* The tasks that it held are gone, and those that were assigned since wait there in vain: they
@@ -109,7 +109,7 @@
     return;
   }
   /* It is there and reports to somebody else, maybe to a node whose epoch is over. */
-  if (heartbeat->token < core->replica->epoch.number)
+  if (heartbeat->fencing_token < core->replica->epoch.number)
     ws_worker_rpc_raise_fencing_token(core, machine);
 }
 
--- a/src/membership/ws-gossip.c
+++ b/src/membership/ws-gossip.c
@@ -433,7 +433,7 @@
   g_autoptr(WsHeartbeat) heartbeat = ws_heartbeat_parse(message, &reason);
   if (heartbeat == NULL)
     ws_answer_reason(core, request, 400, reason);
-  else if (heartbeat->token > core->replica->epoch.number || !ws_may_renew_worker_leases(core))
+  else if (heartbeat->fencing_token > core->replica->epoch.number || !ws_may_renew_worker_leases(core))
     ws_answer_later(core, request, 1);
   else
     ws_answer(core, request, 200, ws_workers_answer_heartbeat(core, heartbeat), 0);
--- a/src/protocol/ws-heartbeat.c
+++ b/src/protocol/ws-heartbeat.c
@@ -110,12 +110,12 @@
     return W_ZONE;
   if (!ws_json_bool(m, W_SPOT, &r->spot))
     return W_SPOT;
-  if (!ws_json_count(m, W_SESSION, &r->session))
-    return W_SESSION;
-  if (!ws_json_count(m, W_SEQ, &r->seq))
-    return W_SEQ;
-  if (!ws_json_count(m, W_TOKEN, &r->token))
-    return W_TOKEN;
+  if (!ws_json_count(m, W_INCARNATION, &r->incarnation))
+    return W_INCARNATION;
+  if (!ws_json_count(m, W_SEQUENCE, &r->sequence))
+    return W_SEQUENCE;
+  if (!ws_json_count(m, W_FENCING_TOKEN, &r->fencing_token))
+    return W_FENCING_TOKEN;
   if (!ws_json_number_or_null(m, W_NOTICE, &r->interruption_s))
     return W_NOTICE;
   r->machine = g_strdup(machine);
@@ -181,9 +181,9 @@
 }
 
 json_t *
-ws_heartbeat_answer_encode(guint64 token, json_t *commands)
+ws_heartbeat_answer_encode(guint64 fencing_token, json_t *commands)
 {
-  return json_pack("{s:I, s:o}", W_TOKEN, (json_int_t)token, W_COMMANDS, commands);
+  return json_pack("{s:I, s:o}", W_FENCING_TOKEN, (json_int_t)fencing_token, W_COMMANDS, commands);
 }
 
 json_t *
@@ -193,9 +193,9 @@
 }
 
 json_t *
-ws_commands_encode(guint64 token, guint64 session, json_t *commands)
+ws_commands_encode(guint64 fencing_token, guint64 incarnation, json_t *commands)
 {
-  return json_pack("{s:I, s:I, s:o}", W_TOKEN, (json_int_t)token, W_SESSION, (json_int_t)session,
+  return json_pack("{s:I, s:I, s:o}", W_FENCING_TOKEN, (json_int_t)fencing_token, W_INCARNATION, (json_int_t)incarnation,
                    W_COMMANDS, commands);
 }
 
--- a/src/protocol/ws-heartbeat.h
+++ b/src/protocol/ws-heartbeat.h
@@ -37,9 +37,9 @@
   char *type;
   char *zone;
   gboolean spot;
-  guint64 session;
-  guint64 seq;
-  guint64 token;
+  guint64 incarnation;
+  guint64 sequence;
+  guint64 fencing_token;
   double interruption_s; /* negative: none */
   GArray *tasks;         /* of WsTaskStatus */
 } WsHeartbeat;
@@ -54,9 +54,9 @@
 void ws_heartbeat_free(WsHeartbeat *heartbeat);
 
 json_t *ws_command_encode(WsOp op, const char *job, guint task, guint64 attempt, double grace_s);
-json_t *ws_heartbeat_answer_encode(guint64 token, json_t *commands);
+json_t *ws_heartbeat_answer_encode(guint64 fencing_token, json_t *commands);
 json_t *ws_heartbeat_answer_commands(const json_t *answer); /* borrowed */
-json_t *ws_commands_encode(guint64 token, guint64 session, json_t *commands);
+json_t *ws_commands_encode(guint64 fencing_token, guint64 incarnation, json_t *commands);
 json_t *ws_redirect_encode(const char *node);
 
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsHeartbeat, ws_heartbeat_free)
--- a/src/scheduling/ws-candidates.c
+++ b/src/scheduling/ws-candidates.c
@@ -107,7 +107,7 @@
     if (job->assigned_count == 0 || job->spec->kind != WS_KIND_ARRAY)
       continue;
     map->lowest = MAX(map->lowest, (guint)job->spec->priority);
-    map->borrowing = map->borrowing || !job->status.guaranteed;
+    map->borrowing = map->borrowing || !job->status.is_guaranteed;
   }
 }
 
@@ -327,7 +327,7 @@
 static gboolean
 has_victims(const WsCapacityMap *map, const WsJob *job)
 {
-  return (guint)job->spec->priority < map->lowest || (job->status.guaranteed && map->borrowing);
+  return (guint)job->spec->priority < map->lowest || (job->status.is_guaranteed && map->borrowing);
 }
 
 static const GArray *
--- a/src/scheduling/ws-queue.c
+++ b/src/scheduling/ws-queue.c
@@ -91,7 +91,7 @@
     WsWaiting *waiting = &g_array_index(jobs, WsWaiting, i);
     const WsTeamSettings *team = g_ptr_array_index(core->settings->teams, waiting->job->team);
     ws_resources_add(&sums[waiting->job->team], &waiting->job->spec->need, waiting->job->tasks);
-    waiting->job->status.guaranteed = within(&sums[waiting->job->team], &team->guarantee);
+    waiting->job->status.is_guaranteed = within(&sums[waiting->job->team], &team->guarantee);
   }
   return jobs;
 }
@@ -111,8 +111,8 @@
     return first->is_overdue ? -1 : 1;
   if (first->is_overdue)
     return by_age(a, b);
-  if (first->job->status.guaranteed != second->job->status.guaranteed)
-    return first->job->status.guaranteed ? -1 : 1;
+  if (first->job->status.is_guaranteed != second->job->status.is_guaranteed)
+    return first->job->status.is_guaranteed ? -1 : 1;
   if (first->job->spec->priority != second->job->spec->priority)
     return first->job->spec->priority < second->job->spec->priority ? -1 : 1;
   if (first->lateness != second->lateness)
--- a/src/storage/ws-evidence.c
+++ b/src/storage/ws-evidence.c
@@ -6,7 +6,7 @@
 #define ITEM_MACHINE 4
 #define ITEM_KIND 5
 #define ITEM_EPOCH 6
-#define ITEM_SESSION 7
+#define ITEM_INCARNATION 7
 
 static const char *const KIND_NAMES[] = { "absent", "exited", "returned" };
 
@@ -16,8 +16,8 @@
   return (WsEvidence){ .kind = kind,
                        .machine = machine->index,
                        .epoch = replica->epoch.number,
-                       .session = machine->worker.session,
-                       .seq = machine->worker.seq };
+                       .incarnation = machine->worker.incarnation,
+                       .sequence = machine->worker.sequence };
 }
 
 const WsAssignment *
@@ -49,7 +49,7 @@
                          ws_replica_job(replica, release->job)->id, release->task, release->attempt,
                          release->done ? "done:" : KIND_NAMES[evidence->kind],
                          ws_replica_machine(replica, evidence->machine)->name, evidence->epoch,
-                         evidence->session, evidence->seq);
+                         evidence->incarnation, evidence->sequence);
 }
 
 json_t *
@@ -59,7 +59,7 @@
   return json_pack("[s, i, I, b, s, s, I, I]", ws_replica_job(replica, release->job)->id,
                    (int)release->task, (json_int_t)release->attempt, release->done,
                    ws_replica_machine(replica, evidence->machine)->name, KIND_NAMES[evidence->kind],
-                   (json_int_t)evidence->epoch, (json_int_t)evidence->session);
+                   (json_int_t)evidence->epoch, (json_int_t)evidence->incarnation);
 }
 
 static gboolean
@@ -85,6 +85,6 @@
     return FALSE;
   evidence->machine = machine->index;
   evidence->epoch = (guint64)json_integer_value(epoch);
-  evidence->session = (guint64)json_integer_value(json_array_get(item, ITEM_SESSION));
+  evidence->incarnation = (guint64)json_integer_value(json_array_get(item, ITEM_INCARNATION));
   return TRUE;
 }
--- a/src/storage/ws-evidence.h
+++ b/src/storage/ws-evidence.h
@@ -23,8 +23,8 @@
   WsEvidenceKind kind;
   guint machine;
   guint64 epoch;   /* the latest one under which the machine's owner has stated it */
-  guint64 session; /* of the worker's message; 0: there is none */
-  guint64 seq;
+  guint64 incarnation; /* of the worker's message; 0: there is none */
+  guint64 sequence;
 } WsEvidence;
 
 /** A task's attempt that is gone from its machine, and is to be taken off the records. */
--- a/src/storage/ws-status.h
+++ b/src/storage/ws-status.h
@@ -13,15 +13,15 @@
   char *endpoint;         /**< where it takes commands; NULL: not known yet */
   gint64 heard_ms;        /**< its last heartbeat, here or at a peer */
   gint64 reported_ms;     /**< its last heartbeat that was no answer to a call */
-  gint64 session_ms;      /**< when it was seen to begin a new incarnation */
+  gint64 incarnation_changed_ms;      /**< when it was seen to begin a new incarnation */
   gint64 up_ms;           /**< when it was first heard */
   GArray *images;         /**< of guint: the images that it has, least recently used first */
   gint64 interruption_ms; /**< when the cloud takes it back; 0: no interruption notice */
 
   /* The newest message, by incarnation and sequence number. */
-  guint64 session;
-  guint64 seq;
-  guint64 token;
+  guint64 incarnation;
+  guint64 sequence;
+  guint64 fencing_token;
 
   /* Ownership. */
   guint handled_owner;  /**< the owner when an epoch was last handled */
@@ -32,8 +32,8 @@
   /* Launches by RPC without an answer, which may be carried out later. */
   guint indeterminate_launches;
   gint64 indeterminate_ms; /**< since when there are any */
-  guint64 indeterminate_token;
-  guint64 indeterminate_session;
+  guint64 indeterminate_fencing_token;
+  guint64 indeterminate_incarnation;
 
   /* Failure detection. */
   gint64 unacknowledged_ms; /**< since when what it is told has come to nothing */
@@ -42,8 +42,8 @@
   guint failed_probes;
 
   /* The worker's incarnation and token as it last told whoever halts a cancelled task there. */
-  guint64 halt_session;
-  guint64 halt_token;
+  guint64 halt_incarnation;
+  guint64 halt_fencing_token;
 
   /* Gossip. */
   gboolean is_up_at_owner;      /**< its owner says that it is up */
@@ -68,9 +68,9 @@
 
 /** What scheduling knows of a job. */
 typedef struct {
-  guint errors;        /**< failures in a row */
-  guint incomplete;    /**< attempts of a gang that were not complete in time */
-  gboolean guaranteed; /**< within its team's guarantee, with the team's earlier open jobs */
+  guint consecutive_errors;        /**< failures in a row */
+  guint incomplete_attempts;    /**< attempts of a gang that were not complete in time */
+  gboolean is_guaranteed; /**< within its team's guarantee, with the team's earlier open jobs */
   gint64 retry_ms;     /**< when it may be placed again */
   gint64 unplaced_ms;  /**< since when its coordinating node could not place it */
 } WsJobStatus;
--- a/src/transport/ws-http-client.c
+++ b/src/transport/ws-http-client.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 struct _WsHttpClient {
-  SoupSession *session;
+  SoupSession *incarnation;
 };
 
 typedef struct {
@@ -21,7 +21,7 @@
   WsHttpClient *client = g_new0(WsHttpClient, 1);
   /* No proxy resolver: the peers are numeric addresses, and looking for one costs time and memory.
      A hung host may only use up its own connections, so the limit for each host is small. */
-  client->session = soup_session_new_with_options(
+  client->incarnation = soup_session_new_with_options(
       "proxy-resolver", NULL, "max-conns", (int)MAX(max_connections, 16u), "max-conns-per-host", 12,
       "idle-timeout", 30, "timeout", 0, NULL);
   return client;
@@ -30,8 +30,8 @@
 void
 ws_http_client_free(WsHttpClient *client)
 {
-  soup_session_abort(client->session);
-  g_object_unref(client->session);
+  soup_session_abort(client->incarnation);
+  g_object_unref(client->incarnation);
   g_free(client);
 }
 
@@ -84,6 +84,6 @@
   pending->done = done;
   pending->data = data;
   pending->timer = g_timeout_add(timeout_ms, on_timeout, pending);
-  soup_session_send_and_read_async(client->session, pending->message, G_PRIORITY_DEFAULT,
+  soup_session_send_and_read_async(client->incarnation, pending->message, G_PRIORITY_DEFAULT,
                                    pending->cancellable, on_sent, pending);
 }
--- a/src/workers/ws-cancellations.c
+++ b/src/workers/ws-cancellations.c
@@ -246,8 +246,8 @@
 note_gone(WsCore *core, WsMachine *machine, const WsHeartbeat *heartbeat)
 {
   WsJob *job;
-  machine->worker.halt_session = heartbeat->session;
-  machine->worker.halt_token = heartbeat->token;
+  machine->worker.halt_incarnation = heartbeat->incarnation;
+  machine->worker.halt_fencing_token = heartbeat->fencing_token;
   for (guint i = 0; machine->worker.indeterminate_launches == 0 && i < machine->tasks->len; i++) {
     WsAssignment *assignment = unhalted(core, machine, i, &job);
     if (assignment != NULL && is_halted(heartbeat, job, assignment))
@@ -299,7 +299,7 @@
   halt_again(core, machine, HALT_RETRY_MS);
   core->cancellations->halt_calls++;
   Halt *sent = g_new0(Halt, 1);
-  *sent = (Halt){ machine->index, MAX(machine->worker.session, machine->worker.halt_session) > 0 };
+  *sent = (Halt){ machine->index, MAX(machine->worker.incarnation, machine->worker.halt_incarnation) > 0 };
   if (!sent->halts) {
     ws_call(core, "GET", machine->worker.endpoint, "/status", NULL, HALT_TIMEOUT_MS, on_halted,
             sent);
@@ -313,8 +313,8 @@
                                                         assignment->attempt, 0.0));
   }
   ws_call(core, "POST", machine->worker.endpoint, "/commands",
-          ws_commands_encode(MAX(machine->worker.token, machine->worker.halt_token),
-                             MAX(machine->worker.session, machine->worker.halt_session), commands),
+          ws_commands_encode(MAX(machine->worker.fencing_token, machine->worker.halt_fencing_token),
+                             MAX(machine->worker.incarnation, machine->worker.halt_incarnation), commands),
           HALT_TIMEOUT_MS, on_halted, sent);
 }
 
--- a/src/workers/ws-worker-rpc.c
+++ b/src/workers/ws-worker-rpc.c
@@ -13,8 +13,8 @@
 
 typedef struct {
   guint machine;
-  guint64 token;
-  guint64 session;
+  guint64 fencing_token;
+  guint64 incarnation;
   gboolean launches;
 } Direct;
 
@@ -27,8 +27,8 @@
   /* Without an answer the launch may still be carried out minutes later, so the doubt stays until
      the worker has seen a higher token or begun a new session. */
   if (status != 0 && direct->launches && machine->worker.indeterminate_launches > 0
-      && machine->worker.indeterminate_token == direct->token
-      && machine->worker.indeterminate_session == direct->session)
+      && machine->worker.indeterminate_fencing_token == direct->fencing_token
+      && machine->worker.indeterminate_incarnation == direct->incarnation)
     machine->worker.indeterminate_launches--;
   g_autofree char *reason = NULL;
   g_autoptr(WsHeartbeat) heartbeat
@@ -44,23 +44,23 @@
 {
   Direct *direct = g_new0(Direct, 1);
   *direct
-      = (Direct){ machine->index, core->replica->epoch.number, machine->worker.session, launches };
+      = (Direct){ machine->index, core->replica->epoch.number, machine->worker.incarnation, launches };
   core->rpcs_in_flight++;
   if (launches) {
     if (machine->worker.indeterminate_launches == 0)
       machine->worker.indeterminate_ms = core->now;
     machine->worker.indeterminate_launches++;
-    machine->worker.indeterminate_token = direct->token;
-    machine->worker.indeterminate_session = direct->session;
+    machine->worker.indeterminate_fencing_token = direct->fencing_token;
+    machine->worker.indeterminate_incarnation = direct->incarnation;
   }
   ws_call(core, "POST", machine->worker.endpoint, "/commands",
-          ws_commands_encode(direct->token, direct->session, commands), 2000, on_direct, direct);
+          ws_commands_encode(direct->fencing_token, direct->incarnation, commands), 2000, on_direct, direct);
 }
 
 gboolean
 ws_worker_rpc_is_possible(const WsCore *core, const WsMachine *machine)
 {
-  return machine->worker.endpoint != NULL && machine->worker.token == core->replica->epoch.number
+  return machine->worker.endpoint != NULL && machine->worker.fencing_token == core->replica->epoch.number
          && ws_machine_is_up(core, machine) && !core->is_unreached_by_workers
          && ws_is_active_member(core);
 }
--- a/src/workers/ws-workers.c
+++ b/src/workers/ws-workers.c
@@ -23,7 +23,7 @@
 #define UNREACHED_OWNER_RETRY_MS 2000
 
 static guint64
-token(const WsCore *core)
+fencing_token(const WsCore *core)
 {
   return core->replica->epoch.number;
 }
@@ -53,8 +53,8 @@
 static void
 note_error(WsCore *core, WsMachine *machine, WsJob *job)
 {
-  job->status.errors++;
-  job->status.retry_ms = core->now + 500 * (gint64)(1u << MIN(job->status.errors, 7u));
+  job->status.consecutive_errors++;
+  job->status.retry_ms = core->now + 500 * (gint64)(1u << MIN(job->status.consecutive_errors, 7u));
   if (machine->fleet.last_failed_job != job->index)
     machine->fleet.failed_jobs++;
   machine->fleet.last_failed_job = job->index;
@@ -66,8 +66,8 @@
 static void
 back_off_gang(WsCore *core, WsJob *job)
 {
-  job->status.incomplete = MIN(job->status.incomplete + 1, MAX_GANG_BACKOFFS);
-  job->status.retry_ms = core->now + MIN_GANG_BACKOFF_MS * (gint64)(1u << job->status.incomplete);
+  job->status.incomplete_attempts = MIN(job->status.incomplete_attempts + 1, MAX_GANG_BACKOFFS);
+  job->status.retry_ms = core->now + MIN_GANG_BACKOFF_MS * (gint64)(1u << job->status.incomplete_attempts);
   g_info("gang %s was not complete in time", job->id);
 }
 
@@ -86,7 +86,7 @@
   if (why == WS_EXIT_DONE) {
     machine->fleet.failed_jobs = 0;
     machine->fleet.last_failed_job = WS_NONE;
-    job->status.errors = 0;
+    job->status.consecutive_errors = 0;
   }
 }
 
@@ -104,7 +104,7 @@
 }
 
 static void
-take_task(WsCore *core, WsMachine *machine, const WsTaskStatus *task)
+note_task(WsCore *core, WsMachine *machine, const WsTaskStatus *task)
 {
   WsJob *job;
   WsAssignment *assignment = matching(core, machine, task, &job);
@@ -124,11 +124,11 @@
 }
 
 static void
-begin_session(WsCore *core, WsMachine *machine, guint64 session)
+begin_incarnation(WsCore *core, WsMachine *machine, guint64 incarnation)
 {
-  if (machine->worker.session != 0) {
-    machine->worker.session_ms = core->now;
-    g_info("machine %s begins session %" G_GUINT64_FORMAT, machine->name, session);
+  if (machine->worker.incarnation != 0) {
+    machine->worker.incarnation_changed_ms = core->now;
+    g_info("machine %s begins session %" G_GUINT64_FORMAT, machine->name, incarnation);
   }
   machine->worker.indeterminate_launches
       = 0; /* a direct launch names its session, so an old one is refused */
@@ -145,20 +145,20 @@
 
 /* FALSE: an older message than one that was seen already. */
 static gboolean
-take_header(WsCore *core, WsMachine *machine, const WsHeartbeat *heartbeat)
+note_header(WsCore *core, WsMachine *machine, const WsHeartbeat *heartbeat)
 {
-  if (heartbeat->session < machine->worker.session
-      || (heartbeat->session == machine->worker.session && heartbeat->seq <= machine->worker.seq))
+  if (heartbeat->incarnation < machine->worker.incarnation
+      || (heartbeat->incarnation == machine->worker.incarnation && heartbeat->sequence <= machine->worker.sequence))
     return FALSE;
-  if (heartbeat->session > machine->worker.session)
-    begin_session(core, machine, heartbeat->session);
-  machine->worker.session = heartbeat->session;
-  machine->worker.seq = heartbeat->seq;
-  if (heartbeat->token > machine->worker.token
-      && machine->worker.indeterminate_token < heartbeat->token)
+  if (heartbeat->incarnation > machine->worker.incarnation)
+    begin_incarnation(core, machine, heartbeat->incarnation);
+  machine->worker.incarnation = heartbeat->incarnation;
+  machine->worker.sequence = heartbeat->sequence;
+  if (heartbeat->fencing_token > machine->worker.fencing_token
+      && machine->worker.indeterminate_fencing_token < heartbeat->fencing_token)
     machine->worker.indeterminate_launches
         = 0; /* from now on the worker refuses what was sent under the older token */
-  machine->worker.token = MAX(machine->worker.token, heartbeat->token);
+  machine->worker.fencing_token = MAX(machine->worker.fencing_token, heartbeat->fencing_token);
   machine->worker.heard_ms = core->now;
   machine->worker.failed_probes = 0;
   if (machine->worker.up_ms == 0) {
@@ -182,10 +182,10 @@
 gboolean
 ws_workers_note_status(WsCore *core, WsMachine *machine, const WsHeartbeat *heartbeat)
 {
-  if (!take_header(core, machine, heartbeat))
+  if (!note_header(core, machine, heartbeat))
     return FALSE;
-  for (guint i = 0; heartbeat->token == token(core) && i < heartbeat->tasks->len; i++)
-    take_task(core, machine, &g_array_index(heartbeat->tasks, WsTaskStatus, i));
+  for (guint i = 0; heartbeat->fencing_token == fencing_token(core) && i < heartbeat->tasks->len; i++)
+    note_task(core, machine, &g_array_index(heartbeat->tasks, WsTaskStatus, i));
   return TRUE;
 }
 
@@ -211,8 +211,8 @@
   g_debug("%s is told to %s %s/%u attempt %" G_GUINT64_FORMAT " under token %" G_GUINT64_FORMAT
           ": report %" G_GUINT64_FORMAT " of session %" G_GUINT64_FORMAT
           " has token %" G_GUINT64_FORMAT,
-          heartbeat->machine, NAMES[op], job, task, attempt, token(answer->core), heartbeat->seq,
-          heartbeat->session, heartbeat->token);
+          heartbeat->machine, NAMES[op], job, task, attempt, fencing_token(answer->core), heartbeat->sequence,
+          heartbeat->incarnation, heartbeat->fencing_token);
   answer->halts = answer->halts || op == WS_OP_HALT;
   json_array_append_new(answer->commands, ws_command_encode(op, job, task, attempt, grace_s));
 }
@@ -317,11 +317,11 @@
                     .machine = machine,
                     .heartbeat = heartbeat,
                     .commands = json_array(),
-                    .confirmed = heartbeat->token == token(core),
+                    .confirmed = heartbeat->fencing_token == fencing_token(core),
                     .is_behind = !ws_has_caught_up_with_epoch(core) };
   gboolean was_usable = ws_machine_is_up(core, machine) && machine->worker.interruption_ms == 0;
-  if (!take_header(core, machine, heartbeat))
-    return ws_heartbeat_answer_encode(token(core), answer.commands);
+  if (!note_header(core, machine, heartbeat))
+    return ws_heartbeat_answer_encode(fencing_token(core), answer.commands);
   machine->worker.reported_ms = core->now;
   /* A copy of an old report may come from a machine that was returned before this node began; only
      one that has had an answer of this epoch is there. */
@@ -329,12 +329,12 @@
     ws_cloud_list_reconcile(core, machine, core->wall);
   if (answer.confirmed)
     for (guint i = 0; i < heartbeat->tasks->len; i++)
-      take_task(core, machine, &g_array_index(heartbeat->tasks, WsTaskStatus, i));
+      note_task(core, machine, &g_array_index(heartbeat->tasks, WsTaskStatus, i));
   command_all(&answer);
   note_unacknowledged(&answer);
   core->replan_is_needed
       = core->replan_is_needed || !was_usable || machine->worker.interruption_ms > 0;
-  return ws_heartbeat_answer_encode(token(core), answer.commands);
+  return ws_heartbeat_answer_encode(fencing_token(core), answer.commands);
 }
 
 /* Whether the owner should be tried by the worker itself. A worker that comes back although it was
@@ -386,7 +386,7 @@
 knows_newest_epoch(const WsCore *core)
 {
   for (guint n = 0; n < core->settings->nodes->len; n++)
-    if (core->peers[n].epoch > token(core))
+    if (core->peers[n].epoch > fencing_token(core))
       return FALSE;
   return TRUE;
 }
@@ -424,7 +424,7 @@
     return;
   }
   core->report_ms = core->now;
-  if (!ws_is_active_member(core) || heartbeat->token > token(core) || !knows_newest_epoch(core)
+  if (!ws_is_active_member(core) || heartbeat->fencing_token > fencing_token(core) || !knows_newest_epoch(core)
       || ws_is_refused_by_store_alone(core) || !ws_may_renew_worker_leases(core)
       || ws_returns_is_confirmed(core, heartbeat->machine)) {
     ws_answer_later(core, request, 1);
--- a/tests/sim/rig.h
+++ b/tests/sim/rig.h
@@ -28,7 +28,7 @@
   guint told;          /* how often peers were told */
   guint returned;      /* returns asked of the cloud */
   guint direct;        /* direct commands seen */
-  guint64 seq;
+  guint64 sequence;
   guint status; /* the last answer to a request of ours */
   json_t *answer;
   gboolean hold; /* the next transaction that assigns a task waits for held's answer */
@@ -67,14 +67,14 @@
 void rig_tell(Rig *rig, const char *path, json_t *body /* taken */);
 /* A request, and a moment for its answer. */
 void rig_ask(Rig *rig, const char *method, const char *path, json_t *body /* taken */);
-json_t *rig_report_of(const Rig *rig, const char *machine, guint64 token, guint64 seq,
+json_t *rig_report_of(const Rig *rig, const char *machine, guint64 fencing_token, guint64 sequence,
                       json_t *tasks);
 /* What another controller says, and a moment for the answer. */
 void rig_mesh(Rig *rig, const char *path, json_t *body /* taken */);
 /* A report of any machine, and no pause after it. */
-void rig_report_now(Rig *rig, const char *machine, guint64 token, guint64 seq,
+void rig_report_now(Rig *rig, const char *machine, guint64 fencing_token, guint64 sequence,
                     json_t *tasks /* taken */);
-void rig_send_report(Rig *rig, guint64 token, json_t *tasks);
+void rig_send_report(Rig *rig, guint64 fencing_token, json_t *tasks);
 json_t *rig_submission(void);
 gboolean rig_is_assigned(const Rig *rig);
 /* Whether the last answer to a report has the command. */
--- a/tests/test-evidence.c
+++ b/tests/test-evidence.c
@@ -41,13 +41,13 @@
 typedef struct {
   Rig *rig;
   char *machine;
-  guint64 seq;
+  guint64 sequence;
 } World;
 
 static void
-report(World *world, guint64 token, json_t *tasks /* taken */)
+report(World *world, guint64 fencing_token, json_t *tasks /* taken */)
 {
-  rig_report_now(world->rig, world->machine, token, ++world->seq, tasks);
+  rig_report_now(world->rig, world->machine, fencing_token, ++world->sequence, tasks);
 }
 
 static json_t *
@@ -140,11 +140,11 @@
 static void
 launch_by_n0(World *world)
 {
-  guint64 token = epoch_number(world->rig);
-  report(world, token - 1, json_array());
-  report(world, token, json_array());
+  guint64 fencing_token = epoch_number(world->rig);
+  report(world, fencing_token - 1, json_array());
+  report(world, fencing_token, json_array());
   g_assert_true(rig_has_command(world->rig, "launch"));
-  report(world, token, task_in_state("fetching"));
+  report(world, fencing_token, task_in_state("fetching"));
 }
 
 /* The leader has taken its owner's release, whose write comes to nothing; the owner ends, and the
@@ -256,15 +256,15 @@
   begin(&world);
   change_epoch(&world, TRUE);
   Rig *rig = world.rig;
-  for (guint64 token = 1; token <= 2; token++) { /* only what is said under our token counts */
+  for (guint64 fencing_token = 1; fencing_token <= 2; fencing_token++) { /* only what is said under our token counts */
     json_t *tasks = json_pack("[{s:s, s:i, s:s, s:s}]", "kus", "req-1/0", "pokus", 1, "stav",
                               "exited", "duvod", "error");
     json_decref(rig->status_report);
-    rig->status_report = rig_report_of(rig, world.machine, token, 100 + token, tasks);
+    rig->status_report = rig_report_of(rig, world.machine, fencing_token, 100 + fencing_token, tasks);
     rig_run(rig, WRITE_S);
     rig_request(rig, WS_DOOR_MESH, "POST", "/ask", bare_release_of_n1(2));
     rig_run(rig, 0.4);
-    g_assert_true(is_first_attempt_on_record(&world) == (token == 1));
+    g_assert_true(is_first_attempt_on_record(&world) == (fencing_token == 1));
   }
   end(&world);
 }
@@ -305,7 +305,7 @@
                    "duvod", "error"));
   wait_for_held(rig);
   g_assert_cmpuint(rig->held, !=, 0);
-  json_t *anew = rig_report_of(rig, world.machine, 1, ++world.seq, json_array());
+  json_t *anew = rig_report_of(rig, world.machine, 1, ++world.sequence, json_array());
   json_object_set_new(anew, "smena", json_integer(2));
   rig_tell(rig, "/v1/report", anew);
   g_assert_cmpuint(rig->status, ==, 200);
@@ -547,14 +547,14 @@
   for (guint m = 0; m < MACHINES; m++) {
     WsRelease release = release_on(replica, m, (WsEvidenceKind)(m % 3));
     release.evidence.epoch = 1u + m;
-    release.evidence.session = m;
+    release.evidence.incarnation = m;
     g_autoptr(json_t) item = ws_release_encode(replica, &release);
     WsEvidence evidence;
     g_assert_true(ws_evidence_parse(replica, item, &evidence));
     g_assert_cmpuint(evidence.kind, ==, release.evidence.kind);
     g_assert_cmpuint(evidence.machine, ==, release.evidence.machine);
     g_assert_cmpuint(evidence.epoch, ==, release.evidence.epoch);
-    g_assert_cmpuint(evidence.session, ==, release.evidence.session);
+    g_assert_cmpuint(evidence.incarnation, ==, release.evidence.incarnation);
     for (size_t place = 4; place < 7; place++) {
       g_autoptr(json_t) damaged = json_deep_copy(item);
       json_array_set_new(damaged, place, json_pack("[i]", 1));
--- a/tests/test-gangs.c
+++ b/tests/test-gangs.c
@@ -434,7 +434,7 @@
   rig->zone = "b";
   for (guint i = 0; i < 2 * G_N_ELEMENTS(MACHINES); i++)
     rig_ask(rig, "POST", "/v1/report",
-            rig_report_of(rig, MACHINES[i / 2], i % 2, ++rig->seq, json_array()));
+            rig_report_of(rig, MACHINES[i / 2], i % 2, ++rig->sequence, json_array()));
   json_t *submission = gang_submission(GANG_TASKS);
   json_object_set_new(submission, "one_zone", json_true());
   rig_ask(rig, "POST", "/api/jobs", submission);
@@ -461,7 +461,7 @@
           tasks, json_pack("{s:s, s:i, s:s}", "kus", name, "pokus", 1, "stav", "running"));
   }
   g_assert_cmpuint(json_array_size(tasks), >, 0);
-  json_t *report = rig_report_of(rig, machine, 1, ++rig->seq, tasks);
+  json_t *report = rig_report_of(rig, machine, 1, ++rig->sequence, tasks);
   if (is_noticed)
     json_object_set_new(report, "vypoved_s", json_real(20.0));
   rig_ask(rig, "POST", "/v1/report", report);
@@ -489,7 +489,7 @@
   Rig *rig = rig_with_machine();
   rig_lift_limits(rig);
   for (guint i = 0; i < 2; i++)
-    rig_ask(rig, "POST", "/v1/report", rig_report_of(rig, "m-2", i, ++rig->seq, json_array()));
+    rig_ask(rig, "POST", "/v1/report", rig_report_of(rig, "m-2", i, ++rig->sequence, json_array()));
   rig_ask(rig, "POST", "/api/jobs", gang_submission(2));
   rig_run(rig, 1.0);
   g_assert_cmpuint(count_machines_of(rig, "req-1"), ==, 2);
@@ -511,8 +511,8 @@
 {
   Rig *rig = rig_with_machine();
   rig->spot = TRUE;
-  rig_ask(rig, "POST", "/v1/report", rig_report_of(rig, "m-2", 0, ++rig->seq, json_array()));
-  rig_ask(rig, "POST", "/v1/report", rig_report_of(rig, "m-2", 1, ++rig->seq, json_array()));
+  rig_ask(rig, "POST", "/v1/report", rig_report_of(rig, "m-2", 0, ++rig->sequence, json_array()));
+  rig_ask(rig, "POST", "/v1/report", rig_report_of(rig, "m-2", 1, ++rig->sequence, json_array()));
   json_t *submission = gang_submission(GANG_TASKS);
   json_object_set_new(submission, "vypujcky", json_true());
   rig_ask(rig, "POST", "/api/jobs", submission);
--- a/tests/test-protocol.c
+++ b/tests/test-protocol.c
@@ -107,7 +107,7 @@
   g_autofree char *reason = NULL;
   g_autoptr(WsHeartbeat) report = ws_heartbeat_parse(message, &reason);
   g_assert_nonnull(report);
-  g_assert_cmpuint(report->token, ==, 41);
+  g_assert_cmpuint(report->fencing_token, ==, 41);
   g_assert_cmpuint(report->tasks->len, ==, 2);
   const WsTaskStatus *first = &g_array_index(report->tasks, WsTaskStatus, 0);
   g_assert_cmpstr(first->job, ==, "req-000412");
--- a/tests/test-regressions.c
+++ b/tests/test-regressions.c
@@ -251,15 +251,15 @@
 {
   enum { JOBS = 12 };
   Rig *rig = rig_bare(TRUE);
-  for (guint64 seq = 1; seq <= 2 + JOBS; seq++) {
+  for (guint64 sequence = 1; sequence <= 2 + JOBS; sequence++) {
     for (guint m = 0; m < JOBS; m++) {
       g_autofree char *machine = g_strdup_printf("m-1%u", m);
-      rig_report_now(rig, machine, seq == 1 ? 0 : 1, seq, json_array());
+      rig_report_now(rig, machine, sequence == 1 ? 0 : 1, sequence, json_array());
     }
     rig_run(rig, 0.5);
-    if (seq <= 2)
+    if (sequence <= 2)
       continue;
-    guint number = (guint)seq - 3;
+    guint number = (guint)sequence - 3;
     g_autofree char *id = g_strdup_printf("req-1%u", number);
     json_t *job = rig_submission();
     json_object_set_new(job, "id", json_string(id));
@@ -293,15 +293,15 @@
 
 /* Reports of sixteen machines, less the first few, passed on by another node or sent here. */
 static void
-report_all(Rig *rig, guint first, guint64 token, guint64 seq, gboolean is_relayed)
+report_all(Rig *rig, guint first, guint64 fencing_token, guint64 sequence, gboolean is_relayed)
 {
   for (guint m = first; m < 16; m++) {
     g_autofree char *name = g_strdup_printf("m-1%02u", m);
     if (!is_relayed) {
-      rig_report_now(rig, name, token, seq, json_array());
+      rig_report_now(rig, name, fencing_token, sequence, json_array());
       continue;
     }
-    g_autoptr(json_t) report = rig_report_of(rig, name, token, seq, json_array());
+    g_autoptr(json_t) report = rig_report_of(rig, name, fencing_token, sequence, json_array());
     g_autofree char *report_text = ws_json_text(report);
     rig_request(rig, WS_DOOR_MESH, "POST", "/relay",
                 json_pack("{s:i, s:s, s:s}", "epoch", 1, "owner", "n0", "report", report_text));
@@ -314,17 +314,17 @@
 test_unheard(void)
 {
   Rig *rig = rig_bare(TRUE);
-  guint64 seq = 0;
+  guint64 sequence = 0;
   for (guint i = 0; i < 3; i++) {
-    report_all(rig, 0, i == 0 ? 0 : 1, ++seq, FALSE);
+    report_all(rig, 0, i == 0 ? 0 : 1, ++sequence, FALSE);
     rig_run(rig, 1.5);
   }
   for (guint i = 0; i < 5; i++) {
-    report_all(rig, 2, 1, ++seq, TRUE);
+    report_all(rig, 2, 1, ++sequence, TRUE);
     rig_run(rig, 1.5);
   }
   g_assert_cmpuint(sim_state_count(rig->state, "w/mark/"), ==, 0);
-  report_all(rig, 2, 1, ++seq, FALSE);
+  report_all(rig, 2, 1, ++sequence, FALSE);
   rig_run(rig, 1.2);
   g_assert_cmpuint(sim_state_count(rig->state, "w/mark/"), ==, 2);
   rig_free(rig);
@@ -345,8 +345,8 @@
   report_all(rig, 8, 1, 3, FALSE);
   rig->peers_silent = TRUE;
   rig->zone = "a";
-  for (guint64 seq = 1; seq <= 11; seq++) {
-    rig_report_now(rig, "m-1", seq == 1 ? 0 : 1, seq, json_array());
+  for (guint64 sequence = 1; sequence <= 11; sequence++) {
+    rig_report_now(rig, "m-1", sequence == 1 ? 0 : 1, sequence, json_array());
     rig_run(rig, 1.0);
   }
   g_assert_cmpuint(sim_state_count(rig->state, "w/mark/"), ==, 0);
@@ -379,17 +379,17 @@
 {
   Rig *rig = rig_bare(TRUE);
   rig->zone = "b";
-  for (guint64 seq = 1; seq <= 2; seq++) {
-    report_all(rig, 0, seq == 1 ? 0 : 1, seq, FALSE);
+  for (guint64 sequence = 1; sequence <= 2; sequence++) {
+    report_all(rig, 0, sequence == 1 ? 0 : 1, sequence, FALSE);
     rig->zone = "a";
-    rig_report_now(rig, "m-2", seq == 1 ? 0 : 1, seq, json_array());
+    rig_report_now(rig, "m-2", sequence == 1 ? 0 : 1, sequence, json_array());
     rig->zone = "b";
     rig_run(rig, 1.5);
   }
   rig->peers_silent = TRUE;
   rig->zone = "a";
-  for (guint64 seq = 1; seq <= 8; seq++) {
-    rig_report_now(rig, "m-1", seq == 1 ? 0 : 1, seq, json_array());
+  for (guint64 sequence = 1; sequence <= 8; sequence++) {
+    rig_report_now(rig, "m-1", sequence == 1 ? 0 : 1, sequence, json_array());
     rig_run(rig, 1.0);
   }
   g_assert_cmpuint(sim_state_count(rig->state, "w/mark/"), ==, 1);
@@ -407,8 +407,8 @@
   g_ptr_array_add(rig->settings->zones, g_strdup("d"));
   rig_restart(rig);
   rig->zone = "d";
-  for (guint64 seq = 1; seq <= 3; seq++) {
-    report_all(rig, 0, seq == 1 ? 1 : 2, seq, FALSE);
+  for (guint64 sequence = 1; sequence <= 3; sequence++) {
+    report_all(rig, 0, sequence == 1 ? 1 : 2, sequence, FALSE);
     rig_run(rig, 1.5);
   }
   rig_run(rig, 2.0 * rig->settings->lease_s);
@@ -425,8 +425,8 @@
   Rig *rig = rig_bare(TRUE);
   rig->zone = zone;
   rig->spot = TRUE;
-  for (guint64 seq = 1; seq <= 3; seq++) {
-    report_all(rig, 0, seq == 1 ? 0 : 1, seq, FALSE);
+  for (guint64 sequence = 1; sequence <= 3; sequence++) {
+    report_all(rig, 0, sequence == 1 ? 0 : 1, sequence, FALSE);
     rig_run(rig, 1.5);
   }
   json_t *job = rig_submission();
@@ -489,14 +489,14 @@
 test_empty_in_outage(void)
 {
   Rig *rig = rig_bare(TRUE);
-  for (guint64 seq = 1; seq <= 30; seq++) {
-    rig->state_out = rig->peers_silent = seq >= 6 && seq < 20;
-    rig_report_now(rig, "m-2", seq == 1 ? 0 : 1, seq, json_array());
+  for (guint64 sequence = 1; sequence <= 30; sequence++) {
+    rig->state_out = rig->peers_silent = sequence >= 6 && sequence < 20;
+    rig_report_now(rig, "m-2", sequence == 1 ? 0 : 1, sequence, json_array());
     rig_run(rig, 1.0);
   }
   g_assert_cmpuint(sim_state_count(rig->state, "w/mark/"), ==, 0);
-  for (guint64 seq = 31; seq <= 50; seq++) {
-    rig_report_now(rig, "m-2", 1, seq, json_array());
+  for (guint64 sequence = 31; sequence <= 50; sequence++) {
+    rig_report_now(rig, "m-2", 1, sequence, json_array());
     rig_run(rig, 1.0);
   }
   g_assert_cmpuint(sim_state_count(rig->state, "w/mark/"), ==, 1);
@@ -542,9 +542,9 @@
 }
 
 static guint
-status_of_report(Rig *rig, const char *machine, guint64 seq)
+status_of_report(Rig *rig, const char *machine, guint64 sequence)
 {
-  rig_report_now(rig, machine, 1, seq, json_array());
+  rig_report_now(rig, machine, 1, sequence, json_array());
   return rig->status;
 }
 
@@ -630,9 +630,9 @@
 test_small_task(void)
 {
   Rig *rig = rig_two_types();
-  for (guint64 seq = 1; seq <= 2; seq++) {
-    rig_report_now(rig, "m-1", seq - 1, seq, json_array());
-    json_t *small = rig_report_of(rig, "m-2", seq - 1, seq, json_array());
+  for (guint64 sequence = 1; sequence <= 2; sequence++) {
+    rig_report_now(rig, "m-1", sequence - 1, sequence, json_array());
+    json_t *small = rig_report_of(rig, "m-2", sequence - 1, sequence, json_array());
     json_object_set_new(small, "typ", json_string("g1"));
     rig_tell(rig, "/v1/report", small);
     rig_run(rig, 0.5);
@@ -721,9 +721,9 @@
 static void
 show_machines(Rig *rig, const char *const *names, guint count)
 {
-  for (guint64 seq = 1; seq <= 2; seq++)
+  for (guint64 sequence = 1; sequence <= 2; sequence++)
     for (guint m = 0; m < count; m++) {
-      rig_report_now(rig, names[m], seq - 1, seq, json_array());
+      rig_report_now(rig, names[m], sequence - 1, sequence, json_array());
       rig_run(rig, 0.3);
     }
 }
--- a/tests/test-size.c
+++ b/tests/test-size.c
@@ -11,17 +11,17 @@
 #define ALONE 6000u
 
 static void
-report(Rig *rig, guint machine, guint64 token, guint64 seq)
+report(Rig *rig, guint machine, guint64 fencing_token, guint64 sequence)
 {
   g_autofree char *name = g_strdup_printf("m-%06u", machine);
-  rig_report_now(rig, name, token, seq, json_array());
+  rig_report_now(rig, name, fencing_token, sequence, json_array());
 }
 
 static void
-report_each(Rig *rig, guint machines, guint64 token, guint64 seq)
+report_each(Rig *rig, guint machines, guint64 fencing_token, guint64 sequence)
 {
   for (guint m = 0; m < machines; m++)
-    report(rig, m, token, seq);
+    report(rig, m, fencing_token, sequence);
 }
 
 /* All machines have shown the token, and the peers know of them. */
@@ -29,8 +29,8 @@
 rig_with(guint machines)
 {
   Rig *rig = rig_bare(TRUE);
-  for (guint64 seq = 1; seq <= 3; seq++) {
-    report_each(rig, machines, seq == 1 ? 0 : 1, seq);
+  for (guint64 sequence = 1; sequence <= 3; sequence++) {
+    report_each(rig, machines, sequence == 1 ? 0 : 1, sequence);
     rig_run(rig, 1.5);
   }
   return rig;
@@ -160,7 +160,7 @@
 
 /* Every machine shows the task of the first job that is assigned to it. */
 static void
-report_tasks(Rig *rig, guint machines, guint64 seq)
+report_tasks(Rig *rig, guint machines, guint64 sequence)
 {
   for (guint chunk = 0; chunk * WS_CHUNK_TASKS < machines; chunk++) {
     g_autofree char *key = g_strdup_printf("w/task/req-000001/%u", chunk);
@@ -170,7 +170,7 @@
     {
       g_autofree char *task = g_strdup_printf("req-000001/%" JSON_INTEGER_FORMAT,
                                               json_integer_value(json_array_get(on, 0)));
-      rig_report_now(rig, json_string_value(json_array_get(on, 1)), 1, seq,
+      rig_report_now(rig, json_string_value(json_array_get(on, 1)), 1, sequence,
                      json_pack("[{s:s, s:O, s:s}]", "kus", task, "pokus", json_array_get(on, 2),
                                "stav", "running"));
     }
@@ -180,8 +180,8 @@
 static void
 report_for_a_while(Rig *rig, guint machines, guint64 first)
 {
-  for (guint64 seq = first; seq < first + 3; seq++) {
-    report_tasks(rig, machines, seq);
+  for (guint64 sequence = first; sequence < first + 3; sequence++) {
+    report_tasks(rig, machines, sequence);
     rig_run(rig, 1.5);
   }
 }
@@ -219,7 +219,7 @@
 
 /* What every so many of the jobs have assigned is reported as running, machine by machine. */
 static void
-report_jobs(Rig *rig, guint machines, guint step, guint64 seq)
+report_jobs(Rig *rig, guint machines, guint step, guint64 sequence)
 {
   g_autoptr(GPtrArray) lists = g_ptr_array_new();
   for (guint m = 0; m < machines; m++)
@@ -240,7 +240,7 @@
   }
   for (guint m = 0; m < machines; m++) {
     g_autofree char *name = g_strdup_printf("m-%06u", m);
-    rig_report_now(rig, name, 1, seq, g_ptr_array_index(lists, m));
+    rig_report_now(rig, name, 1, sequence, g_ptr_array_index(lists, m));
   }
 }
 
@@ -275,10 +275,10 @@
     json_object_set_new(job, "kusy", json_integer(4));
     rig_tell(rig, "/api/jobs", job);
   }
-  guint64 seq = 20;
+  guint64 sequence = 20;
   for (guint i = 0; i < 6; i++) {
     rig_run(rig, 1.5);
-    report_jobs(rig, machines, 1, ++seq);
+    report_jobs(rig, machines, 1, ++sequence);
   }
   for (guint j = 0; j < machines; j++) {
     if (j % 4 == 0)
@@ -288,7 +288,7 @@
   }
   for (guint i = 0; i < 30; i++) {
     run_to_marks(rig, 1.5, &marked_ms);
-    report_jobs(rig, machines, 4, ++seq);
+    report_jobs(rig, machines, 4, ++sequence);
     most = MAX(most, sim_state_count(rig->state, "w/mark/"));
   }
   g_assert_cmpint(marked_ms % 2000, <, 1100);
