--- a/src/api/ws-users.c
+++ b/src/api/ws-users.c
@@ -144,7 +144,7 @@
 }
 
 static const WsTeamSettings *
-team_settings(const WsCore *core, guint team)
+team_settings(const WsCore *core, WsTeamIndex team)
 {
   return g_ptr_array_index(core->settings->teams, team);
 }
@@ -172,8 +172,8 @@
 static const char *
 never_runs(const WsCore *core, const WsJobSpec *spec)
 {
-  guint team = ws_replica_find_team(core->replica, spec->team);
-  if (team == WS_NONE)
+  WsTeamIndex team = ws_replica_find_team(core->replica, spec->team);
+  if (team == WS_NO_TEAM)
     return "unknown team";
   if (spec->zone != NULL && ws_replica_find_zone(core->replica, spec->zone) == WS_NONE)
     return "unknown zone";
--- a/src/commit/ws-assignments.c
+++ b/src/commit/ws-assignments.c
@@ -65,13 +65,13 @@
 }
 
 gboolean
-ws_assignments_is_pending(const WsCore *core, guint job, guint task)
+ws_assignments_is_pending(const WsCore *core, WsJobIndex job, guint task)
 {
   return g_hash_table_contains(core->assignments->proposed, ws_task_key(job, task));
 }
 
 void
-ws_assignments_propose(WsCore *core, guint job, guint task, guint machine)
+ws_assignments_propose(WsCore *core, WsJobIndex job, guint task, WsMachineIndex machine)
 {
   WsProposal proposal = { job, task, machine, core->now };
   if (g_hash_table_add(core->assignments->proposed, ws_task_key(job, task)))
--- a/src/commit/ws-batch.c
+++ b/src/commit/ws-batch.c
@@ -20,7 +20,7 @@
 
 /* A chunk as the transaction leaves it. */
 typedef struct {
-  guint job;
+  WsJobIndex job;
   guint index;
   WsChunk *chunk;
 } Work;
@@ -110,7 +110,7 @@
 }
 
 static Work *
-find_work(const WsBatch *batch, guint job, guint index)
+find_work(const WsBatch *batch, WsJobIndex job, guint index)
 {
   for (guint i = 0; i < batch->works->len; i++) {
     Work *work = g_ptr_array_index(batch->works, i);
@@ -214,7 +214,7 @@
 }
 
 static WsResources *
-taken(WsBatch *batch, guint machine)
+taken(WsBatch *batch, WsMachineIndex machine)
 {
   WsResources *amount = g_hash_table_lookup(batch->room, GUINT_TO_POINTER(machine));
   if (amount == NULL) {
@@ -248,7 +248,7 @@
 }
 
 static void
-release_task(WsBatch *batch, const WsJob *job, WsChunk *chunk, guint task, guint machine)
+release_task(WsBatch *batch, const WsJob *job, WsChunk *chunk, guint task, WsMachineIndex machine)
 {
   ws_resources_add(taken(batch, machine), &job->spec->need, -1);
   ws_chunk_remove(chunk, task);
@@ -311,8 +311,8 @@
     const WsChunk *chunk = chunk_after(batch, job, c);
     for (guint i = 0; chunk != NULL && i < chunk->assignments->len; i++) {
       const WsAssignment *assignment = &g_array_index(chunk->assignments, WsAssignment, i);
-      guint zone = ws_replica_machine(replica, assignment->machine)->zone;
-      if (zone != WS_NONE)
+      WsZoneIndex zone = ws_replica_machine(replica, assignment->machine)->zone;
+      if (zone != WS_NO_ZONE)
         counts[zone]++;
     }
   }
@@ -345,7 +345,7 @@
 }
 
 static gboolean
-zone_has_room(const WsBatch *batch, const WsJob *job, guint zone)
+zone_has_room(const WsBatch *batch, const WsJob *job, WsZoneIndex zone)
 {
   guint zones = batch->core->settings->zones->len;
   if (!all_chunks_matter(job))
@@ -367,7 +367,7 @@
 still_wanted(WsBatch *batch, const WsJob *job, const WsProposal *proposal)
 {
   const WsMachine *machine = ws_replica_machine(batch->core->replica, proposal->machine);
-  return job->state == WS_JOB_ACTIVE && job->spec != NULL && job->team != WS_NONE
+  return job->state == WS_JOB_ACTIVE && job->spec != NULL && job->team != WS_NO_TEAM
          && proposal->task < job->tasks
          && !ws_job_task_done(job, proposal->task)
          /* not even in this very transaction: two nodes may ask for the same task */
--- a/src/commit/ws-batch.h
+++ b/src/commit/ws-batch.h
@@ -5,9 +5,9 @@
 #include "store/ws-store.h"
 
 typedef struct {
-  guint job;
+  WsJobIndex job;
   guint task;
-  guint machine;
+  WsMachineIndex machine;
   gint64 planned_ms;
 } WsProposal;
 
--- a/src/commit/ws-commit.h
+++ b/src/commit/ws-commit.h
@@ -12,14 +12,14 @@
 
 /* The key of a task in hash tables. */
 static inline gpointer
-ws_task_key(guint job, guint task)
+ws_task_key(WsJobIndex job, guint task)
 {
   return GSIZE_TO_POINTER((gsize)job * WS_MAX_TASKS + task + 1);
 }
 WsAssignments *ws_assignments_new(void);
 void ws_assignments_free(WsAssignments *assignments);
-void ws_assignments_propose(WsCore *core, guint job, guint task, guint machine);
-gboolean ws_assignments_is_pending(const WsCore *core, guint job, guint task);
+void ws_assignments_propose(WsCore *core, WsJobIndex job, guint task, WsMachineIndex machine);
+gboolean ws_assignments_is_pending(const WsCore *core, WsJobIndex job, guint task);
 gboolean ws_assignments_are_idle(const WsCore *core);
 /* Whether assignments or ends of tasks wait to be written. */
 gboolean ws_assignments_have_backlog(const WsCore *core);
@@ -28,7 +28,7 @@
 void ws_assignments_pump(WsCore *core);
 /* In a new epoch the owners of machines, and with them what was proposed, may be others. */
 void ws_assignments_begin_epoch(WsCore *core);
-typedef void (*WsProposalFunc)(const WsJob *job, guint machine, gpointer data);
+typedef void (*WsProposalFunc)(const WsJob *job, WsMachineIndex machine, gpointer data);
 /* What was handed in to the leader and has not come back through the store yet. */
 void ws_assignments_foreach_forwarded(const WsCore *core, WsProposalFunc take, gpointer data);
 
--- a/src/commit/ws-job-quarantine.c
+++ b/src/commit/ws-job-quarantine.c
@@ -43,7 +43,7 @@
 }
 
 gboolean
-ws_job_quarantine_has(const WsJobQuarantine *refused, gint64 now_ms, guint job)
+ws_job_quarantine_has(const WsJobQuarantine *refused, gint64 now_ms, WsJobIndex job)
 {
   const gint64 *until_ms = g_hash_table_lookup(refused->until, GUINT_TO_POINTER(job));
   return until_ms != NULL && now_ms < *until_ms;
--- a/src/commit/ws-job-quarantine.h
+++ b/src/commit/ws-job-quarantine.h
@@ -7,7 +7,7 @@
  */
 #pragma once
 
-#include <glib.h>
+#include "protocol/ws-index.h"
 
 typedef struct _WsJobQuarantine WsJobQuarantine;
 
@@ -21,4 +21,4 @@
 gboolean ws_job_quarantine_is_isolating(const WsJobQuarantine *refused, gint64 now_ms);
 
 /** Whether the job is left out for now. */
-gboolean ws_job_quarantine_has(const WsJobQuarantine *refused, gint64 now_ms, guint job);
+gboolean ws_job_quarantine_has(const WsJobQuarantine *refused, gint64 now_ms, WsJobIndex job);
--- a/src/commit/ws-release-order.c
+++ b/src/commit/ws-release-order.c
@@ -59,7 +59,7 @@
   add_to_sum(sums->known_of_job, job_key, 1);
   add_to_sum(sums->done_of_job, job_key, pending->release.done ? 1 : 0);
   add_to_sum(sums->of_chunk, chunk_key(&pending->release), weight);
-  if (job->team != WS_NONE)
+  if (job->team != WS_NO_TEAM)
     sums->of_team_use[ws_team_use_group(core->settings, job->team)] += weight;
 }
 
@@ -155,7 +155,7 @@
     const WsJob *job = ws_replica_job(core->replica, end->release.job);
     end->ends_job = would_end(&sums, job);
     end->of_chunk = get_sum(sums.of_chunk, chunk_key(&end->release));
-    if (job->team != WS_NONE)
+    if (job->team != WS_NO_TEAM)
       end->of_team_use = sums.of_team_use[ws_team_use_group(core->settings, job->team)];
   }
   sums_clear(&sums);
--- a/src/coordination/ws-epoch.c
+++ b/src/coordination/ws-epoch.c
@@ -3,7 +3,7 @@
 void
 ws_epoch_init(WsEpoch *epoch)
 {
-  *epoch = (WsEpoch){ .leader = WS_NONE };
+  *epoch = (WsEpoch){ .leader = WS_NO_NODE };
   epoch->members = g_array_new(FALSE, FALSE, sizeof(WsMember));
 }
 
@@ -27,7 +27,7 @@
         || !ws_json_count(item, "incarnation", &member.incarnation))
       return FALSE;
     member.node = ws_settings_find_node(settings, name);
-    if (member.node == WS_NONE)
+    if (member.node == WS_NO_NODE)
       return FALSE;
     g_array_append_val(epoch->members, member);
   }
@@ -61,7 +61,7 @@
 }
 
 static const WsMember *
-find_member(const WsEpoch *epoch, guint node)
+find_member(const WsEpoch *epoch, WsNodeIndex node)
 {
   for (guint i = 0; i < epoch->members->len; i++) {
     const WsMember *member = &g_array_index(epoch->members, WsMember, i);
@@ -72,20 +72,20 @@
 }
 
 gboolean
-ws_epoch_has(const WsEpoch *epoch, guint node, guint64 incarnation)
+ws_epoch_has(const WsEpoch *epoch, WsNodeIndex node, guint64 incarnation)
 {
   const WsMember *member = find_member(epoch, node);
   return member != NULL && member->incarnation == incarnation;
 }
 
 gboolean
-ws_epoch_has_node(const WsEpoch *epoch, guint node)
+ws_epoch_has_node(const WsEpoch *epoch, WsNodeIndex node)
 {
   return find_member(epoch, node) != NULL;
 }
 
 gboolean
-ws_epoch_continues(const WsEpoch *last, const WsEpoch *next, guint node)
+ws_epoch_continues(const WsEpoch *last, const WsEpoch *next, WsNodeIndex node)
 {
   const WsMember *member = find_member(last, node);
   return member != NULL && next->number == last->number + 1
@@ -126,7 +126,7 @@
   guint best = WS_NONE;
   guint64 most = 0;
   for (guint i = 0; i < epoch->members->len; i++) {
-    guint node = g_array_index(epoch->members, WsMember, i).node;
+    WsNodeIndex node = g_array_index(epoch->members, WsMember, i).node;
     guint64 found = weight(machine, ws_settings_node(settings, node)->name);
     if (best == WS_NONE || found > most) {
       best = node;
--- a/src/core/ws-core.c
+++ b/src/core/ws-core.c
@@ -157,7 +157,7 @@
   g_info("epoch %" G_GUINT64_FORMAT " at revision %" G_GUINT64_FORMAT ": %u members, leader %s",
          core->handled_epoch, ws_replica_version(core->replica, WS_KEY_EPOCH),
          core->replica->epoch.members->len,
-         core->replica->epoch.leader != WS_NONE
+         core->replica->epoch.leader != WS_NO_NODE
              ? ws_settings_node(core->settings, core->replica->epoch.leader)->name
              : "none");
 }
--- a/src/fleet/ws-cloud-list.c
+++ b/src/fleet/ws-cloud-list.c
@@ -45,7 +45,7 @@
 void
 ws_cloud_list_reconcile(WsCore *core, WsMachine *machine, gint64 at_ms)
 {
-  if (machine->fleet.mark_is_pending || machine->type_name == NULL || machine->zone == WS_NONE
+  if (machine->fleet.mark_is_pending || machine->type_name == NULL || machine->zone == WS_NO_ZONE
       || ws_returns_is_confirmed(core, machine->name) || !ws_is_active_member(core))
     return;
   machine->fleet.needs_record = TRUE;
--- a/src/fleet/ws-consolidation.c
+++ b/src/fleet/ws-consolidation.c
@@ -42,7 +42,7 @@
 
 /* Whether the rules on zones let a task of the job move. */
 static gboolean
-may_move(const WsCore *core, const WsJob *job, guint from, guint to)
+may_move(const WsCore *core, const WsJob *job, WsNodeIndex from, guint to)
 {
   guint zones = core->settings->zones->len;
   g_autofree guint *counts = g_new0(guint, zones);
@@ -128,9 +128,9 @@
 is_sparse(const WsCore *core, const WsMachine *machine)
 {
   const WsResources *room = &ws_replica_type(core->replica, machine->type)->capacity;
-  return machine->is_recorded && machine->type != WS_NONE && !machine->is_marked && !machine->spot
-         && ws_machine_is_up(core, machine) && 2 * machine->used.cpus <= room->cpus
-         && 2 * machine->used.gpus <= room->gpus;
+  return machine->is_recorded && machine->type != WS_NO_TYPE && !machine->is_marked
+         && !machine->spot && ws_machine_is_up(core, machine)
+         && 2 * machine->used.cpus <= room->cpus && 2 * machine->used.gpus <= room->gpus;
 }
 
 /* Whether the machine has been sparse for the hold. */
@@ -155,7 +155,7 @@
     stored += ws_replica_machine(core->replica, i)->is_recorded ? 1 : 0;
   for (guint i = 0; i < count; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, i);
-    if (!machine->is_recorded || machine->type == WS_NONE || !ws_owns_machine(core, machine)
+    if (!machine->is_recorded || machine->type == WS_NO_TYPE || !ws_owns_machine(core, machine)
         || !is_due(core, machine) || looked >= MOST_LOOKS || !may_close(core, batch, machine)
         || batch->machines > stored / MACHINES_PER_CONSOLIDATION)
       continue;
--- a/src/fleet/ws-fleet.c
+++ b/src/fleet/ws-fleet.c
@@ -86,7 +86,7 @@
   for (guint i = 0; i < core->replica->machines->len; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, i);
     if (!machine->is_recorded || machine->is_marked || machine->worker.heard_ms > 0
-        || machine->type == WS_NONE || machine->tasks->len > 0
+        || machine->type == WS_NO_TYPE || machine->tasks->len > 0
         || core->now - core->epoch_known_ms < patience_ms
         || ws_zone_is_partitioned(core, machine->zone))
       continue;
--- a/src/fleet/ws-fleet.h
+++ b/src/fleet/ws-fleet.h
@@ -47,16 +47,19 @@
 void ws_rentals_free(WsRentals *rentals);
 
 /** Notes how many machines of a kind are wanted; ws_rentals_record_intents() writes it down. */
-void ws_rentals_request(WsCore *core, guint type, guint zone, gboolean spot, guint machines);
+void ws_rentals_request(WsCore *core, WsTypeIndex type, WsZoneIndex zone, gboolean spot,
+                        guint machines);
 
 /** Writes down what was needed since the last call. */
 void ws_rentals_record_intents(WsCore *core);
 
 /** Whether the cloud had none of the kind a short while ago. */
-gboolean ws_rentals_no_capacity(const WsCore *core, guint type, guint zone, gboolean spot);
+gboolean ws_rentals_no_capacity(const WsCore *core, WsTypeIndex type, WsZoneIndex zone,
+                                gboolean spot);
 
 /** Notes whether the cloud has enough of the kind, as far as is known. */
-void ws_rentals_note_capacity(WsCore *core, guint type, guint zone, gboolean spot, gboolean enough);
+void ws_rentals_note_capacity(WsCore *core, WsTypeIndex type, WsZoneIndex zone, gboolean spot,
+                              gboolean enough);
 
 /** Sends what is intended to the cloud; only the leader calls it. */
 void ws_rentals_tick(WsCore *core);
--- a/src/fleet/ws-rentals.c
+++ b/src/fleet/ws-rentals.c
@@ -47,13 +47,13 @@
 }
 
 static gpointer
-kind(guint type, guint zone, gboolean spot)
+kind(WsTypeIndex type, WsZoneIndex zone, gboolean spot)
 {
   return GUINT_TO_POINTER(type << 16 | zone << 1 | (spot ? 1u : 0u));
 }
 
 gboolean
-ws_rentals_no_capacity(const WsCore *core, guint type, guint zone, gboolean spot)
+ws_rentals_no_capacity(const WsCore *core, WsTypeIndex type, WsZoneIndex zone, gboolean spot)
 {
   const CapacityBackoff *backoff
       = g_hash_table_lookup(core->rentals->backoffs, kind(type, zone, spot));
@@ -73,7 +73,8 @@
 }
 
 void
-ws_rentals_note_capacity(WsCore *core, guint type, guint zone, gboolean spot, gboolean enough)
+ws_rentals_note_capacity(WsCore *core, WsTypeIndex type, WsZoneIndex zone, gboolean spot,
+                         gboolean enough)
 {
   gpointer key = kind(type, zone, spot);
   if (enough) {
@@ -113,7 +114,7 @@
 }
 
 static void
-intend_one(WsCore *core, guint type, guint zone, gboolean spot, guint machines)
+intend_one(WsCore *core, WsTypeIndex type, WsZoneIndex zone, gboolean spot, guint machines)
 {
   WsRentals *rentals = core->rentals;
   g_autofree char *request = g_strdup_printf("r-%" G_GUINT64_FORMAT "-%" G_GUINT64_FORMAT,
@@ -130,7 +131,7 @@
 }
 
 void
-ws_rentals_request(WsCore *core, guint type, guint zone, gboolean spot, guint machines)
+ws_rentals_request(WsCore *core, WsTypeIndex type, WsZoneIndex zone, gboolean spot, guint machines)
 {
   WsRentals *rentals = core->rentals;
   if (rentals->intending || has_unsent(core))
@@ -251,7 +252,7 @@
     g_hash_table_remove(core->rentals->renting, request);
     return;
   }
-  guint zone = ws_replica_find_zone(core->replica, rent->zone);
+  WsZoneIndex zone = ws_replica_find_zone(core->replica, rent->zone);
   guint count = names != NULL ? names->len : 0;
   ws_rentals_note_capacity(core, ws_replica_find_type(core->replica, rent->type), zone, rent->spot,
                            count >= rent->count);
--- a/src/fleet/ws-returns.c
+++ b/src/fleet/ws-returns.c
@@ -57,7 +57,7 @@
 }
 
 static gboolean
-is_in(const GArray *machines, guint machine)
+is_in(const GArray *machines, WsMachineIndex machine)
 {
   for (guint i = 0; i < machines->len; i++)
     if (g_array_index(machines, guint, i) == machine)
@@ -73,7 +73,7 @@
   g_autofree char *key = ws_key(WS_KEYS_RENTAL_BATCH, rental_batch->name);
   g_autoptr(GArray) left = g_array_new(FALSE, FALSE, sizeof(guint));
   for (guint i = 0; i < rental_batch->machines->len; i++) {
-    guint machine = g_array_index(rental_batch->machines, guint, i);
+    WsMachineIndex machine = g_array_index(rental_batch->machines, guint, i);
     if (!is_in(without, machine))
       g_array_append_val(left, machine);
   }
@@ -187,7 +187,7 @@
 {
   const WsMachine *machine = ws_replica_find_machine(core->replica, name);
   g_hash_table_add(core->returns->confirmed, g_strdup(name));
-  if (machine != NULL && machine->type != WS_NONE && machine->zone != WS_NONE)
+  if (machine != NULL && machine->type != WS_NO_TYPE && machine->zone != WS_NO_ZONE)
     ws_rentals_note_capacity(core, machine->type, machine->zone, machine->spot, TRUE);
 }
 
--- a/src/fleet/ws-termination.c
+++ b/src/fleet/ws-termination.c
@@ -50,13 +50,13 @@
 /* A cut makes every machine of the zone unavailable; nothing is given back there until it heals.
    From inside, the zone is cut as soon as another member can't be reached from it. */
 static gboolean
-zone_is_whole(const WsCore *core, guint zone)
+zone_is_whole(const WsCore *core, WsZoneIndex zone)
 {
   const GArray *members = core->replica->epoch.members;
   if (ws_zone_is_partitioned(core, zone))
     return FALSE;
   for (guint i = 0; i < members->len; i++) {
-    guint node = g_array_index(members, WsMember, i).node;
+    WsNodeIndex node = g_array_index(members, WsMember, i).node;
     if (ws_replica_find_zone(core->replica, ws_settings_node(core->settings, node)->zone) != zone)
       continue;
     for (guint k = 0; k < members->len; k++) {
@@ -69,7 +69,7 @@
 }
 
 typedef struct {
-  guint machine;
+  WsMachineIndex machine;
   char *why;
   gboolean now;
 } Marking;
@@ -122,7 +122,7 @@
     if (result == WS_TXN_COMMITTED)
       g_info("machine %s (%s, %s, %u tasks) is marked: %s", machine->name,
              machine->spot ? "spot" : "ordinary",
-             machine->zone != WS_NONE
+             machine->zone != WS_NO_ZONE
                  ? (char *)g_ptr_array_index(core->settings->zones, machine->zone)
                  : "no zone",
              machine->tasks->len, marking->why);
--- a/src/membership/ws-election.c
+++ b/src/membership/ws-election.c
@@ -192,7 +192,8 @@
   WsElection *election = core->election;
   if (!election->is_listed || election->electing || holds_leader_key(core))
     return;
-  if (core->replica->leader_node != WS_NONE && core->replica->leader_node != core->settings->self)
+  if (core->replica->leader_node != WS_NO_NODE
+      && core->replica->leader_node != core->settings->self)
     return;
   election->electing = TRUE;
   WsTxn *txn = ws_txn_new();
--- a/src/membership/ws-failure-detector.c
+++ b/src/membership/ws-failure-detector.c
@@ -81,7 +81,8 @@
 gboolean
 ws_machine_is_inbound_unreachable(const WsCore *core, const WsMachine *machine)
 {
-  return machine->worker.incarnation_changed_ms > machine->worker.reported_ms && ws_machine_is_up(core, machine)
+  return machine->worker.incarnation_changed_ms > machine->worker.reported_ms
+         && ws_machine_is_up(core, machine)
          && core->now - machine->worker.incarnation_changed_ms > patience_ms(core);
 }
 
@@ -114,7 +115,7 @@
 }
 
 static gboolean
-zone_has_node(const WsCore *core, guint zone)
+zone_has_node(const WsCore *core, WsZoneIndex zone)
 {
   for (guint n = 0; n < core->settings->nodes->len; n++)
     if (ws_replica_find_zone(core->replica, ws_settings_node(core->settings, n)->zone) == zone)
@@ -124,7 +125,7 @@
 
 /* For how long none of the zone's nodes has been reached; 0: one is, or there is none. */
 static gint64
-out_of_reach_ms(const WsCore *core, guint zone)
+out_of_reach_ms(const WsCore *core, WsZoneIndex zone)
 {
   gint64 since_ms = 0;
   for (guint n = 0; n < core->settings->nodes->len; n++) {
@@ -139,7 +140,7 @@
 }
 
 gboolean
-ws_zone_is_partitioned(const WsCore *core, guint zone)
+ws_zone_is_partitioned(const WsCore *core, WsZoneIndex zone)
 {
   return zone < core->settings->zones->len && core->partition_ms[zone] > 0
          && core->now - core->partition_ms[zone] < PARTITION_NOW_MS;
@@ -148,7 +149,7 @@
 /* When a cut has ended, workers still have to find their owner: they aren't given up for a lease.
  */
 static gboolean
-is_or_was_partitioned(const WsCore *core, guint zone)
+is_or_was_partitioned(const WsCore *core, WsZoneIndex zone)
 {
   if (ws_zone_is_partitioned(core, zone))
     return TRUE;
@@ -161,7 +162,7 @@
    out of reach, or many of its machines are silent together. Such machines go on working, and their
    reports come through another node after a while. */
 static gboolean
-zone_is_partitioned(const WsCore *core, guint zone)
+zone_is_partitioned(const WsCore *core, WsZoneIndex zone)
 {
   guint silent = 0, all = 0;
   gint64 out_ms = out_of_reach_ms(core, zone);
@@ -208,7 +209,7 @@
    that died look the same for as long as a restart takes. Nobody inside a zone without a node can
    be missed: there it is inferred from the silence of most of its machines, whoever owns them. */
 static void
-find_partition(WsCore *core, guint zone)
+find_partition(WsCore *core, WsZoneIndex zone)
 {
   gboolean has_node = zone_has_node(core, zone);
   gint64 out_ms = out_of_reach_ms(core, zone);
@@ -276,7 +277,7 @@
   }
   gboolean failed = machine->worker.endpoint == NULL || machine->worker.failed_probes >= 2;
   gboolean is_cut = core->is_unreached_by_workers || partitions->is_interruption
-                    || (machine->zone != WS_NONE && partitions->zones[machine->zone]);
+                    || (machine->zone != WS_NO_ZONE && partitions->zones[machine->zone]);
   gint64 patience
       = is_cut ? (gint64)(core->settings->lease_s * 1000.0) + 500 : patience_ms(core) + 1500;
   if (is_or_was_partitioned(core, machine->zone)) {
--- a/src/membership/ws-gossip.c
+++ b/src/membership/ws-gossip.c
@@ -17,7 +17,7 @@
 #define LEASE_RENEWAL_MARGIN_MS 4000.0
 
 gboolean
-ws_peer_is_reachable(const WsCore *core, guint node)
+ws_peer_is_reachable(const WsCore *core, WsNodeIndex node)
 {
   return node == core->settings->self
          || (core->peers[node].heard_ms > 0 && core->now - core->peers[node].heard_ms < REACH_MS);
@@ -25,7 +25,7 @@
 
 /* Whether one node hears another, as far as this one was told. */
 gboolean
-ws_peer_link_is_up(const WsCore *core, guint from, guint to)
+ws_peer_link_is_up(const WsCore *core, WsNodeIndex from, guint to)
 {
   if (from == core->settings->self)
     return ws_peer_is_reachable(core, to);
@@ -183,7 +183,7 @@
   {
     if (!json_is_string(item))
       continue;
-    guint image = ws_names_intern(&core->replica->images, json_string_value(item));
+    WsImageIndex image = ws_names_intern(&core->replica->images, json_string_value(item));
     g_array_append_val(machine->worker.images, image);
   }
 }
@@ -212,7 +212,7 @@
 
 /* Machines that their owner called up are up for as long as it says nothing else. */
 static void
-take_machines(WsCore *core, guint node, const json_t *message)
+take_machines(WsCore *core, WsNodeIndex node, const json_t *message)
 {
   WsPeer *peer = &core->peers[node];
   guint64 base, rev;
@@ -237,7 +237,7 @@
 
 /* Versions before 0.3 don't name theirs. */
 static void
-note_version(WsCore *core, guint node, const json_t *message)
+note_version(WsCore *core, WsNodeIndex node, const json_t *message)
 {
   WsPeer *peer = &core->peers[node];
   const char *version = "before 0.3";
@@ -265,8 +265,8 @@
       || !ws_json_bool(message, "loaded", &loaded)
       || !ws_json_count(message, "untold", &unacknowledged_cancellations))
     return;
-  guint node = ws_settings_find_node(core->settings, name);
-  if (node == WS_NONE || node == core->settings->self)
+  WsNodeIndex node = ws_settings_find_node(core->settings, name);
+  if (node == WS_NO_NODE || node == core->settings->self)
     return;
   WsPeer *peer = &core->peers[node];
   if (incarnation != peer->incarnation)
@@ -322,8 +322,8 @@
 
 typedef struct {
   gpointer request;
-  guint owner;
-  guint via; /* the node asked last */
+  WsNodeIndex owner;
+  WsNodeIndex via; /* the node asked last */
   char *heartbeat;
 } Relay;
 
@@ -402,13 +402,13 @@
 }
 
 void
-ws_relay_heartbeat(WsCore *core, guint owner, const char *heartbeat, gpointer request)
+ws_relay_heartbeat(WsCore *core, WsNodeIndex owner, const char *heartbeat, gpointer request)
 {
   Relay *relay = g_new0(Relay, 1);
   *relay = (Relay){ request, owner, owner, g_strdup(heartbeat) };
   if (!ws_peer_is_reachable(core, owner))
     relay->via = third_node(core, relay);
-  if (relay->via != WS_NONE && core->peers[owner].relays_in_flight < MOST_RELAYS) {
+  if (relay->via != WS_NO_NODE && core->peers[owner].relays_in_flight < MOST_RELAYS) {
     send_relay(core, relay);
     return;
   }
@@ -433,7 +433,8 @@
   g_autoptr(WsHeartbeat) heartbeat = ws_heartbeat_parse(message, &reason);
   if (heartbeat == NULL)
     ws_answer_reason(core, request, 400, reason);
-  else if (heartbeat->fencing_token > core->replica->epoch.number || !ws_may_renew_worker_leases(core))
+  else if (heartbeat->fencing_token > core->replica->epoch.number
+           || !ws_may_renew_worker_leases(core))
     ws_answer_later(core, request, 1);
   else
     ws_answer(core, request, 200, ws_workers_answer_heartbeat(core, heartbeat), 0);
@@ -449,8 +450,8 @@
     ws_answer_reason(core, request, 400, "malformed");
     return;
   }
-  guint node = ws_settings_find_node(core->settings, owner);
-  if (!ws_is_active_member(core) || epoch != core->replica->epoch.number || node == WS_NONE) {
+  WsNodeIndex node = ws_settings_find_node(core->settings, owner);
+  if (!ws_is_active_member(core) || epoch != core->replica->epoch.number || node == WS_NO_NODE) {
     ws_answer_later(core, request, 1);
   } else if (node == core->settings->self) {
     take_relayed_report(core, text, request);
@@ -465,8 +466,8 @@
 {
   const char *name = NULL;
   (void)ws_json_string(message, "node", &name);
-  guint node = ws_settings_find_node(core->settings, name);
-  if (node == WS_NONE || node == core->settings->self) {
+  WsNodeIndex node = ws_settings_find_node(core->settings, name);
+  if (node == WS_NO_NODE || node == core->settings->self) {
     ws_answer_reason(core, request, 400, "node is missing or unknown");
     return;
   }
--- a/src/membership/ws-membership.h
+++ b/src/membership/ws-membership.h
@@ -49,8 +49,8 @@
 void ws_gossip_tick(WsCore *core);
 void ws_mesh_handle_request(WsCore *core, const char *path, const char *body, gsize length,
                             gpointer request);
-gboolean ws_peer_is_reachable(const WsCore *core, guint node);
-gboolean ws_peer_link_is_up(const WsCore *core, guint from, guint to);
+gboolean ws_peer_is_reachable(const WsCore *core, WsNodeIndex node);
+gboolean ws_peer_link_is_up(const WsCore *core, WsNodeIndex from, guint to);
 gboolean ws_is_refused_by_store_alone(const WsCore *core);
 /* Neither the state service nor any other node is reached. */
 gboolean ws_is_isolated(const WsCore *core);
@@ -59,7 +59,7 @@
 /* Whether a lease that is renewed now ends in time for whatever is missed. */
 gboolean ws_may_renew_worker_leases(const WsCore *core);
 void ws_gossip_begin_epoch(WsCore *core);
-void ws_relay_heartbeat(WsCore *core, guint owner, const char *report, gpointer request);
+void ws_relay_heartbeat(WsCore *core, WsNodeIndex owner, const char *report, gpointer request);
 
 WsPeerRequests *ws_peer_requests_new(const WsSettings *settings);
 void ws_peer_requests_free(WsPeerRequests *peer_requests, const WsSettings *settings);
@@ -68,15 +68,16 @@
                                 const WsMachine *machine);
 void ws_peer_request_mark(WsCore *core, const WsMachine *machine, const char *why, gboolean now);
 /* machine: WS_NONE for any */
-void ws_peer_request_reservation(WsCore *core, const WsJob *job, guint machine, guint tasks);
-void ws_peer_request_stop(WsCore *core, guint node, const WsJob *job, const WsAssignment *a);
+void ws_peer_request_reservation(WsCore *core, const WsJob *job, WsMachineIndex machine,
+                                 guint tasks);
+void ws_peer_request_stop(WsCore *core, WsNodeIndex node, const WsJob *job, const WsAssignment *a);
 void ws_peer_requests_handle(WsCore *core, const json_t *message, gpointer request);
 void ws_peer_requests_clear(WsCore *core);
 void ws_peer_requests_pump(WsCore *core);
 
 void ws_failure_detector_tick(WsCore *core);
 /* As of the last tick. */
-gboolean ws_zone_is_partitioned(const WsCore *core, guint zone);
+gboolean ws_zone_is_partitioned(const WsCore *core, WsZoneIndex zone);
 gboolean ws_machine_is_up(const WsCore *core, const WsMachine *machine);
 /* Its reports come, but what it's told doesn't reach it. */
 gboolean ws_machine_is_outbound_unreachable(const WsCore *core, const WsMachine *machine);
--- a/src/membership/ws-peer-requests.c
+++ b/src/membership/ws-peer-requests.c
@@ -49,7 +49,7 @@
 }
 
 static void
-add(WsCore *core, guint node, const char *list, json_t *item)
+add(WsCore *core, WsNodeIndex node, const char *list, json_t *item)
 {
   json_t **out = &core->peer_requests->out[node];
   if (*out == NULL)
@@ -83,15 +83,17 @@
 }
 
 void
-ws_peer_request_reservation(WsCore *core, const WsJob *job, guint machine, guint tasks)
+ws_peer_request_reservation(WsCore *core, const WsJob *job, WsMachineIndex machine, guint tasks)
 {
-  const char *name = machine != WS_NONE ? ws_replica_machine(core->replica, machine)->name : "";
+  const char *name
+      = machine != WS_NO_MACHINE ? ws_replica_machine(core->replica, machine)->name : "";
   add(core, core->replica->epoch.leader, "reservations",
       json_pack("[s, i, s]", job->id, (int)tasks, name));
 }
 
 void
-ws_peer_request_stop(WsCore *core, guint node, const WsJob *job, const WsAssignment *assignment)
+ws_peer_request_stop(WsCore *core, WsNodeIndex node, const WsJob *job,
+                     const WsAssignment *assignment)
 {
   add(core, node, "stops",
       json_pack("[s, i, I]", job->id, (int)assignment->task, (json_int_t)assignment->attempt));
--- a/src/protocol/ws-heartbeat.c
+++ b/src/protocol/ws-heartbeat.c
@@ -195,8 +195,8 @@
 json_t *
 ws_commands_encode(guint64 fencing_token, guint64 incarnation, json_t *commands)
 {
-  return json_pack("{s:I, s:I, s:o}", W_FENCING_TOKEN, (json_int_t)fencing_token, W_INCARNATION, (json_int_t)incarnation,
-                   W_COMMANDS, commands);
+  return json_pack("{s:I, s:I, s:o}", W_FENCING_TOKEN, (json_int_t)fencing_token, W_INCARNATION,
+                   (json_int_t)incarnation, W_COMMANDS, commands);
 }
 
 json_t *
--- /dev/null
+++ b/src/protocol/ws-index.h
@@ -0,0 +1,38 @@
+/**
+ * Dense indices: names are mapped to them where a message or a record comes in.
+ *
+ * Each is a number from 0 on; its NO value says that there is none, or that it isn't known.
+ */
+#pragma once
+
+#include <glib.h>
+
+#define WS_NONE G_MAXUINT32
+
+/** A controller: its place among WsSettings.nodes. */
+typedef guint WsNodeIndex;
+#define WS_NO_NODE ((WsNodeIndex)WS_NONE)
+
+/** A zone: its place among WsSettings.zones. */
+typedef guint WsZoneIndex;
+#define WS_NO_ZONE ((WsZoneIndex)WS_NONE)
+
+/** A team: its place among WsSettings.teams. */
+typedef guint WsTeamIndex;
+#define WS_NO_TEAM ((WsTeamIndex)WS_NONE)
+
+/** A type of machine: its place in the cloud's catalog. */
+typedef guint WsTypeIndex;
+#define WS_NO_TYPE ((WsTypeIndex)WS_NONE)
+
+/** A job: its place in the replica. */
+typedef guint WsJobIndex;
+#define WS_NO_JOB ((WsJobIndex)WS_NONE)
+
+/** A machine: its place in the replica. */
+typedef guint WsMachineIndex;
+#define WS_NO_MACHINE ((WsMachineIndex)WS_NONE)
+
+/** An image: its place among the names that the replica has met. */
+typedef guint WsImageIndex;
+#define WS_NO_IMAGE ((WsImageIndex)WS_NONE)
--- a/src/protocol/ws-names.h
+++ b/src/protocol/ws-names.h
@@ -1,9 +1,7 @@
 /* Names to dense indices, at the door. Names are never forgotten. */
 #pragma once
 
-#include <glib.h>
-
-#define WS_NONE G_MAXUINT32
+#include "protocol/ws-index.h"
 
 typedef struct {
   GHashTable *index;
--- a/src/protocol/ws-settings.c
+++ b/src/protocol/ws-settings.c
@@ -285,7 +285,7 @@
 }
 
 gboolean
-ws_team_has_room(const WsSettings *settings, guint team, const WsResources *use,
+ws_team_has_room(const WsSettings *settings, WsTeamIndex team, const WsResources *use,
                  const WsResources *need)
 {
   WsResources more = *use;
@@ -310,7 +310,7 @@
 }
 
 const WsNode *
-ws_settings_node(const WsSettings *settings, guint node)
+ws_settings_node(const WsSettings *settings, WsNodeIndex node)
 {
   return g_ptr_array_index(settings->nodes, node);
 }
--- a/src/protocol/ws-settings.h
+++ b/src/protocol/ws-settings.h
@@ -25,7 +25,7 @@
 
 typedef struct {
   GPtrArray *nodes; /* of WsNode, ordered by name; an index into it is a node everywhere */
-  guint self;
+  WsNodeIndex self;
   char *api_addr;
   char *mesh_addr;
   char *cloud_addr;
@@ -54,12 +54,12 @@
 
 WsSettings *ws_settings_parse(const json_t *message, char **reason);
 /* Whether one more such need is within the limit of the team. */
-gboolean ws_team_has_room(const WsSettings *settings, guint team, const WsResources *use,
+gboolean ws_team_has_room(const WsSettings *settings, WsTeamIndex team, const WsResources *use,
                           const WsResources *need);
 /* Whether the use is within the team's limit. */
 gboolean ws_team_allows(const WsTeamSettings *team, const WsResources *use);
 void ws_settings_free(WsSettings *settings);
-const WsNode *ws_settings_node(const WsSettings *settings, guint node);
+const WsNode *ws_settings_node(const WsSettings *settings, WsNodeIndex node);
 /* Negative: nothing is said about the class. */
 double ws_settings_begin_within(const WsSettings *settings, const char *class_name);
 double ws_settings_finish_within(const WsSettings *settings, const char *class_name);
--- a/src/scheduling/ws-candidates.c
+++ b/src/scheduling/ws-candidates.c
@@ -36,7 +36,7 @@
 #define MOST_LOOKS 4
 
 typedef struct {
-  guint machine;
+  WsMachineIndex machine;
   double value;
   gboolean spent; /* no longer has room, or has a task of this very service already */
 } Candidate;
@@ -56,15 +56,15 @@
 static gboolean
 is_usable(const WsCore *core, const WsMachine *machine)
 {
-  return machine->is_recorded && machine->type != WS_NONE && !machine->is_marked
+  return machine->is_recorded && machine->type != WS_NO_TYPE && !machine->is_marked
          && !machine->fleet.mark_is_pending && machine->worker.interruption_ms == 0
          && machine->fleet.failed_jobs < 2 && ws_machine_is_up(core, machine)
          && !ws_machine_is_outbound_unreachable(core, machine)
-         && !ws_machine_is_inbound_unreachable(core, machine) && machine->owner != WS_NONE;
+         && !ws_machine_is_inbound_unreachable(core, machine) && machine->owner != WS_NO_NODE;
 }
 
 static void
-take_forwarded(const WsJob *job, guint machine, gpointer data)
+take_forwarded(const WsJob *job, WsMachineIndex machine, gpointer data)
 {
   WsCapacityMap *map = data;
   if (job->spec != NULL)
@@ -175,7 +175,7 @@
   const WsResources *room = &ws_replica_type(replica, machine->type)->capacity;
   double value = ROOMY * roominess(room, &places->map->slots[machine->index].free);
   for (guint i = 0; i < machine->worker.images->len; i++) {
-    guint image = g_array_index(machine->worker.images, guint, i);
+    WsImageIndex image = g_array_index(machine->worker.images, guint, i);
     if (g_hash_table_contains(places->gang_images, GUINT_TO_POINTER(image)))
       value -= OTHER_GANGS_IMAGE;
   }
@@ -228,7 +228,7 @@
 static gboolean
 in_part(const WsReplica *replica, const WsJob *job, const WsMachine *machine)
 {
-  return job->coordinator == WS_NONE || !ws_epoch_has_node(&replica->epoch, job->coordinator)
+  return job->coordinator == WS_NO_NODE || !ws_epoch_has_node(&replica->epoch, job->coordinator)
          || machine->owner == job->coordinator;
 }
 
@@ -243,7 +243,7 @@
 }
 
 static gboolean
-fits(const WsCandidates *places, WsSlotKind kind, guint machine)
+fits(const WsCandidates *places, WsSlotKind kind, WsMachineIndex machine)
 {
   const WsSlot *slot = &places->map->slots[machine];
   WsResources room = slot->free;
@@ -426,7 +426,7 @@
   double most = 0.0;
   for (guint i = 0; i < places->kinds[kind]->len && seen < zones; i++) {
     Candidate *candidate = &g_array_index(places->kinds[kind], Candidate, i);
-    guint zone = ws_replica_machine(core->replica, candidate->machine)->zone;
+    WsZoneIndex zone = ws_replica_machine(core->replica, candidate->machine)->zone;
     if (candidate->spent || seen_zone[zone])
       continue;
     if (!fits(places, kind, candidate->machine)) {
@@ -493,7 +493,7 @@
 }
 
 void
-ws_candidates_restrict_to_zone(WsCandidates *places, guint zone)
+ws_candidates_restrict_to_zone(WsCandidates *places, WsZoneIndex zone)
 {
   places->only_zone = zone;
 }
--- a/src/scheduling/ws-candidates.h
+++ b/src/scheduling/ws-candidates.h
@@ -41,7 +41,7 @@
 /* Whether the job may use the machine at all, whatever room it has. */
 gboolean ws_candidates_is_eligible(const WsCandidates *places, const WsMachine *machine);
 /* From now on only machines of the zone are found; WS_NONE: of any. */
-void ws_candidates_restrict_to_zone(WsCandidates *places, guint zone);
+void ws_candidates_restrict_to_zone(WsCandidates *places, WsZoneIndex zone);
 /* Takes the room for one more task on a machine that was taken just now; FALSE: there is none, or
    it would take the processors that the machine's free accelerators need. */
 gboolean ws_candidates_take_again(WsCandidates *places, const WsMachine *machine);
--- a/src/scheduling/ws-demand.c
+++ b/src/scheduling/ws-demand.c
@@ -22,8 +22,8 @@
 #define USED_BEGIN_SLACK 0.5
 
 typedef struct {
-  guint type;
-  guint zone;
+  WsTypeIndex type;
+  WsZoneIndex zone;
   gboolean spot;
   WsResources room;
   gboolean is_new;
@@ -39,8 +39,8 @@
 };
 
 static Virtual *
-add_virtual(WsDemand *demand, guint type, guint zone, gboolean spot, const WsResources *room,
-            gboolean is_new)
+add_virtual(WsDemand *demand, WsTypeIndex type, WsZoneIndex zone, gboolean spot,
+            const WsResources *room, gboolean is_new)
 {
   Virtual made = { type, zone, spot, *room, is_new, FALSE, FALSE };
   g_array_append_val(demand->machines, made);
@@ -73,9 +73,9 @@
   const WsReplica *replica = demand->core->replica;
   for (guint i = 0; i < replica->rents->len; i++) {
     const WsRentalIntent *rent = g_ptr_array_index(replica->rents, i);
-    guint type = ws_replica_find_type(replica, rent->type),
-          zone = ws_replica_find_zone(replica, rent->zone);
-    for (guint n = 0; n < rent->count && type != WS_NONE && zone != WS_NONE; n++)
+    WsTypeIndex type = ws_replica_find_type(replica, rent->type),
+                zone = ws_replica_find_zone(replica, rent->zone);
+    for (guint n = 0; n < rent->count && type != WS_NO_TYPE && zone != WS_NO_ZONE; n++)
       add_virtual(demand, type, zone, rent->spot, &ws_replica_type(replica, type)->capacity, FALSE)
           ->on_order
           = TRUE;
@@ -101,7 +101,7 @@
   demand->by_zone = g_new0(guint, core->settings->zones->len);
   for (guint i = 0; i < replica->machines->len; i++) {
     const WsMachine *machine = ws_replica_machine(replica, i);
-    if (!machine->is_recorded || machine->type == WS_NONE || machine->zone == WS_NONE)
+    if (!machine->is_recorded || machine->type == WS_NO_TYPE || machine->zone == WS_NO_ZONE)
       continue;
     demand->by_zone[machine->zone]++;
     if (machine->is_marked || ws_zone_is_partitioned(core, machine->zone))
@@ -161,7 +161,7 @@
 }
 
 static gboolean
-zone_fits(const WsDemand *demand, const WsJob *job, guint zone)
+zone_fits(const WsDemand *demand, const WsJob *job, WsZoneIndex zone)
 {
   return (job->spec->zone == NULL || job->zone == zone)
          && (demand->only_zone == WS_NONE || demand->only_zone == zone);
@@ -202,13 +202,13 @@
 
 /* The zone with fewest machines that may have one more, or WS_NONE. */
 static guint
-pick_zone(const WsDemand *demand, const WsJob *job, guint type, gboolean spot)
+pick_zone(const WsDemand *demand, const WsJob *job, WsTypeIndex type, gboolean spot)
 {
   guint best = WS_NONE;
   char **zones = ws_replica_type(demand->core->replica, type)->zones;
   for (; *zones != NULL; zones++) {
-    guint zone = ws_replica_find_zone(demand->core->replica, *zones);
-    if (zone == WS_NONE || !zone_fits(demand, job, zone)
+    WsZoneIndex zone = ws_replica_find_zone(demand->core->replica, *zones);
+    if (zone == WS_NO_ZONE || !zone_fits(demand, job, zone)
         || ws_zone_is_partitioned(demand->core, zone)
         || ws_rentals_no_capacity(demand->core, type, zone, spot))
       continue;
@@ -228,8 +228,8 @@
     if (!ws_constraints_allow_type(job->spec, type)
         || !ws_resources_fit(&job->spec->need, &type->capacity))
       continue;
-    guint zone = pick_zone(demand, job, t, spot);
-    if (zone == WS_NONE
+    WsZoneIndex zone = pick_zone(demand, job, t, spot);
+    if (zone == WS_NO_ZONE
         || (best != WS_NONE && type->price >= ws_replica_type(replica, best)->price))
       continue;
     best = t;
@@ -265,7 +265,7 @@
 
 /* How many tasks of the job the machines that boot or are on order in the zone have room for. */
 static guint
-count_fitting(const WsDemand *demand, const WsJob *job, guint zone)
+count_fitting(const WsDemand *demand, const WsJob *job, WsZoneIndex zone)
 {
   guint count = 0;
   for (guint i = 0; i < demand->machines->len; i++) {
@@ -286,7 +286,7 @@
 zone_for_gang(const WsDemand *demand, const WsJob *job, guint tasks)
 {
   const WsReplica *replica = demand->core->replica;
-  for (guint zone = 0; zone < demand->core->settings->zones->len; zone++)
+  for (WsZoneIndex zone = 0; zone < demand->core->settings->zones->len; zone++)
     if (zone_fits(demand, job, zone) && count_fitting(demand, job, zone) >= tasks)
       return zone;
   for (guint t = 0; t < replica->catalog->len; t++) {
@@ -294,10 +294,10 @@
     if (!ws_constraints_allow_type(job->spec, type)
         || !ws_resources_fit(&job->spec->need, &type->capacity))
       continue;
-    guint zone = pick_zone(demand, job, t, FALSE);
-    if (zone == WS_NONE && job->spec->spot)
+    WsZoneIndex zone = pick_zone(demand, job, t, FALSE);
+    if (zone == WS_NO_ZONE && job->spec->spot)
       zone = pick_zone(demand, job, t, TRUE);
-    if (zone != WS_NONE)
+    if (zone != WS_NO_ZONE)
       return zone;
   }
   return WS_NONE;
@@ -306,8 +306,8 @@
 void
 ws_demand_add_gang(WsDemand *demand, const WsJob *job, guint tasks)
 {
-  guint zone = job->spec->one_zone ? zone_for_gang(demand, job, tasks) : WS_NONE;
-  if (job->spec->one_zone && zone == WS_NONE)
+  WsZoneIndex zone = job->spec->one_zone ? zone_for_gang(demand, job, tasks) : WS_NONE;
+  if (job->spec->one_zone && zone == WS_NO_ZONE)
     return;
   demand->only_zone = zone;
   ws_demand_add(demand, job, tasks);
@@ -338,7 +338,7 @@
   for (guint i = 0; i < replica->machines->len && places < enough; i++) {
     const WsMachine *machine = ws_replica_machine(replica, i);
     if (machine == without || !machine->is_recorded || machine->is_marked || machine->spot
-        || machine->type == WS_NONE || machine->zone == WS_NONE
+        || machine->type == WS_NO_TYPE || machine->zone == WS_NO_ZONE
         || !(is_booting(core, machine) || ws_machine_is_up(core, machine)))
       continue;
     WsResources room = ws_replica_type(replica, machine->type)->capacity;
--- a/src/scheduling/ws-gang-place.c
+++ b/src/scheduling/ws-gang-place.c
@@ -57,7 +57,7 @@
 
 /* Tries the zone (WS_NONE: all) and leaves the map as it was. */
 static GArray *
-try_zone(WsCapacityMap *map, const WsJob *job, guint tasks, const guint *counts, guint zone,
+try_zone(WsCapacityMap *map, const WsJob *job, guint tasks, const guint *counts, WsZoneIndex zone,
          guint most_where_fetched)
 {
   guint zones = map->core->settings->zones->len;
@@ -72,7 +72,8 @@
 
 /* The same packed on few machines, if none of them has to fetch the image, or else spread. */
 static GArray *
-place_in_zone(WsCapacityMap *map, const WsJob *job, guint tasks, const guint *counts, guint zone)
+place_in_zone(WsCapacityMap *map, const WsJob *job, guint tasks, const guint *counts,
+              WsZoneIndex zone)
 {
   GArray *packed = try_zone(map, job, tasks, counts, zone, tasks);
   if (packed == NULL || cost_of(map->core, job, packed).fetches == 0)
@@ -90,7 +91,7 @@
 {
   guint best = WS_NONE;
   Cost least = { 0 };
-  for (guint zone = 0; zone < map->core->settings->zones->len; zone++) {
+  for (WsZoneIndex zone = 0; zone < map->core->settings->zones->len; zone++) {
     g_autoptr(GArray) machines = try_zone(map, job, tasks, counts, zone, tasks);
     if (machines == NULL)
       continue;
@@ -113,7 +114,7 @@
 
 /* A machine that is kept for a gang, and for how many of its tasks. */
 typedef struct {
-  guint machine;
+  WsMachineIndex machine;
   guint free_places; /* now */
   guint places;      /* once the arrays' tasks there have ended */
 } Kept;
@@ -153,7 +154,7 @@
 /* The machines of the zone (WS_NONE: of all) to keep, those with most free places first, as many as
    the tasks need. Returns NULL if they never had room for all. */
 static GArray *
-choose_kept(WsCapacityMap *map, const WsJob *job, guint tasks, guint *counts, guint zone)
+choose_kept(WsCapacityMap *map, const WsJob *job, guint tasks, guint *counts, WsZoneIndex zone)
 {
   const WsReplica *replica = map->core->replica;
   const WsResources *need = &job->spec->need;
@@ -161,7 +162,8 @@
   g_autoptr(GArray) kept = g_array_new(FALSE, FALSE, sizeof(Kept));
   for (guint i = 0; i < replica->machines->len; i++) {
     const WsMachine *machine = ws_replica_machine(replica, i);
-    if (!ws_candidates_is_eligible(places, machine) || (zone != WS_NONE && machine->zone != zone))
+    if (!ws_candidates_is_eligible(places, machine)
+        || (zone != WS_NO_ZONE && machine->zone != zone))
       continue;
     Kept candidate = { i, count_places(need, map->slots[i].free),
                        count_places(need, room_without_arrays(map->core, machine)) };
@@ -191,7 +193,7 @@
   GArray *best = NULL;
   if (!job->spec->one_zone)
     return choose_kept(map, job, tasks, counts, WS_NONE);
-  for (guint zone = 0; zone < map->core->settings->zones->len; zone++) {
+  for (WsZoneIndex zone = 0; zone < map->core->settings->zones->len; zone++) {
     GArray *kept = choose_kept(map, job, tasks, counts, zone);
     if (kept == NULL)
       continue;
@@ -219,8 +221,8 @@
 GArray *
 ws_gang_place(WsCapacityMap *map, const WsJob *job, guint tasks, guint *counts)
 {
-  guint zone = job->spec->one_zone ? best_zone(map, job, tasks, counts) : WS_NONE;
-  if (job->spec->one_zone && zone == WS_NONE)
+  WsZoneIndex zone = job->spec->one_zone ? best_zone(map, job, tasks, counts) : WS_NONE;
+  if (job->spec->one_zone && zone == WS_NO_ZONE)
     return NULL;
   GArray *machines = place_in_zone(map, job, tasks, counts, zone);
   if (machines != NULL)
--- a/src/scheduling/ws-plan.c
+++ b/src/scheduling/ws-plan.c
@@ -54,7 +54,7 @@
 static guint
 acting_node(const WsReplica *replica, const WsJob *job)
 {
-  return job->coordinator != WS_NONE && ws_epoch_has_node(&replica->epoch, job->coordinator)
+  return job->coordinator != WS_NO_NODE && ws_epoch_has_node(&replica->epoch, job->coordinator)
              ? job->coordinator
              : replica->epoch.leader;
 }
@@ -98,7 +98,7 @@
 }
 
 static void
-reserve(Run *run, guint machine)
+reserve(Run *run, WsMachineIndex machine)
 {
   gpointer key = GUINT_TO_POINTER(machine);
   guint tasks = GPOINTER_TO_UINT(g_hash_table_lookup(run->reserved, key));
@@ -461,7 +461,7 @@
   WsCapacityMap map;
   ws_capacity_map_init(&map, core, &spec->need);
   g_autofree gint64 *places = g_new0(gint64, core->settings->nodes->len);
-  guint zone = ws_replica_find_zone(core->replica, spec->zone);
+  WsZoneIndex zone = ws_replica_find_zone(core->replica, spec->zone);
   for (guint i = 0; i < map.open->len; i++) {
     const WsMachine *machine = ws_replica_machine(core->replica, g_array_index(map.open, guint, i));
     if (!ws_constraints_allow_machine(core->replica, spec, zone, machine))
--- a/src/scheduling/ws-preempt.c
+++ b/src/scheduling/ws-preempt.c
@@ -39,7 +39,8 @@
     return FALSE;
   /* The queue places guarantees before priorities. A job that stopped what is placed before it
      would see it take the same place again, over and over, and neither would run. */
-  if (victim->status.is_guaranteed && !job->status.is_guaranteed && job->spec->priority != WS_CRITICAL)
+  if (victim->status.is_guaranteed && !job->status.is_guaranteed
+      && job->spec->priority != WS_CRITICAL)
     return FALSE;
   if (job->spec->priority < victim->spec->priority)
     return TRUE;
--- a/src/scheduling/ws-queue.c
+++ b/src/scheduling/ws-queue.c
@@ -79,7 +79,7 @@
   GArray *jobs = g_array_new(FALSE, FALSE, sizeof(WsWaiting));
   for (guint i = 0; i < replica->active->len; i++) {
     WsJob *job = g_ptr_array_index(replica->active, i);
-    if (job->state != WS_JOB_ACTIVE || ws_cancellations_has(core, job) || job->team == WS_NONE)
+    if (job->state != WS_JOB_ACTIVE || ws_cancellations_has(core, job) || job->team == WS_NO_TEAM)
       continue;
     WsWaiting waiting = { .job = job };
     foresee(core, &waiting);
--- a/src/scheduling/ws-reservation.c
+++ b/src/scheduling/ws-reservation.c
@@ -42,7 +42,7 @@
 }
 
 static WsReservation *
-find_entry(const WsCore *core, guint job, guint machine)
+find_entry(const WsCore *core, WsJobIndex job, WsMachineIndex machine)
 {
   GArray *entries = core->reservations->entries;
   for (guint i = 0; i < entries->len; i++) {
@@ -63,7 +63,7 @@
 }
 
 void
-ws_reservations_renew(WsCore *core, const WsJob *job, guint machine, guint tasks)
+ws_reservations_renew(WsCore *core, const WsJob *job, WsMachineIndex machine, guint tasks)
 {
   drop_expired(core);
   WsReservation *entry = find_entry(core, job->index, machine);
@@ -83,7 +83,7 @@
 }
 
 static void
-use_entry(WsCore *core, guint job, guint machine)
+use_entry(WsCore *core, WsJobIndex job, WsMachineIndex machine)
 {
   WsReservation *entry = find_entry(core, job, machine);
   if (entry == NULL)
@@ -94,7 +94,7 @@
 }
 
 void
-ws_reservations_consume(WsCore *core, const WsJob *job, guint machine)
+ws_reservations_consume(WsCore *core, const WsJob *job, WsMachineIndex machine)
 {
   use_entry(core, job->index, machine);
   use_entry(core, job->index, WS_NONE);
@@ -129,7 +129,7 @@
 }
 
 gboolean
-ws_reservations_allow(const WsCore *core, const WsJob *job, guint tasks_on, guint machine,
+ws_reservations_allow(const WsCore *core, const WsJob *job, guint tasks_on, WsMachineIndex machine,
                       const WsResources *machine_free, const WsResources *team_use)
 {
   const GArray *entries = core->reservations->entries;
@@ -143,7 +143,7 @@
     const WsJob *urgent = ws_replica_job(core->replica, entry->job);
     if (entry->machine == machine)
       ws_resources_add(&reserved_on_machine, &urgent->spec->need, tasks);
-    else if (entry->machine == WS_NONE && urgent->team == job->team)
+    else if (entry->machine == WS_NO_MACHINE && urgent->team == job->team)
       ws_resources_add(&use, &urgent->spec->need, tasks);
   }
   return ws_resources_fit(&reserved_on_machine, machine_free)
--- a/src/scheduling/ws-scheduling.h
+++ b/src/scheduling/ws-scheduling.h
@@ -105,9 +105,9 @@
  */
 
 typedef struct {
-  guint job;
-  guint machine; /* WS_NONE: the team's limit, wherever the task goes */
-  guint tasks;   /* for so many tasks of the job */
+  WsJobIndex job;
+  WsMachineIndex machine; /* WS_NONE: the team's limit, wherever the task goes */
+  guint tasks;            /* for so many tasks of the job */
   gint64 until_ms;
 } WsReservation;
 
@@ -121,10 +121,10 @@
 void ws_reservations_clear(WsCore *core);
 
 /** Reserves or renews; a node that doesn't lead passes it to the leader. */
-void ws_reservations_renew(WsCore *core, const WsJob *job, guint machine, guint tasks);
+void ws_reservations_renew(WsCore *core, const WsJob *job, WsMachineIndex machine, guint tasks);
 
 /** The job was assigned a task on the machine. */
-void ws_reservations_consume(WsCore *core, const WsJob *job, guint machine);
+void ws_reservations_consume(WsCore *core, const WsJob *job, WsMachineIndex machine);
 
 /**
  * Whether an assignment of the job leaves what is reserved for more urgent ones.
@@ -133,5 +133,6 @@
  * @machine_free: what the machine would have left
  * @team_use: what the team would use
  */
-gboolean ws_reservations_allow(const WsCore *core, const WsJob *job, guint tasks_on, guint machine,
-                               const WsResources *machine_free, const WsResources *team_use);
+gboolean ws_reservations_allow(const WsCore *core, const WsJob *job, guint tasks_on,
+                               WsMachineIndex machine, const WsResources *machine_free,
+                               const WsResources *team_use);
--- a/src/storage/ws-chunk.h
+++ b/src/storage/ws-chunk.h
@@ -7,6 +7,7 @@
 #pragma once
 
 #include "protocol/ws-heartbeat.h"
+#include "protocol/ws-index.h"
 
 #include <glib.h>
 
@@ -14,7 +15,7 @@
 
 typedef struct {
   guint task;
-  guint machine;
+  WsMachineIndex machine;
   guint64 attempt;
   gint64 assigned_ms; /* wall clock */
   /* soft: */
--- a/src/storage/ws-constraints.c
+++ b/src/storage/ws-constraints.c
@@ -7,16 +7,16 @@
 }
 
 gboolean
-ws_constraints_allow_machine(const WsReplica *replica, const WsJobSpec *spec, guint zone,
+ws_constraints_allow_machine(const WsReplica *replica, const WsJobSpec *spec, WsZoneIndex zone,
                              const WsMachine *machine)
 {
-  return machine->type != WS_NONE && machine->zone != WS_NONE
+  return machine->type != WS_NO_TYPE && machine->zone != WS_NO_ZONE
          && ws_constraints_allow_type(spec, ws_replica_type(replica, machine->type))
          && (spec->zone == NULL || zone == machine->zone) && (spec->spot || !machine->spot);
 }
 
 gboolean
-ws_constraints_allow_zone(const WsJob *job, const guint *counts, guint zones, guint zone)
+ws_constraints_allow_zone(const WsJob *job, const guint *counts, guint zones, WsZoneIndex zone)
 {
   if (job->spec->one_zone)
     for (guint z = 0; z < zones; z++)
--- a/src/storage/ws-constraints.h
+++ b/src/storage/ws-constraints.h
@@ -8,11 +8,12 @@
 #include "storage/ws-replica.h"
 
 /** Whether the type, zone and kind of the machine are allowed. */
-gboolean ws_constraints_allow_machine(const WsReplica *replica, const WsJobSpec *spec, guint zone,
-                                      const WsMachine *machine);
+gboolean ws_constraints_allow_machine(const WsReplica *replica, const WsJobSpec *spec,
+                                      WsZoneIndex zone, const WsMachine *machine);
 
 /** Whether the job may run on machines of the type. */
 gboolean ws_constraints_allow_type(const WsJobSpec *spec, const WsType *type);
 
 /** Whether the rules on zones let one more task of the job be in the zone. counts: by zone. */
-gboolean ws_constraints_allow_zone(const WsJob *job, const guint *counts, guint zones, guint zone);
+gboolean ws_constraints_allow_zone(const WsJob *job, const guint *counts, guint zones,
+                                   WsZoneIndex zone);
--- a/src/storage/ws-evidence.h
+++ b/src/storage/ws-evidence.h
@@ -21,15 +21,15 @@
 
 typedef struct {
   WsEvidenceKind kind;
-  guint machine;
-  guint64 epoch;   /* the latest one under which the machine's owner has stated it */
+  WsMachineIndex machine;
+  guint64 epoch;       /* the latest one under which the machine's owner has stated it */
   guint64 incarnation; /* of the worker's message; 0: there is none */
   guint64 sequence;
 } WsEvidence;
 
 /** A task's attempt that is gone from its machine, and is to be taken off the records. */
 typedef struct {
-  guint job;
+  WsJobIndex job;
   guint task;
   guint64 attempt;
   gboolean done;
--- a/src/storage/ws-records.c
+++ b/src/storage/ws-records.c
@@ -404,14 +404,15 @@
 static void
 apply_member(WsReplica *replica, const char *name, const json_t *value)
 {
-  guint node = ws_settings_find_node(replica->settings, name);
+  WsNodeIndex node = ws_settings_find_node(replica->settings, name);
   guint i = 0;
   while (i < replica->members->len && g_array_index(replica->members, WsMember, i).node < node)
     i++;
   if (i < replica->members->len && g_array_index(replica->members, WsMember, i).node == node)
     g_array_remove_index(replica->members, i);
   WsMember member = { node, 0 };
-  if (node != WS_NONE && value != NULL && ws_json_count(value, "incarnation", &member.incarnation))
+  if (node != WS_NO_NODE && value != NULL
+      && ws_json_count(value, "incarnation", &member.incarnation))
     g_array_insert_val(replica->members, i, member);
 }
 
--- a/src/storage/ws-replica.c
+++ b/src/storage/ws-replica.c
@@ -66,7 +66,7 @@
   replica->settings = settings;
   replica->versions = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
   ws_epoch_init(&replica->epoch);
-  replica->leader_node = WS_NONE;
+  replica->leader_node = WS_NO_NODE;
   replica->members = g_array_new(FALSE, FALSE, sizeof(WsMember));
   replica->jobs = g_ptr_array_new_with_free_func(job_free);
   replica->job_index = g_hash_table_new(g_str_hash, g_str_equal);
@@ -137,7 +137,7 @@
 void
 ws_replica_find_owner(WsReplica *replica, WsMachine *machine, const WsEpoch *last)
 {
-  guint owner = ws_epoch_owner(&replica->epoch, machine->name, replica->settings);
+  WsNodeIndex owner = ws_epoch_owner(&replica->epoch, machine->name, replica->settings);
   if (last == NULL || owner != machine->owner
       || !ws_epoch_continues(last, &replica->epoch, owner)) {
     machine->owner_since = replica->epoch.number;
@@ -157,10 +157,10 @@
   machine->name = copy;
   replica->longest_name = MAX(replica->longest_name, strlen(copy));
   machine->index = replica->machines->len;
-  machine->type = WS_NONE;
-  machine->zone = WS_NONE;
-  machine->fleet.last_failed_job = WS_NONE;
-  machine->worker.handled_owner = WS_NONE;
+  machine->type = WS_NO_TYPE;
+  machine->zone = WS_NO_ZONE;
+  machine->fleet.last_failed_job = WS_NO_JOB;
+  machine->worker.handled_owner = WS_NO_NODE;
   machine->tasks = g_array_new(FALSE, FALSE, sizeof(WsTaskRef));
   machine->worker.images = g_array_new(FALSE, FALSE, sizeof(guint));
   g_ptr_array_add(replica->machines, machine);
@@ -170,7 +170,7 @@
 }
 
 gboolean
-ws_machine_has_image(const WsMachine *machine, guint image)
+ws_machine_has_image(const WsMachine *machine, WsImageIndex image)
 {
   for (guint i = 0; i < machine->worker.images->len; i++)
     if (g_array_index(machine->worker.images, guint, i) == image)
@@ -213,7 +213,7 @@
 }
 
 const WsType *
-ws_replica_type(const WsReplica *replica, guint type)
+ws_replica_type(const WsReplica *replica, WsTypeIndex type)
 {
   return g_ptr_array_index(replica->catalog, type);
 }
@@ -282,8 +282,8 @@
   ws_assignment_iter_init(&iter, job);
   const WsAssignment *assignment;
   while ((assignment = ws_assignment_iter_next(&iter)) != NULL) {
-    guint zone = ws_replica_machine(replica, assignment->machine)->zone;
-    if (zone != WS_NONE)
+    WsZoneIndex zone = ws_replica_machine(replica, assignment->machine)->zone;
+    if (zone != WS_NO_ZONE)
       counts[zone]++;
   }
 }
@@ -399,7 +399,7 @@
   job->index = replica->jobs->len;
   job->id = g_strdup(id);
   job->chunks = g_ptr_array_new();
-  job->coordinator = WS_NONE;
+  job->coordinator = WS_NO_NODE;
   g_ptr_array_add(replica->jobs, job);
   g_hash_table_insert(replica->job_index, job->id, job);
   return job;
--- a/src/storage/ws-replica.h
+++ b/src/storage/ws-replica.h
@@ -19,11 +19,11 @@
   WsJobState state;
   WsJobSpec *spec; /* NULL once the record has shrunk to its final form */
   guint tasks;
-  guint team;
-  guint image;
-  guint zone;          /* WS_NONE: any */
-  guint coordinator;   /* a node, or WS_NONE: the leader */
-  gint64 accepted_ms;  /* wall clock */
+  WsTeamIndex team;
+  WsImageIndex image;
+  WsZoneIndex zone;        /* WS_NONE: any */
+  WsNodeIndex coordinator; /* a node, or WS_NONE: the leader */
+  gint64 accepted_ms;      /* wall clock */
   gint64 cancelled_ms; /* wall clock of the cancellation; 0: there is none, or nobody wrote when */
   GPtrArray *chunks;   /* of WsChunk or NULL */
   guint completed_count;
@@ -32,14 +32,14 @@
 } WsJob;
 
 typedef struct {
-  guint job;
+  WsJobIndex job;
   guint task;
 } WsTaskRef;
 
 typedef struct {
   guint index;
   const char *name;
-  guint owner;         /* a node of the present epoch, WS_NONE: there is none */
+  WsNodeIndex owner;   /* a node of the present epoch, WS_NONE: there is none */
   guint64 owner_since; /* the epoch from which on the same run of the owner has owned it, as far
                           as this node can tell */
   guint64 owner_since_version; /* of that epoch's record */
@@ -48,9 +48,9 @@
   const char *rental_batch; /* interned: the last one that named it */
   guint rental_batches;     /* how many rental batches name it: two, if two nodes met it at the same
                                time */
-  guint type;               /* in catalog order, WS_NONE: unknown */
+  WsTypeIndex type;         /* in catalog order, WS_NONE: unknown */
   char *type_name;
-  guint zone;
+  WsZoneIndex zone;
   gboolean spot;
   gint64 rented_ms; /* wall clock */
   gboolean is_marked;
@@ -102,9 +102,9 @@
   guint64 applying;     /* the version that is being applied */
   WsEpoch epoch;
   guint64 leader_incarnation;
-  guint leader_node; /* of the leader key, WS_NONE: none */
-  GArray *members;   /* of WsMember: who holds a lease now */
-  GPtrArray *jobs;   /* of WsJob */
+  WsNodeIndex leader_node; /* of the leader key, WS_NONE: none */
+  GArray *members;         /* of WsMember: who holds a lease now */
+  GPtrArray *jobs;         /* of WsJob */
   GHashTable *job_index;
   GPtrArray *active; /* of WsJob: not in final form */
   GPtrArray *machines;
@@ -147,8 +147,8 @@
 void ws_replica_replace_chunk(WsReplica *replica, WsJob *job, guint index,
                               WsChunk *chunk /* taken */);
 
-gboolean ws_machine_has_image(const WsMachine *machine, guint image);
-const WsType *ws_replica_type(const WsReplica *replica, guint type);
+gboolean ws_machine_has_image(const WsMachine *machine, WsImageIndex image);
+const WsType *ws_replica_type(const WsReplica *replica, WsTypeIndex type);
 guint ws_replica_find_type(const WsReplica *replica, const char *name);
 guint ws_replica_find_team(const WsReplica *replica, const char *name);
 guint ws_replica_find_zone(const WsReplica *replica, const char *name);
--- a/src/storage/ws-status.h
+++ b/src/storage/ws-status.h
@@ -6,17 +6,17 @@
  */
 #pragma once
 
-#include <glib.h>
+#include "protocol/ws-index.h"
 
 /** What was heard of a machine's worker, and what it was told. Kept by membership and workers. */
 typedef struct {
-  char *endpoint;         /**< where it takes commands; NULL: not known yet */
-  gint64 heard_ms;        /**< its last heartbeat, here or at a peer */
-  gint64 reported_ms;     /**< its last heartbeat that was no answer to a call */
-  gint64 incarnation_changed_ms;      /**< when it was seen to begin a new incarnation */
-  gint64 up_ms;           /**< when it was first heard */
-  GArray *images;         /**< of guint: the images that it has, least recently used first */
-  gint64 interruption_ms; /**< when the cloud takes it back; 0: no interruption notice */
+  char *endpoint;                /**< where it takes commands; NULL: not known yet */
+  gint64 heard_ms;               /**< its last heartbeat, here or at a peer */
+  gint64 reported_ms;            /**< its last heartbeat that was no answer to a call */
+  gint64 incarnation_changed_ms; /**< when it was seen to begin a new incarnation */
+  gint64 up_ms;                  /**< when it was first heard */
+  GArray *images;                /**< of guint: the images that it has, least recently used first */
+  gint64 interruption_ms;        /**< when the cloud takes it back; 0: no interruption notice */
 
   /* The newest message, by incarnation and sequence number. */
   guint64 incarnation;
@@ -24,10 +24,10 @@
   guint64 fencing_token;
 
   /* Ownership. */
-  guint handled_owner;  /**< the owner when an epoch was last handled */
-  gint64 owned_ms;      /**< since when it has been that one */
-  gint64 redirected_ms; /**< when the worker was last sent to its owner */
-  gint64 sent_away_ms;  /**< when it was last sent away by this node, while that was cut off */
+  WsNodeIndex handled_owner; /**< the owner when an epoch was last handled */
+  gint64 owned_ms;           /**< since when it has been that one */
+  gint64 redirected_ms;      /**< when the worker was last sent to its owner */
+  gint64 sent_away_ms;       /**< when it was last sent away by this node, while that was cut off */
 
   /* Launches by RPC without an answer, which may be carried out later. */
   guint indeterminate_launches;
@@ -57,7 +57,7 @@
   gint64 empty_ms;     /**< since when nothing has been on it */
   gint64 underused_ms; /**< since when it has held little */
   guint failed_jobs;   /**< jobs that failed there since one last succeeded */
-  guint last_failed_job;
+  WsJobIndex last_failed_job;
   gboolean needs_record;    /**< it waits for a rental batch */
   gint64 listed_ms;         /**< since when the cloud lists it although it has no record */
   gboolean mark_is_pending; /**< its termination mark or rental batch is being written */
@@ -68,9 +68,9 @@
 
 /** What scheduling knows of a job. */
 typedef struct {
-  guint consecutive_errors;        /**< failures in a row */
-  guint incomplete_attempts;    /**< attempts of a gang that were not complete in time */
-  gboolean is_guaranteed; /**< within its team's guarantee, with the team's earlier open jobs */
-  gint64 retry_ms;     /**< when it may be placed again */
-  gint64 unplaced_ms;  /**< since when its coordinating node could not place it */
+  guint consecutive_errors;  /**< failures in a row */
+  guint incomplete_attempts; /**< attempts of a gang that were not complete in time */
+  gboolean is_guaranteed;    /**< within its team's guarantee, with the team's earlier open jobs */
+  gint64 retry_ms;           /**< when it may be placed again */
+  gint64 unplaced_ms;        /**< since when its coordinating node could not place it */
 } WsJobStatus;
--- a/src/storage/ws-team-use.c
+++ b/src/storage/ws-team-use.c
@@ -19,7 +19,7 @@
 }
 
 guint
-ws_team_use_group(const WsSettings *settings, guint team)
+ws_team_use_group(const WsSettings *settings, WsTeamIndex team)
 {
   const WsTeamSettings *named = g_ptr_array_index(settings->teams, team);
   return g_str_hash(named->name) % ws_team_use_groups(settings);
@@ -44,9 +44,9 @@
 }
 
 static void
-apply_amount(WsReplica *replica, guint team, const json_t *amount, gboolean is_own_record)
+apply_amount(WsReplica *replica, WsTeamIndex team, const json_t *amount, gboolean is_own_record)
 {
-  if (team == WS_NONE || !json_is_object(amount)
+  if (team == WS_NO_TEAM || !json_is_object(amount)
       || (!is_own_record && replica->team_is_recorded[team]))
     return;
   replica->team_is_recorded[team] = is_own_record;
@@ -62,8 +62,8 @@
   json_t *amount;
   json_object_foreach((json_t *)value, name, amount)
   {
-    guint team = ws_replica_find_team(replica, name);
-    gboolean is_own = team != WS_NONE && ws_team_use_group(replica->settings, team) == group;
+    WsTeamIndex team = ws_replica_find_team(replica, name);
+    gboolean is_own = team != WS_NO_TEAM && ws_team_use_group(replica->settings, team) == group;
     apply_amount(replica, team, amount, is_own);
   }
 }
--- a/src/storage/ws-team-use.h
+++ b/src/storage/ws-team-use.h
@@ -13,7 +13,7 @@
 guint ws_team_use_groups(const WsSettings *settings);
 
 /** The record that holds the team. */
-guint ws_team_use_group(const WsSettings *settings, guint team);
+guint ws_team_use_group(const WsSettings *settings, WsTeamIndex team);
 
 /** The record's key; the caller frees it. */
 char *ws_team_use_key(guint group);
--- a/src/workers/ws-cancellations.c
+++ b/src/workers/ws-cancellations.c
@@ -98,7 +98,7 @@
 }
 
 static void
-learn(WsCore *core, const char *id, gint64 at_ms, guint from)
+learn(WsCore *core, const char *id, gint64 at_ms, WsNodeIndex from)
 {
   WsCancellations *cancellations = core->cancellations;
   Cancel *cancel = find(core, id);
@@ -115,7 +115,7 @@
 }
 
 guint
-ws_cancellations_count_unacknowledged(const WsCore *core, guint node)
+ws_cancellations_count_unacknowledged(const WsCore *core, WsNodeIndex node)
 {
   guint count = 0;
   for (guint i = 0; i < core->cancellations->list->len; i++)
@@ -125,7 +125,7 @@
 }
 
 void
-ws_cancellations_forget_acknowledgements(WsCore *core, guint node)
+ws_cancellations_forget_acknowledgements(WsCore *core, WsNodeIndex node)
 {
   for (guint i = 0; i < core->cancellations->list->len; i++)
     ((Cancel *)g_ptr_array_index(core->cancellations->list, i))->knows &= ~(1u << node);
@@ -134,7 +134,7 @@
 /* Telling the others. */
 
 typedef struct {
-  guint node;
+  WsNodeIndex node;
   GPtrArray *ids;
 } Told;
 
@@ -157,7 +157,7 @@
 }
 
 static void
-tell(WsCore *core, guint node)
+tell(WsCore *core, WsNodeIndex node)
 {
   WsCancellations *cancellations = core->cancellations;
   json_t *jobs = json_array();
@@ -199,8 +199,8 @@
   const char *name = NULL;
   const json_t *jobs = json_object_get(message, "jobs");
   (void)ws_json_string(message, "node", &name);
-  guint node = ws_settings_find_node(core->settings, name);
-  if (node == WS_NONE || node == core->settings->self || !is_well_formed(jobs)) {
+  WsNodeIndex node = ws_settings_find_node(core->settings, name);
+  if (node == WS_NO_NODE || node == core->settings->self || !is_well_formed(jobs)) {
     ws_answer_reason(core, request, 400, "malformed");
     return;
   }
@@ -264,7 +264,7 @@
 }
 
 typedef struct {
-  guint machine;
+  WsMachineIndex machine;
   gboolean halts; /* it carried commands, and didn't only ask */
 } Halt;
 
@@ -299,7 +299,8 @@
   halt_again(core, machine, HALT_RETRY_MS);
   core->cancellations->halt_calls++;
   Halt *sent = g_new0(Halt, 1);
-  *sent = (Halt){ machine->index, MAX(machine->worker.incarnation, machine->worker.halt_incarnation) > 0 };
+  *sent = (Halt){ machine->index,
+                  MAX(machine->worker.incarnation, machine->worker.halt_incarnation) > 0 };
   if (!sent->halts) {
     ws_call(core, "GET", machine->worker.endpoint, "/status", NULL, HALT_TIMEOUT_MS, on_halted,
             sent);
@@ -314,7 +315,8 @@
   }
   ws_call(core, "POST", machine->worker.endpoint, "/commands",
           ws_commands_encode(MAX(machine->worker.fencing_token, machine->worker.halt_fencing_token),
-                             MAX(machine->worker.incarnation, machine->worker.halt_incarnation), commands),
+                             MAX(machine->worker.incarnation, machine->worker.halt_incarnation),
+                             commands),
           HALT_TIMEOUT_MS, on_halted, sent);
 }
 
--- a/src/workers/ws-worker-rpc.c
+++ b/src/workers/ws-worker-rpc.c
@@ -12,7 +12,7 @@
 #define GRACE_MARGIN_S 1.0
 
 typedef struct {
-  guint machine;
+  WsMachineIndex machine;
   guint64 fencing_token;
   guint64 incarnation;
   gboolean launches;
@@ -43,8 +43,8 @@
 send_direct(WsCore *core, WsMachine *machine, json_t *commands, gboolean launches)
 {
   Direct *direct = g_new0(Direct, 1);
-  *direct
-      = (Direct){ machine->index, core->replica->epoch.number, machine->worker.incarnation, launches };
+  *direct = (Direct){ machine->index, core->replica->epoch.number, machine->worker.incarnation,
+                      launches };
   core->rpcs_in_flight++;
   if (launches) {
     if (machine->worker.indeterminate_launches == 0)
@@ -54,13 +54,15 @@
     machine->worker.indeterminate_incarnation = direct->incarnation;
   }
   ws_call(core, "POST", machine->worker.endpoint, "/commands",
-          ws_commands_encode(direct->fencing_token, direct->incarnation, commands), 2000, on_direct, direct);
+          ws_commands_encode(direct->fencing_token, direct->incarnation, commands), 2000, on_direct,
+          direct);
 }
 
 gboolean
 ws_worker_rpc_is_possible(const WsCore *core, const WsMachine *machine)
 {
-  return machine->worker.endpoint != NULL && machine->worker.fencing_token == core->replica->epoch.number
+  return machine->worker.endpoint != NULL
+         && machine->worker.fencing_token == core->replica->epoch.number
          && ws_machine_is_up(core, machine) && !core->is_unreached_by_workers
          && ws_is_active_member(core);
 }
--- a/src/workers/ws-workers.c
+++ b/src/workers/ws-workers.c
@@ -31,7 +31,7 @@
 /* What a message says about tasks that are there. */
 
 static void
-remember_image(WsMachine *machine, guint image)
+remember_image(WsMachine *machine, WsImageIndex image)
 {
   guint count = machine->worker.images->len;
   if (count > 0 && g_array_index(machine->worker.images, guint, count - 1) == image)
@@ -67,7 +67,8 @@
 back_off_gang(WsCore *core, WsJob *job)
 {
   job->status.incomplete_attempts = MIN(job->status.incomplete_attempts + 1, MAX_GANG_BACKOFFS);
-  job->status.retry_ms = core->now + MIN_GANG_BACKOFF_MS * (gint64)(1u << job->status.incomplete_attempts);
+  job->status.retry_ms
+      = core->now + MIN_GANG_BACKOFF_MS * (gint64)(1u << job->status.incomplete_attempts);
   g_info("gang %s was not complete in time", job->id);
 }
 
@@ -85,7 +86,7 @@
     back_off_gang(core, job);
   if (why == WS_EXIT_DONE) {
     machine->fleet.failed_jobs = 0;
-    machine->fleet.last_failed_job = WS_NONE;
+    machine->fleet.last_failed_job = WS_NO_JOB;
     job->status.consecutive_errors = 0;
   }
 }
@@ -148,7 +149,8 @@
 note_header(WsCore *core, WsMachine *machine, const WsHeartbeat *heartbeat)
 {
   if (heartbeat->incarnation < machine->worker.incarnation
-      || (heartbeat->incarnation == machine->worker.incarnation && heartbeat->sequence <= machine->worker.sequence))
+      || (heartbeat->incarnation == machine->worker.incarnation
+          && heartbeat->sequence <= machine->worker.sequence))
     return FALSE;
   if (heartbeat->incarnation > machine->worker.incarnation)
     begin_incarnation(core, machine, heartbeat->incarnation);
@@ -184,7 +186,8 @@
 {
   if (!note_header(core, machine, heartbeat))
     return FALSE;
-  for (guint i = 0; heartbeat->fencing_token == fencing_token(core) && i < heartbeat->tasks->len; i++)
+  for (guint i = 0; heartbeat->fencing_token == fencing_token(core) && i < heartbeat->tasks->len;
+       i++)
     note_task(core, machine, &g_array_index(heartbeat->tasks, WsTaskStatus, i));
   return TRUE;
 }
@@ -211,8 +214,8 @@
   g_debug("%s is told to %s %s/%u attempt %" G_GUINT64_FORMAT " under token %" G_GUINT64_FORMAT
           ": report %" G_GUINT64_FORMAT " of session %" G_GUINT64_FORMAT
           " has token %" G_GUINT64_FORMAT,
-          heartbeat->machine, NAMES[op], job, task, attempt, fencing_token(answer->core), heartbeat->sequence,
-          heartbeat->incarnation, heartbeat->fencing_token);
+          heartbeat->machine, NAMES[op], job, task, attempt, fencing_token(answer->core),
+          heartbeat->sequence, heartbeat->incarnation, heartbeat->fencing_token);
   answer->halts = answer->halts || op == WS_OP_HALT;
   json_array_append_new(answer->commands, ws_command_encode(op, job, task, attempt, grace_s));
 }
@@ -340,7 +343,7 @@
 /* Whether the owner should be tried by the worker itself. A worker that comes back although it was
    sent there can't reach it: its reports are then passed on from here. */
 static gboolean
-should_redirect(const WsCore *core, const WsMachine *machine, guint owner)
+should_redirect(const WsCore *core, const WsMachine *machine, WsNodeIndex owner)
 {
   if (machine->worker.redirected_ms > 0
       && core->now - machine->worker.redirected_ms < REDIRECT_INTERVAL_MS)
@@ -348,7 +351,7 @@
   if (!ws_peer_is_reachable(core, owner))
     return FALSE;
   for (guint n = 0; n < core->settings->nodes->len; n++)
-    if (n != owner && machine->zone != WS_NONE
+    if (n != owner && machine->zone != WS_NO_ZONE
         && ws_replica_find_zone(core->replica, ws_settings_node(core->settings, n)->zone)
                == machine->zone
         && !ws_peer_link_is_up(core, n, owner))
@@ -360,7 +363,7 @@
    waits in vain, which is more than a machine may be silent. One now and then finds out when it's
    over. */
 static gboolean
-is_worth_a_try(WsCore *core, guint owner)
+is_worth_a_try(WsCore *core, WsNodeIndex owner)
 {
   WsPeer *peer = &core->peers[owner];
   if (peer->is_unreached_by_workers
@@ -371,7 +374,7 @@
 }
 
 static void
-other_owner(WsCore *core, WsMachine *machine, guint owner, const char *body, gpointer request)
+other_owner(WsCore *core, WsMachine *machine, WsNodeIndex owner, const char *body, gpointer request)
 {
   if (!should_redirect(core, machine, owner) || !is_worth_a_try(core, owner)) {
     ws_relay_heartbeat(core, owner, body, request);
@@ -424,9 +427,9 @@
     return;
   }
   core->report_ms = core->now;
-  if (!ws_is_active_member(core) || heartbeat->fencing_token > fencing_token(core) || !knows_newest_epoch(core)
-      || ws_is_refused_by_store_alone(core) || !ws_may_renew_worker_leases(core)
-      || ws_returns_is_confirmed(core, heartbeat->machine)) {
+  if (!ws_is_active_member(core) || heartbeat->fencing_token > fencing_token(core)
+      || !knows_newest_epoch(core) || ws_is_refused_by_store_alone(core)
+      || !ws_may_renew_worker_leases(core) || ws_returns_is_confirmed(core, heartbeat->machine)) {
     ws_answer_later(core, request, 1);
     return;
   }
@@ -437,7 +440,7 @@
     ws_answer_later(core, request, 1);
     return;
   }
-  guint owner = machine->owner;
+  WsNodeIndex owner = machine->owner;
   if (owner != core->settings->self) {
     g_autofree char *text = g_strndup(body, length);
     other_owner(core, machine, owner, text, request);
--- a/src/workers/ws-workers.h
+++ b/src/workers/ws-workers.h
@@ -20,8 +20,8 @@
 /* By the records or by a peer's word: the job's user was told that it is cancelled. */
 gboolean ws_cancellations_has(const WsCore *core, const WsJob *job);
 /* How many cancellations the node has neither told of nor acknowledged. */
-guint ws_cancellations_count_unacknowledged(const WsCore *core, guint node);
-void ws_cancellations_forget_acknowledgements(WsCore *core, guint node);
+guint ws_cancellations_count_unacknowledged(const WsCore *core, WsNodeIndex node);
+void ws_cancellations_forget_acknowledgements(WsCore *core, WsNodeIndex node);
 void ws_cancellations_handle_message(WsCore *core, const json_t *message, gpointer request);
 /* Halts for what the report shows of cancelled jobs. */
 void ws_cancellations_add_halts(const WsCore *core, const WsHeartbeat *heartbeat, json_t *commands);
--- a/tests/sim/rig.c
+++ b/tests/sim/rig.c
@@ -188,16 +188,18 @@
 }
 
 json_t *
-rig_report_of(const Rig *rig, const char *machine, guint64 fencing_token, guint64 sequence, json_t *tasks)
+rig_report_of(const Rig *rig, const char *machine, guint64 fencing_token, guint64 sequence,
+              json_t *tasks)
 {
   return json_pack("{s:s, s:s, s:s, s:s, s:b, s:i, s:I, s:I, s:n, s:o}", "stroj", machine,
                    "endpoint", "w-1:1", "typ", "g4", "hala", rig->zone, "vypujcky", rig->spot,
-                   "smena", 1, "poradi", (json_int_t)sequence, "pecet", (json_int_t)fencing_token, "vypoved_s",
-                   "kusy", tasks);
+                   "smena", 1, "poradi", (json_int_t)sequence, "pecet", (json_int_t)fencing_token,
+                   "vypoved_s", "kusy", tasks);
 }
 
 void
-rig_report_now(Rig *rig, const char *machine, guint64 fencing_token, guint64 sequence, json_t *tasks)
+rig_report_now(Rig *rig, const char *machine, guint64 fencing_token, guint64 sequence,
+               json_t *tasks)
 {
   rig_tell(rig, "/v1/report", rig_report_of(rig, machine, fencing_token, sequence, tasks));
 }
@@ -205,7 +207,8 @@
 void
 rig_send_report(Rig *rig, guint64 fencing_token, json_t *tasks)
 {
-  rig_ask(rig, "POST", "/v1/report", rig_report_of(rig, "m-1", fencing_token, ++rig->sequence, tasks));
+  rig_ask(rig, "POST", "/v1/report",
+          rig_report_of(rig, "m-1", fencing_token, ++rig->sequence, tasks));
 }
 
 gboolean
--- a/tests/test-evidence.c
+++ b/tests/test-evidence.c
@@ -256,11 +256,13 @@
   begin(&world);
   change_epoch(&world, TRUE);
   Rig *rig = world.rig;
-  for (guint64 fencing_token = 1; fencing_token <= 2; fencing_token++) { /* only what is said under our token counts */
+  for (guint64 fencing_token = 1; fencing_token <= 2;
+       fencing_token++) { /* only what is said under our token counts */
     json_t *tasks = json_pack("[{s:s, s:i, s:s, s:s}]", "kus", "req-1/0", "pokus", 1, "stav",
                               "exited", "duvod", "error");
     json_decref(rig->status_report);
-    rig->status_report = rig_report_of(rig, world.machine, fencing_token, 100 + fencing_token, tasks);
+    rig->status_report
+        = rig_report_of(rig, world.machine, fencing_token, 100 + fencing_token, tasks);
     rig_run(rig, WRITE_S);
     rig_request(rig, WS_DOOR_MESH, "POST", "/ask", bare_release_of_n1(2));
     rig_run(rig, 0.4);
