--- a/src/commit/ws-assignments.c
+++ b/src/commit/ws-assignments.c
@@ -10,7 +10,6 @@
 
 #include "store/ws-store.h"
 #include "membership/ws-membership.h"
-#include "workers/ws-workers.h"
 
 #define BATCHING_MS 50
 #define CONFLICT_PAUSE_MS 60
@@ -289,62 +288,9 @@
   ws_batch_free(batch);
 }
 
-/* What was assigned on this node's machines, by whoever wrote it, is launched at once. */
-
-static gint
-by_machine(gconstpointer a, gconstpointer b)
-{
-  const WsProposal *first = a, *second = b;
-  return first->machine < second->machine ? -1 : first->machine > second->machine;
-}
-
-static GArray *
-take_fresh(WsCore *core)
-{
-  GArray *fresh = core->replica->fresh;
-  GArray *proposals = g_array_new(FALSE, FALSE, sizeof(WsProposal));
-  for (guint i = 0; i < fresh->len; i++) {
-    const WsTaskRef *ref = &g_array_index(fresh, WsTaskRef, i);
-    const WsJob *job = ws_replica_job(core->replica, ref->job);
-    const WsAssignment *assignment = job->spec != NULL ? ws_job_assignment(job, ref->task) : NULL;
-    if (assignment == NULL || assignment->state != WS_TASK_ASSIGNED
-        || !ws_owns_machine(core, ws_replica_machine(core->replica, assignment->machine)))
-      continue;
-    WsProposal proposal = { ref->job, ref->task, assignment->machine, core->now };
-    g_array_append_val(proposals, proposal);
-  }
-  g_array_set_size(fresh, 0);
-  return proposals;
-}
-
-static void
-launch_fresh(WsCore *core)
-{
-  if (core->replica->fresh->len == 0)
-    return;
-  g_autoptr(GArray) proposals = take_fresh(core);
-  g_array_sort(proposals, by_machine);
-  guint i = 0;
-  while (i < proposals->len) {
-    g_autoptr(GArray) tasks = g_array_new(FALSE, FALSE, sizeof(WsTaskRef));
-    WsMachine *machine
-        = ws_replica_machine(core->replica, g_array_index(proposals, WsProposal, i).machine);
-    for (; i < proposals->len && g_array_index(proposals, WsProposal, i).machine == machine->index;
-         i++) {
-      const WsProposal *proposal = &g_array_index(proposals, WsProposal, i);
-      WsTaskRef ref = { proposal->job, proposal->task };
-      g_array_append_val(tasks, ref);
-      g_info("task %s/%u goes to %s", ws_replica_job(core->replica, proposal->job)->id,
-             proposal->task, machine->name);
-    }
-    ws_worker_rpc_launch(core, machine, tasks);
-  }
-}
-
 void
 ws_assignments_pump(WsCore *core)
 {
-  launch_fresh(core);
   if (!ws_is_active_member(core)) {
     forget_proposals(core);
     ws_releases_reset_forwarding(core);
--- a/src/commit/ws-batch.c
+++ b/src/commit/ws-batch.c
@@ -6,7 +6,6 @@
 #include "commit/ws-commit.h"
 
 #include "store/ws-store.h"
-#include "scheduling/ws-scheduling.h"
 #include "storage/ws-team-use.h"
 #include "storage/ws-gang-phase.h"
 #include "storage/ws-constraints.h"
@@ -331,7 +330,7 @@
 static gboolean
 leaves_reserved(WsBatch *batch, const WsMachine *machine, const WsJob *job)
 {
-  if (ws_reservations_is_empty(batch->core))
+  if (!batch->core->handlers->has_reservations(batch->core))
     return TRUE;
   WsResources left = ws_replica_type(batch->core->replica, machine->type)->capacity;
   WsResources use = batch->use[job->team];
@@ -341,7 +340,8 @@
   ws_resources_add(&use, &job->spec->need, 1);
   guint tasks_on;
   (void)count_after(batch, job, &tasks_on);
-  return ws_reservations_allow(batch->core, job, tasks_on + 1, machine->index, &left, &use);
+  return batch->core->handlers->allows_assignment(batch->core, job, tasks_on + 1, machine->index,
+                                                  &left, &use);
 }
 
 static gboolean
@@ -421,7 +421,7 @@
   g_hash_table_add(batch->joined, GUINT_TO_POINTER(proposal->machine));
   add_rental_batch(batch, ws_replica_machine(batch->core->replica, proposal->machine));
   use_team(batch, job, 1);
-  ws_reservations_consume(batch->core, job, proposal->machine);
+  batch->core->handlers->note_assignment(batch->core, job, proposal->machine);
   return WS_BATCH_ADDED;
 }
 
--- a/src/commit/ws-legacy-releases.c
+++ b/src/commit/ws-legacy-releases.c
@@ -2,7 +2,6 @@
 #include "commit/ws-releases.h"
 
 #include "membership/ws-membership.h"
-#include "fleet/ws-fleet.h"
 
 #include <string.h>
 
@@ -117,7 +116,7 @@
     hint->since_ms = core->now;
   hint->last_ms = core->now;
   if ((double)(core->now - hint->since_ms) > core->settings->lease_s * 1000.0)
-    ws_termination_request_mark(core, machine, "unproven", TRUE);
+    core->handlers->request_termination(core, machine, "unproven", TRUE);
   else
     ask_worker(core, hint, machine);
 }
--- a/src/context/ws-context.h
+++ b/src/context/ws-context.h
@@ -11,6 +11,7 @@
 #include "storage/ws-replica.h"
 #include "context/ws-output.h"
 #include "protocol/ws-properties.h"
+#include "storage/ws-evidence.h"
 #include "transport/ws-rate.h"
 
 typedef void (*WsReplyFunc)(WsCore *core, guint status, const json_t *body, gpointer data);
@@ -27,12 +28,48 @@
 typedef struct _WsPeerRequests WsPeerRequests;
 typedef struct _WsTermination WsTermination;
 typedef struct _WsCancellations WsCancellations;
+typedef struct _WsCancelledTasks WsCancelledTasks;
 typedef struct _WsReservations WsReservations;
 typedef struct _WsWriteStats WsWriteStats;
 typedef struct _WsLegacyReleases WsLegacyReleases;
 typedef struct _WsReleases WsReleases;
 
+/**
+ * What lower packages ask of higher ones. The core connects them (ws-core.c), so that no package
+ * includes what is above it.
+ */
+typedef struct {
+  /** Asks for the machine's termination; immediately: without drain. For fleet. */
+  void (*request_termination)(WsCore *core, WsMachine *machine, const char *reason,
+                              gboolean immediately);
+  /** Notes what a worker says of itself; FALSE: it is older than what is known. For workers. */
+  gboolean (*note_worker_status)(WsCore *core, WsMachine *machine, const WsHeartbeat *heartbeat);
+  /** Tells the worker the fencing token of the present epoch. For workers. */
+  void (*raise_fencing_token)(WsCore *core, WsMachine *machine);
+  /** Stops the task for other work. For workers. */
+  void (*halt_task)(WsCore *core, WsJob *job, WsAssignment *assignment);
+  /** Answers another node's request to pass a heartbeat on. For workers. */
+  void (*handle_relay)(WsCore *core, const json_t *message, gpointer request);
+  /** Takes a release that a node hands in to the leader. For commit. */
+  void (*handle_release)(WsCore *core, const WsRelease *release);
+  /** The same without evidence, as versions before 0.4 send it. For commit. */
+  void (*handle_legacy_release)(WsCore *core, const WsRelease *release);
+  /** Takes an assignment that a node hands in to the leader. For commit. */
+  void (*handle_assignment)(WsCore *core, WsJobIndex job, guint task, WsMachineIndex machine);
+  /** Takes a reservation that a node hands in to the leader. For scheduling. */
+  void (*handle_reservation)(WsCore *core, const WsJob *job, WsMachineIndex machine, guint tasks);
+  /** Whether there are reservations that an assignment could violate. For scheduling. */
+  gboolean (*has_reservations)(const WsCore *core);
+  /** Whether an assignment leaves what is reserved for more urgent jobs. For scheduling. */
+  gboolean (*allows_assignment)(const WsCore *core, const WsJob *job, guint assigned_tasks,
+                                WsMachineIndex machine, const WsResources *machine_free,
+                                const WsResources *team_use);
+  /** An assignment was added to a transaction. For scheduling. */
+  void (*note_assignment)(WsCore *core, const WsJob *job, WsMachineIndex machine);
+} WsHandlers;
+
 struct _WsCore {
+  const WsHandlers *handlers;
   const WsSettings *settings;
   const WsProperties *properties;
   WsReplica *replica;
@@ -53,6 +90,7 @@
   WsPeerRequests *peer_requests;
   WsTermination *termination;
   WsCancellations *cancellations;
+  WsCancelledTasks *cancelled_tasks;
   WsReservations *reservations;
   WsWriteStats *write_stats;
   WsLegacyReleases *legacy_releases;
--- a/src/core/ws-core.c
+++ b/src/core/ws-core.c
@@ -9,17 +9,33 @@
 #include "api/ws-users.h"
 #include "commit/ws-releases.h"
 #include "commit/ws-legacy-releases.h"
-#include "commit/ws-write-stats.h"
+#include "store/ws-write-stats.h"
 
 #include <string.h>
 
 /* A pause between two ticks after which this node's lease may have ended. */
 #define STALL_MS 3000
 
+static const WsHandlers HANDLERS = {
+  .request_termination = ws_termination_request_mark,
+  .note_worker_status = ws_workers_note_status,
+  .raise_fencing_token = ws_worker_rpc_raise_fencing_token,
+  .halt_task = ws_worker_rpc_halt,
+  .handle_relay = ws_relay_handle,
+  .handle_release = ws_releases_add,
+  .handle_legacy_release = ws_legacy_releases_add,
+  .handle_assignment = ws_assignments_propose,
+  .handle_reservation = ws_reservations_renew,
+  .has_reservations = ws_reservations_exist,
+  .allows_assignment = ws_reservations_allow,
+  .note_assignment = ws_reservations_consume,
+};
+
 WsCore *
 ws_core_new(const WsSettings *settings, const WsProperties *properties, guint64 incarnation)
 {
   WsCore *core = g_new0(WsCore, 1);
+  core->handlers = &HANDLERS;
   core->settings = settings;
   core->properties = properties;
   core->incarnation = incarnation;
@@ -36,6 +52,7 @@
   core->peer_requests = ws_peer_requests_new(settings);
   core->termination = ws_termination_new();
   core->cancellations = ws_cancellations_new(settings);
+  core->cancelled_tasks = ws_cancelled_tasks_new();
   core->reservations = ws_reservations_new();
   core->write_stats = ws_write_stats_new();
   core->legacy_releases = ws_legacy_releases_new();
@@ -71,6 +88,7 @@
   ws_peer_requests_free(core->peer_requests, core->settings);
   ws_termination_free(core->termination);
   ws_cancellations_free(core->cancellations);
+  ws_cancelled_tasks_free(core->cancelled_tasks);
   ws_reservations_free(core->reservations);
   ws_write_stats_free(core->write_stats);
   ws_legacy_releases_free(core->legacy_releases);
@@ -168,19 +186,28 @@
   notice_epoch(core);
   if (ws_has_all_cancellations(core))
     core->cancellations_known_ms = core->now;
-  ws_cancellations_pump(core);
+  if (ws_cancellations_pump(core))
+    ws_cancelled_tasks_enforce(core);
   ws_plan_tick(core);
   ws_termination_pump(core);
+  ws_workers_launch_assigned(core);
   ws_assignments_pump(core);
   ws_peer_requests_pump(core);
   ws_store_pump(core);
 }
 
+static void
+log_write_stats(WsCore *core)
+{
+  if (ws_write_stats_is_due(core))
+    ws_write_stats_log(core, ws_assignments_oldest_age_ms(core), ws_releases_oldest_age_ms(core));
+}
+
 void
 ws_core_tick(WsCore *core, gint64 now_ms, gint64 wall_ms)
 {
   set_time(core, now_ms, wall_ms);
-  ws_store_tick(core);
+  ws_store_tick(core, ws_is_leader(core));
   ws_election_tick(core);
   ws_gossip_tick(core);
   if (core->now >= core->upkeep_ms && ws_store_is_loaded(core)) {
@@ -191,7 +218,7 @@
     ws_fleet_tick(core);
     ws_cloud_list_reconcile_tick(core);
     ws_garbage_tick(core);
-    ws_write_stats_tick(core);
+    log_write_stats(core);
   }
   settle(core);
 }
--- /dev/null
+++ b/src/membership/ws-cancellations.c
@@ -0,0 +1,256 @@
+/* Confirmed cancellations, which are facts whatever the state service, an epoch or a replica says.
+
+   Whoever learns of one, by its own commit or through its replica, notifies every peer until each
+   has acknowledged it. What is done about the tasks is in workers/ws-cancelled-tasks.c. */
+#include "membership/ws-membership.h"
+
+#define NOTIFY_TIMEOUT_MS 1000
+/* Between two messages to one peer, so that what is cancelled in bulk shares a few. */
+#define NOTIFY_INTERVAL_MS 100
+#define NOTIFY_RETRY_MS 500
+#define MAX_CANCELLATIONS_PER_MESSAGE 400
+
+typedef struct {
+  char *id;
+  gint64 confirmed_ms; /* when it was confirmed, or when this node learned of it */
+  guint knows;         /* bit for each node that has acknowledged it, or has told us */
+} Cancellation;
+
+struct _WsCancellations {
+  GPtrArray *list; /* of Cancellation */
+  GHashTable *by_id;
+  gboolean *is_notifying; /* by node */
+  gint64 *notify_ms;      /* by node: when it may be told again */
+  gint64 next_round_ms;   /* when peers are notified and tasks halted again */
+};
+
+static void
+cancellation_free(gpointer data)
+{
+  Cancellation *cancellation = data;
+  g_free(cancellation->id);
+  g_free(cancellation);
+}
+
+WsCancellations *
+ws_cancellations_new(const WsSettings *settings)
+{
+  WsCancellations *cancellations = g_new0(WsCancellations, 1);
+  cancellations->list = g_ptr_array_new_with_free_func(cancellation_free);
+  cancellations->by_id = g_hash_table_new(g_str_hash, g_str_equal);
+  cancellations->is_notifying = g_new0(gboolean, settings->nodes->len);
+  cancellations->notify_ms = g_new0(gint64, settings->nodes->len);
+  return cancellations;
+}
+
+void
+ws_cancellations_free(WsCancellations *cancellations)
+{
+  g_hash_table_unref(cancellations->by_id);
+  g_ptr_array_unref(cancellations->list);
+  g_free(cancellations->is_notifying);
+  g_free(cancellations->notify_ms);
+  g_free(cancellations);
+}
+
+static Cancellation *
+find(const WsCore *core, const char *id)
+{
+  return g_hash_table_lookup(core->cancellations->by_id, id);
+}
+
+gboolean
+ws_cancellations_has(const WsCore *core, const WsJob *job)
+{
+  return job->state == WS_JOB_CANCELLED
+         || (core->cancellations->list->len > 0 && job->state == WS_JOB_ACTIVE
+             && find(core, job->id) != NULL);
+}
+
+/* Nothing of the job is left anywhere, as far as the records say. */
+static gboolean
+is_over(const WsCore *core, const char *id)
+{
+  const WsJob *job = ws_replica_find_job(core->replica, id);
+  return job != NULL && job->spec == NULL && job->state != WS_JOB_ACTIVE;
+}
+
+static void
+learn(WsCore *core, const char *id, gint64 at_ms, WsNodeIndex from)
+{
+  WsCancellations *cancellations = core->cancellations;
+  Cancellation *cancellation = find(core, id);
+  if (cancellation == NULL) {
+    if (is_over(core, id))
+      return;
+    cancellation = g_new0(Cancellation, 1);
+    *cancellation = (Cancellation){ g_strdup(id), at_ms, 1u << core->settings->self };
+    g_ptr_array_add(cancellations->list, cancellation);
+    g_hash_table_insert(cancellations->by_id, cancellation->id, cancellation);
+  }
+  cancellation->confirmed_ms = MIN(cancellation->confirmed_ms, at_ms);
+  cancellation->knows |= 1u << from;
+}
+
+guint
+ws_cancellations_count_unacknowledged(const WsCore *core, WsNodeIndex node)
+{
+  guint count = 0;
+  for (guint i = 0; i < core->cancellations->list->len; i++)
+    count += (((const Cancellation *)g_ptr_array_index(core->cancellations->list, i))->knows >> node
+              & 1)
+             == 0;
+  return count;
+}
+
+void
+ws_cancellations_forget_acknowledgements(WsCore *core, WsNodeIndex node)
+{
+  for (guint i = 0; i < core->cancellations->list->len; i++)
+    ((Cancellation *)g_ptr_array_index(core->cancellations->list, i))->knows &= ~(1u << node);
+}
+
+/* Notifying the peers. */
+
+typedef struct {
+  WsNodeIndex node;
+  GPtrArray *ids;
+} Notification;
+
+static void
+on_notified(WsCore *core, guint status, const json_t *body, gpointer data)
+{
+  (void)body;
+  Notification *notification = data;
+  WsCancellations *cancellations = core->cancellations;
+  cancellations->is_notifying[notification->node] = FALSE;
+  cancellations->notify_ms[notification->node]
+      = core->now + (status == 200 ? NOTIFY_INTERVAL_MS : NOTIFY_RETRY_MS);
+  for (guint i = 0; status == 200 && i < notification->ids->len; i++) {
+    Cancellation *cancellation = find(core, g_ptr_array_index(notification->ids, i));
+    if (cancellation != NULL)
+      cancellation->knows |= 1u << notification->node;
+  }
+  g_ptr_array_unref(notification->ids);
+  g_free(notification);
+}
+
+static void
+notify(WsCore *core, WsNodeIndex node)
+{
+  WsCancellations *cancellations = core->cancellations;
+  json_t *jobs = json_array();
+  Notification *notification = g_new0(Notification, 1);
+  *notification = (Notification){ node, g_ptr_array_new_with_free_func(g_free) };
+  for (guint i = 0;
+       i < cancellations->list->len && notification->ids->len < MAX_CANCELLATIONS_PER_MESSAGE;
+       i++) {
+    const Cancellation *cancellation = g_ptr_array_index(cancellations->list, i);
+    if ((cancellation->knows >> node & 1) != 0)
+      continue;
+    json_array_append_new(jobs, json_pack("[s, I]", cancellation->id,
+                                          (json_int_t)(core->now - cancellation->confirmed_ms)));
+    g_ptr_array_add(notification->ids, g_strdup(cancellation->id));
+  }
+  cancellations->is_notifying[node] = TRUE;
+  ws_call(core, "POST", ws_settings_node(core->settings, node)->endpoint, "/cancelled",
+          json_pack("{s:s, s:o}", "node",
+                    ws_settings_node(core->settings, core->settings->self)->name, "jobs", jobs),
+          NOTIFY_TIMEOUT_MS, on_notified, notification);
+}
+
+static gboolean
+is_well_formed(const json_t *jobs)
+{
+  size_t i;
+  const json_t *item;
+  json_array_foreach(jobs, i, item)
+  {
+    if (!json_is_string(json_array_get(item, 0)) || !json_is_integer(json_array_get(item, 1))
+        || json_integer_value(json_array_get(item, 1)) < 0)
+      return FALSE;
+  }
+  return json_is_array(jobs);
+}
+
+void
+ws_cancellations_handle_message(WsCore *core, const json_t *message, gpointer request)
+{
+  const char *name = NULL;
+  const json_t *jobs = json_object_get(message, "jobs");
+  (void)ws_json_string(message, "node", &name);
+  WsNodeIndex node = ws_settings_find_node(core->settings, name);
+  if (node == WS_NO_NODE || node == core->settings->self || !is_well_formed(jobs)) {
+    ws_answer_reason(core, request, 400, "malformed");
+    return;
+  }
+  size_t i;
+  const json_t *item;
+  json_array_foreach(jobs, i, item)
+  {
+    learn(core, json_string_value(json_array_get(item, 0)),
+          core->now - json_integer_value(json_array_get(item, 1)), node);
+  }
+  ws_answer(core, request, 200, json_object(), 0);
+}
+
+guint
+ws_cancellations_count(const WsCore *core)
+{
+  return core->cancellations->list->len;
+}
+
+const char *
+ws_cancellations_job_id(const WsCore *core, guint i)
+{
+  return ((const Cancellation *)g_ptr_array_index(core->cancellations->list, i))->id;
+}
+
+gint64
+ws_cancellations_confirmed_ms(const WsCore *core, const char *job_id)
+{
+  const Cancellation *cancellation = find(core, job_id);
+  return cancellation != NULL ? cancellation->confirmed_ms : core->now;
+}
+
+gboolean
+ws_cancellations_has_id(const WsCore *core, const char *job_id)
+{
+  return find(core, job_id) != NULL;
+}
+
+static void
+forget_over(WsCore *core)
+{
+  WsCancellations *cancellations = core->cancellations;
+  for (guint i = cancellations->list->len; i-- > 0;) {
+    const Cancellation *cancellation = g_ptr_array_index(cancellations->list, i);
+    if (!is_over(core, cancellation->id))
+      continue;
+    g_hash_table_remove(cancellations->by_id, cancellation->id);
+    g_ptr_array_remove_index_fast(cancellations->list, i);
+  }
+}
+
+gboolean
+ws_cancellations_pump(WsCore *core)
+{
+  WsCancellations *cancellations = core->cancellations;
+  GArray *fresh = core->replica->cancelled;
+  for (guint i = 0; i < fresh->len; i++) {
+    const WsJob *job = ws_replica_job(core->replica, g_array_index(fresh, guint, i));
+    gint64 age_ms = CLAMP(core->wall - job->cancelled_ms, 0, core->now);
+    learn(core, job->id, core->now - age_ms, core->settings->self);
+  }
+  gboolean is_due = core->now >= cancellations->next_round_ms || fresh->len > 0;
+  g_array_set_size(fresh, 0);
+  if (cancellations->list->len == 0 || !is_due)
+    return FALSE;
+  cancellations->next_round_ms = core->now + 100;
+  forget_over(core);
+  for (guint n = 0; n < core->settings->nodes->len; n++)
+    if (!cancellations->is_notifying[n] && core->now >= cancellations->notify_ms[n]
+        && ws_cancellations_count_unacknowledged(core, n) > 0)
+      notify(core, n);
+  return TRUE;
+}
--- a/src/membership/ws-failure-detector.c
+++ b/src/membership/ws-failure-detector.c
@@ -1,9 +1,6 @@
 /* Machines that say nothing: which are asked, which are waited for, and which are given up. */
 #include "membership/ws-membership.h"
 
-#include "fleet/ws-fleet.h"
-#include "workers/ws-workers.h"
-
 #include <string.h>
 
 #define STATUS_PAUSE_MS 600
@@ -92,7 +89,7 @@
 watch_inbound_unreachable(WsCore *core, WsMachine *machine)
 {
   if (machine->tasks->len > 0 && ws_machine_is_inbound_unreachable(core, machine))
-    ws_termination_request_mark(core, machine, "mute", TRUE);
+    core->handlers->request_termination(core, machine, "mute", TRUE);
 }
 
 static void
@@ -105,13 +102,14 @@
   /* An answer older than what is known is not from the machine that was known: it has begun anew.
    */
   if (heartbeat == NULL || strcmp(heartbeat->machine, machine->name) != 0
-      || !ws_owns_machine(core, machine) || !ws_workers_note_status(core, machine, heartbeat)) {
+      || !ws_owns_machine(core, machine)
+      || !core->handlers->note_worker_status(core, machine, heartbeat)) {
     machine->worker.failed_probes++;
     return;
   }
   /* It is there and reports to somebody else, maybe to a node whose epoch is over. */
   if (heartbeat->fencing_token < core->replica->epoch.number)
-    ws_worker_rpc_raise_fencing_token(core, machine);
+    core->handlers->raise_fencing_token(core, machine);
 }
 
 static gboolean
@@ -289,7 +287,7 @@
   if (has_cancelled(core, machine))
     patience = MIN(patience, (gint64)(core->settings->cancel_s * 400.0));
   if (failed && silent_ms > patience)
-    ws_termination_request_mark(core, machine, "silent", TRUE);
+    core->handlers->request_termination(core, machine, "silent", TRUE);
 }
 
 static void
@@ -299,7 +297,7 @@
   double part = many ? 1.0 : OUTBOUND_PATIENCE_PART;
   if (ws_machine_is_up(core, machine)
       && (double)unacknowledged_for_ms(core, machine) > part * core->settings->lease_s * 1000.0)
-    ws_termination_request_mark(core, machine, "deaf", TRUE);
+    core->handlers->request_termination(core, machine, "deaf", TRUE);
 }
 
 static void
--- a/src/membership/ws-gossip.c
+++ b/src/membership/ws-gossip.c
@@ -2,17 +2,12 @@
 #include "membership/ws-membership.h"
 
 #include "store/ws-store.h"
-#include "workers/ws-workers.h"
 
 #include <string.h>
 
 #define GOSSIP_MS 700
 #define GOSSIP_TIMEOUT_MS 1000
 #define REACH_MS 2600
-#define RELAY_TIMEOUT_MS 1200
-/* Reports on their way to one owner. When it has just ended, and nobody knows yet, its workers come
-   to us by the hundred; they live on our token as well. */
-#define MOST_RELAYS 12
 /* For the moments until a refusal shows, for drift and for what is on its way. */
 #define LEASE_RENEWAL_MARGIN_MS 4000.0
 
@@ -316,151 +311,6 @@
   }
 }
 
-/* Reports passed on. The answer of the owner goes back to the worker as it is; if the owner can't
-   be reached directly, the third node is tried, and if nobody answers in time the worker still
-   gets our token, which keeps its tasks alive. */
-
-typedef struct {
-  gpointer request;
-  WsNodeIndex owner;
-  WsNodeIndex via; /* the node asked last */
-  char *heartbeat;
-} Relay;
-
-static void
-relay_free(Relay *relay)
-{
-  g_free(relay->heartbeat);
-  g_free(relay);
-}
-
-static void send_relay(WsCore *core, Relay *relay);
-
-static guint
-third_node(const WsCore *core, const Relay *relay)
-{
-  for (guint n = 0; n < core->settings->nodes->len; n++)
-    if (n != core->settings->self && n != relay->owner && ws_peer_is_reachable(core, n)
-        && ws_peer_link_is_up(core, n, relay->owner))
-      return n;
-  return WS_NONE;
-}
-
-static void
-add_halts(const WsCore *core, const char *text, json_t *commands)
-{
-  g_autoptr(json_t) message = ws_json_parse(text, strlen(text));
-  g_autofree char *reason = NULL;
-  g_autoptr(WsHeartbeat) heartbeat = ws_heartbeat_parse(message, &reason);
-  if (heartbeat != NULL)
-    ws_cancellations_add_halts(core, heartbeat, commands);
-}
-
-static void
-keep_alive(WsCore *core, const char *heartbeat, gpointer request)
-{
-  json_t *commands = json_array();
-  add_halts(core, heartbeat, commands);
-  if (ws_is_active_member(core) && ws_may_renew_worker_leases(core))
-    ws_answer(core, request, 200,
-              ws_heartbeat_answer_encode(core->replica->epoch.number, g_steal_pointer(&commands)),
-              0);
-  else
-    ws_answer_later(core, request, 1);
-  json_decref(commands);
-}
-
-static void
-on_relayed(WsCore *core, guint status, const json_t *body, gpointer data)
-{
-  Relay *relay = data;
-  core->peers[relay->owner].relays_in_flight--;
-  if (status == 200) {
-    /* The owner may not have been told yet. */
-    json_t *answer = json_deep_copy(body);
-    add_halts(core, relay->heartbeat, ws_heartbeat_answer_commands(answer));
-    ws_answer(core, relay->request, 200, answer, 0);
-  } else if (relay->via == relay->owner && third_node(core, relay) != WS_NONE) {
-    relay->via = third_node(core, relay);
-    send_relay(core, relay);
-    return;
-  } else {
-    keep_alive(core, relay->heartbeat, relay->request);
-  }
-  relay_free(relay);
-}
-
-static void
-send_relay(WsCore *core, Relay *relay)
-{
-  json_t *message
-      = json_pack("{s:I, s:s, s:s}", "epoch", (json_int_t)core->replica->epoch.number, "owner",
-                  ws_settings_node(core->settings, relay->owner)->name, "report", relay->heartbeat);
-  core->peers[relay->owner].relays_in_flight++;
-  ws_call(core, "POST", ws_settings_node(core->settings, relay->via)->endpoint, "/relay", message,
-          RELAY_TIMEOUT_MS, on_relayed, relay);
-}
-
-void
-ws_relay_heartbeat(WsCore *core, WsNodeIndex owner, const char *heartbeat, gpointer request)
-{
-  Relay *relay = g_new0(Relay, 1);
-  *relay = (Relay){ request, owner, owner, g_strdup(heartbeat) };
-  if (!ws_peer_is_reachable(core, owner))
-    relay->via = third_node(core, relay);
-  if (relay->via != WS_NO_NODE && core->peers[owner].relays_in_flight < MOST_RELAYS) {
-    send_relay(core, relay);
-    return;
-  }
-  keep_alive(core, heartbeat, request);
-  relay_free(relay);
-}
-
-static void
-on_passed(WsCore *core, guint status, const json_t *body, gpointer data)
-{
-  if (status == 200)
-    ws_answer(core, data, 200, json_incref((json_t *)body), 0);
-  else
-    ws_answer_later(core, data, 1);
-}
-
-static void
-take_relayed_report(WsCore *core, const char *text, gpointer request)
-{
-  g_autoptr(json_t) message = ws_json_parse(text, strlen(text));
-  g_autofree char *reason = NULL;
-  g_autoptr(WsHeartbeat) heartbeat = ws_heartbeat_parse(message, &reason);
-  if (heartbeat == NULL)
-    ws_answer_reason(core, request, 400, reason);
-  else if (heartbeat->fencing_token > core->replica->epoch.number
-           || !ws_may_renew_worker_leases(core))
-    ws_answer_later(core, request, 1);
-  else
-    ws_answer(core, request, 200, ws_workers_answer_heartbeat(core, heartbeat), 0);
-}
-
-static void
-take_relay(WsCore *core, const json_t *message, gpointer request)
-{
-  guint64 epoch;
-  const char *owner, *text;
-  if (!ws_json_count(message, "epoch", &epoch) || !ws_json_string(message, "owner", &owner)
-      || !ws_json_string(message, "report", &text)) {
-    ws_answer_reason(core, request, 400, "malformed");
-    return;
-  }
-  WsNodeIndex node = ws_settings_find_node(core->settings, owner);
-  if (!ws_is_active_member(core) || epoch != core->replica->epoch.number || node == WS_NO_NODE) {
-    ws_answer_later(core, request, 1);
-  } else if (node == core->settings->self) {
-    take_relayed_report(core, text, request);
-  } else {
-    ws_call(core, "POST", ws_settings_node(core->settings, node)->endpoint, "/relay",
-            json_incref((json_t *)message), 900, on_passed, request);
-  }
-}
-
 static void
 answer_gossip(WsCore *core, const json_t *message, gpointer request)
 {
@@ -487,7 +337,7 @@
   } else if (strcmp(path, "/ask") == 0) {
     ws_peer_requests_handle(core, message, request);
   } else if (strcmp(path, "/relay") == 0) {
-    take_relay(core, message, request);
+    core->handlers->handle_relay(core, message, request);
   } else {
     ws_answer_reason(core, request, 404, "no such path");
   }
--- a/src/membership/ws-membership.h
+++ b/src/membership/ws-membership.h
@@ -59,7 +59,6 @@
 /* Whether a lease that is renewed now ends in time for whatever is missed. */
 gboolean ws_may_renew_worker_leases(const WsCore *core);
 void ws_gossip_begin_epoch(WsCore *core);
-void ws_relay_heartbeat(WsCore *core, WsNodeIndex owner, const char *report, gpointer request);
 
 WsPeerRequests *ws_peer_requests_new(const WsSettings *settings);
 void ws_peer_requests_free(WsPeerRequests *peer_requests, const WsSettings *settings);
@@ -84,3 +83,26 @@
 /* It can be called, but its reports reach nobody. */
 gboolean ws_machine_is_inbound_unreachable(const WsCore *core, const WsMachine *machine);
 gboolean ws_machine_is_silent(const WsCore *core, const WsMachine *machine);
+
+WsCancellations *ws_cancellations_new(const WsSettings *settings);
+void ws_cancellations_free(WsCancellations *cancellations);
+/* By the records or by a peer's word: the job's user was told that it is cancelled. */
+gboolean ws_cancellations_has(const WsCore *core, const WsJob *job);
+/* How many cancellations the node has neither told of nor acknowledged. */
+guint ws_cancellations_count_unacknowledged(const WsCore *core, WsNodeIndex node);
+void ws_cancellations_forget_acknowledgements(WsCore *core, WsNodeIndex node);
+void ws_cancellations_handle_message(WsCore *core, const json_t *message, gpointer request);
+
+guint ws_cancellations_count(const WsCore *core);
+
+/** The id of the job of the cancellation, by its place from 0 on. */
+const char *ws_cancellations_job_id(const WsCore *core, guint i);
+
+/** When the cancellation was confirmed to the user, as far as known; now: it isn't known. */
+gint64 ws_cancellations_confirmed_ms(const WsCore *core, const char *job_id);
+
+/** Whether a job of this id is known to be cancelled before its record says so. */
+gboolean ws_cancellations_has_id(const WsCore *core, const char *job_id);
+
+/** Learns of new cancellations and notifies peers. Returns whether tasks are to be halted now. */
+gboolean ws_cancellations_pump(WsCore *core);
--- a/src/membership/ws-peer-requests.c
+++ b/src/membership/ws-peer-requests.c
@@ -11,12 +11,6 @@
 #include "membership/ws-membership.h"
 
 #include "store/ws-store.h"
-#include "commit/ws-commit.h"
-#include "fleet/ws-fleet.h"
-#include "workers/ws-workers.h"
-#include "scheduling/ws-scheduling.h"
-#include "commit/ws-releases.h"
-#include "commit/ws-legacy-releases.h"
 
 #include <string.h>
 
@@ -132,9 +126,9 @@
   release.attempt = (guint64)json_integer_value(json_array_get(item, 2));
   release.done = json_is_true(json_array_get(item, 3));
   if (!ws_evidence_parse(core->replica, item, &release.evidence))
-    ws_legacy_releases_add(core, &release);
+    core->handlers->handle_legacy_release(core, &release);
   else if (ws_release_holds(core->replica, &release))
-    ws_releases_add(core, &release);
+    core->handlers->handle_release(core, &release);
   else
     log_refused(core, &release);
 }
@@ -147,7 +141,7 @@
   const char *name = json_string_value(json_array_get(item, 2));
   const WsMachine *machine = name != NULL ? ws_replica_find_machine(core->replica, name) : NULL;
   if (job != NULL && machine != NULL)
-    ws_assignments_propose(core, job->index, task, machine->index);
+    core->handlers->handle_assignment(core, job->index, task, machine->index);
 }
 
 static void
@@ -161,7 +155,8 @@
     return;
   const WsMachine *machine = ws_replica_find_machine(core->replica, name);
   if (machine != NULL || *name == '\0')
-    ws_reservations_renew(core, job, machine != NULL ? machine->index : WS_NONE, (guint)tasks);
+    core->handlers->handle_reservation(core, job, machine != NULL ? machine->index : WS_NONE,
+                                       (guint)tasks);
 }
 
 static void
@@ -171,7 +166,7 @@
   const char *why = json_string_value(json_array_get(item, 1));
   WsMachine *machine = name != NULL ? ws_replica_find_machine(core->replica, name) : NULL;
   if (machine != NULL && why != NULL)
-    ws_termination_request_mark(core, machine, why, json_is_true(json_array_get(item, 2)));
+    core->handlers->request_termination(core, machine, why, json_is_true(json_array_get(item, 2)));
 }
 
 static void
@@ -185,7 +180,7 @@
       || !ws_owns_machine(core, ws_replica_machine(core->replica, assignment->machine)))
     return;
   assignment->is_stop_requested = TRUE;
-  ws_worker_rpc_halt(core, job, assignment);
+  core->handlers->halt_task(core, job, assignment);
 }
 
 static void
--- a/src/scheduling/ws-reservation.c
+++ b/src/scheduling/ws-reservation.c
@@ -30,9 +30,9 @@
 }
 
 gboolean
-ws_reservations_is_empty(const WsCore *core)
+ws_reservations_exist(const WsCore *core)
 {
-  return core->reservations->entries->len == 0;
+  return core->reservations->entries->len > 0;
 }
 
 void
--- a/src/scheduling/ws-scheduling.h
+++ b/src/scheduling/ws-scheduling.h
@@ -115,7 +115,7 @@
 WsReservations *ws_reservations_new(void);
 void ws_reservations_free(WsReservations *reservations);
 
-gboolean ws_reservations_is_empty(const WsCore *core);
+gboolean ws_reservations_exist(const WsCore *core);
 
 /** Forgets all of them: they count only in the epoch in which they were made. */
 void ws_reservations_clear(WsCore *core);
--- a/src/store/ws-store.c
+++ b/src/store/ws-store.c
@@ -1,7 +1,6 @@
 /* The state service: paced calls, the replica's watch, and reads that are known to be current. */
 #include "store/ws-store.h"
 
-#include "membership/ws-membership.h"
 #include "protocol/ws-field-names.h"
 
 #define WATCH_WAIT_MS 8000
@@ -377,11 +376,10 @@
 }
 
 static void
-set_rate_shares(WsCore *core)
+set_rate_shares(WsCore *core, gboolean leads)
 {
   WsStore *store = core->store;
   guint others = MAX(core->settings->nodes->len - 1, 1u);
-  gboolean leads = ws_is_leader(core);
   double reads_share = leads ? LEADER_READ_SHARE : (TOTAL_READ_SHARE - LEADER_READ_SHARE) / others;
   double write_rate_share = leads ? LEADER_WRITE_SHARE : FOLLOWERS_WRITE_SHARE / others;
   store->request_rate.per_second = core->settings->state_rps * reads_share;
@@ -471,10 +469,10 @@
 }
 
 void
-ws_store_tick(WsCore *core)
+ws_store_tick(WsCore *core, gboolean leads)
 {
   WsStore *store = core->store;
-  set_rate_shares(core);
+  set_rate_shares(core, leads);
   if (!store->is_loaded && !store->is_loading && !store->is_watching
       && core->now >= store->load_retry_ms)
     start_loading(core);
--- a/src/store/ws-store.h
+++ b/src/store/ws-store.h
@@ -32,7 +32,8 @@
 
 WsStore *ws_store_new(const WsSettings *settings);
 void ws_store_free(WsStore *store);
-void ws_store_tick(WsCore *core);
+/** Periodic work. @leads: whether this node leads, and needs most of the write budget. */
+void ws_store_tick(WsCore *core, gboolean leads);
 void ws_store_pump(WsCore *core);
 /* Ends what is queued and whoever waits for a read. Returns whether there was any. */
 gboolean ws_store_stop(WsCore *core);
--- a/src/store/ws-txn.c
+++ b/src/store/ws-txn.c
@@ -1,6 +1,6 @@
 #include "store/ws-store.h"
 
-#include "commit/ws-write-stats.h"
+#include "store/ws-write-stats.h"
 #include "protocol/ws-field-names.h"
 
 #include <string.h>
--- a/src/commit/ws-write-stats.c
+++ b/src/store/ws-write-stats.c
@@ -1,6 +1,4 @@
-#include "commit/ws-write-stats.h"
-#include "commit/ws-releases.h"
-#include "commit/ws-commit.h"
+#include "store/ws-write-stats.h"
 
 #define INTERVAL_MS 30000
 
@@ -43,6 +41,12 @@
   }
 }
 
+gboolean
+ws_write_stats_is_due(const WsCore *core)
+{
+  return core->now - core->write_stats->since_ms >= INTERVAL_MS;
+}
+
 static char *
 describe_counts(const WsWriteStats *stats)
 {
@@ -55,16 +59,13 @@
 }
 
 void
-ws_write_stats_tick(WsCore *core)
+ws_write_stats_log(WsCore *core, gint64 oldest_assignment_ms, gint64 oldest_release_ms)
 {
   WsWriteStats *stats = core->write_stats;
-  if (core->now - stats->since_ms < INTERVAL_MS)
-    return;
   g_autofree char *text = describe_counts(stats);
   if (*text != '\0')
     g_info("changes in %.0f s: %s; waiting: assignments for %.1f s, ends for %.1f s",
            (double)(core->now - stats->since_ms) / 1000.0, text,
-           (double)ws_assignments_oldest_age_ms(core) / 1000.0,
-           (double)ws_releases_oldest_age_ms(core) / 1000.0);
+           (double)oldest_assignment_ms / 1000.0, (double)oldest_release_ms / 1000.0);
   *stats = (WsWriteStats){ .since_ms = core->now };
 }
--- a/src/commit/ws-write-stats.h
+++ b/src/store/ws-write-stats.h
@@ -15,5 +15,12 @@
 /** Counts a change that was carried out. */
 void ws_write_stats_add(WsCore *core, const char *key);
 
-/** Writes the line when it is due, and begins to count anew. */
-void ws_write_stats_tick(WsCore *core);
+/** Whether the line is due. */
+gboolean ws_write_stats_is_due(const WsCore *core);
+
+/**
+ * Writes the line, and begins to count anew.
+ *
+ * @oldest_assignment_ms, @oldest_release_ms: for how long the oldest of each has waited
+ */
+void ws_write_stats_log(WsCore *core, gint64 oldest_assignment_ms, gint64 oldest_release_ms);
--- /dev/null
+++ b/src/workers/ws-launch.c
@@ -0,0 +1,57 @@
+/* What was assigned on this node's machines, by whoever wrote it, is launched at once. */
+#include "workers/ws-workers.h"
+
+typedef struct {
+  WsJobIndex job;
+  guint task;
+  WsMachineIndex machine;
+} Launch;
+
+static gint
+by_machine(gconstpointer a, gconstpointer b)
+{
+  const Launch *first = a, *second = b;
+  return first->machine < second->machine ? -1 : first->machine > second->machine;
+}
+
+static GArray *
+take_fresh(WsCore *core)
+{
+  GArray *fresh = core->replica->fresh;
+  GArray *launches = g_array_new(FALSE, FALSE, sizeof(Launch));
+  for (guint i = 0; i < fresh->len; i++) {
+    const WsTaskRef *ref = &g_array_index(fresh, WsTaskRef, i);
+    const WsJob *job = ws_replica_job(core->replica, ref->job);
+    const WsAssignment *assignment = job->spec != NULL ? ws_job_assignment(job, ref->task) : NULL;
+    if (assignment == NULL || assignment->state != WS_TASK_ASSIGNED
+        || !ws_owns_machine(core, ws_replica_machine(core->replica, assignment->machine)))
+      continue;
+    Launch launch = { ref->job, ref->task, assignment->machine };
+    g_array_append_val(launches, launch);
+  }
+  g_array_set_size(fresh, 0);
+  return launches;
+}
+
+void
+ws_workers_launch_assigned(WsCore *core)
+{
+  if (core->replica->fresh->len == 0)
+    return;
+  g_autoptr(GArray) launches = take_fresh(core);
+  g_array_sort(launches, by_machine);
+  guint i = 0;
+  while (i < launches->len) {
+    g_autoptr(GArray) tasks = g_array_new(FALSE, FALSE, sizeof(WsTaskRef));
+    WsMachine *machine
+        = ws_replica_machine(core->replica, g_array_index(launches, Launch, i).machine);
+    for (; i < launches->len && g_array_index(launches, Launch, i).machine == machine->index; i++) {
+      const Launch *launch = &g_array_index(launches, Launch, i);
+      WsTaskRef ref = { launch->job, launch->task };
+      g_array_append_val(tasks, ref);
+      g_info("task %s/%u goes to %s", ws_replica_job(core->replica, launch->job)->id, launch->task,
+             machine->name);
+    }
+    ws_worker_rpc_launch(core, machine, tasks);
+  }
+}
--- a/src/workers/ws-workers.h
+++ b/src/workers/ws-workers.h
@@ -15,17 +15,16 @@
 /* Returns FALSE for a message older than one that was seen before. */
 gboolean ws_workers_note_status(WsCore *core, WsMachine *machine, const WsHeartbeat *heartbeat);
 
-WsCancellations *ws_cancellations_new(const WsSettings *settings);
-void ws_cancellations_free(WsCancellations *cancellations);
-/* By the records or by a peer's word: the job's user was told that it is cancelled. */
-gboolean ws_cancellations_has(const WsCore *core, const WsJob *job);
-/* How many cancellations the node has neither told of nor acknowledged. */
-guint ws_cancellations_count_unacknowledged(const WsCore *core, WsNodeIndex node);
-void ws_cancellations_forget_acknowledgements(WsCore *core, WsNodeIndex node);
-void ws_cancellations_handle_message(WsCore *core, const json_t *message, gpointer request);
-/* Halts for what the report shows of cancelled jobs. */
-void ws_cancellations_add_halts(const WsCore *core, const WsHeartbeat *heartbeat, json_t *commands);
-void ws_cancellations_pump(WsCore *core);
+WsCancelledTasks *ws_cancelled_tasks_new(void);
+void ws_cancelled_tasks_free(WsCancelledTasks *cancelled_tasks);
+
+/** Adds halts for what the heartbeat shows of cancelled jobs: an answer that renews a lease has
+    them, whoever gives it. */
+void ws_cancelled_tasks_add_halts(const WsCore *core, const WsHeartbeat *heartbeat,
+                                  json_t *commands);
+
+/** Halts what is left of cancelled jobs, and has machines returned that don't confirm in time. */
+void ws_cancelled_tasks_enforce(WsCore *core);
 
 /**
  * Direct commands: calls to a worker's own address.
@@ -42,6 +41,15 @@
 /** Tells the worker our token, so that it drops the answers of whoever has an older one. */
 void ws_worker_rpc_raise_fencing_token(WsCore *core, WsMachine *machine);
 
+/** Passes a heartbeat on to the owner of its machine, and the owner's answer back. */
+void ws_relay_heartbeat(WsCore *core, WsNodeIndex owner, const char *heartbeat, gpointer request);
+
+/** Answers another node's request to pass a heartbeat on. */
+void ws_relay_handle(WsCore *core, const json_t *message, gpointer request);
+
+/** Launches what was newly assigned on this node's machines. */
+void ws_workers_launch_assigned(WsCore *core);
+
 /** Launches the tasks (of WsTaskRef) that are assigned to the machine. */
 void ws_worker_rpc_launch(WsCore *core, WsMachine *machine, GArray *tasks);
 
