--- a/src/membership/ws-election.c
+++ b/src/membership/ws-election.c
@@ -2,7 +2,7 @@
 #include "membership/ws-membership.h"
 
 #include "store/ws-store.h"
-#include "protocol/ws-field-names.h"
+#include "protocol/ws-kv.h"
 
 #define LEASE_MS 4000
 #define RENEW_MS 900
@@ -95,7 +95,7 @@
   election->asking = FALSE;
   election->asked_before = FALSE;
   election->next_ms = core->now + 200;
-  if (status == 200 && ws_json_count(body, W_LEASE, &election->lease))
+  if (status == 200 && ws_kv_lease_parse(body, &election->lease))
     election->next_ms = core->now;
 }
 
@@ -151,8 +151,8 @@
     return;
   election->asking = TRUE;
   if (election->lease == 0) {
-    ws_store_request(core, WS_REQUEST_LEASE, "POST", "/holds",
-                     json_pack("{s:i}", "ttl_ms", LEASE_MS), 0, 1000, on_lease, NULL);
+    ws_store_request(core, WS_REQUEST_LEASE, "POST", WS_KV_LEASES_PATH,
+                     ws_kv_lease_request_encode(LEASE_MS), 0, 1000, on_lease, NULL);
   } else if (!election->is_listed) {
     WsTxn *txn = ws_txn_new();
     g_autofree char *key
@@ -161,7 +161,7 @@
     ws_txn_put_leased(txn, key, identity(core, FALSE), election->lease);
     ws_txn_commit(core, txn, WS_REQUEST_LEASE, on_listed, NULL);
   } else {
-    g_autofree char *path = g_strdup_printf("/holds/%" G_GUINT64_FORMAT "/renew", election->lease);
+    g_autofree char *path = ws_kv_lease_renewal_path(election->lease);
     ws_store_request(core, WS_REQUEST_LEASE, "POST", path, NULL, 0, 800, on_renewed, NULL);
   }
 }
--- a/src/store/ws-store.c
+++ b/src/store/ws-store.c
@@ -1,10 +1,13 @@
 /* The state service: paced calls, the replica's watch, and reads that are known to be current. */
 #include "store/ws-store.h"
 
-#include "protocol/ws-field-names.h"
+#include "protocol/ws-kv.h"
 
 #define WATCH_WAIT_MS 8000
 #define READ_TIMEOUT_MS 1500
+#define LOAD_PAGE_SIZE 1000
+/* No key begins like this: a page of it has the store's revision and nothing else. */
+#define NO_KEYS_PREFIX WS_PREFIX "~"
 /* The budget of the state service is split unevenly, for the leader writes nearly everything:
    assignments and releases, machines, rentals, marks. What is left is for submissions, withdrawals,
    leases and letters, and seldom asked for: together the shares are more than the whole. Every node
@@ -226,7 +229,7 @@
   WsStore *store = core->store;
   guint64 revision;
   store->is_reading = FALSE;
-  if (status != 200 || !ws_json_count(body, W_REVISION, &revision)) {
+  if (status != 200 || !ws_kv_revision_parse(body, &revision)) {
     finish_reads(core, take_reads(&store->sent_reads), FALSE);
     return;
   }
@@ -253,8 +256,8 @@
   store->is_reading = TRUE;
   g_array_append_vals(store->sent_reads, store->unsent_reads->data, store->unsent_reads->len);
   g_array_set_size(store->unsent_reads, 0);
-  ws_store_request(core, WS_REQUEST_READ, "GET", "/kv?starts=" WS_PREFIX "~&page=1", NULL, 0, 800,
-                   on_read_revision, NULL);
+  g_autofree char *path = ws_kv_page_path(NO_KEYS_PREFIX, NULL, 1);
+  ws_store_request(core, WS_REQUEST_READ, "GET", path, NULL, 0, 800, on_read_revision, NULL);
 }
 
 /* The replica. */
@@ -287,42 +290,30 @@
 {
   (void)data;
   WsStore *store = core->store;
-  guint64 revision;
-  gboolean more;
-  size_t i;
-  const json_t *item;
-  const json_t *items = json_object_get(body, "pairs");
-  if (status != 200 || !ws_json_count(body, W_REVISION, &revision)
-      || !ws_json_bool(body, "more", &more) || !json_is_array(items)) {
+  g_autoptr(WsKvPage) page = status == 200 ? ws_kv_page_parse(body) : NULL;
+  if (page == NULL) {
     retry_load_later(core);
     return;
   }
   if (store->load_last == NULL)
-    store->load_revision = revision;
-  json_array_foreach(items, i, item)
-  {
-    const char *key;
-    guint64 version;
-    if (!ws_json_string(item, "k", &key) || !ws_json_count(item, W_VERSION, &version))
-      continue;
-    ws_replica_apply(core->replica, key, json_object_get(item, "value"), version);
-    g_hash_table_add(store->load_keys, g_strdup(key));
+    store->load_revision = page->revision;
+  for (guint i = 0; i < page->items->len; i++) {
+    const WsKvItem *item = &g_array_index(page->items, WsKvItem, i);
+    ws_replica_apply(core->replica, item->key, item->value, item->version);
+    g_hash_table_add(store->load_keys, g_strdup(item->key));
     g_free(store->load_last);
-    store->load_last = g_strdup(key);
+    store->load_last = g_strdup(item->key);
   }
-  if (more && json_array_size(items) > 0)
-    load_page(core);
-  else
+  if (page->is_last)
     finish_loading(core);
+  else
+    load_page(core);
 }
 
 static void
 load_page(WsCore *core)
 {
-  g_autofree char *path
-      = core->store->load_last == NULL
-            ? g_strdup("/kv?starts=" WS_PREFIX "&page=1000")
-            : g_strdup_printf("/kv?starts=" WS_PREFIX "&from=%s&page=1000", core->store->load_last);
+  g_autofree char *path = ws_kv_page_path(WS_PREFIX, core->store->load_last, LOAD_PAGE_SIZE);
   ws_store_request(core, WS_REQUEST_READ, "GET", path, NULL, 0, 3000, on_page, NULL);
 }
 
@@ -339,17 +330,14 @@
 }
 
 static void
-apply_event(WsCore *core, const json_t *event)
+apply_events(WsCore *core, const GArray *events)
 {
-  const char *key;
-  guint64 version;
-  if (!ws_json_count(event, W_VERSION, &version))
-    return;
-  if (ws_json_string(event, "set", &key))
-    ws_replica_apply(core->replica, key, json_object_get(event, "value"), version);
-  else if (ws_json_string(event, "remove", &key))
-    ws_replica_apply(core->replica, key, NULL, version);
-  core->replan_is_needed = TRUE;
+  for (guint i = 0; i < events->len; i++) {
+    const WsKvItem *event = &g_array_index(events, WsKvItem, i);
+    if (event->key != NULL)
+      ws_replica_apply(core->replica, event->key, event->value, event->version);
+    core->replan_is_needed = TRUE;
+  }
 }
 
 static void
@@ -357,21 +345,19 @@
 {
   (void)data;
   WsStore *store = core->store;
-  guint64 revision;
   store->is_watching = FALSE;
   if (status == 410) {
     g_info("the watch is too far behind: reading the state again");
     store->is_loaded = FALSE;
     return;
   }
-  if (status != 200 || !ws_json_count(body, W_REVISION, &revision)) {
+  g_autoptr(WsKvPage) page = status == 200 ? ws_kv_watch_parse(body) : NULL;
+  if (page == NULL) {
     store->watch_retry_ms = core->now + 300;
     return;
   }
-  size_t i;
-  const json_t *event;
-  json_array_foreach(json_object_get(body, "log"), i, event) apply_event(core, event);
-  ws_replica_advance(core->replica, revision);
+  apply_events(core, page->items);
+  ws_replica_advance(core->replica, page->revision);
   finish_reached_reads(core);
 }
 
@@ -400,9 +386,7 @@
     return;
   store->is_watching = TRUE;
   store->watch_opened_ms = core->now;
-  g_autofree char *path
-      = g_strdup_printf("/follow?starts=" WS_PREFIX "&from=%" G_GUINT64_FORMAT "&wait_ms=%d",
-                        core->replica->revision, WATCH_WAIT_MS);
+  g_autofree char *path = ws_kv_watch_path(WS_PREFIX, core->replica->revision, WATCH_WAIT_MS);
   ws_store_request(core, WS_REQUEST_READ, "GET", path, NULL, 0, WATCH_WAIT_MS + 2000, on_watch,
                    NULL);
 }
--- a/src/store/ws-txn.c
+++ b/src/store/ws-txn.c
@@ -1,13 +1,16 @@
+/* Transactions of the key-value store: conditions, operations, and what the answer means. */
 #include "store/ws-store.h"
 
 #include "store/ws-write-stats.h"
-#include "protocol/ws-field-names.h"
+#include "protocol/ws-kv.h"
 
 #include <string.h>
 
+#define TXN_TIMEOUT_MS 1500
+
 struct _WsTxn {
-  json_t *conditions;
-  json_t *changes;
+  GArray *conditions; /* of WsKvCondition */
+  GArray *operations; /* of WsKvOperation */
   WsTxnFunc done;
   gpointer data;
 };
@@ -16,24 +19,26 @@
 ws_txn_new(void)
 {
   WsTxn *txn = g_new0(WsTxn, 1);
-  txn->conditions = json_array();
-  txn->changes = json_array();
+  txn->conditions = g_array_new(FALSE, FALSE, sizeof(WsKvCondition));
+  g_array_set_clear_func(txn->conditions, (GDestroyNotify)ws_kv_condition_clear);
+  txn->operations = g_array_new(FALSE, FALSE, sizeof(WsKvOperation));
+  g_array_set_clear_func(txn->operations, (GDestroyNotify)ws_kv_operation_clear);
   return txn;
 }
 
 void
 ws_txn_free(WsTxn *txn)
 {
-  json_decref(txn->conditions);
-  json_decref(txn->changes);
+  g_array_unref(txn->conditions);
+  g_array_unref(txn->operations);
   g_free(txn);
 }
 
 void
 ws_txn_compare_version(WsTxn *txn, const char *key, guint64 version)
 {
-  json_array_append_new(txn->conditions,
-                        json_pack("{s:s, s:I}", "k", key, W_VERSION, (json_int_t)version));
+  WsKvCondition condition = { g_strdup(key), version };
+  g_array_append_val(txn->conditions, condition);
 }
 
 void
@@ -45,59 +50,63 @@
 void
 ws_txn_put(WsTxn *txn, const char *key, json_t *value)
 {
-  json_array_append_new(txn->changes, json_pack("{s:s, s:o}", "set", key, "value", value));
+  ws_txn_put_leased(txn, key, value, 0);
 }
 
 void
 ws_txn_put_leased(WsTxn *txn, const char *key, json_t *value, guint64 lease)
 {
-  json_array_append_new(txn->changes, json_pack("{s:s, s:o, s:I}", "set", key, "value", value,
-                                                W_LEASE, (json_int_t)lease));
+  WsKvOperation operation = { g_strdup(key), value, lease };
+  g_array_append_val(txn->operations, operation);
 }
 
 void
 ws_txn_delete(WsTxn *txn, const char *key)
 {
-  json_array_append_new(txn->changes, json_pack("{s:s}", "remove", key));
+  ws_txn_put_leased(txn, key, NULL, 0);
 }
 
 guint
 ws_txn_operation_count(const WsTxn *txn)
 {
-  return (guint)json_array_size(txn->changes);
+  return txn->operations->len;
 }
 
 static void
-apply_changes(WsCore *core, const WsTxn *txn, guint64 revision)
+apply_operations(WsCore *core, const WsTxn *txn, guint64 revision)
 {
-  size_t i;
-  const json_t *change;
-  json_array_foreach(txn->changes, i, change)
-  {
-    const char *key;
-    if (!ws_json_string(change, "set", &key) && !ws_json_string(change, "remove", &key))
-      continue;
-    ws_replica_apply(core->replica, key, json_object_get(change, "value"), revision);
-    ws_write_stats_add(core, key);
+  for (guint i = 0; i < txn->operations->len; i++) {
+    const WsKvOperation *operation = &g_array_index(txn->operations, WsKvOperation, i);
+    ws_replica_apply(core->replica, operation->key, operation->value, revision);
+    ws_write_stats_add(core, operation->key);
   }
 }
 
-/* Names what the state service refuses for its size: a fault of this program. */
+/* Names what the store rejects for its size: a fault of this program. */
 static void
 warn_of_size(const WsCore *core, const WsTxn *txn)
 {
-  size_t i;
-  const json_t *change;
   if (ws_txn_operation_count(txn) > core->settings->state_txn_ops)
     g_warning("a transaction has %u changes", ws_txn_operation_count(txn));
-  json_array_foreach(txn->changes, i, change)
-  {
-    const char *key;
-    g_autofree char *text = ws_json_text(json_object_get(change, "value"));
-    if (text != NULL && ws_json_string(change, "set", &key)
-        && strlen(text) > core->settings->state_record_bytes)
-      g_warning("the record %s has %zu bytes", key, strlen(text));
+  for (guint i = 0; i < txn->operations->len; i++) {
+    const WsKvOperation *operation = &g_array_index(txn->operations, WsKvOperation, i);
+    g_autofree char *text = ws_json_text(operation->value);
+    if (text != NULL && strlen(text) > core->settings->state_record_bytes)
+      g_warning("the record %s has %zu bytes", operation->key, strlen(text));
+  }
+}
+
+static WsTxnResult
+explain_rejection(const WsCore *core, const WsTxn *txn, const json_t *body)
+{
+  if (ws_kv_error_is_lease_ended(body)) {
+    g_info("a write came after its lease had ended");
+    return WS_TXN_UNAVAILABLE;
   }
+  const char *error = ws_kv_error_parse(body);
+  g_warning("the state service refused a transaction: %s", error != NULL ? error : "nothing said");
+  warn_of_size(core, txn);
+  return WS_TXN_INVALID;
 }
 
 static void
@@ -106,22 +115,15 @@
   WsTxn *txn = data;
   guint64 revision;
   WsTxnResult result = WS_TXN_INDETERMINATE;
-  if (status == 200 && ws_json_count(body, W_REVISION, &revision)) {
-    apply_changes(core, txn, revision);
+  if (status == 200 && ws_kv_revision_parse(body, &revision)) {
+    apply_operations(core, txn, revision);
     result = WS_TXN_COMMITTED;
   } else if (status == 409) {
     result = WS_TXN_CONFLICT;
-  } else if (status == 400 || status == 429 || status == 503) {
+  } else if (status == 429 || status == 503) {
     result = WS_TXN_UNAVAILABLE;
-    const char *error = "nothing said";
-    (void)ws_json_string(body, "error", &error);
-    if (status == 400 && strcmp(error, "no such lease") == 0)
-      g_info("a write came after its lease had ended");
-    else if (status == 400) {
-      result = WS_TXN_INVALID;
-      g_warning("the state service refused a transaction: %s", error);
-      warn_of_size(core, txn);
-    }
+  } else if (status == 400) {
+    result = explain_rejection(core, txn, body);
   }
   txn->done(core, result, txn->data);
   ws_txn_free(txn);
@@ -132,7 +134,7 @@
 {
   txn->done = done;
   txn->data = data;
-  json_t *message = json_pack("{s:O, s:O}", "if", txn->conditions, "apply", txn->changes);
-  ws_store_request(core, first, "POST", "/multi", message, ws_txn_operation_count(txn), 1500,
-                   on_reply, txn);
+  ws_store_request(core, first, "POST", WS_KV_TXN_PATH,
+                   ws_kv_txn_encode(txn->conditions, txn->operations), ws_txn_operation_count(txn),
+                   TXN_TIMEOUT_MS, on_reply, txn);
 }
