--- /dev/null
+++ b/src/store/ws-store-load.c
@@ -0,0 +1,92 @@
+/* The load of the replica: all keys, page by page. What changes meanwhile comes in by the watch,
+   which starts at the revision of the first page. */
+#include "store/ws-store-private.h"
+
+#include "protocol/ws-kv.h"
+
+#define PAGE_SIZE 1000
+#define PAGE_TIMEOUT_MS 3000
+#define RETRY_PAUSE_MS 300
+
+static void load_page(WsCore *core);
+
+void
+ws_store_load_clear(WsStoreLoad *load)
+{
+  g_clear_pointer(&load->keys, g_hash_table_unref);
+  g_clear_pointer(&load->last_key, g_free);
+}
+
+gboolean
+ws_store_is_loaded(const WsCore *core)
+{
+  return core->store->load.is_loaded;
+}
+
+static void
+finish_loading(WsCore *core)
+{
+  WsStoreLoad *load = &core->store->load;
+  ws_replica_forget_missing(core->replica, load->keys, load->revision);
+  ws_replica_advance(core->replica, load->revision);
+  load->is_loading = FALSE;
+  load->is_loaded = TRUE;
+  core->replica->is_loading = FALSE;
+  core->replan_is_needed = TRUE;
+  g_info("state read: revision %" G_GUINT64_FORMAT ", %u jobs open, %u machines", load->revision,
+         core->replica->active->len, core->replica->machines->len);
+}
+
+static void
+apply_page(WsCore *core, const WsKvPage *page)
+{
+  WsStoreLoad *load = &core->store->load;
+  if (load->last_key == NULL)
+    load->revision = page->revision;
+  for (guint i = 0; i < page->items->len; i++) {
+    const WsKvItem *item = &g_array_index(page->items, WsKvItem, i);
+    ws_replica_apply(core->replica, item->key, item->value, item->version);
+    g_hash_table_add(load->keys, g_strdup(item->key));
+    g_free(load->last_key);
+    load->last_key = g_strdup(item->key);
+  }
+}
+
+static void
+on_page(WsCore *core, guint status, const json_t *body, gpointer data)
+{
+  (void)data;
+  WsStoreLoad *load = &core->store->load;
+  g_autoptr(WsKvPage) page = status == 200 ? ws_kv_page_parse(body) : NULL;
+  if (page == NULL) {
+    load->is_loading = FALSE;
+    load->retry_ms = core->now + RETRY_PAUSE_MS;
+    return;
+  }
+  apply_page(core, page);
+  if (page->is_last)
+    finish_loading(core);
+  else
+    load_page(core);
+}
+
+static void
+load_page(WsCore *core)
+{
+  g_autofree char *path = ws_kv_page_path(WS_PREFIX, core->store->load.last_key, PAGE_SIZE);
+  ws_store_request(core, WS_REQUEST_READ, "GET", path, NULL, 0, PAGE_TIMEOUT_MS, on_page, NULL);
+}
+
+void
+ws_store_load_tick(WsCore *core)
+{
+  WsStoreLoad *load = &core->store->load;
+  if (load->is_loaded || load->is_loading || core->store->watch.is_open
+      || core->now < load->retry_ms)
+    return;
+  load->is_loading = TRUE;
+  core->replica->is_loading = TRUE;
+  ws_store_load_clear(load);
+  load->keys = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+  load_page(core);
+}
--- /dev/null
+++ b/src/store/ws-store-reads.c
@@ -0,0 +1,130 @@
+/* Linearizable reads of the replica: the store is asked for its revision, and a read ends once the
+   watch has brought the replica up to it. */
+#include "store/ws-store-private.h"
+
+#include "protocol/ws-kv.h"
+
+#define READ_TIMEOUT_MS 1500
+#define REVISION_TIMEOUT_MS 800
+/* No key begins like this: a page of it has the store's revision and nothing else. */
+#define NO_KEYS_PREFIX WS_PREFIX "~"
+
+typedef struct {
+  WsReadFunc done;
+  gpointer data;
+  gint64 requested_ms;
+  guint64 revision; /* that the replica must reach; 0: not known yet */
+} PendingRead;
+
+static GArray *
+pending_reads_new(void)
+{
+  return g_array_new(FALSE, FALSE, sizeof(PendingRead));
+}
+
+void
+ws_store_reads_init(WsStoreReads *reads)
+{
+  reads->unsent = pending_reads_new();
+  reads->sent = pending_reads_new();
+  reads->waiting = pending_reads_new();
+}
+
+void
+ws_store_reads_clear(WsStoreReads *reads)
+{
+  g_array_unref(reads->unsent);
+  g_array_unref(reads->sent);
+  g_array_unref(reads->waiting);
+}
+
+void
+ws_store_linearizable_read(WsCore *core, WsReadFunc done, gpointer data)
+{
+  PendingRead read = { done, data, core->now, 0 };
+  g_array_append_val(core->store->reads.unsent, read);
+}
+
+/* Takes the reads out of the list first: a callback may request another one. */
+static void
+finish_all(WsCore *core, GArray **reads, gboolean is_current)
+{
+  g_autoptr(GArray) finished = *reads;
+  *reads = pending_reads_new();
+  for (guint i = 0; i < finished->len; i++) {
+    const PendingRead *read = &g_array_index(finished, PendingRead, i);
+    read->done(core, is_current, read->data);
+  }
+}
+
+void
+ws_store_reads_finish(WsCore *core)
+{
+  GArray *reached = pending_reads_new();
+  GArray *late = pending_reads_new();
+  GArray *waiting = core->store->reads.waiting;
+  for (guint i = waiting->len; i-- > 0;) {
+    PendingRead read = g_array_index(waiting, PendingRead, i);
+    gboolean is_reached = read.revision <= core->replica->revision;
+    if (!is_reached && core->now - read.requested_ms <= READ_TIMEOUT_MS)
+      continue;
+    if (is_reached)
+      g_array_append_val(reached, read);
+    else
+      g_array_append_val(late, read);
+    g_array_remove_index(waiting, i);
+  }
+  finish_all(core, &reached, TRUE);
+  finish_all(core, &late, FALSE);
+  g_array_unref(reached);
+  g_array_unref(late);
+}
+
+static void
+on_revision(WsCore *core, guint status, const json_t *body, gpointer data)
+{
+  (void)data;
+  WsStoreReads *reads = &core->store->reads;
+  guint64 revision;
+  reads->is_reading = FALSE;
+  if (status != 200 || !ws_kv_revision_parse(body, &revision)) {
+    finish_all(core, &reads->sent, FALSE);
+    return;
+  }
+  for (guint i = 0; i < reads->sent->len; i++) {
+    PendingRead read = g_array_index(reads->sent, PendingRead, i);
+    read.revision = revision;
+    g_array_append_val(reads->waiting, read);
+  }
+  g_array_set_size(reads->sent, 0);
+  ws_store_reads_finish(core);
+}
+
+void
+ws_store_reads_send(WsCore *core)
+{
+  WsStoreReads *reads = &core->store->reads;
+  if (reads->unsent->len == 0 || reads->is_reading)
+    return;
+  if (!ws_store_is_loaded(core) || !ws_store_is_available(core)) {
+    finish_all(core, &reads->unsent, FALSE);
+    return;
+  }
+  reads->is_reading = TRUE;
+  g_array_append_vals(reads->sent, reads->unsent->data, reads->unsent->len);
+  g_array_set_size(reads->unsent, 0);
+  g_autofree char *path = ws_kv_page_path(NO_KEYS_PREFIX, NULL, 1);
+  ws_store_request(core, WS_REQUEST_READ, "GET", path, NULL, 0, REVISION_TIMEOUT_MS, on_revision,
+                   NULL);
+}
+
+gboolean
+ws_store_reads_stop(WsCore *core)
+{
+  WsStoreReads *reads = &core->store->reads;
+  gboolean any = reads->unsent->len + reads->sent->len + reads->waiting->len > 0;
+  finish_all(core, &reads->unsent, FALSE);
+  finish_all(core, &reads->sent, FALSE);
+  finish_all(core, &reads->waiting, FALSE);
+  return any;
+}
--- /dev/null
+++ b/src/store/ws-store-requests.c
@@ -0,0 +1,182 @@
+/* The request queue of the store's client: by priority class, paced by this node's share of the
+   store's budgets. */
+#include "store/ws-store-private.h"
+
+/* The store's budgets are split unevenly, for the leader writes nearly everything: assignments and
+   releases, machines, rentals, termination marks. What is left is for submissions, cancellations,
+   leases and mailboxes, and seldom used: together the write shares are more than the whole. All
+   followers have the same share. A request that is rejected for its rate is retried after a
+   pause. */
+#define LEADER_WRITE_SHARE 0.75
+#define FOLLOWERS_WRITE_SHARE 0.4
+#define LEADER_READ_SHARE 0.34
+#define TOTAL_READ_SHARE 0.95
+#define BURST_S 0.6
+#define MIN_WRITE_BURST 4.0
+#define RATE_LIMITED_PAUSE_MS 120
+#define MAX_RATE_LIMITED_TRIES 5
+/* Failures for so long mean that the store is unavailable. */
+#define UNAVAILABLE_AFTER_MS 700
+
+typedef struct {
+  const char *method;
+  char *path;
+  json_t *body;
+  guint write_count;
+  guint timeout_ms;
+  WsReplyFunc reply;
+  gpointer data;
+  WsRequestClass request_class;
+  guint tries;
+} StoreRequest;
+
+void
+ws_store_requests_init(WsStoreRequests *requests, const WsSettings *settings)
+{
+  ws_rate_init(&requests->request_rate, 1.0, settings->state_rps * BURST_S);
+  ws_rate_init(&requests->write_rate, 1.0, settings->state_write_rps * BURST_S);
+}
+
+static void
+store_request_free(gpointer data)
+{
+  StoreRequest *request = data;
+  g_free(request->path);
+  json_decref(request->body);
+  g_free(request);
+}
+
+void
+ws_store_requests_clear(WsStoreRequests *requests)
+{
+  for (guint i = 0; i < WS_REQUEST_CLASSES; i++)
+    g_queue_clear_full(&requests->queues[i], store_request_free);
+}
+
+gboolean
+ws_store_is_available(const WsCore *core)
+{
+  const WsStoreRequests *requests = &core->store->requests;
+  return requests->unavailable_since_ms == 0
+         || core->now - requests->unavailable_since_ms < UNAVAILABLE_AFTER_MS;
+}
+
+gint64
+ws_store_unavailable_since_ms(const WsCore *core)
+{
+  return core->store->requests.unavailable_since_ms;
+}
+
+gboolean
+ws_store_has_write_budget(WsCore *core, guint changes)
+{
+  return ws_rate_ready(&core->store->requests.write_rate, changes, core->now);
+}
+
+void
+ws_store_requests_set_shares(WsCore *core, gboolean leads)
+{
+  WsStoreRequests *requests = &core->store->requests;
+  guint others = MAX(core->settings->nodes->len - 1, 1u);
+  double read_share = leads ? LEADER_READ_SHARE : (TOTAL_READ_SHARE - LEADER_READ_SHARE) / others;
+  double write_share = leads ? LEADER_WRITE_SHARE : FOLLOWERS_WRITE_SHARE / others;
+  requests->request_rate.per_second = core->settings->state_rps * read_share;
+  requests->write_rate.per_second = core->settings->state_write_rps * write_share;
+  requests->write_rate.burst = MAX(requests->write_rate.per_second * BURST_S, MIN_WRITE_BURST);
+}
+
+void
+ws_store_request(WsCore *core, WsRequestClass request_class, const char *method, const char *path,
+                 json_t *body, guint write_count, guint timeout_ms, WsReplyFunc reply,
+                 gpointer data)
+{
+  StoreRequest *request = g_new0(StoreRequest, 1);
+  *request = (StoreRequest){ .method = method,
+                             .path = g_strdup(path),
+                             .body = body,
+                             .write_count = write_count,
+                             .timeout_ms = timeout_ms,
+                             .reply = reply,
+                             .data = data,
+                             .request_class = request_class };
+  g_queue_push_tail(&core->store->requests.queues[request_class], request);
+}
+
+static void
+note_availability(WsCore *core, guint status)
+{
+  WsStoreRequests *requests = &core->store->requests;
+  if (status == 200 || status == 404 || status == 409 || status == 410) {
+    requests->unavailable_since_ms = 0;
+  } else if (status != 429 && status != 400 && requests->unavailable_since_ms == 0) {
+    requests->unavailable_since_ms = core->now;
+  }
+}
+
+static void
+on_reply(WsCore *core, guint status, const json_t *body, gpointer data)
+{
+  StoreRequest *request = data;
+  WsStoreRequests *requests = &core->store->requests;
+  note_availability(core, status);
+  if (status == 429 && ++request->tries < MAX_RATE_LIMITED_TRIES) {
+    requests->rate_limited_until_ms = core->now + RATE_LIMITED_PAUSE_MS;
+    g_queue_push_head(&requests->queues[request->request_class], request);
+    return;
+  }
+  request->reply(core, status, body, request->data);
+  store_request_free(request);
+}
+
+static void
+send_request(WsCore *core, StoreRequest *request)
+{
+  ws_call(core, request->method, core->settings->state_addr, request->path,
+          json_incref(request->body), request->timeout_ms, on_reply, request);
+}
+
+/* Leases, reads and users' requests don't wait behind the debt of a large transaction of tasks. */
+static gboolean
+may_send(WsCore *core, WsRequestClass request_class, guint write_count)
+{
+  WsStoreRequests *requests = &core->store->requests;
+  if (!ws_rate_ready(&requests->request_rate, 1.0, core->now))
+    return FALSE;
+  gboolean has_write_budget
+      = request_class <= WS_REQUEST_USER
+            ? write_count == 0 || ws_rate_borrow(&requests->write_rate, write_count, core->now)
+            : ws_rate_take(&requests->write_rate, write_count, core->now);
+  return has_write_budget && ws_rate_take(&requests->request_rate, 1.0, core->now);
+}
+
+/* Strictly by class: a write that waits for its budget also holds back what is less urgent. */
+void
+ws_store_requests_send(WsCore *core)
+{
+  WsStoreRequests *requests = &core->store->requests;
+  if (core->now < requests->rate_limited_until_ms)
+    return;
+  for (guint i = 0; i < WS_REQUEST_CLASSES; i++) {
+    StoreRequest *request;
+    while ((request = g_queue_peek_head(&requests->queues[i])) != NULL) {
+      if (!may_send(core, (WsRequestClass)i, request->write_count))
+        return;
+      send_request(core, g_queue_pop_head(&requests->queues[i]));
+    }
+  }
+}
+
+gboolean
+ws_store_requests_stop(WsCore *core)
+{
+  gboolean any = FALSE;
+  for (guint i = 0; i < WS_REQUEST_CLASSES; i++) {
+    StoreRequest *request;
+    while ((request = g_queue_pop_head(&core->store->requests.queues[i])) != NULL) {
+      request->reply(core, 0, NULL, request->data);
+      store_request_free(request);
+      any = TRUE;
+    }
+  }
+  return any;
+}
--- /dev/null
+++ b/src/store/ws-store-watch.c
@@ -0,0 +1,65 @@
+/* The watch: a long poll for what changes after the replica's revision. */
+#include "store/ws-store-private.h"
+
+#include "protocol/ws-kv.h"
+
+#define WATCH_WAIT_MS 8000
+#define WATCH_TIMEOUT_MS (WATCH_WAIT_MS + 2000)
+#define RETRY_PAUSE_MS 300
+/* Changes gather while the watch is closed: it takes at most a third of the requests. */
+#define REQUESTS_PER_WATCH 3.0
+
+static void
+apply_events(WsCore *core, const GArray *events)
+{
+  for (guint i = 0; i < events->len; i++) {
+    const WsKvItem *event = &g_array_index(events, WsKvItem, i);
+    if (event->key != NULL)
+      ws_replica_apply(core->replica, event->key, event->value, event->version);
+    core->replan_is_needed = TRUE;
+  }
+}
+
+static void
+on_events(WsCore *core, guint status, const json_t *body, gpointer data)
+{
+  (void)data;
+  WsStore *store = core->store;
+  store->watch.is_open = FALSE;
+  if (status == 410) {
+    g_info("the watch is too far behind: reading the state again");
+    store->load.is_loaded = FALSE;
+    return;
+  }
+  g_autoptr(WsKvPage) page = status == 200 ? ws_kv_watch_parse(body) : NULL;
+  if (page == NULL) {
+    store->watch.retry_ms = core->now + RETRY_PAUSE_MS;
+    return;
+  }
+  apply_events(core, page->items);
+  ws_replica_advance(core->replica, page->revision);
+  ws_store_reads_finish(core);
+}
+
+/* A read that waits for the replica doesn't wait for the pause between two watches. */
+static gboolean
+is_due(const WsCore *core)
+{
+  const WsStoreWatch *watch = &core->store->watch;
+  double interval_ms = REQUESTS_PER_WATCH * 1000.0 / core->store->requests.request_rate.per_second;
+  return core->now >= watch->retry_ms
+         && (core->store->reads.waiting->len > 0
+             || core->now >= watch->opened_ms + (gint64)interval_ms);
+}
+
+void
+ws_store_watch_open(WsCore *core)
+{
+  WsStoreWatch *watch = &core->store->watch;
+  if (watch->is_open || !ws_store_is_loaded(core) || !is_due(core))
+    return;
+  watch->is_open = TRUE;
+  watch->opened_ms = core->now;
+  g_autofree char *path = ws_kv_watch_path(WS_PREFIX, core->replica->revision, WATCH_WAIT_MS);
+  ws_store_request(core, WS_REQUEST_READ, "GET", path, NULL, 0, WATCH_TIMEOUT_MS, on_events, NULL);
+}
