--- a/src/core/ws-core.c
+++ b/src/core/ws-core.c
@@ -9,7 +9,6 @@
 #include "api/ws-users.h"
 #include "commit/ws-releases.h"
 #include "commit/ws-legacy-releases.h"
-#include "store/ws-write-stats.h"
 
 #include <string.h>
 
--- a/src/store/ws-store-private.h
+++ b/src/store/ws-store-private.h
@@ -76,3 +76,6 @@
 
 /** Opens the watch, unless it's open or not due. */
 void ws_store_watch_open(WsCore *core);
+
+/** Counts a committed operation. */
+void ws_write_stats_add(WsCore *core, const char *key);
--- a/src/store/ws-store-requests.c
+++ b/src/store/ws-store-requests.c
@@ -68,9 +68,9 @@
 }
 
 gboolean
-ws_store_has_write_budget(WsCore *core, guint changes)
+ws_store_has_write_budget(WsCore *core, guint operations)
 {
-  return ws_rate_ready(&core->store->requests.write_rate, changes, core->now);
+  return ws_rate_ready(&core->store->requests.write_rate, operations, core->now);
 }
 
 void
--- a/src/store/ws-txn.c
+++ b/src/store/ws-txn.c
@@ -1,7 +1,6 @@
 /* Transactions of the key-value store: conditions, operations, and what the answer means. */
-#include "store/ws-store.h"
+#include "store/ws-store-private.h"
 
-#include "store/ws-write-stats.h"
 #include "protocol/ws-kv.h"
 
 #include <string.h>
@@ -130,11 +129,11 @@
 }
 
 void
-ws_txn_commit(WsCore *core, WsTxn *txn, WsRequestClass first, WsTxnFunc done, gpointer data)
+ws_txn_commit(WsCore *core, WsTxn *txn, WsRequestClass request_class, WsTxnFunc done, gpointer data)
 {
   txn->done = done;
   txn->data = data;
-  ws_store_request(core, first, "POST", WS_KV_TXN_PATH,
+  ws_store_request(core, request_class, "POST", WS_KV_TXN_PATH,
                    ws_kv_txn_encode(txn->conditions, txn->operations), ws_txn_operation_count(txn),
                    TXN_TIMEOUT_MS, on_reply, txn);
 }
--- a/src/store/ws-write-stats.c
+++ b/src/store/ws-write-stats.c
@@ -1,4 +1,7 @@
-#include "store/ws-write-stats.h"
+/* Statistics of committed operations, by purpose.
+
+   Where the store takes few operations a second, they decide how fast tasks begin and end. */
+#include "store/ws-store-private.h"
 
 #define INTERVAL_MS 30000
 
