--- a/src/commit/ws-assignments.c
+++ b/src/commit/ws-assignments.c
@@ -263,7 +263,7 @@
       || !ws_has_caught_up_with_epoch(core) || !ws_assignments_have_backlog(core)
       || !ws_store_has_write_budget(core, MIN_TXN_BUDGET))
     return;
-  WsBatch *batch = ws_batch_new(core);
+  g_autoptr(WsBatch) batch = ws_batch_new(core);
   g_array_set_size(assignments->ending, 0);
   g_array_set_size(assignments->jobs, 0);
   if (ws_job_quarantine_is_isolating(assignments->refused, core->now))
@@ -281,11 +281,10 @@
   batch_proposals(core, batch, FALSE);
   if (!ws_batch_is_empty(batch)) {
     assignments->busy = TRUE;
-    ws_batch_add_jobs(batch, assignments->jobs);
+    ws_batch_collect_jobs(batch, assignments->jobs);
     ws_txn_commit(core, ws_batch_build_txn(batch, assignments->ending), WS_REQUEST_TASK, on_written,
                   NULL);
   }
-  ws_batch_free(batch);
 }
 
 void
--- a/src/commit/ws-batch.c
+++ b/src/commit/ws-batch.c
@@ -1,51 +1,31 @@
-/* Which releases and assignments a transaction takes, and what it writes.
-
-   A team's use and its tasks' records change in one transaction, whose conditions are the epoch,
-   the jobs, and the marks of the machines: one that is being given back gets nothing new. */
+/* Which releases and assignments a batch takes, and how they change the records. */
 #include "commit/ws-batch.h"
-#include "commit/ws-commit.h"
 
-#include "store/ws-store.h"
-#include "storage/ws-team-use.h"
+#include "commit/ws-batch-private.h"
+#include "commit/ws-job-completion.h"
 #include "storage/ws-gang-phase.h"
-#include "storage/ws-constraints.h"
+#include "storage/ws-team-use.h"
 
-/* The state service takes 64 KiB; the rest is for the job's own records and for conditions. */
+/* The store takes 64 KiB; the rest is for the job's own records and for conditions. */
 #define MAX_TXN_BYTES 40000
 #define BYTES_PER_TEAM 64
 #define BYTES_PER_TASK 60
 #define BYTES_PER_CHUNK 400
 #define CONDITIONS_PER_OPERATION 4
 
-/* A chunk as the transaction leaves it. */
+/* What a change adds to the transaction. */
 typedef struct {
-  WsJobIndex job;
-  guint index;
-  WsChunk *chunk;
-} Work;
-
-struct _WsBatch {
-  WsCore *core;
-  GPtrArray *works;          /* of Work */
-  WsResources *use;          /* of each team, as the transaction leaves it */
-  gboolean *touched;         /* by record of teams' use */
-  GHashTable *room;          /* machine index -> WsResources taken by this batch */
-  GHashTable *joined;        /* index of each machine that gets a task */
-  GPtrArray *rental_batches; /* of interned names: the rental batches that name them, each once, in
-                                the order in which their machines got tasks */
-  gboolean is_of_one_job;
-  guint max_operations;
-  guint ops;
+  gint operations; /* fewer, where a final record replaces those of the chunks */
   guint conditions;
   guint bytes;
-};
+} Cost;
 
 static void
-work_free(gpointer data)
+chunk_edit_free(gpointer data)
 {
-  Work *work = data;
-  ws_chunk_free(work->chunk);
-  g_free(work);
+  WsChunkEdit *edit = data;
+  ws_chunk_free(edit->chunk);
+  g_free(edit);
 }
 
 WsBatch *
@@ -54,17 +34,29 @@
   guint teams = core->settings->teams->len;
   WsBatch *batch = g_new0(WsBatch, 1);
   batch->core = core;
-  batch->works = g_ptr_array_new_with_free_func(work_free);
-  batch->use = g_memdup2(core->replica->team_use, sizeof(WsResources) * MAX(teams, 1u));
-  batch->touched = g_new0(gboolean, ws_team_use_groups(core->settings));
-  batch->room = g_hash_table_new_full(NULL, NULL, NULL, g_free);
-  batch->joined = g_hash_table_new(NULL, NULL);
+  batch->edits = g_ptr_array_new_with_free_func(chunk_edit_free);
+  batch->team_use = g_memdup2(core->replica->team_use, sizeof(WsResources) * MAX(teams, 1u));
+  batch->is_team_use_edited = g_new0(gboolean, ws_team_use_groups(core->settings));
+  batch->machine_use = g_hash_table_new_full(NULL, NULL, NULL, g_free);
+  batch->machines = g_hash_table_new(NULL, NULL);
   batch->rental_batches = g_ptr_array_new();
   batch->max_operations = core->settings->state_txn_ops;
   batch->conditions = 1; /* the epoch */
   return batch;
 }
 
+void
+ws_batch_free(WsBatch *batch)
+{
+  g_ptr_array_unref(batch->edits);
+  g_free(batch->team_use);
+  g_free(batch->is_team_use_edited);
+  g_hash_table_unref(batch->machine_use);
+  g_hash_table_unref(batch->machines);
+  g_ptr_array_unref(batch->rental_batches);
+  g_free(batch);
+}
+
 void
 ws_batch_set_max_operations(WsBatch *batch, guint max_operations)
 {
@@ -78,169 +70,199 @@
 }
 
 void
-ws_batch_add_jobs(const WsBatch *batch, GArray *jobs)
+ws_batch_collect_jobs(const WsBatch *batch, GArray *jobs)
 {
-  for (guint i = 0; i < batch->works->len; i++) {
-    const Work *work = g_ptr_array_index(batch->works, i);
+  for (guint i = 0; i < batch->edits->len; i++) {
+    const WsChunkEdit *edit = g_ptr_array_index(batch->edits, i);
     gboolean is_known = FALSE;
     for (guint k = 0; k < jobs->len; k++)
-      is_known = is_known || g_array_index(jobs, guint, k) == work->job;
+      is_known = is_known || g_array_index(jobs, guint, k) == edit->job;
     if (!is_known)
-      g_array_append_val(jobs, work->job);
+      g_array_append_val(jobs, edit->job);
   }
 }
 
-void
-ws_batch_free(WsBatch *batch)
-{
-  g_ptr_array_unref(batch->works);
-  g_free(batch->use);
-  g_free(batch->touched);
-  g_hash_table_unref(batch->room);
-  g_hash_table_unref(batch->joined);
-  g_ptr_array_unref(batch->rental_batches);
-  g_free(batch);
-}
-
 gboolean
 ws_batch_is_empty(const WsBatch *batch)
 {
-  return batch->works->len == 0;
+  return batch->edits->len == 0;
 }
 
-static Work *
-find_work(const WsBatch *batch, WsJobIndex job, guint index)
+WsChunkEdit *
+ws_batch_find_edit(const WsBatch *batch, WsJobIndex job, guint index)
 {
-  for (guint i = 0; i < batch->works->len; i++) {
-    Work *work = g_ptr_array_index(batch->works, i);
-    if (work->job == job && work->index == index)
-      return work;
+  for (guint i = 0; i < batch->edits->len; i++) {
+    WsChunkEdit *edit = g_ptr_array_index(batch->edits, i);
+    if (edit->job == job && edit->index == index)
+      return edit;
   }
   return NULL;
 }
 
-static const WsChunk *
-chunk_after(const WsBatch *batch, const WsJob *job, guint index)
+const WsChunk *
+ws_batch_chunk(const WsBatch *batch, const WsJob *job, guint index)
 {
-  const Work *work = find_work(batch, job->index, index);
-  return work != NULL ? work->chunk : ws_job_chunk(job, index * WS_CHUNK_TASKS);
+  const WsChunkEdit *edit = ws_batch_find_edit(batch, job->index, index);
+  return edit != NULL ? edit->chunk : ws_job_chunk(job, index * WS_CHUNK_TASKS);
 }
 
-/* What is done and what is on machines, as the batch leaves it. */
-static guint
-count_after(const WsBatch *batch, const WsJob *job, guint *on)
+WsBatchJobCounts
+ws_batch_count_tasks(const WsBatch *batch, const WsJob *job)
 {
-  guint done = 0;
-  *on = 0;
+  WsBatchJobCounts counts = { 0 };
   for (guint c = 0; c < ws_job_chunk_count(job); c++) {
-    const WsChunk *chunk = chunk_after(batch, job, c);
+    const WsChunk *chunk = ws_batch_chunk(batch, job, c);
     if (chunk == NULL)
       continue;
-    done += chunk->completed_count;
-    *on += chunk->assignments->len;
+    counts.completed_count += chunk->completed_count;
+    counts.assigned_count += chunk->assignments->len;
   }
-  return done;
+  return counts;
 }
 
-static gboolean
-all_chunks_matter(const WsJob *job)
+gboolean
+ws_batch_depends_on_all_chunks(const WsJob *job)
 {
   return job->spec->one_zone || job->spec->spread;
 }
 
+WsResources *
+ws_batch_machine_use(WsBatch *batch, WsMachineIndex machine)
+{
+  WsResources *use = g_hash_table_lookup(batch->machine_use, GUINT_TO_POINTER(machine));
+  if (use == NULL) {
+    use = g_new0(WsResources, 1);
+    g_hash_table_insert(batch->machine_use, GUINT_TO_POINTER(machine), use);
+  }
+  return use;
+}
+
+/* Limits. */
+
 static guint
-count_works(const WsBatch *batch, const WsJob *job)
+count_edits(const WsBatch *batch, const WsJob *job)
 {
   guint count = 0;
-  for (guint i = 0; i < batch->works->len; i++)
-    count += ((const Work *)g_ptr_array_index(batch->works, i))->job == job->index ? 1 : 0;
+  for (guint i = 0; i < batch->edits->len; i++)
+    if (((const WsChunkEdit *)g_ptr_array_index(batch->edits, i))->job == job->index)
+      count++;
   return count;
 }
 
-/* Takes room in the transaction for one more change of the task's chunk, or says that there is
-   none. A job that this change ends has its own record written, and none of its chunks. */
-static gboolean
-reserve(WsBatch *batch, const WsJob *job, guint task, const WsMachine *joins, gboolean ends)
+static Cost
+team_use_cost(const WsBatch *batch, const WsJob *job)
 {
   const WsSettings *settings = batch->core->settings;
-  guint index = task / WS_CHUNK_TASKS;
-  gboolean is_new_record = !batch->touched[ws_team_use_group(settings, job->team)];
-  gint ops = is_new_record ? 1 : 0;
-  if (batch->is_of_one_job && batch->works->len > count_works(batch, job))
+  if (batch->is_team_use_edited[ws_team_use_group(settings, job->team)])
+    return (Cost){ 0 };
+  return (Cost){ .operations = 1, .conditions = 1, .bytes = BYTES_PER_TEAM * settings->teams->len };
+}
+
+static Cost
+chunk_cost(const WsBatch *batch, const WsJob *job, guint task)
+{
+  if (ws_batch_find_edit(batch, job->index, task / WS_CHUNK_TASKS) != NULL)
+    return (Cost){ 0 };
+  const WsChunk *chunk = ws_job_chunk(job, task);
+  guint chunk_conditions = ws_batch_depends_on_all_chunks(job) ? ws_job_chunk_count(job) : 1;
+  guint assigned_count = chunk != NULL ? chunk->assignments->len : 0;
+  return (Cost){ .operations = 1,
+                 .conditions = 1 + chunk_conditions,
+                 .bytes = BYTES_PER_CHUNK + BYTES_PER_TASK * assigned_count };
+}
+
+static guint
+machine_conditions(const WsBatch *batch, const WsMachine *machine)
+{
+  guint count = 0;
+  if (!g_hash_table_contains(batch->machines, GUINT_TO_POINTER(machine->index)))
+    count++;
+  if (!g_ptr_array_find(batch->rental_batches, machine->rental_batch, NULL))
+    count++;
+  return count;
+}
+
+/* A job that the change ends has its own record written, and none of its chunks. */
+static Cost
+change_cost(const WsBatch *batch, const WsJob *job, guint task, const WsMachine *machine,
+            gboolean ends_job)
+{
+  Cost team_use = team_use_cost(batch, job);
+  Cost chunk = chunk_cost(batch, job, task);
+  gint job_operations = ends_job ? 1 - (gint)count_edits(batch, job) : chunk.operations;
+  return (Cost){ .operations = team_use.operations + job_operations,
+                 .conditions = team_use.conditions + chunk.conditions
+                               + (machine != NULL ? machine_conditions(batch, machine) : 0),
+                 .bytes = BYTES_PER_TASK + team_use.bytes + chunk.bytes };
+}
+
+/**
+ * Takes what one more change of the task's chunk costs from the limits. FALSE: they don't allow it.
+ *
+ * @machine: that gets the task; NULL: the change is a release
+ * @ends_job: whether the job ends with it
+ */
+static gboolean
+reserve(WsBatch *batch, const WsJob *job, guint task, const WsMachine *machine, gboolean ends_job)
+{
+  Cost cost = change_cost(batch, job, task, machine, ends_job);
+  if (batch->is_of_one_job && batch->edits->len > count_edits(batch, job))
     return FALSE;
-  guint conditions = is_new_record ? 1 : 0;
-  guint bytes = BYTES_PER_TASK + (is_new_record ? BYTES_PER_TEAM * settings->teams->len : 0);
-  if (find_work(batch, job->index, index) == NULL) {
-    const WsChunk *chunk = ws_job_chunk(job, task);
-    ops += ends ? 0 : 1;
-    conditions += 1 + (all_chunks_matter(job) ? ws_job_chunk_count(job) : 1);
-    bytes += BYTES_PER_CHUNK + BYTES_PER_TASK * (chunk != NULL ? chunk->assignments->len : 0);
-  }
-  if (joins != NULL && !g_hash_table_contains(batch->joined, GUINT_TO_POINTER(joins->index)))
-    conditions++;
-  if (joins != NULL && !g_ptr_array_find(batch->rental_batches, joins->rental_batch, NULL))
-    conditions++;
-  if (ends)
-    ops += 1 - (gint)count_works(batch, job);
-  if ((gint)batch->ops + ops > (gint)batch->max_operations
-      || batch->conditions + conditions > CONDITIONS_PER_OPERATION * settings->state_txn_ops
-      || batch->bytes + bytes > MAX_TXN_BYTES)
+  gint operations = (gint)batch->operations + cost.operations;
+  guint conditions = batch->conditions + cost.conditions;
+  guint bytes = batch->bytes + cost.bytes;
+  if (operations > (gint)batch->max_operations
+      || conditions > CONDITIONS_PER_OPERATION * batch->core->settings->state_txn_ops
+      || bytes > MAX_TXN_BYTES)
     return FALSE;
-  batch->ops = (guint)((gint)batch->ops + ops);
-  batch->conditions += conditions;
-  batch->bytes += bytes;
+  batch->operations = (guint)operations;
+  batch->conditions = conditions;
+  batch->bytes = bytes;
   return TRUE;
 }
 
+/* Changes. */
+
 static WsChunk *
-open_chunk(WsBatch *batch, const WsJob *job, guint task)
+edit_chunk(WsBatch *batch, const WsJob *job, guint task)
 {
   guint index = task / WS_CHUNK_TASKS;
-  Work *work = find_work(batch, job->index, index);
-  if (work == NULL) {
-    work = g_new0(Work, 1);
-    *work = (Work){ job->index, index, ws_chunk_copy(ws_job_chunk(job, task)) };
-    g_ptr_array_add(batch->works, work);
+  WsChunkEdit *edit = ws_batch_find_edit(batch, job->index, index);
+  if (edit == NULL) {
+    edit = g_new0(WsChunkEdit, 1);
+    *edit = (WsChunkEdit){ job->index, index, ws_chunk_copy(ws_job_chunk(job, task)) };
+    g_ptr_array_add(batch->edits, edit);
   }
-  return work->chunk;
+  return edit->chunk;
 }
 
+/* @tasks: how many more of the job's tasks are on the machine; negative: fewer */
 static void
-use_team(WsBatch *batch, const WsJob *job, gint64 times)
-{
-  batch->touched[ws_team_use_group(batch->core->settings, job->team)] = TRUE;
-  ws_resources_add(&batch->use[job->team], &job->spec->need, times);
-}
-
-static WsResources *
-taken(WsBatch *batch, WsMachineIndex machine)
+add_use(WsBatch *batch, const WsJob *job, WsMachineIndex machine, gint64 tasks)
 {
-  WsResources *amount = g_hash_table_lookup(batch->room, GUINT_TO_POINTER(machine));
-  if (amount == NULL) {
-    amount = g_new0(WsResources, 1);
-    g_hash_table_insert(batch->room, GUINT_TO_POINTER(machine), amount);
-  }
-  return amount;
+  ws_resources_add(ws_batch_machine_use(batch, machine), &job->spec->need, tasks);
+  batch->is_team_use_edited[ws_team_use_group(batch->core->settings, job->team)] = TRUE;
+  ws_resources_add(&batch->team_use[job->team], &job->spec->need, tasks);
 }
 
-/* Whether the release leaves the job with nothing to do. */
+/* Whether the release of one of the job's assigned tasks ends the job. */
 static gboolean
 ends_job(const WsBatch *batch, const WsJob *job, gboolean done)
 {
-  guint on;
-  guint done_after = count_after(batch, job, &on) + (done ? 1 : 0);
-  if (ws_job_is_gang(job) && done && job->state == WS_JOB_ACTIVE)
-    return TRUE; /* a gang's tasks are done together */
-  return job->state == WS_JOB_ACTIVE ? done_after == job->tasks : on == 1;
+  WsBatchJobCounts counts = ws_batch_count_tasks(batch, job);
+  WsJobProgress progress = { .completed_count = (gint64)counts.completed_count + (done ? 1 : 0),
+                             .assigned_count = (gint64)counts.assigned_count - 1,
+                             .has_completed = done };
+  return ws_job_is_complete_after(job, &progress);
 }
 
-/* The last attempt of the job as the batch leaves it. */
+/* The highest attempt of the job as the batch leaves it. */
 static guint64
 last_attempt(const WsBatch *batch, const WsJob *job)
 {
   guint64 last = 0;
   for (guint c = 0; c < ws_job_chunk_count(job); c++) {
-    const WsChunk *chunk = chunk_after(batch, job, c);
+    const WsChunk *chunk = ws_batch_chunk(batch, job, c);
     last = MAX(last, chunk != NULL ? chunk->last_attempt : 0);
   }
   return last;
@@ -249,9 +271,8 @@
 static void
 release_task(WsBatch *batch, const WsJob *job, WsChunk *chunk, guint task, WsMachineIndex machine)
 {
-  ws_resources_add(taken(batch, machine), &job->spec->need, -1);
   ws_chunk_remove(chunk, task);
-  use_team(batch, job, -1);
+  add_use(batch, job, machine, -1);
 }
 
 /* The tasks of a gang complete together: when one is done, all are. */
@@ -259,7 +280,7 @@
 finish_gang(WsBatch *batch, const WsJob *job)
 {
   for (guint task = 0; task < job->tasks; task++) {
-    WsChunk *chunk = open_chunk(batch, job, task);
+    WsChunk *chunk = edit_chunk(batch, job, task);
     const WsAssignment *assignment = ws_chunk_find(chunk, task);
     if (assignment != NULL)
       release_task(batch, job, chunk, task, assignment->machine);
@@ -280,10 +301,11 @@
 {
   const WsJob *job = ws_replica_job(batch->core->replica, release->job);
   if (!ws_release_holds(batch->core->replica, release))
-    return WS_BATCH_REJECTED; /* written already, somebody else's by now, or its evidence is over */
+    return WS_BATCH_REJECTED; /* written already, of another attempt, or its evidence is void */
   const WsAssignment *assignment = ws_job_assignment(job, release->task);
-  if (ws_chunk_find(chunk_after(batch, job, release->task / WS_CHUNK_TASKS), release->task) == NULL)
-    return WS_BATCH_ADDED; /* by this very transaction: its use is given back once */
+  if (ws_chunk_find(ws_batch_chunk(batch, job, release->task / WS_CHUNK_TASKS), release->task)
+      == NULL)
+    return WS_BATCH_ADDED; /* by this very batch: its use is subtracted once */
   if (!reserve(batch, job, release->task, NULL, ends_job(batch, job, release->done)))
     return WS_BATCH_FULL;
   log_release(batch->core, release);
@@ -291,7 +313,7 @@
     finish_gang(batch, job);
     return WS_BATCH_ADDED;
   }
-  WsChunk *chunk = open_chunk(batch, job, release->task);
+  WsChunk *chunk = edit_chunk(batch, job, release->task);
   release_task(batch, job, chunk, release->task, assignment->machine);
   if (ws_job_is_gang(job))
     chunk->last_attempt = last_attempt(batch, job) + 1;
@@ -300,104 +322,21 @@
   return WS_BATCH_ADDED;
 }
 
-/* Picks. */
-
-static void
-count_zones(const WsBatch *batch, const WsJob *job, guint *counts)
-{
-  const WsReplica *replica = batch->core->replica;
-  for (guint c = 0; c < ws_job_chunk_count(job); c++) {
-    const WsChunk *chunk = chunk_after(batch, job, c);
-    for (guint i = 0; chunk != NULL && i < chunk->assignments->len; i++) {
-      const WsAssignment *assignment = &g_array_index(chunk->assignments, WsAssignment, i);
-      WsZoneIndex zone = ws_replica_machine(replica, assignment->machine)->zone;
-      if (zone != WS_NO_ZONE)
-        counts[zone]++;
-    }
-  }
-}
-
-static gboolean
-machine_has_room(WsBatch *batch, const WsMachine *machine, const WsJob *job)
-{
-  WsResources room = ws_replica_type(batch->core->replica, machine->type)->capacity;
-  ws_resources_add(&room, &machine->used, -1);
-  ws_resources_add(&room, taken(batch, machine->index), -1);
-  return ws_resources_fit(&job->spec->need, &room);
-}
-
-/* What was freed for a more urgent job isn't given away. */
-static gboolean
-leaves_reserved(WsBatch *batch, const WsMachine *machine, const WsJob *job)
-{
-  if (!batch->core->handlers->has_reservations(batch->core))
-    return TRUE;
-  WsResources left = ws_replica_type(batch->core->replica, machine->type)->capacity;
-  WsResources use = batch->use[job->team];
-  ws_resources_add(&left, &machine->used, -1);
-  ws_resources_add(&left, taken(batch, machine->index), -1);
-  ws_resources_add(&left, &job->spec->need, -1);
-  ws_resources_add(&use, &job->spec->need, 1);
-  guint tasks_on;
-  (void)count_after(batch, job, &tasks_on);
-  return batch->core->handlers->allows_assignment(batch->core, job, tasks_on + 1, machine->index,
-                                                  &left, &use);
-}
-
-static gboolean
-zone_has_room(const WsBatch *batch, const WsJob *job, WsZoneIndex zone)
-{
-  guint zones = batch->core->settings->zones->len;
-  if (!all_chunks_matter(job))
-    return TRUE;
-  g_autofree guint *counts = g_new0(guint, zones);
-  count_zones(batch, job, counts);
-  return ws_constraints_allow_zone(job, counts, zones, zone);
-}
-
-/* Whether the record of the task's chunk takes one more assignment. */
-static gboolean
-record_has_place(const WsBatch *batch, const WsJob *job, guint task)
-{
-  return ws_chunk_free_places(chunk_after(batch, job, task / WS_CHUNK_TASKS), batch->core->replica)
-         > 0;
-}
-
-static gboolean
-still_wanted(WsBatch *batch, const WsJob *job, const WsProposal *proposal)
-{
-  const WsMachine *machine = ws_replica_machine(batch->core->replica, proposal->machine);
-  return job->state == WS_JOB_ACTIVE && job->spec != NULL && job->team != WS_NO_TEAM
-         && proposal->task < job->tasks
-         && !ws_job_task_done(job, proposal->task)
-         /* not even in this very transaction: two nodes may ask for the same task */
-         && ws_chunk_find(chunk_after(batch, job, proposal->task / WS_CHUNK_TASKS), proposal->task)
-                == NULL
-         && ws_job_assignment(job, proposal->task) == NULL && !ws_gang_is_ending(job)
-         && record_has_place(batch, job, proposal->task) && machine->is_recorded
-         && !machine->is_marked && !machine->fleet.mark_is_pending
-         && ws_constraints_allow_machine(batch->core->replica, job->spec, job->zone, machine)
-         && machine_has_room(batch, machine, job)
-         && ws_team_has_room(batch->core->settings, job->team, &batch->use[job->team],
-                             &job->spec->need)
-         && zone_has_room(batch, job, machine->zone) && leaves_reserved(batch, machine, job);
-}
-
-/* A gang's tasks share their attempt: that of the tasks which have machines already, or else a new
+/* A gang's tasks share their attempt: that of the tasks which are assigned already, or else a new
    one. */
 static guint64
 next_attempt(const WsBatch *batch, const WsJob *job, const WsChunk *chunk)
 {
-  guint on;
   if (!ws_job_is_gang(job))
     return chunk->last_attempt + 1;
-  (void)count_after(batch, job, &on);
-  return last_attempt(batch, job) + (on == 0 ? 1 : 0);
+  gboolean is_new = ws_batch_count_tasks(batch, job).assigned_count == 0;
+  return last_attempt(batch, job) + (is_new ? 1 : 0);
 }
 
 static void
-add_rental_batch(WsBatch *batch, const WsMachine *machine)
+add_machine(WsBatch *batch, const WsMachine *machine)
 {
+  g_hash_table_add(batch->machines, GUINT_TO_POINTER(machine->index));
   if (!g_ptr_array_find(batch->rental_batches, machine->rental_batch, NULL))
     g_ptr_array_add(batch->rental_batches, (gpointer)machine->rental_batch);
 }
@@ -405,117 +344,22 @@
 WsBatchResult
 ws_batch_assign(WsBatch *batch, const WsProposal *proposal)
 {
-  const WsJob *job = ws_replica_job(batch->core->replica, proposal->job);
-  if (!still_wanted(batch, job, proposal))
+  WsCore *core = batch->core;
+  const WsJob *job = ws_replica_job(core->replica, proposal->job);
+  const WsMachine *machine = ws_replica_machine(core->replica, proposal->machine);
+  if (!ws_batch_allows(batch, proposal))
     return WS_BATCH_REJECTED;
-  if (!reserve(batch, job, proposal->task,
-               ws_replica_machine(batch->core->replica, proposal->machine), FALSE))
+  if (!reserve(batch, job, proposal->task, machine, FALSE))
     return WS_BATCH_FULL;
-  WsChunk *chunk = open_chunk(batch, job, proposal->task);
-  WsAssignment assignment = { .task = proposal->task, .machine = proposal->machine };
-  assignment.attempt = next_attempt(batch, job, chunk);
+  WsChunk *chunk = edit_chunk(batch, job, proposal->task);
+  WsAssignment assignment = { .task = proposal->task,
+                              .machine = proposal->machine,
+                              .attempt = next_attempt(batch, job, chunk),
+                              .assigned_ms = core->wall };
   chunk->last_attempt = assignment.attempt;
-  assignment.assigned_ms = batch->core->wall;
   ws_chunk_add(chunk, &assignment);
-  ws_resources_add(taken(batch, proposal->machine), &job->spec->need, 1);
-  g_hash_table_add(batch->joined, GUINT_TO_POINTER(proposal->machine));
-  add_rental_batch(batch, ws_replica_machine(batch->core->replica, proposal->machine));
-  use_team(batch, job, 1);
-  batch->core->handlers->note_assignment(batch->core, job, proposal->machine);
+  add_use(batch, job, proposal->machine, 1);
+  add_machine(batch, machine);
+  core->handlers->note_assignment(core, job, proposal->machine);
   return WS_BATCH_ADDED;
 }
-
-/* Writing it down. */
-
-/* Ends a job with its last task, in the same transaction. Its chunks of tasks say nothing any more
-   and are removed when there is time (ws-garbage.c): each would be one more change. */
-static gboolean
-write_final(const WsBatch *batch, WsTxn *txn, const WsJob *job, GArray *ending)
-{
-  guint on;
-  guint done = count_after(batch, job, &on);
-  gboolean is_done = job->state == WS_JOB_ACTIVE && done == job->tasks;
-  if (!is_done && !(job->state == WS_JOB_CANCELLED && on == 0))
-    return FALSE;
-  g_autofree char *key = ws_key_job(job->id);
-  ws_txn_put(txn, key, ws_job_encode_final(job, is_done ? WS_JOB_DONE : WS_JOB_CANCELLED));
-  g_array_append_val(ending, job->index);
-  return TRUE;
-}
-
-/* The rules on zones hang on all of a job's chunks, so all are conditions then. */
-static void
-condition_on_job(const WsBatch *batch, WsTxn *txn, const WsJob *job)
-{
-  g_autofree char *key = ws_key_job(job->id);
-  ws_txn_compare(txn, batch->core->replica, key);
-  for (guint c = 0; c < ws_job_chunk_count(job); c++) {
-    if (!all_chunks_matter(job) && find_work(batch, job->index, c) == NULL)
-      continue;
-    g_autofree char *chunk = ws_key_chunk(job->id, c);
-    ws_txn_compare(txn, batch->core->replica, chunk);
-  }
-}
-
-static void
-write_job(const WsBatch *batch, WsTxn *txn, const WsJob *job, GArray *ending)
-{
-  condition_on_job(batch, txn, job);
-  if (write_final(batch, txn, job, ending))
-    return;
-  for (guint i = 0; i < batch->works->len; i++) {
-    const Work *work = g_ptr_array_index(batch->works, i);
-    if (work->job != job->index)
-      continue;
-    g_autofree char *key = ws_key_chunk(job->id, work->index);
-    ws_txn_put(txn, key, ws_chunk_encode(work->chunk, batch->core->replica));
-  }
-}
-
-/* Compared and set in every transaction, also where the use comes out the same: that is what fences
-   a late transaction of this very leader. */
-static void
-write_team_use(const WsBatch *batch, WsTxn *txn)
-{
-  const WsSettings *settings = batch->core->settings;
-  for (guint group = 0; group < ws_team_use_groups(settings); group++) {
-    if (!batch->touched[group])
-      continue;
-    g_autofree char *key = ws_team_use_key(group);
-    ws_txn_compare(txn, batch->core->replica, key);
-    ws_txn_put(txn, key, ws_team_use_encode(settings, group, batch->use));
-  }
-}
-
-WsTxn *
-ws_batch_build_txn(const WsBatch *batch, GArray *ending)
-{
-  WsCore *core = batch->core;
-  WsTxn *txn = ws_txn_new();
-  GHashTableIter iter;
-  gpointer machine;
-  ws_txn_compare(txn, core->replica, WS_KEY_EPOCH);
-  g_hash_table_iter_init(&iter, batch->joined);
-  while (g_hash_table_iter_next(&iter, &machine, NULL)) {
-    g_autofree char *mark
-        = ws_key(WS_KEYS_MARK, ws_replica_machine(core->replica, GPOINTER_TO_UINT(machine))->name);
-    ws_txn_compare_version(txn, mark, 0);
-  }
-  /* Carried out late, after the machine was marked and returned, its mark is absent once more: but
-     its rental batch has changed, and never becomes again what it was. */
-  for (guint i = 0; i < batch->rental_batches->len; i++) {
-    g_autofree char *key
-        = ws_key(WS_KEYS_RENTAL_BATCH, g_ptr_array_index(batch->rental_batches, i));
-    ws_txn_compare(txn, core->replica, key);
-  }
-  for (guint i = 0; i < batch->works->len; i++) {
-    const Work *work = g_ptr_array_index(batch->works, i);
-    gboolean first = TRUE;
-    for (guint k = 0; k < i; k++)
-      first = first && ((Work *)g_ptr_array_index(batch->works, k))->job != work->job;
-    if (first)
-      write_job(batch, txn, ws_replica_job(core->replica, work->job), ending);
-  }
-  write_team_use(batch, txn);
-  return txn;
-}
--- a/src/commit/ws-release-order.c
+++ b/src/commit/ws-release-order.c
@@ -1,7 +1,7 @@
 #include "commit/ws-release-order.h"
 
+#include "commit/ws-job-completion.h"
 #include "storage/ws-team-use.h"
-#include "storage/ws-gang-phase.h"
 
 /* What a release weighs at least; the longer it has been known, the more. */
 #define MIN_WEIGHT_MS 300
@@ -68,13 +68,12 @@
 would_end(const Sums *sums, const WsJob *job)
 {
   gpointer key = GUINT_TO_POINTER(job->index);
-  if (job->spec == NULL)
-    return FALSE;
-  if (job->state == WS_JOB_ACTIVE && ws_job_is_gang(job))
-    return get_sum(sums->done_of_job, key) > 0;
-  return job->state == WS_JOB_ACTIVE
-             ? job->completed_count + get_sum(sums->done_of_job, key) == job->tasks
-             : job->assigned_count == get_sum(sums->known_of_job, key);
+  gint64 done = get_sum(sums->done_of_job, key);
+  WsJobProgress progress
+      = { .completed_count = job->completed_count + done,
+          .assigned_count = job->assigned_count - get_sum(sums->known_of_job, key),
+          .has_completed = done > 0 };
+  return job->spec != NULL && ws_job_is_complete_after(job, &progress);
 }
 
 static gint
