--- a/src/commit/ws-assignments.c
+++ b/src/commit/ws-assignments.c
@@ -1,39 +1,41 @@
-/* Assignments and releases on their way to the state service.
+/* Proposed assignments, and the transaction that writes them together with pending releases. The
+   leader writes for all nodes, one transaction at a time; the others forward theirs to it. */
+#include "commit/ws-commit.h"
 
-   A task is assigned there before it is launched, and its team's use is counted in the same
-   transaction; what is to be released is kept by ws-releases.c. The leader writes for everybody,
-   one transaction at a time; the other nodes hand theirs in. */
 #include "commit/ws-job-quarantine.h"
 #include "commit/ws-release-order.h"
-#include "commit/ws-releases.h"
-#include "commit/ws-commit.h"
-
-#include "store/ws-store.h"
-#include "membership/ws-membership.h"
+#include "commit/ws-releases-private.h"
+#include "commit/ws-task-key.h"
 
 #define BATCHING_MS 50
 #define CONFLICT_PAUSE_MS 60
 #define FAILURE_PAUSE_MS 400
-/* What was handed in and came to nothing for so long is handed in again. */
+/* What was forwarded and has not been written for so long may be proposed again. */
 #define FORWARDED_TIMEOUT_MS 1500
-/* Changes that the budget must allow before a transaction is drafted: meanwhile others gather. */
+/* The write budget that a batch waits for; meanwhile others gather. */
 #define MIN_TXN_BUDGET 4
 
 typedef struct {
   WsProposal proposal;
   gint64 until_ms;
-} Forwarded;
+} ForwardedProposal;
+
+/* Which of the pending releases a step of the batch takes. */
+typedef enum { RELEASES_ENDING_JOBS, ALL_RELEASES } ReleaseFilter;
+
+/* Which of the proposals a step of the batch takes. */
+typedef enum { CRITICAL_PROPOSALS, ALL_PROPOSALS } ProposalFilter;
 
 struct _WsAssignments {
-  GArray *proposals;    /* of WsProposal, the most urgent first */
-  GHashTable *proposed; /* task: among the proposals, in the transaction, or handed in */
-  GArray *writing;      /* of WsProposal: in the transaction on its way */
-  GArray *forwarded;    /* of Forwarded */
-  GArray *ending;       /* of guint: jobs that the transaction ends */
-  GArray *jobs;         /* of guint: those in it */
-  WsJobQuarantine *refused;
-  gboolean busy;
-  gint64 next_ms;
+  GArray *proposals;   /* of WsProposal, the most urgent first */
+  GHashTable *pending; /* set of tasks: proposed, in the transaction, or forwarded */
+  GArray *writing;     /* of WsProposal: in the transaction on its way */
+  GArray *forwarded;   /* of ForwardedProposal */
+  GArray *ended_jobs;  /* of guint: jobs that the transaction ends */
+  GArray *jobs;        /* of guint: all jobs in the transaction */
+  WsJobQuarantine *quarantine;
+  gboolean is_writing;
+  gint64 next_ms; /* of the next transaction, or the next forwarding */
 };
 
 WsAssignments *
@@ -41,12 +43,12 @@
 {
   WsAssignments *assignments = g_new0(WsAssignments, 1);
   assignments->proposals = g_array_new(FALSE, FALSE, sizeof(WsProposal));
-  assignments->proposed = g_hash_table_new(NULL, NULL);
+  assignments->pending = g_hash_table_new(NULL, NULL);
   assignments->writing = g_array_new(FALSE, FALSE, sizeof(WsProposal));
-  assignments->forwarded = g_array_new(FALSE, FALSE, sizeof(Forwarded));
-  assignments->ending = g_array_new(FALSE, FALSE, sizeof(guint));
+  assignments->forwarded = g_array_new(FALSE, FALSE, sizeof(ForwardedProposal));
+  assignments->ended_jobs = g_array_new(FALSE, FALSE, sizeof(guint));
   assignments->jobs = g_array_new(FALSE, FALSE, sizeof(guint));
-  assignments->refused = ws_job_quarantine_new();
+  assignments->quarantine = ws_job_quarantine_new();
   return assignments;
 }
 
@@ -54,34 +56,33 @@
 ws_assignments_free(WsAssignments *assignments)
 {
   g_array_unref(assignments->proposals);
-  g_hash_table_unref(assignments->proposed);
+  g_hash_table_unref(assignments->pending);
   g_array_unref(assignments->writing);
   g_array_unref(assignments->forwarded);
-  g_array_unref(assignments->ending);
+  g_array_unref(assignments->ended_jobs);
   g_array_unref(assignments->jobs);
-  ws_job_quarantine_free(assignments->refused);
+  ws_job_quarantine_free(assignments->quarantine);
   g_free(assignments);
 }
 
 gboolean
 ws_assignments_is_pending(const WsCore *core, WsJobIndex job, guint task)
 {
-  return g_hash_table_contains(core->assignments->proposed, ws_task_key(job, task));
+  return g_hash_table_contains(core->assignments->pending, ws_task_key(job, task));
 }
 
 void
 ws_assignments_propose(WsCore *core, WsJobIndex job, guint task, WsMachineIndex machine)
 {
   WsProposal proposal = { job, task, machine, core->now };
-  if (g_hash_table_add(core->assignments->proposed, ws_task_key(job, task)))
+  if (g_hash_table_add(core->assignments->pending, ws_task_key(job, task)))
     g_array_append_val(core->assignments->proposals, proposal);
 }
 
-/* Nothing is planned while what was planned before is being written. */
 gboolean
 ws_assignments_are_idle(const WsCore *core)
 {
-  return !core->assignments->busy && core->assignments->proposals->len == 0;
+  return !core->assignments->is_writing && core->assignments->proposals->len == 0;
 }
 
 gint64
@@ -101,12 +102,12 @@
 }
 
 void
-ws_assignments_foreach_forwarded(const WsCore *core, WsProposalFunc take, gpointer data)
+ws_assignments_foreach_forwarded(const WsCore *core, WsProposalFunc visit, gpointer data)
 {
   for (guint i = 0; i < core->assignments->forwarded->len; i++) {
     const WsProposal *proposal
-        = &g_array_index(core->assignments->forwarded, Forwarded, i).proposal;
-    take(ws_replica_job(core->replica, proposal->job), proposal->machine, data);
+        = &g_array_index(core->assignments->forwarded, ForwardedProposal, i).proposal;
+    visit(ws_replica_job(core->replica, proposal->job), proposal->machine, data);
   }
 }
 
@@ -116,10 +117,10 @@
   WsAssignments *assignments = core->assignments;
   g_array_set_size(assignments->proposals, 0);
   g_array_set_size(assignments->forwarded, 0);
-  g_hash_table_remove_all(assignments->proposed);
+  g_hash_table_remove_all(assignments->pending);
   for (guint i = 0; i < assignments->writing->len; i++) {
     const WsProposal *proposal = &g_array_index(assignments->writing, WsProposal, i);
-    g_hash_table_add(assignments->proposed, ws_task_key(proposal->job, proposal->task));
+    g_hash_table_add(assignments->pending, ws_task_key(proposal->job, proposal->task));
   }
 }
 
@@ -130,7 +131,7 @@
   ws_releases_begin_epoch(core);
 }
 
-/* Handing in. */
+/* Forwarding, by all nodes but the leader. */
 
 static void
 forward_proposals(WsCore *core)
@@ -138,7 +139,7 @@
   WsAssignments *assignments = core->assignments;
   for (guint i = 0; i < assignments->proposals->len; i++) {
     const WsProposal *proposal = &g_array_index(assignments->proposals, WsProposal, i);
-    Forwarded forwarded = { *proposal, core->now + FORWARDED_TIMEOUT_MS };
+    ForwardedProposal forwarded = { *proposal, core->now + FORWARDED_TIMEOUT_MS };
     g_array_append_val(assignments->forwarded, forwarded);
     ws_peer_request_assignment(core, ws_replica_job(core->replica, proposal->job), proposal->task,
                                ws_replica_machine(core->replica, proposal->machine));
@@ -147,73 +148,79 @@
 }
 
 static void
-forget_forwarded(WsCore *core)
+expire_forwarded(WsCore *core)
 {
   GArray *forwarded = core->assignments->forwarded;
   for (guint i = forwarded->len; i-- > 0;) {
-    const Forwarded *at = &g_array_index(forwarded, Forwarded, i);
-    const WsJob *job = ws_replica_job(core->replica, at->proposal.job);
-    if (core->now <= at->until_ms && job->spec != NULL
-        && ws_job_assignment(job, at->proposal.task) == NULL)
+    const ForwardedProposal *item = &g_array_index(forwarded, ForwardedProposal, i);
+    const WsJob *job = ws_replica_job(core->replica, item->proposal.job);
+    if (core->now <= item->until_ms && job->spec != NULL
+        && ws_job_assignment(job, item->proposal.task) == NULL)
       continue;
-    g_hash_table_remove(core->assignments->proposed,
-                        ws_task_key(at->proposal.job, at->proposal.task));
+    g_hash_table_remove(core->assignments->pending,
+                        ws_task_key(item->proposal.job, item->proposal.task));
     g_array_remove_index_fast(forwarded, i);
   }
 }
 
-/* Writing. */
+/* Writing, by the leader. */
 
 static void
-tell_ended(WsCore *core)
+log_ended_jobs(WsCore *core)
 {
-  for (guint i = 0; i < core->assignments->ending->len; i++) {
+  for (guint i = 0; i < core->assignments->ended_jobs->len; i++) {
     const WsJob *job
-        = ws_replica_job(core->replica, g_array_index(core->assignments->ending, guint, i));
+        = ws_replica_job(core->replica, g_array_index(core->assignments->ended_jobs, guint, i));
     g_info("job %s is %s, %.0f s after it was accepted", job->id,
            job->state == WS_JOB_DONE ? "done" : "cancelled and gone",
            (double)(core->wall - job->accepted_ms) / 1000.0);
   }
 }
 
+/* What is still wanted when the watch has shown who was first is written again. After no answer the
+   transaction may yet be carried out: its conditions make that harmless. */
+static void
+propose_again(WsCore *core, WsTxnResult result)
+{
+  WsAssignments *assignments = core->assignments;
+  assignments->next_ms
+      = core->now + (result == WS_TXN_CONFLICT ? CONFLICT_PAUSE_MS : FAILURE_PAUSE_MS);
+  for (guint i = 0; i < assignments->writing->len; i++) {
+    const WsProposal *proposal = &g_array_index(assignments->writing, WsProposal, i);
+    ws_assignments_propose(core, proposal->job, proposal->task, proposal->machine);
+  }
+}
+
 static void
 on_written(WsCore *core, WsTxnResult result, gpointer data)
 {
   (void)data;
   WsAssignments *assignments = core->assignments;
-  assignments->busy = FALSE;
+  assignments->is_writing = FALSE;
   assignments->next_ms = core->now + BATCHING_MS;
   core->replan_is_needed = TRUE;
   for (guint i = 0; i < assignments->writing->len; i++) {
     const WsProposal *proposal = &g_array_index(assignments->writing, WsProposal, i);
-    g_hash_table_remove(assignments->proposed, ws_task_key(proposal->job, proposal->task));
+    g_hash_table_remove(assignments->pending, ws_task_key(proposal->job, proposal->task));
   }
   if (result == WS_TXN_INVALID)
-    ws_job_quarantine_add(assignments->refused, core->now, assignments->jobs);
-  if (result == WS_TXN_COMMITTED) {
-    tell_ended(core);
-  } else {
-    /* Whoever was first is seen through the watch, and what is still wanted then is tried again.
-       After no answer the transaction may yet be carried out: its conditions make that harmless. */
-    assignments->next_ms
-        = core->now + (result == WS_TXN_CONFLICT ? CONFLICT_PAUSE_MS : FAILURE_PAUSE_MS);
-    for (guint i = 0; i < assignments->writing->len; i++) {
-      const WsProposal *proposal = &g_array_index(assignments->writing, WsProposal, i);
-      ws_assignments_propose(core, proposal->job, proposal->task, proposal->machine);
-    }
-  }
+    ws_job_quarantine_add(assignments->quarantine, core->now, assignments->jobs);
+  if (result == WS_TXN_COMMITTED)
+    log_ended_jobs(core);
+  else
+    propose_again(core, result);
   g_array_set_size(assignments->writing, 0);
 }
 
 static void
-batch_releases(WsCore *core, WsBatch *batch, const GArray *endings, gboolean only_ends_of_jobs)
+batch_releases(WsCore *core, WsBatch *batch, const GArray *releases, ReleaseFilter filter)
 {
-  for (guint i = 0; i < endings->len; i++) {
-    const WsOrderedRelease *ending = &g_array_index(endings, WsOrderedRelease, i);
-    const WsRelease *release = &ending->release;
-    if (only_ends_of_jobs && !ending->ends_job)
+  for (guint i = 0; i < releases->len; i++) {
+    const WsOrderedRelease *ordered = &g_array_index(releases, WsOrderedRelease, i);
+    const WsRelease *release = &ordered->release;
+    if (filter == RELEASES_ENDING_JOBS && !ordered->ends_job)
       break;
-    if (ws_job_quarantine_has(core->assignments->refused, core->now, release->job))
+    if (ws_job_quarantine_has(core->assignments->quarantine, core->now, release->job))
       continue;
     if (ws_batch_release(batch, release) == WS_BATCH_REJECTED)
       ws_releases_remove(core, release);
@@ -228,63 +235,76 @@
 }
 
 static WsBatchResult
-batch_proposal(WsCore *core, WsBatch *batch, const WsProposal *proposal, gboolean only_critical)
+batch_proposal(WsCore *core, WsBatch *batch, const WsProposal *proposal, ProposalFilter filter)
 {
-  if (ws_job_quarantine_has(core->assignments->refused, core->now, proposal->job))
+  if (ws_job_quarantine_has(core->assignments->quarantine, core->now, proposal->job))
     return WS_BATCH_REJECTED;
-  if (only_critical && !is_critical(core, proposal))
+  if (filter == CRITICAL_PROPOSALS && !is_critical(core, proposal))
     return WS_BATCH_FULL;
   return ws_batch_assign(batch, proposal);
 }
 
 static void
-batch_proposals(WsCore *core, WsBatch *batch, gboolean only_critical)
+batch_proposals(WsCore *core, WsBatch *batch, ProposalFilter filter)
 {
   WsAssignments *assignments = core->assignments;
   g_autoptr(GArray) proposals = assignments->proposals;
   assignments->proposals = g_array_new(FALSE, FALSE, sizeof(WsProposal));
   for (guint i = 0; i < proposals->len; i++) {
     const WsProposal *proposal = &g_array_index(proposals, WsProposal, i);
-    WsBatchResult result = batch_proposal(core, batch, proposal, only_critical);
+    WsBatchResult result = batch_proposal(core, batch, proposal, filter);
     if (result == WS_BATCH_ADDED)
       g_array_append_vals(assignments->writing, proposal, 1);
     else if (result == WS_BATCH_FULL)
       g_array_append_vals(assignments->proposals, proposal, 1);
     else
-      g_hash_table_remove(assignments->proposed, ws_task_key(proposal->job, proposal->task));
+      g_hash_table_remove(assignments->pending, ws_task_key(proposal->job, proposal->task));
   }
 }
 
+/* Somebody waits for a critical task; when a partition heals, the releases of hundreds of others
+   would fill one transaction after another before it. */
 static void
-write_all(WsCore *core)
+fill_batch(WsCore *core, WsBatch *batch)
+{
+  guint max_operations = core->settings->state_txn_ops;
+  g_autoptr(GArray) releases = ws_releases_in_order(core);
+  if (ws_job_quarantine_is_isolating(core->assignments->quarantine, core->now))
+    ws_batch_restrict_to_one_job(batch);
+  batch_proposals(core, batch, CRITICAL_PROPOSALS);
+  ws_batch_set_max_operations(batch, max_operations / 2);
+  batch_releases(core, batch, releases, RELEASES_ENDING_JOBS);
+  ws_batch_set_max_operations(batch, max_operations * 5 / 6);
+  batch_proposals(core, batch, ALL_PROPOSALS);
+  ws_batch_set_max_operations(batch, max_operations);
+  batch_releases(core, batch, releases, ALL_RELEASES);
+  batch_proposals(core, batch, ALL_PROPOSALS);
+}
+
+static gboolean
+may_write(WsCore *core)
+{
+  return !core->assignments->is_writing && core->now >= core->assignments->next_ms
+         && core->replica->catalog != NULL && ws_has_caught_up_with_epoch(core)
+         && ws_assignments_have_backlog(core) && ws_store_has_write_budget(core, MIN_TXN_BUDGET);
+}
+
+static void
+write_batch(WsCore *core)
 {
   WsAssignments *assignments = core->assignments;
-  if (assignments->busy || core->now < assignments->next_ms || core->replica->catalog == NULL
-      || !ws_has_caught_up_with_epoch(core) || !ws_assignments_have_backlog(core)
-      || !ws_store_has_write_budget(core, MIN_TXN_BUDGET))
+  if (!may_write(core))
     return;
   g_autoptr(WsBatch) batch = ws_batch_new(core);
-  g_array_set_size(assignments->ending, 0);
+  fill_batch(core, batch);
+  g_array_set_size(assignments->ended_jobs, 0);
   g_array_set_size(assignments->jobs, 0);
-  if (ws_job_quarantine_is_isolating(assignments->refused, core->now))
-    ws_batch_restrict_to_one_job(batch);
-  /* Somebody waits for a critical task; when a cut heals or a wave has passed, the ends of hundreds
-     of others would fill one transaction after another before it. */
-  g_autoptr(GArray) endings = ws_releases_in_order(core);
-  batch_proposals(core, batch, TRUE);
-  ws_batch_set_max_operations(batch, core->settings->state_txn_ops / 2);
-  batch_releases(core, batch, endings, TRUE);
-  ws_batch_set_max_operations(batch, core->settings->state_txn_ops * 5 / 6);
-  batch_proposals(core, batch, FALSE);
-  ws_batch_set_max_operations(batch, core->settings->state_txn_ops);
-  batch_releases(core, batch, endings, FALSE);
-  batch_proposals(core, batch, FALSE);
-  if (!ws_batch_is_empty(batch)) {
-    assignments->busy = TRUE;
-    ws_batch_collect_jobs(batch, assignments->jobs);
-    ws_txn_commit(core, ws_batch_build_txn(batch, assignments->ending), WS_REQUEST_TASK, on_written,
-                  NULL);
-  }
+  if (ws_batch_is_empty(batch))
+    return;
+  assignments->is_writing = TRUE;
+  ws_batch_collect_jobs(batch, assignments->jobs);
+  WsTxn *txn = ws_batch_build_txn(batch, assignments->ended_jobs);
+  ws_txn_commit(core, txn, WS_REQUEST_TASK, on_written, NULL);
 }
 
 void
@@ -297,10 +317,10 @@
   }
   if (core->now >= core->assignments->next_ms && !ws_is_leader(core)) {
     core->assignments->next_ms = core->now + BATCHING_MS;
-    forget_forwarded(core);
+    expire_forwarded(core);
     forward_proposals(core);
     ws_releases_forward(core);
   }
   if (ws_is_leader(core))
-    write_all(core);
+    write_batch(core);
 }
--- a/src/commit/ws-estimator.c
+++ b/src/commit/ws-estimator.c
@@ -1,12 +1,15 @@
-/* How long tasks of a class run, against what their owners estimate: on some days most estimates
-   are too high, on others too low. The leader, who writes the ends of all tasks, learns it. */
+/* The estimator of run times: how long tasks of a class run, against what their owners estimate. On
+   some days most estimates are too high, on others too low. Only the leader, which writes all
+   releases, has the figures. */
 #include "commit/ws-commit.h"
 
-#define ENOUGH_TASKS 20
-#define LEAST_FACTOR 0.5
-#define MOST_FACTOR 2.0
-/* What passes between an assignment and its start on the machine. */
-#define ON_THE_WAY_S 2.0
+#include "commit/ws-releases-private.h"
+
+#define MIN_TASKS 20
+#define MIN_FACTOR 0.5
+#define MAX_FACTOR 2.0
+/* The time between an assignment and its launch on the machine. */
+#define LAUNCH_DELAY_S 2.0
 
 typedef struct {
   guint tasks;
@@ -14,10 +17,23 @@
   double estimated_s;
 } ClassRunTimes;
 
-GHashTable *
+struct _WsEstimator {
+  GHashTable *classes; /* class name -> ClassRunTimes */
+};
+
+WsEstimator *
 ws_estimator_new(void)
 {
-  return g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+  WsEstimator *estimator = g_new0(WsEstimator, 1);
+  estimator->classes = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+  return estimator;
+}
+
+void
+ws_estimator_free(WsEstimator *estimator)
+{
+  g_hash_table_unref(estimator->classes);
+  g_free(estimator);
 }
 
 /* Some of the tasks have waited for their image, so half of its fetch is taken off. */
@@ -28,23 +44,25 @@
   gboolean is_timed = assignment->assigned_ms > 0;
   if (job->spec->estimate_s <= 0.0 || !is_timed || core->replica->catalog == NULL)
     return;
-  ClassRunTimes *learned = g_hash_table_lookup(core->estimator, job->spec->class_name);
-  if (learned == NULL) {
-    learned = g_new0(ClassRunTimes, 1);
-    g_hash_table_insert(core->estimator, g_strdup(job->spec->class_name), learned);
+  ClassRunTimes *run_times = g_hash_table_lookup(core->estimator->classes, job->spec->class_name);
+  if (run_times == NULL) {
+    run_times = g_new0(ClassRunTimes, 1);
+    g_hash_table_insert(core->estimator->classes, g_strdup(job->spec->class_name), run_times);
   }
-  double passed_s = (double)(core->wall - assignment->assigned_ms) / 1000.0;
-  learned->tasks++;
-  learned->ran_s += MAX(passed_s - ON_THE_WAY_S - 0.5 * ws_job_fetch_s(core->replica, job), 0.0);
-  learned->estimated_s += job->spec->estimate_s;
+  double elapsed_s = (double)(core->wall - assignment->assigned_ms) / 1000.0;
+  run_times->tasks++;
+  run_times->ran_s
+      += MAX(elapsed_s - LAUNCH_DELAY_S - 0.5 * ws_job_fetch_s(core->replica, job), 0.0);
+  run_times->estimated_s += job->spec->estimate_s;
 }
 
 double
 ws_estimator_run_s(const WsCore *core, const WsJob *job)
 {
-  const ClassRunTimes *learned = g_hash_table_lookup(core->estimator, job->spec->class_name);
-  if (learned == NULL || learned->tasks < ENOUGH_TASKS)
+  const ClassRunTimes *run_times
+      = g_hash_table_lookup(core->estimator->classes, job->spec->class_name);
+  if (run_times == NULL || run_times->tasks < MIN_TASKS)
     return job->spec->estimate_s;
   return job->spec->estimate_s
-         * CLAMP(learned->ran_s / learned->estimated_s, LEAST_FACTOR, MOST_FACTOR);
+         * CLAMP(run_times->ran_s / run_times->estimated_s, MIN_FACTOR, MAX_FACTOR);
 }
--- a/src/commit/ws-legacy-releases.c
+++ b/src/commit/ws-legacy-releases.c
@@ -1,7 +1,5 @@
-#include "commit/ws-legacy-releases.h"
-#include "commit/ws-releases.h"
-
-#include "membership/ws-membership.h"
+/* Hints of versions before 0.4 that an attempt is gone, and how they are confirmed. */
+#include "commit/ws-commit.h"
 
 #include <string.h>
 
--- a/src/commit/ws-release-order.h
+++ b/src/commit/ws-release-order.h
@@ -1,28 +1,28 @@
 /**
  * The order in which pending releases are written.
  *
- * Where the state service takes few changes, the ends of hundreds of tasks would fill its budget
- * for seconds, and nothing would be placed meanwhile. Ends that share a record cost one change
- * together.
+ * Where the store takes few operations, the releases of hundreds of tasks would fill the write
+ * budget for seconds, and nothing would be assigned meanwhile. Releases that share a record cost
+ * one operation together.
  */
 #pragma once
 
 #include "commit/ws-batch.h"
 
-/** A release that is known but not written. */
+/** A release that isn't written yet. */
 typedef struct {
   WsRelease release;
-  gint64 known_ms;
-  gint64 asked_ms; /* when it was forwarded to the leader; 0: it wasn't */
+  gint64 added_ms;     /**< on the clock of core->now */
+  gint64 forwarded_ms; /**< when it was last forwarded to the leader; 0: it wasn't */
 } WsPendingRelease;
 
 /** A pending release in its place in the order. */
 typedef struct {
   WsRelease release;
-  gboolean ends_job;  /* together with the others that are pending */
-  gint64 accepted_ms; /* when its job was */
-  gint64 of_team_use; /* what all releases weigh whose teams share a record */
-  gint64 of_chunk;    /* and all of its chunk */
+  gboolean ends_job;      /**< together with the others that are pending */
+  gint64 accepted_ms;     /**< wall clock; when its job was accepted */
+  gint64 team_use_weight; /**< of all releases whose teams share a record of use */
+  gint64 chunk_weight;    /**< of all releases of its chunk */
 } WsOrderedRelease;
 
 /**
--- a/src/commit/ws-releases.c
+++ b/src/commit/ws-releases.c
@@ -1,10 +1,11 @@
-#include "commit/ws-releases.h"
-#include "commit/ws-release-order.h"
-#include "commit/ws-commit.h"
+/* Releases that are pending: attempts that are gone from their machines and still on the records.
+ */
+#include "commit/ws-releases-private.h"
 
-#include "membership/ws-membership.h"
+#include "commit/ws-release-order.h"
+#include "commit/ws-task-key.h"
 
-/* What was handed in and came to nothing for so long is handed in again. */
+/* What was forwarded and has not been written for so long is forwarded again. */
 #define FORWARD_RETRY_MS 2000
 
 struct _WsReleases {
@@ -37,10 +38,10 @@
 {
   gint64 oldest_ms = core->now;
   GHashTableIter iter;
-  gpointer known;
+  gpointer value;
   g_hash_table_iter_init(&iter, core->releases->pending);
-  while (g_hash_table_iter_next(&iter, NULL, &known))
-    oldest_ms = MIN(oldest_ms, ((const WsPendingRelease *)known)->known_ms);
+  while (g_hash_table_iter_next(&iter, NULL, &value))
+    oldest_ms = MIN(oldest_ms, ((const WsPendingRelease *)value)->added_ms);
   return core->now - oldest_ms;
 }
 
@@ -60,10 +61,10 @@
 ws_releases_reset_forwarding(WsCore *core)
 {
   GHashTableIter iter;
-  gpointer known;
+  gpointer value;
   g_hash_table_iter_init(&iter, core->releases->pending);
-  while (g_hash_table_iter_next(&iter, NULL, &known))
-    ((WsPendingRelease *)known)->asked_ms = 0;
+  while (g_hash_table_iter_next(&iter, NULL, &value))
+    ((WsPendingRelease *)value)->forwarded_ms = 0;
 }
 
 static void
@@ -74,42 +75,42 @@
     ws_estimator_add(core, ws_replica_job(core->replica, release->job), assignment);
 }
 
-/* What is known of an attempt is never forgotten for less: it remains done, and the cloud's word is
-   better than any report. */
+/* Evidence of an attempt is never replaced by weaker: a completed task remains so, and the cloud's
+   confirmation is better than any heartbeat. */
 static void
-strengthen(WsRelease *known, const WsRelease *release)
+strengthen(WsRelease *pending, const WsRelease *release)
 {
-  known->done = known->done || release->done;
-  if (known->evidence.kind != WS_EVIDENCE_RETURNED
+  pending->done = pending->done || release->done;
+  if (pending->evidence.kind != WS_EVIDENCE_RETURNED
       && (release->evidence.kind == WS_EVIDENCE_RETURNED
-          || release->evidence.epoch >= known->evidence.epoch))
-    known->evidence = release->evidence;
+          || release->evidence.epoch >= pending->evidence.epoch))
+    pending->evidence = release->evidence;
 }
 
 void
 ws_releases_add(WsCore *core, const WsRelease *release)
 {
   gpointer key = ws_task_key(release->job, release->task);
-  WsPendingRelease *known = g_hash_table_lookup(core->releases->pending, key);
-  if (known != NULL && known->release.attempt > release->attempt)
+  WsPendingRelease *pending = g_hash_table_lookup(core->releases->pending, key);
+  if (pending != NULL && pending->release.attempt > release->attempt)
     return;
-  if (known != NULL && known->release.attempt == release->attempt) {
-    strengthen(&known->release, release);
+  if (pending != NULL && pending->release.attempt == release->attempt) {
+    strengthen(&pending->release, release);
     return;
   }
   note_run_time(core, release);
-  known = g_new0(WsPendingRelease, 1);
-  known->release = *release;
-  known->known_ms = core->now;
-  g_hash_table_insert(core->releases->pending, key, known);
+  pending = g_new0(WsPendingRelease, 1);
+  pending->release = *release;
+  pending->added_ms = core->now;
+  g_hash_table_insert(core->releases->pending, key, pending);
 }
 
 void
 ws_releases_add_reported(WsCore *core, const WsJob *job, const WsAssignment *assignment,
-                         WsEvidenceKind kind, gboolean done)
+                         WsEvidenceKind kind, gboolean is_completed)
 {
   const WsMachine *machine = ws_replica_machine(core->replica, assignment->machine);
-  WsRelease release = { job->index, assignment->task, assignment->attempt, done,
+  WsRelease release = { job->index, assignment->task, assignment->attempt, is_completed,
                         ws_evidence_new(core->replica, machine, kind) };
   ws_releases_add(core, &release);
 }
@@ -118,10 +119,10 @@
 ws_releases_refute(WsCore *core, const WsJob *job, const WsAssignment *assignment)
 {
   gpointer key = ws_task_key(job->index, assignment->task);
-  const WsPendingRelease *known = g_hash_table_lookup(core->releases->pending, key);
-  if (known == NULL || known->release.attempt != assignment->attempt)
+  const WsPendingRelease *pending = g_hash_table_lookup(core->releases->pending, key);
+  if (pending == NULL || pending->release.attempt != assignment->attempt)
     return;
-  g_autofree char *text = ws_release_describe(core->replica, &known->release);
+  g_autofree char *text = ws_release_describe(core->replica, &pending->release);
   g_warning("a task that was to be released is there: %s", text);
   g_hash_table_remove(core->releases->pending, key);
 }
@@ -129,16 +130,15 @@
 gboolean
 ws_releases_has(const WsCore *core, const WsJob *job, const WsAssignment *assignment)
 {
-  const WsPendingRelease *known
+  const WsPendingRelease *pending
       = g_hash_table_lookup(core->releases->pending, ws_task_key(job->index, assignment->task));
-  return known != NULL && ws_release_holds(core->replica, &known->release);
+  return pending != NULL && ws_release_holds(core->replica, &pending->release);
 }
 
-/* What was concluded before, and whose machine has had another owner since, is for the present
-   owner to conclude afresh: it may have launched the attempt again. An incident broke ran_twice so.
- */
+/* Drops releases whose machine has had another owner since: that owner may have launched the
+   attempt again, and concludes afresh. Without this a task once ran twice. */
 static void
-drop_void(WsCore *core)
+drop_void_releases(WsCore *core)
 {
   GHashTableIter iter;
   gpointer value;
@@ -156,7 +156,7 @@
   }
 }
 
-/* The owner states again, under the present epoch, what it has concluded and has stood by since. */
+/* The owner restates, under the present epoch, what it has concluded and not refuted since. */
 static void
 restate(const WsCore *core, WsRelease *release)
 {
@@ -171,13 +171,14 @@
   gpointer value;
   g_hash_table_iter_init(&iter, core->releases->pending);
   while (g_hash_table_iter_next(&iter, NULL, &value)) {
-    WsPendingRelease *known = value;
-    if (!ws_release_holds(core->replica, &known->release)) {
+    WsPendingRelease *pending = value;
+    if (!ws_release_holds(core->replica, &pending->release)) {
       g_hash_table_iter_remove(&iter);
-    } else if (known->asked_ms == 0 || core->now - known->asked_ms >= FORWARD_RETRY_MS) {
-      known->asked_ms = core->now;
-      restate(core, &known->release);
-      ws_peer_request_release(core, &known->release);
+    } else if (pending->forwarded_ms == 0
+               || core->now - pending->forwarded_ms >= FORWARD_RETRY_MS) {
+      pending->forwarded_ms = core->now;
+      restate(core, &pending->release);
+      ws_peer_request_release(core, &pending->release);
     }
   }
 }
@@ -185,6 +186,6 @@
 void
 ws_releases_begin_epoch(WsCore *core)
 {
-  drop_void(core);
+  drop_void_releases(core);
   ws_releases_reset_forwarding(core);
 }
--- /dev/null
+++ b/src/commit/ws-task-key.h
@@ -0,0 +1,15 @@
+/**
+ * The key of a task in hash tables.
+ */
+#pragma once
+
+#include "protocol/ws-job-spec.h"
+
+#include <glib.h>
+
+/** Never NULL. */
+static inline gpointer
+ws_task_key(WsJobIndex job, guint task)
+{
+  return GSIZE_TO_POINTER((gsize)job * WS_MAX_TASKS + task + 1);
+}
--- a/src/context/ws-context.h
+++ b/src/context/ws-context.h
@@ -33,6 +33,8 @@
 typedef struct _WsWriteStats WsWriteStats;
 typedef struct _WsLegacyReleases WsLegacyReleases;
 typedef struct _WsReleases WsReleases;
+typedef struct _WsEstimator WsEstimator;
+typedef struct _WsGarbage WsGarbage;
 
 /**
  * What lower packages ask of higher ones. The core connects them (ws-core.c), so that no package
@@ -96,7 +98,8 @@
   WsLegacyReleases *legacy_releases;
   WsReleases *releases;
   gint64 cancellations_known_ms; /* when this node last knew all that was confirmed to users */
-  GHashTable *estimator;         /* by class */
+  WsEstimator *estimator;
+  WsGarbage *garbage;
   WsPeer *peers;
   guint64 gossip_revision;              /* counts what changed about this node's machines */
   gboolean is_reached_from_other_zones; /* cut off, yet heard by machines of other zones */
@@ -114,7 +117,6 @@
   guint64 handled_epoch;
   gboolean is_stalled; /* stood still, and has not renewed and read since */
   gint64 upkeep_ms;
-  gint64 garbage_ms;
   gboolean new_epoch_needed; /* a doubt can only be ended by a higher token */
 };
 
--- a/src/core/ws-core.c
+++ b/src/core/ws-core.c
@@ -7,8 +7,6 @@
 #include "workers/ws-workers.h"
 #include "scheduling/ws-scheduling.h"
 #include "api/ws-users.h"
-#include "commit/ws-releases.h"
-#include "commit/ws-legacy-releases.h"
 
 #include <string.h>
 
@@ -57,6 +55,7 @@
   core->legacy_releases = ws_legacy_releases_new();
   core->releases = ws_releases_new();
   core->estimator = ws_estimator_new();
+  core->garbage = ws_garbage_new();
   core->peers = g_new0(WsPeer, settings->nodes->len);
   core->partition_ms = g_new0(gint64, MAX(settings->zones->len, 1u));
   core->confirmed_partition_ms = g_new0(gint64, MAX(settings->zones->len, 1u));
@@ -92,7 +91,8 @@
   ws_write_stats_free(core->write_stats);
   ws_legacy_releases_free(core->legacy_releases);
   ws_releases_free(core->releases);
-  g_hash_table_unref(core->estimator);
+  ws_estimator_free(core->estimator);
+  ws_garbage_free(core->garbage);
   ws_replica_free(core->replica);
   g_free(core->peers);
   g_free(core->partition_ms);
--- a/src/fleet/ws-returns.c
+++ b/src/fleet/ws-returns.c
@@ -2,7 +2,7 @@
 
 #include "store/ws-store.h"
 #include "membership/ws-membership.h"
-#include "commit/ws-releases.h"
+#include "commit/ws-commit.h"
 
 #include <string.h>
 
--- a/src/workers/ws-workers.c
+++ b/src/workers/ws-workers.c
@@ -7,7 +7,7 @@
 
 #include "membership/ws-membership.h"
 #include "fleet/ws-fleet.h"
-#include "commit/ws-releases.h"
+#include "commit/ws-commit.h"
 #include "storage/ws-gang-phase.h"
 
 #include <string.h>
