--- a/src/commit/ws-assignments.c
+++ b/src/commit/ws-assignments.c
@@ -172,7 +172,7 @@
     const WsJob *job
         = ws_replica_job(core->replica, g_array_index(core->assignments->ended_jobs, guint, i));
     g_info("job %s is %s, %.0f s after it was accepted", job->id,
-           job->state == WS_JOB_DONE ? "done" : "cancelled and gone",
+           job->state == WS_JOB_DONE ? "done" : "cancelled, with no task left",
            (double)(core->wall - job->accepted_ms) / 1000.0);
   }
 }
--- a/src/commit/ws-releases.c
+++ b/src/commit/ws-releases.c
@@ -123,7 +123,7 @@
   if (pending == NULL || pending->release.attempt != assignment->attempt)
     return;
   g_autofree char *text = ws_release_describe(core->replica, &pending->release);
-  g_warning("a task that was to be released is there: %s", text);
+  g_warning("a pending release is refuted by the worker: %s", text);
   g_hash_table_remove(core->releases->pending, key);
 }
 
--- a/src/store/ws-store-load.c
+++ b/src/store/ws-store-load.c
@@ -33,8 +33,8 @@
   load->is_loaded = TRUE;
   core->replica->is_loading = FALSE;
   core->replan_is_needed = TRUE;
-  g_info("state read: revision %" G_GUINT64_FORMAT ", %u jobs open, %u machines", load->revision,
-         core->replica->active->len, core->replica->machines->len);
+  g_info("replica loaded: revision %" G_GUINT64_FORMAT ", %u jobs open, %u machines",
+         load->revision, core->replica->active->len, core->replica->machines->len);
 }
 
 static void
--- a/src/store/ws-store-watch.c
+++ b/src/store/ws-store-watch.c
@@ -27,7 +27,7 @@
   WsStore *store = core->store;
   store->watch.is_open = FALSE;
   if (status == 410) {
-    g_info("the watch is too far behind: reading the state again");
+    g_info("the watch is too far behind: the replica is loaded again");
     store->load.is_loaded = FALSE;
     return;
   }
--- a/src/store/ws-txn.c
+++ b/src/store/ws-txn.c
@@ -86,7 +86,7 @@
 warn_of_size(const WsCore *core, const WsTxn *txn)
 {
   if (ws_txn_operation_count(txn) > core->settings->state_txn_ops)
-    g_warning("a transaction has %u changes", ws_txn_operation_count(txn));
+    g_warning("a transaction has %u operations", ws_txn_operation_count(txn));
   for (guint i = 0; i < txn->operations->len; i++) {
     const WsKvOperation *operation = &g_array_index(txn->operations, WsKvOperation, i);
     g_autofree char *text = ws_json_text(operation->value);
@@ -99,11 +99,12 @@
 explain_rejection(const WsCore *core, const WsTxn *txn, const json_t *body)
 {
   if (ws_kv_error_is_lease_ended(body)) {
-    g_info("a write came after its lease had ended");
+    g_info("a leased write is rejected: its lease has expired");
     return WS_TXN_UNAVAILABLE;
   }
   const char *error = ws_kv_error_parse(body);
-  g_warning("the state service refused a transaction: %s", error != NULL ? error : "nothing said");
+  g_warning("the state service rejected a transaction: %s",
+            error != NULL ? error : "no reason given");
   warn_of_size(core, txn);
   return WS_TXN_INVALID;
 }
--- a/src/store/ws-write-stats.c
+++ b/src/store/ws-write-stats.c
@@ -9,10 +9,14 @@
   const char *prefix;
   const char *purpose;
 } PURPOSES[] = {
-  { WS_KEYS_JOB, "jobs" },          { WS_KEYS_TASKS, "tasks" },
-  { WS_KEYS_TEAM_USE, "team use" }, { WS_KEYS_RENTAL_BATCH, "machines" },
-  { WS_KEYS_MARK, "marks" },        { WS_KEYS_RENTAL_INTENT, "rentals" },
-  { WS_KEYS_MEMBER, "members" },    { WS_KEYS_MAILBOX, "messages" },
+  { WS_KEYS_JOB, "jobs" },
+  { WS_KEYS_TASKS, "tasks" },
+  { WS_KEYS_TEAM_USE, "team use" },
+  { WS_KEYS_RENTAL_BATCH, "rental batches" },
+  { WS_KEYS_MARK, "termination marks" },
+  { WS_KEYS_RENTAL_INTENT, "rental intents" },
+  { WS_KEYS_MEMBER, "members" },
+  { WS_KEYS_MAILBOX, "mailboxes" },
   { WS_PREFIX, "other" },
 };
 
@@ -67,7 +71,7 @@
   WsWriteStats *stats = core->write_stats;
   g_autofree char *text = describe_counts(stats);
   if (*text != '\0')
-    g_info("changes in %.0f s: %s; waiting: assignments for %.1f s, ends for %.1f s",
+    g_info("operations in %.0f s: %s; waiting: assignments for %.1f s, releases for %.1f s",
            (double)(core->now - stats->since_ms) / 1000.0, text,
            (double)oldest_assignment_ms / 1000.0, (double)oldest_release_ms / 1000.0);
   *stats = (WsWriteStats){ .since_ms = core->now };
