--- a/src/protocol/ws-kv.h
+++ b/src/protocol/ws-kv.h
@@ -14,6 +14,17 @@
 /** The path to which a request for a lease is posted. */
 #define WS_KV_LEASES_PATH "/holds"
 
+/** The HTTP statuses of the store's responses. */
+typedef enum {
+  WS_KV_OK = 200,
+  WS_KV_INVALID = 400,   /**< rejected for its size or form, or for a lease that has ended */
+  WS_KV_NOT_FOUND = 404, /**< there is no such lease */
+  WS_KV_CONFLICT = 409,  /**< a condition of the transaction failed */
+  WS_KV_COMPACTED = 410, /**< the watch's revision is too old */
+  WS_KV_RATE_LIMITED = 429,
+  WS_KV_UNAVAILABLE = 503
+} WsKvStatus;
+
 /** A key and its value at a version: an item of a page, or a change that a watch reports. */
 typedef struct {
   const char *key;     /**< NULL: a watch event of an unknown kind */
--- a/src/store/ws-store-load.c
+++ b/src/store/ws-store-load.c
@@ -57,7 +57,7 @@
 {
   (void)data;
   WsStoreLoad *load = &core->store->load;
-  g_autoptr(WsKvPage) page = status == 200 ? ws_kv_page_parse(body) : NULL;
+  g_autoptr(WsKvPage) page = status == WS_KV_OK ? ws_kv_page_parse(body) : NULL;
   if (page == NULL) {
     load->is_loading = FALSE;
     load->retry_ms = core->now + RETRY_PAUSE_MS;
--- a/src/store/ws-store-reads.c
+++ b/src/store/ws-store-reads.c
@@ -87,7 +87,7 @@
   WsStoreReads *reads = &core->store->reads;
   guint64 revision;
   reads->is_reading = FALSE;
-  if (status != 200 || !ws_kv_revision_parse(body, &revision)) {
+  if (status != WS_KV_OK || !ws_kv_revision_parse(body, &revision)) {
     finish_all(core, &reads->sent, FALSE);
     return;
   }
--- a/src/store/ws-store-requests.c
+++ b/src/store/ws-store-requests.c
@@ -2,6 +2,8 @@
    store's budgets. */
 #include "store/ws-store-private.h"
 
+#include "protocol/ws-kv.h"
+
 /* The store's budgets are split unevenly, for the leader writes nearly everything: assignments and
    releases, machines, rentals, termination marks. What is left is for submissions, cancellations,
    leases and mailboxes, and seldom used: together the write shares are more than the whole. All
@@ -102,15 +104,23 @@
   g_queue_push_tail(&core->store->requests.queues[request_class], request);
 }
 
+/* A response that says something about the request, and not about the store's state. */
+static gboolean
+is_proper_response(guint status)
+{
+  return status == WS_KV_OK || status == WS_KV_NOT_FOUND || status == WS_KV_CONFLICT
+         || status == WS_KV_COMPACTED;
+}
+
 static void
 note_availability(WsCore *core, guint status)
 {
   WsStoreRequests *requests = &core->store->requests;
-  if (status == 200 || status == 404 || status == 409 || status == 410) {
+  if (is_proper_response(status))
     requests->unavailable_since_ms = 0;
-  } else if (status != 429 && status != 400 && requests->unavailable_since_ms == 0) {
+  else if (status != WS_KV_RATE_LIMITED && status != WS_KV_INVALID
+           && requests->unavailable_since_ms == 0)
     requests->unavailable_since_ms = core->now;
-  }
 }
 
 static void
@@ -119,7 +129,7 @@
   StoreRequest *request = data;
   WsStoreRequests *requests = &core->store->requests;
   note_availability(core, status);
-  if (status == 429 && ++request->tries < MAX_RATE_LIMITED_TRIES) {
+  if (status == WS_KV_RATE_LIMITED && ++request->tries < MAX_RATE_LIMITED_TRIES) {
     requests->rate_limited_until_ms = core->now + RATE_LIMITED_PAUSE_MS;
     g_queue_push_head(&requests->queues[request->request_class], request);
     return;
--- a/src/store/ws-store-watch.c
+++ b/src/store/ws-store-watch.c
@@ -26,12 +26,12 @@
   (void)data;
   WsStore *store = core->store;
   store->watch.is_open = FALSE;
-  if (status == 410) {
+  if (status == WS_KV_COMPACTED) {
     g_info("the watch is too far behind: the replica is loaded again");
     store->load.is_loaded = FALSE;
     return;
   }
-  g_autoptr(WsKvPage) page = status == 200 ? ws_kv_watch_parse(body) : NULL;
+  g_autoptr(WsKvPage) page = status == WS_KV_OK ? ws_kv_watch_parse(body) : NULL;
   if (page == NULL) {
     store->watch.retry_ms = core->now + RETRY_PAUSE_MS;
     return;
--- a/src/store/ws-txn.c
+++ b/src/store/ws-txn.c
@@ -115,14 +115,14 @@
   WsTxn *txn = data;
   guint64 revision;
   WsTxnResult result = WS_TXN_INDETERMINATE;
-  if (status == 200 && ws_kv_revision_parse(body, &revision)) {
+  if (status == WS_KV_OK && ws_kv_revision_parse(body, &revision)) {
     apply_operations(core, txn, revision);
     result = WS_TXN_COMMITTED;
-  } else if (status == 409) {
+  } else if (status == WS_KV_CONFLICT) {
     result = WS_TXN_CONFLICT;
-  } else if (status == 429 || status == 503) {
+  } else if (status == WS_KV_RATE_LIMITED || status == WS_KV_UNAVAILABLE) {
     result = WS_TXN_UNAVAILABLE;
-  } else if (status == 400) {
+  } else if (status == WS_KV_INVALID) {
     result = explain_rejection(core, txn, body);
   }
   txn->done(core, result, txn->data);
