--- a/src/commit/ws-job-quarantine.h
+++ b/src/commit/ws-job-quarantine.h
@@ -1,9 +1,9 @@
 /**
- * Jobs whose records the state service refuses as they are.
+ * The quarantine of jobs whose records the store rejects.
  *
- * A refusal for a record's size or form is a fault that a repetition doesn't mend. So that it holds
- * up nothing else, what a refused transaction held is written one job at a time for a while; a job
- * that is refused alone is left out for some seconds.
+ * A rejection for a record's size or form is a fault that a retry doesn't mend. So that it holds up
+ * no other job, what a rejected transaction had is written one job at a time for a while; a job
+ * that is rejected alone is left out for some seconds.
  */
 #pragma once
 
@@ -12,13 +12,15 @@
 typedef struct _WsJobQuarantine WsJobQuarantine;
 
 WsJobQuarantine *ws_job_quarantine_new(void);
-void ws_job_quarantine_free(WsJobQuarantine *refused);
+void ws_job_quarantine_free(WsJobQuarantine *quarantine);
 
-/** A transaction of these jobs (indices, of guint) was refused. */
-void ws_job_quarantine_add(WsJobQuarantine *refused, gint64 now_ms, const GArray *jobs);
+/** Notes that a transaction was rejected. @jobs: of guint, the indices of its jobs */
+void ws_job_quarantine_add(WsJobQuarantine *quarantine, gint64 now_ms, const GArray *jobs);
 
 /** Whether transactions hold one job each for now. */
-gboolean ws_job_quarantine_is_isolating(const WsJobQuarantine *refused, gint64 now_ms);
+gboolean ws_job_quarantine_is_isolating(const WsJobQuarantine *quarantine, gint64 now_ms);
 
 /** Whether the job is left out for now. */
-gboolean ws_job_quarantine_has(const WsJobQuarantine *refused, gint64 now_ms, WsJobIndex job);
+gboolean ws_job_quarantine_has(const WsJobQuarantine *quarantine, gint64 now_ms, WsJobIndex job);
+
+G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsJobQuarantine, ws_job_quarantine_free)
--- a/src/commit/ws-legacy-releases.c
+++ b/src/commit/ws-legacy-releases.c
@@ -5,14 +5,14 @@
 
 #define STATUS_TIMEOUT_MS 1000
 #define STATUS_RETRY_MS 1500
-/* Those versions repeat a release every 2 s; after such a pause it begins anew. */
+/* Those versions repeat a release every 2 s; after such a pause the hint is a new one. */
 #define HINT_REPEAT_MS 5000
 
 typedef struct {
   WsRelease release;
-  gint64 since_ms;
-  gint64 last_ms;  /* when it was last repeated */
-  gint64 asked_ms; /* when its worker was last asked */
+  gint64 since_ms;  /* when it came first */
+  gint64 last_ms;   /* when it was last repeated */
+  gint64 probed_ms; /* when its worker was last probed */
 } Hint;
 
 struct _WsLegacyReleases {
@@ -50,7 +50,8 @@
 }
 
 static void
-take(WsCore *core, const WsRelease *hint, const WsMachine *machine, WsEvidenceKind kind)
+add_with_evidence(WsCore *core, const WsRelease *hint, const WsMachine *machine,
+                  WsEvidenceKind kind)
 {
   WsRelease release = *hint;
   release.evidence = ws_evidence_new(core->replica, machine, kind);
@@ -58,14 +59,14 @@
 }
 
 static gboolean
-shows_end(const WsCore *core, const WsHeartbeat *heartbeat, const WsRelease *release)
+shows_exit(const WsCore *core, const WsHeartbeat *heartbeat, const WsRelease *release)
 {
   const WsTaskStatus *task = ws_heartbeat_find_task(
       heartbeat, ws_replica_job(core->replica, release->job)->id, release->task, release->attempt);
   return task != NULL && task->state == WS_TASK_EXITED;
 }
 
-/* An end that the worker holds under the present token stays with it until it's released. */
+/* An exit that the worker shows under the present fencing token stays with it until the release. */
 static void
 on_status(WsCore *core, guint status, const json_t *body, gpointer data)
 {
@@ -80,18 +81,18 @@
     const Hint *hint = &g_array_index(hints, Hint, i);
     const WsAssignment *assignment = ws_release_assignment(core->replica, &hint->release);
     if (assignment != NULL && assignment->machine == machine->index
-        && shows_end(core, heartbeat, &hint->release))
-      take(core, &hint->release, machine, WS_EVIDENCE_EXITED);
+        && shows_exit(core, heartbeat, &hint->release))
+      add_with_evidence(core, &hint->release, machine, WS_EVIDENCE_EXITED);
   }
 }
 
 static void
-ask_worker(WsCore *core, Hint *hint, const WsMachine *machine)
+probe_worker(WsCore *core, Hint *hint, const WsMachine *machine)
 {
   if (machine->worker.endpoint == NULL
-      || (hint->asked_ms > 0 && core->now - hint->asked_ms < STATUS_RETRY_MS))
+      || (hint->probed_ms > 0 && core->now - hint->probed_ms < STATUS_RETRY_MS))
     return;
-  hint->asked_ms = core->now;
+  hint->probed_ms = core->now;
   ws_call(core, "GET", machine->worker.endpoint, "/status", NULL, STATUS_TIMEOUT_MS, on_status,
           GUINT_TO_POINTER(machine->index));
 }
@@ -104,7 +105,8 @@
     return;
   WsMachine *machine = ws_replica_machine(core->replica, assignment->machine);
   if (release->done || assignment->since_version > machine->owner_since_version) {
-    take(core, release, machine, release->done ? WS_EVIDENCE_EXITED : WS_EVIDENCE_ABSENT);
+    add_with_evidence(core, release, machine,
+                      release->done ? WS_EVIDENCE_EXITED : WS_EVIDENCE_ABSENT);
     return;
   }
   if (machine->owner == core->settings->self)
@@ -116,7 +118,7 @@
   if ((double)(core->now - hint->since_ms) > core->settings->lease_s * 1000.0)
     core->handlers->request_termination(core, machine, "unproven", TRUE);
   else
-    ask_worker(core, hint, machine);
+    probe_worker(core, hint, machine);
 }
 
 void
