--- a/src/membership/ws-election.c
+++ b/src/membership/ws-election.c
@@ -151,8 +151,8 @@
     return;
   election->asking = TRUE;
   if (election->lease == 0) {
-    ws_store_request(core, WS_REQUEST_LEASE, "POST", WS_KV_LEASES_PATH,
-                     ws_kv_lease_request_encode(LEASE_MS), 0, 1000, on_lease, NULL);
+    ws_store_post(core, WS_REQUEST_LEASE, WS_KV_LEASES_PATH, ws_kv_lease_request_encode(LEASE_MS),
+                  0, 1000, on_lease, NULL);
   } else if (!election->is_listed) {
     WsTxn *txn = ws_txn_new();
     g_autofree char *key
@@ -162,7 +162,7 @@
     ws_txn_commit(core, txn, WS_REQUEST_LEASE, on_listed, NULL);
   } else {
     g_autofree char *path = ws_kv_lease_renewal_path(election->lease);
-    ws_store_request(core, WS_REQUEST_LEASE, "POST", path, NULL, 0, 800, on_renewed, NULL);
+    ws_store_post(core, WS_REQUEST_LEASE, path, NULL, 0, 800, on_renewed, NULL);
   }
 }
 
--- a/src/store/ws-store-load.c
+++ b/src/store/ws-store-load.c
@@ -74,7 +74,7 @@
 load_page(WsCore *core)
 {
   g_autofree char *path = ws_kv_page_path(WS_PREFIX, core->store->load.last_key, PAGE_SIZE);
-  ws_store_request(core, WS_REQUEST_READ, "GET", path, NULL, 0, PAGE_TIMEOUT_MS, on_page, NULL);
+  ws_store_get(core, path, PAGE_TIMEOUT_MS, on_page, NULL);
 }
 
 void
--- a/src/store/ws-store-private.h
+++ b/src/store/ws-store-private.h
@@ -54,6 +54,9 @@
 
 void ws_store_requests_init(WsStoreRequests *requests, const WsSettings *settings);
 void ws_store_requests_clear(WsStoreRequests *requests);
+/** Queues a read, of class WS_REQUEST_READ; otherwise like ws_store_post. */
+void ws_store_get(WsCore *core, const char *path, guint timeout_ms, WsReplyFunc reply,
+                  gpointer data);
 /** Sets this node's share of the budgets. @leads: whether it's the leader's. */
 void ws_store_requests_set_shares(WsCore *core, gboolean leads);
 /** Sends as many requests as the budgets allow, the most urgent class first. */
--- a/src/store/ws-store-reads.c
+++ b/src/store/ws-store-reads.c
@@ -114,8 +114,7 @@
   g_array_append_vals(reads->sent, reads->unsent->data, reads->unsent->len);
   g_array_set_size(reads->unsent, 0);
   g_autofree char *path = ws_kv_page_path(NO_KEYS_PREFIX, NULL, 1);
-  ws_store_request(core, WS_REQUEST_READ, "GET", path, NULL, 0, REVISION_TIMEOUT_MS, on_revision,
-                   NULL);
+  ws_store_get(core, path, REVISION_TIMEOUT_MS, on_revision, NULL);
 }
 
 gboolean
--- a/src/store/ws-store-requests.c
+++ b/src/store/ws-store-requests.c
@@ -21,10 +21,10 @@
 #define UNAVAILABLE_AFTER_MS 700
 
 typedef struct {
-  const char *method;
+  const char *method; /* a literal */
   char *path;
-  json_t *body;
-  guint write_count;
+  json_t *body;      /* NULL: there is none */
+  guint write_count; /* taken from the write budget; 0: it's a read */
   guint timeout_ms;
   WsReplyFunc reply;
   gpointer data;
@@ -87,21 +87,38 @@
   requests->write_rate.burst = MAX(requests->write_rate.per_second * BURST_S, MIN_WRITE_BURST);
 }
 
+static void
+enqueue(WsCore *core, const StoreRequest *request)
+{
+  StoreRequest *queued = g_memdup2(request, sizeof *request);
+  g_queue_push_tail(&core->store->requests.queues[request->request_class], queued);
+}
+
 void
-ws_store_request(WsCore *core, WsRequestClass request_class, const char *method, const char *path,
-                 json_t *body, guint write_count, guint timeout_ms, WsReplyFunc reply,
-                 gpointer data)
-{
-  StoreRequest *request = g_new0(StoreRequest, 1);
-  *request = (StoreRequest){ .method = method,
-                             .path = g_strdup(path),
-                             .body = body,
-                             .write_count = write_count,
-                             .timeout_ms = timeout_ms,
-                             .reply = reply,
-                             .data = data,
-                             .request_class = request_class };
-  g_queue_push_tail(&core->store->requests.queues[request_class], request);
+ws_store_get(WsCore *core, const char *path, guint timeout_ms, WsReplyFunc reply, gpointer data)
+{
+  StoreRequest request = { .method = "GET",
+                           .path = g_strdup(path),
+                           .timeout_ms = timeout_ms,
+                           .reply = reply,
+                           .data = data,
+                           .request_class = WS_REQUEST_READ };
+  enqueue(core, &request);
+}
+
+void
+ws_store_post(WsCore *core, WsRequestClass request_class, const char *path, json_t *body,
+              guint write_count, guint timeout_ms, WsReplyFunc reply, gpointer data)
+{
+  StoreRequest request = { .method = "POST",
+                           .path = g_strdup(path),
+                           .body = body,
+                           .write_count = write_count,
+                           .timeout_ms = timeout_ms,
+                           .reply = reply,
+                           .data = data,
+                           .request_class = request_class };
+  enqueue(core, &request);
 }
 
 /* A response that says something about the request, and not about the store's state. */
--- a/src/store/ws-store-watch.c
+++ b/src/store/ws-store-watch.c
@@ -61,5 +61,5 @@
   watch->is_open = TRUE;
   watch->opened_ms = core->now;
   g_autofree char *path = ws_kv_watch_path(WS_PREFIX, core->replica->revision, WATCH_WAIT_MS);
-  ws_store_request(core, WS_REQUEST_READ, "GET", path, NULL, 0, WATCH_TIMEOUT_MS, on_events, NULL);
+  ws_store_get(core, path, WATCH_TIMEOUT_MS, on_events, NULL);
 }
--- a/src/store/ws-store.h
+++ b/src/store/ws-store.h
@@ -74,19 +74,17 @@
 gboolean ws_store_has_write_budget(WsCore *core, guint operations);
 
 /**
- * Queues a request to the store.
+ * Queues a request that is posted to the store.
  *
  * A request that is rejected for its rate is retried some times; @reply then gets status 429. It
  * gets status 0 if no response comes within the time.
  *
- * @method: a string that outlives the request
  * @body: taken; NULL: there is none
- * @write_count: what the request takes from the write budget; 0: it's a read
+ * @write_count: what the request takes from the write budget
  * @timeout_ms: from when the request is sent
  */
-void ws_store_request(WsCore *core, WsRequestClass request_class, const char *method,
-                      const char *path, json_t *body, guint write_count, guint timeout_ms,
-                      WsReplyFunc reply, gpointer data);
+void ws_store_post(WsCore *core, WsRequestClass request_class, const char *path, json_t *body,
+                   guint write_count, guint timeout_ms, WsReplyFunc reply, gpointer data);
 
 /** Calls back once the replica is as new as the store was when this was called. */
 void ws_store_linearizable_read(WsCore *core, WsReadFunc done, gpointer data);
--- a/src/store/ws-txn.c
+++ b/src/store/ws-txn.c
@@ -134,7 +134,7 @@
 {
   txn->done = done;
   txn->data = data;
-  ws_store_request(core, request_class, "POST", WS_KV_TXN_PATH,
-                   ws_kv_txn_encode(txn->conditions, txn->operations), ws_txn_operation_count(txn),
-                   TXN_TIMEOUT_MS, on_reply, txn);
+  ws_store_post(core, request_class, WS_KV_TXN_PATH,
+                ws_kv_txn_encode(txn->conditions, txn->operations), ws_txn_operation_count(txn),
+                TXN_TIMEOUT_MS, on_reply, txn);
 }
