--- a/src/membership/ws-election.c
+++ b/src/membership/ws-election.c
@@ -3,6 +3,7 @@
 
 #include "store/ws-store.h"
 #include "protocol/ws-kv.h"
+#include "storage/ws-member-record.h"
 
 #define LEASE_MS 4000
 #define RENEW_MS 900
@@ -37,14 +38,10 @@
   g_free(election);
 }
 
-static json_t *
-identity(const WsCore *core, gboolean with_name)
+static const char *
+own_name(const WsCore *core)
 {
-  json_t *value = json_pack("{s:I}", "incarnation", (json_int_t)core->incarnation);
-  if (with_name)
-    json_object_set_new(value, "node",
-                        json_string(ws_settings_node(core->settings, core->settings->self)->name));
-  return value;
+  return ws_settings_node(core->settings, core->settings->self)->name;
 }
 
 static void
@@ -155,10 +152,9 @@
                   0, 1000, on_lease, NULL);
   } else if (!election->is_listed) {
     WsTxn *txn = ws_txn_new();
-    g_autofree char *key
-        = ws_key(WS_KEYS_MEMBER, ws_settings_node(core->settings, core->settings->self)->name);
+    g_autofree char *key = ws_key(WS_KEYS_MEMBER, own_name(core));
     ws_txn_compare(txn, core->replica, key);
-    ws_txn_put_leased(txn, key, identity(core, FALSE), election->lease);
+    ws_txn_put_leased(txn, key, ws_member_encode(core->incarnation), election->lease);
     ws_txn_commit(core, txn, WS_REQUEST_LEASE, on_listed, NULL);
   } else {
     g_autofree char *path = ws_kv_lease_renewal_path(election->lease);
@@ -198,7 +194,8 @@
   election->electing = TRUE;
   WsTxn *txn = ws_txn_new();
   ws_txn_compare(txn, core->replica, WS_KEY_LEADER);
-  ws_txn_put_leased(txn, WS_KEY_LEADER, identity(core, TRUE), election->lease);
+  ws_txn_put_leased(txn, WS_KEY_LEADER, ws_leader_encode(own_name(core), core->incarnation),
+                    election->lease);
   ws_txn_commit(core, txn, WS_REQUEST_LEASE, on_elected, NULL);
 }
 
