--- a/src/scheduling/ws-candidates.h
+++ b/src/scheduling/ws-candidates.h
@@ -1,53 +1,56 @@
-/* Where the tasks of one job may go, found once for all of them: they need the same, so they see
-   the same machines. */
+/**
+ * The machines where the tasks of one job may go.
+ *
+ * They are found once for all tasks of the job: these need the same, so they see the same machines.
+ * The caller takes one machine after another, the best first. Private to scheduling.
+ */
 #pragma once
 
-#include "scheduling/ws-scheduling.h"
+#include "scheduling/ws-capacity-map.h"
 
+/** When and how a machine has capacity for the task. */
 typedef enum {
-  WS_SLOT_FREE,          /* free */
-  WS_SLOT_FREEING,       /* free, or being freed by tasks that stop */
-  WS_SLOT_WITH_IMAGE,    /* the same, where the image is */
-  WS_SLOT_BY_PREEMPTION, /* after less urgent tasks stop */
-  WS_SLOT_BY_PREEMPTION_WITH_IMAGE,
+  WS_SLOT_FREE,                     /* now */
+  WS_SLOT_FREEING,                  /* now, or once the tasks that are being stopped there end */
+  WS_SLOT_WITH_IMAGE,               /* the same, and the image is in the machine's cache */
+  WS_SLOT_BY_PREEMPTION,            /* once less urgent tasks are stopped */
+  WS_SLOT_BY_PREEMPTION_WITH_IMAGE, /* the same, and the image is in the machine's cache */
   WS_SLOT_KINDS
 } WsSlotKind;
 
-typedef struct {
-  WsCore *core;
-  WsSlot *slots;      /* of each machine */
-  WsResources least;  /* what is waited for takes at least so much */
-  GArray *open;       /* of guint: machines with that much free */
-  GArray *coming;     /* of guint: machines where something is being stopped */
-  GArray *busy;       /* of guint: machines with tasks of arrays */
-  guint lowest;       /* the least urgent priority among them */
-  gboolean borrowing; /* some of them are beyond a guarantee */
-  guint steps;        /* machines looked at: what a plan costs */
-  guint looks;        /* for how many more jobs victims are looked for */
-} WsCapacityMap;
-
 typedef struct _WsCandidates WsCandidates;
 
-void ws_capacity_map_init(WsCapacityMap *map, WsCore *core, const WsResources *least);
-void ws_capacity_map_clear(WsCapacityMap *map);
-
-WsCandidates *ws_candidates_new(WsCapacityMap *map, const WsJob *job,
-                                guint *counts /* of tasks by zone */);
-void ws_candidates_free(WsCandidates *places);
-/* The best machine of the kind, or NULL. */
-WsMachine *ws_candidates_peek(WsCandidates *places, WsSlotKind kind);
-/* The same; the room for one task is taken, and counted in its zone. */
-WsMachine *ws_candidates_take(WsCandidates *places, WsSlotKind kind);
-/* Whether the job may use the machine at all, whatever room it has. */
-gboolean ws_candidates_is_eligible(const WsCandidates *places, const WsMachine *machine);
-/* From now on only machines of the zone are found; WS_NONE: of any. */
-void ws_candidates_restrict_to_zone(WsCandidates *places, WsZoneIndex zone);
-/* Takes the room for one more task on a machine that was taken just now; FALSE: there is none, or
-   it would take the processors that the machine's free accelerators need. */
-gboolean ws_candidates_take_again(WsCandidates *places, const WsMachine *machine);
-/* Gives back the room for a task on each of the machines (of guint). */
-void ws_candidates_release(WsCandidates *places, const GArray *machines);
-/* Whether a task could go to the machine if so much more of it were free. */
-gboolean ws_candidates_would_fit(const WsCandidates *places, const WsMachine *machine,
-                                 const WsResources *freed);
+/**
+ * Prepares the search; @map, @job and @tasks_by_zone must outlive it.
+ *
+ * @tasks_by_zone: how many tasks of the job have a machine, by zone; kept up to date.
+ */
+WsCandidates *ws_candidates_new(WsCapacityMap *map, const WsJob *job, guint *tasks_by_zone);
+void ws_candidates_free(WsCandidates *candidates);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsCandidates, ws_candidates_free)
+
+/** From now on only machines of the zone are found; WS_NO_ZONE: of any. */
+void ws_candidates_restrict_to_zone(WsCandidates *candidates, WsZoneIndex zone);
+
+/** Whether the job may use the machine at all, whatever its capacity. */
+gboolean ws_candidates_is_eligible(const WsCandidates *candidates, const WsMachine *machine);
+
+/** The best machine of the kind, or NULL. */
+WsMachine *ws_candidates_peek(WsCandidates *candidates, WsSlotKind kind);
+
+/** The same; the capacity for one task is subtracted, and the task counted in its zone. */
+WsMachine *ws_candidates_take(WsCandidates *candidates, WsSlotKind kind);
+
+/**
+ * Takes the capacity for one more task on a machine that was just taken.
+ *
+ * Returns FALSE if there is none, or if the task would block the machine's free accelerators.
+ */
+gboolean ws_candidates_take_another(WsCandidates *candidates, const WsMachine *machine);
+
+/** Returns the capacity for one task on each of the machines (of WsMachineIndex). */
+void ws_candidates_release(WsCandidates *candidates, const GArray *machines);
+
+/** Whether a task would fit the machine if @freed more of it were free. */
+gboolean ws_candidates_would_fit(const WsCandidates *candidates, const WsMachine *machine,
+                                 const WsResources *freed);
--- a/src/scheduling/ws-demand.c
+++ b/src/scheduling/ws-demand.c
@@ -1,5 +1,5 @@
 /* How many machines of which kind the tasks without room call for. */
-#include "scheduling/ws-scheduling.h"
+#include "scheduling/ws-type-fit.h"
 
 #include "membership/ws-membership.h"
 #include "commit/ws-commit.h"
@@ -181,7 +181,7 @@
 put_in(WsDemand *demand, const WsJob *job, const WsResources *need, guint tasks)
 {
   gboolean waits = job->spec->kind == WS_KIND_ARRAY && may_wait(demand, job);
-  gint64 smallest = ws_smallest_fitting_cpus(demand->core->replica, job->spec);
+  gint64 smallest = ws_type_smallest_fitting_cpus(demand->core->replica, job->spec);
   guint placed = 0;
   for (guint i = 0; i < demand->machines->len; i++) {
     Virtual *machine = &g_array_index(demand->machines, Virtual, i);
--- a/src/scheduling/ws-gang-place.c
+++ b/src/scheduling/ws-gang-place.c
@@ -1,5 +1,4 @@
 #include "scheduling/ws-gang-place.h"
-#include "scheduling/ws-scheduling.h"
 
 /* When a gang has to fetch its image anyway, so many machines fetch it at the same time: the start
    is no later, and the gangs to come find the image in more places. */
@@ -14,7 +13,7 @@
   const WsMachine *machine = NULL;
   guint left_here = 0;
   for (guint i = 0; i < tasks; i++) {
-    if (left_here == 0 || !ws_candidates_take_again(places, machine)) {
+    if (left_here == 0 || !ws_candidates_take_another(places, machine)) {
       machine = ws_candidates_take(places, WS_SLOT_FREE);
       if (machine == NULL) {
         ws_candidates_release(places, machines);
@@ -108,7 +107,7 @@
 change_room(WsCapacityMap *map, const WsJob *job, const GArray *machines, gint64 tasks_each)
 {
   for (guint i = 0; i < machines->len; i++)
-    ws_resources_add(&map->slots[g_array_index(machines, guint, i)].free, &job->spec->need,
+    ws_resources_add(&map->machines[g_array_index(machines, guint, i)].free, &job->spec->need,
                      tasks_each);
 }
 
@@ -165,7 +164,7 @@
     if (!ws_candidates_is_eligible(places, machine)
         || (zone != WS_NO_ZONE && machine->zone != zone))
       continue;
-    Kept candidate = { i, count_places(need, map->slots[i].free),
+    Kept candidate = { i, count_places(need, map->machines[i].free),
                        count_places(need, room_without_arrays(map->core, machine)) };
     if (candidate.places > 0)
       g_array_append_val(kept, candidate);
@@ -213,7 +212,7 @@
   g_autoptr(GArray) kept = choose_best_kept(map, job, tasks, counts);
   for (guint i = 0; kept != NULL && i < kept->len; i++) {
     const Kept *at = &g_array_index(kept, Kept, i);
-    map->slots[at->machine].free = (WsResources){ 0 };
+    map->machines[at->machine].free = (WsResources){ 0 };
     ws_reservations_renew(map->core, job, at->machine, at->places);
   }
 }
--- a/src/scheduling/ws-plan.c
+++ b/src/scheduling/ws-plan.c
@@ -4,7 +4,8 @@
    leader those that no part could take, anywhere. What two nodes would place in the same room only
    one of them gets: the leader looks again when it writes. */
 #include "scheduling/ws-gang-place.h"
-#include "scheduling/ws-scheduling.h"
+#include "scheduling/ws-preempt.h"
+#include "scheduling/ws-queue.h"
 
 #include "store/ws-store.h"
 #include "membership/ws-membership.h"
@@ -82,12 +83,12 @@
 preempt_on(Run *run, const WsJob *job, WsMachine *machine)
 {
   WsCore *core = run->core;
-  WsSlot slot = run->map.slots[machine->index];
+  WsMachineCapacity slot = run->map.machines[machine->index];
   g_info("job %s needs room on %s: less urgent tasks there stop", job->id, machine->name);
   /* The room was taken already, by whoever looked for it. */
   ws_resources_add(&slot.free, &job->spec->need, 1);
   ws_preempt(core, job, machine, &slot);
-  run->map.slots[machine->index].coming = slot.coming;
+  run->map.machines[machine->index].freeing = slot.freeing;
   ask_stops(core, machine);
 }
 
@@ -375,9 +376,9 @@
 static void
 repeat_stops(Run *run)
 {
-  for (guint i = 0; i < run->map.coming->len; i++)
+  for (guint i = 0; i < run->map.freeing->len; i++)
     ask_stops(run->core,
-              ws_replica_machine(run->core->replica, g_array_index(run->map.coming, guint, i)));
+              ws_replica_machine(run->core->replica, g_array_index(run->map.freeing, guint, i)));
 }
 
 static gboolean
@@ -394,7 +395,7 @@
 {
   WsResources least = { G_MAXINT64, G_MAXINT64, G_MAXINT64 };
   for (guint i = 0; i < jobs->len; i++) {
-    const WsJob *job = g_array_index(jobs, WsWaiting, i).job;
+    const WsJob *job = g_array_index(jobs, WsQueueEntry, i).job;
     if (!is_for_us(core, job))
       continue;
     least.cpus = MIN(least.cpus, job->spec->need.cpus);
@@ -417,7 +418,7 @@
   run.demand = ws_is_leader(core) ? ws_demand_new(core) : NULL;
   guint left = TASKS_A_PLAN;
   for (guint i = 0; i < jobs->len && left > 0; i++) {
-    const WsWaiting *waiting = &g_array_index(jobs, WsWaiting, i);
+    const WsQueueEntry *waiting = &g_array_index(jobs, WsQueueEntry, i);
     /* What goes first for its age is no more than isn't stopped again: the rest would be, for the
        same more urgent work that it had gone before, over and over. */
     guint most = waiting->is_overdue ? MIN(left, ws_queue_protected_tasks(waiting->job)) : left;
@@ -425,9 +426,9 @@
       left -= place_job(&run, waiting->job, most);
   }
   repeat_stops(&run);
-  core->plan_steps += run.map.steps;
+  core->plan_steps += run.map.machines_examined;
   core->plans++;
-  core->plan->next_ms = core->now + PAUSE_MS + run.map.steps / STEPS_A_MS;
+  core->plan->next_ms = core->now + PAUSE_MS + run.map.machines_examined / STEPS_A_MS;
   if (run.demand != NULL)
     ws_demand_end(run.demand);
   g_hash_table_unref(run.reserved);
@@ -466,7 +467,7 @@
     const WsMachine *machine = ws_replica_machine(core->replica, g_array_index(map.open, guint, i));
     if (!ws_constraints_allow_machine(core->replica, spec, zone, machine))
       continue;
-    for (WsResources room = map.slots[machine->index].free; ws_resources_fit(&spec->need, &room);
+    for (WsResources room = map.machines[machine->index].free; ws_resources_fit(&spec->need, &room);
          ws_resources_add(&room, &spec->need, -1))
       if (++places[machine->owner] > WS_MAX_TASKS)
         break;
--- a/src/scheduling/ws-preempt.c
+++ b/src/scheduling/ws-preempt.c
@@ -1,15 +1,22 @@
-/* Which tasks may be stopped to make room, and which are cheapest to stop. */
-#include "scheduling/ws-scheduling.h"
+/* Preemption: which tasks may be stopped for a more urgent job, and which are cheapest to stop. */
+#include "scheduling/ws-preempt.h"
+
+#include "scheduling/ws-queue.h"
 
 #include "membership/ws-membership.h"
 #include "commit/ws-commit.h"
 #include "workers/ws-workers.h"
 
-/* How many times what is done in its place a victim may lose. */
-#define MAX_LOST_MACHINES 2.0
+/* A victim may lose at most so many times the work that is done in its place. */
+#define MAX_LOST_WORK_RATIO 2.0
+/* A guaranteed job may only stop an equally urgent task that has run for at most so many
+   milliseconds of each second of its estimated time. */
+#define MAX_LOST_RUN_MS_PER_S 500.0
+/* What each stop costs beside the lost work. */
+#define STOP_COST_S 5.0
 
 static gboolean
-beyond_guarantee(const WsCore *core, const WsJob *victim)
+is_beyond_guarantee(const WsCore *core, const WsJob *victim)
 {
   const WsTeamSettings *team = g_ptr_array_index(core->settings->teams, victim->team);
   WsResources use = core->replica->team_use[victim->team];
@@ -19,35 +26,33 @@
          || (team->guarantee.gpus == 0 && team->guarantee.cpus == 0);
 }
 
-/* A job that begins at last, after others went before it for long, isn't stopped again at once:
-   otherwise work that is more urgent and never ends would keep it from ever beginning. */
+/* The first tasks of a job that starts late, after others went before it for long, aren't stopped
+   again: otherwise more urgent work that never ends would keep it from ever starting. */
 static gboolean
-begins_at_last(const WsCore *core, const WsJob *victim, guint victim_tasks_on)
+is_protected_start(const WsCore *core, const WsJob *victim, guint victim_tasks)
 {
-  return core->wall - victim->accepted_ms > (gint64)(WS_BEGIN_WITHIN_S * 1000.0)
-         && victim->completed_count == 0 && victim_tasks_on <= ws_queue_protected_tasks(victim);
+  return core->wall - victim->accepted_ms > (gint64)(WS_QUEUE_MAX_START_DELAY_S * 1000.0)
+         && victim->completed_count == 0 && victim_tasks <= ws_queue_protected_tasks(victim);
 }
 
 gboolean
-ws_preempt_outranks(const WsCore *core, const WsJob *job, const WsJob *victim,
-                    guint victim_tasks_on)
+ws_preempt_outranks(const WsCore *core, const WsJob *job, const WsJob *victim, guint victim_tasks)
 {
-  /* Stopping a service's task is noticed at once, and a gang's would stop its whole gang. */
   if (victim->state != WS_JOB_ACTIVE || victim->spec->kind != WS_KIND_ARRAY)
     return FALSE;
-  if (job->spec->priority != WS_CRITICAL && begins_at_last(core, victim, victim_tasks_on))
+  if (job->spec->priority != WS_CRITICAL && is_protected_start(core, victim, victim_tasks))
     return FALSE;
-  /* The queue places guarantees before priorities. A job that stopped what is placed before it
-     would see it take the same place again, over and over, and neither would run. */
+  /* The queue puts guarantees before priorities. A job that stopped what is placed before it would
+     see that take the same slot again, over and over, and neither would run. */
   if (victim->status.is_guaranteed && !job->status.is_guaranteed
       && job->spec->priority != WS_CRITICAL)
     return FALSE;
   if (job->spec->priority < victim->spec->priority)
     return TRUE;
-  /* Never between two that are both guaranteed: they would take the place from each other in turn.
+  /* Never between two that are both guaranteed: they would take the slot from each other in turn.
    */
   return job->status.is_guaranteed && !victim->status.is_guaranteed && job->team != victim->team
-         && beyond_guarantee(core, victim);
+         && is_beyond_guarantee(core, victim);
 }
 
 gboolean
@@ -56,33 +61,37 @@
   return ws_preempt_outranks(core, job, victim, victim->assigned_count);
 }
 
-/* What is lost of the victim's work is no more than a few times what would be done in its place: a
-   large task that has run for minutes isn't stopped for small ones of seconds. */
+/* Whether the lost work is no more than a few times what would be done in its place: a large task
+   that has run for minutes isn't stopped for small ones of seconds. */
 static gboolean
-loses_little(const WsCore *core, const WsJob *job, const WsJob *victim,
-             const WsAssignment *assignment)
+is_loss_acceptable(const WsCore *core, const WsJob *job, const WsJob *victim,
+                   const WsAssignment *assignment)
 {
   gint64 left = job->tasks - job->completed_count - job->assigned_count;
   gint64 cpus = MIN(left * job->spec->need.cpus, victim->spec->need.cpus);
   double gain = (double)cpus * MAX(ws_estimator_run_s(core, job), 1.0);
   double lost
       = (double)victim->spec->need.cpus * (double)(core->wall - assignment->assigned_ms) / 1000.0;
-  return lost <= MAX_LOST_MACHINES * gain;
+  return lost <= MAX_LOST_WORK_RATIO * gain;
 }
 
-/* A guarantee among equals isn't worth work that is half done: its place is soon free. */
+/* Whether the gain outweighs the lost work. Among equally urgent jobs a guarantee doesn't stop a
+   task that is half done: its slot is soon free. */
 static gboolean
-is_worth(const WsCore *core, const WsJob *job, const WsJob *victim, const WsAssignment *assignment)
+is_worthwhile(const WsCore *core, const WsJob *job, const WsJob *victim,
+              const WsAssignment *assignment)
 {
   if (job->spec->priority < victim->spec->priority)
-    return job->spec->priority == WS_CRITICAL || loses_little(core, job, victim, assignment);
-  return (double)(core->wall - assignment->assigned_ms) < 500.0 * victim->spec->estimate_s;
+    return job->spec->priority == WS_CRITICAL || is_loss_acceptable(core, job, victim, assignment);
+  return (double)(core->wall - assignment->assigned_ms)
+         < MAX_LOST_RUN_MS_PER_S * victim->spec->estimate_s;
 }
 
-/* The cheapest task on the machine that may be stopped and is not yet: the youngest one. */
+/* The cheapest victim on the machine that isn't being stopped yet: the youngest task. @victim_job
+   is set to its job. */
 static WsAssignment *
-cheapest(const WsCore *core, const WsJob *job, const WsMachine *machine, gint64 younger_than_ms,
-         WsJob **owner)
+find_cheapest(const WsCore *core, const WsJob *job, const WsMachine *machine,
+              gint64 younger_than_ms, WsJob **victim_job)
 {
   WsAssignment *best = NULL;
   for (guint i = 0; i < machine->tasks->len; i++) {
@@ -91,48 +100,49 @@
     WsAssignment *assignment = ws_job_assignment(victim, ref->task);
     if (assignment == NULL || assignment->is_stop_requested
         || assignment->assigned_ms >= younger_than_ms || !ws_preempt_allowed(core, job, victim)
-        || !is_worth(core, job, victim, assignment))
+        || !is_worthwhile(core, job, victim, assignment))
       continue;
     if (best == NULL || assignment->assigned_ms > best->assigned_ms) {
       best = assignment;
-      *owner = victim;
+      *victim_job = victim;
     }
   }
   return best;
 }
 
 double
-ws_preempt_cost(const WsCore *core, const WsJob *job, const WsMachine *machine, const WsSlot *slot)
+ws_preempt_cost(const WsCore *core, const WsJob *job, const WsMachine *machine,
+                const WsMachineCapacity *capacity)
 {
-  WsResources room = slot->free;
+  WsResources available = capacity->free;
   double cost = 0.0;
   gint64 younger_than_ms = G_MAXINT64;
-  ws_resources_add(&room, &slot->coming, 1);
-  while (!ws_resources_fit(&job->spec->need, &room)) {
+  ws_resources_add(&available, &capacity->freeing, 1);
+  while (!ws_resources_fit(&job->spec->need, &available)) {
     WsJob *victim = NULL;
-    const WsAssignment *assignment = cheapest(core, job, machine, younger_than_ms, &victim);
+    const WsAssignment *assignment = find_cheapest(core, job, machine, younger_than_ms, &victim);
     if (assignment == NULL)
       return -1.0;
     younger_than_ms = assignment->assigned_ms;
-    ws_resources_add(&room, &victim->spec->need, 1);
-    cost += 5.0 + (double)(core->wall - assignment->assigned_ms) / 1000.0;
+    ws_resources_add(&available, &victim->spec->need, 1);
+    cost += STOP_COST_S + (double)(core->wall - assignment->assigned_ms) / 1000.0;
   }
   return cost;
 }
 
 void
-ws_preempt(WsCore *core, const WsJob *job, WsMachine *machine, WsSlot *slot)
+ws_preempt(WsCore *core, const WsJob *job, WsMachine *machine, WsMachineCapacity *capacity)
 {
-  WsResources room = slot->free;
-  ws_resources_add(&room, &slot->coming, 1);
-  while (!ws_resources_fit(&job->spec->need, &room)) {
+  WsResources available = capacity->free;
+  ws_resources_add(&available, &capacity->freeing, 1);
+  while (!ws_resources_fit(&job->spec->need, &available)) {
     WsJob *victim = NULL;
-    WsAssignment *assignment = cheapest(core, job, machine, G_MAXINT64, &victim);
+    WsAssignment *assignment = find_cheapest(core, job, machine, G_MAXINT64, &victim);
     if (assignment == NULL)
       return;
     assignment->is_stop_requested = TRUE;
-    ws_resources_add(&room, &victim->spec->need, 1);
-    ws_resources_add(&slot->coming, &victim->spec->need, 1);
+    ws_resources_add(&available, &victim->spec->need, 1);
+    ws_resources_add(&capacity->freeing, &victim->spec->need, 1);
     if (ws_owns_machine(core, machine))
       ws_worker_rpc_halt(core, victim, assignment);
   }
@@ -145,17 +155,18 @@
 } TeamVictim;
 
 static gint
-youngest_first(gconstpointer a, gconstpointer b)
+compare_youngest_first(gconstpointer a, gconstpointer b)
 {
   const TeamVictim *first = a, *second = b;
   gint64 difference_ms = second->assignment->assigned_ms - first->assignment->assigned_ms;
   return difference_ms < 0 ? -1 : difference_ms > 0;
 }
 
-/* Adds the tasks of the candidate that may be stopped; what is on its way out is counted. */
+/* Adds the victims among the candidate's tasks; what its ending tasks will leave is added to
+   freeing. */
 static void
 add_team_victims(const WsCore *core, const WsJob *job, WsJob *candidate, GArray *victims,
-                 WsResources *coming)
+                 WsResources *freeing)
 {
   gboolean is_cancelled = ws_cancellations_has(core, candidate);
   gboolean may_stop = !is_cancelled && ws_preempt_allowed(core, job, candidate);
@@ -165,20 +176,20 @@
   while ((assignment = ws_assignment_iter_next(&iter)) != NULL) {
     TeamVictim victim = { candidate, assignment };
     if (is_cancelled || assignment->is_stop_requested)
-      ws_resources_add(coming, &candidate->spec->need, 1);
+      ws_resources_add(freeing, &candidate->spec->need, 1);
     else if (may_stop)
       g_array_append_val(victims, victim);
   }
 }
 
-/* Puts the youngest task first whose end leaves a place for the job. */
+/* Moves the youngest victim to the front whose end leaves a slot for the job. */
 static gboolean
-put_place_first(const WsCore *core, GArray *victims, WsPlaceFunc makes_place, gpointer data)
+move_slot_to_front(const WsCore *core, GArray *victims, WsPreemptFitFunc fits, gpointer data)
 {
   for (guint i = 0; i < victims->len; i++) {
     TeamVictim victim = g_array_index(victims, TeamVictim, i);
     const WsMachine *machine = ws_replica_machine(core->replica, victim.assignment->machine);
-    if (!makes_place(machine, &victim.job->spec->need, data))
+    if (!fits(machine, &victim.job->spec->need, data))
       continue;
     g_array_remove_index(victims, i);
     g_array_prepend_val(victims, victim);
@@ -187,22 +198,24 @@
   return FALSE;
 }
 
-/* How many of the victims must stop before the team has room for the job; 0: even all don't do. */
+/* How many of the victims must stop before the team's limit allows a task of the job; 0: even all
+   are too few. */
 static guint
-count_needed(const WsCore *core, const WsJob *job, const WsResources *use, const GArray *victims)
+count_victims_needed(const WsCore *core, const WsJob *job, const WsResources *team_use,
+                     const GArray *victims)
 {
-  WsResources left = *use;
+  WsResources use_left = *team_use;
   for (guint i = 0; i < victims->len; i++) {
     const TeamVictim *victim = &g_array_index(victims, TeamVictim, i);
-    ws_resources_add(&left, &victim->job->spec->need, -1);
-    if (ws_team_has_room(core->settings, job->team, &left, &job->spec->need))
+    ws_resources_add(&use_left, &victim->job->spec->need, -1);
+    if (ws_team_has_room(core->settings, job->team, &use_left, &job->spec->need))
       return i + 1;
   }
   return 0;
 }
 
 static void
-stop_first(WsCore *core, const GArray *victims, guint count, GArray *machines)
+stop_victims(WsCore *core, const GArray *victims, guint count, GArray *machines)
 {
   for (guint i = 0; i < count; i++) {
     const TeamVictim *victim = &g_array_index(victims, TeamVictim, i);
@@ -214,24 +227,24 @@
 }
 
 WsTeamCapacity
-ws_preempt_in_team(WsCore *core, const WsJob *job, const WsResources *use, gboolean has_place,
-                   WsPlaceFunc makes_place, gpointer data, GArray *machines)
+ws_preempt_in_team(WsCore *core, const WsJob *job, const WsResources *team_use, gboolean has_slot,
+                   WsPreemptFitFunc fits, gpointer data, GArray *machines)
 {
   g_autoptr(GArray) victims = g_array_new(FALSE, FALSE, sizeof(TeamVictim));
-  WsResources coming = { 0 }, left = *use;
+  WsResources freeing = { 0 }, use_left = *team_use;
   for (guint i = 0; i < core->replica->active->len; i++) {
     WsJob *candidate = g_ptr_array_index(core->replica->active, i);
     if (candidate->team == job->team && candidate->spec != NULL)
-      add_team_victims(core, job, candidate, victims, &coming);
+      add_team_victims(core, job, candidate, victims, &freeing);
   }
-  ws_resources_add(&left, &coming, -1);
-  if (ws_team_has_room(core->settings, job->team, &left, &job->spec->need))
+  ws_resources_add(&use_left, &freeing, -1);
+  if (ws_team_has_room(core->settings, job->team, &use_left, &job->spec->need))
     return WS_TEAM_CAPACITY_FREEING;
-  g_array_sort(victims, youngest_first);
-  if (count_needed(core, job, &left, victims) == 0)
+  g_array_sort(victims, compare_youngest_first);
+  if (count_victims_needed(core, job, &use_left, victims) == 0)
     return WS_TEAM_FULL;
-  if (!has_place && !put_place_first(core, victims, makes_place, data))
+  if (!has_slot && !move_slot_to_front(core, victims, fits, data))
     return WS_TEAM_NO_SLOT;
-  stop_first(core, victims, count_needed(core, job, &left, victims), machines);
+  stop_victims(core, victims, count_victims_needed(core, job, &use_left, victims), machines);
   return WS_TEAM_CAPACITY_FREEING;
 }
--- a/src/scheduling/ws-reservation.c
+++ b/src/scheduling/ws-reservation.c
@@ -1,4 +1,5 @@
-#include "scheduling/ws-scheduling.h"
+#include "scheduling/ws-preempt.h"
+#include "scheduling/ws-queue.h"
 
 #include "membership/ws-membership.h"
 #include "workers/ws-workers.h"
--- a/src/scheduling/ws-scheduling.h
+++ b/src/scheduling/ws-scheduling.h
@@ -9,23 +9,6 @@
 
 #include "commit/ws-commit.h"
 
-/* A job that has waited so long for its first task comes before guarantees and priorities, critical
-   work excepted. Whatever favours small or late jobs, age wins in the end. */
-#define WS_BEGIN_WITHIN_S 120.0
-/* As many tasks of a job that begins so late are placed before all else, and aren't stopped again
-   for anything but critical work. */
-guint ws_queue_protected_tasks(const WsJob *job);
-/* Whether the job has waited too long for its first task. */
-gboolean ws_queue_is_overdue(const WsCore *core, const WsJob *job);
-typedef struct {
-  WsJob *job;
-  guint lateness;      /* 0: can be in time; 1: within half as long again; 2: late anyway */
-  gboolean is_overdue; /* it has waited too long for its first task */
-  double weight;       /* what is left to start, less for what has waited */
-} WsWaiting;
-/* The open jobs, the most urgent first; also says which are within a guarantee. */
-GArray *ws_queue_jobs(const WsCore *core); /* of WsWaiting */
-
 WsPlan *ws_plan_new(void);
 void ws_plan_free(WsPlan *plan);
 void ws_plan_tick(WsCore *core);
@@ -40,39 +23,6 @@
 /* Whether the places kept for critical jobs are there without the machine too. */
 gboolean ws_headroom_remains_without(const WsCore *core, const WsMachine *machine);
 
-typedef struct {
-  WsResources free;   /* room now, less what this plan gave away */
-  WsResources coming; /* what tasks that are being stopped will leave */
-  gboolean usable;
-  gboolean has_service;
-} WsSlot;
-/* Whether the job may have the other one's task stopped. */
-gboolean ws_preempt_allowed(const WsCore *core, const WsJob *job, const WsJob *victim);
-/* The same once so many of the other one's tasks are on machines. */
-gboolean ws_preempt_outranks(const WsCore *core, const WsJob *job, const WsJob *victim,
-                             guint victim_tasks_on);
-/* Stops the cheapest tasks that make room on the machine; the cost says how much work is lost,
-   negative: it can't be done. */
-double ws_preempt_cost(const WsCore *core, const WsJob *job, const WsMachine *machine,
-                       const WsSlot *slot);
-void ws_preempt(WsCore *core, const WsJob *job, WsMachine *machine, WsSlot *slot);
-/* Processors of the smallest allowed type that has room for one task. */
-gint64 ws_smallest_fitting_cpus(const WsReplica *replica, const WsJobSpec *spec);
-/* Whether the job could start on the machine if so much more of it were free. */
-typedef gboolean (*WsPlaceFunc)(const WsMachine *machine, const WsResources *freed, gpointer data);
-typedef enum {
-  WS_TEAM_FULL,    /* with work that may not be stopped for the job */
-  WS_TEAM_NO_SLOT, /* stops would make room in the team, but the job has no place to start */
-  WS_TEAM_CAPACITY_FREEING /* tasks are being stopped */
-} WsTeamCapacity;
-/* Stops less urgent tasks of the job's own team, the youngest first, until the team's limit leaves
-   room for one task of the job. Nothing is stopped unless that task can then start: either it has a
-   place, or makes_place says that the end of one of the stopped tasks leaves it one. use: of the
-   team, as planned. The machines of what stops are appended to machines (of guint). */
-WsTeamCapacity ws_preempt_in_team(WsCore *core, const WsJob *job, const WsResources *use,
-                                  gboolean has_place, WsPlaceFunc makes_place, gpointer data,
-                                  GArray *machines);
-
 /**
  * Gangs: jobs whose tasks run at the same time or not at all.
  *
