--- a/src/scheduling/ws-demand.c
+++ b/src/scheduling/ws-demand.c
@@ -1,4 +1,5 @@
 /* How many machines of which kind the tasks without room call for. */
+#include "scheduling/ws-demand.h"
 #include "scheduling/ws-type-fit.h"
 
 #include "membership/ws-membership.h"
@@ -400,7 +401,7 @@
 
 /* Hands over what is wanted, counted by kind. */
 void
-ws_demand_end(WsDemand *demand)
+ws_demand_finish(WsDemand *demand)
 {
   add_spare(demand);
   for (guint i = 0; i < demand->machines->len; i++) {
--- /dev/null
+++ b/src/scheduling/ws-plan.h
@@ -0,0 +1,11 @@
+/**
+ * The state of planning between two plans. Private to scheduling.
+ */
+#pragma once
+
+#include "scheduling/ws-scheduling.h"
+
+struct _WsPlan {
+  gint64 next_ms; /* no plan before this time */
+  gboolean escalation_is_in_flight;
+};
--- a/src/scheduling/ws-scheduling.h
+++ b/src/scheduling/ws-scheduling.h
@@ -14,12 +14,6 @@
 void ws_plan_tick(WsCore *core);
 guint ws_plan_choose_coordinator(WsCore *core, const WsJobSpec *spec);
 
-typedef struct _WsDemand WsDemand;
-WsDemand *ws_demand_new(WsCore *core);
-void ws_demand_add(WsDemand *demand, const WsJob *job, guint tasks);
-/* The same for a gang: all its machines are in one zone, where that is asked for. */
-void ws_demand_add_gang(WsDemand *demand, const WsJob *job, guint tasks);
-void ws_demand_end(WsDemand *demand); /* takes it */
 /* Whether the places kept for critical jobs are there without the machine too. */
 gboolean ws_headroom_remains_without(const WsCore *core, const WsMachine *machine);
 
--- /dev/null
+++ b/src/scheduling/ws-stop-requests.c
@@ -0,0 +1,32 @@
+/* Requests to other nodes to stop preempted tasks on their machines. */
+#include "scheduling/ws-stop-requests.h"
+
+#include "membership/ws-membership.h"
+
+#define STOP_RETRY_MS 3000
+
+/* Whether the task is to be stopped and its owner wasn't asked a moment ago. */
+static gboolean
+is_due(const WsCore *core, const WsAssignment *assignment)
+{
+  if (assignment == NULL || !assignment->is_stop_requested)
+    return FALSE;
+  return assignment->stop_forwarded_ms <= 0
+         || core->now - assignment->stop_forwarded_ms >= STOP_RETRY_MS;
+}
+
+void
+ws_stop_requests_send(WsCore *core, const WsMachine *machine)
+{
+  if (machine->owner == core->settings->self)
+    return;
+  for (guint i = 0; i < machine->tasks->len; i++) {
+    const WsTaskRef *ref = &g_array_index(machine->tasks, WsTaskRef, i);
+    const WsJob *victim = ws_replica_job(core->replica, ref->job);
+    WsAssignment *assignment = ws_job_assignment(victim, ref->task);
+    if (!is_due(core, assignment))
+      continue;
+    assignment->stop_forwarded_ms = core->now;
+    ws_peer_request_stop(core, machine->owner, victim, assignment);
+  }
+}
