--- a/src/scheduling/ws-demand.c
+++ b/src/scheduling/ws-demand.c
@@ -1,55 +1,22 @@
-/* How many machines of which kind the tasks without room call for. */
-#include "scheduling/ws-demand.h"
-#include "scheduling/ws-type-fit.h"
+/* Autoscaling demand: how many machines of which kind the unplaced tasks call for. */
+#include "scheduling/ws-demand-private.h"
 
-#include "membership/ws-membership.h"
+#include "scheduling/ws-type-fit.h"
 #include "commit/ws-commit.h"
 #include "fleet/ws-fleet.h"
+#include "membership/ws-membership.h"
 #include "storage/ws-constraints.h"
 
-/* Without a deadline or an objective an array's tasks may follow each other for this long. */
-#define DEFAULT_SLACK_S 100.0
-#define LEAST_SHARE 0.2
-/* Some machines take twice as long to boot as others. A critical task that must wait for one gets
-   the first of several, where boots are long enough to be worth it; arrays use the rest. */
-#define SHORT_BOOT_S 30.0
-#define LONG_BOOT_S 60.0
-#define LONG_BOOT_EXTRA 1.0
-/* Estimates are often wrong by half, so only a part of the slack is counted on: less of it where a
-   class has one time for all its jobs, whatever their size, than where each job has its own. */
-#define USED_SLACK 0.7
-#define USED_CLASS_SLACK 0.4
-/* How soon tasks should begin isn't an estimate, but many jobs may come at once. */
-#define USED_BEGIN_SLACK 0.5
-
-typedef struct {
-  WsTypeIndex type;
-  WsZoneIndex zone;
-  gboolean spot;
-  WsResources room;
-  gboolean is_new;
-  gboolean on_order;
-  gboolean is_running; /* what running tasks will leave some time soon */
-} Virtual;
-
-struct _WsDemand {
-  WsCore *core;
-  GArray *machines; /* of Virtual: booting, on order, or wanted */
-  guint *by_zone;   /* machines there are, by zone */
-  guint only_zone;  /* that the job at hand must be in; WS_NONE: any */
-};
-
-static Virtual *
-add_virtual(WsDemand *demand, WsTypeIndex type, WsZoneIndex zone, gboolean spot,
-            const WsResources *room, gboolean is_new)
+static void
+add_virtual(WsDemand *demand, WsVirtualSource source, WsTypeIndex type, WsZoneIndex zone,
+            gboolean is_spot, const WsResources *free)
 {
-  Virtual made = { type, zone, spot, *room, is_new, FALSE, FALSE };
-  g_array_append_val(demand->machines, made);
-  return &g_array_index(demand->machines, Virtual, demand->machines->len - 1);
+  WsVirtualMachine machine = { type, zone, is_spot, source, *free };
+  g_array_append_val(demand->machines, machine);
 }
 
-/* A place whose array task ends some time soon is worth a part of a place of a new machine, to a
-   task that can wait for it. */
+/* A slot whose array task ends some time soon counts as half a slot of a new machine, for a task
+   that can wait for it. */
 static void
 add_running(WsDemand *demand, const WsMachine *machine)
 {
@@ -63,23 +30,23 @@
   soon.cpus /= 2;
   soon.gpus /= 2;
   soon.memory /= 2;
-  if (soon.cpus == 0)
-    return;
-  add_virtual(demand, machine->type, machine->zone, machine->spot, &soon, FALSE)->is_running = TRUE;
+  if (soon.cpus != 0)
+    add_virtual(demand, WS_VIRTUAL_RUNNING, machine->type, machine->zone, machine->spot, &soon);
 }
 
 static void
-add_rents(WsDemand *demand)
+add_ordered(WsDemand *demand)
 {
   const WsReplica *replica = demand->core->replica;
   for (guint i = 0; i < replica->rents->len; i++) {
-    const WsRentalIntent *rent = g_ptr_array_index(replica->rents, i);
-    WsTypeIndex type = ws_replica_find_type(replica, rent->type),
-                zone = ws_replica_find_zone(replica, rent->zone);
-    for (guint n = 0; n < rent->count && type != WS_NO_TYPE && zone != WS_NO_ZONE; n++)
-      add_virtual(demand, type, zone, rent->spot, &ws_replica_type(replica, type)->capacity, FALSE)
-          ->on_order
-          = TRUE;
+    const WsRentalIntent *rental = g_ptr_array_index(replica->rents, i);
+    WsTypeIndex type = ws_replica_find_type(replica, rental->type);
+    WsZoneIndex zone = ws_replica_find_zone(replica, rental->zone);
+    if (type == WS_NO_TYPE || zone == WS_NO_ZONE)
+      continue;
+    for (guint n = 0; n < rental->count; n++)
+      add_virtual(demand, WS_VIRTUAL_ORDERED, type, zone, rental->spot,
+                  &ws_replica_type(replica, type)->capacity);
   }
 }
 
@@ -91,239 +58,118 @@
          && age_s < 1.6 * ws_replica_type(core->replica, machine->type)->boot_s;
 }
 
+static void
+add_machine(WsDemand *demand, const WsMachine *machine)
+{
+  const WsCore *core = demand->core;
+  demand->machines_by_zone[machine->zone]++;
+  /* Nobody hears of a machine that comes up behind a partition. */
+  if (machine->is_marked || ws_zone_is_partitioned(core, machine->zone))
+    return;
+  if (is_booting(core, machine))
+    add_virtual(demand, WS_VIRTUAL_BOOTING, machine->type, machine->zone, machine->spot,
+                &ws_replica_type(core->replica, machine->type)->capacity);
+  else if (ws_machine_is_up(core, machine))
+    add_running(demand, machine);
+}
+
 WsDemand *
 ws_demand_new(WsCore *core)
 {
   const WsReplica *replica = core->replica;
   WsDemand *demand = g_new0(WsDemand, 1);
   demand->core = core;
-  demand->only_zone = WS_NONE;
-  demand->machines = g_array_new(FALSE, FALSE, sizeof(Virtual));
-  demand->by_zone = g_new0(guint, core->settings->zones->len);
-  for (guint i = 0; i < replica->machines->len; i++) {
+  demand->only_zone = WS_NO_ZONE;
+  demand->machines = g_array_new(FALSE, FALSE, sizeof(WsVirtualMachine));
+  demand->machines_by_zone = g_new0(guint, core->settings->zones->len);
+  for (WsMachineIndex i = 0; i < replica->machines->len; i++) {
     const WsMachine *machine = ws_replica_machine(replica, i);
-    if (!machine->is_recorded || machine->type == WS_NO_TYPE || machine->zone == WS_NO_ZONE)
-      continue;
-    demand->by_zone[machine->zone]++;
-    if (machine->is_marked || ws_zone_is_partitioned(core, machine->zone))
-      continue; /* nobody hears of a machine that comes up behind a cut */
-    if (is_booting(core, machine))
-      add_virtual(demand, machine->type, machine->zone, machine->spot,
-                  &ws_replica_type(replica, machine->type)->capacity, FALSE);
-    else if (ws_machine_is_up(core, machine))
-      add_running(demand, machine);
+    if (machine->is_recorded && machine->type != WS_NO_TYPE && machine->zone != WS_NO_ZONE)
+      add_machine(demand, machine);
   }
-  add_rents(demand);
+  add_ordered(demand);
   return demand;
 }
 
-/* How long a task of the job may still wait for a place, if a machine had to boot for it. */
-static double
-slack_s(const WsDemand *demand, const WsJob *job)
-{
-  const WsCore *core = demand->core;
-  double allowed_s = ws_job_allowed_s(core->replica, job);
-  double begin_s = ws_settings_begin_within(core->settings, job->spec->class_name);
-  double used_s = (double)(core->wall - job->accepted_ms) / 1000.0
-                  + ws_replica_type(core->replica, 0)->boot_s;
-  double end_s = 1.2 * ws_estimator_run_s(core, job) + ws_job_fetch_s(core->replica, job);
-  double part = job->spec->deadline_s >= 0.0 ? USED_SLACK : USED_CLASS_SLACK;
-  double spare_s = allowed_s >= 0.0 ? part * (allowed_s - used_s - end_s) : DEFAULT_SLACK_S;
-  if (begin_s >= 0.0)
-    spare_s = MIN(spare_s, USED_BEGIN_SLACK * (begin_s - used_s));
-  return MAX(0.0, spare_s);
-}
-
-/* For how many tasks places are wanted, if so many wait. */
-static guint
-with_extra(const WsDemand *demand, const WsJob *job, guint tasks)
-{
-  if (job->spec->priority != WS_CRITICAL)
-    return tasks;
-  double boot_s = ws_replica_type(demand->core->replica, 0)->boot_s;
-  double length = (boot_s - SHORT_BOOT_S) / (LONG_BOOT_S - SHORT_BOOT_S);
-  return tasks + (guint)(tasks * LONG_BOOT_EXTRA * CLAMP(length, 0.0, 1.0));
-}
-
-/* What the task takes of a place that is there for a while: less, if others can follow it and
-   still be in time. */
-static WsResources
-share(const WsDemand *demand, const WsJob *job)
-{
-  WsResources need = job->spec->need;
-  double run_s = ws_estimator_run_s(demand->core, job) + 5.0;
-  double part = job->spec->kind == WS_KIND_ARRAY
-                    ? MAX(LEAST_SHARE, run_s / (run_s + slack_s(demand, job)))
-                    : 1.0;
-  need.cpus = (gint64)((double)need.cpus * part);
-  need.gpus = (gint64)((double)need.gpus * part);
-  need.memory = (gint64)((double)need.memory * part);
-  return need;
-}
-
+/* Whether the job's tasks may be counted on the virtual machine. Slots that running tasks leave
+   count only on machines of the smallest type that fits: larger ones are for larger tasks. */
 static gboolean
-zone_fits(const WsDemand *demand, const WsJob *job, WsZoneIndex zone)
+is_allowed(const WsDemand *demand, const WsJob *job, const WsVirtualMachine *machine,
+           gboolean can_wait, gint64 smallest_fitting_cpus)
 {
-  return (job->spec->zone == NULL || job->zone == zone)
-         && (demand->only_zone == WS_NONE || demand->only_zone == zone);
+  const WsType *type = ws_replica_type(demand->core->replica, machine->type);
+  if ((machine->is_spot && !job->spec->spot) || !ws_demand_allows_zone(demand, job, machine->zone)
+      || !ws_constraints_allow_type(job->spec, type))
+    return FALSE;
+  return machine->source != WS_VIRTUAL_RUNNING
+         || (can_wait && type->capacity.cpus <= smallest_fitting_cpus);
 }
 
-/* Without a deadline of its own, a job that can't wait until a running task is half done doesn't
-   count on its place. */
-static gboolean
-may_wait(const WsDemand *demand, const WsJob *job)
+/* Subtracts so many tasks that take @need from what is free; returns for how many there was enough.
+ */
+static guint
+subtract_tasks(WsResources *free, const WsResources *need, guint max_tasks)
 {
-  return job->spec->deadline_s >= 0.0
-         || slack_s(demand, job) >= 0.5 * ws_estimator_run_s(demand->core, job);
+  guint tasks = 0;
+  for (; tasks < max_tasks && ws_resources_fit(need, free); tasks++)
+    ws_resources_add(free, need, -1);
+  return tasks;
 }
 
-/* Returns how many of the tasks found room. */
+/* Puts tasks on the machines that are counted on already. Returns how many found a slot. */
 static guint
-put_in(WsDemand *demand, const WsJob *job, const WsResources *need, guint tasks)
+fill_machines(WsDemand *demand, const WsJob *job, const WsResources *need, guint tasks)
 {
-  gboolean waits = job->spec->kind == WS_KIND_ARRAY && may_wait(demand, job);
+  gboolean can_wait = ws_demand_can_wait_for_running(demand, job);
   gint64 smallest = ws_type_smallest_fitting_cpus(demand->core->replica, job->spec);
   guint placed = 0;
-  for (guint i = 0; i < demand->machines->len; i++) {
-    Virtual *machine = &g_array_index(demand->machines, Virtual, i);
-    if ((machine->spot && !job->spec->spot) || (machine->is_running && !waits)
-        || !zone_fits(demand, job, machine->zone)
-        || (machine->is_running
-            && ws_replica_type(demand->core->replica, machine->type)->capacity.cpus > smallest)
-        || !ws_constraints_allow_type(job->spec,
-                                      ws_replica_type(demand->core->replica, machine->type)))
-      continue;
-    for (; placed < tasks && ws_resources_fit(need, &machine->room); placed++)
-      ws_resources_add(&machine->room, need, -1);
-    if (placed == tasks)
-      break;
+  for (guint i = 0; i < demand->machines->len && placed < tasks; i++) {
+    WsVirtualMachine *machine = ws_demand_machine(demand, i);
+    if (is_allowed(demand, job, machine, can_wait, smallest))
+      placed += subtract_tasks(&machine->free, need, tasks - placed);
   }
   return placed;
 }
 
-/* The zone with fewest machines that may have one more, or WS_NONE. */
-static guint
-pick_zone(const WsDemand *demand, const WsJob *job, WsTypeIndex type, gboolean spot)
-{
-  guint best = WS_NONE;
-  char **zones = ws_replica_type(demand->core->replica, type)->zones;
-  for (; *zones != NULL; zones++) {
-    WsZoneIndex zone = ws_replica_find_zone(demand->core->replica, *zones);
-    if (zone == WS_NO_ZONE || !zone_fits(demand, job, zone)
-        || ws_zone_is_partitioned(demand->core, zone)
-        || ws_rentals_no_capacity(demand->core, type, zone, spot))
-      continue;
-    if (best == WS_NONE || demand->by_zone[zone] < demand->by_zone[best])
-      best = zone;
-  }
-  return best;
-}
-
-static gboolean
-want_new(WsDemand *demand, const WsJob *job, gboolean spot, const WsResources *need)
-{
-  const WsReplica *replica = demand->core->replica;
-  guint best = WS_NONE, best_zone = WS_NONE;
-  for (guint t = 0; t < replica->catalog->len; t++) {
-    const WsType *type = ws_replica_type(replica, t);
-    if (!ws_constraints_allow_type(job->spec, type)
-        || !ws_resources_fit(&job->spec->need, &type->capacity))
-      continue;
-    WsZoneIndex zone = pick_zone(demand, job, t, spot);
-    if (zone == WS_NO_ZONE
-        || (best != WS_NONE && type->price >= ws_replica_type(replica, best)->price))
-      continue;
-    best = t;
-    best_zone = zone;
-  }
-  if (best == WS_NONE)
-    return FALSE;
-  WsResources room = ws_replica_type(replica, best)->capacity;
-  ws_resources_add(&room, need, -1);
-  add_virtual(demand, best, best_zone, spot, &room, TRUE);
-  demand->by_zone[best_zone]++;
-  return TRUE;
-}
-
-/* A new machine takes as many of the tasks as it has room for, so the rest are put in first. */
 void
 ws_demand_add(WsDemand *demand, const WsJob *job, guint tasks)
 {
-  WsResources need = share(demand, job);
-  guint wanted = with_extra(demand, job, tasks);
-  guint left = wanted - put_in(demand, job, &need, wanted);
+  WsResources need = ws_demand_share(demand, job);
+  guint wanted = ws_demand_with_spares(demand, job, tasks);
+  guint left = wanted - fill_machines(demand, job, &need, wanted);
   while (left > 0) {
-    guint machines = demand->machines->len;
-    if (!(job->spec->spot && want_new(demand, job, TRUE, &need))
-        && !want_new(demand, job, FALSE, &need))
+    guint added = demand->machines->len;
+    if (!(job->spec->spot && ws_demand_add_new_machine(demand, job, TRUE, &need))
+        && !ws_demand_add_new_machine(demand, job, FALSE, &need))
       return;
     left--;
-    Virtual *made = &g_array_index(demand->machines, Virtual, machines);
-    for (; left > 0 && ws_resources_fit(&need, &made->room); left--)
-      ws_resources_add(&made->room, &need, -1);
-  }
-}
-
-/* How many tasks of the job the machines that boot or are on order in the zone have room for. */
-static guint
-count_fitting(const WsDemand *demand, const WsJob *job, WsZoneIndex zone)
-{
-  guint count = 0;
-  for (guint i = 0; i < demand->machines->len; i++) {
-    const Virtual *machine = &g_array_index(demand->machines, Virtual, i);
-    const WsType *type = ws_replica_type(demand->core->replica, machine->type);
-    if (machine->is_running || machine->zone != zone || (machine->spot && !job->spec->spot)
-        || !ws_constraints_allow_type(job->spec, type))
-      continue;
-    for (WsResources room = machine->room; ws_resources_fit(&job->spec->need, &room); count++)
-      ws_resources_add(&room, &job->spec->need, -1);
-  }
-  return count;
-}
-
-/* The zone for all tasks of the gang: one where enough is coming already, so that the same zone is
-   chosen again while its machines boot, or else one where machines can be had. */
-static guint
-zone_for_gang(const WsDemand *demand, const WsJob *job, guint tasks)
-{
-  const WsReplica *replica = demand->core->replica;
-  for (WsZoneIndex zone = 0; zone < demand->core->settings->zones->len; zone++)
-    if (zone_fits(demand, job, zone) && count_fitting(demand, job, zone) >= tasks)
-      return zone;
-  for (guint t = 0; t < replica->catalog->len; t++) {
-    const WsType *type = ws_replica_type(replica, t);
-    if (!ws_constraints_allow_type(job->spec, type)
-        || !ws_resources_fit(&job->spec->need, &type->capacity))
-      continue;
-    WsZoneIndex zone = pick_zone(demand, job, t, FALSE);
-    if (zone == WS_NO_ZONE && job->spec->spot)
-      zone = pick_zone(demand, job, t, TRUE);
-    if (zone != WS_NO_ZONE)
-      return zone;
+    /* The new machine takes as many of the other tasks as fit. */
+    left -= subtract_tasks(&ws_demand_machine(demand, added)->free, &need, left);
   }
-  return WS_NONE;
 }
 
 void
 ws_demand_add_gang(WsDemand *demand, const WsJob *job, guint tasks)
 {
-  WsZoneIndex zone = job->spec->one_zone ? zone_for_gang(demand, job, tasks) : WS_NONE;
-  if (job->spec->one_zone && zone == WS_NO_ZONE)
-    return;
-  demand->only_zone = zone;
+  if (job->spec->one_zone) {
+    demand->only_zone = ws_demand_choose_gang_zone(demand, job, tasks);
+    if (demand->only_zone == WS_NO_ZONE)
+      return;
+  }
   ws_demand_add(demand, job, tasks);
-  demand->only_zone = WS_NONE;
+  demand->only_zone = WS_NO_ZONE;
 }
 
-/* Room on a machine that is wanted anyway. */
+/* Puts a task of the job on an ordinary machine that is to be rented anyway. */
 static gboolean
-put_in_new(WsDemand *demand, const WsJob *job)
+fill_new_machine(WsDemand *demand, const WsJob *job)
 {
   for (guint i = 0; i < demand->machines->len; i++) {
-    Virtual *machine = &g_array_index(demand->machines, Virtual, i);
-    if (!machine->is_new || machine->spot || !ws_resources_fit(&job->spec->need, &machine->room))
+    WsVirtualMachine *machine = ws_demand_machine(demand, i);
+    if (machine->source != WS_VIRTUAL_NEW || machine->is_spot
+        || !ws_resources_fit(&job->spec->need, &machine->free))
       continue;
-    ws_resources_add(&machine->room, &job->spec->need, -1);
+    ws_resources_add(&machine->free, &job->spec->need, -1);
     return TRUE;
   }
   return FALSE;
@@ -378,48 +224,59 @@
          >= core->properties->headroom_tasks;
 }
 
-/* Critical jobs can't wait for a machine to boot, so some places for them are always kept. */
+/* Critical jobs can't wait for a machine to boot, so some slots for them are always kept. */
 static void
-add_spare(WsDemand *demand)
+add_headroom(WsDemand *demand)
 {
   const WsCore *core = demand->core;
   const WsJob *job = typical_critical(core->replica);
   if (job == NULL)
     return;
-  guint places = count_places(core, &job->spec->need, NULL, core->properties->headroom_tasks);
-  for (guint i = 0; i < demand->machines->len && places < core->properties->headroom_tasks; i++) {
-    Virtual *machine = &g_array_index(demand->machines, Virtual, i);
-    if (!machine->on_order)
-      continue;
-    for (; !machine->spot && ws_resources_fit(&job->spec->need, &machine->room); places++)
-      ws_resources_add(&machine->room, &job->spec->need, -1);
+  guint wanted = core->properties->headroom_tasks;
+  guint slots = count_places(core, &job->spec->need, NULL, wanted);
+  for (guint i = 0; i < demand->machines->len && slots < wanted; i++) {
+    WsVirtualMachine *machine = ws_demand_machine(demand, i);
+    if (machine->source == WS_VIRTUAL_ORDERED && !machine->is_spot)
+      slots += subtract_tasks(&machine->free, &job->spec->need, G_MAXUINT);
   }
-  for (; places < core->properties->headroom_tasks; places++)
-    if (!put_in_new(demand, job) && !want_new(demand, job, FALSE, &job->spec->need))
+  for (; slots < wanted; slots++)
+    if (!fill_new_machine(demand, job)
+        && !ws_demand_add_new_machine(demand, job, FALSE, &job->spec->need))
       return;
 }
 
-/* Hands over what is wanted, counted by kind. */
+static gboolean
+is_same_kind(const WsVirtualMachine *first, const WsVirtualMachine *second)
+{
+  return first->type == second->type && first->zone == second->zone
+         && first->is_spot == second->is_spot;
+}
+
+/* Requests the new machines of the kind of the i-th one, which is the first. */
+static void
+request_kind(WsDemand *demand, guint i)
+{
+  const WsVirtualMachine *first = ws_demand_machine(demand, i);
+  guint count = 0;
+  for (guint k = i; k < demand->machines->len; k++) {
+    WsVirtualMachine *machine = ws_demand_machine(demand, k);
+    if (machine->source != WS_VIRTUAL_NEW || !is_same_kind(first, machine))
+      continue;
+    machine->source = WS_VIRTUAL_ORDERED;
+    count++;
+  }
+  ws_rentals_request(demand->core, first->type, first->zone, first->is_spot, count);
+}
+
 void
 ws_demand_finish(WsDemand *demand)
 {
-  add_spare(demand);
-  for (guint i = 0; i < demand->machines->len; i++) {
-    Virtual first = g_array_index(demand->machines, Virtual, i);
-    guint count = 0;
-    for (guint k = i; first.is_new && k < demand->machines->len; k++) {
-      Virtual *other = &g_array_index(demand->machines, Virtual, k);
-      if (!other->is_new || other->type != first.type || other->zone != first.zone
-          || other->spot != first.spot)
-        continue;
-      other->is_new = FALSE;
-      count++;
-    }
-    if (count > 0)
-      ws_rentals_request(demand->core, first.type, first.zone, first.spot, count);
-  }
+  add_headroom(demand);
+  for (guint i = 0; i < demand->machines->len; i++)
+    if (ws_demand_machine(demand, i)->source == WS_VIRTUAL_NEW)
+      request_kind(demand, i);
   ws_rentals_record_intents(demand->core);
   g_array_unref(demand->machines);
-  g_free(demand->by_zone);
+  g_free(demand->machines_by_zone);
   g_free(demand);
 }
