--- a/src/scheduling/ws-gang.c
+++ b/src/scheduling/ws-gang.c
@@ -1,14 +1,14 @@
+/* Gangs that are under way: halts of what must end, and orderly stops before a drain. */
 #include "scheduling/ws-scheduling.h"
 
 #include "membership/ws-membership.h"
-#include "workers/ws-workers.h"
 #include "storage/ws-gang-phase.h"
+#include "workers/ws-workers.h"
 
-/* Halts are repeated at this pace: the tasks of a gang must all hear of a stop within a few seconds
-   of the first one. */
+/* The tasks of a gang must all receive the halt within a few seconds of the first one. */
 #define HALT_RETRY_MS 700
 
-/* Whether the machine hears a halt now, from this node or from its owner. */
+/* Whether a halt would reach the machine now, from this node or through its owner. */
 static gboolean
 is_reachable(const WsCore *core, const WsMachine *machine)
 {
@@ -20,7 +20,7 @@
 }
 
 static gboolean
-all_reachable(const WsCore *core, const WsJob *job)
+are_all_reachable(const WsCore *core, const WsJob *job)
 {
   WsAssignmentIter iter;
   ws_assignment_iter_init(&iter, job);
@@ -32,7 +32,7 @@
 }
 
 static void
-stop_task(WsCore *core, WsJob *job, WsAssignment *assignment)
+request_stop(WsCore *core, WsJob *job, WsAssignment *assignment)
 {
   const WsMachine *machine = ws_replica_machine(core->replica, assignment->machine);
   assignment->is_stop_requested = TRUE;
@@ -43,23 +43,25 @@
     ws_peer_request_stop(core, machine->owner, job, assignment);
 }
 
-gboolean
-ws_gang_stop(WsCore *core, WsJob *job)
+/* Begins an orderly stop: every task is halted with enough time to save its progress, all at once.
+   Does nothing if a machine of the gang can't be reached, since the others would lose their
+   progress for nothing. */
+static void
+stop_gang(WsCore *core, WsJob *job)
 {
-  if (!all_reachable(core, job))
-    return FALSE;
+  if (!are_all_reachable(core, job))
+    return;
   g_info("gang %s stops: %u tasks save their progress", job->id, job->assigned_count);
   WsAssignmentIter iter;
   ws_assignment_iter_init(&iter, job);
   WsAssignment *assignment;
   while ((assignment = ws_assignment_iter_next(&iter)) != NULL)
-    stop_task(core, job, assignment);
-  return TRUE;
+    request_stop(core, job, assignment);
 }
 
-/* Whether the task runs on a machine of this node that is being drained. */
+/* Whether the task runs on a machine of this node that is to be drained. */
 static gboolean
-is_to_be_drained(const WsCore *core, const WsAssignment *assignment)
+runs_on_draining_machine(const WsCore *core, const WsAssignment *assignment)
 {
   const WsMachine *machine = ws_replica_machine(core->replica, assignment->machine);
   return machine->is_marked && !machine->mark_is_immediate && ws_owns_machine(core, machine)
@@ -67,54 +69,56 @@
 }
 
 static gboolean
-must_be_drained(const WsCore *core, const WsJob *job)
+is_to_be_drained(const WsCore *core, const WsJob *job)
 {
   WsAssignmentIter iter;
   ws_assignment_iter_init(&iter, job);
   const WsAssignment *assignment;
   while ((assignment = ws_assignment_iter_next(&iter)) != NULL)
-    if (is_to_be_drained(core, assignment))
+    if (runs_on_draining_machine(core, assignment))
       return TRUE;
   return FALSE;
 }
 
-/* Whether the task on this node's machine may be sent a halt now. What saves has heard it. */
+/* Whether the task is on this node's machine and a halt is due. A task that saves its progress has
+   received the halt. */
 static gboolean
-may_halt(const WsCore *core, const WsAssignment *assignment)
+is_halt_due(const WsCore *core, const WsAssignment *assignment)
 {
   return ws_owns_machine(core, ws_replica_machine(core->replica, assignment->machine))
          && assignment->state < WS_TASK_SAVING && assignment->state != WS_TASK_ASSIGNED
          && core->now - assignment->stop_forwarded_ms >= HALT_RETRY_MS;
 }
 
-/* One halt of each task on this node's machines, unless one was sent a moment ago. */
+/* Halts the tasks on this node's machines again: all of them, or those that are to stop. */
 static void
-halt_again(WsCore *core, WsJob *job, gboolean all)
+retry_halts(WsCore *core, WsJob *job, gboolean all)
 {
   WsAssignmentIter iter;
   ws_assignment_iter_init(&iter, job);
   WsAssignment *assignment;
   while ((assignment = ws_assignment_iter_next(&iter)) != NULL) {
-    if ((!all && !assignment->is_stop_requested) || !may_halt(core, assignment))
+    if ((!all && !assignment->is_stop_requested) || !is_halt_due(core, assignment))
       continue;
     assignment->stop_forwarded_ms = core->now;
     ws_worker_rpc_halt(core, job, assignment);
   }
 }
 
+/* Does what the phase of the present attempt calls for. */
 static void
-tend(WsCore *core, WsJob *job)
+advance(WsCore *core, WsJob *job)
 {
   switch (ws_gang_phase(job)) {
   case WS_GANG_ENDING:
-    halt_again(core, job, TRUE);
+    retry_halts(core, job, TRUE);
     break;
   case WS_GANG_STOPPING:
-    halt_again(core, job, FALSE);
+    retry_halts(core, job, FALSE);
     break;
   case WS_GANG_RUNNING:
-    if (must_be_drained(core, job))
-      (void)ws_gang_stop(core, job);
+    if (is_to_be_drained(core, job))
+      stop_gang(core, job);
     break;
   case WS_GANG_WAITING:
   case WS_GANG_LAUNCHED:
@@ -130,6 +134,6 @@
     WsJob *job = g_ptr_array_index(core->replica->active, i);
     if (ws_job_is_gang(job) && job->assigned_count > 0 && job->state == WS_JOB_ACTIVE
         && !ws_cancellations_has(core, job))
-      tend(core, job);
+      advance(core, job);
   }
 }
--- a/src/scheduling/ws-reservation.c
+++ b/src/scheduling/ws-reservation.c
@@ -1,25 +1,36 @@
+/* Reservations: capacity that is being freed for a job by stopping less urgent tasks. */
+#include "scheduling/ws-scheduling.h"
+
 #include "scheduling/ws-preempt.h"
 #include "scheduling/ws-queue.h"
-
 #include "membership/ws-membership.h"
 #include "workers/ws-workers.h"
 #include "storage/ws-gang-phase.h"
 
-/* Longer than a stop takes to be asked, carried out, reported and written, also when it has to be
-   asked for twice. */
+/* Longer than a stop takes to be requested, carried out, reported and written, also when the
+   request has to be repeated. */
 #define LIFETIME_MS 5000
-/* Another node's is renewed only when it is this old, so that a plan isn't a message each time. */
-#define RENEWAL_MS 1500
+/* A reservation is renewed with the leader only at this age, so that a plan isn't a message each
+   time. */
+#define RENEWAL_AGE_MS 1500
+
+/* Capacity for tasks of one job, on one machine or within its team's limit. */
+typedef struct {
+  WsJobIndex job;
+  WsMachineIndex machine; /* WS_NO_MACHINE: within the team's limit, on any machine */
+  guint tasks;            /* for so many tasks of the job */
+  gint64 expiry_ms;
+} Reservation;
 
 struct _WsReservations {
-  GArray *entries; /* of WsReservation */
+  GArray *entries; /* of Reservation */
 };
 
 WsReservations *
 ws_reservations_new(void)
 {
   WsReservations *reservations = g_new0(WsReservations, 1);
-  reservations->entries = g_array_new(FALSE, FALSE, sizeof(WsReservation));
+  reservations->entries = g_array_new(FALSE, FALSE, sizeof(Reservation));
   return reservations;
 }
 
@@ -42,12 +53,12 @@
   g_array_set_size(core->reservations->entries, 0);
 }
 
-static WsReservation *
+static Reservation *
 find_entry(const WsCore *core, WsJobIndex job, WsMachineIndex machine)
 {
   GArray *entries = core->reservations->entries;
   for (guint i = 0; i < entries->len; i++) {
-    WsReservation *entry = &g_array_index(entries, WsReservation, i);
+    Reservation *entry = &g_array_index(entries, Reservation, i);
     if (entry->job == job && entry->machine == machine)
       return entry;
   }
@@ -59,7 +70,7 @@
 {
   GArray *entries = core->reservations->entries;
   for (guint i = entries->len; i-- > 0;)
-    if (core->now >= g_array_index(entries, WsReservation, i).until_ms)
+    if (core->now >= g_array_index(entries, Reservation, i).expiry_ms)
       g_array_remove_index_fast(entries, i);
 }
 
@@ -67,78 +78,78 @@
 ws_reservations_renew(WsCore *core, const WsJob *job, WsMachineIndex machine, guint tasks)
 {
   drop_expired(core);
-  WsReservation *entry = find_entry(core, job->index, machine);
+  Reservation *entry = find_entry(core, job->index, machine);
   gboolean is_fresh = entry != NULL && entry->tasks == tasks
-                      && entry->until_ms - core->now > LIFETIME_MS - RENEWAL_MS;
+                      && entry->expiry_ms - core->now > LIFETIME_MS - RENEWAL_AGE_MS;
   if (is_fresh)
     return;
   if (entry == NULL) {
-    WsReservation added = { .job = job->index, .machine = machine };
+    Reservation added = { .job = job->index, .machine = machine };
     g_array_append_val(core->reservations->entries, added);
     entry = find_entry(core, job->index, machine);
   }
   entry->tasks = tasks;
-  entry->until_ms = core->now + LIFETIME_MS;
+  entry->expiry_ms = core->now + LIFETIME_MS;
   if (!ws_is_leader(core))
     ws_peer_request_reservation(core, job, machine, tasks);
 }
 
 static void
-use_entry(WsCore *core, WsJobIndex job, WsMachineIndex machine)
+consume_entry(WsCore *core, WsJobIndex job, WsMachineIndex machine)
 {
-  WsReservation *entry = find_entry(core, job, machine);
+  Reservation *entry = find_entry(core, job, machine);
   if (entry == NULL)
     return;
   entry->tasks--;
   if (entry->tasks == 0)
-    entry->until_ms = core->now;
+    entry->expiry_ms = core->now;
 }
 
 void
 ws_reservations_consume(WsCore *core, const WsJob *job, WsMachineIndex machine)
 {
-  use_entry(core, job->index, machine);
-  use_entry(core, job->index, WS_NONE);
+  consume_entry(core, job->index, machine);
+  consume_entry(core, job->index, WS_NO_MACHINE);
   drop_expired(core);
 }
 
-/* Whether the other job's tasks keep off what is reserved for the job. A gang that has waited for
-   long needs many places at once, and would never find them among tasks that are as urgent as it
-   is. */
+/* Whether the other job's tasks must respect what is reserved for the job. An overdue gang needs
+   many slots at once, and would never find them among tasks that are as urgent as it is. */
 static gboolean
-goes_before(const WsCore *core, const WsJob *job, const WsJob *other, guint other_tasks_on)
+has_precedence(const WsCore *core, const WsJob *job, const WsJob *other, guint other_tasks)
 {
-  if (ws_preempt_outranks(core, job, other, other_tasks_on))
+  if (ws_preempt_outranks(core, job, other, other_tasks))
     return TRUE;
   gboolean is_older = ws_queue_is_overdue(core, other) && other->accepted_ms <= job->accepted_ms;
   return ws_job_is_gang(job) && ws_queue_is_overdue(core, job)
          && other->spec->priority != WS_CRITICAL && !is_older;
 }
 
-/* For how many tasks the entry still counts against another job's assignment. */
+/* For how many tasks the entry still keeps capacity from another job's assignment. */
 static guint
-counted_tasks(const WsCore *core, const WsReservation *entry, const WsJob *other,
-              guint other_tasks_on)
+count_reserved_tasks(const WsCore *core, const Reservation *entry, const WsJob *other,
+                     guint other_tasks)
 {
   const WsJob *job = ws_replica_job(core->replica, entry->job);
-  if (core->now >= entry->until_ms || job == other || job->state != WS_JOB_ACTIVE
+  if (core->now >= entry->expiry_ms || job == other || job->state != WS_JOB_ACTIVE
       || job->spec == NULL || ws_cancellations_has(core, job)
-      || !goes_before(core, job, other, other_tasks_on))
+      || !has_precedence(core, job, other, other_tasks))
     return 0;
-  guint settled = job->completed_count + job->assigned_count;
-  return MIN(entry->tasks, job->tasks - MIN(settled, job->tasks));
+  guint assigned_or_done = job->completed_count + job->assigned_count;
+  return MIN(entry->tasks, job->tasks - MIN(assigned_or_done, job->tasks));
 }
 
 gboolean
-ws_reservations_allow(const WsCore *core, const WsJob *job, guint tasks_on, WsMachineIndex machine,
-                      const WsResources *machine_free, const WsResources *team_use)
+ws_reservations_allow(const WsCore *core, const WsJob *job, guint assigned_tasks,
+                      WsMachineIndex machine, const WsResources *machine_free,
+                      const WsResources *team_use)
 {
   const GArray *entries = core->reservations->entries;
   const WsResources nothing = { 0 };
   WsResources reserved_on_machine = { 0 }, use = *team_use;
   for (guint i = 0; i < entries->len; i++) {
-    const WsReservation *entry = &g_array_index(entries, WsReservation, i);
-    guint tasks = counted_tasks(core, entry, job, tasks_on);
+    const Reservation *entry = &g_array_index(entries, Reservation, i);
+    guint tasks = count_reserved_tasks(core, entry, job, assigned_tasks);
     if (tasks == 0)
       continue;
     const WsJob *urgent = ws_replica_job(core->replica, entry->job);
--- a/src/scheduling/ws-scheduling.h
+++ b/src/scheduling/ws-scheduling.h
@@ -1,82 +1,99 @@
 /**
- * Which task goes to which machine: queue order, placement, preemption, gangs, reservations, and
- * the demand for machines.
+ * Scheduling: which task goes to which machine.
  *
- * Called by the core at its turn, and by the job API for a job's coordinating node. Owns the plan,
- * reservations and the run-time estimates.
+ * Queue order, placement, preemption, gangs, reservations, and the demand for machines. The core
+ * calls its ticks; the job API asks for the coordinating node of a new job. Owns the plan and the
+ * reservations. What isn't declared here is private to the package.
  */
 #pragma once
 
 #include "commit/ws-commit.h"
 
+/*
+ * Planning
+ *
+ * A node plans the jobs that it coordinates, on the machines of its own shard; the leader also
+ * plans those that fit no shard, on any machine, and requests rentals.
+ */
+
+/** Creates the state of planning; to be freed with ws_plan_free(). */
 WsPlan *ws_plan_new(void);
+
+/** Frees the state of planning. */
 void ws_plan_free(WsPlan *plan);
+
+/**
+ * Makes a plan if one is due: proposes assignments, has tasks preempted, and passes jobs that don't
+ * fit to the leader. Does nothing on a node that may not act in the present epoch.
+ */
 void ws_plan_tick(WsCore *core);
-guint ws_plan_choose_coordinator(WsCore *core, const WsJobSpec *spec);
 
-/* Whether the places kept for critical jobs are there without the machine too. */
+/**
+ * Chooses the coordinating node for a new job: the one whose shard has most slots for it, if all
+ * tasks fit there.
+ *
+ * Returns WS_NO_NODE if the leader has to plan the job.
+ */
+WsNodeIndex ws_plan_choose_coordinator(WsCore *core, const WsJobSpec *spec);
+
+/** Whether the headroom that is kept for critical jobs is there without the machine too. */
 gboolean ws_headroom_remains_without(const WsCore *core, const WsMachine *machine);
 
-/**
- * Gangs: jobs whose tasks run at the same time or not at all.
+/*
+ * Gangs: jobs whose tasks run at the same time or not at all
  *
  * The tasks of one attempt carry the same attempt number. The attempt is over when one of its tasks
  * is known to be gone: the record of the end raises the number, the other tasks are halted, and the
- * next attempt starts once nothing of the old one is left. The unit of every decision is the
- * attempt; this module says in which phase it is, halts what must end, and stops a whole gang in an
- * orderly way when one of its machines is to be drained.
+ * next attempt starts once nothing of the old one is left.
  */
 
 /**
- * Begins an orderly stop: every task is halted with enough time to save, all at once.
- *
- * Returns FALSE and does nothing if a machine of the gang can't be reached, since the others would
- * lose their progress for nothing.
+ * Halts the tasks of attempts that are over, again until they end, and begins an orderly stop of
+ * gangs with a task on a machine that is to be drained: all tasks are halted at once, with enough
+ * time to save their progress.
  */
-gboolean ws_gang_stop(WsCore *core, WsJob *job);
-
-/** Halts what must end, again until it has, and stops gangs on machines that are being drained. */
 void ws_gang_tick(WsCore *core);
 
-/**
- * Reservations: capacity that was freed for a job by stopping less urgent tasks.
+/*
+ * Reservations: capacity that is being freed for a job by stopping less urgent tasks
  *
  * The node that plans a job has tasks stopped for it, on a machine or within the job's team. Until
  * the job has taken what they leave, other nodes see free capacity and would give it to the very
- * work that was stopped. The planning node therefore reserves it with the leader, which refuses
+ * job that was preempted. The planning node therefore reserves it with the leader, which refuses
  * less urgent assignments that would use it up. A reservation ends when the job takes it, when the
  * job waits no longer, and in any case a few seconds after it was last renewed.
  */
 
-typedef struct {
-  WsJobIndex job;
-  WsMachineIndex machine; /* WS_NONE: the team's limit, wherever the task goes */
-  guint tasks;            /* for so many tasks of the job */
-  gint64 until_ms;
-} WsReservation;
-
-/** Creates an empty table of reservations. */
+/** Creates an empty table of reservations; to be freed with ws_reservations_free(). */
 WsReservations *ws_reservations_new(void);
+
+/** Frees the table. */
 void ws_reservations_free(WsReservations *reservations);
 
+/** Whether there are any reservations. */
 gboolean ws_reservations_exist(const WsCore *core);
 
-/** Forgets all of them: they count only in the epoch in which they were made. */
+/** Drops all of them: they count only in the epoch in which they were made. */
 void ws_reservations_clear(WsCore *core);
 
-/** Reserves or renews; a node that doesn't lead passes it to the leader. */
+/**
+ * Reserves capacity for so many tasks of the job, or renews that. A node that isn't the leader
+ * passes it on to the leader.
+ *
+ * @machine: WS_NO_MACHINE: within the limit of the job's team, on any machine
+ */
 void ws_reservations_renew(WsCore *core, const WsJob *job, WsMachineIndex machine, guint tasks);
 
-/** The job was assigned a task on the machine. */
+/** Notes that the job was assigned a task on the machine, which takes what was reserved for it. */
 void ws_reservations_consume(WsCore *core, const WsJob *job, WsMachineIndex machine);
 
 /**
  * Whether an assignment of the job leaves what is reserved for more urgent ones.
  *
- * @tasks_on: so many of the job's tasks would be on machines
+ * @assigned_tasks: how many of the job's tasks would be assigned
  * @machine_free: what the machine would have left
  * @team_use: what the team would use
  */
-gboolean ws_reservations_allow(const WsCore *core, const WsJob *job, guint tasks_on,
+gboolean ws_reservations_allow(const WsCore *core, const WsJob *job, guint assigned_tasks,
                                WsMachineIndex machine, const WsResources *machine_free,
                                const WsResources *team_use);
--- a/src/workers/ws-workers.c
+++ b/src/workers/ws-workers.c
@@ -221,7 +221,7 @@
 }
 
 /* Whether the task is stopped because its machine is given back. A running gang is stopped as a
-   whole, see ws_gang_stop. */
+   whole, see ws_gang_tick. */
 static gboolean
 is_drained(WsCore *core, WsMachine *machine, WsJob *job, const WsAssignment *assignment)
 {
