--- a/src/context/ws-context.h
+++ b/src/context/ws-context.h
@@ -107,16 +107,14 @@
   gboolean is_unreached_by_workers;     /* none does, although there are some for it */
   guint rpcs_in_flight;                 /* launches on their way */
   guint probes_in_flight;
-  guint next_probe; /* where the next round of status calls begins */
-  guint64 plan_steps;
-  guint64 plans;
+  guint next_probe;               /* where the next round of status calls begins */
   gint64 *partition_ms;           /* by zone: when it last seemed to be cut off; 0: never */
   gint64 *confirmed_partition_ms; /* by zone: when that was last sure */
-  gboolean replan_is_needed;
-  gint64 epoch_known_ms; /* since when the present epoch is known */
+  gboolean replan_is_needed;      /* event flag: something changed that a plan could act on */
+  gint64 epoch_known_ms;          /* since when the present epoch is known */
   guint64 handled_epoch;
-  gboolean is_stalled; /* stood still, and has not renewed and read since */
-  gint64 upkeep_ms;
+  gboolean is_stalled;           /* stood still, and has not renewed and read since */
+  gint64 next_reconciliation_ms; /* when the periodic work is due */
   gboolean new_epoch_needed; /* a doubt can only be ended by a higher token */
 };
 
--- a/src/core/ws-core.c
+++ b/src/core/ws-core.c
@@ -12,6 +12,7 @@
 
 /* A pause between two ticks after which this node's lease may have ended. */
 #define STALL_MS 3000
+#define RECONCILIATION_PERIOD_MS 250
 
 static const WsHandlers HANDLERS = {
   .request_termination = ws_termination_request_mark,
@@ -103,13 +104,13 @@
 guint64
 ws_core_plan_steps(const WsCore *core)
 {
-  return core->plan_steps;
+  return ws_plan_machines_examined(core);
 }
 
 guint64
 ws_core_plans(const WsCore *core)
 {
-  return core->plans;
+  return ws_plan_count(core);
 }
 
 WsOutput *
@@ -209,8 +210,8 @@
   ws_store_tick(core, ws_is_leader(core));
   ws_election_tick(core);
   ws_gossip_tick(core);
-  if (core->now >= core->upkeep_ms && ws_store_is_loaded(core)) {
-    core->upkeep_ms = core->now + 250;
+  if (core->now >= core->next_reconciliation_ms && ws_store_is_loaded(core)) {
+    core->next_reconciliation_ms = core->now + RECONCILIATION_PERIOD_MS;
     ws_failure_detector_tick(core);
     ws_termination_tick(core);
     ws_gang_tick(core);
--- a/src/scheduling/ws-plan.c
+++ b/src/scheduling/ws-plan.c
@@ -36,6 +36,18 @@
   g_free(plan);
 }
 
+guint64
+ws_plan_count(const WsCore *core)
+{
+  return core->plan->plan_count;
+}
+
+guint64
+ws_plan_machines_examined(const WsCore *core)
+{
+  return core->plan->machines_examined;
+}
+
 static gboolean
 has_unassigned_tasks(const WsJob *job)
 {
@@ -115,8 +127,8 @@
   place_queue(&placement, queue);
   resend_stop_requests(&placement);
   guint cost = placement.map.machines_examined;
-  core->plan_steps += cost;
-  core->plans++;
+  core->plan->machines_examined += cost;
+  core->plan->plan_count++;
   core->plan->next_ms = core->now + MIN_PAUSE_MS + cost / MACHINES_EXAMINED_PER_PAUSE_MS;
   ws_placement_finish(&placement);
 }
--- a/src/scheduling/ws-plan.h
+++ b/src/scheduling/ws-plan.h
@@ -8,4 +8,6 @@
 struct _WsPlan {
   gint64 next_ms; /* no plan before this time */
   gboolean escalation_is_in_flight;
+  guint64 plan_count;
+  guint64 machines_examined; /* by all plans */
 };
--- a/src/scheduling/ws-scheduling.h
+++ b/src/scheduling/ws-scheduling.h
@@ -36,6 +36,12 @@
  */
 WsNodeIndex ws_plan_choose_coordinator(WsCore *core, const WsJobSpec *spec);
 
+/** How many plans this node has made. */
+guint64 ws_plan_count(const WsCore *core);
+
+/** How many machines all these plans have examined: the cost of planning. */
+guint64 ws_plan_machines_examined(const WsCore *core);
+
 /** Whether the headroom that is kept for critical jobs is there without the machine too. */
 gboolean ws_headroom_remains_without(const WsCore *core, const WsMachine *machine);
 
