--- a/src/core/ws-core.c
+++ b/src/core/ws-core.c
@@ -1,19 +1,28 @@
+/* The core: connects the packages, and takes each input through them in a fixed order. */
 #include "core/ws-core.h"
 
-#include "store/ws-store.h"
-#include "membership/ws-membership.h"
+#include "api/ws-users.h"
 #include "commit/ws-commit.h"
 #include "fleet/ws-fleet.h"
-#include "workers/ws-workers.h"
+#include "membership/ws-membership.h"
 #include "scheduling/ws-scheduling.h"
-#include "api/ws-users.h"
+#include "store/ws-store.h"
+#include "workers/ws-workers.h"
 
 #include <string.h>
 
-/* A pause between two ticks after which this node's lease may have ended. */
-#define STALL_MS 3000
+/* A pause between two inputs after which this node's lease may have ended. */
+#define MIN_STALL_MS 3000
 #define RECONCILIATION_PERIOD_MS 250
+/* When the core stops, an ended call may lead to another one, but not for ever. */
+#define MAX_STOP_ROUNDS 20
 
+#define PATH_READY "/ready"
+#define PATH_HEARTBEAT "/v1/report"
+#define HTTP_OK 200
+#define HTTP_METHOD_NOT_ALLOWED 405
+
+/* What lower packages call in higher ones. */
 static const WsHandlers HANDLERS = {
   .request_termination = ws_termination_request_mark,
   .note_worker_status = ws_workers_note_status,
@@ -66,9 +75,8 @@
 void
 ws_core_stop(WsCore *core)
 {
-  /* An ended call may lead to another one, but none of them goes on for ever. */
   gboolean any = TRUE;
-  for (guint round = 0; any && round < 20; round++)
+  for (guint round = 0; any && round < MAX_STOP_ROUNDS; round++)
     any = ws_context_stop_calls(core) | ws_store_stop(core);
 }
 
@@ -119,17 +127,10 @@
   return g_queue_pop_head(&core->outputs);
 }
 
-/* Everything that this node would find out by silence, its own lease's end included, looks as if it
-   had happened when it stood still while its clocks ran on. */
+/* Nothing that this node measured before the stall counts as silence, idleness or delay. */
 static void
-notice_gap(WsCore *core, gint64 now_ms)
+restart_machine_timers(const WsCore *core, gint64 now_ms)
 {
-  gint64 gap_ms = now_ms - core->now;
-  if (core->now == 0 || gap_ms <= STALL_MS)
-    return;
-  g_info("this node stood still for %.1f s", (double)gap_ms / 1000.0);
-  core->is_stalled = TRUE;
-  core->epoch_known_ms = now_ms;
   for (guint i = 0; i < core->replica->machines->len; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, i);
     machine->worker.owned_ms = now_ms;
@@ -137,20 +138,60 @@
     machine->fleet.underused_ms = 0;
     machine->worker.unacknowledged_ms = 0;
   }
+}
+
+/* When the process is paused while its clocks run on, every timeout looks as if it had expired,
+   that of its own lease included. The node then renews its lease and reads before it acts again. */
+static void
+detect_stall(WsCore *core, gint64 now_ms)
+{
+  gint64 gap_ms = now_ms - core->now;
+  if (core->now == 0 || gap_ms <= MIN_STALL_MS)
+    return;
+  g_info("this node stood still for %.1f s", (double)gap_ms / 1000.0);
+  core->is_stalled = TRUE;
+  core->epoch_known_ms = now_ms;
+  restart_machine_timers(core, now_ms);
   ws_election_resume(core, now_ms);
 }
 
+/* Takes over the time of an input. The monotonic time never goes back. */
 static void
 set_time(WsCore *core, gint64 now_ms, gint64 wall_ms)
 {
-  notice_gap(core, now_ms);
+  detect_stall(core, now_ms);
   core->now = MAX(core->now, now_ms);
   core->wall = wall_ms;
 }
 
-/* After an epoch change everything that rested on the old split starts afresh. */
 static void
-notice_epoch(WsCore *core)
+log_epoch(const WsCore *core)
+{
+  const WsEpoch *epoch = &core->replica->epoch;
+  g_info("epoch %" G_GUINT64_FORMAT " at revision %" G_GUINT64_FORMAT ": %u members, leader %s",
+         core->handled_epoch, ws_replica_version(core->replica, WS_KEY_EPOCH), epoch->members->len,
+         epoch->leader != WS_NO_NODE ? ws_settings_node(core->settings, epoch->leader)->name
+                                     : "none");
+}
+
+/* The shards of the machines may have changed. */
+static void
+note_machine_owners(WsCore *core)
+{
+  for (guint i = 0; i < core->replica->machines->len; i++) {
+    WsMachine *machine = ws_replica_machine(core->replica, i);
+    machine->worker.redirected_ms = 0;
+    machine->worker.failed_probes = 0;
+    machine->worker.unacknowledged_ms = 0;
+    if (machine->worker.handled_owner != machine->owner)
+      machine->worker.owned_ms = core->now;
+    machine->worker.handled_owner = machine->owner;
+  }
+}
+
+/* In a new epoch everything that rested on the former shards and leader starts afresh. */
+static void
+handle_epoch_change(WsCore *core)
 {
   if (core->handled_epoch == core->replica->epoch.number)
     return;
@@ -163,31 +204,26 @@
   ws_peer_requests_clear(core);
   ws_reservations_clear(core);
   ws_gossip_begin_epoch(core);
-  for (guint i = 0; i < core->replica->machines->len; i++) {
-    WsMachine *machine = ws_replica_machine(core->replica, i);
-    machine->worker.redirected_ms = 0;
-    machine->worker.failed_probes = 0;
-    machine->worker.unacknowledged_ms = 0;
-    if (machine->worker.handled_owner != machine->owner)
-      machine->worker.owned_ms = core->now;
-    machine->worker.handled_owner = machine->owner;
-  }
-  g_info("epoch %" G_GUINT64_FORMAT " at revision %" G_GUINT64_FORMAT ": %u members, leader %s",
-         core->handled_epoch, ws_replica_version(core->replica, WS_KEY_EPOCH),
-         core->replica->epoch.members->len,
-         core->replica->epoch.leader != WS_NO_NODE
-             ? ws_settings_node(core->settings, core->replica->epoch.leader)->name
-             : "none");
+  note_machine_owners(core);
+  log_epoch(core);
 }
 
 static void
-settle(WsCore *core)
+update_cancellations(WsCore *core)
 {
-  notice_epoch(core);
   if (ws_has_all_cancellations(core))
     core->cancellations_known_ms = core->now;
   if (ws_cancellations_pump(core))
     ws_cancelled_tasks_enforce(core);
+}
+
+/* Does what follows from an input. Each step may leave work for those after it, and the last one
+   sends what the others have written. */
+static void
+process_consequences(WsCore *core)
+{
+  handle_epoch_change(core);
+  update_cancellations(core);
   ws_plan_tick(core);
   ws_termination_pump(core);
   ws_workers_launch_assigned(core);
@@ -203,6 +239,22 @@
     ws_write_stats_log(core, ws_assignments_oldest_age_ms(core), ws_releases_oldest_age_ms(core));
 }
 
+/* The periodic comparison of what is wanted with what is there. */
+static void
+reconcile(WsCore *core)
+{
+  if (core->now < core->next_reconciliation_ms || !ws_store_is_loaded(core))
+    return;
+  core->next_reconciliation_ms = core->now + RECONCILIATION_PERIOD_MS;
+  ws_failure_detector_tick(core);
+  ws_termination_tick(core);
+  ws_gang_tick(core);
+  ws_fleet_tick(core);
+  ws_cloud_list_reconcile_tick(core);
+  ws_garbage_tick(core);
+  log_write_stats(core);
+}
+
 void
 ws_core_tick(WsCore *core, gint64 now_ms, gint64 wall_ms)
 {
@@ -210,20 +262,11 @@
   ws_store_tick(core, ws_is_leader(core));
   ws_election_tick(core);
   ws_gossip_tick(core);
-  if (core->now >= core->next_reconciliation_ms && ws_store_is_loaded(core)) {
-    core->next_reconciliation_ms = core->now + RECONCILIATION_PERIOD_MS;
-    ws_failure_detector_tick(core);
-    ws_termination_tick(core);
-    ws_gang_tick(core);
-    ws_fleet_tick(core);
-    ws_cloud_list_reconcile_tick(core);
-    ws_garbage_tick(core);
-    log_write_stats(core);
-  }
-  settle(core);
+  reconcile(core);
+  process_consequences(core);
 }
 
-/* Users need no more than the state service and what is known from it: whether this node is among
+/* Users need no more than the key-value store and what is known from it: whether this node is among
    the members yet matters to workers only. */
 static gboolean
 is_ready(const WsCore *core)
@@ -233,44 +276,54 @@
 }
 
 static void
-api_request(WsCore *core, const char *method, const char *path, const char *body, gsize length,
-            gpointer request)
+answer_readiness(WsCore *core, const char *method, gpointer request)
+{
+  if (strcmp(method, "GET") != 0)
+    ws_answer_reason(core, request, HTTP_METHOD_NOT_ALLOWED, "only GET here");
+  else if (is_ready(core))
+    ws_answer(core, request, HTTP_OK, json_pack("{s:b}", "ready", 1), 0);
+  else
+    ws_answer_later(core, request, 1);
+}
+
+static void
+handle_heartbeat(WsCore *core, const char *method, const char *body, gsize length, gpointer request)
 {
-  if (strcmp(path, "/ready") == 0) {
-    if (strcmp(method, "GET") != 0)
-      ws_answer_reason(core, request, 405, "only GET here");
-    else if (is_ready(core))
-      ws_answer(core, request, 200, json_pack("{s:b}", "ready", 1), 0);
-    else
-      ws_answer_later(core, request, 1);
-  } else if (strcmp(path, "/v1/report") == 0) {
-    if (strcmp(method, "POST") != 0)
-      ws_answer_reason(core, request, 405, "only POST here");
-    else
-      ws_workers_handle_heartbeat(core, body, length, request);
-  } else {
+  if (strcmp(method, "POST") != 0)
+    ws_answer_reason(core, request, HTTP_METHOD_NOT_ALLOWED, "only POST here");
+  else
+    ws_workers_handle_heartbeat(core, body, length, request);
+}
+
+static void
+handle_api_request(WsCore *core, const char *method, const char *path, const char *body,
+                   gsize length, gpointer request)
+{
+  if (strcmp(path, PATH_READY) == 0)
+    answer_readiness(core, method, request);
+  else if (strcmp(path, PATH_HEARTBEAT) == 0)
+    handle_heartbeat(core, method, body, length, request);
+  else
     ws_users_request(core, method, path, body, length, request);
-  }
 }
 
 void
-ws_core_request(WsCore *core, gint64 now_ms, gint64 wall_ms, WsDoor door, const char *method,
+ws_core_request(WsCore *core, gint64 now_ms, gint64 wall_ms, WsDoor listener, const char *method,
                 const char *path, const char *body, gsize length, gpointer request)
 {
   set_time(core, now_ms, wall_ms);
-  if (door == WS_DOOR_API)
-    api_request(core, method, path, body, length, request);
+  if (listener == WS_DOOR_API)
+    handle_api_request(core, method, path, body, length, request);
   else
     ws_mesh_handle_request(core, path, body, length, request);
-  settle(core);
+  process_consequences(core);
 }
 
 void
-ws_core_reply(WsCore *core, gint64 now_ms, gint64 wall_ms, guint64 id, guint status,
+ws_core_reply(WsCore *core, gint64 now_ms, gint64 wall_ms, guint64 call, guint status,
               const char *body, gsize length)
 {
   set_time(core, now_ms, wall_ms);
-  if (!ws_context_take_reply(core, id, status, body, length))
-    return;
-  settle(core);
+  if (ws_context_take_reply(core, call, status, body, length))
+    process_consequences(core);
 }
