--- a/src/core/ws-core.c
+++ b/src/core/ws-core.c
@@ -148,7 +148,7 @@
   gint64 gap_ms = now_ms - core->now;
   if (core->now == 0 || gap_ms <= MIN_STALL_MS)
     return;
-  g_info("this node stood still for %.1f s", (double)gap_ms / 1000.0);
+  g_info("this node was stalled for %.1f s", (double)gap_ms / 1000.0);
   core->is_stalled = TRUE;
   core->epoch_known_ms = now_ms;
   restart_machine_timers(core, now_ms);
--- a/src/scheduling/ws-coordinator.c
+++ b/src/scheduling/ws-coordinator.c
@@ -86,7 +86,7 @@
   g_autofree char *key = ws_key_job(job->id);
   ws_txn_compare(txn, core->replica, key);
   ws_txn_put(txn, key, ws_job_encode(job, WS_JOB_ACTIVE, ""));
-  g_info("job %s doesn't fit here: it goes to the leader", job->id);
+  g_info("job %s doesn't fit this node's shard: escalated to the leader", job->id);
 }
 
 void
--- a/src/scheduling/ws-task-placement.c
+++ b/src/scheduling/ws-task-placement.c
@@ -49,7 +49,7 @@
   WsCore *core = placement->core;
   WsMachineCapacity *planned = ws_capacity_map_at(&placement->map, machine->index);
   WsMachineCapacity capacity = *planned;
-  g_info("job %s needs room on %s: less urgent tasks there stop", job->id, machine->name);
+  g_info("job %s preempts tasks on %s", job->id, machine->name);
   /* The candidate search has subtracted the task already. */
   ws_resources_add(&capacity.free, &job->spec->need, 1);
   ws_preempt(core, job, machine, &capacity);
@@ -70,7 +70,7 @@
 {
   for (guint i = 0; i < machines->len; i++) {
     const WsMachine *machine = machine_at(placement, machines, i);
-    g_info("job %s needs its team's limit: a less urgent task on %s stops", job->id, machine->name);
+    g_info("job %s preempts a task of its team on %s", job->id, machine->name);
     ws_stop_requests_send(placement->core, machine);
   }
 }
