--- a/src/membership/ws-failure-detector.c
+++ b/src/membership/ws-failure-detector.c
@@ -1,6 +1,8 @@
 /* Machines that say nothing: which are asked, which are waited for, and which are given up. */
 #include "membership/ws-membership.h"
 
+#include "storage/ws-mark-reasons.h"
+
 #include <string.h>
 
 #define STATUS_PAUSE_MS 600
@@ -89,7 +91,7 @@
 watch_inbound_unreachable(WsCore *core, WsMachine *machine)
 {
   if (machine->tasks->len > 0 && ws_machine_is_inbound_unreachable(core, machine))
-    core->handlers->request_termination(core, machine, "mute", TRUE);
+    core->handlers->request_termination(core, machine, WS_MARK_REASON_INBOUND_UNREACHABLE, TRUE);
 }
 
 static void
@@ -192,7 +194,7 @@
   for (guint i = 0; i < core->replica->machines->len; i++) {
     const WsMachine *machine = ws_replica_machine(core->replica, i);
     if (machine->spot || !machine->is_recorded || silent_since(machine) == 0
-        || (machine->is_marked && g_strcmp0(machine->mark_reason, "silent") != 0)
+        || (machine->is_marked && g_strcmp0(machine->mark_reason, WS_MARK_REASON_SILENT) != 0)
         || is_or_was_partitioned(core, machine->zone))
       continue;
     all++;
@@ -287,7 +289,7 @@
   if (has_cancelled(core, machine))
     patience = MIN(patience, (gint64)(core->settings->cancel_s * 400.0));
   if (failed && silent_ms > patience)
-    core->handlers->request_termination(core, machine, "silent", TRUE);
+    core->handlers->request_termination(core, machine, WS_MARK_REASON_SILENT, TRUE);
 }
 
 static void
@@ -297,7 +299,7 @@
   double part = many ? 1.0 : OUTBOUND_PATIENCE_PART;
   if (ws_machine_is_up(core, machine)
       && (double)unacknowledged_for_ms(core, machine) > part * core->settings->lease_s * 1000.0)
-    core->handlers->request_termination(core, machine, "deaf", TRUE);
+    core->handlers->request_termination(core, machine, WS_MARK_REASON_OUTBOUND_UNREACHABLE, TRUE);
 }
 
 static void
