--- a/src/context/ws-context.h
+++ b/src/context/ws-context.h
@@ -17,6 +17,7 @@
 typedef void (*WsReplyFunc)(WsCore *core, guint status, const json_t *body, gpointer data);
 
 typedef struct _WsStore WsStore;
+typedef struct _WsAuthority WsAuthority;
 typedef struct _WsElection WsElection;
 typedef struct _WsPeer WsPeer;
 typedef struct _WsAssignments WsAssignments;
@@ -82,6 +83,7 @@
   GHashTable *calls;
   guint64 next_call;
   WsStore *store;
+  WsAuthority *authority;
   WsElection *election;
   WsAssignments *assignments;
   WsFleet *fleet;
@@ -97,15 +99,13 @@
   WsWriteStats *write_stats;
   WsLegacyReleases *legacy_releases;
   WsReleases *releases;
-  gint64 cancellations_known_ms; /* when this node last knew all that was confirmed to users */
   WsEstimator *estimator;
   WsGarbage *garbage;
   WsPeer *peers;
-  guint64 gossip_revision;              /* counts what changed about this node's machines */
-  gboolean is_reached_from_other_zones; /* cut off, yet heard by machines of other zones */
-  gint64 report_ms;                     /* when a worker last reported to this node itself */
-  gboolean is_unreached_by_workers;     /* none does, although there are some for it */
-  guint rpcs_in_flight;                 /* launches on their way */
+  guint64 gossip_revision;          /* counts what changed about this node's machines */
+  gint64 report_ms;                 /* when a worker last reported to this node itself */
+  gboolean is_unreached_by_workers; /* none does, although there are some for it */
+  guint rpcs_in_flight;             /* launches on their way */
   guint probes_in_flight;
   guint next_probe;               /* where the next round of status calls begins */
   gint64 *partition_ms;           /* by zone: when it last seemed to be cut off; 0: never */
--- a/src/core/ws-core.c
+++ b/src/core/ws-core.c
@@ -49,6 +49,7 @@
   core->replica = ws_replica_new(settings);
   ws_context_init_calls(core);
   core->store = ws_store_new(settings);
+  core->authority = ws_authority_new();
   core->election = ws_election_new();
   core->assignments = ws_assignments_new();
   core->fleet = ws_fleet_new(settings);
@@ -85,6 +86,7 @@
 {
   ws_context_clear_calls(core);
   ws_store_free(core->store);
+  ws_authority_free(core->authority);
   ws_election_free(core->election);
   ws_assignments_free(core->assignments);
   ws_fleet_free(core->fleet);
@@ -211,8 +213,7 @@
 static void
 update_cancellations(WsCore *core)
 {
-  if (ws_has_all_cancellations(core))
-    core->cancellations_known_ms = core->now;
+  ws_authority_note_cancellations(core);
   if (ws_cancellations_pump(core))
     ws_cancelled_tasks_enforce(core);
 }
@@ -266,21 +267,12 @@
   process_consequences(core);
 }
 
-/* Users need no more than the key-value store and what is known from it: whether this node is among
-   the members yet matters to workers only. */
-static gboolean
-is_ready(const WsCore *core)
-{
-  return ws_store_is_loaded(core) && !core->is_stalled && core->replica->catalog != NULL
-         && !ws_is_refused_by_store_alone(core) && !ws_is_isolated(core);
-}
-
 static void
 answer_readiness(WsCore *core, const char *method, gpointer request)
 {
   if (strcmp(method, "GET") != 0)
     ws_answer_reason(core, request, HTTP_METHOD_NOT_ALLOWED, "only GET here");
-  else if (is_ready(core))
+  else if (ws_authority_check_readiness(core) == WS_REFUSAL_NONE)
     ws_answer(core, request, HTTP_OK, json_pack("{s:b}", "ready", 1), 0);
   else
     ws_answer_later(core, request, 1);
--- a/src/membership/ws-authority.c
+++ b/src/membership/ws-authority.c
@@ -1,11 +1,80 @@
-/* Whether this node may act. */
+/**
+ * Whether this node may act, and if not why.
+ *
+ * A node acts under its membership lease and the present epoch. Whatever may go wrong when it acts
+ * without knowing enough (a process pause, a lost lease, a partition, a replica that lags, a
+ * cancellation that was confirmed elsewhere) is checked here, and nowhere else.
+ */
 #include "membership/ws-membership.h"
 
+#include "store/ws-store.h"
+
+/* For the moments until a refusal shows, for drift and for what is on its way. */
+#define LEASE_RENEWAL_MARGIN_MS 4000.0
+
+struct _WsAuthority {
+  gint64 cancellations_known_ms;        /* when this node last knew all confirmed cancellations */
+  gboolean is_reached_from_other_zones; /* isolated, yet machines of other zones reach it */
+};
+
+WsAuthority *
+ws_authority_new(void)
+{
+  return g_new0(WsAuthority, 1);
+}
+
+void
+ws_authority_free(WsAuthority *authority)
+{
+  g_free(authority);
+}
+
+const char *
+ws_refusal_describe(WsRefusal refusal)
+{
+  static const char *const TEXTS[] = {
+    [WS_REFUSAL_NONE] = "allowed",
+    [WS_REFUSAL_STATE_NOT_READ] = "the state is not read yet",
+    [WS_REFUSAL_STALLED] = "this node has not renewed its lease and read since a process pause",
+    [WS_REFUSAL_NOT_A_MEMBER] = "this node is not a member of the epoch",
+    [WS_REFUSAL_NOT_SHARD_OWNER] = "another node owns the machine",
+    [WS_REFUSAL_BEHIND_EPOCH] = "the replica has not caught up with the epoch",
+    [WS_REFUSAL_EPOCH_SUPERSEDED] = "there is a newer epoch",
+    [WS_REFUSAL_CANCELLATIONS_UNKNOWN] = "confirmed cancellations may be missing",
+    [WS_REFUSAL_REFUSED_BY_STORE] = "the store is unavailable to this node only",
+    [WS_REFUSAL_ISOLATED] = "neither the store nor a peer is reached",
+    [WS_REFUSAL_NO_CATALOG] = "the cloud's catalog is not known yet",
+    [WS_REFUSAL_MACHINE_UNREACHABLE] = "the machine is not reached",
+    [WS_REFUSAL_TOKEN_UNACKNOWLEDGED] = "the worker has not acknowledged the fencing token",
+  };
+  return TEXTS[refusal];
+}
+
+/* What the node is. */
+
+static WsRefusal
+check_awake(const WsCore *core)
+{
+  if (!ws_store_is_loaded(core))
+    return WS_REFUSAL_STATE_NOT_READ;
+  return core->is_stalled ? WS_REFUSAL_STALLED : WS_REFUSAL_NONE;
+}
+
+WsRefusal
+ws_authority_check_member(const WsCore *core)
+{
+  WsRefusal refusal = check_awake(core);
+  if (refusal != WS_REFUSAL_NONE)
+    return refusal;
+  return ws_epoch_has(&core->replica->epoch, core->settings->self, core->incarnation)
+             ? WS_REFUSAL_NONE
+             : WS_REFUSAL_NOT_A_MEMBER;
+}
+
 gboolean
 ws_is_active_member(const WsCore *core)
 {
-  return ws_store_is_loaded(core) && !core->is_stalled
-         && ws_epoch_has(&core->replica->epoch, core->settings->self, core->incarnation);
+  return ws_authority_check_member(core) == WS_REFUSAL_NONE;
 }
 
 gboolean
@@ -14,14 +83,207 @@
   return ws_is_active_member(core) && core->replica->epoch.leader == core->settings->self;
 }
 
+WsRefusal
+ws_authority_check_ownership(const WsCore *core, const WsMachine *machine)
+{
+  WsRefusal refusal = ws_authority_check_member(core);
+  if (refusal != WS_REFUSAL_NONE)
+    return refusal;
+  return machine->owner == core->settings->self ? WS_REFUSAL_NONE : WS_REFUSAL_NOT_SHARD_OWNER;
+}
+
+gboolean
+ws_owns_machine(const WsCore *core, const WsMachine *machine)
+{
+  return ws_authority_check_ownership(core, machine) == WS_REFUSAL_NONE;
+}
+
 gboolean
 ws_has_caught_up_with_epoch(const WsCore *core)
 {
   return core->replica->revision >= ws_replica_version(core->replica, WS_KEY_EPOCH);
 }
 
+/* What it reaches. */
+
+static gboolean
+is_reached_peer(const WsCore *core, WsNodeIndex node)
+{
+  return node != core->settings->self && ws_peer_is_reachable(core, node);
+}
+
+/* An outage that everybody has is waited out; one that only this node has means that the others
+   act without it. */
+static gboolean
+is_refused_by_store_alone(const WsCore *core)
+{
+  if (ws_store_is_available(core))
+    return FALSE;
+  for (guint n = 0; n < core->settings->nodes->len; n++)
+    if (is_reached_peer(core, n) && core->peers[n].store_is_available)
+      return TRUE;
+  return FALSE;
+}
+
 gboolean
-ws_owns_machine(const WsCore *core, const WsMachine *machine)
+ws_is_isolated(const WsCore *core)
+{
+  if (ws_store_is_available(core))
+    return FALSE;
+  for (guint n = 0; n < core->settings->nodes->len; n++)
+    if (is_reached_peer(core, n))
+      return FALSE;
+  return core->settings->nodes->len > 1;
+}
+
+gboolean
+ws_authority_is_reached_from_other_zones(const WsCore *core)
+{
+  return core->authority->is_reached_from_other_zones;
+}
+
+void
+ws_authority_note_heartbeat_from_other_zone(WsCore *core)
+{
+  core->authority->is_reached_from_other_zones = TRUE;
+}
+
+/* What it knows. */
+
+/* Whether the peer has ended its notifications since the store became unavailable. */
+static gboolean
+has_notified_all(const WsCore *core, const WsPeer *peer)
+{
+  return peer->cancellations_complete_ms > 0
+         && peer->cancellations_complete_ms >= ws_store_unavailable_since_ms(core);
+}
+
+/* Whether no cancellation that was confirmed to its user is missed. A node knows while its replica
+   is current. Without the store it knows while all peers that it reaches are without it too, and
+   have notified it of what they knew: nothing new can be confirmed then. */
+static gboolean
+has_all_cancellations(const WsCore *core)
+{
+  gboolean is_reached = FALSE, is_notified = FALSE;
+  if (!ws_store_is_loaded(core))
+    return FALSE;
+  if (ws_store_is_current(core) || core->settings->nodes->len == 1)
+    return TRUE;
+  for (guint n = 0; n < core->settings->nodes->len; n++) {
+    const WsPeer *peer = &core->peers[n];
+    if (n == core->settings->self)
+      continue;
+    if (ws_peer_is_reachable(core, n)
+        && (peer->store_is_available || peer->unacknowledged_cancellations > 0))
+      return FALSE;
+    is_reached = is_reached || ws_peer_is_reachable(core, n);
+    is_notified = is_notified || has_notified_all(core, peer);
+  }
+  return is_reached && is_notified;
+}
+
+/* Whether a lease that is renewed now ends in time for whatever is missed: it may last for all of
+   its time, and what was confirmed since this node last knew everything has to be gone within
+   cancel_s. Inside a partitioned zone its node goes on: those outside return the machines there in
+   time. */
+static gboolean
+lease_would_end_in_time(const WsCore *core)
+{
+  const WsSettings *settings = core->settings;
+  if (has_all_cancellations(core)
+      || (ws_is_isolated(core) && !ws_authority_is_reached_from_other_zones(core)))
+    return TRUE;
+  return (double)(core->now - core->authority->cancellations_known_ms)
+         < (settings->cancel_s - settings->lease_s) * 1000.0 - LEASE_RENEWAL_MARGIN_MS;
+}
+
+static gboolean
+peer_knows_newer_epoch(const WsCore *core)
+{
+  for (guint n = 0; n < core->settings->nodes->len; n++)
+    if (core->peers[n].epoch > core->replica->epoch.number)
+      return TRUE;
+  return FALSE;
+}
+
+void
+ws_authority_note_cancellations(WsCore *core)
+{
+  if (has_all_cancellations(core))
+    core->authority->cancellations_known_ms = core->now;
+}
+
+void
+ws_authority_tick(WsCore *core)
+{
+  if (!ws_is_isolated(core))
+    core->authority->is_reached_from_other_zones = FALSE;
+}
+
+/* What it may do. */
+
+WsRefusal
+ws_authority_check_readiness(const WsCore *core)
+{
+  WsRefusal refusal = check_awake(core);
+  if (refusal != WS_REFUSAL_NONE)
+    return refusal;
+  if (core->replica->catalog == NULL)
+    return WS_REFUSAL_NO_CATALOG;
+  if (is_refused_by_store_alone(core))
+    return WS_REFUSAL_REFUSED_BY_STORE;
+  return ws_is_isolated(core) ? WS_REFUSAL_ISOLATED : WS_REFUSAL_NONE;
+}
+
+WsRefusal
+ws_authority_check_lease_renewal(const WsCore *core, guint64 fencing_token)
+{
+  WsRefusal refusal = ws_authority_check_member(core);
+  if (refusal != WS_REFUSAL_NONE)
+    return refusal;
+  if (fencing_token > core->replica->epoch.number)
+    return WS_REFUSAL_EPOCH_SUPERSEDED;
+  return lease_would_end_in_time(core) ? WS_REFUSAL_NONE : WS_REFUSAL_CANCELLATIONS_UNKNOWN;
+}
+
+WsRefusal
+ws_authority_check_heartbeat(const WsCore *core, guint64 fencing_token)
+{
+  WsRefusal refusal = ws_authority_check_lease_renewal(core, fencing_token);
+  if (refusal != WS_REFUSAL_NONE)
+    return refusal;
+  if (peer_knows_newer_epoch(core))
+    return WS_REFUSAL_EPOCH_SUPERSEDED;
+  return is_refused_by_store_alone(core) ? WS_REFUSAL_REFUSED_BY_STORE : WS_REFUSAL_NONE;
+}
+
+WsRefusal
+ws_authority_check_launch(const WsCore *core)
+{
+  WsRefusal refusal = ws_authority_check_member(core);
+  if (refusal != WS_REFUSAL_NONE)
+    return refusal;
+  if (!ws_has_caught_up_with_epoch(core))
+    return WS_REFUSAL_BEHIND_EPOCH;
+  return has_all_cancellations(core) ? WS_REFUSAL_NONE : WS_REFUSAL_CANCELLATIONS_UNKNOWN;
+}
+
+WsRefusal
+ws_authority_check_command(const WsCore *core, const WsMachine *machine)
+{
+  if (machine->worker.endpoint == NULL || !ws_machine_is_up(core, machine)
+      || core->is_unreached_by_workers)
+    return WS_REFUSAL_MACHINE_UNREACHABLE;
+  if (machine->worker.fencing_token != core->replica->epoch.number)
+    return WS_REFUSAL_TOKEN_UNACKNOWLEDGED;
+  return ws_authority_check_member(core);
+}
+
+WsRefusal
+ws_authority_check_direct_launch(const WsCore *core, const WsMachine *machine)
 {
-  return ws_is_active_member(core) && machine->owner == core->settings->self;
+  WsRefusal refusal = ws_authority_check_command(core, machine);
+  if (refusal != WS_REFUSAL_NONE)
+    return refusal;
+  return has_all_cancellations(core) ? WS_REFUSAL_NONE : WS_REFUSAL_CANCELLATIONS_UNKNOWN;
 }
--- a/src/membership/ws-gossip.c
+++ b/src/membership/ws-gossip.c
@@ -8,8 +8,6 @@
 #define GOSSIP_MS 700
 #define GOSSIP_TIMEOUT_MS 1000
 #define REACH_MS 2600
-/* For the moments until a refusal shows, for drift and for what is on its way. */
-#define LEASE_RENEWAL_MARGIN_MS 4000.0
 
 gboolean
 ws_peer_is_reachable(const WsCore *core, WsNodeIndex node)
@@ -28,71 +26,6 @@
          || (core->peers[from].reachable_nodes >> to & 1) != 0;
 }
 
-/* An outage that everybody has is waited out; one that only this node has means that the others
-   act without it. */
-gboolean
-ws_is_refused_by_store_alone(const WsCore *core)
-{
-  if (ws_store_is_available(core))
-    return FALSE;
-  for (guint n = 0; n < core->settings->nodes->len; n++)
-    if (n != core->settings->self && ws_peer_is_reachable(core, n)
-        && core->peers[n].store_is_available)
-      return TRUE;
-  return FALSE;
-}
-
-gboolean
-ws_is_isolated(const WsCore *core)
-{
-  if (ws_store_is_available(core))
-    return FALSE;
-  for (guint n = 0; n < core->settings->nodes->len; n++)
-    if (n != core->settings->self && ws_peer_is_reachable(core, n))
-      return FALSE;
-  return core->settings->nodes->len > 1;
-}
-
-/* To renew a lease is to vouch that no cancellation which was confirmed to its user is missed. A
-   node can while its replica is current; without the state service it can while all that it reaches
-   are without it too, and have told it what they knew: nothing new can be confirmed then. */
-gboolean
-ws_has_all_cancellations(const WsCore *core)
-{
-  gboolean reached = FALSE, settled = FALSE;
-  if (!ws_store_is_loaded(core))
-    return FALSE;
-  if (ws_store_is_current(core) || core->settings->nodes->len == 1)
-    return TRUE;
-  for (guint n = 0; n < core->settings->nodes->len; n++) {
-    const WsPeer *peer = &core->peers[n];
-    if (n == core->settings->self)
-      continue;
-    if (ws_peer_is_reachable(core, n)
-        && (peer->store_is_available || peer->unacknowledged_cancellations > 0))
-      return FALSE;
-    reached = reached || ws_peer_is_reachable(core, n);
-    settled = settled
-              || (peer->cancellations_complete_ms > 0
-                  && peer->cancellations_complete_ms >= ws_store_unavailable_since_ms(core));
-  }
-  return reached && settled;
-}
-
-/* A lease that is renewed now may last for all of its time, and what was confirmed since this node
-   last vouched has to be gone within cancel_s. Inside a zone that is cut off its node goes on:
-   those outside return the machines there in time. */
-gboolean
-ws_may_renew_worker_leases(const WsCore *core)
-{
-  const WsSettings *settings = core->settings;
-  if (ws_has_all_cancellations(core)
-      || (ws_is_isolated(core) && !core->is_reached_from_other_zones))
-    return TRUE;
-  return (double)(core->now - core->cancellations_known_ms)
-         < (settings->cancel_s - settings->lease_s) * 1000.0 - LEASE_RENEWAL_MARGIN_MS;
-}
-
 /* Gossip. A node tells each peer what has changed about its machines since what the peer has
    acknowledged; all of it at first, after a restart and in a new epoch, when machines have other
    owners. A delta that was lost shows in the next acknowledgement. */
@@ -297,8 +230,7 @@
 void
 ws_gossip_tick(WsCore *core)
 {
-  if (!ws_is_isolated(core))
-    core->is_reached_from_other_zones = FALSE;
+  ws_authority_tick(core);
   for (guint n = 0; n < core->settings->nodes->len; n++) {
     WsPeer *peer = &core->peers[n];
     if (n == core->settings->self || peer->in_flight || core->now - peer->sent_ms < GOSSIP_MS
--- a/src/membership/ws-membership.h
+++ b/src/membership/ws-membership.h
@@ -9,15 +9,95 @@
 #include "storage/ws-evidence.h"
 #include "store/ws-store.h"
 
+/* Authority: whether this node may act, and if not why. */
+
+/** Why this node may not do something. */
+typedef enum {
+  WS_REFUSAL_NONE,                  /**< it may */
+  WS_REFUSAL_STATE_NOT_READ,        /**< the replica has not been loaded since the start */
+  WS_REFUSAL_STALLED,               /**< after a process pause: lease and replica are unconfirmed */
+  WS_REFUSAL_NOT_A_MEMBER,          /**< no lease, or the epoch does not have this incarnation */
+  WS_REFUSAL_NOT_SHARD_OWNER,       /**< the machine belongs to another node's shard */
+  WS_REFUSAL_BEHIND_EPOCH,          /**< the records are older than the epoch */
+  WS_REFUSAL_EPOCH_SUPERSEDED,      /**< a worker or a peer knows a newer epoch */
+  WS_REFUSAL_CANCELLATIONS_UNKNOWN, /**< a confirmed cancellation may be missing here */
+  WS_REFUSAL_REFUSED_BY_STORE,      /**< the store is unavailable here, but not to a peer */
+  WS_REFUSAL_ISOLATED,              /**< neither the store nor any peer is reached */
+  WS_REFUSAL_NO_CATALOG,            /**< the cloud's catalog is not known yet */
+  WS_REFUSAL_MACHINE_UNREACHABLE,   /**< no address, not up, or no worker reaches this node */
+  WS_REFUSAL_TOKEN_UNACKNOWLEDGED   /**< the worker has not shown the present fencing token */
+} WsRefusal;
+
+/** The refusal in words, for the log. Static. */
+const char *ws_refusal_describe(WsRefusal refusal);
+
+WsAuthority *ws_authority_new(void);
+void ws_authority_free(WsAuthority *authority);
+
+/** Forgets what was heard from other zones, unless this node is isolated. For each tick. */
+void ws_authority_tick(WsCore *core);
+
+/** Notes the time, if this node knows all confirmed cancellations now. After each input. */
+void ws_authority_note_cancellations(WsCore *core);
+
+/** Whether this node is a member of the present epoch, with a lease that it may rely on. */
+WsRefusal ws_authority_check_member(const WsCore *core);
+
+/** Whether it is, and the machine is in its shard. */
+WsRefusal ws_authority_check_ownership(const WsCore *core, const WsMachine *machine);
+
+/**
+ * Whether users may be sent here. They need no more than the store and what is known from it:
+ * whether this node is among the members yet matters to workers only.
+ */
+WsRefusal ws_authority_check_readiness(const WsCore *core);
+
+/**
+ * Whether an answer may renew the lease of a worker that has shown the fencing token. Renewing
+ * needs that every confirmed cancellation is known here, or that the lease ends before the time
+ * limit (cancel_s) of any that isn't.
+ */
+WsRefusal ws_authority_check_lease_renewal(const WsCore *core, guint64 fencing_token);
+
+/** The same for a heartbeat that reached this node itself: whether it should deal with it at all.
+ */
+WsRefusal ws_authority_check_heartbeat(const WsCore *core, guint64 fencing_token);
+
+/** Whether the answer to a heartbeat may launch tasks. */
+WsRefusal ws_authority_check_launch(const WsCore *core);
+
+/** Whether the machine's worker may be called with commands (command RPC). */
+WsRefusal ws_authority_check_command(const WsCore *core, const WsMachine *machine);
+
+/** Whether it may be called to launch tasks. */
+WsRefusal ws_authority_check_direct_launch(const WsCore *core, const WsMachine *machine);
+
+/** ws_authority_check_member() as a predicate. */
 gboolean ws_is_active_member(const WsCore *core);
+
+/** Whether this node is an active member and leads the present epoch. */
 gboolean ws_is_leader(const WsCore *core);
+
+/** ws_authority_check_ownership() as a predicate. */
 gboolean ws_owns_machine(const WsCore *core, const WsMachine *machine);
-/* A new leader knows the epoch that it wrote before all that was written until then. Acting on its
-   records before that is acting on another leader's past: tasks were assigned to a machine that had
-   been returned, since a mark that came and went meanwhile is absent once more; an attempt that had
-   been taken elsewhere was launched again, and one just assigned was halted. */
+
+/**
+ * Whether the replica is as new as the present epoch (read barrier).
+ *
+ * A new leader knows the epoch that it wrote before all that was written until then. Acting on its
+ * records before that is acting on another leader's past: tasks were assigned to a machine that had
+ * been returned, since a mark that came and went meanwhile is absent once more; an attempt that had
+ * been taken elsewhere was launched again, and one just assigned was halted.
+ */
 gboolean ws_has_caught_up_with_epoch(const WsCore *core);
 
+/** Whether neither the store nor any other node is reached. */
+gboolean ws_is_isolated(const WsCore *core);
+
+/** Whether a machine of another zone has reached this node while it is isolated. */
+gboolean ws_authority_is_reached_from_other_zones(const WsCore *core);
+void ws_authority_note_heartbeat_from_other_zone(WsCore *core);
+
 WsElection *ws_election_new(void);
 void ws_election_free(WsElection *election);
 void ws_election_tick(WsCore *core);
@@ -51,13 +131,6 @@
                             gpointer request);
 gboolean ws_peer_is_reachable(const WsCore *core, WsNodeIndex node);
 gboolean ws_peer_link_is_up(const WsCore *core, WsNodeIndex from, guint to);
-gboolean ws_is_refused_by_store_alone(const WsCore *core);
-/* Neither the state service nor any other node is reached. */
-gboolean ws_is_isolated(const WsCore *core);
-/* Nothing that was confirmed to a user is missed by this node. */
-gboolean ws_has_all_cancellations(const WsCore *core);
-/* Whether a lease that is renewed now ends in time for whatever is missed. */
-gboolean ws_may_renew_worker_leases(const WsCore *core);
 void ws_gossip_begin_epoch(WsCore *core);
 
 WsPeerRequests *ws_peer_requests_new(const WsSettings *settings);
--- a/src/workers/ws-relay.c
+++ b/src/workers/ws-relay.c
@@ -54,7 +54,7 @@
 {
   json_t *commands = json_array();
   add_halts(core, heartbeat, commands);
-  if (ws_is_active_member(core) && ws_may_renew_worker_leases(core))
+  if (ws_authority_check_lease_renewal(core, core->replica->epoch.number) == WS_REFUSAL_NONE)
     ws_answer(core, request, 200,
               ws_heartbeat_answer_encode(core->replica->epoch.number, g_steal_pointer(&commands)),
               0);
@@ -126,8 +126,7 @@
   g_autoptr(WsHeartbeat) heartbeat = ws_heartbeat_parse(message, &reason);
   if (heartbeat == NULL)
     ws_answer_reason(core, request, 400, reason);
-  else if (heartbeat->fencing_token > core->replica->epoch.number
-           || !ws_may_renew_worker_leases(core))
+  else if (ws_authority_check_lease_renewal(core, heartbeat->fencing_token) != WS_REFUSAL_NONE)
     ws_answer_later(core, request, 1);
   else
     ws_answer(core, request, 200, ws_workers_answer_heartbeat(core, heartbeat), 0);
--- a/src/workers/ws-worker-rpc.c
+++ b/src/workers/ws-worker-rpc.c
@@ -61,10 +61,7 @@
 gboolean
 ws_worker_rpc_is_possible(const WsCore *core, const WsMachine *machine)
 {
-  return machine->worker.endpoint != NULL
-         && machine->worker.fencing_token == core->replica->epoch.number
-         && ws_machine_is_up(core, machine) && !core->is_unreached_by_workers
-         && ws_is_active_member(core);
+  return ws_authority_check_command(core, machine) == WS_REFUSAL_NONE;
 }
 
 void
@@ -88,7 +85,7 @@
 void
 ws_worker_rpc_launch(WsCore *core, WsMachine *machine, GArray *tasks)
 {
-  if (!ws_worker_rpc_is_possible(core, machine) || !ws_has_all_cancellations(core)
+  if (ws_authority_check_direct_launch(core, machine) != WS_REFUSAL_NONE
       || (core->rpcs_in_flight >= MAX_RPCS_IN_FLIGHT && !any_urgent(core, tasks)))
     return;
   json_t *commands = json_array();
--- a/src/workers/ws-workers.c
+++ b/src/workers/ws-workers.c
@@ -266,8 +266,8 @@
   gboolean unwanted = ws_cancellations_has(answer->core, job) || assignment->is_stop_requested
                       || answer->machine->is_marked || ws_gang_is_ending(job)
                       || ws_releases_has(answer->core, job, assignment);
-  if (!unwanted && !ws_has_all_cancellations(answer->core))
-    return; /* it may be cancelled, and nobody could have told us */
+  if (!unwanted && ws_authority_check_launch(answer->core) != WS_REFUSAL_NONE)
+    return;
   if (!unwanted) {
     command(answer, WS_OP_LAUNCH, job->id, assignment->task, assignment->attempt, 0.0);
     answer->is_unacknowledged = answer->is_unacknowledged || assignment->launch_sent;
@@ -385,15 +385,6 @@
             0);
 }
 
-static gboolean
-knows_newest_epoch(const WsCore *core)
-{
-  for (guint n = 0; n < core->settings->nodes->len; n++)
-    if (core->peers[n].epoch > fencing_token(core))
-      return FALSE;
-  return TRUE;
-}
-
 /* Cut off from the state service and all other nodes, this one can't know whether a later epoch
    exists. If machines of other zones still reach it, the others are there for them and for those of
    its own zone: each is sent away. One that comes back has found nobody, and is kept: its tasks
@@ -405,9 +396,9 @@
   if (!ws_is_isolated(core))
     return FALSE;
   if (machine->zone != ws_replica_find_zone(core->replica, self->zone))
-    core->is_reached_from_other_zones = TRUE;
+    ws_authority_note_heartbeat_from_other_zone(core);
   gint64 since_ms = core->now - machine->worker.sent_away_ms;
-  if (!core->is_reached_from_other_zones
+  if (!ws_authority_is_reached_from_other_zones(core)
       || (machine->worker.sent_away_ms > 0
           && (double)since_ms < KEPT_LEASE_SHARE * core->settings->lease_s * 1000.0))
     return FALSE;
@@ -427,9 +418,10 @@
     return;
   }
   core->report_ms = core->now;
-  if (!ws_is_active_member(core) || heartbeat->fencing_token > fencing_token(core)
-      || !knows_newest_epoch(core) || ws_is_refused_by_store_alone(core)
-      || !ws_may_renew_worker_leases(core) || ws_returns_is_confirmed(core, heartbeat->machine)) {
+  WsRefusal refusal = ws_authority_check_heartbeat(core, heartbeat->fencing_token);
+  if (refusal != WS_REFUSAL_NONE || ws_returns_is_confirmed(core, heartbeat->machine)) {
+    g_debug("a heartbeat of %s is put off: %s", heartbeat->machine,
+            refusal != WS_REFUSAL_NONE ? ws_refusal_describe(refusal) : "it is returned");
     ws_answer_later(core, request, 1);
     return;
   }
