--- a/src/context/ws-context.h
+++ b/src/context/ws-context.h
@@ -19,7 +19,9 @@
 typedef struct _WsStore WsStore;
 typedef struct _WsAuthority WsAuthority;
 typedef struct _WsElection WsElection;
-typedef struct _WsPeer WsPeer;
+typedef struct _WsPeers WsPeers;
+typedef struct _WsEpochTracker WsEpochTracker;
+typedef struct _WsFailureDetector WsFailureDetector;
 typedef struct _WsAssignments WsAssignments;
 typedef struct _WsFleet WsFleet;
 typedef struct _WsRentals WsRentals;
@@ -85,6 +87,9 @@
   WsStore *store;
   WsAuthority *authority;
   WsElection *election;
+  WsEpochTracker *epoch_tracker;
+  WsPeers *peers;
+  WsFailureDetector *failure_detector;
   WsAssignments *assignments;
   WsFleet *fleet;
   WsRentals *rentals;
@@ -101,21 +106,9 @@
   WsReleases *releases;
   WsEstimator *estimator;
   WsGarbage *garbage;
-  WsPeer *peers;
-  guint64 gossip_revision;          /* counts what changed about this node's machines */
-  gint64 report_ms;                 /* when a worker last reported to this node itself */
-  gboolean is_unreached_by_workers; /* none does, although there are some for it */
-  guint rpcs_in_flight;             /* launches on their way */
-  guint probes_in_flight;
-  guint next_probe;               /* where the next round of status calls begins */
-  gint64 *partition_ms;           /* by zone: when it last seemed to be cut off; 0: never */
-  gint64 *confirmed_partition_ms; /* by zone: when that was last sure */
-  gboolean replan_is_needed;      /* event flag: something changed that a plan could act on */
-  gint64 epoch_known_ms;          /* since when the present epoch is known */
-  guint64 handled_epoch;
-  gboolean is_stalled;           /* stood still, and has not renewed and read since */
+  guint rpcs_in_flight;          /* launches on their way */
+  gboolean replan_is_needed;     /* event flag: something changed that a plan could act on */
   gint64 next_reconciliation_ms; /* when the periodic work is due */
-  gboolean new_epoch_needed; /* a doubt can only be ended by a higher token */
 };
 
 void ws_context_init_calls(WsCore *core);
--- a/src/core/ws-core.c
+++ b/src/core/ws-core.c
@@ -11,8 +11,6 @@
 
 #include <string.h>
 
-/* A pause between two inputs after which this node's lease may have ended. */
-#define MIN_STALL_MS 3000
 #define RECONCILIATION_PERIOD_MS 250
 /* When the core stops, an ended call may lead to another one, but not for ever. */
 #define MAX_STOP_ROUNDS 20
@@ -51,6 +49,9 @@
   core->store = ws_store_new(settings);
   core->authority = ws_authority_new();
   core->election = ws_election_new();
+  core->epoch_tracker = ws_epoch_tracker_new();
+  core->peers = ws_peers_new(settings);
+  core->failure_detector = ws_failure_detector_new(settings);
   core->assignments = ws_assignments_new();
   core->fleet = ws_fleet_new(settings);
   core->rentals = ws_rentals_new();
@@ -67,9 +68,6 @@
   core->releases = ws_releases_new();
   core->estimator = ws_estimator_new();
   core->garbage = ws_garbage_new();
-  core->peers = g_new0(WsPeer, settings->nodes->len);
-  core->partition_ms = g_new0(gint64, MAX(settings->zones->len, 1u));
-  core->confirmed_partition_ms = g_new0(gint64, MAX(settings->zones->len, 1u));
   return core;
 }
 
@@ -88,6 +86,9 @@
   ws_store_free(core->store);
   ws_authority_free(core->authority);
   ws_election_free(core->election);
+  ws_epoch_tracker_free(core->epoch_tracker);
+  ws_peers_free(core->peers);
+  ws_failure_detector_free(core->failure_detector);
   ws_assignments_free(core->assignments);
   ws_fleet_free(core->fleet);
   ws_rentals_free(core->rentals);
@@ -105,9 +106,6 @@
   ws_estimator_free(core->estimator);
   ws_garbage_free(core->garbage);
   ws_replica_free(core->replica);
-  g_free(core->peers);
-  g_free(core->partition_ms);
-  g_free(core->confirmed_partition_ms);
   g_free(core);
 }
 
@@ -129,85 +127,39 @@
   return g_queue_pop_head(&core->outputs);
 }
 
-/* Nothing that this node measured before the stall counts as silence, idleness or delay. */
+/* What is measured since a time before the pause starts afresh. */
 static void
-restart_machine_timers(const WsCore *core, gint64 now_ms)
+notice_stall(WsCore *core, gint64 now_ms)
 {
+  if (!ws_authority_detect_stall(core, now_ms))
+    return;
   for (guint i = 0; i < core->replica->machines->len; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, i);
-    machine->worker.owned_ms = now_ms;
     machine->fleet.empty_ms = 0;
     machine->fleet.underused_ms = 0;
-    machine->worker.unacknowledged_ms = 0;
   }
 }
 
-/* When the process is paused while its clocks run on, every timeout looks as if it had expired,
-   that of its own lease included. The node then renews its lease and reads before it acts again. */
-static void
-detect_stall(WsCore *core, gint64 now_ms)
-{
-  gint64 gap_ms = now_ms - core->now;
-  if (core->now == 0 || gap_ms <= MIN_STALL_MS)
-    return;
-  g_info("this node was stalled for %.1f s", (double)gap_ms / 1000.0);
-  core->is_stalled = TRUE;
-  core->epoch_known_ms = now_ms;
-  restart_machine_timers(core, now_ms);
-  ws_election_resume(core, now_ms);
-}
-
 /* Takes over the time of an input. The monotonic time never goes back. */
 static void
 set_time(WsCore *core, gint64 now_ms, gint64 wall_ms)
 {
-  detect_stall(core, now_ms);
+  notice_stall(core, now_ms);
   core->now = MAX(core->now, now_ms);
   core->wall = wall_ms;
 }
 
-static void
-log_epoch(const WsCore *core)
-{
-  const WsEpoch *epoch = &core->replica->epoch;
-  g_info("epoch %" G_GUINT64_FORMAT " at revision %" G_GUINT64_FORMAT ": %u members, leader %s",
-         core->handled_epoch, ws_replica_version(core->replica, WS_KEY_EPOCH), epoch->members->len,
-         epoch->leader != WS_NO_NODE ? ws_settings_node(core->settings, epoch->leader)->name
-                                     : "none");
-}
-
-/* The shards of the machines may have changed. */
-static void
-note_machine_owners(WsCore *core)
-{
-  for (guint i = 0; i < core->replica->machines->len; i++) {
-    WsMachine *machine = ws_replica_machine(core->replica, i);
-    machine->worker.redirected_ms = 0;
-    machine->worker.failed_probes = 0;
-    machine->worker.unacknowledged_ms = 0;
-    if (machine->worker.handled_owner != machine->owner)
-      machine->worker.owned_ms = core->now;
-    machine->worker.handled_owner = machine->owner;
-  }
-}
-
 /* In a new epoch everything that rested on the former shards and leader starts afresh. */
 static void
 handle_epoch_change(WsCore *core)
 {
-  if (core->handled_epoch == core->replica->epoch.number)
+  if (!ws_epoch_has_changed(core))
     return;
-  core->handled_epoch = core->replica->epoch.number;
-  core->epoch_known_ms = core->now;
   core->replan_is_needed = TRUE;
-  core->new_epoch_needed = FALSE;
   ws_assignments_begin_epoch(core);
   ws_legacy_releases_begin_epoch(core);
-  ws_peer_requests_clear(core);
   ws_reservations_clear(core);
-  ws_gossip_begin_epoch(core);
-  note_machine_owners(core);
-  log_epoch(core);
+  ws_epoch_begin(core);
 }
 
 static void
--- a/src/fleet/ws-consolidation.c
+++ b/src/fleet/ws-consolidation.c
@@ -37,7 +37,7 @@
     if (machine->is_recorded && (machine->is_marked || machine->fleet.mark_is_pending))
       return FALSE;
   }
-  return core->now - core->epoch_known_ms > 15000;
+  return core->now - ws_epoch_known_since_ms(core) > 15000;
 }
 
 /* Whether the rules on zones let a task of the job move. */
--- a/src/fleet/ws-fleet.c
+++ b/src/fleet/ws-fleet.c
@@ -87,7 +87,7 @@
     WsMachine *machine = ws_replica_machine(core->replica, i);
     if (!machine->is_recorded || machine->is_marked || machine->worker.heard_ms > 0
         || machine->type == WS_NO_TYPE || machine->tasks->len > 0
-        || core->now - core->epoch_known_ms < patience_ms
+        || core->now - ws_epoch_known_since_ms(core) < patience_ms
         || ws_zone_is_partitioned(core, machine->zone))
       continue;
     double boot_s = ws_replica_type(core->replica, machine->type)->boot_s;
--- a/src/fleet/ws-returns.c
+++ b/src/fleet/ws-returns.c
@@ -155,7 +155,7 @@
 static gboolean
 is_lost(const WsCore *core, const WsMachine *machine)
 {
-  gint64 since_ms = MAX(machine->worker.heard_ms, core->epoch_known_ms);
+  gint64 since_ms = MAX(machine->worker.heard_ms, ws_epoch_known_since_ms(core));
   return !machine->is_recorded && !machine->is_marked && machine->tasks->len > 0
          && (double)(core->now - since_ms) > core->settings->lease_s * 1000.0;
 }
--- a/src/membership/ws-authority.c
+++ b/src/membership/ws-authority.c
@@ -5,14 +5,18 @@
  * without knowing enough (a process pause, a lost lease, a partition, a replica that lags, a
  * cancellation that was confirmed elsewhere) is checked here, and nowhere else.
  */
-#include "membership/ws-membership.h"
+#include "membership/ws-membership-private.h"
 
+#include "membership/ws-peers.h"
 #include "store/ws-store.h"
 
 /* For the moments until a refusal shows, for drift and for what is on its way. */
 #define LEASE_RENEWAL_MARGIN_MS 4000.0
+/* A pause between two inputs after which this node's lease may have ended. */
+#define STALL_MS 3000
 
 struct _WsAuthority {
+  gboolean is_stalled;                  /* see ws_authority_detect_stall */
   gint64 cancellations_known_ms;        /* when this node last knew all confirmed cancellations */
   gboolean is_reached_from_other_zones; /* isolated, yet machines of other zones reach it */
 };
@@ -57,7 +61,7 @@
 {
   if (!ws_store_is_loaded(core))
     return WS_REFUSAL_STATE_NOT_READ;
-  return core->is_stalled ? WS_REFUSAL_STALLED : WS_REFUSAL_NONE;
+  return core->authority->is_stalled ? WS_REFUSAL_STALLED : WS_REFUSAL_NONE;
 }
 
 WsRefusal
@@ -104,6 +108,40 @@
   return core->replica->revision >= ws_replica_version(core->replica, WS_KEY_EPOCH);
 }
 
+/* Process pauses. */
+
+gboolean
+ws_authority_is_stalled(const WsCore *core)
+{
+  return core->authority->is_stalled;
+}
+
+void
+ws_authority_end_stall(WsCore *core)
+{
+  core->authority->is_stalled = FALSE;
+}
+
+/* Everything that this node would find out by silence, its own lease's end included, looks as if it
+   had happened during the pause, while its clocks ran on. */
+gboolean
+ws_authority_detect_stall(WsCore *core, gint64 now_ms)
+{
+  gint64 pause_ms = now_ms - core->now;
+  if (core->now == 0 || pause_ms <= STALL_MS)
+    return FALSE;
+  g_info("this node stood still for %.1f s", (double)pause_ms / 1000.0);
+  core->authority->is_stalled = TRUE;
+  ws_epoch_restart_clock(core, now_ms);
+  for (guint i = 0; i < core->replica->machines->len; i++) {
+    WsMachine *machine = ws_replica_machine(core->replica, i);
+    machine->worker.owned_ms = now_ms;
+    machine->worker.unacknowledged_ms = 0;
+  }
+  ws_election_resume(core, now_ms);
+  return TRUE;
+}
+
 /* What it reaches. */
 
 static gboolean
@@ -120,7 +158,7 @@
   if (ws_store_is_available(core))
     return FALSE;
   for (guint n = 0; n < core->settings->nodes->len; n++)
-    if (is_reached_peer(core, n) && core->peers[n].store_is_available)
+    if (is_reached_peer(core, n) && ws_peer(core, n)->store_is_available)
       return TRUE;
   return FALSE;
 }
@@ -170,7 +208,7 @@
   if (ws_store_is_current(core) || core->settings->nodes->len == 1)
     return TRUE;
   for (guint n = 0; n < core->settings->nodes->len; n++) {
-    const WsPeer *peer = &core->peers[n];
+    const WsPeer *peer = ws_peer(core, n);
     if (n == core->settings->self)
       continue;
     if (ws_peer_is_reachable(core, n)
@@ -201,7 +239,7 @@
 peer_knows_newer_epoch(const WsCore *core)
 {
   for (guint n = 0; n < core->settings->nodes->len; n++)
-    if (core->peers[n].epoch > core->replica->epoch.number)
+    if (ws_peer(core, n)->epoch > core->replica->epoch.number)
       return TRUE;
   return FALSE;
 }
@@ -272,7 +310,7 @@
 ws_authority_check_command(const WsCore *core, const WsMachine *machine)
 {
   if (machine->worker.endpoint == NULL || !ws_machine_is_up(core, machine)
-      || core->is_unreached_by_workers)
+      || ws_is_unreached_by_workers(core))
     return WS_REFUSAL_MACHINE_UNREACHABLE;
   if (machine->worker.fencing_token != core->replica->epoch.number)
     return WS_REFUSAL_TOKEN_UNACKNOWLEDGED;
--- a/src/membership/ws-cancellations.c
+++ b/src/membership/ws-cancellations.c
@@ -2,7 +2,7 @@
 
    Whoever learns of one, by its own commit or through its replica, notifies every peer until each
    has acknowledged it. What is done about the tasks is in workers/ws-cancelled-tasks.c. */
-#include "membership/ws-membership.h"
+#include "membership/ws-membership-private.h"
 
 #define NOTIFY_TIMEOUT_MS 1000
 /* Between two messages to one peer, so that what is cancelled in bulk shares a few. */
--- a/src/membership/ws-election.c
+++ b/src/membership/ws-election.c
@@ -1,5 +1,5 @@
 /* This node's lease, the election, and the epochs that the leader writes. */
-#include "membership/ws-membership.h"
+#include "membership/ws-membership-private.h"
 
 #include "store/ws-store.h"
 #include "protocol/ws-kv.h"
@@ -63,7 +63,7 @@
   election->reading = FALSE;
   if (!current || !election->is_renewed || election->wakes != GPOINTER_TO_UINT(data))
     return;
-  core->is_stalled = FALSE;
+  ws_authority_end_stall(core);
   core->replan_is_needed = TRUE;
 }
 
@@ -210,7 +210,7 @@
 static gboolean
 forced(WsCore *core)
 {
-  if (!core->new_epoch_needed || core->now < core->election->forced_next_ms)
+  if (!ws_epoch_new_one_is_needed(core) || core->now < core->election->forced_next_ms)
     return FALSE;
   core->election->forced_next_ms = core->now + FORCED_EPOCH_PAUSE_MS;
   g_info("a higher token is needed to end a doubt");
@@ -243,7 +243,7 @@
   keep_lease(core);
   if (!ws_store_is_loaded(core))
     return;
-  if (core->is_stalled) {
+  if (ws_authority_is_stalled(core)) {
     if (core->election->is_renewed && !core->election->reading) {
       core->election->reading = TRUE;
       ws_store_linearizable_read(core, on_read_awake, GUINT_TO_POINTER(core->election->wakes));
--- /dev/null
+++ b/src/membership/ws-epoch-tracker.c
@@ -0,0 +1,88 @@
+/**
+ * The present epoch as this node has dealt with it: since when it is known, and whether a new one
+ * is needed.
+ */
+#include "membership/ws-membership-private.h"
+
+struct _WsEpochTracker {
+  guint64 epoch;          /* the number of the epoch that was last begun */
+  gint64 known_since_ms;  /* since when it is known, without a process pause */
+  gboolean needs_new_one; /* an indeterminate outcome needs a higher fencing token */
+};
+
+WsEpochTracker *
+ws_epoch_tracker_new(void)
+{
+  return g_new0(WsEpochTracker, 1);
+}
+
+void
+ws_epoch_tracker_free(WsEpochTracker *tracker)
+{
+  g_free(tracker);
+}
+
+gint64
+ws_epoch_known_since_ms(const WsCore *core)
+{
+  return core->epoch_tracker->known_since_ms;
+}
+
+void
+ws_epoch_restart_clock(WsCore *core, gint64 now_ms)
+{
+  core->epoch_tracker->known_since_ms = now_ms;
+}
+
+gboolean
+ws_epoch_has_changed(const WsCore *core)
+{
+  return core->epoch_tracker->epoch != core->replica->epoch.number;
+}
+
+gboolean
+ws_epoch_new_one_is_needed(const WsCore *core)
+{
+  return core->epoch_tracker->needs_new_one;
+}
+
+void
+ws_epoch_request_new_one(WsCore *core)
+{
+  core->epoch_tracker->needs_new_one = TRUE;
+}
+
+static void
+begin_ownership(WsCore *core, WsMachine *machine)
+{
+  machine->worker.redirected_ms = 0;
+  machine->worker.failed_probes = 0;
+  machine->worker.unacknowledged_ms = 0;
+  if (machine->worker.handled_owner != machine->owner)
+    machine->worker.owned_ms = core->now;
+  machine->worker.handled_owner = machine->owner;
+}
+
+static void
+log_epoch(const WsCore *core)
+{
+  const WsEpoch *epoch = &core->replica->epoch;
+  g_info("epoch %" G_GUINT64_FORMAT " at revision %" G_GUINT64_FORMAT ": %u members, leader %s",
+         epoch->number, ws_replica_version(core->replica, WS_KEY_EPOCH), epoch->members->len,
+         epoch->leader != WS_NO_NODE ? ws_settings_node(core->settings, epoch->leader)->name
+                                     : "none");
+}
+
+void
+ws_epoch_begin(WsCore *core)
+{
+  WsEpochTracker *tracker = core->epoch_tracker;
+  tracker->epoch = core->replica->epoch.number;
+  tracker->known_since_ms = core->now;
+  tracker->needs_new_one = FALSE;
+  ws_peer_requests_clear(core);
+  ws_gossip_begin_epoch(core);
+  for (guint i = 0; i < core->replica->machines->len; i++)
+    begin_ownership(core, ws_replica_machine(core->replica, i));
+  log_epoch(core);
+}
--- a/src/membership/ws-gossip.c
+++ b/src/membership/ws-gossip.c
@@ -1,30 +1,13 @@
 /* What the controllers tell each other: whom they hear, asks to assign, and reports passed on. */
-#include "membership/ws-membership.h"
+#include "membership/ws-membership-private.h"
 
+#include "membership/ws-peers.h"
 #include "store/ws-store.h"
 
 #include <string.h>
 
 #define GOSSIP_MS 700
 #define GOSSIP_TIMEOUT_MS 1000
-#define REACH_MS 2600
-
-gboolean
-ws_peer_is_reachable(const WsCore *core, WsNodeIndex node)
-{
-  return node == core->settings->self
-         || (core->peers[node].heard_ms > 0 && core->now - core->peers[node].heard_ms < REACH_MS);
-}
-
-/* Whether one node hears another, as far as this one was told. */
-gboolean
-ws_peer_link_is_up(const WsCore *core, WsNodeIndex from, guint to)
-{
-  if (from == core->settings->self)
-    return ws_peer_is_reachable(core, to);
-  return from == to || !ws_peer_is_reachable(core, from)
-         || (core->peers[from].reachable_nodes >> to & 1) != 0;
-}
 
 /* Gossip. A node tells each peer what has changed about its machines since what the peer has
    acknowledged; all of it at first, after a restart and in a new epoch, when machines have other
@@ -37,8 +20,8 @@
 ws_gossip_begin_epoch(WsCore *core)
 {
   for (guint n = 0; n < core->settings->nodes->len; n++) {
-    core->peers[n].acknowledged_revision = 0;
-    core->peers[n].received_revision = 0;
+    ws_peer(core, n)->acknowledged_revision = 0;
+    ws_peer(core, n)->received_revision = 0;
   }
 }
 
@@ -69,12 +52,13 @@
     return;
   machine->worker.announced_state = announced_state;
   machine->worker.announcement_is_due = FALSE;
-  machine->worker.announced_revision = ++core->gossip_revision;
+  machine->worker.announced_revision = ++core->peers->announced_revision;
 }
 
 static json_t *
-encode_gossip(WsCore *core, const WsPeer *peer)
+encode_gossip(WsCore *core, WsNodeIndex node)
 {
+  const WsPeer *peer = ws_peer(core, node);
   guint reachable_nodes = 0;
   json_t *machines = json_array();
   for (guint n = 0; n < core->settings->nodes->len; n++)
@@ -88,17 +72,16 @@
     if (machine->worker.announced_revision > peer->acknowledged_revision)
       json_array_append_new(machines, encode_machine(core, machine));
   }
-  return json_pack("{s:s, s:s, s:I, s:b, s:i, s:b, s:b, s:I, s:I, s:I, s:I, s:b, s:i, s:o}", "node",
-                   ws_settings_node(core->settings, core->settings->self)->name, "version",
-                   WS_VERSION, "epoch", (json_int_t)core->replica->epoch.number, "store",
-                   ws_store_is_loaded(core) && ws_store_is_available(core), "reaches",
-                   (int)reachable_nodes, "wants_epoch", core->new_epoch_needed, "unheard",
-                   core->is_unreached_by_workers, "base", (json_int_t)peer->acknowledged_revision,
-                   "rev", (json_int_t)core->gossip_revision, "ack",
-                   (json_int_t)peer->received_revision, "incarnation",
-                   (json_int_t)core->incarnation, "loaded", ws_store_is_loaded(core), "untold",
-                   (int)ws_cancellations_count_unacknowledged(core, (guint)(peer - core->peers)),
-                   "machines", machines);
+  return json_pack(
+      "{s:s, s:s, s:I, s:b, s:i, s:b, s:b, s:I, s:I, s:I, s:I, s:b, s:i, s:o}", "node",
+      ws_settings_node(core->settings, core->settings->self)->name, "version", WS_VERSION, "epoch",
+      (json_int_t)core->replica->epoch.number, "store",
+      ws_store_is_loaded(core) && ws_store_is_available(core), "reaches", (int)reachable_nodes,
+      "wants_epoch", ws_epoch_new_one_is_needed(core), "unheard", ws_is_unreached_by_workers(core),
+      "base", (json_int_t)peer->acknowledged_revision, "rev",
+      (json_int_t)core->peers->announced_revision, "ack", (json_int_t)peer->received_revision,
+      "incarnation", (json_int_t)core->incarnation, "loaded", ws_store_is_loaded(core), "untold",
+      (int)ws_cancellations_count_unacknowledged(core, node), "machines", machines);
 }
 
 static void
@@ -142,7 +125,7 @@
 static void
 take_machines(WsCore *core, WsNodeIndex node, const json_t *message)
 {
-  WsPeer *peer = &core->peers[node];
+  WsPeer *peer = ws_peer(core, node);
   guint64 base, rev;
   size_t i;
   const json_t *item;
@@ -167,7 +150,7 @@
 static void
 note_version(WsCore *core, WsNodeIndex node, const json_t *message)
 {
-  WsPeer *peer = &core->peers[node];
+  WsPeer *peer = ws_peer(core, node);
   const char *version = "before 0.3";
   (void)ws_json_string_or_null(message, "version", &version);
   version = g_intern_string(version);
@@ -196,7 +179,7 @@
   WsNodeIndex node = ws_settings_find_node(core->settings, name);
   if (node == WS_NO_NODE || node == core->settings->self)
     return;
-  WsPeer *peer = &core->peers[node];
+  WsPeer *peer = ws_peer(core, node);
   if (incarnation != peer->incarnation)
     ws_cancellations_forget_acknowledgements(core, node);
   peer->incarnation = incarnation;
@@ -210,17 +193,17 @@
   peer->store_is_available = store;
   peer->is_unreached_by_workers = unheard;
   peer->reachable_nodes = (guint)reachable_nodes;
-  if (epoch != core->replica->epoch.number || epoch != core->handled_epoch)
+  if (epoch != core->replica->epoch.number || ws_epoch_has_changed(core))
     return;
   if (new_epoch_needed && ws_is_leader(core))
-    core->new_epoch_needed = TRUE;
+    ws_epoch_request_new_one(core);
   take_machines(core, node, message);
 }
 
 static void
 on_gossip(WsCore *core, guint status, const json_t *body, gpointer data)
 {
-  core->peers[GPOINTER_TO_UINT(data)].in_flight = FALSE;
+  ws_peer(core, GPOINTER_TO_UINT(data))->gossip_is_in_flight = FALSE;
   if (status == 200)
     take_gossip(core, body);
 }
@@ -232,14 +215,15 @@
 {
   ws_authority_tick(core);
   for (guint n = 0; n < core->settings->nodes->len; n++) {
-    WsPeer *peer = &core->peers[n];
-    if (n == core->settings->self || peer->in_flight || core->now - peer->sent_ms < GOSSIP_MS
+    WsPeer *peer = ws_peer(core, n);
+    if (n == core->settings->self || peer->gossip_is_in_flight
+        || core->now - peer->gossip_sent_ms < GOSSIP_MS
         || (n < core->settings->self && core->now - peer->heard_ms < (gint64)2 * GOSSIP_MS))
       continue;
-    peer->in_flight = TRUE;
-    peer->sent_ms = core->now;
+    peer->gossip_is_in_flight = TRUE;
+    peer->gossip_sent_ms = core->now;
     ws_call(core, "POST", ws_settings_node(core->settings, n)->endpoint, "/gossip",
-            encode_gossip(core, peer), GOSSIP_TIMEOUT_MS, on_gossip, GUINT_TO_POINTER(n));
+            encode_gossip(core, n), GOSSIP_TIMEOUT_MS, on_gossip, GUINT_TO_POINTER(n));
   }
 }
 
@@ -254,7 +238,7 @@
     return;
   }
   take_gossip(core, message);
-  ws_answer(core, request, 200, encode_gossip(core, &core->peers[node]), 0);
+  ws_answer(core, request, 200, encode_gossip(core, node), 0);
 }
 
 void
--- a/src/membership/ws-membership.h
+++ b/src/membership/ws-membership.h
@@ -1,8 +1,12 @@
 /**
- * Who is in, who leads, who can be reached, and whether this node may act.
+ * Membership: who is a member, who leads, who can be reached, and whether this node may act.
  *
  * Owns this node's lease, the election, the epochs that the leader writes, the gossip between
- * nodes, the requests that nodes make of each other, and the failure detector for machines.
+ * nodes, the requests that nodes make of each other, confirmed cancellations, and the failure
+ * detector for machines.
+ *
+ * Every structure here belongs to the core, which makes and frees it. All times are in ms of the
+ * core's clock. No function keeps a string or a structure that it is handed, unless it says so.
  */
 #pragma once
 
@@ -98,77 +102,150 @@
 gboolean ws_authority_is_reached_from_other_zones(const WsCore *core);
 void ws_authority_note_heartbeat_from_other_zone(WsCore *core);
 
+/** Whether a process pause is not over yet: lease and replica have not been confirmed since. */
+gboolean ws_authority_is_stalled(const WsCore *core);
+
+/**
+ * Compares the time of an input with that of the one before, before it becomes the present time.
+ *
+ * Returns whether there was a process pause in which this node's lease may have ended. Until it has
+ * renewed its lease and read the state, it is no active member.
+ */
+gboolean ws_authority_detect_stall(WsCore *core, gint64 now_ms);
+
+/* Election: this node's lease, the leader, and the epochs that the leader writes. */
+
 WsElection *ws_election_new(void);
 void ws_election_free(WsElection *election);
+
+/** Keeps the lease, stands for leader and, as leader, keeps the epoch. For each tick. */
 void ws_election_tick(WsCore *core);
-/* This node stood still: it renews its lease or asks for one, and reads, before it acts again. */
-void ws_election_resume(WsCore *core, gint64 now_ms);
-
-struct _WsPeer {
-  gint64 heard_ms;
-  const char *version; /* interned: of the program that it runs; NULL: not heard yet */
-  guint64 epoch;
-  gboolean store_is_available;
-  gboolean replica_is_loaded;         /* it has read the state since it began */
-  guint64 incarnation;                /* of the run that was last heard */
-  guint unacknowledged_cancellations; /* cancellations that it knows and this node hasn't
-                                         acknowledged */
-  gint64 cancellations_complete_ms;   /* when it last said that it is without state service and has
-                                         told all */
-  gboolean in_flight;
-  gint64 sent_ms;
-  gboolean is_unreached_by_workers; /* it says that no worker reaches it */
-  gint64 last_redirect_ms;          /* when a worker was last sent there all the same */
-  guint relays_in_flight;           /* reports on their way to it */
-  guint reachable_nodes;            /* bit for each node it hears */
-  guint64 acknowledged_revision; /* how much it has of what this node says of its machines, in this
-                                    epoch */
-  guint64 received_revision;     /* how much this node has of what it says */
-};
 
+/* The present epoch, as this node has dealt with it. */
+
+WsEpochTracker *ws_epoch_tracker_new(void);
+void ws_epoch_tracker_free(WsEpochTracker *tracker);
+
+/** Since when the present epoch is known, or since the last process pause, in ms; 0: never. */
+gint64 ws_epoch_known_since_ms(const WsCore *core);
+
+/** Whether the replica has an epoch that was not begun yet. */
+gboolean ws_epoch_has_changed(const WsCore *core);
+
+/** Begins the replica's epoch: whatever rested on the shards of the old one is forgotten. */
+void ws_epoch_begin(WsCore *core);
+
+/* Peers: as of their last gossip message. */
+
+WsPeers *ws_peers_new(const WsSettings *settings);
+void ws_peers_free(WsPeers *peers);
+
+/** Whether the node was heard lately, or is this one. */
+gboolean ws_peer_is_reachable(const WsCore *core, WsNodeIndex node);
+
+/** Whether one node hears another, as far as this one knows: links of unreachable nodes count as
+    up. */
+gboolean ws_peer_link_is_up(const WsCore *core, WsNodeIndex from, WsNodeIndex to);
+
+/** Whether the store answers the peer, by its own account. */
+gboolean ws_peer_store_is_available(const WsCore *core, WsNodeIndex node);
+
+/** Whether the peer has read the state since it began. */
+gboolean ws_peer_replica_is_loaded(const WsCore *core, WsNodeIndex node);
+
+/** Whether no worker reaches the peer, by its own account. */
+gboolean ws_peer_is_unreached_by_workers(const WsCore *core, WsNodeIndex node);
+
+/** When a worker was last redirected to the peer, in ms; 0: never. */
+gint64 ws_peer_last_redirect_ms(const WsCore *core, WsNodeIndex node);
+void ws_peer_note_redirect(WsCore *core, WsNodeIndex node);
+
+/** How many heartbeats of its machines are on their way to the peer. */
+guint ws_peer_relays_in_flight(const WsCore *core, WsNodeIndex node);
+void ws_peer_begin_relay(WsCore *core, WsNodeIndex node);
+void ws_peer_end_relay(WsCore *core, WsNodeIndex node);
+
+/* Gossip and other messages between nodes. */
+
+/** Sends gossip to the peers that are due. For each tick. */
 void ws_gossip_tick(WsCore *core);
+
+/** Handles a request of another node and answers it. @body may be NULL. */
 void ws_mesh_handle_request(WsCore *core, const char *path, const char *body, gsize length,
                             gpointer request);
-gboolean ws_peer_is_reachable(const WsCore *core, WsNodeIndex node);
-gboolean ws_peer_link_is_up(const WsCore *core, WsNodeIndex from, guint to);
-void ws_gossip_begin_epoch(WsCore *core);
+
+/*
+ * Peer requests: what nodes request of the leader, or of the owner of a machine.
+ *
+ * Each is queued until the next batch. It may be lost, and counts in the present epoch only: the
+ * caller notices that nothing came of it, and requests it again.
+ */
 
 WsPeerRequests *ws_peer_requests_new(const WsSettings *settings);
 void ws_peer_requests_free(WsPeerRequests *peer_requests, const WsSettings *settings);
+
+/** Requests that the leader writes the release. */
 void ws_peer_request_release(WsCore *core, const WsRelease *release);
+
+/** Requests that the leader assigns the task to the machine. */
 void ws_peer_request_assignment(WsCore *core, const WsJob *job, guint task,
                                 const WsMachine *machine);
+
+/** Requests that the leader marks the machine for termination. @now: without drain. */
 void ws_peer_request_mark(WsCore *core, const WsMachine *machine, const char *why, gboolean now);
-/* machine: WS_NONE for any */
+
+/** Requests that the leader reserves capacity. @machine: WS_NO_MACHINE for any. */
 void ws_peer_request_reservation(WsCore *core, const WsJob *job, WsMachineIndex machine,
                                  guint tasks);
-void ws_peer_request_stop(WsCore *core, WsNodeIndex node, const WsJob *job, const WsAssignment *a);
-void ws_peer_requests_handle(WsCore *core, const json_t *message, gpointer request);
-void ws_peer_requests_clear(WsCore *core);
+
+/** Requests that the node, which owns the machine of the assignment, stops the task. */
+void ws_peer_request_stop(WsCore *core, WsNodeIndex node, const WsJob *job,
+                          const WsAssignment *assignment);
+
+/** Reads the mailbox and sends what is due; if this node is no active member, drops it. */
 void ws_peer_requests_pump(WsCore *core);
 
+/* The failure detector: liveness of machines, partitions of zones. */
+
+WsFailureDetector *ws_failure_detector_new(const WsSettings *settings);
+void ws_failure_detector_free(WsFailureDetector *detector);
+
+/** Probes silent machines and requests the termination of dead ones. For each reconciliation. */
 void ws_failure_detector_tick(WsCore *core);
-/* As of the last tick. */
+
+/** Notes that a worker has reached this node itself. */
+void ws_liveness_note_heartbeat(WsCore *core);
+
+/** Whether no worker reaches this node, although there are some for it. As of the last tick. */
+gboolean ws_is_unreached_by_workers(const WsCore *core);
+
+/** Whether the zone's machines are silent because it is partitioned. As of the last tick. */
 gboolean ws_zone_is_partitioned(const WsCore *core, WsZoneIndex zone);
+
+/** Whether the machine was heard lately, by whatever message. */
 gboolean ws_machine_is_up(const WsCore *core, const WsMachine *machine);
-/* Its reports come, but what it's told doesn't reach it. */
+
+/** Whether its heartbeats come, but what it's told doesn't reach it. */
 gboolean ws_machine_is_outbound_unreachable(const WsCore *core, const WsMachine *machine);
-/* It can be called, but its reports reach nobody. */
+
+/** Whether it can be called, but its heartbeats reach nobody. */
 gboolean ws_machine_is_inbound_unreachable(const WsCore *core, const WsMachine *machine);
+
+/** Whether nothing was heard of it although something should have been. */
 gboolean ws_machine_is_silent(const WsCore *core, const WsMachine *machine);
 
+/* Confirmed cancellations. */
+
 WsCancellations *ws_cancellations_new(const WsSettings *settings);
 void ws_cancellations_free(WsCancellations *cancellations);
-/* By the records or by a peer's word: the job's user was told that it is cancelled. */
+
+/** Whether the job's user was told that it is cancelled: by the records, or by a peer's account. */
 gboolean ws_cancellations_has(const WsCore *core, const WsJob *job);
-/* How many cancellations the node has neither told of nor acknowledged. */
-guint ws_cancellations_count_unacknowledged(const WsCore *core, WsNodeIndex node);
-void ws_cancellations_forget_acknowledgements(WsCore *core, WsNodeIndex node);
-void ws_cancellations_handle_message(WsCore *core, const json_t *message, gpointer request);
 
+/** How many cancellations are known whose jobs aren't over. */
 guint ws_cancellations_count(const WsCore *core);
 
-/** The id of the job of the cancellation, by its place from 0 on. */
+/** The id of the job of the cancellation, by its place from 0 on. Owned by the registry. */
 const char *ws_cancellations_job_id(const WsCore *core, guint i);
 
 /** When the cancellation was confirmed to the user, as far as known; now: it isn't known. */
--- /dev/null
+++ b/src/membership/ws-partitions.c
@@ -0,0 +1,190 @@
+/**
+ * Partitions of zones: whether a zone's machines are silent because the way to them is
+ * interrupted.
+ *
+ * Machines behind a partition go on working, so declaring them dead would throw work away; they
+ * are waited for longer than a machine that is silent on its own.
+ */
+#include "membership/ws-failure-detection.h"
+
+#include "membership/ws-peers.h"
+#include "storage/ws-mark-reasons.h"
+
+/* A restart of a node takes less than this share of a lease. */
+#define RESTART_LEASE_SHARE 0.8
+/* Partitions are looked for at every tick; this is longer than the pause between two. */
+#define PARTITION_VALID_MS 600
+/* So many machines that are silent together are no coincidence. */
+#define MIN_SUSPECTED_TOGETHER 3
+
+/* How many machines are expected to be heard, and how many of them are silent. */
+typedef struct {
+  guint all;
+  guint suspected;
+} Count;
+
+static void
+count_machine(const WsCore *core, const WsMachine *machine, Count *count)
+{
+  count->all++;
+  if (ws_machine_is_silent(core, machine))
+    count->suspected++;
+}
+
+static gboolean
+most_are_suspected(const Count *count)
+{
+  return count->suspected >= MIN_SUSPECTED_TOGETHER && 2 * count->suspected > count->all;
+}
+
+static gboolean
+node_is_in_zone(const WsCore *core, WsNodeIndex node, WsZoneIndex zone)
+{
+  const WsNode *settings = ws_settings_node(core->settings, node);
+  return ws_replica_find_zone(core->replica, settings->zone) == zone;
+}
+
+static gboolean
+is_expected_in_zone(const WsMachine *machine, WsZoneIndex zone)
+{
+  return machine->zone == zone && machine->is_recorded && !machine->is_marked
+         && ws_liveness_suspected_since_ms(machine) != 0;
+}
+
+gboolean
+ws_zone_has_node(const WsCore *core, WsZoneIndex zone)
+{
+  for (guint n = 0; n < core->settings->nodes->len; n++)
+    if (node_is_in_zone(core, n, zone))
+      return TRUE;
+  return FALSE;
+}
+
+/* For how long none of the zone's nodes has been reached; 0: one is, or there is none. */
+static gint64
+unreachable_for_ms(const WsCore *core, WsZoneIndex zone)
+{
+  gint64 since_ms = 0;
+  for (guint n = 0; n < core->settings->nodes->len; n++) {
+    if (!node_is_in_zone(core, n, zone))
+      continue;
+    if (ws_peer_is_reachable(core, n))
+      return 0;
+    gint64 heard_ms = ws_peer(core, n)->heard_ms;
+    since_ms = MAX(since_ms, heard_ms > 0 ? heard_ms : ws_epoch_known_since_ms(core));
+  }
+  return since_ms > 0 ? core->now - since_ms : 0;
+}
+
+gboolean
+ws_zone_is_partitioned(const WsCore *core, WsZoneIndex zone)
+{
+  const gint64 *partition_ms = core->failure_detector->partition_ms;
+  return zone < core->settings->zones->len && partition_ms[zone] > 0
+         && core->now - partition_ms[zone] < PARTITION_VALID_MS;
+}
+
+/* When a partition has healed, workers still have to find their owner: they aren't declared dead
+   for a lease. */
+gboolean
+ws_zone_is_or_was_partitioned(const WsCore *core, WsZoneIndex zone)
+{
+  const gint64 *confirmed_ms = core->failure_detector->confirmed_partition_ms;
+  if (ws_zone_is_partitioned(core, zone))
+    return TRUE;
+  return zone < core->settings->zones->len && confirmed_ms[zone] > 0
+         && (double)(core->now - confirmed_ms[zone]) < core->settings->lease_s * 1000.0;
+}
+
+static gboolean
+member_is_unreachable(const WsCore *core, WsZoneIndex zone)
+{
+  for (guint n = 0; n < core->settings->nodes->len; n++)
+    if (node_is_in_zone(core, n, zone) && ws_epoch_has_node(&core->replica->epoch, n)
+        && !ws_peer_is_reachable(core, n))
+      return TRUE;
+  return FALSE;
+}
+
+/* A node of the zone is out of reach, or many of its machines are silent together. Such machines go
+   on working, and their heartbeats come through another node after a while. */
+gboolean
+ws_zone_links_are_suspected(const WsCore *core, WsZoneIndex zone)
+{
+  gint64 unreachable_ms = unreachable_for_ms(core, zone);
+  /* Its nodes' leases may have ended already, while its machines' silence doesn't show yet. */
+  if (unreachable_ms > 0 && (double)unreachable_ms < core->settings->lease_s * 1000.0)
+    return TRUE;
+  if (member_is_unreachable(core, zone))
+    return TRUE;
+  Count count = { 0 };
+  for (guint i = 0; i < core->replica->machines->len; i++) {
+    const WsMachine *machine = ws_replica_machine(core->replica, i);
+    if (is_expected_in_zone(machine, zone))
+      count_machine(core, machine, &count);
+  }
+  return most_are_suspected(&count);
+}
+
+/* Spot machines are taken in waves; when ordinary ones fall silent together, something between them
+   and this node is interrupted, and their tasks go on until the lease runs out. Those behind a
+   partition say nothing of the others. */
+gboolean
+ws_machines_are_suspected_together(const WsCore *core)
+{
+  Count count = { 0 };
+  for (guint i = 0; i < core->replica->machines->len; i++) {
+    const WsMachine *machine = ws_replica_machine(core->replica, i);
+    if (machine->spot || !machine->is_recorded || ws_liveness_suspected_since_ms(machine) == 0
+        || (machine->is_marked && g_strcmp0(machine->mark_reason, WS_MARK_REASON_SILENT) != 0)
+        || ws_zone_is_or_was_partitioned(core, machine->zone))
+      continue;
+    count_machine(core, machine, &count);
+  }
+  return count.suspected >= MIN_SUSPECTED_TOGETHER && 5 * count.suspected >= count.all;
+}
+
+/* The machines whose silence shows a partition of the zone: this node's own, or those of all owners
+   where no node could be missed. */
+static Count
+count_zone(const WsCore *core, WsZoneIndex zone, gboolean has_node)
+{
+  Count count = { 0 };
+  for (guint i = 0; i < core->replica->machines->len; i++) {
+    const WsMachine *machine = ws_replica_machine(core->replica, i);
+    if (is_expected_in_zone(machine, zone) && (!has_node || ws_owns_machine(core, machine)))
+      count_machine(core, machine, &count);
+  }
+  return count;
+}
+
+/* Whether a zone is partitioned: none of its nodes is reached, nor most of this node's machines
+   there. Inside, its nodes go on answering its workers, so that nothing there ends with a lease. A
+   node that has ended and a machine or two that died look the same for as long as a restart takes.
+   Nobody inside a zone without a node can be missed: there it is inferred from the silence of most
+   of its machines, whoever owns them. */
+static void
+detect_partition(WsCore *core, WsZoneIndex zone)
+{
+  WsFailureDetector *detector = core->failure_detector;
+  gboolean has_node = ws_zone_has_node(core, zone);
+  gint64 unreachable_ms = unreachable_for_ms(core, zone);
+  Count count = { 0 };
+  if (unreachable_ms > 0 || !has_node)
+    count = count_zone(core, zone, has_node);
+  gboolean is_long
+      = (double)unreachable_ms > RESTART_LEASE_SHARE * core->settings->lease_s * 1000.0;
+  gboolean most = most_are_suspected(&count);
+  gboolean everyone = count.all > 0 && count.suspected == count.all;
+  if (most || (has_node && everyone))
+    detector->partition_ms[zone] = core->now;
+  if (most || (has_node && everyone && is_long))
+    detector->confirmed_partition_ms[zone] = core->now;
+}
+
+void
+ws_partitions_tick(WsCore *core)
+{
+  for (guint z = 0; z < core->settings->zones->len; z++)
+    detect_partition(core, z);
+}
--- a/src/membership/ws-peer-requests.c
+++ b/src/membership/ws-peer-requests.c
@@ -8,7 +8,7 @@
    An ask goes over the mesh or, where the other node can't be reached, through a key of this node
    in the state service. It may be lost: whoever asks notices that nothing came of it and asks
    again. It counts only in the epoch in which it was made. */
-#include "membership/ws-membership.h"
+#include "membership/ws-membership-private.h"
 
 #include "store/ws-store.h"
 
--- /dev/null
+++ b/src/membership/ws-peers.c
@@ -0,0 +1,95 @@
+/**
+ * Peers: which of them are reached, which reach each other, and what they announce.
+ */
+#include "membership/ws-peers.h"
+
+#include "membership/ws-membership.h"
+
+/* A peer that was not heard for so long isn't reached: three rounds of gossip and a late one. */
+#define REACHABLE_MS 2600
+
+WsPeers *
+ws_peers_new(const WsSettings *settings)
+{
+  WsPeers *peers = g_new0(WsPeers, 1);
+  peers->by_node = g_new0(WsPeer, settings->nodes->len);
+  return peers;
+}
+
+void
+ws_peers_free(WsPeers *peers)
+{
+  g_free(peers->by_node);
+  g_free(peers);
+}
+
+WsPeer *
+ws_peer(const WsCore *core, WsNodeIndex node)
+{
+  return &core->peers->by_node[node];
+}
+
+gboolean
+ws_peer_is_reachable(const WsCore *core, WsNodeIndex node)
+{
+  const WsPeer *peer = ws_peer(core, node);
+  return node == core->settings->self
+         || (peer->heard_ms > 0 && core->now - peer->heard_ms < REACHABLE_MS);
+}
+
+gboolean
+ws_peer_link_is_up(const WsCore *core, WsNodeIndex from, WsNodeIndex to)
+{
+  if (from == core->settings->self)
+    return ws_peer_is_reachable(core, to);
+  return from == to || !ws_peer_is_reachable(core, from)
+         || (ws_peer(core, from)->reachable_nodes >> to & 1) != 0;
+}
+
+gboolean
+ws_peer_store_is_available(const WsCore *core, WsNodeIndex node)
+{
+  return ws_peer(core, node)->store_is_available;
+}
+
+gboolean
+ws_peer_replica_is_loaded(const WsCore *core, WsNodeIndex node)
+{
+  return ws_peer(core, node)->replica_is_loaded;
+}
+
+gboolean
+ws_peer_is_unreached_by_workers(const WsCore *core, WsNodeIndex node)
+{
+  return ws_peer(core, node)->is_unreached_by_workers;
+}
+
+gint64
+ws_peer_last_redirect_ms(const WsCore *core, WsNodeIndex node)
+{
+  return ws_peer(core, node)->last_redirect_ms;
+}
+
+void
+ws_peer_note_redirect(WsCore *core, WsNodeIndex node)
+{
+  ws_peer(core, node)->last_redirect_ms = core->now;
+}
+
+guint
+ws_peer_relays_in_flight(const WsCore *core, WsNodeIndex node)
+{
+  return ws_peer(core, node)->relays_in_flight;
+}
+
+void
+ws_peer_begin_relay(WsCore *core, WsNodeIndex node)
+{
+  ws_peer(core, node)->relays_in_flight++;
+}
+
+void
+ws_peer_end_relay(WsCore *core, WsNodeIndex node)
+{
+  ws_peer(core, node)->relays_in_flight--;
+}
--- a/src/workers/ws-cancelled-tasks.c
+++ b/src/workers/ws-cancelled-tasks.c
@@ -163,9 +163,9 @@
 returns_unmarked(const WsCore *core)
 {
   for (guint n = 0; n < core->settings->nodes->len; n++) {
-    const WsPeer *peer = &core->peers[n];
     if (n != core->settings->self && ws_peer_is_reachable(core, n)
-        && (peer->store_is_available || (peer->replica_is_loaded && n < core->settings->self)))
+        && (ws_peer_store_is_available(core, n)
+            || (ws_peer_replica_is_loaded(core, n) && n < core->settings->self)))
       return FALSE;
   }
   return TRUE;
--- a/src/workers/ws-relay.c
+++ b/src/workers/ws-relay.c
@@ -67,7 +67,7 @@
 on_relayed(WsCore *core, guint status, const json_t *body, gpointer data)
 {
   Relay *relay = data;
-  core->peers[relay->owner].relays_in_flight--;
+  ws_peer_end_relay(core, relay->owner);
   if (status == 200) {
     /* The owner may not have been told yet. */
     json_t *answer = json_deep_copy(body);
@@ -89,7 +89,7 @@
   json_t *message
       = json_pack("{s:I, s:s, s:s}", "epoch", (json_int_t)core->replica->epoch.number, "owner",
                   ws_settings_node(core->settings, relay->owner)->name, "report", relay->heartbeat);
-  core->peers[relay->owner].relays_in_flight++;
+  ws_peer_begin_relay(core, relay->owner);
   ws_call(core, "POST", ws_settings_node(core->settings, relay->via)->endpoint, "/relay", message,
           RELAY_TIMEOUT_MS, on_relayed, relay);
 }
@@ -101,7 +101,7 @@
   *relay = (Relay){ request, owner, owner, g_strdup(heartbeat) };
   if (!ws_peer_is_reachable(core, owner))
     relay->via = third_node(core, relay);
-  if (relay->via != WS_NO_NODE && core->peers[owner].relays_in_flight < MAX_RELAYS_IN_FLIGHT) {
+  if (relay->via != WS_NO_NODE && ws_peer_relays_in_flight(core, owner) < MAX_RELAYS_IN_FLIGHT) {
     send_relay(core, relay);
     return;
   }
--- a/src/workers/ws-workers.c
+++ b/src/workers/ws-workers.c
@@ -365,11 +365,10 @@
 static gboolean
 is_worth_a_try(WsCore *core, WsNodeIndex owner)
 {
-  WsPeer *peer = &core->peers[owner];
-  if (peer->is_unreached_by_workers
-      && core->now - peer->last_redirect_ms < UNREACHED_OWNER_RETRY_MS)
+  if (ws_peer_is_unreached_by_workers(core, owner)
+      && core->now - ws_peer_last_redirect_ms(core, owner) < UNREACHED_OWNER_RETRY_MS)
     return FALSE;
-  peer->last_redirect_ms = core->now;
+  ws_peer_note_redirect(core, owner);
   return TRUE;
 }
 
@@ -417,7 +416,7 @@
     ws_answer_reason(core, request, 400, reason);
     return;
   }
-  core->report_ms = core->now;
+  ws_liveness_note_heartbeat(core);
   WsRefusal refusal = ws_authority_check_heartbeat(core, heartbeat->fencing_token);
   if (refusal != WS_REFUSAL_NONE || ws_returns_is_confirmed(core, heartbeat->machine)) {
     g_debug("a heartbeat of %s is put off: %s", heartbeat->machine,
