--- a/src/membership/ws-gossip.c
+++ b/src/membership/ws-gossip.c
@@ -1,20 +1,27 @@
-/* What the controllers tell each other: whom they hear, asks to assign, and reports passed on. */
+/**
+ * Gossip: what the nodes announce to each other.
+ *
+ * A node announces to each peer what has changed about its machines since what the peer has
+ * acknowledged; all of it at first, after a restart and in a new epoch, when machines have other
+ * owners. A delta that was lost shows in the next acknowledgement.
+ */
 #include "membership/ws-membership-private.h"
 
+#include "membership/ws-gossip-message.h"
+#include "membership/ws-mesh-names.h"
 #include "membership/ws-peers.h"
 #include "store/ws-store.h"
 
 #include <string.h>
 
-#define GOSSIP_MS 700
+#define GOSSIP_INTERVAL_MS 700
 #define GOSSIP_TIMEOUT_MS 1000
+/* What is logged of a peer that doesn't name its version. */
+#define UNNAMED_VERSION "before 0.3"
 
-/* Gossip. A node tells each peer what has changed about its machines since what the peer has
-   acknowledged; all of it at first, after a restart and in a new epoch, when machines have other
-   owners. A delta that was lost shows in the next acknowledgement. */
-
-#define SAID_UP 1u
-#define SAID_NOTICE 2u
+/* What is announced of a machine (announced_state). */
+#define ANNOUNCED_UP 1u
+#define ANNOUNCED_INTERRUPTION 2u
 
 void
 ws_gossip_begin_epoch(WsCore *core)
@@ -25,135 +32,164 @@
   }
 }
 
-static json_t *
-encode_machine(const WsCore *core, const WsMachine *machine)
+/* Announcing. */
+
+static guint
+current_state(const WsCore *core, const WsMachine *machine)
 {
-  json_t *images = json_array();
-  for (guint i = 0; i < machine->worker.images->len; i++)
-    json_array_append_new(
-        images, json_string(ws_names_get(&core->replica->images,
-                                         g_array_index(machine->worker.images, guint, i))));
-  return json_pack("{s:s, s:b, s:s, s:b, s:o}", "name", machine->name, "up",
-                   machine->worker.announced_state & SAID_UP, "endpoint",
-                   machine->worker.endpoint != NULL ? machine->worker.endpoint : "", "notice",
-                   machine->worker.announced_state & SAID_NOTICE, "images", images);
+  gboolean is_up = ws_machine_is_up(core, machine)
+                   && !ws_machine_is_outbound_unreachable(core, machine)
+                   && !ws_machine_is_inbound_unreachable(core, machine);
+  return (is_up ? ANNOUNCED_UP : 0u)
+         | (machine->worker.interruption_ms > 0 ? ANNOUNCED_INTERRUPTION : 0u);
 }
 
 static void
-note_news(WsCore *core, WsMachine *machine)
+update_announcement(WsCore *core, WsMachine *machine)
 {
-  guint announced_state
-      = (ws_machine_is_up(core, machine) && !ws_machine_is_outbound_unreachable(core, machine)
-                 && !ws_machine_is_inbound_unreachable(core, machine)
-             ? SAID_UP
-             : 0u)
-        | (machine->worker.interruption_ms > 0 ? SAID_NOTICE : 0u);
-  if (announced_state == machine->worker.announced_state && !machine->worker.announcement_is_due)
+  guint state = current_state(core, machine);
+  if (state == machine->worker.announced_state && !machine->worker.announcement_is_due)
     return;
-  machine->worker.announced_state = announced_state;
+  machine->worker.announced_state = state;
   machine->worker.announcement_is_due = FALSE;
   machine->worker.announced_revision = ++core->peers->announced_revision;
 }
 
-static json_t *
-encode_gossip(WsCore *core, WsNodeIndex node)
+static void
+add_machine(const WsCore *core, const WsMachine *machine, GArray *machines)
+{
+  WsGossipMachine announced = { .name = machine->name };
+  announced.is_up = (machine->worker.announced_state & ANNOUNCED_UP) != 0;
+  announced.has_interruption_notice
+      = (machine->worker.announced_state & ANNOUNCED_INTERRUPTION) != 0;
+  announced.endpoint = machine->worker.endpoint != NULL ? machine->worker.endpoint : "";
+  announced.images = g_ptr_array_new();
+  for (guint i = 0; i < machine->worker.images->len; i++) {
+    WsImageIndex image = g_array_index(machine->worker.images, WsImageIndex, i);
+    g_ptr_array_add(announced.images, (gpointer)ws_names_get(&core->replica->images, image));
+  }
+  g_array_append_val(machines, announced);
+}
+
+static void
+add_changed_machines(WsCore *core, guint64 since_revision, GArray *machines)
 {
-  const WsPeer *peer = ws_peer(core, node);
-  guint reachable_nodes = 0;
-  json_t *machines = json_array();
-  for (guint n = 0; n < core->settings->nodes->len; n++)
-    if (ws_peer_is_reachable(core, n))
-      reachable_nodes |= 1u << n;
   for (guint i = 0; i < core->replica->machines->len; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, i);
     if (!machine->is_recorded || !ws_owns_machine(core, machine))
       continue;
-    note_news(core, machine);
-    if (machine->worker.announced_revision > peer->acknowledged_revision)
-      json_array_append_new(machines, encode_machine(core, machine));
+    update_announcement(core, machine);
+    if (machine->worker.announced_revision > since_revision)
+      add_machine(core, machine, machines);
   }
-  return json_pack(
-      "{s:s, s:s, s:I, s:b, s:i, s:b, s:b, s:I, s:I, s:I, s:I, s:b, s:i, s:o}", "node",
-      ws_settings_node(core->settings, core->settings->self)->name, "version", WS_VERSION, "epoch",
-      (json_int_t)core->replica->epoch.number, "store",
-      ws_store_is_loaded(core) && ws_store_is_available(core), "reaches", (int)reachable_nodes,
-      "wants_epoch", ws_epoch_new_one_is_needed(core), "unheard", ws_is_unreached_by_workers(core),
-      "base", (json_int_t)peer->acknowledged_revision, "rev",
-      (json_int_t)core->peers->announced_revision, "ack", (json_int_t)peer->received_revision,
-      "incarnation", (json_int_t)core->incarnation, "loaded", ws_store_is_loaded(core), "untold",
-      (int)ws_cancellations_count_unacknowledged(core, node), "machines", machines);
 }
 
+static guint
+reachable_nodes(const WsCore *core)
+{
+  guint nodes = 0;
+  for (guint n = 0; n < core->settings->nodes->len; n++)
+    if (ws_peer_is_reachable(core, n))
+      nodes |= 1u << n;
+  return nodes;
+}
+
+static json_t *
+encode_gossip(WsCore *core, WsNodeIndex node)
+{
+  const WsPeer *peer = ws_peer(core, node);
+  g_auto(WsGossipMessage) message;
+  ws_gossip_message_init(&message);
+  add_changed_machines(core, peer->acknowledged_revision, message.machines);
+  message.node = ws_settings_node(core->settings, core->settings->self)->name;
+  message.version = WS_VERSION;
+  message.epoch = core->replica->epoch.number;
+  message.incarnation = core->incarnation;
+  message.store_is_available = ws_store_is_loaded(core) && ws_store_is_available(core);
+  message.replica_is_loaded = ws_store_is_loaded(core);
+  message.reachable_nodes = reachable_nodes(core);
+  message.needs_new_epoch = ws_epoch_new_one_is_needed(core);
+  message.is_unreached_by_workers = ws_is_unreached_by_workers(core);
+  message.unacknowledged_cancellations = ws_cancellations_count_unacknowledged(core, node);
+  message.base_revision = peer->acknowledged_revision;
+  message.revision = core->peers->announced_revision;
+  message.acknowledged_revision = peer->received_revision;
+  return ws_gossip_message_encode(&message);
+}
+
+/* Applying. */
+
 static void
-take_images(WsCore *core, WsMachine *machine, const json_t *images)
+apply_images(WsCore *core, WsMachine *machine, const GPtrArray *images)
 {
-  size_t i;
-  const json_t *item;
   g_array_set_size(machine->worker.images, 0);
-  json_array_foreach(images, i, item)
-  {
-    if (!json_is_string(item))
-      continue;
-    WsImageIndex image = ws_names_intern(&core->replica->images, json_string_value(item));
+  for (guint i = 0; i < images->len; i++) {
+    WsImageIndex image = ws_names_intern(&core->replica->images, g_ptr_array_index(images, i));
     g_array_append_val(machine->worker.images, image);
   }
 }
 
-/* A peer's word on its own machines; this node knows its own better. */
+/* Of its own machines this node knows more than a peer. */
 static void
-take_machine(WsCore *core, const json_t *item)
+apply_machine(WsCore *core, const WsGossipMachine *announced)
 {
-  const char *name, *endpoint;
-  gboolean up, notice;
-  if (!ws_json_string(item, "name", &name) || !ws_json_bool(item, "up", &up)
-      || !ws_json_string(item, "endpoint", &endpoint) || !ws_json_bool(item, "notice", &notice))
-    return;
-  WsMachine *machine = ws_replica_find_machine(core->replica, name);
+  WsMachine *machine = ws_replica_find_machine(core->replica, announced->name);
   if (machine == NULL || ws_owns_machine(core, machine))
     return;
-  machine->worker.is_up_at_owner = up;
-  if (up && machine->worker.up_ms == 0)
+  machine->worker.is_up_at_owner = announced->is_up;
+  if (announced->is_up && machine->worker.up_ms == 0)
     machine->worker.up_ms = core->now;
-  if (machine->worker.endpoint == NULL && *endpoint != '\0')
-    machine->worker.endpoint = g_strdup(endpoint);
-  machine->worker.interruption_ms = notice ? MAX(machine->worker.interruption_ms, core->now) : 0;
-  take_images(core, machine, json_object_get(item, "images"));
+  if (machine->worker.endpoint == NULL && *announced->endpoint != '\0')
+    machine->worker.endpoint = g_strdup(announced->endpoint);
+  machine->worker.interruption_ms
+      = announced->has_interruption_notice ? MAX(machine->worker.interruption_ms, core->now) : 0;
+  apply_images(core, machine, announced->images);
   core->replan_is_needed = TRUE;
 }
 
-/* Machines that their owner called up are up for as long as it says nothing else. */
 static void
-take_machines(WsCore *core, WsNodeIndex node, const json_t *message)
+forget_announced_machines(WsCore *core, WsNodeIndex node)
 {
-  WsPeer *peer = ws_peer(core, node);
-  guint64 base, rev;
-  size_t i;
-  const json_t *item;
-  if (!ws_json_count(message, "base", &base) || !ws_json_count(message, "rev", &rev)
-      || !ws_json_count(message, "ack", &peer->acknowledged_revision))
-    return;
-  for (guint m = 0; base == 0 && m < core->replica->machines->len; m++)
-    if (ws_replica_machine(core->replica, m)->owner == node)
-      ws_replica_machine(core->replica, m)->worker.is_up_at_owner = FALSE;
-  if (base == 0 || base == peer->received_revision) {
-    json_array_foreach(json_object_get(message, "machines"), i, item) take_machine(core, item);
-    peer->received_revision = rev;
+  for (guint i = 0; i < core->replica->machines->len; i++) {
+    WsMachine *machine = ws_replica_machine(core->replica, i);
+    if (machine->owner == node)
+      machine->worker.is_up_at_owner = FALSE;
   }
-  for (guint m = 0; m < core->replica->machines->len; m++) {
-    WsMachine *machine = ws_replica_machine(core->replica, m);
+}
+
+/* Machines that their owner announced as up are up for as long as it announces nothing else. */
+static void
+note_machines_heard(WsCore *core, WsNodeIndex node)
+{
+  for (guint i = 0; i < core->replica->machines->len; i++) {
+    WsMachine *machine = ws_replica_machine(core->replica, i);
     if (machine->owner == node && machine->worker.is_up_at_owner)
       machine->worker.heard_ms = core->now;
   }
 }
 
-/* Versions before 0.3 don't name theirs. */
 static void
-note_version(WsCore *core, WsNodeIndex node, const json_t *message)
+apply_machines(WsCore *core, WsNodeIndex node, const WsGossipMessage *message)
+{
+  WsPeer *peer = ws_peer(core, node);
+  if (!message->has_revisions)
+    return;
+  peer->acknowledged_revision = message->acknowledged_revision;
+  if (message->base_revision == 0)
+    forget_announced_machines(core, node);
+  if (message->base_revision == 0 || message->base_revision == peer->received_revision) {
+    for (guint i = 0; i < message->machines->len; i++)
+      apply_machine(core, &g_array_index(message->machines, WsGossipMachine, i));
+    peer->received_revision = message->revision;
+  }
+  note_machines_heard(core, node);
+}
+
+static void
+note_version(const WsCore *core, WsNodeIndex node, const char *announced)
 {
   WsPeer *peer = ws_peer(core, node);
-  const char *version = "before 0.3";
-  (void)ws_json_string_or_null(message, "version", &version);
-  version = g_intern_string(version);
+  const char *version = g_intern_string(announced != NULL ? announced : UNNAMED_VERSION);
   if (version == peer->version)
     return;
   peer->version = version;
@@ -162,82 +198,90 @@
 }
 
 static void
-take_gossip(WsCore *core, const json_t *message)
+apply_peer(WsCore *core, WsNodeIndex node, const WsGossipMessage *message)
 {
-  const char *name;
-  guint64 epoch, reachable_nodes, incarnation, unacknowledged_cancellations;
-  gboolean store, new_epoch_needed, unheard, loaded;
-  if (!ws_json_string(message, "node", &name) || !ws_json_count(message, "epoch", &epoch)
-      || !ws_json_bool(message, "store", &store)
-      || !ws_json_count(message, "reaches", &reachable_nodes)
-      || !ws_json_bool(message, "wants_epoch", &new_epoch_needed)
-      || !ws_json_bool(message, "unheard", &unheard)
-      || !ws_json_count(message, "incarnation", &incarnation)
-      || !ws_json_bool(message, "loaded", &loaded)
-      || !ws_json_count(message, "untold", &unacknowledged_cancellations))
-    return;
-  WsNodeIndex node = ws_settings_find_node(core->settings, name);
-  if (node == WS_NO_NODE || node == core->settings->self)
-    return;
   WsPeer *peer = ws_peer(core, node);
-  if (incarnation != peer->incarnation)
+  if (message->incarnation != peer->incarnation)
     ws_cancellations_forget_acknowledgements(core, node);
-  peer->incarnation = incarnation;
-  note_version(core, node, message);
-  peer->replica_is_loaded = loaded;
-  peer->unacknowledged_cancellations = (guint)unacknowledged_cancellations;
-  if (loaded && !store && unacknowledged_cancellations == 0)
+  peer->incarnation = message->incarnation;
+  note_version(core, node, message->version);
+  peer->replica_is_loaded = message->replica_is_loaded;
+  peer->unacknowledged_cancellations = (guint)message->unacknowledged_cancellations;
+  if (message->replica_is_loaded && !message->store_is_available
+      && message->unacknowledged_cancellations == 0)
     peer->cancellations_complete_ms = core->now;
   peer->heard_ms = core->now;
-  peer->epoch = epoch;
-  peer->store_is_available = store;
-  peer->is_unreached_by_workers = unheard;
-  peer->reachable_nodes = (guint)reachable_nodes;
-  if (epoch != core->replica->epoch.number || ws_epoch_has_changed(core))
+  peer->epoch = message->epoch;
+  peer->store_is_available = message->store_is_available;
+  peer->is_unreached_by_workers = message->is_unreached_by_workers;
+  peer->reachable_nodes = (guint)message->reachable_nodes;
+}
+
+static void
+handle_gossip(WsCore *core, const json_t *body)
+{
+  g_auto(WsGossipMessage) message;
+  ws_gossip_message_init(&message);
+  if (!ws_gossip_message_parse(body, &message))
+    return;
+  WsNodeIndex node = ws_settings_find_node(core->settings, message.node);
+  if (node == WS_NO_NODE || node == core->settings->self)
+    return;
+  apply_peer(core, node, &message);
+  if (message.epoch != core->replica->epoch.number || ws_epoch_has_changed(core))
     return;
-  if (new_epoch_needed && ws_is_leader(core))
+  if (message.needs_new_epoch && ws_is_leader(core))
     ws_epoch_request_new_one(core);
-  take_machines(core, node, message);
+  apply_machines(core, node, &message);
 }
 
+/* Calls and answers. */
+
 static void
-on_gossip(WsCore *core, guint status, const json_t *body, gpointer data)
+on_gossip_answered(WsCore *core, guint status, const json_t *body, gpointer data)
 {
   ws_peer(core, GPOINTER_TO_UINT(data))->gossip_is_in_flight = FALSE;
   if (status == 200)
-    take_gossip(core, body);
+    handle_gossip(core, body);
+}
+
+/* Of each pair of nodes the one with the smaller index calls, and the answer informs the other
+   side: unless nothing came for a while, since connections may be refused in one direction only. */
+static gboolean
+gossip_is_due(const WsCore *core, WsNodeIndex node)
+{
+  const WsPeer *peer = ws_peer(core, node);
+  if (node == core->settings->self || peer->gossip_is_in_flight
+      || core->now - peer->gossip_sent_ms < GOSSIP_INTERVAL_MS)
+    return FALSE;
+  return node > core->settings->self
+         || core->now - peer->heard_ms >= (gint64)2 * GOSSIP_INTERVAL_MS;
 }
 
-/* Of each pair of nodes the one with the smaller index calls, and the answer tells the other side:
-   unless nothing came for a while, since connections may be refused in one direction only. */
 void
 ws_gossip_tick(WsCore *core)
 {
   ws_authority_tick(core);
   for (guint n = 0; n < core->settings->nodes->len; n++) {
-    WsPeer *peer = ws_peer(core, n);
-    if (n == core->settings->self || peer->gossip_is_in_flight
-        || core->now - peer->gossip_sent_ms < GOSSIP_MS
-        || (n < core->settings->self && core->now - peer->heard_ms < (gint64)2 * GOSSIP_MS))
+    if (!gossip_is_due(core, n))
       continue;
+    WsPeer *peer = ws_peer(core, n);
     peer->gossip_is_in_flight = TRUE;
     peer->gossip_sent_ms = core->now;
-    ws_call(core, "POST", ws_settings_node(core->settings, n)->endpoint, "/gossip",
-            encode_gossip(core, n), GOSSIP_TIMEOUT_MS, on_gossip, GUINT_TO_POINTER(n));
+    ws_call(core, "POST", ws_settings_node(core->settings, n)->endpoint, MESH_PATH_GOSSIP,
+            encode_gossip(core, n), GOSSIP_TIMEOUT_MS, on_gossip_answered, GUINT_TO_POINTER(n));
   }
 }
 
 static void
-answer_gossip(WsCore *core, const json_t *message, gpointer request)
+answer_gossip(WsCore *core, const json_t *body, gpointer request)
 {
-  const char *name = NULL;
-  (void)ws_json_string(message, "node", &name);
-  WsNodeIndex node = ws_settings_find_node(core->settings, name);
+  WsNodeIndex node = ws_settings_find_node(core->settings, ws_gossip_message_sender(body));
   if (node == WS_NO_NODE || node == core->settings->self) {
     ws_answer_reason(core, request, 400, "node is missing or unknown");
     return;
   }
-  take_gossip(core, message);
+  handle_gossip(core, body);
   ws_answer(core, request, 200, encode_gossip(core, node), 0);
 }
 
@@ -246,13 +290,13 @@
                        gpointer request)
 {
   g_autoptr(json_t) message = ws_json_parse(body, length);
-  if (strcmp(path, "/gossip") == 0) {
+  if (strcmp(path, MESH_PATH_GOSSIP) == 0) {
     answer_gossip(core, message, request);
-  } else if (strcmp(path, "/cancelled") == 0) {
+  } else if (strcmp(path, MESH_PATH_CANCELLATIONS) == 0) {
     ws_cancellations_handle_message(core, message, request);
-  } else if (strcmp(path, "/ask") == 0) {
+  } else if (strcmp(path, MESH_PATH_PEER_REQUESTS) == 0) {
     ws_peer_requests_handle(core, message, request);
-  } else if (strcmp(path, "/relay") == 0) {
+  } else if (strcmp(path, MESH_PATH_RELAY) == 0) {
     core->handlers->handle_relay(core, message, request);
   } else {
     ws_answer_reason(core, request, 404, "no such path");
