--- /dev/null
+++ b/src/membership/ws-peer-request-message.c
@@ -0,0 +1,253 @@
+/**
+ * Encoding and parsing of peer requests.
+ */
+#include "membership/ws-peer-request-message.h"
+
+#include "membership/ws-mesh-names.h"
+#include "protocol/ws-json.h"
+
+#include <string.h>
+
+/* Of each kind in one message. */
+#define MAX_REQUESTS_PER_KIND 48
+
+static const char *const LIST_NAMES[] = {
+  [WS_PEER_REQUEST_STOP] = MESH_STOPS,
+  [WS_PEER_REQUEST_RELEASE] = MESH_RELEASES,
+  [WS_PEER_REQUEST_RESERVATION] = MESH_RESERVATIONS,
+  [WS_PEER_REQUEST_ASSIGNMENT] = MESH_ASSIGNMENTS,
+  [WS_PEER_REQUEST_MARK] = MESH_MARKS,
+};
+
+void
+ws_peer_request_free(WsPeerRequest *request)
+{
+  g_free(request->job);
+  g_free(request->machine);
+  g_free(request->reason);
+  g_free(request);
+}
+
+static void
+request_free(gpointer data)
+{
+  ws_peer_request_free(data);
+}
+
+/* Batches. */
+
+WsPeerRequestBatch *
+ws_peer_request_batch_new(void)
+{
+  return g_new0(WsPeerRequestBatch, 1);
+}
+
+void
+ws_peer_request_batch_free(WsPeerRequestBatch *batch)
+{
+  if (batch == NULL)
+    return;
+  for (guint k = 0; k < WS_PEER_REQUEST_KINDS; k++)
+    if (batch->requests[k] != NULL)
+      g_ptr_array_unref(batch->requests[k]);
+  g_free(batch);
+}
+
+static void
+append(WsPeerRequestBatch *batch, WsPeerRequest *request /* taken */)
+{
+  GPtrArray **requests = &batch->requests[request->kind];
+  if (*requests == NULL) {
+    *requests = g_ptr_array_new_with_free_func(request_free);
+    batch->order[batch->kinds++] = request->kind;
+  }
+  g_ptr_array_add(*requests, request);
+}
+
+void
+ws_peer_request_batch_add(WsPeerRequestBatch *batch, WsPeerRequest *request)
+{
+  const GPtrArray *requests = batch->requests[request->kind];
+  if (requests == NULL || requests->len < MAX_REQUESTS_PER_KIND)
+    append(batch, request);
+  else
+    ws_peer_request_free(request);
+}
+
+/* Encoding. */
+
+static json_t *
+encode_request(const WsReplica *replica, const WsPeerRequest *request)
+{
+  switch (request->kind) {
+  case WS_PEER_REQUEST_STOP:
+    return json_pack("[s, i, I]", request->job, (int)request->task, (json_int_t)request->attempt);
+  case WS_PEER_REQUEST_RELEASE:
+    return ws_release_encode(replica, &request->release);
+  case WS_PEER_REQUEST_RESERVATION:
+    return json_pack("[s, i, s]", request->job, (int)request->tasks, request->machine);
+  case WS_PEER_REQUEST_ASSIGNMENT:
+    return json_pack("[s, i, s]", request->job, (int)request->task, request->machine);
+  case WS_PEER_REQUEST_MARK:
+    return json_pack("[s, s, b]", request->machine, request->reason, request->is_immediate);
+  case WS_PEER_REQUEST_KINDS:
+    break;
+  }
+  return NULL;
+}
+
+json_t *
+ws_peer_request_batch_encode(const WsPeerRequestBatch *batch, const WsReplica *replica)
+{
+  json_t *body = json_object();
+  for (guint k = 0; k < batch->kinds; k++) {
+    const GPtrArray *requests = batch->requests[batch->order[k]];
+    json_t *list = json_array();
+    for (guint i = 0; i < requests->len; i++)
+      json_array_append_new(list, encode_request(replica, g_ptr_array_index(requests, i)));
+    json_object_set_new(body, LIST_NAMES[batch->order[k]], list);
+  }
+  json_object_set_new(body, MESH_EPOCH, json_integer((json_int_t)batch->epoch));
+  return body;
+}
+
+/* Parsing. */
+
+static char *
+parse_string(const json_t *item, size_t at)
+{
+  return g_strdup(json_string_value(json_array_get(item, at)));
+}
+
+static gint64
+parse_integer(const json_t *item, size_t at)
+{
+  return json_integer_value(json_array_get(item, at));
+}
+
+static void
+parse_release(const WsReplica *replica, const json_t *item, WsPeerRequest *request)
+{
+  request->release.attempt = request->attempt;
+  request->release.done = json_is_true(json_array_get(item, 3));
+  request->has_evidence = ws_evidence_parse(replica, item, &request->release.evidence);
+}
+
+static WsPeerRequest *
+parse_request(const WsReplica *replica, WsPeerRequestKind kind, const json_t *item)
+{
+  WsPeerRequest *request = g_new0(WsPeerRequest, 1);
+  request->kind = kind;
+  if (kind == WS_PEER_REQUEST_MARK) {
+    request->machine = parse_string(item, 0);
+    request->reason = parse_string(item, 1);
+    request->is_immediate = json_is_true(json_array_get(item, 2));
+    return request;
+  }
+  request->job = parse_string(item, 0);
+  if (kind == WS_PEER_REQUEST_RESERVATION)
+    request->tasks = parse_integer(item, 1);
+  else
+    request->task = parse_integer(item, 1);
+  if (kind == WS_PEER_REQUEST_STOP || kind == WS_PEER_REQUEST_RELEASE)
+    request->attempt = (guint64)parse_integer(item, 2);
+  else
+    request->machine = parse_string(item, 2);
+  if (kind == WS_PEER_REQUEST_RELEASE)
+    parse_release(replica, item, request);
+  return request;
+}
+
+WsPeerRequestBatch *
+ws_peer_request_batch_parse(const WsReplica *replica, const json_t *body)
+{
+  guint64 epoch;
+  if (!ws_json_count(body, MESH_EPOCH, &epoch))
+    return NULL;
+  WsPeerRequestBatch *batch = ws_peer_request_batch_new();
+  batch->epoch = epoch;
+  for (guint k = 0; k < WS_PEER_REQUEST_KINDS; k++) {
+    size_t i;
+    const json_t *item;
+    json_array_foreach(json_object_get(body, LIST_NAMES[k]), i, item)
+    {
+      append(batch, parse_request(replica, (WsPeerRequestKind)k, item));
+    }
+  }
+  return batch;
+}
+
+/* The mailbox. */
+
+static void
+batch_free(gpointer data)
+{
+  ws_peer_request_batch_free(data);
+}
+
+WsMailbox *
+ws_mailbox_new(void)
+{
+  WsMailbox *mailbox = g_new0(WsMailbox, 1);
+  mailbox->nodes = g_ptr_array_new();
+  mailbox->batches = g_ptr_array_new_with_free_func(batch_free);
+  return mailbox;
+}
+
+void
+ws_mailbox_free(WsMailbox *mailbox)
+{
+  g_ptr_array_unref(mailbox->nodes);
+  g_ptr_array_unref(mailbox->batches);
+  g_free(mailbox);
+}
+
+void
+ws_mailbox_add(WsMailbox *mailbox, const char *node, WsPeerRequestBatch *batch)
+{
+  g_ptr_array_add(mailbox->nodes, (gpointer)node);
+  g_ptr_array_add(mailbox->batches, batch);
+}
+
+static json_t *
+encode_mailbox(const WsMailbox *mailbox, const WsReplica *replica)
+{
+  json_t *body = json_object();
+  for (guint i = 0; i < mailbox->nodes->len; i++)
+    json_object_set_new(
+        body, g_ptr_array_index(mailbox->nodes, i),
+        ws_peer_request_batch_encode(g_ptr_array_index(mailbox->batches, i), replica));
+  return body;
+}
+
+static void
+halve_batches(WsMailbox *mailbox)
+{
+  for (guint i = 0; i < mailbox->batches->len; i++) {
+    WsPeerRequestBatch *batch = g_ptr_array_index(mailbox->batches, i);
+    for (guint k = 0; k < WS_PEER_REQUEST_KINDS; k++)
+      if (batch->requests[k] != NULL)
+        g_ptr_array_set_size(batch->requests[k], (gint)(batch->requests[k]->len / 2));
+  }
+}
+
+json_t *
+ws_mailbox_encode_within(WsMailbox *mailbox, const WsReplica *replica, gsize max_bytes)
+{
+  json_t *body = encode_mailbox(mailbox, replica);
+  for (guint left = MAX_REQUESTS_PER_KIND; left > 0; left /= 2) {
+    g_autofree char *text = ws_json_text(body);
+    if (strlen(text) <= max_bytes)
+      break;
+    halve_batches(mailbox);
+    json_decref(body);
+    body = encode_mailbox(mailbox, replica);
+  }
+  return body;
+}
+
+WsPeerRequestBatch *
+ws_mailbox_parse(const WsReplica *replica, const json_t *body, const char *node)
+{
+  return ws_peer_request_batch_parse(replica, json_object_get(body, node));
+}
--- a/src/membership/ws-peer-requests.c
+++ b/src/membership/ws-peer-requests.c
@@ -1,35 +1,37 @@
-/* What nodes ask of each other.
-
-   The leader writes assignments, releases and marks for everybody: owners of machines and homes of
-   jobs hand theirs in. Each of these shares keys with many others (a job's tasks, a team's use), so
-   that nodes which wrote them side by side would mostly refuse one another, and refusals count
-   against the state service's budget too. Owners are asked to stop tasks.
-
-   An ask goes over the mesh or, where the other node can't be reached, through a key of this node
-   in the state service. It may be lost: whoever asks notices that nothing came of it and asks
-   again. It counts only in the epoch in which it was made. */
+/**
+ * What nodes request of each other.
+ *
+ * The leader writes assignments, releases and marks for everybody: owners of machines and
+ * coordinating nodes of jobs forward theirs to it. Each of these shares keys with many others (a
+ * job's tasks, a team's use), so that nodes which wrote them side by side would mostly conflict,
+ * and conflicts count against the store's budget too. Owners of machines are requested to stop
+ * tasks.
+ *
+ * A request goes directly or, where the other node can't be reached, through a key of this node in
+ * the store, its mailbox. It may be lost: whoever made it notices that nothing came of it and makes
+ * it again. It counts only in the epoch in which it was made.
+ */
 #include "membership/ws-membership-private.h"
 
+#include "membership/ws-mesh-names.h"
+#include "membership/ws-peer-request-message.h"
 #include "store/ws-store.h"
 
-#include <string.h>
-
 #define BATCHING_MS 60
-#define MAILBOX_PAUSE_MS 1000
+#define MAILBOX_INTERVAL_MS 1000
 #define REQUEST_TIMEOUT_MS 1500
-#define MOST_ITEMS 48
 
 struct _WsPeerRequests {
-  json_t **out; /* by node: what it will be asked */
-  gint64 next_ms;
-  gint64 mailbox_ms;
+  WsPeerRequestBatch **queued; /* by node; NULL: nothing */
+  gint64 next_batch_ms;
+  gint64 next_mailbox_ms;
 };
 
 WsPeerRequests *
 ws_peer_requests_new(const WsSettings *settings)
 {
   WsPeerRequests *peer_requests = g_new0(WsPeerRequests, 1);
-  peer_requests->out = g_new0(json_t *, settings->nodes->len);
+  peer_requests->queued = g_new0(WsPeerRequestBatch *, settings->nodes->len);
   return peer_requests;
 }
 
@@ -37,74 +39,102 @@
 ws_peer_requests_free(WsPeerRequests *peer_requests, const WsSettings *settings)
 {
   for (guint n = 0; n < settings->nodes->len; n++)
-    json_decref(peer_requests->out[n]);
-  g_free(peer_requests->out);
+    ws_peer_request_batch_free(peer_requests->queued[n]);
+  g_free(peer_requests->queued);
   g_free(peer_requests);
 }
 
+/* Queueing. */
+
+static WsPeerRequest *
+request_new(WsPeerRequestKind kind)
+{
+  WsPeerRequest *request = g_new0(WsPeerRequest, 1);
+  request->kind = kind;
+  return request;
+}
+
 static void
-add(WsCore *core, WsNodeIndex node, const char *list, json_t *item)
+queue_request(WsCore *core, WsNodeIndex node, WsPeerRequest *request /* taken */)
 {
-  json_t **out = &core->peer_requests->out[node];
-  if (*out == NULL)
-    *out = json_object();
-  if (json_object_get(*out, list) == NULL)
-    json_object_set_new(*out, list, json_array());
-  json_t *items = json_object_get(*out, list);
-  if (json_array_size(items) < MOST_ITEMS)
-    json_array_append_new(items, item);
-  else
-    json_decref(item);
+  WsPeerRequestBatch **batch = &core->peer_requests->queued[node];
+  if (*batch == NULL)
+    *batch = ws_peer_request_batch_new();
+  ws_peer_request_batch_add(*batch, request);
 }
 
 void
 ws_peer_request_release(WsCore *core, const WsRelease *release)
 {
-  add(core, core->replica->epoch.leader, "releases", ws_release_encode(core->replica, release));
+  WsPeerRequest *request = request_new(WS_PEER_REQUEST_RELEASE);
+  request->release = *release;
+  queue_request(core, core->replica->epoch.leader, request);
 }
 
 void
 ws_peer_request_assignment(WsCore *core, const WsJob *job, guint task, const WsMachine *machine)
 {
-  add(core, core->replica->epoch.leader, "picks",
-      json_pack("[s, i, s]", job->id, (int)task, machine->name));
+  WsPeerRequest *request = request_new(WS_PEER_REQUEST_ASSIGNMENT);
+  request->job = g_strdup(job->id);
+  request->task = task;
+  request->machine = g_strdup(machine->name);
+  queue_request(core, core->replica->epoch.leader, request);
 }
 
 void
 ws_peer_request_mark(WsCore *core, const WsMachine *machine, const char *why, gboolean now)
 {
-  add(core, core->replica->epoch.leader, "marks", json_pack("[s, s, b]", machine->name, why, now));
+  WsPeerRequest *request = request_new(WS_PEER_REQUEST_MARK);
+  request->machine = g_strdup(machine->name);
+  request->reason = g_strdup(why);
+  request->is_immediate = now;
+  queue_request(core, core->replica->epoch.leader, request);
 }
 
 void
 ws_peer_request_reservation(WsCore *core, const WsJob *job, WsMachineIndex machine, guint tasks)
 {
+  WsPeerRequest *request = request_new(WS_PEER_REQUEST_RESERVATION);
   const char *name
       = machine != WS_NO_MACHINE ? ws_replica_machine(core->replica, machine)->name : "";
-  add(core, core->replica->epoch.leader, "reservations",
-      json_pack("[s, i, s]", job->id, (int)tasks, name));
+  request->job = g_strdup(job->id);
+  request->tasks = tasks;
+  request->machine = g_strdup(name);
+  queue_request(core, core->replica->epoch.leader, request);
 }
 
 void
 ws_peer_request_stop(WsCore *core, WsNodeIndex node, const WsJob *job,
                      const WsAssignment *assignment)
 {
-  add(core, node, "stops",
-      json_pack("[s, i, I]", job->id, (int)assignment->task, (json_int_t)assignment->attempt));
+  WsPeerRequest *request = request_new(WS_PEER_REQUEST_STOP);
+  request->job = g_strdup(job->id);
+  request->task = assignment->task;
+  request->attempt = assignment->attempt;
+  queue_request(core, node, request);
 }
 
-/* Being asked. */
+/* Handling. */
 
 static WsJob *
-job_of(const WsCore *core, const json_t *item, guint *task)
+find_open_job(const WsCore *core, const WsPeerRequest *request)
 {
-  const char *id = json_string_value(json_array_get(item, 0));
-  json_int_t number = json_integer_value(json_array_get(item, 1));
-  WsJob *job = id != NULL ? ws_replica_find_job(core->replica, id) : NULL;
-  if (job == NULL || job->spec == NULL || number < 0 || number >= (json_int_t)job->tasks)
-    return NULL;
-  *task = (guint)number;
-  return job;
+  WsJob *job = request->job != NULL ? ws_replica_find_job(core->replica, request->job) : NULL;
+  return job != NULL && job->spec != NULL ? job : NULL;
+}
+
+/* The job, if it has the task. */
+static WsJob *
+find_job_of_task(const WsCore *core, const WsPeerRequest *request)
+{
+  WsJob *job = find_open_job(core, request);
+  return job != NULL && request->task >= 0 && request->task < (gint64)job->tasks ? job : NULL;
+}
+
+static WsMachine *
+find_machine(const WsCore *core, const WsPeerRequest *request)
+{
+  return request->machine != NULL ? ws_replica_find_machine(core->replica, request->machine) : NULL;
 }
 
 static void
@@ -116,16 +146,15 @@
 }
 
 static void
-take_release(WsCore *core, const json_t *item)
+handle_release(WsCore *core, const WsPeerRequest *request)
 {
-  guint task = 0;
-  const WsJob *job = job_of(core, item, &task);
+  const WsJob *job = find_job_of_task(core, request);
   if (job == NULL)
     return;
-  WsRelease release = { .job = job->index, .task = task };
-  release.attempt = (guint64)json_integer_value(json_array_get(item, 2));
-  release.done = json_is_true(json_array_get(item, 3));
-  if (!ws_evidence_parse(core->replica, item, &release.evidence))
+  WsRelease release = request->release;
+  release.job = job->index;
+  release.task = (guint)request->task;
+  if (!request->has_evidence)
     core->handlers->handle_legacy_release(core, &release);
   else if (ws_release_holds(core->replica, &release))
     core->handlers->handle_release(core, &release);
@@ -134,49 +163,41 @@
 }
 
 static void
-take_assignment(WsCore *core, const json_t *item)
+handle_assignment(WsCore *core, const WsPeerRequest *request)
 {
-  guint task = 0;
-  const WsJob *job = job_of(core, item, &task);
-  const char *name = json_string_value(json_array_get(item, 2));
-  const WsMachine *machine = name != NULL ? ws_replica_find_machine(core->replica, name) : NULL;
+  const WsJob *job = find_job_of_task(core, request);
+  const WsMachine *machine = find_machine(core, request);
   if (job != NULL && machine != NULL)
-    core->handlers->handle_assignment(core, job->index, task, machine->index);
+    core->handlers->handle_assignment(core, job->index, (guint)request->task, machine->index);
 }
 
 static void
-take_reservation(WsCore *core, const json_t *item)
+handle_reservation(WsCore *core, const WsPeerRequest *request)
 {
-  const char *id = json_string_value(json_array_get(item, 0));
-  json_int_t tasks = json_integer_value(json_array_get(item, 1));
-  const char *name = json_string_value(json_array_get(item, 2));
-  const WsJob *job = id != NULL ? ws_replica_find_job(core->replica, id) : NULL;
-  if (job == NULL || job->spec == NULL || name == NULL || tasks <= 0 || tasks > WS_MAX_TASKS)
+  const WsJob *job = find_open_job(core, request);
+  if (job == NULL || request->machine == NULL || request->tasks <= 0
+      || request->tasks > WS_MAX_TASKS)
     return;
-  const WsMachine *machine = ws_replica_find_machine(core->replica, name);
-  if (machine != NULL || *name == '\0')
-    core->handlers->handle_reservation(core, job, machine != NULL ? machine->index : WS_NONE,
-                                       (guint)tasks);
+  const WsMachine *machine = find_machine(core, request);
+  if (machine != NULL || *request->machine == '\0')
+    core->handlers->handle_reservation(core, job, machine != NULL ? machine->index : WS_NO_MACHINE,
+                                       (guint)request->tasks);
 }
 
 static void
-take_mark(WsCore *core, const json_t *item)
+handle_mark(WsCore *core, const WsPeerRequest *request)
 {
-  const char *name = json_string_value(json_array_get(item, 0));
-  const char *why = json_string_value(json_array_get(item, 1));
-  WsMachine *machine = name != NULL ? ws_replica_find_machine(core->replica, name) : NULL;
-  if (machine != NULL && why != NULL)
-    core->handlers->request_termination(core, machine, why, json_is_true(json_array_get(item, 2)));
+  WsMachine *machine = find_machine(core, request);
+  if (machine != NULL && request->reason != NULL)
+    core->handlers->request_termination(core, machine, request->reason, request->is_immediate);
 }
 
 static void
-take_stop(WsCore *core, const json_t *item)
+handle_stop(WsCore *core, const WsPeerRequest *request)
 {
-  guint task = 0;
-  WsJob *job = job_of(core, item, &task);
-  WsAssignment *assignment = job != NULL ? ws_job_assignment(job, task) : NULL;
-  if (assignment == NULL || assignment->is_stop_requested
-      || assignment->attempt != (guint64)json_integer_value(json_array_get(item, 2))
+  WsJob *job = find_job_of_task(core, request);
+  WsAssignment *assignment = job != NULL ? ws_job_assignment(job, (guint)request->task) : NULL;
+  if (assignment == NULL || assignment->is_stop_requested || assignment->attempt != request->attempt
       || !ws_owns_machine(core, ws_replica_machine(core->replica, assignment->machine)))
     return;
   assignment->is_stop_requested = TRUE;
@@ -184,159 +205,139 @@
 }
 
 static void
-take_list(WsCore *core, const json_t *message, const char *list,
-          void (*take)(WsCore *, const json_t *))
+handle_kind(WsCore *core, const WsPeerRequestBatch *batch, WsPeerRequestKind kind)
 {
-  size_t i;
-  const json_t *item;
-  json_array_foreach(json_object_get(message, list), i, item) take(core, item);
+  static void (*const HANDLERS[])(WsCore *, const WsPeerRequest *) = {
+    [WS_PEER_REQUEST_STOP] = handle_stop,
+    [WS_PEER_REQUEST_RELEASE] = handle_release,
+    [WS_PEER_REQUEST_RESERVATION] = handle_reservation,
+    [WS_PEER_REQUEST_ASSIGNMENT] = handle_assignment,
+    [WS_PEER_REQUEST_MARK] = handle_mark,
+  };
+  const GPtrArray *requests = batch->requests[kind];
+  for (guint i = 0; requests != NULL && i < requests->len; i++)
+    HANDLERS[kind](core, g_ptr_array_index(requests, i));
 }
 
+/* Anybody who owns a machine stops tasks there; all else is the leader's. FALSE: this node may not
+   handle requests, or not those of the batch's epoch. */
 static gboolean
-take_all(WsCore *core, const json_t *message)
+handle_batch(WsCore *core, const WsPeerRequestBatch *batch)
 {
-  guint64 epoch;
-  if (!ws_json_count(message, "epoch", &epoch) || !ws_is_active_member(core)
-      || epoch != core->replica->epoch.number)
+  if (batch == NULL || !ws_is_active_member(core) || batch->epoch != core->replica->epoch.number)
     return FALSE;
-  take_list(core, message, "stops", take_stop);
-  if (ws_is_leader(core)) {
-    take_list(core, message, "releases", take_release);
-    take_list(core, message, "reservations", take_reservation);
-    take_list(core, message, "picks", take_assignment);
-    take_list(core, message, "marks", take_mark);
-  }
+  handle_kind(core, batch, WS_PEER_REQUEST_STOP);
+  if (!ws_is_leader(core))
+    return TRUE;
+  for (guint k = WS_PEER_REQUEST_STOP + 1; k < WS_PEER_REQUEST_KINDS; k++)
+    handle_kind(core, batch, (WsPeerRequestKind)k);
   return TRUE;
 }
 
 void
 ws_peer_requests_handle(WsCore *core, const json_t *message, gpointer request)
 {
-  if (take_all(core, message))
+  g_autoptr(WsPeerRequestBatch) batch = ws_peer_request_batch_parse(core->replica, message);
+  if (handle_batch(core, batch))
     ws_answer(core, request, 200, json_object(), 0);
   else
     ws_answer_later(core, request, 1);
 }
 
 static void
-read_mailbox(WsCore *core)
+read_mailboxes(WsCore *core)
 {
   const char *self = ws_settings_node(core->settings, core->settings->self)->name;
   json_t *mailbox;
   while ((mailbox = g_queue_pop_head(&core->replica->mailbox)) != NULL) {
-    const json_t *mine = json_object_get(mailbox, self);
-    if (mine != NULL)
-      (void)take_all(core, mine);
+    g_autoptr(WsPeerRequestBatch) batch = ws_mailbox_parse(core->replica, mailbox, self);
+    (void)handle_batch(core, batch);
     json_decref(mailbox);
   }
 }
 
-/* Asking. */
+/* Sending. */
 
 static void
-on_asked(WsCore *core, guint status, const json_t *body, gpointer data)
+on_batch_answered(WsCore *core, guint status, const json_t *body, gpointer data)
 {
   (void)body;
   if (status != 200)
-    g_debug("%s took no ask (status %u)",
+    g_debug("%s took no peer requests (status %u)",
             ws_settings_node(core->settings, GPOINTER_TO_UINT(data))->name, status);
 }
 
 static void
-on_mailbox_written(WsCore *core, WsTxnResult result, gpointer data)
+send_batch(WsCore *core, WsNodeIndex node, const WsPeerRequestBatch *batch)
 {
-  (void)core;
-  (void)result;
-  (void)data;
+  ws_call(core, "POST", ws_settings_node(core->settings, node)->endpoint, MESH_PATH_PEER_REQUESTS,
+          ws_peer_request_batch_encode(batch, core->replica), REQUEST_TIMEOUT_MS, on_batch_answered,
+          GUINT_TO_POINTER(node));
 }
 
-/* Halves the lists of what each node is asked. */
 static void
-halve_lists(json_t *mailbox)
-{
-  const char *node, *name;
-  json_t *requests, *list;
-  json_object_foreach(mailbox, node, requests)
-  {
-    json_object_foreach(requests, name, list)
-    {
-      size_t half = json_array_size(list) / 2;
-      while (json_array_size(list) > half)
-        json_array_remove(list, json_array_size(list) - 1);
-    }
-  }
-}
-
-/* A record has room for so much only; whoever asked asks again for what is left out. */
-static void
-fit_record(const WsCore *core, json_t *mailbox)
+on_mailbox_written(WsCore *core, WsTxnResult result, gpointer data)
 {
-  for (guint items = MOST_ITEMS; items > 0; items /= 2) {
-    g_autofree char *text = ws_json_text(mailbox);
-    if (strlen(text) <= core->settings->state_record_bytes)
-      return;
-    halve_lists(mailbox);
-  }
+  (void)core;
+  (void)result;
+  (void)data;
 }
 
 static void
-write_mailbox(WsCore *core, json_t *mailbox /* taken */)
+write_mailbox(WsCore *core, WsMailbox *mailbox)
 {
-  fit_record(core, mailbox);
+  json_t *value
+      = ws_mailbox_encode_within(mailbox, core->replica, core->settings->state_record_bytes);
   g_autofree char *key
       = ws_key(WS_KEYS_MAILBOX, ws_settings_node(core->settings, core->settings->self)->name);
   WsTxn *txn = ws_txn_new();
-  core->peer_requests->mailbox_ms = core->now + MAILBOX_PAUSE_MS;
+  core->peer_requests->next_mailbox_ms = core->now + MAILBOX_INTERVAL_MS;
   ws_txn_compare(txn, core->replica, WS_KEY_EPOCH);
-  ws_txn_put(txn, key, mailbox);
+  ws_txn_put(txn, key, value);
   ws_txn_commit(core, txn, WS_REQUEST_TASK, on_mailbox_written, NULL);
 }
 
-/* What is written replaces what was there before, so what is for nodes out of reach waits for its
- * turn. */
+/* The mailbox that is written replaces the one before, so what is for nodes out of reach waits for
+   its turn. */
 static void
 send_all(WsCore *core)
 {
   gboolean may_write_mailbox
-      = core->now >= core->peer_requests->mailbox_ms && ws_store_is_available(core);
-  json_t *mailbox = NULL;
+      = core->now >= core->peer_requests->next_mailbox_ms && ws_store_is_available(core);
+  g_autoptr(WsMailbox) mailbox = ws_mailbox_new();
   for (guint n = 0; n < core->settings->nodes->len; n++) {
-    json_t **out = &core->peer_requests->out[n];
-    if (*out == NULL || (!ws_peer_is_reachable(core, n) && !may_write_mailbox))
-      continue;
-    json_object_set_new(*out, "epoch", json_integer((json_int_t)core->replica->epoch.number));
-    const WsNode *node = ws_settings_node(core->settings, n);
-    if (ws_peer_is_reachable(core, n)) {
-      ws_call(core, "POST", node->endpoint, "/ask", g_steal_pointer(out), REQUEST_TIMEOUT_MS,
-              on_asked, GUINT_TO_POINTER(n));
+    WsPeerRequestBatch **queued = &core->peer_requests->queued[n];
+    gboolean is_reachable = ws_peer_is_reachable(core, n);
+    if (*queued == NULL || (!is_reachable && !may_write_mailbox))
       continue;
-    }
-    if (mailbox == NULL)
-      mailbox = json_object();
-    json_object_set_new(mailbox, node->name, g_steal_pointer(out));
+    g_autoptr(WsPeerRequestBatch) batch = g_steal_pointer(queued);
+    batch->epoch = core->replica->epoch.number;
+    if (is_reachable)
+      send_batch(core, n, batch);
+    else
+      ws_mailbox_add(mailbox, ws_settings_node(core->settings, n)->name, g_steal_pointer(&batch));
   }
-  if (mailbox != NULL)
+  if (mailbox->batches->len > 0)
     write_mailbox(core, mailbox);
 }
 
-/* What was to be asked in the last epoch is worked out afresh in the next. */
 void
 ws_peer_requests_clear(WsCore *core)
 {
   for (guint n = 0; n < core->settings->nodes->len; n++)
-    g_clear_pointer(&core->peer_requests->out[n], json_decref);
+    g_clear_pointer(&core->peer_requests->queued[n], ws_peer_request_batch_free);
 }
 
 void
 ws_peer_requests_pump(WsCore *core)
 {
-  read_mailbox(core);
+  read_mailboxes(core);
   if (!ws_is_active_member(core)) {
     ws_peer_requests_clear(core);
     return;
   }
-  if (core->now < core->peer_requests->next_ms)
+  if (core->now < core->peer_requests->next_batch_ms)
     return;
-  core->peer_requests->next_ms = core->now + BATCHING_MS;
+  core->peer_requests->next_batch_ms = core->now + BATCHING_MS;
   send_all(core);
 }
