--- /dev/null
+++ b/src/membership/ws-cancellation-message.c
@@ -0,0 +1,59 @@
+/**
+ * Encoding and parsing of notifications of cancellations.
+ */
+#include "membership/ws-cancellation-message.h"
+
+#include "membership/ws-mesh-names.h"
+
+void
+ws_cancellation_message_init(WsCancellationMessage *message)
+{
+  message->node = NULL;
+  message->notices = g_array_new(FALSE, FALSE, sizeof(WsCancellationNotice));
+}
+
+void
+ws_cancellation_message_clear(WsCancellationMessage *message)
+{
+  g_array_unref(message->notices);
+}
+
+json_t *
+ws_cancellation_message_encode(const WsCancellationMessage *message)
+{
+  json_t *jobs = json_array();
+  for (guint i = 0; i < message->notices->len; i++) {
+    const WsCancellationNotice *notice = &g_array_index(message->notices, WsCancellationNotice, i);
+    json_array_append_new(jobs, json_pack("[s, I]", notice->job, (json_int_t)notice->age_ms));
+  }
+  return json_pack("{s:s, s:o}", MESH_NODE, message->node, MESH_CANCELLED_JOBS, jobs);
+}
+
+static gboolean
+parse_notice(const json_t *item, WsCancellationNotice *notice)
+{
+  const json_t *job = json_array_get(item, 0);
+  const json_t *age_ms = json_array_get(item, 1);
+  if (!json_is_string(job) || !json_is_integer(age_ms) || json_integer_value(age_ms) < 0)
+    return FALSE;
+  notice->job = json_string_value(job);
+  notice->age_ms = json_integer_value(age_ms);
+  return TRUE;
+}
+
+gboolean
+ws_cancellation_message_parse(const json_t *body, WsCancellationMessage *message)
+{
+  const json_t *jobs = json_object_get(body, MESH_CANCELLED_JOBS);
+  size_t i;
+  const json_t *item;
+  (void)ws_json_string(body, MESH_NODE, &message->node);
+  json_array_foreach(jobs, i, item)
+  {
+    WsCancellationNotice notice;
+    if (!parse_notice(item, &notice))
+      return FALSE;
+    g_array_append_val(message->notices, notice);
+  }
+  return json_is_array(jobs);
+}
--- a/src/membership/ws-cancellations.c
+++ b/src/membership/ws-cancellations.c
@@ -1,26 +1,33 @@
-/* Confirmed cancellations, which are facts whatever the state service, an epoch or a replica says.
-
-   Whoever learns of one, by its own commit or through its replica, notifies every peer until each
-   has acknowledged it. What is done about the tasks is in workers/ws-cancelled-tasks.c. */
+/**
+ * Confirmed cancellations, which are facts whatever the store, an epoch or a replica says.
+ *
+ * A node that learns of one, by its own commit or through its replica, notifies every peer until
+ * each has acknowledged it. What is done about the tasks is in workers/ws-cancelled-tasks.c.
+ */
 #include "membership/ws-membership-private.h"
 
+#include "membership/ws-cancellation-message.h"
+#include "membership/ws-mesh-names.h"
+
 #define NOTIFY_TIMEOUT_MS 1000
 /* Between two messages to one peer, so that what is cancelled in bulk shares a few. */
 #define NOTIFY_INTERVAL_MS 100
 #define NOTIFY_RETRY_MS 500
+/* Between two rounds of notifications and halts. */
+#define ROUND_INTERVAL_MS 100
 #define MAX_CANCELLATIONS_PER_MESSAGE 400
 
 typedef struct {
   char *id;
-  gint64 confirmed_ms; /* when it was confirmed, or when this node learned of it */
-  guint knows;         /* bit for each node that has acknowledged it, or has told us */
+  gint64 confirmed_ms;   /* when it was confirmed, or when this node learned of it */
+  guint acknowledged_by; /* bit for each node that has acknowledged it, or notified this one */
 } Cancellation;
 
 struct _WsCancellations {
   GPtrArray *list; /* of Cancellation */
   GHashTable *by_id;
   gboolean *is_notifying; /* by node */
-  gint64 *notify_ms;      /* by node: when it may be told again */
+  gint64 *notify_ms;      /* by node: when it may be notified again */
   gint64 next_round_ms;   /* when peers are notified and tasks halted again */
 };
 
@@ -76,7 +83,7 @@
 }
 
 static void
-learn(WsCore *core, const char *id, gint64 at_ms, WsNodeIndex from)
+add(WsCore *core, const char *id, gint64 at_ms, WsNodeIndex from)
 {
   WsCancellations *cancellations = core->cancellations;
   Cancellation *cancellation = find(core, id);
@@ -89,7 +96,13 @@
     g_hash_table_insert(cancellations->by_id, cancellation->id, cancellation);
   }
   cancellation->confirmed_ms = MIN(cancellation->confirmed_ms, at_ms);
-  cancellation->knows |= 1u << from;
+  cancellation->acknowledged_by |= 1u << from;
+}
+
+static gboolean
+is_acknowledged(const Cancellation *cancellation, WsNodeIndex node)
+{
+  return (cancellation->acknowledged_by >> node & 1) != 0;
 }
 
 guint
@@ -97,26 +110,42 @@
 {
   guint count = 0;
   for (guint i = 0; i < core->cancellations->list->len; i++)
-    count += (((const Cancellation *)g_ptr_array_index(core->cancellations->list, i))->knows >> node
-              & 1)
-             == 0;
+    count += is_acknowledged(g_ptr_array_index(core->cancellations->list, i), node) ? 0 : 1;
   return count;
 }
 
 void
 ws_cancellations_forget_acknowledgements(WsCore *core, WsNodeIndex node)
 {
-  for (guint i = 0; i < core->cancellations->list->len; i++)
-    ((Cancellation *)g_ptr_array_index(core->cancellations->list, i))->knows &= ~(1u << node);
+  for (guint i = 0; i < core->cancellations->list->len; i++) {
+    Cancellation *cancellation = g_ptr_array_index(core->cancellations->list, i);
+    cancellation->acknowledged_by &= ~(1u << node);
+  }
 }
 
 /* Notifying the peers. */
 
 typedef struct {
   WsNodeIndex node;
-  GPtrArray *ids;
+  GPtrArray *ids; /* of the jobs in the message */
 } Notification;
 
+static Notification *
+notification_new(WsNodeIndex node)
+{
+  Notification *notification = g_new0(Notification, 1);
+  notification->node = node;
+  notification->ids = g_ptr_array_new_with_free_func(g_free);
+  return notification;
+}
+
+static void
+notification_free(Notification *notification)
+{
+  g_ptr_array_unref(notification->ids);
+  g_free(notification);
+}
+
 static void
 on_notified(WsCore *core, guint status, const json_t *body, gpointer data)
 {
@@ -129,67 +158,53 @@
   for (guint i = 0; status == 200 && i < notification->ids->len; i++) {
     Cancellation *cancellation = find(core, g_ptr_array_index(notification->ids, i));
     if (cancellation != NULL)
-      cancellation->knows |= 1u << notification->node;
+      cancellation->acknowledged_by |= 1u << notification->node;
   }
-  g_ptr_array_unref(notification->ids);
-  g_free(notification);
+  notification_free(notification);
 }
 
+/* Adds what the node has not acknowledged, as much as a message takes. */
 static void
-notify(WsCore *core, WsNodeIndex node)
+add_notices(const WsCore *core, Notification *notification, GArray *notices)
 {
-  WsCancellations *cancellations = core->cancellations;
-  json_t *jobs = json_array();
-  Notification *notification = g_new0(Notification, 1);
-  *notification = (Notification){ node, g_ptr_array_new_with_free_func(g_free) };
-  for (guint i = 0;
-       i < cancellations->list->len && notification->ids->len < MAX_CANCELLATIONS_PER_MESSAGE;
-       i++) {
-    const Cancellation *cancellation = g_ptr_array_index(cancellations->list, i);
-    if ((cancellation->knows >> node & 1) != 0)
+  const GPtrArray *list = core->cancellations->list;
+  for (guint i = 0; i < list->len && notices->len < MAX_CANCELLATIONS_PER_MESSAGE; i++) {
+    const Cancellation *cancellation = g_ptr_array_index(list, i);
+    if (is_acknowledged(cancellation, notification->node))
       continue;
-    json_array_append_new(jobs, json_pack("[s, I]", cancellation->id,
-                                          (json_int_t)(core->now - cancellation->confirmed_ms)));
+    WsCancellationNotice notice = { cancellation->id, core->now - cancellation->confirmed_ms };
+    g_array_append_val(notices, notice);
     g_ptr_array_add(notification->ids, g_strdup(cancellation->id));
   }
-  cancellations->is_notifying[node] = TRUE;
-  ws_call(core, "POST", ws_settings_node(core->settings, node)->endpoint, "/cancelled",
-          json_pack("{s:s, s:o}", "node",
-                    ws_settings_node(core->settings, core->settings->self)->name, "jobs", jobs),
-          NOTIFY_TIMEOUT_MS, on_notified, notification);
 }
 
-static gboolean
-is_well_formed(const json_t *jobs)
+static void
+notify(WsCore *core, WsNodeIndex node)
 {
-  size_t i;
-  const json_t *item;
-  json_array_foreach(jobs, i, item)
-  {
-    if (!json_is_string(json_array_get(item, 0)) || !json_is_integer(json_array_get(item, 1))
-        || json_integer_value(json_array_get(item, 1)) < 0)
-      return FALSE;
-  }
-  return json_is_array(jobs);
+  g_auto(WsCancellationMessage) message;
+  Notification *notification = notification_new(node);
+  ws_cancellation_message_init(&message);
+  message.node = ws_settings_node(core->settings, core->settings->self)->name;
+  add_notices(core, notification, message.notices);
+  core->cancellations->is_notifying[node] = TRUE;
+  ws_call(core, "POST", ws_settings_node(core->settings, node)->endpoint, MESH_PATH_CANCELLATIONS,
+          ws_cancellation_message_encode(&message), NOTIFY_TIMEOUT_MS, on_notified, notification);
 }
 
 void
-ws_cancellations_handle_message(WsCore *core, const json_t *message, gpointer request)
+ws_cancellations_handle_message(WsCore *core, const json_t *body, gpointer request)
 {
-  const char *name = NULL;
-  const json_t *jobs = json_object_get(message, "jobs");
-  (void)ws_json_string(message, "node", &name);
-  WsNodeIndex node = ws_settings_find_node(core->settings, name);
-  if (node == WS_NO_NODE || node == core->settings->self || !is_well_formed(jobs)) {
+  g_auto(WsCancellationMessage) message;
+  ws_cancellation_message_init(&message);
+  gboolean is_well_formed = ws_cancellation_message_parse(body, &message);
+  WsNodeIndex node = ws_settings_find_node(core->settings, message.node);
+  if (!is_well_formed || node == WS_NO_NODE || node == core->settings->self) {
     ws_answer_reason(core, request, 400, "malformed");
     return;
   }
-  size_t i;
-  const json_t *item;
-  json_array_foreach(jobs, i, item)
-  {
-    learn(core, json_string_value(json_array_get(item, 0)),
-          core->now - json_integer_value(json_array_get(item, 1)), node);
+  for (guint i = 0; i < message.notices->len; i++) {
+    const WsCancellationNotice *notice = &g_array_index(message.notices, WsCancellationNotice, i);
+    add(core, notice->job, core->now - notice->age_ms, node);
   }
   ws_answer(core, request, 200, json_object(), 0);
 }
@@ -220,7 +235,7 @@
 }
 
 static void
-forget_over(WsCore *core)
+remove_over(WsCore *core)
 {
   WsCancellations *cancellations = core->cancellations;
   for (guint i = cancellations->list->len; i-- > 0;) {
@@ -240,14 +255,14 @@
   for (guint i = 0; i < fresh->len; i++) {
     const WsJob *job = ws_replica_job(core->replica, g_array_index(fresh, guint, i));
     gint64 age_ms = CLAMP(core->wall - job->cancelled_ms, 0, core->now);
-    learn(core, job->id, core->now - age_ms, core->settings->self);
+    add(core, job->id, core->now - age_ms, core->settings->self);
   }
   gboolean is_due = core->now >= cancellations->next_round_ms || fresh->len > 0;
   g_array_set_size(fresh, 0);
   if (cancellations->list->len == 0 || !is_due)
     return FALSE;
-  cancellations->next_round_ms = core->now + 100;
-  forget_over(core);
+  cancellations->next_round_ms = core->now + ROUND_INTERVAL_MS;
+  remove_over(core);
   for (guint n = 0; n < core->settings->nodes->len; n++)
     if (!cancellations->is_notifying[n] && core->now >= cancellations->notify_ms[n]
         && ws_cancellations_count_unacknowledged(core, n) > 0)
--- a/src/membership/ws-gossip.c
+++ b/src/membership/ws-gossip.c
@@ -10,6 +10,7 @@
 #include "membership/ws-gossip-message.h"
 #include "membership/ws-mesh-names.h"
 #include "membership/ws-peers.h"
+#include "membership/ws-relay-message.h"
 #include "store/ws-store.h"
 
 #include <string.h>
@@ -296,7 +297,7 @@
     ws_cancellations_handle_message(core, message, request);
   } else if (strcmp(path, MESH_PATH_PEER_REQUESTS) == 0) {
     ws_peer_requests_handle(core, message, request);
-  } else if (strcmp(path, MESH_PATH_RELAY) == 0) {
+  } else if (strcmp(path, WS_RELAY_PATH) == 0) {
     core->handlers->handle_relay(core, message, request);
   } else {
     ws_answer_reason(core, request, 404, "no such path");
--- a/src/membership/ws-mesh-names.h
+++ b/src/membership/ws-mesh-names.h
@@ -9,7 +9,7 @@
 #define MESH_PATH_GOSSIP "/gossip"
 #define MESH_PATH_CANCELLATIONS "/cancelled"
 #define MESH_PATH_PEER_REQUESTS "/ask"
-#define MESH_PATH_RELAY "/relay"
+/* That of relayed heartbeats is WS_RELAY_PATH, in ws-relay-message.h. */
 
 /* In several messages. */
 #define MESH_NODE "node"
--- a/src/workers/ws-relay.c
+++ b/src/workers/ws-relay.c
@@ -4,6 +4,7 @@
 #include "workers/ws-workers.h"
 
 #include "membership/ws-membership.h"
+#include "membership/ws-relay-message.h"
 
 #include <string.h>
 
@@ -86,12 +87,12 @@
 static void
 send_relay(WsCore *core, Relay *relay)
 {
-  json_t *message
-      = json_pack("{s:I, s:s, s:s}", "epoch", (json_int_t)core->replica->epoch.number, "owner",
-                  ws_settings_node(core->settings, relay->owner)->name, "report", relay->heartbeat);
+  WsRelayMessage message = { .epoch = core->replica->epoch.number,
+                             .owner = ws_settings_node(core->settings, relay->owner)->name,
+                             .heartbeat = relay->heartbeat };
   ws_peer_begin_relay(core, relay->owner);
-  ws_call(core, "POST", ws_settings_node(core->settings, relay->via)->endpoint, "/relay", message,
-          RELAY_TIMEOUT_MS, on_relayed, relay);
+  ws_call(core, "POST", ws_settings_node(core->settings, relay->via)->endpoint, WS_RELAY_PATH,
+          ws_relay_message_encode(&message), RELAY_TIMEOUT_MS, on_relayed, relay);
 }
 
 void
@@ -119,7 +120,7 @@
 }
 
 static void
-take_relayed_report(WsCore *core, const char *text, gpointer request)
+answer_relayed_heartbeat(WsCore *core, const char *text, gpointer request)
 {
   g_autoptr(json_t) message = ws_json_parse(text, strlen(text));
   g_autofree char *reason = NULL;
@@ -135,20 +136,19 @@
 void
 ws_relay_handle(WsCore *core, const json_t *message, gpointer request)
 {
-  guint64 epoch;
-  const char *owner, *text;
-  if (!ws_json_count(message, "epoch", &epoch) || !ws_json_string(message, "owner", &owner)
-      || !ws_json_string(message, "report", &text)) {
+  WsRelayMessage relayed;
+  if (!ws_relay_message_parse(message, &relayed)) {
     ws_answer_reason(core, request, 400, "malformed");
     return;
   }
-  WsNodeIndex node = ws_settings_find_node(core->settings, owner);
-  if (!ws_is_active_member(core) || epoch != core->replica->epoch.number || node == WS_NO_NODE) {
+  WsNodeIndex node = ws_settings_find_node(core->settings, relayed.owner);
+  if (!ws_is_active_member(core) || relayed.epoch != core->replica->epoch.number
+      || node == WS_NO_NODE) {
     ws_answer_later(core, request, 1);
   } else if (node == core->settings->self) {
-    take_relayed_report(core, text, request);
+    answer_relayed_heartbeat(core, relayed.heartbeat, request);
   } else {
-    ws_call(core, "POST", ws_settings_node(core->settings, node)->endpoint, "/relay",
+    ws_call(core, "POST", ws_settings_node(core->settings, node)->endpoint, WS_RELAY_PATH,
             json_incref((json_t *)message), FORWARD_TIMEOUT_MS, on_passed, request);
   }
 }
