--- a/src/context/ws-context.c
+++ b/src/context/ws-context.c
@@ -1,6 +1,9 @@
-/* Calls on their way, and the queue of what is to be sent and answered. */
+/**
+ * Calls without a reply, and the queue of what is to be sent and answered.
+ */
 #include "context/ws-context.h"
 
+/* A call without a reply. */
 typedef struct {
   guint64 id; /* the key under which it is kept */
   WsReplyFunc reply;
--- a/src/context/ws-context.h
+++ b/src/context/ws-context.h
@@ -1,6 +1,6 @@
 /**
  * What every package of the core is handed: settings, the replica, the time of the input that is
- * being worked on, calls to other processes and answers to requests.
+ * being handled, calls to other processes and answers to requests.
  *
  * Each package keeps its state in a structure of its own, of which this header knows the name only.
  * Whoever is called with the context may use the functions of its own package and of those below
@@ -14,6 +14,7 @@
 #include "storage/ws-evidence.h"
 #include "transport/ws-rate.h"
 
+/** Handles the reply to a call; status 0: none came. @body is borrowed, NULL if it isn't JSON. */
 typedef void (*WsReplyFunc)(WsCore *core, guint status, const json_t *body, gpointer data);
 
 typedef struct _WsStore WsStore;
@@ -40,28 +41,28 @@
 typedef struct _WsGarbage WsGarbage;
 
 /**
- * What lower packages ask of higher ones. The core connects them (ws-core.c), so that no package
- * includes what is above it.
+ * What lower packages request of higher ones. The core connects them (ws-core.c), so that no
+ * package includes what is above it.
  */
 typedef struct {
-  /** Asks for the machine's termination; immediately: without drain. For fleet. */
+  /** Requests the machine's termination; immediately: without drain. For fleet. */
   void (*request_termination)(WsCore *core, WsMachine *machine, const char *reason,
                               gboolean immediately);
-  /** Notes what a worker says of itself; FALSE: it is older than what is known. For workers. */
+  /** Applies a worker's status; FALSE: it is older than what is known. For workers. */
   gboolean (*note_worker_status)(WsCore *core, WsMachine *machine, const WsHeartbeat *heartbeat);
-  /** Tells the worker the fencing token of the present epoch. For workers. */
+  /** Sends the worker the fencing token of the present epoch. For workers. */
   void (*raise_fencing_token)(WsCore *core, WsMachine *machine);
   /** Stops the task for other work. For workers. */
   void (*halt_task)(WsCore *core, WsJob *job, WsAssignment *assignment);
   /** Answers another node's request to pass a heartbeat on. For workers. */
   void (*handle_relay)(WsCore *core, const json_t *message, gpointer request);
-  /** Takes a release that a node hands in to the leader. For commit. */
+  /** Handles a release that a node forwards to the leader. For commit. */
   void (*handle_release)(WsCore *core, const WsRelease *release);
   /** The same without evidence, as versions before 0.4 send it. For commit. */
   void (*handle_legacy_release)(WsCore *core, const WsRelease *release);
-  /** Takes an assignment that a node hands in to the leader. For commit. */
+  /** Handles an assignment that a node forwards to the leader. For commit. */
   void (*handle_assignment)(WsCore *core, WsJobIndex job, guint task, WsMachineIndex machine);
-  /** Takes a reservation that a node hands in to the leader. For scheduling. */
+  /** Handles a reservation that a node forwards to the leader. For scheduling. */
   void (*handle_reservation)(WsCore *core, const WsJob *job, WsMachineIndex machine, guint tasks);
   /** Whether there are reservations that an assignment could violate. For scheduling. */
   gboolean (*has_reservations)(const WsCore *core);
@@ -73,44 +74,59 @@
   void (*note_assignment)(WsCore *core, const WsJob *job, WsMachineIndex machine);
 } WsHandlers;
 
+/**
+ * One controller's state machine. Times are in ms; those of the core's clock begin anywhere and
+ * never go back.
+ */
 struct _WsCore {
+  /* Set once. */
   const WsHandlers *handlers;
-  const WsSettings *settings;
-  const WsProperties *properties;
-  WsReplica *replica;
-  guint64 incarnation;
-  gint64 now;
-  gint64 wall;
-  GQueue outputs;
-  GHashTable *calls;
+  const WsSettings *settings;     /**< borrowed */
+  const WsProperties *properties; /**< borrowed */
+  guint64 incarnation;            /**< of this run of the node: never the same for two runs */
+
+  /* The input that is being handled. */
+  gint64 now;  /**< its time, by the core's clock */
+  gint64 wall; /**< its time, by the wall clock */
+
+  /* Outputs and calls; ws-context.c. */
+  GQueue outputs;    /**< of WsOutput: what was not popped yet */
+  GHashTable *calls; /**< by id: those without a reply */
   guint64 next_call;
+
+  WsReplica *replica;
+
+  /* The packages' own state; each is opaque to the others. */
   WsStore *store;
+  WsWriteStats *write_stats;
   WsAuthority *authority;
   WsElection *election;
   WsEpochTracker *epoch_tracker;
   WsPeers *peers;
   WsFailureDetector *failure_detector;
+  WsPeerRequests *peer_requests;
+  WsCancellations *cancellations;
   WsAssignments *assignments;
+  WsReleases *releases;
+  WsLegacyReleases *legacy_releases;
+  WsEstimator *estimator;
+  WsGarbage *garbage;
   WsFleet *fleet;
   WsRentals *rentals;
   WsReturns *returns;
   WsCloudList *cloud_list;
-  WsPlan *plan;
-  WsPeerRequests *peer_requests;
   WsTermination *termination;
-  WsCancellations *cancellations;
   WsCancelledTasks *cancelled_tasks;
+  WsPlan *plan;
   WsReservations *reservations;
-  WsWriteStats *write_stats;
-  WsLegacyReleases *legacy_releases;
-  WsReleases *releases;
-  WsEstimator *estimator;
-  WsGarbage *garbage;
-  guint rpcs_in_flight;          /* launches on their way */
-  gboolean replan_is_needed;     /* event flag: something changed that a plan could act on */
-  gint64 next_reconciliation_ms; /* when the periodic work is due */
+
+  /* Shared between packages. */
+  gboolean replan_is_needed;     /**< something has changed that planning depends on */
+  guint rpcs_in_flight;          /**< command RPCs to workers without a reply */
+  gint64 next_reconciliation_ms; /**< when the next periodic reconciliation is due */
 };
 
+/** Makes the table of calls. */
 void ws_context_init_calls(WsCore *core);
 
 /** Frees what was not popped, and forgets the calls without a reply. */
@@ -119,14 +135,28 @@
 /** Ends every call as if no response had come. Returns whether there was any. */
 gboolean ws_context_stop_calls(WsCore *core);
 
-/** Hands the response to whoever made the call; FALSE: there is no such call (any more). */
+/**
+ * Hands the response to whoever made the call. @status 0: no response came, and @body is ignored.
+ * FALSE: there is no such call (any more).
+ */
 gboolean ws_context_take_reply(WsCore *core, guint64 id, guint status, const char *body,
                                gsize length);
 
+/**
+ * Calls another process. @reply is called exactly once, unless the core is freed first: with the
+ * status and the body, which is NULL if it isn't JSON, or with status 0 if no response came within
+ * the timeout. @method is a literal; @address is HOST:PORT; @path begins with a slash.
+ */
 void ws_call(WsCore *core, const char *method, const char *address, const char *path,
              json_t *body /* taken, may be NULL */, guint timeout_ms, WsReplyFunc reply,
              gpointer data);
+
+/** Answers a request, which must not be answered again. @retry_after_s 0: no such header. */
 void ws_answer(WsCore *core, gpointer request, guint status, json_t *body /* taken */,
                guint retry_after_s);
+
+/** Answers with an error and its reason in words. */
 void ws_answer_reason(WsCore *core, gpointer request, guint status, const char *reason);
+
+/** Answers that the request should be made again after some seconds (503). */
 void ws_answer_later(WsCore *core, gpointer request, guint retry_after_s);
--- a/src/context/ws-output.h
+++ b/src/context/ws-output.h
@@ -8,19 +8,23 @@
 /** One controller's state machine; ws-context.h has its definition. */
 typedef struct _WsCore WsCore;
 
+/** An answer or a call. Whoever pops it from the core frees it. */
 typedef struct {
   gboolean is_answer;
-  /* an answer to a request */
-  gpointer request;
+
+  /* Of an answer. */
+  gpointer request; /**< as it was handed to the core */
   guint status;
-  guint retry_after_s;
-  /* a call */
-  guint64 call;
-  const char *method;
+  guint retry_after_s; /**< 0: no such header */
+
+  /* Of a call. */
+  guint64 call;       /**< the id that its reply is to be handed in with */
+  const char *method; /**< a literal */
   char *url;
   guint timeout_ms;
-  /* both */
-  char *body;
+
+  /* Of both. */
+  char *body; /**< JSON, NULL: none */
 } WsOutput;
 
 void ws_output_free(WsOutput *output);
