--- a/src/membership/ws-authority.c
+++ b/src/membership/ws-authority.c
@@ -130,7 +130,7 @@
   gint64 pause_ms = now_ms - core->now;
   if (core->now == 0 || pause_ms <= STALL_MS)
     return FALSE;
-  g_info("this node stood still for %.1f s", (double)pause_ms / 1000.0);
+  g_info("process pause of %.1f s", (double)pause_ms / 1000.0);
   core->authority->is_stalled = TRUE;
   ws_epoch_restart_clock(core, now_ms);
   for (guint i = 0; i < core->replica->machines->len; i++) {
--- a/src/membership/ws-election.c
+++ b/src/membership/ws-election.c
@@ -1,4 +1,6 @@
-/* This node's lease, the election, and the epochs that the leader writes. */
+/**
+ * This node's membership lease, the leader election, and the epochs that the leader writes.
+ */
 #include "membership/ws-membership-private.h"
 
 #include "store/ws-store.h"
@@ -19,11 +21,11 @@
   gboolean writing_epoch;
   gint64 epoch_next_ms;
   gint64 forced_next_ms;
-  /* after standing still: */
-  gboolean asked_before; /* the call on its way was sent before */
+  /* After a process pause: */
+  gboolean asked_before; /* the call on its way was sent before it */
   gboolean is_renewed;
   gboolean reading;
-  guint wakes; /* a read counts only if nothing of the kind has happened since it was asked for */
+  guint pauses; /* a read counts only if there was no other pause since it was requested */
 };
 
 WsElection *
@@ -54,14 +56,14 @@
   election->is_listed = FALSE;
 }
 
-/* What this node believed before it stood still counts again once the state service has confirmed
+/* What this node knew before a process pause counts again once the state service has confirmed
    its lease, and everything up to then was read. */
 static void
-on_read_awake(WsCore *core, gboolean current, gpointer data)
+on_resumption_read(WsCore *core, gboolean current, gpointer data)
 {
   WsElection *election = core->election;
   election->reading = FALSE;
-  if (!current || !election->is_renewed || election->wakes != GPOINTER_TO_UINT(data))
+  if (!current || !election->is_renewed || election->pauses != GPOINTER_TO_UINT(data))
     return;
   ws_authority_end_stall(core);
   core->replan_is_needed = TRUE;
@@ -78,7 +80,7 @@
 ws_election_resume(WsCore *core, gint64 now_ms)
 {
   WsElection *election = core->election;
-  election->wakes++;
+  election->pauses++;
   election->next_ms = now_ms;
   election->asked_before = election->asking;
   election->is_renewed = FALSE;
@@ -207,13 +209,14 @@
   core->election->epoch_next_ms = core->now + (result == WS_TXN_COMMITTED ? EPOCH_PAUSE_MS : 200);
 }
 
+/* Whether an epoch is to be written although its members are the same. */
 static gboolean
-forced(WsCore *core)
+new_epoch_is_due(WsCore *core)
 {
   if (!ws_epoch_new_one_is_needed(core) || core->now < core->election->forced_next_ms)
     return FALSE;
   core->election->forced_next_ms = core->now + FORCED_EPOCH_PAUSE_MS;
-  g_info("a higher token is needed to end a doubt");
+  g_info("a new epoch is needed: a launch stays indeterminate");
   return TRUE;
 }
 
@@ -226,7 +229,7 @@
       || core->replica->members->len == 0)
     return;
   if (epoch->number > 0 && epoch->leader == core->settings->self
-      && ws_epoch_same_members(epoch, core->replica->members) && !forced(core))
+      && ws_epoch_same_members(epoch, core->replica->members) && !new_epoch_is_due(core))
     return;
   election->writing_epoch = TRUE;
   WsEpoch next = { epoch->number + 1, core->settings->self, core->replica->members };
@@ -246,7 +249,8 @@
   if (ws_authority_is_stalled(core)) {
     if (core->election->is_renewed && !core->election->reading) {
       core->election->reading = TRUE;
-      ws_store_linearizable_read(core, on_read_awake, GUINT_TO_POINTER(core->election->wakes));
+      ws_store_linearizable_read(core, on_resumption_read,
+                                 GUINT_TO_POINTER(core->election->pauses));
     }
     return;
   }
--- a/src/membership/ws-peer-requests.c
+++ b/src/membership/ws-peer-requests.c
@@ -141,8 +141,8 @@
 log_refused(const WsCore *core, const WsRelease *release)
 {
   g_autofree char *text = ws_release_describe(core->replica, release);
-  g_debug("a release isn't taken under epoch %" G_GUINT64_FORMAT ": %s",
-          core->replica->epoch.number, text);
+  g_debug("a release is refused under epoch %" G_GUINT64_FORMAT ": %s", core->replica->epoch.number,
+          text);
 }
 
 static void
