--- a/src/membership/ws-election.c
+++ b/src/membership/ws-election.c
@@ -56,7 +56,7 @@
   election->is_listed = FALSE;
 }
 
-/* What this node knew before a process pause counts again once the state service has confirmed
+/* What this node knew before a process pause counts again once the store has confirmed
    its lease, and everything up to then was read. */
 static void
 on_resumption_read(WsCore *core, gboolean current, gpointer data)
--- a/src/membership/ws-failure-detection.h
+++ b/src/membership/ws-failure-detection.h
@@ -32,7 +32,7 @@
  */
 gint64 ws_liveness_suspected_since_ms(const WsMachine *machine);
 
-/** For how long what the machine was told has come to nothing, in ms. */
+/** For how long the machine has not acknowledged what was sent to it, in ms. */
 gint64 ws_liveness_unacknowledged_for_ms(const WsCore *core, const WsMachine *machine);
 
 /** Finds out whether it is this node that workers don't reach. For each tick. */
@@ -50,5 +50,5 @@
 /** Whether it is the way to the zone's machines that is interrupted, rather than they. */
 gboolean ws_zone_links_are_suspected(const WsCore *core, WsZoneIndex zone);
 
-/** Whether so many ordinary machines are silent together that what is between is interrupted. */
+/** Whether so many ordinary machines are suspected together that the way to them is interrupted. */
 gboolean ws_machines_are_suspected_together(const WsCore *core);
--- a/src/membership/ws-failure-detector.c
+++ b/src/membership/ws-failure-detector.c
@@ -1,5 +1,5 @@
 /**
- * The failure detector: which silent machines are probed, which are waited for, and which are
+ * The failure detector: which suspected machines are probed, which are waited for, and which are
  * declared dead. A machine that is declared dead is terminated, without drain.
  */
 #include "membership/ws-failure-detection.h"
@@ -15,8 +15,8 @@
 #define MIN_FAILED_PROBES 2
 /* An indeterminate launch that stays so for so long needs a higher fencing token. */
 #define INDETERMINATE_TIMEOUT_MS 8000
-/* How much longer than a late heartbeat a silent machine is waited for. */
-#define SILENCE_MARGIN_MS 1500
+/* How much longer than a late heartbeat a suspected machine is waited for. */
+#define SUSPICION_MARGIN_MS 1500
 /* The same, after its lease, where the way to it may be interrupted. */
 #define LEASE_MARGIN_MS 500
 /* Leases for which the machines of a partitioned zone are waited for. */
@@ -26,8 +26,8 @@
 #define PARTITION_LEASES_WITHOUT_NODE 3.0
 /* Per second of cancel_s: after how long a machine with a cancelled task isn't waited for. */
 #define CANCELLED_TIMEOUT_MS_PER_S 400.0
-/* A machine that doesn't do what it's told is not used when it should have shown it by now, and
-   returned after a larger share of its lease. */
+/* A machine isn't used when it should have acknowledged commands by now, and is returned after this
+   share of its lease. */
 #define OUTBOUND_LEASE_SHARE 0.7
 
 WsFailureDetector *
@@ -64,7 +64,7 @@
     machine->worker.failed_probes++;
     return;
   }
-  /* It is there and reports to somebody else, maybe to a node whose epoch is over. */
+  /* It is up, and sends its heartbeats to another node, maybe to one whose epoch is over. */
   if (heartbeat->fencing_token < core->replica->epoch.number)
     core->handlers->raise_fencing_token(core, machine);
 }
@@ -87,9 +87,10 @@
           on_probe_answered, GUINT_TO_POINTER(machine->index));
 }
 
-/* Silent machines. */
+/* Suspected machines. */
 
-/* What is the same for all machines of a tick: found once, when the first silent one needs it. */
+/* What is the same for all machines of a tick: found once, when the first suspected one needs it.
+ */
 typedef struct {
   gboolean is_known;
   gboolean machines_are_suspected_together;
@@ -119,16 +120,17 @@
   return FALSE;
 }
 
-/* For how long a machine may be silent until it is declared dead, if probes fail too. */
+/* For how long a machine is suspected until it is declared dead, if probes fail too. */
 static gint64
-silence_timeout_ms(const WsCore *core, const WsMachine *machine, const Interruptions *interruptions)
+suspicion_timeout_ms(const WsCore *core, const WsMachine *machine,
+                     const Interruptions *interruptions)
 {
   const WsSettings *settings = core->settings;
   gboolean is_interrupted
       = ws_is_unreached_by_workers(core) || interruptions->machines_are_suspected_together
         || (machine->zone != WS_NO_ZONE && interruptions->links_are_suspected[machine->zone]);
   gint64 timeout_ms = is_interrupted ? (gint64)(settings->lease_s * 1000.0) + LEASE_MARGIN_MS
-                                     : ws_liveness_patience_ms(core) + SILENCE_MARGIN_MS;
+                                     : ws_liveness_patience_ms(core) + SUSPICION_MARGIN_MS;
   if (ws_zone_is_or_was_partitioned(core, machine->zone)) {
     double leases
         = ws_zone_has_node(core, machine->zone) ? PARTITION_LEASES : PARTITION_LEASES_WITHOUT_NODE;
@@ -141,17 +143,17 @@
 }
 
 static void
-check_silence(WsCore *core, WsMachine *machine, Interruptions *interruptions)
+check_suspected(WsCore *core, WsMachine *machine, Interruptions *interruptions)
 {
   gint64 since_ms = ws_liveness_suspected_since_ms(machine);
-  gint64 silent_ms = since_ms > 0 ? core->now - since_ms : 0;
-  if (silent_ms <= ws_liveness_patience_ms(core))
+  gint64 suspected_ms = since_ms > 0 ? core->now - since_ms : 0;
+  if (suspected_ms <= ws_liveness_patience_ms(core))
     return;
   find_interruptions(core, interruptions);
   probe(core, machine);
   gboolean probes_fail
       = machine->worker.endpoint == NULL || machine->worker.failed_probes >= MIN_FAILED_PROBES;
-  if (probes_fail && silent_ms > silence_timeout_ms(core, machine, interruptions))
+  if (probes_fail && suspected_ms > suspicion_timeout_ms(core, machine, interruptions))
     core->handlers->request_termination(core, machine, WS_MARK_REASON_SILENT, TRUE);
 }
 
@@ -224,7 +226,7 @@
     check_indeterminate_launches(core, machine);
     gboolean could_probe = may_probe(core);
     if (!machine->is_marked || !machine->mark_is_immediate) {
-      check_silence(core, machine, &interruptions);
+      check_suspected(core, machine, &interruptions);
       check_inbound(core, machine);
     }
     if (could_probe && !may_probe(core))
--- a/src/membership/ws-liveness.c
+++ b/src/membership/ws-liveness.c
@@ -1,5 +1,5 @@
 /**
- * Liveness of machines: which are up, which are silent, and which are reached in one direction
+ * Liveness of machines: which are up, which are suspected, and which are reached in one direction
  * only.
  */
 #include "membership/ws-failure-detection.h"
@@ -38,7 +38,7 @@
 }
 
 gboolean
-ws_machine_is_silent(const WsCore *core, const WsMachine *machine)
+ws_machine_is_suspected(const WsCore *core, const WsMachine *machine)
 {
   gint64 since_ms = ws_liveness_suspected_since_ms(machine);
   return since_ms > 0 && core->now - since_ms > ws_liveness_patience_ms(core);
@@ -50,7 +50,7 @@
   return machine->worker.unacknowledged_ms > 0 ? core->now - machine->worker.unacknowledged_ms : 0;
 }
 
-/* One that isn't heard is silent, whatever it has not acknowledged. */
+/* One that isn't heard is suspected, whatever it has not acknowledged. */
 gboolean
 ws_machine_is_outbound_unreachable(const WsCore *core, const WsMachine *machine)
 {
@@ -93,7 +93,7 @@
   return count;
 }
 
-/* Whether it is this node that the workers don't reach, not they that are silent. Their heartbeats
+/* Whether it is this node that the workers don't reach, not they that have failed. Their heartbeats
    come through the others then. */
 void
 ws_liveness_tick(WsCore *core)
--- a/src/membership/ws-membership.h
+++ b/src/membership/ws-membership.h
@@ -210,7 +210,7 @@
 WsFailureDetector *ws_failure_detector_new(const WsSettings *settings);
 void ws_failure_detector_free(WsFailureDetector *detector);
 
-/** Probes silent machines and requests the termination of dead ones. For each reconciliation. */
+/** Probes suspected machines and requests the termination of dead ones. For each reconciliation. */
 void ws_failure_detector_tick(WsCore *core);
 
 /** Notes that a worker has reached this node itself. */
@@ -219,27 +219,27 @@
 /** Whether no worker reaches this node, although there are some for it. As of the last tick. */
 gboolean ws_is_unreached_by_workers(const WsCore *core);
 
-/** Whether the zone's machines are silent because it is partitioned. As of the last tick. */
+/** Whether the zone is partitioned, as far as its machines' silence shows. As of the last tick. */
 gboolean ws_zone_is_partitioned(const WsCore *core, WsZoneIndex zone);
 
 /** Whether the machine was heard lately, by whatever message. */
 gboolean ws_machine_is_up(const WsCore *core, const WsMachine *machine);
 
-/** Whether its heartbeats come, but what it's told doesn't reach it. */
+/** Whether its heartbeats come, but answers and commands don't reach it. */
 gboolean ws_machine_is_outbound_unreachable(const WsCore *core, const WsMachine *machine);
 
 /** Whether it can be called, but its heartbeats reach nobody. */
 gboolean ws_machine_is_inbound_unreachable(const WsCore *core, const WsMachine *machine);
 
 /** Whether nothing was heard of it although something should have been. */
-gboolean ws_machine_is_silent(const WsCore *core, const WsMachine *machine);
+gboolean ws_machine_is_suspected(const WsCore *core, const WsMachine *machine);
 
 /* Confirmed cancellations. */
 
 WsCancellations *ws_cancellations_new(const WsSettings *settings);
 void ws_cancellations_free(WsCancellations *cancellations);
 
-/** Whether the job's user was told that it is cancelled: by the records, or by a peer's account. */
+/** Whether the job's cancellation was confirmed to its user, by the records or by a peer. */
 gboolean ws_cancellations_has(const WsCore *core, const WsJob *job);
 
 /** How many cancellations are known whose jobs aren't over. */
--- a/src/membership/ws-partitions.c
+++ b/src/membership/ws-partitions.c
@@ -1,9 +1,9 @@
 /**
- * Partitions of zones: whether a zone's machines are silent because the way to them is
+ * Partitions of zones: whether a zone's machines are suspected because the way to them is
  * interrupted.
  *
  * Machines behind a partition go on working, so declaring them dead would throw work away; they
- * are waited for longer than a machine that is silent on its own.
+ * are waited for longer than a machine that is suspected on its own.
  */
 #include "membership/ws-failure-detection.h"
 
@@ -14,10 +14,10 @@
 #define RESTART_LEASE_SHARE 0.8
 /* Partitions are looked for at every tick; this is longer than the pause between two. */
 #define PARTITION_VALID_MS 600
-/* So many machines that are silent together are no coincidence. */
+/* So many machines that are suspected together are no coincidence. */
 #define MIN_SUSPECTED_TOGETHER 3
 
-/* How many machines are expected to be heard, and how many of them are silent. */
+/* How many machines are expected to be heard, and how many of them are not. */
 typedef struct {
   guint all;
   guint suspected;
@@ -27,7 +27,7 @@
 count_machine(const WsCore *core, const WsMachine *machine, Count *count)
 {
   count->all++;
-  if (ws_machine_is_silent(core, machine))
+  if (ws_machine_is_suspected(core, machine))
     count->suspected++;
 }
 
@@ -106,8 +106,8 @@
   return FALSE;
 }
 
-/* A node of the zone is out of reach, or many of its machines are silent together. Such machines go
-   on working, and their heartbeats come through another node after a while. */
+/* A node of the zone is out of reach, or many of its machines are suspected together. Such machines
+   go on working, and their heartbeats come through another node after a while. */
 gboolean
 ws_zone_links_are_suspected(const WsCore *core, WsZoneIndex zone)
 {
@@ -126,9 +126,9 @@
   return most_are_suspected(&count);
 }
 
-/* Spot machines are taken in waves; when ordinary ones fall silent together, something between them
-   and this node is interrupted, and their tasks go on until the lease runs out. Those behind a
-   partition say nothing of the others. */
+/* Spot machines are taken in waves; when ordinary ones are suspected together, something between
+   them and this node is interrupted, and their tasks go on until the lease runs out. Those behind a
+   partition are no evidence for the others. */
 gboolean
 ws_machines_are_suspected_together(const WsCore *core)
 {
