--- a/src/membership/ws-election.c
+++ b/src/membership/ws-election.c
@@ -8,19 +8,24 @@
 #include "storage/ws-member-record.h"
 
 #define LEASE_MS 4000
-#define RENEW_MS 900
-#define EPOCH_PAUSE_MS 400
-#define FORCED_EPOCH_PAUSE_MS 10000
+#define RENEW_INTERVAL_MS 900
+#define RENEW_RETRY_MS 300
+/* Before the member key is written once more. */
+#define LISTING_RETRY_MS 200
+#define EPOCH_INTERVAL_MS 400
+#define EPOCH_RETRY_MS 200
+/* Between two epochs that are written only for a higher fencing token. */
+#define REQUESTED_EPOCH_INTERVAL_MS 10000
 
 struct _WsElection {
   guint64 lease;      /* 0: none */
   gboolean is_listed; /* the member key is written under this lease */
   gboolean asking;
-  gint64 next_ms;
+  gint64 next_ms; /* when the lease is acquired, listed or renewed next */
   gboolean electing;
   gboolean writing_epoch;
-  gint64 epoch_next_ms;
-  gint64 forced_next_ms;
+  gint64 epoch_next_ms;      /* when the next epoch may be written */
+  gint64 requested_epoch_ms; /* when one may be written with the same members */
   /* After a process pause: */
   gboolean asked_before; /* the call on its way was sent before it */
   gboolean is_renewed;
@@ -106,7 +111,7 @@
   election->asking = FALSE;
   election->is_listed = result == WS_TXN_COMMITTED;
   note_renewed(election, election->is_listed);
-  election->next_ms = core->now + (election->is_listed ? RENEW_MS : 200);
+  election->next_ms = core->now + (election->is_listed ? RENEW_INTERVAL_MS : LISTING_RETRY_MS);
   if (result == WS_TXN_UNAVAILABLE)
     lose_lease(core);
 }
@@ -118,7 +123,7 @@
   (void)data;
   WsElection *election = core->election;
   election->asking = FALSE;
-  election->next_ms = core->now + (status == 200 ? RENEW_MS : 300);
+  election->next_ms = core->now + (status == 200 ? RENEW_INTERVAL_MS : RENEW_RETRY_MS);
   note_renewed(election, status == 200);
   if (status == 404)
     lose_lease(core);
@@ -206,16 +211,17 @@
 {
   (void)data;
   core->election->writing_epoch = FALSE;
-  core->election->epoch_next_ms = core->now + (result == WS_TXN_COMMITTED ? EPOCH_PAUSE_MS : 200);
+  core->election->epoch_next_ms
+      = core->now + (result == WS_TXN_COMMITTED ? EPOCH_INTERVAL_MS : EPOCH_RETRY_MS);
 }
 
 /* Whether an epoch is to be written although its members are the same. */
 static gboolean
 new_epoch_is_due(WsCore *core)
 {
-  if (!ws_epoch_new_one_is_needed(core) || core->now < core->election->forced_next_ms)
+  if (!ws_epoch_new_one_is_needed(core) || core->now < core->election->requested_epoch_ms)
     return FALSE;
-  core->election->forced_next_ms = core->now + FORCED_EPOCH_PAUSE_MS;
+  core->election->requested_epoch_ms = core->now + REQUESTED_EPOCH_INTERVAL_MS;
   g_info("a new epoch is needed: a launch stays indeterminate");
   return TRUE;
 }
