--- a/src/api/ws-users.c
+++ b/src/api/ws-users.c
@@ -303,10 +303,10 @@
     return;
   }
   g_autoptr(json_t) message = ws_json_parse(body, length);
-  g_autofree char *reason = NULL;
-  WsJobSpec *spec = ws_job_spec_parse(message, &reason);
+  g_autoptr(GError) error = NULL;
+  WsJobSpec *spec = ws_job_spec_parse(message, &error);
   if (spec == NULL) {
-    ws_answer_reason(core, request, 400, reason);
+    ws_answer_reason(core, request, 400, error->message);
     return;
   }
   begin(core, REQUEST_SUBMIT, spec->id, spec, request);
--- a/src/commit/ws-legacy-releases.c
+++ b/src/commit/ws-legacy-releases.c
@@ -71,8 +71,7 @@
 on_status(WsCore *core, guint status, const json_t *body, gpointer data)
 {
   const WsMachine *machine = ws_replica_machine(core->replica, GPOINTER_TO_UINT(data));
-  g_autofree char *reason = NULL;
-  g_autoptr(WsHeartbeat) heartbeat = status == 200 ? ws_heartbeat_parse(body, &reason) : NULL;
+  g_autoptr(WsHeartbeat) heartbeat = status == 200 ? ws_heartbeat_parse(body, NULL) : NULL;
   if (heartbeat == NULL || strcmp(heartbeat->machine, machine->name) != 0
       || heartbeat->fencing_token != core->replica->epoch.number || !ws_is_leader(core))
     return;
--- a/src/main.c
+++ b/src/main.c
@@ -50,7 +50,6 @@
 read_settings(const char *path)
 {
   g_autofree char *text = NULL;
-  g_autofree char *reason = NULL;
   g_autoptr(GError) error = NULL;
   gsize length;
   json_error_t where;
@@ -63,9 +62,9 @@
     fprintf(stderr, "wrenshore: %s: line %d: %s\n", path, where.line, where.text);
     return NULL;
   }
-  WsSettings *settings = ws_settings_parse(message, &reason);
+  WsSettings *settings = ws_settings_parse(message, &error);
   if (settings == NULL)
-    fprintf(stderr, "wrenshore: %s: %s\n", path, reason);
+    fprintf(stderr, "wrenshore: %s: %s\n", path, error->message);
   return settings;
 }
 
@@ -74,7 +73,6 @@
 {
   g_autoptr(WsProperties) properties = ws_properties_new();
   g_autofree char *text = NULL;
-  g_autofree char *reason = NULL;
   g_autoptr(GError) error = NULL;
   if (path == NULL)
     return g_steal_pointer(&properties);
@@ -82,8 +80,8 @@
     fprintf(stderr, "wrenshore: %s\n", error->message);
     return NULL;
   }
-  if (!ws_properties_parse(properties, text, settings->zones, &reason)) {
-    fprintf(stderr, "wrenshore: %s: %s\n", path, reason);
+  if (!ws_properties_parse(properties, text, settings->zones, &error)) {
+    fprintf(stderr, "wrenshore: %s: %s\n", path, error->message);
     return NULL;
   }
   return g_steal_pointer(&properties);
--- a/src/membership/ws-failure-detector.c
+++ b/src/membership/ws-failure-detector.c
@@ -53,8 +53,7 @@
 on_probe_answered(WsCore *core, guint status, const json_t *body, gpointer data)
 {
   WsMachine *machine = ws_replica_machine(core->replica, GPOINTER_TO_UINT(data));
-  g_autofree char *reason = NULL;
-  g_autoptr(WsHeartbeat) heartbeat = status == 200 ? ws_heartbeat_parse(body, &reason) : NULL;
+  g_autoptr(WsHeartbeat) heartbeat = status == 200 ? ws_heartbeat_parse(body, NULL) : NULL;
   core->failure_detector->probes_in_flight--;
   /* An answer older than what is known is not from the machine that was known: it has begun anew.
    */
--- a/src/protocol/ws-heartbeat.c
+++ b/src/protocol/ws-heartbeat.c
@@ -126,10 +126,10 @@
 }
 
 WsHeartbeat *
-ws_heartbeat_parse(const json_t *message, char **reason)
+ws_heartbeat_parse(const json_t *message, GError **error)
 {
   if (!json_is_object(message)) {
-    *reason = g_strdup("not a JSON object");
+    ws_error_set_not_object(error);
     return NULL;
   }
   g_autoptr(WsHeartbeat) heartbeat = g_new0(WsHeartbeat, 1);
@@ -138,7 +138,7 @@
   g_array_set_clear_func(heartbeat->tasks, clear_task);
   const char *bad = parse_members(message, heartbeat);
   if (bad != NULL) {
-    *reason = g_strdup_printf("%s is missing or invalid", bad);
+    ws_error_set_invalid(error, WS_ERROR_INVALID_FIELD, bad);
     return NULL;
   }
   return g_steal_pointer(&heartbeat);
--- a/src/protocol/ws-heartbeat.h
+++ b/src/protocol/ws-heartbeat.h
@@ -1,6 +1,7 @@
 /* What a worker says, and what it is told. */
 #pragma once
 
+#include "protocol/ws-error.h"
 #include "protocol/ws-json.h"
 
 typedef enum {
@@ -50,7 +51,7 @@
 
 typedef enum { WS_OP_LAUNCH, WS_OP_HALT, WS_OP_REAP } WsOp;
 
-WsHeartbeat *ws_heartbeat_parse(const json_t *message, char **reason);
+WsHeartbeat *ws_heartbeat_parse(const json_t *message, GError **error);
 void ws_heartbeat_free(WsHeartbeat *heartbeat);
 
 json_t *ws_command_encode(WsOp op, const char *job, guint task, guint64 attempt, double grace_s);
--- a/src/protocol/ws-job-spec.c
+++ b/src/protocol/ws-job-spec.c
@@ -162,16 +162,16 @@
 }
 
 WsJobSpec *
-ws_job_spec_parse(const json_t *message, char **reason)
+ws_job_spec_parse(const json_t *message, GError **error)
 {
   if (!json_is_object(message)) {
-    *reason = g_strdup("not a JSON object");
+    ws_error_set_not_object(error);
     return NULL;
   }
   g_autoptr(WsJobSpec) submission = g_new0(WsJobSpec, 1);
   const char *bad = read_members(message, submission);
   if (bad != NULL) {
-    *reason = g_strdup_printf("%s is missing or invalid", bad);
+    ws_error_set_invalid(error, WS_ERROR_INVALID_FIELD, bad);
     return NULL;
   }
   return g_steal_pointer(&submission);
--- a/src/protocol/ws-job-spec.h
+++ b/src/protocol/ws-job-spec.h
@@ -1,6 +1,7 @@
 /* A job as its user describes it. Amounts are in thousandths, so that sums are exact. */
 #pragma once
 
+#include "protocol/ws-error.h"
 #include "protocol/ws-json.h"
 
 #define WS_MAX_TASKS 100000
@@ -36,7 +37,7 @@
 } WsJobSpec;
 
 /* NULL and a one-line reason if the message is not a valid submission. */
-WsJobSpec *ws_job_spec_parse(const json_t *message, char **reason);
+WsJobSpec *ws_job_spec_parse(const json_t *message, GError **error);
 json_t *ws_job_spec_encode(const WsJobSpec *submission);
 void ws_job_spec_free(WsJobSpec *submission);
 gboolean ws_job_id_valid(const char *id);
--- a/src/protocol/ws-properties.c
+++ b/src/protocol/ws-properties.c
@@ -110,19 +110,20 @@
 }
 
 gboolean
-ws_properties_parse(WsProperties *properties, const char *text, GPtrArray *zones, char **reason)
+ws_properties_parse(WsProperties *properties, const char *text, GPtrArray *zones, GError **error)
 {
   g_autoptr(GKeyFile) file = g_key_file_new();
-  g_autoptr(GError) error = NULL;
+  g_autoptr(GError) cause = NULL;
   g_autofree char *grouped = g_strconcat("[" GROUP "]\n", text, NULL);
-  if (!g_key_file_load_from_data(file, grouped, strlen(grouped), G_KEY_FILE_NONE, &error)) {
-    *reason = g_strdup(error->message);
+  if (!g_key_file_load_from_data(file, grouped, strlen(grouped), G_KEY_FILE_NONE, &cause)) {
+    g_set_error_literal(error, WS_ERROR, WS_ERROR_MALFORMED, cause->message);
     return FALSE;
   }
   gsize groups = 0;
   g_auto(GStrv) names = g_key_file_get_groups(file, &groups);
   if (groups != 1) {
-    *reason = g_strdup_printf("%s: groups are not used here", names[groups - 1]);
+    g_set_error(error, WS_ERROR, WS_ERROR_MALFORMED, "%s: groups are not used here",
+                names[groups - 1]);
     return FALSE;
   }
   g_auto(GStrv) keys = g_key_file_get_keys(file, GROUP, NULL, NULL);
@@ -130,12 +131,13 @@
     g_autofree char *value = g_key_file_get_string(file, GROUP, *key, NULL);
     const char *bad = value == NULL ? "not readable" : parse_key(properties, *key, value, zones);
     if (bad != NULL) {
-      *reason = g_strdup_printf("%s: %s", *key, bad);
+      g_set_error(error, WS_ERROR, WS_ERROR_INVALID_PROPERTY, "%s: %s", *key, bad);
       return FALSE;
     }
   }
   if (properties->backoff_max_s < properties->backoff_min_s) {
-    *reason = g_strdup("giveback.backoff_max_s: below giveback.backoff_min_s");
+    g_set_error_literal(error, WS_ERROR, WS_ERROR_INVALID_PROPERTY,
+                        "giveback.backoff_max_s: below giveback.backoff_min_s");
     return FALSE;
   }
   return TRUE;
--- a/src/protocol/ws-properties.h
+++ b/src/protocol/ws-properties.h
@@ -1,7 +1,7 @@
 /* Operators' own settings: a properties file, read with GKeyFile under an implied group. */
 #pragma once
 
-#include <glib.h>
+#include "protocol/ws-error.h"
 
 typedef struct {
   char *type;
@@ -22,7 +22,7 @@
 WsProperties *ws_properties_new(void);
 /* zones: the names that budgets may use. FALSE and a line naming the key. */
 gboolean ws_properties_parse(WsProperties *properties, const char *text, GPtrArray *zones,
-                             char **reason);
+                             GError **error);
 void ws_properties_free(WsProperties *properties);
 
 /* How many machines may be unavailable at once, out of total. */
--- a/src/protocol/ws-settings.c
+++ b/src/protocol/ws-settings.c
@@ -258,10 +258,10 @@
 }
 
 WsSettings *
-ws_settings_parse(const json_t *message, char **reason)
+ws_settings_parse(const json_t *message, GError **error)
 {
   if (!json_is_object(message)) {
-    *reason = g_strdup("not a JSON object");
+    ws_error_set_not_object(error);
     return NULL;
   }
   g_autoptr(WsSettings) settings = g_new0(WsSettings, 1);
@@ -271,7 +271,7 @@
   settings->teams = g_ptr_array_new_with_free_func(team_free);
   const char *bad = read_all(settings, message);
   if (bad != NULL) {
-    *reason = g_strdup_printf("%s is missing or invalid", bad);
+    ws_error_set_invalid(error, WS_ERROR_INVALID_SETTING, bad);
     return NULL;
   }
   return g_steal_pointer(&settings);
--- a/src/protocol/ws-settings.h
+++ b/src/protocol/ws-settings.h
@@ -1,6 +1,7 @@
 /* The settings file that the platform hands over. */
 #pragma once
 
+#include "protocol/ws-error.h"
 #include "protocol/ws-names.h"
 #include "protocol/ws-job-spec.h"
 
@@ -52,7 +53,7 @@
   guint64 max_sockets;
 } WsSettings;
 
-WsSettings *ws_settings_parse(const json_t *message, char **reason);
+WsSettings *ws_settings_parse(const json_t *message, GError **error);
 /* Whether one more such need is within the limit of the team. */
 gboolean ws_team_has_room(const WsSettings *settings, WsTeamIndex team, const WsResources *use,
                           const WsResources *need);
--- a/src/storage/ws-records.c
+++ b/src/storage/ws-records.c
@@ -217,12 +217,12 @@
   job->coordinator = ws_settings_find_node(replica->settings, home);
   if (job->spec != NULL)
     return;
-  g_autofree char *reason = NULL;
-  WsJobSpec *parsed = ws_job_spec_parse(spec, &reason);
+  g_autoptr(GError) error = NULL;
+  WsJobSpec *parsed = ws_job_spec_parse(spec, &error);
   if (parsed != NULL)
     ws_replica_describe_job(replica, job, parsed);
   else
-    g_warning("record of job %s: %s", id, reason);
+    g_warning("record of job %s: %s", id, error->message);
 }
 
 /* The other records. */
--- a/src/workers/ws-cancelled-tasks.c
+++ b/src/workers/ws-cancelled-tasks.c
@@ -102,9 +102,8 @@
   core->cancelled_tasks->halt_calls--;
   if (status == 0)
     halt_again(core, machine, UNREACHABLE_HALT_RETRY_MS);
-  g_autofree char *reason = NULL;
   g_autoptr(WsHeartbeat) heartbeat
-      = status == 200 || status == 409 ? ws_heartbeat_parse(body, &reason) : NULL;
+      = status == 200 || status == 409 ? ws_heartbeat_parse(body, NULL) : NULL;
   if (heartbeat != NULL && strcmp(heartbeat->machine, machine->name) == 0) {
     note_gone(core, machine, heartbeat);
     if (ws_owns_machine(core, machine))
--- a/src/workers/ws-relay.c
+++ b/src/workers/ws-relay.c
@@ -44,8 +44,7 @@
 add_halts(const WsCore *core, const char *text, json_t *commands)
 {
   g_autoptr(json_t) message = ws_json_parse(text, strlen(text));
-  g_autofree char *reason = NULL;
-  g_autoptr(WsHeartbeat) heartbeat = ws_heartbeat_parse(message, &reason);
+  g_autoptr(WsHeartbeat) heartbeat = ws_heartbeat_parse(message, NULL);
   if (heartbeat != NULL)
     ws_cancelled_tasks_add_halts(core, heartbeat, commands);
 }
@@ -123,10 +122,10 @@
 answer_relayed_heartbeat(WsCore *core, const char *text, gpointer request)
 {
   g_autoptr(json_t) message = ws_json_parse(text, strlen(text));
-  g_autofree char *reason = NULL;
-  g_autoptr(WsHeartbeat) heartbeat = ws_heartbeat_parse(message, &reason);
+  g_autoptr(GError) error = NULL;
+  g_autoptr(WsHeartbeat) heartbeat = ws_heartbeat_parse(message, &error);
   if (heartbeat == NULL)
-    ws_answer_reason(core, request, 400, reason);
+    ws_answer_reason(core, request, 400, error->message);
   else if (ws_authority_check_lease_renewal(core, heartbeat->fencing_token) != WS_REFUSAL_NONE)
     ws_answer_later(core, request, 1);
   else
--- a/src/workers/ws-worker-rpc.c
+++ b/src/workers/ws-worker-rpc.c
@@ -30,9 +30,8 @@
       && machine->worker.indeterminate_fencing_token == direct->fencing_token
       && machine->worker.indeterminate_incarnation == direct->incarnation)
     machine->worker.indeterminate_launches--;
-  g_autofree char *reason = NULL;
   g_autoptr(WsHeartbeat) heartbeat
-      = status == 200 || status == 409 ? ws_heartbeat_parse(body, &reason) : NULL;
+      = status == 200 || status == 409 ? ws_heartbeat_parse(body, NULL) : NULL;
   if (heartbeat != NULL && strcmp(heartbeat->machine, machine->name) == 0
       && ws_owns_machine(core, machine))
     ws_workers_note_status(core, machine, heartbeat);
--- a/src/workers/ws-workers.c
+++ b/src/workers/ws-workers.c
@@ -409,11 +409,11 @@
 ws_workers_handle_heartbeat(WsCore *core, const char *body, gsize length, gpointer request)
 {
   g_autoptr(json_t) message = ws_json_parse(body, length);
-  g_autofree char *reason = NULL;
-  g_autoptr(WsHeartbeat) heartbeat = ws_heartbeat_parse(message, &reason);
+  g_autoptr(GError) error = NULL;
+  g_autoptr(WsHeartbeat) heartbeat = ws_heartbeat_parse(message, &error);
   if (heartbeat == NULL) {
-    g_warning("a report was refused: %s", reason);
-    ws_answer_reason(core, request, 400, reason);
+    g_warning("a report was refused: %s", error->message);
+    ws_answer_reason(core, request, 400, error->message);
     return;
   }
   ws_liveness_note_heartbeat(core);
--- a/tests/test-coordination.c
+++ b/tests/test-coordination.c
@@ -62,9 +62,9 @@
 static void
 check_refused(json_t *message /* taken */, const char *why)
 {
-  g_autofree char *reason = NULL;
-  g_assert_null(ws_settings_parse(message, &reason));
-  g_assert_nonnull(strstr(reason, why));
+  g_autoptr(GError) error = NULL;
+  g_assert_null(ws_settings_parse(message, &error));
+  g_assert_nonnull(strstr(error->message, why));
   json_decref(message);
 }
 
--- a/tests/test-http.c
+++ b/tests/test-http.c
@@ -119,7 +119,6 @@
 {
   Stand *stand = g_new0(Stand, 1);
   guint services = free_port(), api = free_port(), mesh = free_port();
-  g_autofree char *reason = NULL;
   g_autoptr(GError) error = NULL;
   stand->state = sim_state_new();
   stand->connections = g_hash_table_new(NULL, NULL);
@@ -128,8 +127,8 @@
   g_assert_true(
       soup_server_listen_local(stand->server, services, SOUP_SERVER_LISTEN_IPV4_ONLY, &error));
   g_autoptr(json_t) message = settings_message(api, mesh, services);
-  stand->settings = ws_settings_parse(message, &reason);
-  g_assert_cmpstr(reason, ==, NULL);
+  stand->settings = ws_settings_parse(message, &error);
+  g_assert_no_error(error);
   stand->properties = ws_properties_new();
   stand->runtime = ws_runtime_new(stand->settings, stand->properties, &error);
   g_assert_no_error(error);
--- a/tests/test-properties.c
+++ b/tests/test-properties.c
@@ -3,23 +3,23 @@
 #include <string.h>
 
 static gboolean
-parse(const char *text, WsProperties **properties, char **reason)
+parse(const char *text, WsProperties **properties, GError **error)
 {
   g_autoptr(GPtrArray) zones = g_ptr_array_new();
   g_ptr_array_add(zones, (gpointer) "a");
   g_ptr_array_add(zones, (gpointer) "b");
   *properties = ws_properties_new();
-  return ws_properties_parse(*properties, text, zones, reason);
+  return ws_properties_parse(*properties, text, zones, error);
 }
 
 static void
 test_good(void)
 {
   g_autoptr(WsProperties) properties = NULL;
-  g_autofree char *reason = NULL;
+  g_autoptr(GError) error = NULL;
   g_assert_true(parse("# a comment\ngiveback.hold_s = 7.5\nbudget.g8.a.minAvailable=50%\n"
                       "budget.g8.b.maxUnavailable=2\n",
-                      &properties, &reason));
+                      &properties, &error));
   g_assert_cmpfloat(properties->idle_timeout_s, ==, 7.5);
   g_assert_cmpuint(properties->budgets->len, ==, 2);
 }
@@ -42,9 +42,10 @@
                 { "[other]\nx=1\n", "other" } };
   for (guint i = 0; i < G_N_ELEMENTS(CASES); i++) {
     g_autoptr(WsProperties) properties = NULL;
-    g_autofree char *reason = NULL;
-    g_assert_false(parse(CASES[i].text, &properties, &reason));
-    g_assert_nonnull(strstr(reason, CASES[i].key));
+    g_autoptr(GError) error = NULL;
+    g_assert_false(parse(CASES[i].text, &properties, &error));
+    g_assert_true(error->domain == WS_ERROR);
+    g_assert_nonnull(strstr(error->message, CASES[i].key));
   }
 }
 
--- a/tests/test-protocol.c
+++ b/tests/test-protocol.c
@@ -10,11 +10,11 @@
 submission_round_trip(GRand *rand)
 {
   g_autoptr(json_t) message = ws_gen_submission(rand);
-  g_autofree char *reason = NULL;
-  g_autoptr(WsJobSpec) first = ws_job_spec_parse(message, &reason);
+  g_autoptr(GError) error = NULL;
+  g_autoptr(WsJobSpec) first = ws_job_spec_parse(message, &error);
   g_assert_nonnull(first);
   g_autoptr(json_t) encoded = ws_job_spec_encode(first);
-  g_autoptr(WsJobSpec) second = ws_job_spec_parse(encoded, &reason);
+  g_autoptr(WsJobSpec) second = ws_job_spec_parse(encoded, &error);
   g_assert_nonnull(second);
   g_autoptr(json_t) again = ws_job_spec_encode(second);
   g_assert_true(json_equal(encoded, again));
@@ -46,9 +46,10 @@
   default:
     json_object_set_new(message, name, json_array());
   }
-  g_autofree char *reason = NULL;
-  g_assert_null(ws_job_spec_parse(message, &reason));
-  g_assert_nonnull(strstr(reason, name));
+  g_autoptr(GError) error = NULL;
+  g_assert_null(ws_job_spec_parse(message, &error));
+  g_assert_error(error, WS_ERROR, WS_ERROR_INVALID_FIELD);
+  g_assert_nonnull(strstr(error->message, name));
 }
 
 static void
@@ -63,20 +64,21 @@
 {
   g_autoptr(GRand) rand = g_rand_new_with_seed(5);
   g_autoptr(json_t) message = ws_gen_submission(rand);
-  g_autofree char *reason = NULL;
+  g_autoptr(GError) error = NULL;
   /* A nullable member may be missing, and an unknown one is ignored. */
   json_object_del(message, "typy");
   json_object_del(message, "hala");
   json_object_del(message, "termin_s");
   json_object_set_new(message, "novinka", json_true());
-  g_autoptr(WsJobSpec) submission = ws_job_spec_parse(message, &reason);
+  g_autoptr(WsJobSpec) submission = ws_job_spec_parse(message, &error);
   g_assert_nonnull(submission);
   g_assert_cmpfloat(submission->deadline_s, <, 0.0);
   json_object_set_new(message, "kusy", json_integer(100001));
-  g_assert_null(ws_job_spec_parse(message, &reason));
-  g_autofree char *reason_of_list = NULL;
+  g_assert_null(ws_job_spec_parse(message, &error));
+  g_autoptr(GError) list_error = NULL;
   g_autoptr(json_t) list = json_array();
-  g_assert_null(ws_job_spec_parse(list, &reason_of_list));
+  g_assert_null(ws_job_spec_parse(list, &list_error));
+  g_assert_error(list_error, WS_ERROR, WS_ERROR_MALFORMED);
   static const char *const BAD[] = { "", "req-", "job-1", "req-a/b", "req-a b", "req-../x" };
   for (guint i = 0; i < G_N_ELEMENTS(BAD); i++)
     g_assert_false(ws_job_id_valid(BAD[i]));
@@ -104,8 +106,8 @@
 test_report(void)
 {
   g_autoptr(json_t) message = ws_json_parse(REPORT, strlen(REPORT));
-  g_autofree char *reason = NULL;
-  g_autoptr(WsHeartbeat) report = ws_heartbeat_parse(message, &reason);
+  g_autoptr(GError) error = NULL;
+  g_autoptr(WsHeartbeat) report = ws_heartbeat_parse(message, &error);
   g_assert_nonnull(report);
   g_assert_cmpuint(report->fencing_token, ==, 41);
   g_assert_cmpuint(report->tasks->len, ==, 2);
@@ -125,9 +127,9 @@
   for (gint i = g_rand_int_range(rand, 1, 6); i > 0; i--)
     text[g_rand_int_range(rand, 0, sizeof REPORT - 1)] = (char)g_rand_int_range(rand, 32, 127);
   g_autoptr(json_t) message = ws_json_parse(text, strlen(text));
-  g_autofree char *reason = NULL;
-  g_autoptr(WsHeartbeat) report = ws_heartbeat_parse(message, &reason);
-  g_assert_true((report == NULL) == (reason != NULL));
+  g_autoptr(GError) error = NULL;
+  g_autoptr(WsHeartbeat) report = ws_heartbeat_parse(message, &error);
+  g_assert_true((report == NULL) == (error != NULL));
 }
 
 static void
@@ -189,11 +191,13 @@
     g_autoptr(json_t) message = ws_test_message(0);
     g_autoptr(json_t) more = ws_json_parse(CASES[i].json, strlen(CASES[i].json));
     json_object_update(json_object_get(json_object_get(message, "params"), CASES[i].section), more);
-    g_autofree char *reason = NULL;
-    g_autoptr(WsSettings) settings = ws_settings_parse(message, &reason);
+    g_autoptr(GError) error = NULL;
+    g_autoptr(WsSettings) settings = ws_settings_parse(message, &error);
     g_assert_true((settings == NULL) == (CASES[i].complaint != NULL));
-    if (settings == NULL)
-      g_assert_true(g_str_has_prefix(reason, CASES[i].complaint));
+    if (settings == NULL) {
+      g_assert_error(error, WS_ERROR, WS_ERROR_INVALID_SETTING);
+      g_assert_true(g_str_has_prefix(error->message, CASES[i].complaint));
+    }
     if (i == 0) {
       g_assert_cmpuint(settings->state_txn_ops, ==, 5);
       g_assert_cmpuint(settings->state_record_bytes, <=, 2048);
@@ -225,8 +229,8 @@
     json_object_set_new(task, "duvod",
                         CASES[i].why != NULL ? json_string(CASES[i].why) : json_null());
     json_object_set_new(task, "stored", json_boolean(i == 1));
-    g_autofree char *reason = NULL;
-    g_autoptr(WsHeartbeat) report = ws_heartbeat_parse(message, &reason);
+    g_autoptr(GError) error = NULL;
+    g_autoptr(WsHeartbeat) report = ws_heartbeat_parse(message, &error);
     g_assert_nonnull(report);
     const WsTaskStatus *first = &g_array_index(report->tasks, WsTaskStatus, 0);
     g_assert_cmpint(first->state, ==, CASES[i].parsed);
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -125,8 +125,8 @@
   g_autoptr(json_t) message = ws_test_message(0);
   json_t *state = json_object_get(json_object_get(message, "params"), "state");
   json_object_set_new(state, "next", json_pack("{s:f, s:i}", "value_kb", 1.0, "txn_ops", 4));
-  g_autofree char *reason = NULL;
-  g_autoptr(WsSettings) next = ws_settings_parse(message, &reason);
+  g_autoptr(GError) error = NULL;
+  g_autoptr(WsSettings) next = ws_settings_parse(message, &error);
   g_autoptr(WsSettings) present = ws_test_settings(0);
   g_assert_nonnull(next);
   g_assert_cmpuint(ws_team_use_groups(next), ==, ws_team_use_groups(present));
--- a/tests/ws-site.h
+++ b/tests/ws-site.h
@@ -33,8 +33,8 @@
 ws_test_settings(guint self)
 {
   g_autoptr(json_t) message = ws_test_message(self);
-  g_autofree char *reason = NULL;
-  WsSettings *settings = ws_settings_parse(message, &reason);
-  g_assert_cmpstr(reason, ==, NULL);
+  g_autoptr(GError) error = NULL;
+  WsSettings *settings = ws_settings_parse(message, &error);
+  g_assert_no_error(error);
   return settings;
 }
