--- a/tests/test-peer-messages.c
+++ b/tests/test-peer-messages.c
@@ -179,12 +179,23 @@
   return request;
 }
 
+/* The replica learns of the job by its final record. */
+static WsJobIndex
+add_job(WsReplica *replica, const char *id)
+{
+  WsJob job = { .tasks = 4 };
+  g_autofree char *key = ws_key_job(id);
+  g_autoptr(json_t) value = ws_job_encode_final(&job, WS_JOB_DONE);
+  ws_replica_apply(replica, key, value, 1);
+  return ws_replica_find_job(replica, id)->index;
+}
+
 static WsPeerRequest *
 release_new(WsReplica *replica)
 {
   WsPeerRequest *request = g_new0(WsPeerRequest, 1);
   request->kind = WS_PEER_REQUEST_RELEASE;
-  request->release.job = ws_replica_add_job(replica, "j1")->index;
+  request->release.job = add_job(replica, "j1");
   request->release.task = 3;
   request->release.attempt = 2;
   request->release.done = TRUE;
