--- a/src/context/ws-context.h
+++ b/src/context/ws-context.h
@@ -8,6 +8,7 @@
  */
 #pragma once
 
+#include "storage/ws-records.h"
 #include "storage/ws-replica.h"
 #include "context/ws-output.h"
 #include "protocol/ws-properties.h"
--- /dev/null
+++ b/src/storage/ws-chunk-record.c
@@ -0,0 +1,150 @@
+#include "storage/ws-chunk-record.h"
+
+#include <string.h>
+
+/* Stored field names. */
+#define FIELD_LAST_ATTEMPT "a"
+#define FIELD_ASSIGNMENTS "on"
+#define FIELD_COMPLETED "d" /* a bit for each task, in hexadecimal digits */
+
+/* Places in the array that is an assignment. */
+#define ITEM_TASK 0
+#define ITEM_MACHINE 1
+#define ITEM_ATTEMPT 2
+#define ITEM_ASSIGNED 3 /* left out where the record would be too large */
+
+/* Punctuation of an assignment in a chunk's record, and of the record around them. */
+#define BYTES_AROUND_ASSIGNMENT 7
+#define BYTES_AROUND_CHUNK 21
+/* Digits of a time of day in milliseconds, and its comma. */
+#define BYTES_OF_TIME 14
+/* An assignment on a machine with a long name, for the count of free places. */
+#define BYTES_OF_LONG_ASSIGNMENT 44
+
+static gsize
+count_digits(guint64 number)
+{
+  gsize digits = 1;
+  for (; number >= 10; number /= 10)
+    digits++;
+  return digits;
+}
+
+/* Bytes of the chunk's record without the times of its assignments. */
+static gsize
+bytes_without_times(const WsChunk *chunk, const WsReplica *replica)
+{
+  gsize bytes = BYTES_AROUND_CHUNK + count_digits(chunk->last_attempt) + 2 * sizeof chunk->done;
+  for (guint i = 0; i < chunk->assignments->len; i++) {
+    const WsAssignment *assignment = &g_array_index(chunk->assignments, WsAssignment, i);
+    const char *machine = ws_replica_machine(replica, assignment->machine)->name;
+    bytes += BYTES_AROUND_ASSIGNMENT + count_digits(assignment->task)
+             + count_digits(assignment->attempt) + strlen(machine);
+  }
+  return bytes;
+}
+
+/* An upper bound for any chunk of the replica. It is found without looking at the assignments,
+   since it is needed for each of hundreds of tasks in each transaction. */
+static gsize
+max_bytes_without_times(const WsReplica *replica)
+{
+  gsize max_digits = count_digits(G_MAXUINT64);
+  gsize assignment_bytes
+      = BYTES_AROUND_ASSIGNMENT + count_digits(WS_MAX_TASKS) + max_digits + replica->longest_name;
+  return BYTES_AROUND_CHUNK + max_digits + 2 * sizeof(((WsChunk *)NULL)->done)
+         + WS_CHUNK_TASKS * MAX(assignment_bytes, BYTES_OF_LONG_ASSIGNMENT);
+}
+
+gboolean
+ws_chunk_fits_record(const WsChunk *chunk, const WsReplica *replica)
+{
+  gsize max_bytes = replica->settings->state_record_bytes;
+  return max_bytes_without_times(replica) <= max_bytes
+         || bytes_without_times(chunk, replica) <= max_bytes;
+}
+
+guint
+ws_chunk_free_places(const WsChunk *chunk, const WsReplica *replica)
+{
+  gsize max_bytes = replica->settings->state_record_bytes;
+  if (max_bytes_without_times(replica) <= max_bytes)
+    return WS_CHUNK_TASKS;
+  gsize used_bytes = chunk != NULL ? bytes_without_times(chunk, replica) : BYTES_AROUND_CHUNK;
+  return used_bytes < max_bytes ? (guint)((max_bytes - used_bytes) / BYTES_OF_LONG_ASSIGNMENT) : 0;
+}
+
+json_t *
+ws_chunk_encode(const WsChunk *chunk, const WsReplica *replica)
+{
+  json_t *assignments = json_array();
+  gboolean has_times
+      = bytes_without_times(chunk, replica) + (gsize)BYTES_OF_TIME * chunk->assignments->len
+        <= replica->settings->state_record_bytes;
+  for (guint i = 0; i < chunk->assignments->len; i++) {
+    const WsAssignment *assignment = &g_array_index(chunk->assignments, WsAssignment, i);
+    json_t *item = json_pack("[i, s, I]", (int)assignment->task,
+                             ws_replica_machine(replica, assignment->machine)->name,
+                             (json_int_t)assignment->attempt);
+    if (has_times)
+      json_array_append_new(item, json_integer((json_int_t)assignment->assigned_ms));
+    json_array_append_new(assignments, item);
+  }
+  char hex[2 * sizeof chunk->done + 1];
+  for (guint i = 0; i < sizeof chunk->done; i++)
+    g_snprintf(hex + (gsize)2 * i, 3, "%02x", chunk->done[i]);
+  return json_pack("{s:I, s:o, s:s}", FIELD_LAST_ATTEMPT, (json_int_t)chunk->last_attempt,
+                   FIELD_ASSIGNMENTS, assignments, FIELD_COMPLETED, hex);
+}
+
+static gboolean
+parse_completed(WsChunk *chunk, const char *hex)
+{
+  if (strlen(hex) != 2 * sizeof chunk->done)
+    return FALSE;
+  for (guint i = 0; i < sizeof chunk->done; i++) {
+    gint high = g_ascii_xdigit_value(hex[(gsize)2 * i]);
+    gint low = g_ascii_xdigit_value(hex[(gsize)2 * i + 1]);
+    if (high < 0 || low < 0)
+      return FALSE;
+    chunk->done[i] = (guint8)(high << 4 | low);
+    for (guint bits = chunk->done[i]; bits != 0; bits &= bits - 1)
+      chunk->completed_count++;
+  }
+  return TRUE;
+}
+
+static gboolean
+parse_assignment(WsReplica *replica, const json_t *item, WsAssignment *assignment)
+{
+  const char *machine = json_string_value(json_array_get(item, ITEM_MACHINE));
+  if (machine == NULL)
+    return FALSE;
+  *assignment = (WsAssignment){
+    .task = (guint)json_integer_value(json_array_get(item, ITEM_TASK)),
+    .machine = ws_replica_get_machine(replica, machine)->index,
+    .attempt = (guint64)json_integer_value(json_array_get(item, ITEM_ATTEMPT)),
+    .assigned_ms = json_integer_value(json_array_get(item, ITEM_ASSIGNED)),
+  };
+  return TRUE;
+}
+
+WsChunk *
+ws_chunk_parse(WsReplica *replica, const json_t *value)
+{
+  g_autoptr(WsChunk) chunk = ws_chunk_copy(NULL);
+  const char *hex = "";
+  if (!ws_json_count(value, FIELD_LAST_ATTEMPT, &chunk->last_attempt)
+      || !ws_json_string(value, FIELD_COMPLETED, &hex) || !parse_completed(chunk, hex))
+    return NULL;
+  size_t i;
+  const json_t *item;
+  json_array_foreach(json_object_get(value, FIELD_ASSIGNMENTS), i, item)
+  {
+    WsAssignment assignment;
+    if (!parse_assignment(replica, item, &assignment))
+      return NULL;
+    ws_chunk_add(chunk, &assignment);
+  }
+  return g_steal_pointer(&chunk);
+}
--- a/src/storage/ws-chunk.h
+++ b/src/storage/ws-chunk.h
@@ -53,3 +53,5 @@
 gboolean ws_chunk_is_done(const WsChunk *chunk, guint task);
 
 void ws_chunk_free(WsChunk *chunk);
+
+G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsChunk, ws_chunk_free)
--- /dev/null
+++ b/src/storage/ws-replica-apply.c
@@ -0,0 +1,105 @@
+/* Versions of keys, and which record each key is. */
+#include "storage/ws-replica-internal.h"
+#include "storage/ws-team-use.h"
+
+#include <string.h>
+
+static void
+apply_value(WsReplica *replica, const char *key, const json_t *value)
+{
+  static const struct {
+    const char *prefix;
+    void (*apply)(WsReplica *, const char *, const json_t *);
+  } KINDS[] = { { WS_KEYS_JOB, ws_replica_apply_job },
+                { WS_KEYS_TASKS, ws_replica_apply_chunk },
+                { WS_KEYS_TEAM, ws_team_use_apply_single },
+                { WS_KEYS_TEAM_USE, ws_team_use_apply },
+                { WS_KEYS_RENTAL_BATCH, ws_replica_apply_rental_batch },
+                { WS_KEYS_MARK, ws_replica_apply_mark },
+                { WS_KEYS_RENTAL_INTENT, ws_replica_apply_rental_intent },
+                { WS_KEYS_MEMBER, ws_replica_apply_member },
+                { WS_KEYS_MAILBOX, ws_replica_apply_mailbox } };
+  if (strcmp(key, WS_KEY_EPOCH) == 0) {
+    ws_replica_apply_epoch(replica, value);
+    return;
+  }
+  if (strcmp(key, WS_KEY_LEADER) == 0) {
+    ws_replica_apply_leader(replica, value);
+    return;
+  }
+  if (strcmp(key, WS_KEY_CATALOG) == 0) {
+    GPtrArray *catalog = ws_catalog_parse(value);
+    if (catalog != NULL)
+      ws_replica_set_catalog(replica, catalog);
+    return;
+  }
+  for (gsize i = 0; i < G_N_ELEMENTS(KINDS); i++)
+    if (g_str_has_prefix(key, KINDS[i].prefix))
+      KINDS[i].apply(replica, key + strlen(KINDS[i].prefix), value);
+}
+
+static void
+note_removed(WsReplica *replica, const char *key, guint64 version)
+{
+  WsRemovedKey *removed = g_new0(WsRemovedKey, 1);
+  *removed = (WsRemovedKey){ g_strdup(key), version };
+  g_queue_push_tail(&replica->removed, removed);
+}
+
+gboolean
+ws_replica_apply(WsReplica *replica, const char *key, const json_t *value, guint64 version)
+{
+  WsKeyVersion *known = g_hash_table_lookup(replica->versions, key);
+  if (known != NULL && known->version >= version)
+    return FALSE;
+  if (known == NULL) {
+    known = g_new0(WsKeyVersion, 1);
+    g_hash_table_insert(replica->versions, g_strdup(key), known);
+  }
+  if (value == NULL)
+    note_removed(replica, key, version);
+  known->version = version;
+  known->present = value != NULL;
+  replica->applying = version;
+  apply_value(replica, key, value);
+  return TRUE;
+}
+
+void
+ws_replica_forget_missing(WsReplica *replica, GHashTable *read, guint64 revision)
+{
+  g_autoptr(GPtrArray) missing = g_ptr_array_new_with_free_func(g_free);
+  GHashTableIter iter;
+  gpointer key, value;
+  g_hash_table_iter_init(&iter, replica->versions);
+  while (g_hash_table_iter_next(&iter, &key, &value)) {
+    const WsKeyVersion *known = value;
+    if (known->present && known->version <= revision && !g_hash_table_contains(read, key))
+      g_ptr_array_add(missing, g_strdup(key));
+  }
+  for (guint i = 0; i < missing->len; i++) {
+    const char *name = g_ptr_array_index(missing, i);
+    WsKeyVersion *known = g_hash_table_lookup(replica->versions, name);
+    known->present = FALSE;
+    note_removed(replica, name, known->version);
+    apply_value(replica, name, NULL);
+  }
+}
+
+/* A removed key is remembered only until the watch has passed its removal: from then on no older
+   value of it can come. */
+void
+ws_replica_advance(WsReplica *replica, guint64 revision)
+{
+  if (revision <= replica->revision)
+    return;
+  replica->revision = revision;
+  WsRemovedKey *removed;
+  while ((removed = g_queue_peek_head(&replica->removed)) != NULL && removed->version <= revision) {
+    const WsKeyVersion *known = g_hash_table_lookup(replica->versions, removed->key);
+    if (known != NULL && !known->present && known->version <= revision)
+      g_hash_table_remove(replica->versions, removed->key);
+    g_free(removed->key);
+    g_free(g_queue_pop_head(&replica->removed));
+  }
+}
--- /dev/null
+++ b/src/storage/ws-replica-jobs.c
@@ -0,0 +1,194 @@
+/* The replica's jobs and their chunks: what their records change. */
+#include "storage/ws-chunk-record.h"
+#include "storage/ws-job-record.h"
+#include "storage/ws-replica-internal.h"
+
+#include <string.h>
+
+void
+ws_job_free(WsJob *job)
+{
+  for (guint i = 0; i < job->chunks->len; i++)
+    ws_chunk_free(g_ptr_array_index(job->chunks, i));
+  g_free(job->id);
+  ws_job_spec_free(job->spec);
+  g_ptr_array_unref(job->chunks);
+  g_free(job);
+}
+
+static void
+link_assignment(WsReplica *replica, WsJob *job, const WsAssignment *assignment)
+{
+  WsMachine *machine = ws_replica_machine(replica, assignment->machine);
+  WsTaskRef ref = { job->index, assignment->task };
+  g_array_append_val(machine->tasks, ref);
+  ws_resources_add(&machine->used, &job->spec->need, 1);
+  machine->fleet.empty_ms = 0;
+}
+
+static void
+unlink_assignment(WsReplica *replica, WsJob *job, const WsAssignment *assignment)
+{
+  WsMachine *machine = ws_replica_machine(replica, assignment->machine);
+  for (guint i = 0; i < machine->tasks->len; i++) {
+    const WsTaskRef *ref = &g_array_index(machine->tasks, WsTaskRef, i);
+    if (ref->job == job->index && ref->task == assignment->task) {
+      g_array_remove_index_fast(machine->tasks, i);
+      ws_resources_add(&machine->used, &job->spec->need, -1);
+      return;
+    }
+  }
+}
+
+static void
+unlink_chunk(WsReplica *replica, WsJob *job, guint index)
+{
+  WsChunk *old = index < job->chunks->len ? g_ptr_array_index(job->chunks, index) : NULL;
+  if (old == NULL)
+    return;
+  for (guint i = 0; i < old->assignments->len; i++)
+    unlink_assignment(replica, job, &g_array_index(old->assignments, WsAssignment, i));
+  job->assigned_count -= old->assignments->len;
+  job->completed_count -= old->completed_count;
+}
+
+/* What isn't stored survives a new version of the record; new assignments are noted for whoever
+   launches. */
+static void
+keep_status(WsReplica *replica, const WsJob *job, WsChunk *chunk, const WsChunk *old)
+{
+  for (guint i = 0; i < chunk->assignments->len; i++) {
+    WsAssignment *assignment = &g_array_index(chunk->assignments, WsAssignment, i);
+    const WsAssignment *known = ws_chunk_find(old, assignment->task);
+    if (known != NULL && known->attempt == assignment->attempt
+        && known->machine == assignment->machine) {
+      *assignment = *known;
+      continue;
+    }
+    assignment->since_version = replica->is_loading ? 0 : replica->applying;
+    WsTaskRef ref = { job->index, assignment->task };
+    g_array_append_val(replica->fresh, ref);
+    /* The machine's idle timeout begins anew. */
+    ws_replica_machine(replica, assignment->machine)->fleet.underused_ms = 0;
+  }
+}
+
+void
+ws_replica_replace_chunk(WsReplica *replica, WsJob *job, guint index, WsChunk *chunk)
+{
+  if (job->chunks->len <= index)
+    g_ptr_array_set_size(job->chunks, (gint)index + 1);
+  unlink_chunk(replica, job, index);
+  WsChunk *old = g_ptr_array_index(job->chunks, index);
+  if (chunk != NULL) {
+    keep_status(replica, job, chunk, old);
+    for (guint i = 0; i < chunk->assignments->len; i++)
+      link_assignment(replica, job, &g_array_index(chunk->assignments, WsAssignment, i));
+    job->assigned_count += chunk->assignments->len;
+    job->completed_count += chunk->completed_count;
+  }
+  g_ptr_array_index(job->chunks, index) = chunk;
+  ws_chunk_free(old);
+}
+
+static WsJob *
+add_job(WsReplica *replica, const char *id)
+{
+  WsJob *job = g_new0(WsJob, 1);
+  job->index = replica->jobs->len;
+  job->id = g_strdup(id);
+  job->chunks = g_ptr_array_new();
+  job->coordinator = WS_NO_NODE;
+  g_ptr_array_add(replica->jobs, job);
+  g_hash_table_insert(replica->job_index, job->id, job);
+  return job;
+}
+
+static void
+shrink_job(WsReplica *replica, WsJob *job)
+{
+  for (guint i = 0; i < job->chunks->len; i++)
+    ws_replica_replace_chunk(replica, job, i, NULL);
+  g_ptr_array_set_size(job->chunks, 0);
+  g_ptr_array_remove(replica->active, job);
+  ws_job_spec_free(job->spec);
+  job->spec = NULL;
+}
+
+/* Takes the specification. */
+static void
+describe_job(WsReplica *replica, WsJob *job, WsJobSpec *spec)
+{
+  job->spec = spec;
+  job->tasks = spec->tasks;
+  job->team = ws_replica_find_team(replica, spec->team);
+  job->image = ws_names_intern(&replica->images, spec->image);
+  job->zone = ws_replica_find_zone(replica, spec->zone);
+  g_ptr_array_add(replica->active, job);
+}
+
+static void
+finish_job(WsReplica *replica, WsJob *job, const WsJobRecord *record)
+{
+  if (job->spec != NULL)
+    shrink_job(replica, job);
+  if (record->has_task_count)
+    job->tasks = record->tasks;
+}
+
+static void
+parse_spec(WsReplica *replica, WsJob *job, const json_t *message)
+{
+  g_autoptr(GError) error = NULL;
+  WsJobSpec *spec = ws_job_spec_parse(message, &error);
+  if (spec != NULL)
+    describe_job(replica, job, spec);
+  else
+    g_warning("record of job %s: %s", job->id, error->message);
+}
+
+void
+ws_replica_apply_job(WsReplica *replica, const char *id, const json_t *value)
+{
+  WsJobRecord record;
+  if (value == NULL || !ws_job_record_parse(value, &record)) {
+    g_warning("record of job %s is %s", id, value == NULL ? "removed" : "damaged");
+    return;
+  }
+  WsJob *job = ws_replica_find_job(replica, id);
+  if (job == NULL)
+    job = add_job(replica, id);
+  gboolean is_newly_cancelled = record.state == WS_JOB_CANCELLED && job->state != WS_JOB_CANCELLED;
+  job->state = record.state;
+  if (record.spec == NULL) {
+    finish_job(replica, job, &record);
+    return;
+  }
+  job->accepted_ms = record.accepted_ms;
+  job->cancelled_ms = record.cancelled_ms;
+  if (is_newly_cancelled)
+    g_array_append_val(replica->cancelled, job->index);
+  job->coordinator = ws_settings_find_node(replica->settings, record.coordinator);
+  if (job->spec == NULL)
+    parse_spec(replica, job, record.spec);
+}
+
+void
+ws_replica_apply_chunk(WsReplica *replica, const char *name, const json_t *value)
+{
+  const char *slash = strrchr(name, '/');
+  if (slash == NULL)
+    return;
+  g_autofree char *id = g_strndup(name, (gsize)(slash - name));
+  WsJob *job = ws_replica_find_job(replica, id);
+  guint64 index;
+  if (job == NULL || job->spec == NULL
+      || !g_ascii_string_to_unsigned(slash + 1, 10, 0, ws_job_chunk_count(job) - 1, &index, NULL))
+    return;
+  WsChunk *chunk = value != NULL ? ws_chunk_parse(replica, value) : NULL;
+  if (value != NULL && chunk == NULL) {
+    g_warning("record of tasks %s is damaged", name);
+    return;
+  }
+  ws_replica_replace_chunk(replica, job, (guint)index, chunk);
+}
--- a/src/storage/ws-team-use.c
+++ b/src/storage/ws-team-use.c
@@ -7,6 +7,10 @@
 /* A record is filled to this part of the largest value, as names spread unevenly. */
 #define FILLED_PART 0.5
 
+/* Stored field names; amounts are in thousandths. */
+#define FIELD_CPUS "c"
+#define FIELD_GPUS "g"
+
 guint
 ws_team_use_groups(const WsSettings *settings)
 {
@@ -31,6 +35,13 @@
   return g_strdup_printf(WS_KEYS_TEAM_USE "%u", group);
 }
 
+static json_t *
+encode_amount(const WsResources *amount)
+{
+  return json_pack("{s:I, s:I}", FIELD_CPUS, (json_int_t)amount->cpus, FIELD_GPUS,
+                   (json_int_t)amount->gpus);
+}
+
 json_t *
 ws_team_use_encode(const WsSettings *settings, guint group, const WsResources *use)
 {
@@ -38,7 +49,7 @@
   for (guint t = 0; t < settings->teams->len; t++) {
     const WsTeamSettings *team = g_ptr_array_index(settings->teams, t);
     if (ws_team_use_group(settings, t) == group)
-      json_object_set_new(value, team->name, ws_resources_encode(&use[t]));
+      json_object_set_new(value, team->name, encode_amount(&use[t]));
   }
   return value;
 }
@@ -50,8 +61,8 @@
       || (!is_own_record && replica->team_is_recorded[team]))
     return;
   replica->team_is_recorded[team] = is_own_record;
-  replica->team_use[team].cpus = json_integer_value(json_object_get(amount, "c"));
-  replica->team_use[team].gpus = json_integer_value(json_object_get(amount, "g"));
+  replica->team_use[team].cpus = json_integer_value(json_object_get(amount, FIELD_CPUS));
+  replica->team_use[team].gpus = json_integer_value(json_object_get(amount, FIELD_GPUS));
 }
 
 void
--- a/tests/test-peer-messages.c
+++ b/tests/test-peer-messages.c
@@ -3,6 +3,7 @@
 #include "membership/ws-gossip-message.h"
 #include "membership/ws-peer-request-message.h"
 #include "membership/ws-relay-message.h"
+#include "storage/ws-records.h"
 #include "ws-site.h"
 
 #include <string.h>
--- a/tests/test-storage.c
+++ b/tests/test-storage.c
@@ -1,3 +1,4 @@
+#include "storage/ws-records.h"
 #include "storage/ws-team-use.h"
 #include "ws-gen.h"
 #include "ws-site.h"
