--- a/src/membership/ws-election.c
+++ b/src/membership/ws-election.c
@@ -5,7 +5,6 @@
 
 #include "store/ws-store.h"
 #include "protocol/ws-kv.h"
-#include "storage/ws-member-record.h"
 
 #define LEASE_MS 4000
 #define RENEW_INTERVAL_MS 900
@@ -201,7 +200,7 @@
   election->electing = TRUE;
   WsTxn *txn = ws_txn_new();
   ws_txn_compare(txn, core->replica, WS_KEY_LEADER);
-  ws_txn_put_leased(txn, WS_KEY_LEADER, ws_leader_encode(own_name(core), core->incarnation),
+  ws_txn_put_leased(txn, WS_KEY_LEADER, ws_leader_encode(core->incarnation, own_name(core)),
                     election->lease);
   ws_txn_commit(core, txn, WS_REQUEST_LEASE, on_elected, NULL);
 }
