--- a/src/protocol/ws-cloud.c
+++ b/src/protocol/ws-cloud.c
@@ -55,15 +55,16 @@
 parse_type(const json_t *item, WsType *type)
 {
   const char *name;
-  if (!ws_json_string(item, W_NAME, &name) || !capacity(item, "cpus", &type->capacity.cpus)
-      || !capacity(item, W_GPUS, &type->capacity.gpus)
-      || !capacity(item, "mem_gb", &type->capacity.memory)
-      || !ws_json_number(item, W_CACHE_GB, &type->cache_gb)
-      || !ws_json_number(item, W_FETCH_RATE, &type->fetch_gb_per_s)
-      || !ws_json_number(item, "price", &type->price)
-      || !ws_json_number(item, W_SPOT_PRICE, &type->spot_price)
-      || !ws_json_number(item, "boot_s", &type->boot_s)
-      || (type->zones = strings(json_object_get(item, "haly"))) == NULL)
+  if (!ws_json_string(item, WS_FIELD_TYPE_NAME, &name)
+      || !capacity(item, WS_FIELD_CPUS, &type->capacity.cpus)
+      || !capacity(item, WS_FIELD_GPUS, &type->capacity.gpus)
+      || !capacity(item, WS_FIELD_MEMORY_GB, &type->capacity.memory)
+      || !ws_json_number(item, WS_FIELD_CACHE_GB, &type->cache_gb)
+      || !ws_json_number(item, WS_FIELD_FETCH_RATE, &type->fetch_gb_per_s)
+      || !ws_json_number(item, WS_FIELD_PRICE, &type->price)
+      || !ws_json_number(item, WS_FIELD_SPOT_PRICE, &type->spot_price)
+      || !ws_json_number(item, WS_FIELD_BOOT_S, &type->boot_s)
+      || (type->zones = strings(json_object_get(item, WS_FIELD_ZONES))) == NULL)
     return FALSE;
   type->name = g_strdup(name);
   return TRUE;
@@ -72,7 +73,7 @@
 GPtrArray *
 ws_catalog_parse(const json_t *message)
 {
-  const json_t *list = json_object_get(message, W_TYPES);
+  const json_t *list = json_object_get(message, WS_FIELD_MACHINE_TYPES);
   if (!json_is_array(list))
     return NULL;
   g_autoptr(GPtrArray) types = g_ptr_array_new_with_free_func(type_free);
@@ -92,10 +93,12 @@
 parse_listed(const json_t *item, WsListedMachine *listed)
 {
   const char *id, *endpoint = NULL, *type, *zone, *state;
-  if (!ws_json_string(item, "id", &id) || !ws_json_string_or_null(item, "endpoint", &endpoint)
-      || !ws_json_string(item, W_TYPE, &type) || !ws_json_string(item, W_ZONE, &zone)
-      || !ws_json_bool(item, W_SPOT, &listed->spot) || !ws_json_string(item, W_STATE, &state)
-      || !ws_json_number(item, "age_s", &listed->age_s))
+  if (!ws_json_string(item, WS_FIELD_ID, &id)
+      || !ws_json_string_or_null(item, WS_FIELD_ENDPOINT, &endpoint)
+      || !ws_json_string(item, WS_FIELD_MACHINE_TYPE, &type)
+      || !ws_json_string(item, WS_FIELD_ZONE, &zone)
+      || !ws_json_bool(item, WS_FIELD_SPOT, &listed->spot) || !ws_json_string(item, W_STATE, &state)
+      || !ws_json_number(item, WS_FIELD_AGE_S, &listed->age_s))
     return FALSE;
   listed->id = g_strdup(id);
   listed->endpoint = g_strdup(endpoint);
@@ -108,8 +111,8 @@
 GPtrArray *
 ws_listing_parse(const json_t *message, gboolean *more)
 {
-  const json_t *list = json_object_get(message, W_MACHINES);
-  if (!json_is_array(list) || !ws_json_bool(message, "more", more))
+  const json_t *list = json_object_get(message, WS_FIELD_MACHINES);
+  if (!json_is_array(list) || !ws_json_bool(message, WS_FIELD_HAS_MORE, more))
     return NULL;
   g_autoptr(GPtrArray) machines = g_ptr_array_new_with_free_func(listed_free);
   size_t i;
@@ -127,7 +130,7 @@
 GPtrArray *
 ws_names_parse(const json_t *message)
 {
-  g_auto(GStrv) names = strings(json_object_get(message, W_MACHINES));
+  g_auto(GStrv) names = strings(json_object_get(message, WS_FIELD_MACHINES));
   if (names == NULL)
     return NULL;
   GPtrArray *list = g_ptr_array_new_with_free_func(g_free);
@@ -140,8 +143,8 @@
 ws_rental_encode(const char *request, const char *type, const char *zone, gboolean spot,
                  guint count)
 {
-  return json_pack("{s:s, s:s, s:s, s:b, s:i}", W_REQUEST, request, W_TYPE, type, W_ZONE, zone,
-                   W_SPOT, spot, "how_many", (int)count);
+  return json_pack("{s:s, s:s, s:s, s:b, s:i}", WS_FIELD_REQUEST, request, WS_FIELD_MACHINE_TYPE,
+                   type, WS_FIELD_ZONE, zone, WS_FIELD_SPOT, spot, WS_FIELD_COUNT, (int)count);
 }
 
 json_t *
@@ -150,5 +153,5 @@
   json_t *list = json_array();
   for (guint i = 0; i < machines->len; i++)
     json_array_append_new(list, json_string(g_ptr_array_index(machines, i)));
-  return json_pack("{s:o}", W_MACHINES, list);
+  return json_pack("{s:o}", WS_FIELD_MACHINES, list);
 }
--- a/src/protocol/ws-heartbeat.c
+++ b/src/protocol/ws-heartbeat.c
@@ -61,13 +61,15 @@
 parse_task(const json_t *item, WsTaskStatus *task)
 {
   const char *name, *state, *why = NULL;
-  if (!ws_json_string(item, W_TASK, &name) || !ws_json_count(item, W_ATTEMPT, &task->attempt)
-      || !ws_json_string(item, W_STATE, &state) || !ws_json_string_or_null(item, W_WHY, &why)
+  if (!ws_json_string(item, WS_FIELD_TASK, &name)
+      || !ws_json_count(item, WS_FIELD_ATTEMPT, &task->attempt)
+      || !ws_json_string(item, W_STATE, &state)
+      || !ws_json_string_or_null(item, WS_FIELD_EXIT_REASON, &why)
       || !task_state(state, &task->state) || !task_name(name, &task->job, &task->task))
     return FALSE;
   if (task->state == WS_TASK_EXITED)
     task->why = exit_reason(why);
-  task->saved = json_is_true(json_object_get(item, W_SAVED));
+  task->saved = json_is_true(json_object_get(item, WS_FIELD_IS_SAVED));
   return TRUE;
 }
 
@@ -80,16 +82,16 @@
 static const char *
 parse_tasks(const json_t *message, WsHeartbeat *heartbeat)
 {
-  const json_t *list = json_object_get(message, W_TASKS);
+  const json_t *list = json_object_get(message, WS_FIELD_TASKS);
   if (!json_is_array(list))
-    return W_TASKS;
+    return WS_FIELD_TASKS;
   size_t i;
   const json_t *item;
   json_array_foreach(list, i, item)
   {
     WsTaskStatus task = { 0 };
     if (!parse_task(item, &task))
-      return W_TASKS;
+      return WS_FIELD_TASKS;
     g_array_append_val(heartbeat->tasks, task);
   }
   return NULL;
@@ -99,25 +101,25 @@
 parse_members(const json_t *m, WsHeartbeat *r)
 {
   const char *machine, *endpoint, *type, *zone;
-  if (!ws_json_string(m, W_MACHINE, &machine) || *machine == '\0' || strlen(machine) > 100
+  if (!ws_json_string(m, WS_FIELD_MACHINE, &machine) || *machine == '\0' || strlen(machine) > 100
       || strpbrk(machine, " /") != NULL)
-    return W_MACHINE;
-  if (!ws_json_string(m, "endpoint", &endpoint))
-    return "endpoint";
-  if (!ws_json_string(m, W_TYPE, &type))
-    return W_TYPE;
-  if (!ws_json_string(m, W_ZONE, &zone))
-    return W_ZONE;
-  if (!ws_json_bool(m, W_SPOT, &r->spot))
-    return W_SPOT;
-  if (!ws_json_count(m, W_INCARNATION, &r->incarnation))
-    return W_INCARNATION;
-  if (!ws_json_count(m, W_SEQUENCE, &r->sequence))
-    return W_SEQUENCE;
-  if (!ws_json_count(m, W_FENCING_TOKEN, &r->fencing_token))
-    return W_FENCING_TOKEN;
-  if (!ws_json_number_or_null(m, W_NOTICE, &r->interruption_s))
-    return W_NOTICE;
+    return WS_FIELD_MACHINE;
+  if (!ws_json_string(m, WS_FIELD_ENDPOINT, &endpoint))
+    return WS_FIELD_ENDPOINT;
+  if (!ws_json_string(m, WS_FIELD_MACHINE_TYPE, &type))
+    return WS_FIELD_MACHINE_TYPE;
+  if (!ws_json_string(m, WS_FIELD_ZONE, &zone))
+    return WS_FIELD_ZONE;
+  if (!ws_json_bool(m, WS_FIELD_SPOT, &r->spot))
+    return WS_FIELD_SPOT;
+  if (!ws_json_count(m, WS_FIELD_INCARNATION, &r->incarnation))
+    return WS_FIELD_INCARNATION;
+  if (!ws_json_count(m, WS_FIELD_SEQUENCE, &r->sequence))
+    return WS_FIELD_SEQUENCE;
+  if (!ws_json_count(m, WS_FIELD_FENCING_TOKEN, &r->fencing_token))
+    return WS_FIELD_FENCING_TOKEN;
+  if (!ws_json_number_or_null(m, WS_FIELD_INTERRUPTION_S, &r->interruption_s))
+    return WS_FIELD_INTERRUPTION_S;
   r->machine = g_strdup(machine);
   r->endpoint = g_strdup(endpoint);
   r->type = g_strdup(type);
@@ -173,34 +175,35 @@
 {
   static const char *const OPS[] = { "launch", "halt", "reap" };
   g_autofree char *name = g_strdup_printf("%s/%u", job, task);
-  json_t *command
-      = json_pack("{s:s, s:s, s:I}", W_OP, OPS[op], W_TASK, name, W_ATTEMPT, (json_int_t)attempt);
+  json_t *command = json_pack("{s:s, s:s, s:I}", WS_FIELD_OPERATION, OPS[op], WS_FIELD_TASK, name,
+                              WS_FIELD_ATTEMPT, (json_int_t)attempt);
   if (op == WS_OP_HALT)
-    json_object_set_new(command, W_GRACE, json_real(grace_s));
+    json_object_set_new(command, WS_FIELD_GRACE_S, json_real(grace_s));
   return command;
 }
 
 json_t *
 ws_heartbeat_answer_encode(guint64 fencing_token, json_t *commands)
 {
-  return json_pack("{s:I, s:o}", W_FENCING_TOKEN, (json_int_t)fencing_token, W_COMMANDS, commands);
+  return json_pack("{s:I, s:o}", WS_FIELD_FENCING_TOKEN, (json_int_t)fencing_token,
+                   WS_FIELD_COMMANDS, commands);
 }
 
 json_t *
 ws_heartbeat_answer_commands(const json_t *answer)
 {
-  return json_object_get(answer, W_COMMANDS);
+  return json_object_get(answer, WS_FIELD_COMMANDS);
 }
 
 json_t *
 ws_commands_encode(guint64 fencing_token, guint64 incarnation, json_t *commands)
 {
-  return json_pack("{s:I, s:I, s:o}", W_FENCING_TOKEN, (json_int_t)fencing_token, W_INCARNATION,
-                   (json_int_t)incarnation, W_COMMANDS, commands);
+  return json_pack("{s:I, s:I, s:o}", WS_FIELD_FENCING_TOKEN, (json_int_t)fencing_token,
+                   WS_FIELD_INCARNATION, (json_int_t)incarnation, WS_FIELD_COMMANDS, commands);
 }
 
 json_t *
 ws_redirect_encode(const char *node)
 {
-  return node == NULL ? json_object() : json_pack("{s:s}", W_REPORT_TO, node);
+  return node == NULL ? json_object() : json_pack("{s:s}", WS_FIELD_REDIRECT, node);
 }
--- a/src/protocol/ws-job-spec.c
+++ b/src/protocol/ws-job-spec.c
@@ -78,7 +78,7 @@
 static gboolean
 types(const json_t *message, char ***value)
 {
-  const json_t *list = json_object_get(message, W_TYPES);
+  const json_t *list = json_object_get(message, WS_FIELD_MACHINE_TYPES);
   if (list == NULL || json_is_null(list))
     return TRUE;
   if (!json_is_array(list) || json_array_size(list) > 1000)
@@ -100,7 +100,7 @@
 tasks(const json_t *message, guint *value)
 {
   guint64 count;
-  if (!ws_json_count(message, W_TASKS, &count) || count < 1 || count > WS_MAX_TASKS)
+  if (!ws_json_count(message, WS_FIELD_TASKS, &count) || count < 1 || count > WS_MAX_TASKS)
     return FALSE;
   *value = (guint)count;
   return TRUE;
@@ -109,14 +109,14 @@
 static gboolean
 id(const json_t *message, char **value)
 {
-  return text(message, "id", value) && ws_job_id_valid(*value);
+  return text(message, WS_FIELD_ID, value) && ws_job_id_valid(*value);
 }
 
 static gboolean
 deadline(const json_t *message, double *value)
 {
   *value = -1.0;
-  return ws_json_number_or_null(message, W_DEADLINE, value) && *value <= MAX_AMOUNT
+  return ws_json_number_or_null(message, WS_FIELD_DEADLINE_S, value) && *value <= MAX_AMOUNT
          && (*value >= 0.0 || *value == -1.0);
 }
 
@@ -124,7 +124,7 @@
 zone(const json_t *message, char **value)
 {
   const char *found = NULL;
-  if (!ws_json_string_or_null(message, W_ZONE, &found))
+  if (!ws_json_string_or_null(message, WS_FIELD_ZONE, &found))
     return FALSE;
   *value = g_strdup(found);
   return TRUE;
@@ -135,27 +135,27 @@
 read_members(const json_t *m, WsJobSpec *s)
 {
   guint kind = 0, priority = 0;
-  const char *bad = !id(m, &s->id)                                ? "id"
-                    : !text(m, W_CLASS, &s->class_name)           ? W_CLASS
-                    : !text(m, W_TEAM, &s->team)                  ? W_TEAM
-                    : !word(m, W_KIND, KINDS, &kind)              ? W_KIND
-                    : !word(m, W_PRIORITY, PRIORITIES, &priority) ? W_PRIORITY
-                    : !tasks(m, &s->tasks)                        ? W_TASKS
-                    : !amount(m, "cpus", &s->need.cpus)           ? "cpus"
-                    : !amount(m, W_GPUS, &s->need.gpus)           ? W_GPUS
-                    : !amount(m, "mem_gb", &s->need.memory)       ? "mem_gb"
-                    : !text(m, W_IMAGE, &s->image)                ? W_IMAGE
-                    : !seconds(m, W_IMAGE_GB, &s->image_gb)       ? W_IMAGE_GB
-                    : !types(m, &s->types)                        ? W_TYPES
-                    : !zone(m, &s->zone)                          ? W_ZONE
-                    : !ws_json_bool(m, "one_zone", &s->one_zone)  ? "one_zone"
-                    : !ws_json_bool(m, W_SPREAD, &s->spread)      ? W_SPREAD
-                    : !ws_json_bool(m, W_SPOT, &s->spot)          ? W_SPOT
-                    : !seconds(m, W_ESTIMATE, &s->estimate_s)     ? W_ESTIMATE
-                    : !seconds(m, W_CHECKPOINT, &s->checkpoint_s) ? W_CHECKPOINT
-                    : !seconds(m, W_SAVE, &s->save_s)             ? W_SAVE
-                    : !deadline(m, &s->deadline_s)                ? W_DEADLINE
-                                                                  : NULL;
+  const char *bad = !id(m, &s->id)                                         ? WS_FIELD_ID
+                    : !text(m, WS_FIELD_CLASS, &s->class_name)             ? WS_FIELD_CLASS
+                    : !text(m, WS_FIELD_TEAM, &s->team)                    ? WS_FIELD_TEAM
+                    : !word(m, WS_FIELD_KIND, KINDS, &kind)                ? WS_FIELD_KIND
+                    : !word(m, WS_FIELD_PRIORITY, PRIORITIES, &priority)   ? WS_FIELD_PRIORITY
+                    : !tasks(m, &s->tasks)                                 ? WS_FIELD_TASKS
+                    : !amount(m, WS_FIELD_CPUS, &s->need.cpus)             ? WS_FIELD_CPUS
+                    : !amount(m, WS_FIELD_GPUS, &s->need.gpus)             ? WS_FIELD_GPUS
+                    : !amount(m, WS_FIELD_MEMORY_GB, &s->need.memory)      ? WS_FIELD_MEMORY_GB
+                    : !text(m, WS_FIELD_IMAGE, &s->image)                  ? WS_FIELD_IMAGE
+                    : !seconds(m, WS_FIELD_IMAGE_GB, &s->image_gb)         ? WS_FIELD_IMAGE_GB
+                    : !types(m, &s->types)                                 ? WS_FIELD_MACHINE_TYPES
+                    : !zone(m, &s->zone)                                   ? WS_FIELD_ZONE
+                    : !ws_json_bool(m, WS_FIELD_ONE_ZONE, &s->one_zone)    ? WS_FIELD_ONE_ZONE
+                    : !ws_json_bool(m, WS_FIELD_SPREAD, &s->spread)        ? WS_FIELD_SPREAD
+                    : !ws_json_bool(m, WS_FIELD_SPOT, &s->spot)            ? WS_FIELD_SPOT
+                    : !seconds(m, WS_FIELD_ESTIMATE_S, &s->estimate_s)     ? WS_FIELD_ESTIMATE_S
+                    : !seconds(m, WS_FIELD_CHECKPOINT_S, &s->checkpoint_s) ? WS_FIELD_CHECKPOINT_S
+                    : !seconds(m, WS_FIELD_SAVE_S, &s->save_s)             ? WS_FIELD_SAVE_S
+                    : !deadline(m, &s->deadline_s)                         ? WS_FIELD_DEADLINE_S
+                                                                           : NULL;
   s->kind = (WsKind)kind;
   s->priority = (WsPriority)priority;
   return bad;
@@ -197,23 +197,24 @@
 json_t *
 ws_job_spec_encode(const WsJobSpec *s)
 {
-  json_t *m = json_pack("{s:s, s:s, s:s, s:s, s:s, s:i}", "id", s->id, W_CLASS, s->class_name,
-                        W_TEAM, s->team, W_KIND, KINDS[s->kind], W_PRIORITY,
-                        PRIORITIES[s->priority], W_TASKS, (int)s->tasks);
-  json_object_set_new(m, "cpus", decimal(s->need.cpus));
-  json_object_set_new(m, W_GPUS, decimal(s->need.gpus));
-  json_object_set_new(m, "mem_gb", decimal(s->need.memory));
-  json_object_set_new(m, W_IMAGE, json_string(s->image));
-  json_object_set_new(m, W_IMAGE_GB, json_real(s->image_gb));
-  json_object_set_new(m, W_TYPES, encode_types(s->types));
-  json_object_set_new(m, W_ZONE, s->zone != NULL ? json_string(s->zone) : json_null());
-  json_object_set_new(m, "one_zone", json_boolean(s->one_zone));
-  json_object_set_new(m, W_SPREAD, json_boolean(s->spread));
-  json_object_set_new(m, W_SPOT, json_boolean(s->spot));
-  json_object_set_new(m, W_ESTIMATE, json_real(s->estimate_s));
-  json_object_set_new(m, W_CHECKPOINT, json_real(s->checkpoint_s));
-  json_object_set_new(m, W_SAVE, json_real(s->save_s));
-  json_object_set_new(m, W_DEADLINE, s->deadline_s >= 0.0 ? json_real(s->deadline_s) : json_null());
+  json_t *m = json_pack("{s:s, s:s, s:s, s:s, s:s, s:i}", WS_FIELD_ID, s->id, WS_FIELD_CLASS,
+                        s->class_name, WS_FIELD_TEAM, s->team, WS_FIELD_KIND, KINDS[s->kind],
+                        WS_FIELD_PRIORITY, PRIORITIES[s->priority], WS_FIELD_TASKS, (int)s->tasks);
+  json_object_set_new(m, WS_FIELD_CPUS, decimal(s->need.cpus));
+  json_object_set_new(m, WS_FIELD_GPUS, decimal(s->need.gpus));
+  json_object_set_new(m, WS_FIELD_MEMORY_GB, decimal(s->need.memory));
+  json_object_set_new(m, WS_FIELD_IMAGE, json_string(s->image));
+  json_object_set_new(m, WS_FIELD_IMAGE_GB, json_real(s->image_gb));
+  json_object_set_new(m, WS_FIELD_MACHINE_TYPES, encode_types(s->types));
+  json_object_set_new(m, WS_FIELD_ZONE, s->zone != NULL ? json_string(s->zone) : json_null());
+  json_object_set_new(m, WS_FIELD_ONE_ZONE, json_boolean(s->one_zone));
+  json_object_set_new(m, WS_FIELD_SPREAD, json_boolean(s->spread));
+  json_object_set_new(m, WS_FIELD_SPOT, json_boolean(s->spot));
+  json_object_set_new(m, WS_FIELD_ESTIMATE_S, json_real(s->estimate_s));
+  json_object_set_new(m, WS_FIELD_CHECKPOINT_S, json_real(s->checkpoint_s));
+  json_object_set_new(m, WS_FIELD_SAVE_S, json_real(s->save_s));
+  json_object_set_new(m, WS_FIELD_DEADLINE_S,
+                      s->deadline_s >= 0.0 ? json_real(s->deadline_s) : json_null());
   return m;
 }
 
