--- a/src/protocol/ws-cloud.c
+++ b/src/protocol/ws-cloud.c
@@ -2,8 +2,6 @@
 
 #include "protocol/ws-field-names.h"
 
-#include <math.h>
-
 static void
 type_free(gpointer data)
 {
@@ -24,47 +22,20 @@
   g_free(listed);
 }
 
-static gboolean
-capacity(const json_t *item, const char *name, gint64 *value)
-{
-  double number;
-  if (!ws_json_number(item, name, &number) || !(number >= 0.0 && number < 1e9))
-    return FALSE;
-  *value = (gint64)floor(number * 1000.0 + 1e-6);
-  return TRUE;
-}
-
-static char **
-strings(const json_t *list)
-{
-  if (!json_is_array(list))
-    return NULL;
-  g_autoptr(GStrvBuilder) builder = g_strv_builder_new();
-  size_t i;
-  const json_t *item;
-  json_array_foreach(list, i, item)
-  {
-    if (!json_is_string(item))
-      return NULL;
-    g_strv_builder_add(builder, json_string_value(item));
-  }
-  return g_strv_builder_end(builder);
-}
-
 static gboolean
 parse_type(const json_t *item, WsType *type)
 {
   const char *name;
   if (!ws_json_string(item, WS_FIELD_TYPE_NAME, &name)
-      || !capacity(item, WS_FIELD_CPUS, &type->capacity.cpus)
-      || !capacity(item, WS_FIELD_GPUS, &type->capacity.gpus)
-      || !capacity(item, WS_FIELD_MEMORY_GB, &type->capacity.memory)
+      || !ws_amount_parse_capacity(item, WS_FIELD_CPUS, &type->capacity.cpus)
+      || !ws_amount_parse_capacity(item, WS_FIELD_GPUS, &type->capacity.gpus)
+      || !ws_amount_parse_capacity(item, WS_FIELD_MEMORY_GB, &type->capacity.memory)
       || !ws_json_number(item, WS_FIELD_CACHE_GB, &type->cache_gb)
       || !ws_json_number(item, WS_FIELD_FETCH_RATE, &type->fetch_gb_per_s)
       || !ws_json_number(item, WS_FIELD_PRICE, &type->price)
       || !ws_json_number(item, WS_FIELD_SPOT_PRICE, &type->spot_price)
       || !ws_json_number(item, WS_FIELD_BOOT_S, &type->boot_s)
-      || (type->zones = strings(json_object_get(item, WS_FIELD_ZONES))) == NULL)
+      || (type->zones = ws_json_string_list(json_object_get(item, WS_FIELD_ZONES))) == NULL)
     return FALSE;
   type->name = g_strdup(name);
   return TRUE;
@@ -130,7 +101,7 @@
 GPtrArray *
 ws_names_parse(const json_t *message)
 {
-  g_auto(GStrv) names = strings(json_object_get(message, WS_FIELD_MACHINES));
+  g_auto(GStrv) names = ws_json_string_list(json_object_get(message, WS_FIELD_MACHINES));
   if (names == NULL)
     return NULL;
   GPtrArray *list = g_ptr_array_new_with_free_func(g_free);
--- a/src/protocol/ws-job-spec.c
+++ b/src/protocol/ws-job-spec.c
@@ -2,102 +2,74 @@
 
 #include "protocol/ws-field-names.h"
 
-#include <math.h>
 #include <string.h>
 
 static const char *const KINDS[] = { "sweep", "service", "group", NULL };
 static const char *const PRIORITIES[] = { "critical", "urgent", "standard", "best_effort", NULL };
 
-/* Far above any machine; keeps sums of 100,000 tasks within 64 bits. */
-#define MAX_AMOUNT 1e9
+#define MAX_SECONDS 1e9
+#define MAX_TEXT_BYTES 200
+#define MAX_MACHINE_TYPES 1000
+#define NO_DEADLINE_S (-1.0)
+#define JOB_ID_PREFIX "req-"
+#define MAX_JOB_ID_BYTES 64
 
 gboolean
 ws_job_id_valid(const char *id)
 {
-  if (id == NULL || !g_str_has_prefix(id, "req-") || id[4] == '\0' || strlen(id) > 64)
+  if (id == NULL || !g_str_has_prefix(id, JOB_ID_PREFIX) || strlen(id) > MAX_JOB_ID_BYTES)
     return FALSE;
-  for (const char *at = id + 4; *at != '\0'; at++)
-    if (!g_ascii_isalnum(*at))
-      return FALSE;
-  return TRUE;
-}
-
-gboolean
-ws_resources_fit(const WsResources *need, const WsResources *room)
-{
-  return need->cpus <= room->cpus && need->gpus <= room->gpus && need->memory <= room->memory;
-}
-
-void
-ws_resources_add(WsResources *sum, const WsResources *part, gint64 times)
-{
-  sum->cpus += part->cpus * times;
-  sum->gpus += part->gpus * times;
-  sum->memory += part->memory * times;
-}
-
-static gboolean
-amount(const json_t *message, const char *name, gint64 *value)
-{
-  double number;
-  if (!ws_json_number(message, name, &number) || !(number >= 0.0 && number <= MAX_AMOUNT))
+  const char *rest = id + strlen(JOB_ID_PREFIX);
+  if (*rest == '\0')
     return FALSE;
-  /* Rounded up: a need is never taken for less than it is. The slack forgives binary fractions. */
-  *value = (gint64)ceil(number * 1000.0 - 1e-6);
+  for (; *rest != '\0'; rest++)
+    if (!g_ascii_isalnum(*rest))
+      return FALSE;
   return TRUE;
 }
 
 static gboolean
-seconds(const json_t *message, const char *name, double *value)
+parse_seconds(const json_t *message, const char *name, double *value)
 {
-  return ws_json_number(message, name, value) && *value >= 0.0 && *value <= MAX_AMOUNT;
+  return ws_json_number(message, name, value) && *value >= 0.0 && *value <= MAX_SECONDS;
 }
 
 static gboolean
-word(const json_t *message, const char *name, const char *const *words, guint *value)
+parse_name(const json_t *message, const char *name, const char *const *names, guint *index)
 {
   const char *text;
   if (!ws_json_string(message, name, &text))
     return FALSE;
-  for (*value = 0; words[*value] != NULL; ++*value)
-    if (strcmp(words[*value], text) == 0)
+  for (*index = 0; names[*index] != NULL; ++*index)
+    if (strcmp(names[*index], text) == 0)
       return TRUE;
   return FALSE;
 }
 
 static gboolean
-text(const json_t *message, const char *name, char **value)
+parse_text(const json_t *message, const char *name, char **value)
 {
   const char *found;
-  if (!ws_json_string(message, name, &found) || *found == '\0' || strlen(found) > 200)
+  if (!ws_json_string(message, name, &found) || *found == '\0' || strlen(found) > MAX_TEXT_BYTES)
     return FALSE;
   *value = g_strdup(found);
   return TRUE;
 }
 
 static gboolean
-types(const json_t *message, char ***value)
+parse_types(const json_t *message, char ***value)
 {
   const json_t *list = json_object_get(message, WS_FIELD_MACHINE_TYPES);
   if (list == NULL || json_is_null(list))
     return TRUE;
-  if (!json_is_array(list) || json_array_size(list) > 1000)
+  if (json_array_size(list) > MAX_MACHINE_TYPES)
     return FALSE;
-  g_autoptr(GStrvBuilder) builder = g_strv_builder_new();
-  size_t i;
-  const json_t *item;
-  json_array_foreach(list, i, item)
-  {
-    if (!json_is_string(item))
-      return FALSE;
-    g_strv_builder_add(builder, json_string_value(item));
-  }
-  *value = g_strv_builder_end(builder);
-  return TRUE;
+  *value = ws_json_string_list(list);
+  return *value != NULL;
 }
 
 static gboolean
-tasks(const json_t *message, guint *value)
+parse_tasks(const json_t *message, guint *value)
 {
   guint64 count;
   if (!ws_json_count(message, WS_FIELD_TASKS, &count) || count < 1 || count > WS_MAX_TASKS)
@@ -107,21 +79,21 @@
 }
 
 static gboolean
-id(const json_t *message, char **value)
+parse_id(const json_t *message, char **value)
 {
-  return text(message, WS_FIELD_ID, value) && ws_job_id_valid(*value);
+  return parse_text(message, WS_FIELD_ID, value) && ws_job_id_valid(*value);
 }
 
 static gboolean
-deadline(const json_t *message, double *value)
+parse_deadline(const json_t *message, double *value)
 {
-  *value = -1.0;
-  return ws_json_number_or_null(message, WS_FIELD_DEADLINE_S, value) && *value <= MAX_AMOUNT
-         && (*value >= 0.0 || *value == -1.0);
+  *value = NO_DEADLINE_S;
+  return ws_json_number_or_null(message, WS_FIELD_DEADLINE_S, value) && *value <= MAX_SECONDS
+         && (*value >= 0.0 || *value == NO_DEADLINE_S);
 }
 
 static gboolean
-zone(const json_t *message, char **value)
+parse_zone(const json_t *message, char **value)
 {
   const char *found = NULL;
   if (!ws_json_string_or_null(message, WS_FIELD_ZONE, &found))
@@ -132,30 +104,31 @@
 
 /* The name of the first member that is missing or invalid, or NULL. */
 static const char *
-read_members(const json_t *m, WsJobSpec *s)
+parse_members(const json_t *m, WsJobSpec *s)
 {
   guint kind = 0, priority = 0;
-  const char *bad = !id(m, &s->id)                                         ? WS_FIELD_ID
-                    : !text(m, WS_FIELD_CLASS, &s->class_name)             ? WS_FIELD_CLASS
-                    : !text(m, WS_FIELD_TEAM, &s->team)                    ? WS_FIELD_TEAM
-                    : !word(m, WS_FIELD_KIND, KINDS, &kind)                ? WS_FIELD_KIND
-                    : !word(m, WS_FIELD_PRIORITY, PRIORITIES, &priority)   ? WS_FIELD_PRIORITY
-                    : !tasks(m, &s->tasks)                                 ? WS_FIELD_TASKS
-                    : !amount(m, WS_FIELD_CPUS, &s->need.cpus)             ? WS_FIELD_CPUS
-                    : !amount(m, WS_FIELD_GPUS, &s->need.gpus)             ? WS_FIELD_GPUS
-                    : !amount(m, WS_FIELD_MEMORY_GB, &s->need.memory)      ? WS_FIELD_MEMORY_GB
-                    : !text(m, WS_FIELD_IMAGE, &s->image)                  ? WS_FIELD_IMAGE
-                    : !seconds(m, WS_FIELD_IMAGE_GB, &s->image_gb)         ? WS_FIELD_IMAGE_GB
-                    : !types(m, &s->types)                                 ? WS_FIELD_MACHINE_TYPES
-                    : !zone(m, &s->zone)                                   ? WS_FIELD_ZONE
-                    : !ws_json_bool(m, WS_FIELD_ONE_ZONE, &s->one_zone)    ? WS_FIELD_ONE_ZONE
-                    : !ws_json_bool(m, WS_FIELD_SPREAD, &s->spread)        ? WS_FIELD_SPREAD
-                    : !ws_json_bool(m, WS_FIELD_SPOT, &s->spot)            ? WS_FIELD_SPOT
-                    : !seconds(m, WS_FIELD_ESTIMATE_S, &s->estimate_s)     ? WS_FIELD_ESTIMATE_S
-                    : !seconds(m, WS_FIELD_CHECKPOINT_S, &s->checkpoint_s) ? WS_FIELD_CHECKPOINT_S
-                    : !seconds(m, WS_FIELD_SAVE_S, &s->save_s)             ? WS_FIELD_SAVE_S
-                    : !deadline(m, &s->deadline_s)                         ? WS_FIELD_DEADLINE_S
-                                                                           : NULL;
+  const char *bad
+      = !parse_id(m, &s->id)                                            ? WS_FIELD_ID
+        : !parse_text(m, WS_FIELD_CLASS, &s->class_name)                ? WS_FIELD_CLASS
+        : !parse_text(m, WS_FIELD_TEAM, &s->team)                       ? WS_FIELD_TEAM
+        : !parse_name(m, WS_FIELD_KIND, KINDS, &kind)                   ? WS_FIELD_KIND
+        : !parse_name(m, WS_FIELD_PRIORITY, PRIORITIES, &priority)      ? WS_FIELD_PRIORITY
+        : !parse_tasks(m, &s->tasks)                                    ? WS_FIELD_TASKS
+        : !ws_amount_parse_need(m, WS_FIELD_CPUS, &s->need.cpus)        ? WS_FIELD_CPUS
+        : !ws_amount_parse_need(m, WS_FIELD_GPUS, &s->need.gpus)        ? WS_FIELD_GPUS
+        : !ws_amount_parse_need(m, WS_FIELD_MEMORY_GB, &s->need.memory) ? WS_FIELD_MEMORY_GB
+        : !parse_text(m, WS_FIELD_IMAGE, &s->image)                     ? WS_FIELD_IMAGE
+        : !parse_seconds(m, WS_FIELD_IMAGE_GB, &s->image_gb)            ? WS_FIELD_IMAGE_GB
+        : !parse_types(m, &s->types)                                    ? WS_FIELD_MACHINE_TYPES
+        : !parse_zone(m, &s->zone)                                      ? WS_FIELD_ZONE
+        : !ws_json_bool(m, WS_FIELD_ONE_ZONE, &s->one_zone)             ? WS_FIELD_ONE_ZONE
+        : !ws_json_bool(m, WS_FIELD_SPREAD, &s->spread)                 ? WS_FIELD_SPREAD
+        : !ws_json_bool(m, WS_FIELD_SPOT, &s->spot)                     ? WS_FIELD_SPOT
+        : !parse_seconds(m, WS_FIELD_ESTIMATE_S, &s->estimate_s)        ? WS_FIELD_ESTIMATE_S
+        : !parse_seconds(m, WS_FIELD_CHECKPOINT_S, &s->checkpoint_s)    ? WS_FIELD_CHECKPOINT_S
+        : !parse_seconds(m, WS_FIELD_SAVE_S, &s->save_s)                ? WS_FIELD_SAVE_S
+        : !parse_deadline(m, &s->deadline_s)                            ? WS_FIELD_DEADLINE_S
+                                                                        : NULL;
   s->kind = (WsKind)kind;
   s->priority = (WsPriority)priority;
   return bad;
@@ -168,23 +141,17 @@
     ws_error_set_not_object(error);
     return NULL;
   }
-  g_autoptr(WsJobSpec) submission = g_new0(WsJobSpec, 1);
-  const char *bad = read_members(message, submission);
+  g_autoptr(WsJobSpec) spec = g_new0(WsJobSpec, 1);
+  const char *bad = parse_members(message, spec);
   if (bad != NULL) {
     ws_error_set_invalid(error, WS_ERROR_INVALID_FIELD, bad);
     return NULL;
   }
-  return g_steal_pointer(&submission);
-}
-
-static json_t *
-decimal(gint64 thousandths)
-{
-  return json_real((double)thousandths / 1000.0);
+  return g_steal_pointer(&spec);
 }
 
 static json_t *
-encode_types(char **names)
+encode_types(char *const *names)
 {
   if (names == NULL)
     return json_null();
@@ -200,9 +167,9 @@
   json_t *m = json_pack("{s:s, s:s, s:s, s:s, s:s, s:i}", WS_FIELD_ID, s->id, WS_FIELD_CLASS,
                         s->class_name, WS_FIELD_TEAM, s->team, WS_FIELD_KIND, KINDS[s->kind],
                         WS_FIELD_PRIORITY, PRIORITIES[s->priority], WS_FIELD_TASKS, (int)s->tasks);
-  json_object_set_new(m, WS_FIELD_CPUS, decimal(s->need.cpus));
-  json_object_set_new(m, WS_FIELD_GPUS, decimal(s->need.gpus));
-  json_object_set_new(m, WS_FIELD_MEMORY_GB, decimal(s->need.memory));
+  json_object_set_new(m, WS_FIELD_CPUS, ws_amount_encode(s->need.cpus));
+  json_object_set_new(m, WS_FIELD_GPUS, ws_amount_encode(s->need.gpus));
+  json_object_set_new(m, WS_FIELD_MEMORY_GB, ws_amount_encode(s->need.memory));
   json_object_set_new(m, WS_FIELD_IMAGE, json_string(s->image));
   json_object_set_new(m, WS_FIELD_IMAGE_GB, json_real(s->image_gb));
   json_object_set_new(m, WS_FIELD_MACHINE_TYPES, encode_types(s->types));
@@ -219,15 +186,15 @@
 }
 
 void
-ws_job_spec_free(WsJobSpec *submission)
+ws_job_spec_free(WsJobSpec *spec)
 {
-  if (submission == NULL)
+  if (spec == NULL)
     return;
-  g_free(submission->id);
-  g_free(submission->class_name);
-  g_free(submission->team);
-  g_free(submission->image);
-  g_free(submission->zone);
-  g_strfreev(submission->types);
-  g_free(submission);
+  g_free(spec->id);
+  g_free(spec->class_name);
+  g_free(spec->team);
+  g_free(spec->image);
+  g_free(spec->zone);
+  g_strfreev(spec->types);
+  g_free(spec);
 }
--- a/src/protocol/ws-job-spec.h
+++ b/src/protocol/ws-job-spec.h
@@ -1,48 +1,54 @@
-/* A job as its user describes it. Amounts are in thousandths, so that sums are exact. */
+/**
+ * A job as its user describes it.
+ */
 #pragma once
 
 #include "protocol/ws-error.h"
-#include "protocol/ws-json.h"
+#include "protocol/ws-resources.h"
 
+/** The largest number of tasks that a job may have. */
 #define WS_MAX_TASKS 100000
 
-typedef enum { WS_KIND_ARRAY, WS_KIND_SERVICE, WS_KIND_GANG } WsKind;
-typedef enum { WS_CRITICAL, WS_URGENT, WS_STANDARD, WS_BEST_EFFORT } WsPriority;
+typedef enum {
+  WS_KIND_ARRAY,   /**< independent tasks */
+  WS_KIND_SERVICE, /**< tasks that run until the job is cancelled */
+  WS_KIND_GANG     /**< tasks that run together or not at all */
+} WsKind;
 
-typedef struct {
-  gint64 cpus;
-  gint64 gpus;
-  gint64 memory;
-} WsResources;
+/** Priority classes, the highest first. */
+typedef enum { WS_CRITICAL, WS_URGENT, WS_STANDARD, WS_BEST_EFFORT } WsPriority;
 
+/** A job's specification. All strings are owned. */
 typedef struct {
   char *id;
-  char *class_name;
+  char *class_name; /**< class, for objectives and run-time estimates */
   char *team;
   WsKind kind;
   WsPriority priority;
-  guint tasks;
-  WsResources need;
-  char **types; /* NULL: any */
-  char *zone;   /* NULL: any */
-  gboolean one_zone;
-  gboolean spread;
-  gboolean spot;
+  guint tasks;       /**< how many it has */
+  WsResources need;  /**< of each task */
+  char **types;      /**< allowed machine types; NULL: any */
+  char *zone;        /**< NULL: any */
+  gboolean one_zone; /**< all tasks in the same zone */
+  gboolean spread;   /**< no more than half of the tasks, rounded up, in one zone */
+  gboolean spot;     /**< may run on spot machines */
   char *image;
   double image_gb;
-  double estimate_s;
-  double checkpoint_s;
-  double save_s;
-  double deadline_s; /* negative: none */
+  double estimate_s;   /**< run time of a task */
+  double checkpoint_s; /**< checkpoint interval */
+  double save_s;       /**< how long a checkpoint at a stop takes */
+  double deadline_s;   /**< in all; negative: none */
 } WsJobSpec;
 
-/* NULL and a one-line reason if the message is not a valid submission. */
+/** Reads a submission, which the caller frees. NULL with @error set: it is invalid. */
 WsJobSpec *ws_job_spec_parse(const json_t *message, GError **error);
-json_t *ws_job_spec_encode(const WsJobSpec *submission);
-void ws_job_spec_free(WsJobSpec *submission);
-gboolean ws_job_id_valid(const char *id);
 
-gboolean ws_resources_fit(const WsResources *need, const WsResources *room);
-void ws_resources_add(WsResources *sum, const WsResources *part, gint64 times);
+/** The submission as ws_job_spec_parse reads it. */
+json_t *ws_job_spec_encode(const WsJobSpec *spec);
+
+void ws_job_spec_free(WsJobSpec *spec);
+
+/** Whether the text, which may be NULL, is of the form of a job's id. */
+gboolean ws_job_id_valid(const char *id);
 
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsJobSpec, ws_job_spec_free)
--- a/src/protocol/ws-json.c
+++ b/src/protocol/ws-json.c
@@ -52,8 +52,8 @@
   return TRUE;
 }
 
-static gboolean
-absent(const json_t *object, const char *name)
+gboolean
+ws_json_is_absent(const json_t *object, const char *name)
 {
   const json_t *member = json_object_get(object, name);
   return member == NULL || json_is_null(member);
@@ -62,11 +62,28 @@
 gboolean
 ws_json_string_or_null(const json_t *object, const char *name, const char **value)
 {
-  return absent(object, name) || ws_json_string(object, name, value);
+  return ws_json_is_absent(object, name) || ws_json_string(object, name, value);
 }
 
 gboolean
 ws_json_number_or_null(const json_t *object, const char *name, double *value)
 {
-  return absent(object, name) || ws_json_number(object, name, value);
+  return ws_json_is_absent(object, name) || ws_json_number(object, name, value);
+}
+
+char **
+ws_json_string_list(const json_t *list)
+{
+  if (!json_is_array(list))
+    return NULL;
+  g_autoptr(GStrvBuilder) builder = g_strv_builder_new();
+  size_t i;
+  const json_t *item;
+  json_array_foreach(list, i, item)
+  {
+    if (!json_is_string(item))
+      return NULL;
+    g_strv_builder_add(builder, json_string_value(item));
+  }
+  return g_strv_builder_end(builder);
 }
--- a/src/protocol/ws-json.h
+++ b/src/protocol/ws-json.h
@@ -1,17 +1,41 @@
-/* Typed, checked reading of JSON members. Each getter returns FALSE on a missing or ill-typed
-   member; the optional ones also take a null or missing member and leave the value alone. */
+/**
+ * Typed, checked reading of JSON.
+ *
+ * The getters return FALSE if the member is missing or of another type, and leave the value alone.
+ * Strings are borrowed from the object.
+ */
 #pragma once
 
 #include <glib.h>
 #include <jansson.h>
 
+/** Parses a text of @length bytes; NULL: it is no JSON or has a member twice. Owned by the caller.
+ */
 json_t *ws_json_parse(const char *body, gsize length);
+
+/** The value's compact text, which the caller frees; NULL for NULL. */
 char *ws_json_text(const json_t *value);
+
 gboolean ws_json_string(const json_t *object, const char *name, const char **value);
+
+/** Integers are taken too. */
 gboolean ws_json_number(const json_t *object, const char *name, double *value);
+
+/** An integer that isn't negative. */
 gboolean ws_json_count(const json_t *object, const char *name, guint64 *value);
+
 gboolean ws_json_bool(const json_t *object, const char *name, gboolean *value);
+
+/** Whether the member is missing or null. */
+gboolean ws_json_is_absent(const json_t *object, const char *name);
+
+/** TRUE also if the member is missing or null; the value is then left alone. */
 gboolean ws_json_string_or_null(const json_t *object, const char *name, const char **value);
+
+/** TRUE also if the member is missing or null; the value is then left alone. */
 gboolean ws_json_number_or_null(const json_t *object, const char *name, double *value);
 
+/** The strings of an array, which the caller frees; NULL: it is no array of strings alone. */
+char **ws_json_string_list(const json_t *list);
+
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(json_t, json_decref)
--- /dev/null
+++ b/src/protocol/ws-resources.c
@@ -0,0 +1,49 @@
+#include "protocol/ws-resources.h"
+
+#include <math.h>
+
+#define THOUSANDTHS 1000.0
+/* Forgives binary fractions: 0.1 + 0.2 is 0.3. */
+#define ROUNDING_SLACK 1e-6
+/* Far above any machine; keeps sums of 100,000 tasks within 64 bits. */
+#define MAX_AMOUNT 1e9
+
+gboolean
+ws_resources_fit(const WsResources *need, const WsResources *room)
+{
+  return need->cpus <= room->cpus && need->gpus <= room->gpus && need->memory <= room->memory;
+}
+
+void
+ws_resources_add(WsResources *sum, const WsResources *part, gint64 times)
+{
+  sum->cpus += part->cpus * times;
+  sum->gpus += part->gpus * times;
+  sum->memory += part->memory * times;
+}
+
+gboolean
+ws_amount_parse_need(const json_t *object, const char *name, gint64 *thousandths)
+{
+  double number;
+  if (!ws_json_number(object, name, &number) || !(number >= 0.0 && number <= MAX_AMOUNT))
+    return FALSE;
+  *thousandths = (gint64)ceil(number * THOUSANDTHS - ROUNDING_SLACK);
+  return TRUE;
+}
+
+gboolean
+ws_amount_parse_capacity(const json_t *object, const char *name, gint64 *thousandths)
+{
+  double number;
+  if (!ws_json_number(object, name, &number) || !(number >= 0.0 && number < MAX_AMOUNT))
+    return FALSE;
+  *thousandths = (gint64)floor(number * THOUSANDTHS + ROUNDING_SLACK);
+  return TRUE;
+}
+
+json_t *
+ws_amount_encode(gint64 thousandths)
+{
+  return json_real((double)thousandths / THOUSANDTHS);
+}
--- /dev/null
+++ b/src/protocol/ws-resources.h
@@ -0,0 +1,29 @@
+/**
+ * Amounts of CPUs, GPUs and memory.
+ *
+ * They are counted in thousandths of the unit, so that sums are exact.
+ */
+#pragma once
+
+#include "protocol/ws-json.h"
+
+typedef struct {
+  gint64 cpus;   /**< thousandths of a CPU */
+  gint64 gpus;   /**< thousandths of a GPU */
+  gint64 memory; /**< thousandths of a GB */
+} WsResources;
+
+/** Whether the need fits into what is free, in each dimension. */
+gboolean ws_resources_fit(const WsResources *need, const WsResources *room);
+
+/** Adds @part to @sum @times times; @times may be negative. */
+void ws_resources_add(WsResources *sum, const WsResources *part, gint64 times);
+
+/** Reads an amount that is needed, rounded up. FALSE: the member is missing or invalid. */
+gboolean ws_amount_parse_need(const json_t *object, const char *name, gint64 *thousandths);
+
+/** Reads an amount that there is, rounded down. FALSE: the member is missing or invalid. */
+gboolean ws_amount_parse_capacity(const json_t *object, const char *name, gint64 *thousandths);
+
+/** An amount as a number of units. */
+json_t *ws_amount_encode(gint64 thousandths);
--- a/src/protocol/ws-settings.c
+++ b/src/protocol/ws-settings.c
@@ -1,6 +1,5 @@
 #include "protocol/ws-settings.h"
 
-#include <math.h>
 #include <string.h>
 
 /* A set of nodes is kept as bits. */
@@ -98,25 +97,16 @@
   return NULL;
 }
 
-static gboolean
-amount(const json_t *item, const char *name, gint64 *value)
-{
-  double number;
-  if (!ws_json_number(item, name, &number) || !(number >= 0.0 && number < 1e9))
-    return FALSE;
-  *value = (gint64)floor(number * 1000.0 + 1e-6);
-  return TRUE;
-}
-
 static gboolean
 read_team(WsSettings *settings, const json_t *item)
 {
   WsTeamSettings *team = g_new0(WsTeamSettings, 1);
   g_ptr_array_add(settings->teams, team);
-  return copy(item, "name", &team->name) && amount(item, "cpus", &team->guarantee.cpus)
-         && amount(item, "cpus_max", &team->limit.cpus)
-         && amount(item, "gpus", &team->guarantee.gpus)
-         && amount(item, "gpus_max", &team->limit.gpus);
+  return copy(item, "name", &team->name)
+         && ws_amount_parse_capacity(item, "cpus", &team->guarantee.cpus)
+         && ws_amount_parse_capacity(item, "cpus_max", &team->limit.cpus)
+         && ws_amount_parse_capacity(item, "gpus", &team->guarantee.gpus)
+         && ws_amount_parse_capacity(item, "gpus_max", &team->limit.gpus);
 }
 
 /* Only what is said about the beginning of tasks and the end of jobs matters here; the other kinds
@@ -157,19 +147,12 @@
   return NULL;
 }
 
-static gboolean
-is_absent(const json_t *object, const char *name)
-{
-  const json_t *member = json_object_get(object, name);
-  return member == NULL || json_is_null(member);
-}
-
 /* Lowers the limit to the one that is announced, if one is. */
 static gboolean
 lower(const json_t *next, const char *name, double least, double *limit)
 {
   double announced = 0.0;
-  if (is_absent(next, name))
+  if (ws_json_is_absent(next, name))
     return TRUE;
   if (!positive(next, name, &announced) || announced < least)
     return FALSE;
@@ -201,10 +184,10 @@
 {
   settings->gang_wait_s = DEFAULT_GANG_WAIT_S;
   settings->gang_peer_s = DEFAULT_GANG_PEER_S;
-  if (!is_absent(workers, "gang_wait_s")
+  if (!ws_json_is_absent(workers, "gang_wait_s")
       && !positive(workers, "gang_wait_s", &settings->gang_wait_s))
     return "params.workers.gang_wait_s";
-  if (!is_absent(workers, "gang_peer_s")
+  if (!ws_json_is_absent(workers, "gang_peer_s")
       && !positive(workers, "gang_peer_s", &settings->gang_peer_s))
     return "params.workers.gang_peer_s";
   return NULL;
