--- a/src/protocol/ws-cloud.c
+++ b/src/protocol/ws-cloud.c
@@ -2,6 +2,9 @@
 
 #include "protocol/ws-field-names.h"
 
+/* The state of a listed machine that will never be up. */
+#define STATE_FAILED "failed"
+
 static void
 type_free(gpointer data)
 {
@@ -12,7 +15,7 @@
 }
 
 static void
-listed_free(gpointer data)
+listed_machine_free(gpointer data)
 {
   WsListedMachine *listed = data;
   g_free(listed->id);
@@ -61,7 +64,7 @@
 }
 
 static gboolean
-parse_listed(const json_t *item, WsListedMachine *listed)
+parse_listed_machine(const json_t *item, WsListedMachine *listed)
 {
   const char *id, *endpoint = NULL, *type, *zone, *state;
   if (!ws_json_string(item, WS_FIELD_ID, &id)
@@ -75,7 +78,7 @@
   listed->endpoint = g_strdup(endpoint);
   listed->type = g_strdup(type);
   listed->zone = g_strdup(zone);
-  listed->failed = g_strcmp0(state, "failed") == 0;
+  listed->failed = g_strcmp0(state, STATE_FAILED) == 0;
   return TRUE;
 }
 
@@ -85,14 +88,14 @@
   const json_t *list = json_object_get(message, WS_FIELD_MACHINES);
   if (!json_is_array(list) || !ws_json_bool(message, WS_FIELD_HAS_MORE, more))
     return NULL;
-  g_autoptr(GPtrArray) machines = g_ptr_array_new_with_free_func(listed_free);
+  g_autoptr(GPtrArray) machines = g_ptr_array_new_with_free_func(listed_machine_free);
   size_t i;
   const json_t *item;
   json_array_foreach(list, i, item)
   {
     WsListedMachine *listed = g_new0(WsListedMachine, 1);
     g_ptr_array_add(machines, listed);
-    if (!parse_listed(item, listed))
+    if (!parse_listed_machine(item, listed))
       return NULL;
   }
   return g_steal_pointer(&machines);
--- a/src/protocol/ws-heartbeat.c
+++ b/src/protocol/ws-heartbeat.c
@@ -5,8 +5,12 @@
 
 #include <string.h>
 
+#define MAX_MACHINE_NAME_BYTES 100
+/* A name is part of keys and paths. */
+#define NOT_IN_MACHINE_NAMES " /"
+
 static gboolean
-task_name(const char *name, char **job, guint *task)
+parse_task_name(const char *name, char **job, guint *task)
 {
   const char *slash = strrchr(name, '/');
   guint64 number;
@@ -19,10 +23,10 @@
 }
 
 static gboolean
-task_state(const char *word, WsTaskState *state)
+parse_task_state(const char *name, WsTaskState *state)
 {
   static const struct {
-    const char *word;
+    const char *name;
     WsTaskState state;
   } STATES[] = { { "fetching", WS_TASK_FETCHING },
                  { "gathering", WS_TASK_GATHERING },
@@ -30,19 +34,19 @@
                  { "flushing", WS_TASK_SAVING },
                  { "exited", WS_TASK_EXITED } };
   for (gsize i = 0; i < G_N_ELEMENTS(STATES); i++)
-    if (strcmp(STATES[i].word, word) == 0) {
+    if (strcmp(STATES[i].name, name) == 0) {
       *state = STATES[i].state;
       return TRUE;
     }
   return FALSE;
 }
 
-/* An unknown reason is an end all the same; it is taken for an error of the machine. */
+/* A reason that this version doesn't know is taken for an error. */
 static WsExit
-exit_reason(const char *word)
+parse_exit_reason(const char *name)
 {
   static const struct {
-    const char *word;
+    const char *name;
     WsExit why;
   } REASONS[] = { { "done", WS_EXIT_DONE },
                   { "stopped", WS_EXIT_STOPPED },
@@ -52,7 +56,7 @@
                   { "peers", WS_EXIT_PEERS },
                   { "incomplete", WS_EXIT_INCOMPLETE } };
   for (gsize i = 0; i < G_N_ELEMENTS(REASONS); i++)
-    if (g_strcmp0(REASONS[i].word, word) == 0)
+    if (g_strcmp0(REASONS[i].name, name) == 0)
       return REASONS[i].why;
   return WS_EXIT_ERROR;
 }
@@ -65,16 +69,16 @@
       || !ws_json_count(item, WS_FIELD_ATTEMPT, &task->attempt)
       || !ws_json_string(item, W_STATE, &state)
       || !ws_json_string_or_null(item, WS_FIELD_EXIT_REASON, &why)
-      || !task_state(state, &task->state) || !task_name(name, &task->job, &task->task))
+      || !parse_task_state(state, &task->state) || !parse_task_name(name, &task->job, &task->task))
     return FALSE;
   if (task->state == WS_TASK_EXITED)
-    task->why = exit_reason(why);
+    task->why = parse_exit_reason(why);
   task->saved = json_is_true(json_object_get(item, WS_FIELD_IS_SAVED));
   return TRUE;
 }
 
 static void
-clear_task(gpointer data)
+task_status_clear(gpointer data)
 {
   g_free(((WsTaskStatus *)data)->job);
 }
@@ -98,11 +102,11 @@
 }
 
 static const char *
-parse_members(const json_t *m, WsHeartbeat *r)
+parse_fields(const json_t *m, WsHeartbeat *heartbeat)
 {
   const char *machine, *endpoint, *type, *zone;
-  if (!ws_json_string(m, WS_FIELD_MACHINE, &machine) || *machine == '\0' || strlen(machine) > 100
-      || strpbrk(machine, " /") != NULL)
+  if (!ws_json_string(m, WS_FIELD_MACHINE, &machine) || *machine == '\0'
+      || strlen(machine) > MAX_MACHINE_NAME_BYTES || strpbrk(machine, NOT_IN_MACHINE_NAMES) != NULL)
     return WS_FIELD_MACHINE;
   if (!ws_json_string(m, WS_FIELD_ENDPOINT, &endpoint))
     return WS_FIELD_ENDPOINT;
@@ -110,21 +114,21 @@
     return WS_FIELD_MACHINE_TYPE;
   if (!ws_json_string(m, WS_FIELD_ZONE, &zone))
     return WS_FIELD_ZONE;
-  if (!ws_json_bool(m, WS_FIELD_SPOT, &r->spot))
+  if (!ws_json_bool(m, WS_FIELD_SPOT, &heartbeat->spot))
     return WS_FIELD_SPOT;
-  if (!ws_json_count(m, WS_FIELD_INCARNATION, &r->incarnation))
+  if (!ws_json_count(m, WS_FIELD_INCARNATION, &heartbeat->incarnation))
     return WS_FIELD_INCARNATION;
-  if (!ws_json_count(m, WS_FIELD_SEQUENCE, &r->sequence))
+  if (!ws_json_count(m, WS_FIELD_SEQUENCE, &heartbeat->sequence))
     return WS_FIELD_SEQUENCE;
-  if (!ws_json_count(m, WS_FIELD_FENCING_TOKEN, &r->fencing_token))
+  if (!ws_json_count(m, WS_FIELD_FENCING_TOKEN, &heartbeat->fencing_token))
     return WS_FIELD_FENCING_TOKEN;
-  if (!ws_json_number_or_null(m, WS_FIELD_INTERRUPTION_S, &r->interruption_s))
+  if (!ws_json_number_or_null(m, WS_FIELD_INTERRUPTION_S, &heartbeat->interruption_s))
     return WS_FIELD_INTERRUPTION_S;
-  r->machine = g_strdup(machine);
-  r->endpoint = g_strdup(endpoint);
-  r->type = g_strdup(type);
-  r->zone = g_strdup(zone);
-  return parse_tasks(m, r);
+  heartbeat->machine = g_strdup(machine);
+  heartbeat->endpoint = g_strdup(endpoint);
+  heartbeat->type = g_strdup(type);
+  heartbeat->zone = g_strdup(zone);
+  return parse_tasks(m, heartbeat);
 }
 
 WsHeartbeat *
@@ -137,8 +141,8 @@
   g_autoptr(WsHeartbeat) heartbeat = g_new0(WsHeartbeat, 1);
   heartbeat->interruption_s = -1.0;
   heartbeat->tasks = g_array_new(FALSE, TRUE, sizeof(WsTaskStatus));
-  g_array_set_clear_func(heartbeat->tasks, clear_task);
-  const char *bad = parse_members(message, heartbeat);
+  g_array_set_clear_func(heartbeat->tasks, task_status_clear);
+  const char *bad = parse_fields(message, heartbeat);
   if (bad != NULL) {
     ws_error_set_invalid(error, WS_ERROR_INVALID_FIELD, bad);
     return NULL;
@@ -150,9 +154,9 @@
 ws_heartbeat_find_task(const WsHeartbeat *heartbeat, const char *job, guint task, guint64 attempt)
 {
   for (guint i = 0; i < heartbeat->tasks->len; i++) {
-    const WsTaskStatus *at = &g_array_index(heartbeat->tasks, WsTaskStatus, i);
-    if (at->task == task && at->attempt == attempt && strcmp(at->job, job) == 0)
-      return at;
+    const WsTaskStatus *status = &g_array_index(heartbeat->tasks, WsTaskStatus, i);
+    if (status->task == task && status->attempt == attempt && strcmp(status->job, job) == 0)
+      return status;
   }
   return NULL;
 }
--- a/src/protocol/ws-heartbeat.h
+++ b/src/protocol/ws-heartbeat.h
@@ -1,63 +1,85 @@
-/* What a worker says, and what it is told. */
+/**
+ * What a worker reports, and what it is told.
+ */
 #pragma once
 
 #include "protocol/ws-error.h"
 #include "protocol/ws-json.h"
 
+/** The states of a task on its machine, in their order. */
 typedef enum {
-  WS_TASK_ASSIGNED, /* recorded here; the worker has not shown it yet */
-  WS_TASK_FETCHING,
-  WS_TASK_GATHERING, /* of a gang: it has its image, and waits for the other tasks */
+  WS_TASK_ASSIGNED,  /**< recorded; the worker hasn't reported it yet */
+  WS_TASK_FETCHING,  /**< its image is being fetched */
+  WS_TASK_GATHERING, /**< of a gang: it has its image, and waits for the other tasks */
   WS_TASK_RUNNING,
-  WS_TASK_SAVING,
+  WS_TASK_SAVING, /**< it was stopped, and writes its checkpoint */
   WS_TASK_EXITED
 } WsTaskState;
 
+/** Why a task has exited. */
 typedef enum {
-  WS_EXIT_NONE,
-  WS_EXIT_DONE,
-  WS_EXIT_STOPPED,
-  WS_EXIT_ERROR,
-  WS_EXIT_REFUSED,
-  WS_EXIT_PEERS,     /* of a gang: another of its tasks is gone */
-  WS_EXIT_INCOMPLETE /* of a gang: the others didn't come in time */
+  WS_EXIT_NONE,      /**< it hasn't */
+  WS_EXIT_DONE,      /**< completed */
+  WS_EXIT_STOPPED,   /**< stopped on request */
+  WS_EXIT_ERROR,     /**< failed, or for a reason that this version doesn't know */
+  WS_EXIT_REFUSED,   /**< the machine didn't take it */
+  WS_EXIT_PEERS,     /**< of a gang: another of its tasks is gone */
+  WS_EXIT_INCOMPLETE /**< of a gang: the others didn't come in time */
 } WsExit;
 
+/** A task's attempt as its worker reports it. */
 typedef struct {
-  char *job;
+  char *job; /**< owned */
   guint task;
   guint64 attempt;
   WsTaskState state;
   WsExit why;
-  gboolean saved; /* of a task that was stopped: its progress is safe */
+  gboolean saved; /**< of a task that was stopped: its progress is in its checkpoint */
 } WsTaskStatus;
 
+/** A heartbeat with the status of all tasks. All strings are owned. */
 typedef struct {
   char *machine;
-  char *endpoint;
+  char *endpoint; /**< where the worker takes commands */
   char *type;
   char *zone;
   gboolean spot;
   guint64 incarnation;
-  guint64 sequence;
-  guint64 fencing_token;
-  double interruption_s; /* negative: none */
-  GArray *tasks;         /* of WsTaskStatus */
+  guint64 sequence;      /**< grows with each message of the incarnation */
+  guint64 fencing_token; /**< the highest that the worker has seen */
+  double interruption_s; /**< time until the cloud takes the machine back; negative: no notice */
+  GArray *tasks;         /**< of WsTaskStatus */
 } WsHeartbeat;
 
-/* The attempt as the report shows it; NULL: it doesn't. */
+/** Reads a heartbeat, which the caller frees. NULL with @error set: it is invalid. */
+WsHeartbeat *ws_heartbeat_parse(const json_t *message, GError **error);
+
+void ws_heartbeat_free(WsHeartbeat *heartbeat);
+
+/** The attempt's status, owned by the heartbeat; NULL: the heartbeat doesn't have it. */
 const WsTaskStatus *ws_heartbeat_find_task(const WsHeartbeat *heartbeat, const char *job,
                                            guint task, guint64 attempt);
 
-typedef enum { WS_OP_LAUNCH, WS_OP_HALT, WS_OP_REAP } WsOp;
-
-WsHeartbeat *ws_heartbeat_parse(const json_t *message, GError **error);
-void ws_heartbeat_free(WsHeartbeat *heartbeat);
+/** The operations of commands. */
+typedef enum {
+  WS_OP_LAUNCH,
+  WS_OP_HALT, /**< stop, with a checkpoint within the grace period */
+  WS_OP_REAP  /**< forget an exited task */
+} WsOp;
 
+/** A command. @grace_s: of WS_OP_HALT alone. */
 json_t *ws_command_encode(WsOp op, const char *job, guint task, guint64 attempt, double grace_s);
+
+/** The answer to a heartbeat. Takes @commands. */
 json_t *ws_heartbeat_answer_encode(guint64 fencing_token, json_t *commands);
-json_t *ws_heartbeat_answer_commands(const json_t *answer); /* borrowed */
+
+/** The commands of an answer to a heartbeat, borrowed; NULL: it has none. */
+json_t *ws_heartbeat_answer_commands(const json_t *answer);
+
+/** A call to the worker, which only the named incarnation carries out. Takes @commands. */
 json_t *ws_commands_encode(guint64 fencing_token, guint64 incarnation, json_t *commands);
+
+/** The redirection of a worker to the controller. @node: its name; NULL: none is known. */
 json_t *ws_redirect_encode(const char *node);
 
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsHeartbeat, ws_heartbeat_free)
--- a/src/protocol/ws-names.h
+++ b/src/protocol/ws-names.h
@@ -1,15 +1,27 @@
-/* Names to dense indices, at the door. Names are never forgotten. */
+/**
+ * Names and their dense indices, where names come in from outside. Names are never removed.
+ */
 #pragma once
 
 #include "protocol/ws-index.h"
 
 typedef struct {
-  GHashTable *index;
-  GPtrArray *names;
+  GHashTable *index; /**< name -> index */
+  GPtrArray *names;  /**< of char *, by index */
 } WsNames;
 
+/** Makes @names empty. To be cleared with ws_names_clear. */
 void ws_names_init(WsNames *names);
+
 void ws_names_clear(WsNames *names);
+
+/** The name's index; a new name gets the next one. */
 guint ws_names_intern(WsNames *names, const char *name);
+
+/** The name's index; WS_NONE: it was never interned. @name may be NULL. */
 guint ws_names_find(const WsNames *names, const char *name);
+
+/** The name, owned by @names; "?" if there is no such index. */
 const char *ws_names_get(const WsNames *names, guint index);
+
+G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC(WsNames, ws_names_clear)
--- a/src/protocol/ws-properties.c
+++ b/src/protocol/ws-properties.c
@@ -2,8 +2,18 @@
 
 #include <string.h>
 
+/* GKeyFile wants a group; the file has none, so that one is put before it. */
 #define GROUP "wrenshore"
 
+#define DEFAULT_IDLE_TIMEOUT_S 20.0
+#define DEFAULT_BACKOFF_MIN_S 1.0
+#define DEFAULT_BACKOFF_MAX_S 30.0
+#define DEFAULT_HEADROOM_TASKS 1
+
+#define MAX_SECONDS 3600.0
+#define MAX_HEADROOM_TASKS 1000
+#define MAX_BUDGET_MACHINES 1000000
+
 static void
 budget_free(gpointer data)
 {
@@ -17,10 +27,10 @@
 ws_properties_new(void)
 {
   WsProperties *properties = g_new0(WsProperties, 1);
-  properties->idle_timeout_s = 20.0;
-  properties->backoff_min_s = 1.0;
-  properties->backoff_max_s = 30.0;
-  properties->headroom_tasks = 1;
+  properties->idle_timeout_s = DEFAULT_IDLE_TIMEOUT_S;
+  properties->backoff_min_s = DEFAULT_BACKOFF_MIN_S;
+  properties->backoff_max_s = DEFAULT_BACKOFF_MAX_S;
+  properties->headroom_tasks = DEFAULT_HEADROOM_TASKS;
   properties->budgets = g_ptr_array_new_with_free_func(budget_free);
   return properties;
 }
@@ -35,34 +45,34 @@
 }
 
 static gboolean
-seconds(const char *text, double *value)
+parse_seconds(const char *text, double *value)
 {
   char *end;
   *value = g_ascii_strtod(text, &end);
-  return end != text && *end == '\0' && *value > 0.0 && *value <= 3600.0;
+  return end != text && *end == '\0' && *value > 0.0 && *value <= MAX_SECONDS;
 }
 
 static gboolean
-count(const char *text, guint most, guint *value)
+parse_count(const char *text, guint max, guint *value)
 {
   guint64 number;
-  if (!g_ascii_string_to_unsigned(text, 10, 0, most, &number, NULL))
+  if (!g_ascii_string_to_unsigned(text, 10, 0, max, &number, NULL))
     return FALSE;
   *value = (guint)number;
   return TRUE;
 }
 
 static gboolean
-amount(const char *text, WsBudget *budget)
+parse_amount(const char *text, WsBudget *budget)
 {
   gsize length = strlen(text);
   budget->is_percent = length > 1 && text[length - 1] == '%';
   g_autofree char *digits = g_strndup(text, budget->is_percent ? length - 1 : length);
-  return count(digits, budget->is_percent ? 100 : 1000000, &budget->value);
+  return parse_count(digits, budget->is_percent ? 100 : MAX_BUDGET_MACHINES, &budget->value);
 }
 
 static gboolean
-known(GPtrArray *zones, const char *zone)
+is_known(GPtrArray *zones, const char *zone)
 {
   return g_ptr_array_find_with_equal_func(zones, zone, g_str_equal, NULL);
 }
@@ -77,7 +87,7 @@
   gboolean is_minimum = strcmp(parts[3], "minAvailable") == 0;
   if (!is_minimum && strcmp(parts[3], "maxUnavailable") != 0)
     return "unknown key";
-  if (!known(zones, parts[2]))
+  if (!is_known(zones, parts[2]))
     return "unknown zone";
   for (guint i = 0; i < properties->budgets->len; i++) {
     const WsBudget *other = g_ptr_array_index(properties->budgets, i);
@@ -89,23 +99,25 @@
   budget->zone = g_strdup(parts[2]);
   budget->is_minimum = is_minimum;
   g_ptr_array_add(properties->budgets, budget);
-  return amount(value, budget) ? NULL : "not a count or a percentage";
+  return parse_amount(value, budget) ? NULL : "not a count or a percentage";
 }
 
 static const char *
-parse_key(WsProperties *p, const char *key, const char *value, GPtrArray *zones)
+parse_key(WsProperties *properties, const char *key, const char *value, GPtrArray *zones)
 {
   const char *const bad_seconds = "not a number of seconds above 0 and up to 3600";
   if (strcmp(key, "giveback.hold_s") == 0)
-    return seconds(value, &p->idle_timeout_s) ? NULL : bad_seconds;
+    return parse_seconds(value, &properties->idle_timeout_s) ? NULL : bad_seconds;
   if (strcmp(key, "giveback.backoff_min_s") == 0)
-    return seconds(value, &p->backoff_min_s) ? NULL : bad_seconds;
+    return parse_seconds(value, &properties->backoff_min_s) ? NULL : bad_seconds;
   if (strcmp(key, "giveback.backoff_max_s") == 0)
-    return seconds(value, &p->backoff_max_s) ? NULL : bad_seconds;
+    return parse_seconds(value, &properties->backoff_max_s) ? NULL : bad_seconds;
   if (strcmp(key, "fleet.spare_tasks") == 0)
-    return count(value, 1000, &p->headroom_tasks) ? NULL : "not a count up to 1000";
+    return parse_count(value, MAX_HEADROOM_TASKS, &properties->headroom_tasks)
+               ? NULL
+               : "not a count up to 1000";
   if (g_str_has_prefix(key, "budget."))
-    return parse_budget(p, key, value, zones);
+    return parse_budget(properties, key, value, zones);
   return "unknown key";
 }
 
@@ -143,11 +155,12 @@
   return TRUE;
 }
 
+/* Percentages are rounded so that the budget is never exceeded. */
 guint
 ws_budget_allowed(const WsBudget *budget, guint total)
 {
-  guint figure = budget->is_percent ? (total * budget->value + 99) / 100 : budget->value;
   if (!budget->is_minimum)
-    return budget->is_percent ? total * budget->value / 100 : figure;
-  return total > figure ? total - figure : 0;
+    return budget->is_percent ? total * budget->value / 100 : budget->value;
+  guint minimum = budget->is_percent ? (total * budget->value + 99) / 100 : budget->value;
+  return total > minimum ? total - minimum : 0;
 }
--- a/src/protocol/ws-properties.h
+++ b/src/protocol/ws-properties.h
@@ -1,31 +1,42 @@
-/* Operators' own settings: a properties file, read with GKeyFile under an implied group. */
+/**
+ * The operators' own settings: a properties file, whose keys are described in docs/operations.md.
+ */
 #pragma once
 
 #include "protocol/ws-error.h"
 
+/** How many machines of a type in a zone may be unavailable at once. All strings are owned. */
 typedef struct {
   char *type;
   char *zone;
-  gboolean is_minimum; /* minAvailable, else maxUnavailable */
-  gboolean is_percent;
+  gboolean is_minimum; /**< minAvailable, else maxUnavailable */
+  gboolean is_percent; /**< the value is a percentage of the machines, else a number of them */
   guint value;
 } WsBudget;
 
 typedef struct {
-  double idle_timeout_s;
-  double backoff_min_s;
-  double backoff_max_s;
-  guint headroom_tasks; /* room for this many of the largest tasks seen is kept rented */
-  GPtrArray *budgets;   /* of WsBudget */
+  double idle_timeout_s; /**< how long a machine is idle before it is given up */
+  double backoff_min_s;  /**< first pause after a refused return or a put-off stop */
+  double backoff_max_s;  /**< longest such pause */
+  guint headroom_tasks;  /**< capacity for so many of the largest tasks seen is kept rented */
+  GPtrArray *budgets;    /**< of WsBudget */
 } WsProperties;
 
+/** The defaults. The caller frees them. */
 WsProperties *ws_properties_new(void);
-/* zones: the names that budgets may use. FALSE and a line naming the key. */
+
+/**
+ * Sets what the text says.
+ *
+ * @zones: of char *, the zones that budgets may name. FALSE with @error set: the text is invalid;
+ * the properties are then undefined, but can be freed.
+ */
 gboolean ws_properties_parse(WsProperties *properties, const char *text, GPtrArray *zones,
                              GError **error);
+
 void ws_properties_free(WsProperties *properties);
 
-/* How many machines may be unavailable at once, out of total. */
+/** How many of @total machines may be unavailable at once. */
 guint ws_budget_allowed(const WsBudget *budget, guint total);
 
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsProperties, ws_properties_free)
--- a/src/protocol/ws-settings.c
+++ b/src/protocol/ws-settings.c
@@ -2,6 +2,7 @@
 
 #include <string.h>
 
+#define MAX_NUMBER 1e9
 /* A set of nodes is kept as bits. */
 #define MAX_NODES 31u
 /* A record of 128 tasks or of 50 machines fits in so much. */
@@ -11,7 +12,7 @@
 #define MIN_NEXT_VALUE_KB 1.0
 #define MIN_TXN_OPERATIONS 4
 /* Kept free in each record, since the state service may count a value's bytes in another form. */
-#define RECORD_MARGIN_PART 0.03
+#define RECORD_MARGIN_RATIO 0.03
 /* Where the settings don't say, none of the service's jobs are gangs. */
 #define DEFAULT_GANG_WAIT_S 30.0
 #define DEFAULT_GANG_PEER_S 5.0
@@ -43,7 +44,7 @@
 }
 
 static gboolean
-copy(const json_t *object, const char *name, char **value)
+copy_text(const json_t *object, const char *name, char **value)
 {
   const char *found;
   if (!ws_json_string(object, name, &found) || *found == '\0')
@@ -53,9 +54,9 @@
 }
 
 static gboolean
-positive(const json_t *object, const char *name, double *value)
+parse_positive(const json_t *object, const char *name, double *value)
 {
-  return ws_json_number(object, name, value) && *value > 0.0 && *value < 1e9;
+  return ws_json_number(object, name, value) && *value > 0.0 && *value < MAX_NUMBER;
 }
 
 static gboolean
@@ -63,21 +64,21 @@
 {
   WsNode *node = g_new0(WsNode, 1);
   g_ptr_array_add(settings->nodes, node);
-  return copy(object, "node_name", &node->name) && copy(object, "zone", &node->zone)
-         && (is_self || copy(object, "endpoint", &node->endpoint));
+  return copy_text(object, "node_name", &node->name) && copy_text(object, "zone", &node->zone)
+         && (is_self || copy_text(object, "endpoint", &node->endpoint));
 }
 
 static gint
-by_name(gconstpointer a, gconstpointer b)
+compare_names(gconstpointer a, gconstpointer b)
 {
   return strcmp((*(WsNode *const *)a)->name, (*(WsNode *const *)b)->name);
 }
 
 static const char *
-read_nodes(WsSettings *settings, const json_t *m)
+parse_nodes(WsSettings *settings, const json_t *message)
 {
-  const json_t *peers = json_object_get(m, "peers");
-  if (!add_node(settings, m, TRUE))
+  const json_t *peers = json_object_get(message, "peers");
+  if (!add_node(settings, message, TRUE))
     return "node_name or zone";
   if (!json_is_array(peers))
     return "peers";
@@ -87,22 +88,22 @@
   if (settings->nodes->len > MAX_NODES)
     return "peers (31 nodes are the most)";
   const WsNode *self = g_ptr_array_index(settings->nodes, 0);
-  g_ptr_array_sort(settings->nodes, by_name);
+  g_ptr_array_sort(settings->nodes, compare_names);
   for (guint n = 0; n < settings->nodes->len; n++)
     if (g_ptr_array_index(settings->nodes, n) == self)
       settings->self = n;
   for (guint n = 1; n < settings->nodes->len; n++)
-    if (by_name(&settings->nodes->pdata[n - 1], &settings->nodes->pdata[n]) == 0)
+    if (compare_names(&settings->nodes->pdata[n - 1], &settings->nodes->pdata[n]) == 0)
       return "peers (a name twice)";
   return NULL;
 }
 
 static gboolean
-read_team(WsSettings *settings, const json_t *item)
+parse_team(WsSettings *settings, const json_t *item)
 {
   WsTeamSettings *team = g_new0(WsTeamSettings, 1);
   g_ptr_array_add(settings->teams, team);
-  return copy(item, "name", &team->name)
+  return copy_text(item, "name", &team->name)
          && ws_amount_parse_capacity(item, "cpus", &team->guarantee.cpus)
          && ws_amount_parse_capacity(item, "cpus_max", &team->limit.cpus)
          && ws_amount_parse_capacity(item, "gpus", &team->guarantee.gpus)
@@ -112,21 +113,22 @@
 /* Only what is said about the beginning of tasks and the end of jobs matters here; the other kinds
    are for the operators. */
 static void
-read_objective(WsSettings *settings, const json_t *item)
+parse_objective(WsSettings *settings, const json_t *item)
 {
   const char *kind;
-  WsObjective read = { 0 };
+  WsObjective objective = { 0 };
   if (!ws_json_string(item, "kind", &kind))
     return;
-  read.is_begin = strcmp(kind, "wait") == 0;
-  if ((!read.is_begin && strcmp(kind, "finished") != 0)
-      || !positive(item, "within_s", &read.within_s) || !copy(item, "class", &read.class_name))
+  objective.is_begin = strcmp(kind, "wait") == 0;
+  if ((!objective.is_begin && strcmp(kind, "finished") != 0)
+      || !parse_positive(item, "within_s", &objective.within_s)
+      || !copy_text(item, "class", &objective.class_name))
     return;
-  g_ptr_array_add(settings->objectives, g_memdup2(&read, sizeof read));
+  g_ptr_array_add(settings->objectives, g_memdup2(&objective, sizeof objective));
 }
 
 static const char *
-read_lists(WsSettings *settings, const json_t *params)
+parse_lists(WsSettings *settings, const json_t *params)
 {
   const json_t *zones = json_object_get(params, "zones");
   const json_t *teams = json_object_get(params, "teams");
@@ -140,21 +142,22 @@
       return "params.zones";
     g_ptr_array_add(settings->zones, g_strdup(json_string_value(item)));
   }
-  json_array_foreach(json_object_get(params, "objectives"), i, item) read_objective(settings, item);
+  json_array_foreach(json_object_get(params, "objectives"), i, item)
+      parse_objective(settings, item);
   if (!json_is_array(teams))
     return "params.teams";
-  json_array_foreach(teams, i, item) if (!read_team(settings, item)) return "params.teams";
+  json_array_foreach(teams, i, item) if (!parse_team(settings, item)) return "params.teams";
   return NULL;
 }
 
 /* Lowers the limit to the one that is announced, if one is. */
 static gboolean
-lower(const json_t *next, const char *name, double least, double *limit)
+lower_limit(const json_t *next, const char *name, double min, double *limit)
 {
   double announced = 0.0;
   if (ws_json_is_absent(next, name))
     return TRUE;
-  if (!positive(next, name, &announced) || announced < least)
+  if (!parse_positive(next, name, &announced) || announced < min)
     return FALSE;
   *limit = MIN(*limit, announced);
   return TRUE;
@@ -162,82 +165,116 @@
 
 /* The limits that the state service will have from some later moment, without notice. */
 static const char *
-read_next_limits(WsSettings *settings, const json_t *next)
+parse_next_limits(WsSettings *settings, const json_t *next)
 {
   double value_kb = settings->state_value_kb, ops = (double)settings->state_txn_ops;
-  const char *bad
-      = next != NULL && !json_is_null(next) && !json_is_object(next) ? "params.state.next"
-        : !lower(next, "rps", 0.0, &settings->state_rps)             ? "params.state.next.rps"
-        : !lower(next, "write_rps", 0.0, &settings->state_write_rps) ? "params.state.next.write_rps"
-        : !lower(next, "value_kb", MIN_NEXT_VALUE_KB, &value_kb)
-            ? "params.state.next.value_kb (1 is the least)"
-        : !lower(next, "txn_ops", MIN_TXN_OPERATIONS, &ops)
-            ? "params.state.next.txn_ops (4 is the least)"
-            : NULL;
+  if (next != NULL && !json_is_null(next) && !json_is_object(next))
+    return "params.state.next";
+  if (!lower_limit(next, "rps", 0.0, &settings->state_rps))
+    return "params.state.next.rps";
+  if (!lower_limit(next, "write_rps", 0.0, &settings->state_write_rps))
+    return "params.state.next.write_rps";
+  if (!lower_limit(next, "value_kb", MIN_NEXT_VALUE_KB, &value_kb))
+    return "params.state.next.value_kb (1 is the least)";
+  if (!lower_limit(next, "txn_ops", MIN_TXN_OPERATIONS, &ops))
+    return "params.state.next.txn_ops (4 is the least)";
   settings->state_txn_ops = (guint64)ops;
-  settings->state_record_bytes = (guint64)(value_kb * 1024.0 * (1.0 - RECORD_MARGIN_PART));
-  return bad;
+  settings->state_record_bytes = (guint64)(value_kb * 1024.0 * (1.0 - RECORD_MARGIN_RATIO));
+  return NULL;
 }
 
 static const char *
-read_gang_times(WsSettings *settings, const json_t *workers)
+parse_gang_times(WsSettings *settings, const json_t *workers)
 {
   settings->gang_wait_s = DEFAULT_GANG_WAIT_S;
   settings->gang_peer_s = DEFAULT_GANG_PEER_S;
   if (!ws_json_is_absent(workers, "gang_wait_s")
-      && !positive(workers, "gang_wait_s", &settings->gang_wait_s))
+      && !parse_positive(workers, "gang_wait_s", &settings->gang_wait_s))
     return "params.workers.gang_wait_s";
   if (!ws_json_is_absent(workers, "gang_peer_s")
-      && !positive(workers, "gang_peer_s", &settings->gang_peer_s))
+      && !parse_positive(workers, "gang_peer_s", &settings->gang_peer_s))
     return "params.workers.gang_peer_s";
   return NULL;
 }
 
 static const char *
-read_params(WsSettings *s, const json_t *params)
+parse_worker_times(WsSettings *settings, const json_t *workers)
+{
+  if (!parse_positive(workers, "report_s", &settings->report_s))
+    return "params.workers.report_s";
+  if (!parse_positive(workers, "lease_s", &settings->lease_s))
+    return "params.workers.lease_s";
+  if (!parse_positive(workers, "cancel_s", &settings->cancel_s))
+    return "params.workers.cancel_s";
+  return NULL;
+}
+
+static const char *
+parse_state_limits(WsSettings *settings, const json_t *state)
+{
+  if (!parse_positive(state, "rps", &settings->state_rps))
+    return "params.state.rps";
+  if (!parse_positive(state, "write_rps", &settings->state_write_rps))
+    return "params.state.write_rps";
+  if (!parse_positive(state, "value_kb", &settings->state_value_kb)
+      || settings->state_value_kb < MIN_VALUE_KB)
+    return "params.state.value_kb (8 is the least)";
+  if (!ws_json_count(state, "txn_ops", &settings->state_txn_ops)
+      || settings->state_txn_ops < MIN_TXN_OPERATIONS)
+    return "params.state.txn_ops";
+  return NULL;
+}
+
+static const char *
+parse_cloud_limits(WsSettings *settings, const json_t *cloud)
+{
+  if (!parse_positive(cloud, "rps", &settings->cloud_rps))
+    return "params.cloud.rps";
+  if (!parse_positive(cloud, "list_lag_s", &settings->list_lag_s))
+    return "params.cloud.list_lag_s";
+  return NULL;
+}
+
+static const char *
+parse_params(WsSettings *settings, const json_t *params)
 {
   const json_t *workers = json_object_get(params, "workers");
   const json_t *state = json_object_get(params, "state");
-  const json_t *cloud = json_object_get(params, "cloud");
   const json_t *limits = json_object_get(params, "limits");
-  const char *bad = read_lists(s, params);
+  const char *bad = parse_lists(settings, params);
   if (bad == NULL)
-    bad = read_gang_times(s, workers);
-  if (bad != NULL)
-    return bad;
-  bad = !positive(workers, "report_s", &s->report_s)         ? "params.workers.report_s"
-        : !positive(workers, "lease_s", &s->lease_s)         ? "params.workers.lease_s"
-        : !positive(workers, "cancel_s", &s->cancel_s)       ? "params.workers.cancel_s"
-        : !positive(state, "rps", &s->state_rps)             ? "params.state.rps"
-        : !positive(state, "write_rps", &s->state_write_rps) ? "params.state.write_rps"
-        : !positive(state, "value_kb", &s->state_value_kb) || s->state_value_kb < MIN_VALUE_KB
-            ? "params.state.value_kb (8 is the least)"
-        : !ws_json_count(state, "txn_ops", &s->state_txn_ops)
-                || s->state_txn_ops < MIN_TXN_OPERATIONS
-            ? "params.state.txn_ops"
-        : !positive(cloud, "rps", &s->cloud_rps)                 ? "params.cloud.rps"
-        : !positive(cloud, "list_lag_s", &s->list_lag_s)         ? "params.cloud.list_lag_s"
-        : !ws_json_count(limits, "max_sockets", &s->max_sockets) ? "params.limits.max_sockets"
-                                                                 : NULL;
-  return bad != NULL ? bad : read_next_limits(s, json_object_get(state, "next"));
+    bad = parse_gang_times(settings, workers);
+  if (bad == NULL)
+    bad = parse_worker_times(settings, workers);
+  if (bad == NULL)
+    bad = parse_state_limits(settings, state);
+  if (bad == NULL)
+    bad = parse_cloud_limits(settings, json_object_get(params, "cloud"));
+  if (bad == NULL && !ws_json_count(limits, "max_sockets", &settings->max_sockets))
+    bad = "params.limits.max_sockets";
+  if (bad == NULL)
+    bad = parse_next_limits(settings, json_object_get(state, "next"));
+  return bad;
 }
 
+/* Returns the name of the first setting that is missing or invalid, as do the other functions of
+   this form; NULL: all are good. */
 static const char *
-read_all(WsSettings *s, const json_t *m)
+parse_all(WsSettings *settings, const json_t *message)
 {
-  const json_t *services = json_object_get(m, "services");
-  const char *bad = read_nodes(s, m);
+  const json_t *services = json_object_get(message, "services");
+  const char *bad = parse_nodes(settings, message);
   if (bad != NULL)
     return bad;
-  if (!copy(m, "api_addr", &s->api_addr))
+  if (!copy_text(message, "api_addr", &settings->api_addr))
     return "api_addr";
-  if (!copy(m, "mesh_addr", &s->mesh_addr))
+  if (!copy_text(message, "mesh_addr", &settings->mesh_addr))
     return "mesh_addr";
-  if (!copy(services, "cloud", &s->cloud_addr))
+  if (!copy_text(services, "cloud", &settings->cloud_addr))
     return "services.cloud";
-  if (!copy(services, "state", &s->state_addr))
+  if (!copy_text(services, "state", &settings->state_addr))
     return "services.state";
-  return read_params(s, json_object_get(m, "params"));
+  return parse_params(settings, json_object_get(message, "params"));
 }
 
 WsSettings *
@@ -252,7 +289,7 @@
   settings->zones = g_ptr_array_new_with_free_func(g_free);
   settings->objectives = g_ptr_array_new_with_free_func(objective_free);
   settings->teams = g_ptr_array_new_with_free_func(team_free);
-  const char *bad = read_all(settings, message);
+  const char *bad = parse_all(settings, message);
   if (bad != NULL) {
     ws_error_set_invalid(error, WS_ERROR_INVALID_SETTING, bad);
     return NULL;
@@ -298,13 +335,13 @@
   return g_ptr_array_index(settings->nodes, node);
 }
 
-guint
+WsNodeIndex
 ws_settings_find_node(const WsSettings *settings, const char *name)
 {
-  for (guint n = 0; name != NULL && n < settings->nodes->len; n++)
+  for (WsNodeIndex n = 0; name != NULL && n < settings->nodes->len; n++)
     if (strcmp(ws_settings_node(settings, n)->name, name) == 0)
       return n;
-  return WS_NONE;
+  return WS_NO_NODE;
 }
 
 static double
--- a/src/protocol/ws-settings.h
+++ b/src/protocol/ws-settings.h
@@ -1,69 +1,92 @@
-/* The settings file that the platform hands over. */
+/**
+ * The settings file that the platform hands over.
+ */
 #pragma once
 
 #include "protocol/ws-error.h"
-#include "protocol/ws-names.h"
-#include "protocol/ws-job-spec.h"
+#include "protocol/ws-index.h"
+#include "protocol/ws-resources.h"
 
+/** A controller. */
 typedef struct {
   char *name;
   char *zone;
-  char *endpoint; /* mesh address; NULL for this node */
+  char *endpoint; /**< address for the other controllers; NULL: it is this one */
 } WsNode;
 
 typedef struct {
   char *name;
-  WsResources guarantee; /* 0: none in that dimension */
-  WsResources limit;     /* 0: no limit in that dimension */
+  WsResources guarantee; /**< 0: none in that dimension */
+  WsResources limit;     /**< 0: no limit in that dimension */
 } WsTeamSettings;
 
-/* How soon the tasks of a class are expected to begin, or its jobs to be complete. */
+/** How soon the tasks of a class are expected to begin, or its jobs to be complete. */
 typedef struct {
   char *class_name;
-  gboolean is_begin;
+  gboolean is_begin; /**< the tasks' beginning, else the jobs' end */
   double within_s;
 } WsObjective;
 
 typedef struct {
-  GPtrArray *nodes; /* of WsNode, ordered by name; an index into it is a node everywhere */
+  GPtrArray *nodes; /**< of WsNode, ordered by name; WsNodeIndex is an index into it */
   WsNodeIndex self;
-  char *api_addr;
-  char *mesh_addr;
-  char *cloud_addr;
-  char *state_addr;
-  GPtrArray *zones;      /* of char* */
-  GPtrArray *teams;      /* of WsTeamSettings */
-  GPtrArray *objectives; /* of WsObjective */
-  double report_s;
-  double lease_s;
-  double cancel_s;
-  double gang_wait_s; /* how long a gang's task waits for the others */
-  double gang_peer_s; /* within which a gang notices a loss, and must hear of an orderly stop */
+
+  /* Addresses, HOST:PORT. */
+  char *api_addr;   /**< on which to listen for users and workers */
+  char *mesh_addr;  /**< on which to listen for the other controllers */
+  char *cloud_addr; /**< the cloud */
+  char *state_addr; /**< the state service */
+
+  GPtrArray *zones;      /**< of char *; WsZoneIndex is an index into it */
+  GPtrArray *teams;      /**< of WsTeamSettings; WsTeamIndex is an index into it */
+  GPtrArray *objectives; /**< of WsObjective */
+
+  /* Workers. */
+  double report_s;    /**< interval of heartbeats */
+  double lease_s;     /**< how long a worker runs its tasks without an answer */
+  double cancel_s;    /**< within which the tasks of a cancelled job are to be stopped */
+  double gang_wait_s; /**< how long a gang's task waits for the others */
+  double gang_peer_s; /**< within which a gang notices a loss, and must hear of an orderly stop */
+
   /* Limits of the state service. Where the settings announce lower ones (state.next), these are the
      lower ones already: nothing is written that couldn't be rewritten under them. */
-  double state_rps;
-  double state_write_rps;
-  guint64 state_txn_ops;
-  guint64 state_record_bytes; /* the largest value */
-  /* The largest value before state.next. The grouping of records is computed from it, alike by all
-     versions of the program that share the store. */
-  double state_value_kb;
-  double cloud_rps;
-  double list_lag_s;
-  guint64 max_sockets;
+  double state_rps;           /**< requests per second */
+  double state_write_rps;     /**< writes per second */
+  guint64 state_txn_ops;      /**< operations per transaction */
+  guint64 state_record_bytes; /**< the largest value */
+  double state_value_kb;      /**< the largest value before state.next. The grouping of records is
+                                 computed from it, alike by all versions of the program that share the
+                                 store */
+
+  /* The cloud. */
+  double cloud_rps;  /**< requests per second */
+  double list_lag_s; /**< how far its list may be behind */
+
+  guint64 max_sockets; /**< of this process */
 } WsSettings;
 
+/** Reads the settings, which the caller frees. NULL with @error set: they are invalid. */
 WsSettings *ws_settings_parse(const json_t *message, GError **error);
-/* Whether one more such need is within the limit of the team. */
+
+void ws_settings_free(WsSettings *settings);
+
+/** Whether one more such need is within the team's limit. @use: what the team uses. */
 gboolean ws_team_has_room(const WsSettings *settings, WsTeamIndex team, const WsResources *use,
                           const WsResources *need);
-/* Whether the use is within the team's limit. */
+
+/** Whether the use is within the team's limit. */
 gboolean ws_team_allows(const WsTeamSettings *team, const WsResources *use);
-void ws_settings_free(WsSettings *settings);
+
+/** The controller, owned by the settings. */
 const WsNode *ws_settings_node(const WsSettings *settings, WsNodeIndex node);
-/* Negative: nothing is said about the class. */
+
+/** WS_NO_NODE: there is none of the name. @name may be NULL. */
+WsNodeIndex ws_settings_find_node(const WsSettings *settings, const char *name);
+
+/** Seconds within which the class's tasks should begin; negative: nothing is said. */
 double ws_settings_begin_within(const WsSettings *settings, const char *class_name);
+
+/** Seconds within which the class's jobs should be complete; negative: nothing is said. */
 double ws_settings_finish_within(const WsSettings *settings, const char *class_name);
-guint ws_settings_find_node(const WsSettings *settings, const char *name);
 
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsSettings, ws_settings_free)
