--- a/src/coordination/ws-epoch.c
+++ b/src/coordination/ws-epoch.c
@@ -1,5 +1,19 @@
 #include "coordination/ws-epoch.h"
 
+/* Stored field names. */
+#define FIELD_NUMBER "number"
+#define FIELD_LEADER "leader"
+#define FIELD_MEMBERS "members"
+#define FIELD_NODE "node"
+#define FIELD_INCARNATION "incarnation"
+
+/* FNV-1a, 64 bits. */
+#define FNV_OFFSET_BASIS G_GUINT64_CONSTANT(14695981039346656037)
+#define FNV_PRIME G_GUINT64_CONSTANT(1099511628211)
+/* The finalizer of SplitMix64. */
+#define MIX_FACTOR_1 G_GUINT64_CONSTANT(0xbf58476d1ce4e5b9)
+#define MIX_FACTOR_2 G_GUINT64_CONSTANT(0x94d049bb133111eb)
+
 void
 ws_epoch_init(WsEpoch *epoch)
 {
@@ -23,8 +37,8 @@
   {
     const char *name;
     WsMember member;
-    if (!ws_json_string(item, "node", &name)
-        || !ws_json_count(item, "incarnation", &member.incarnation))
+    if (!ws_json_string(item, FIELD_NODE, &name)
+        || !ws_json_count(item, FIELD_INCARNATION, &member.incarnation))
       return FALSE;
     member.node = ws_settings_find_node(settings, name);
     if (member.node == WS_NO_NODE)
@@ -38,9 +52,9 @@
 ws_epoch_parse(WsEpoch *epoch, const json_t *value, const WsSettings *settings)
 {
   const char *leader;
-  const json_t *members = json_object_get(value, "members");
-  if (!ws_json_count(value, "number", &epoch->number) || !ws_json_string(value, "leader", &leader)
-      || !json_is_array(members))
+  const json_t *members = json_object_get(value, FIELD_MEMBERS);
+  if (!ws_json_count(value, FIELD_NUMBER, &epoch->number)
+      || !ws_json_string(value, FIELD_LEADER, &leader) || !json_is_array(members))
     return FALSE;
   epoch->leader = ws_settings_find_node(settings, leader);
   return parse_members(epoch, members, settings);
@@ -52,12 +66,12 @@
   json_t *members = json_array();
   for (guint i = 0; i < epoch->members->len; i++) {
     const WsMember *member = &g_array_index(epoch->members, WsMember, i);
-    json_array_append_new(members, json_pack("{s:s, s:I}", "node",
+    json_array_append_new(members, json_pack("{s:s, s:I}", FIELD_NODE,
                                              ws_settings_node(settings, member->node)->name,
-                                             "incarnation", (json_int_t)member->incarnation));
+                                             FIELD_INCARNATION, (json_int_t)member->incarnation));
   }
-  return json_pack("{s:I, s:s, s:o}", "number", (json_int_t)epoch->number, "leader",
-                   ws_settings_node(settings, epoch->leader)->name, "members", members);
+  return json_pack("{s:I, s:s, s:o}", FIELD_NUMBER, (json_int_t)epoch->number, FIELD_LEADER,
+                   ws_settings_node(settings, epoch->leader)->name, FIELD_MEMBERS, members);
 }
 
 static const WsMember *
@@ -108,30 +122,30 @@
 /* FNV-1a over both names, finished with a 64-bit mix: names that differ in the last digit only
    must still fall to different nodes. */
 static guint64
-weight(const char *machine, const char *node)
+hash_weight(const char *machine, const char *node)
 {
-  guint64 hash = G_GUINT64_CONSTANT(14695981039346656037);
+  guint64 hash = FNV_OFFSET_BASIS;
   const char *const parts[] = { machine, "|", node };
   for (guint i = 0; i < G_N_ELEMENTS(parts); i++)
-    for (const char *at = parts[i]; *at != '\0'; at++)
-      hash = (hash ^ (guint8)*at) * G_GUINT64_CONSTANT(1099511628211);
-  hash = (hash ^ (hash >> 30)) * G_GUINT64_CONSTANT(0xbf58476d1ce4e5b9);
-  hash = (hash ^ (hash >> 27)) * G_GUINT64_CONSTANT(0x94d049bb133111eb);
+    for (const char *byte = parts[i]; *byte != '\0'; byte++)
+      hash = (hash ^ (guint8)*byte) * FNV_PRIME;
+  hash = (hash ^ (hash >> 30)) * MIX_FACTOR_1;
+  hash = (hash ^ (hash >> 27)) * MIX_FACTOR_2;
   return hash ^ (hash >> 31);
 }
 
-guint
+WsNodeIndex
 ws_epoch_owner(const WsEpoch *epoch, const char *machine, const WsSettings *settings)
 {
-  guint best = WS_NONE;
-  guint64 most = 0;
+  WsNodeIndex owner = WS_NO_NODE;
+  guint64 max_weight = 0;
   for (guint i = 0; i < epoch->members->len; i++) {
     WsNodeIndex node = g_array_index(epoch->members, WsMember, i).node;
-    guint64 found = weight(machine, ws_settings_node(settings, node)->name);
-    if (best == WS_NONE || found > most) {
-      best = node;
-      most = found;
+    guint64 weight = hash_weight(machine, ws_settings_node(settings, node)->name);
+    if (owner == WS_NO_NODE || weight > max_weight) {
+      owner = node;
+      max_weight = weight;
     }
   }
-  return best;
+  return owner;
 }
