--- a/src/transport/ws-http-client.c
+++ b/src/transport/ws-http-client.c
@@ -3,8 +3,15 @@
 #include <libsoup/soup.h>
 #include <string.h>
 
+#define MIN_CONNECTIONS 16u
+/* A hung host may only use up its own connections. */
+#define MAX_CONNECTIONS_PER_HOST 12
+#define IDLE_CONNECTION_TIMEOUT_S 30
+/* Each call has a timer of its own. */
+#define NO_SOCKET_TIMEOUT 0
+
 struct _WsHttpClient {
-  SoupSession *incarnation;
+  SoupSession *session;
 };
 
 typedef struct {
@@ -13,32 +20,33 @@
   guint timer;
   WsHttpDone done;
   gpointer data;
-} Pending;
+} PendingCall;
 
 WsHttpClient *
 ws_http_client_new(guint max_connections)
 {
   WsHttpClient *client = g_new0(WsHttpClient, 1);
   /* No proxy resolver: the peers are numeric addresses, and looking for one costs time and memory.
-     A hung host may only use up its own connections, so the limit for each host is small. */
-  client->incarnation = soup_session_new_with_options(
-      "proxy-resolver", NULL, "max-conns", (int)MAX(max_connections, 16u), "max-conns-per-host", 12,
-      "idle-timeout", 30, "timeout", 0, NULL);
+   */
+  client->session = soup_session_new_with_options(
+      "proxy-resolver", NULL, "max-conns", (int)MAX(max_connections, MIN_CONNECTIONS),
+      "max-conns-per-host", MAX_CONNECTIONS_PER_HOST, "idle-timeout", IDLE_CONNECTION_TIMEOUT_S,
+      "timeout", NO_SOCKET_TIMEOUT, NULL);
   return client;
 }
 
 void
 ws_http_client_free(WsHttpClient *client)
 {
-  soup_session_abort(client->incarnation);
-  g_object_unref(client->incarnation);
+  soup_session_abort(client->session);
+  g_object_unref(client->session);
   g_free(client);
 }
 
 static gboolean
 on_timeout(gpointer data)
 {
-  Pending *pending = data;
+  PendingCall *pending = data;
   pending->timer = 0;
   g_cancellable_cancel(pending->cancellable);
   return G_SOURCE_REMOVE;
@@ -47,7 +55,7 @@
 static void
 on_sent(GObject *source, GAsyncResult *result, gpointer data)
 {
-  Pending *pending = data;
+  PendingCall *pending = data;
   g_autoptr(GError) error = NULL;
   g_autoptr(GBytes) bytes = soup_session_send_and_read_finish(SOUP_SESSION(source), result, &error);
   if (pending->timer != 0)
@@ -78,12 +86,12 @@
     g_autoptr(GBytes) bytes = g_bytes_new(body, strlen(body));
     soup_message_set_request_body_from_bytes(message, "application/json", bytes);
   }
-  Pending *pending = g_new0(Pending, 1);
+  PendingCall *pending = g_new0(PendingCall, 1);
   pending->message = g_steal_pointer(&message);
   pending->cancellable = g_cancellable_new();
   pending->done = done;
   pending->data = data;
   pending->timer = g_timeout_add(timeout_ms, on_timeout, pending);
-  soup_session_send_and_read_async(client->incarnation, pending->message, G_PRIORITY_DEFAULT,
+  soup_session_send_and_read_async(client->session, pending->message, G_PRIORITY_DEFAULT,
                                    pending->cancellable, on_sent, pending);
 }
--- a/src/transport/ws-http-client.h
+++ b/src/transport/ws-http-client.h
@@ -1,14 +1,29 @@
-/* Outgoing HTTP: every call has a deadline of its own and ends in exactly one callback. */
+/**
+ * Outgoing HTTP: every call has a deadline of its own and ends in exactly one callback.
+ */
 #pragma once
 
 #include <glib.h>
 
 typedef struct _WsHttpClient WsHttpClient;
 
-/* status 0: no usable response came in time. */
+/**
+ * The end of a call. @status: 0: no usable response came in time. @body: @length bytes, borrowed
+ * for the time of the callback; never NULL.
+ */
 typedef void (*WsHttpDone)(guint status, const char *body, gsize length, gpointer data);
 
+/** A client with at most so many connections in all. */
 WsHttpClient *ws_http_client_new(guint max_connections);
+
+/** Frees the client. Calls that are under way are aborted. */
 void ws_http_client_free(WsHttpClient *client);
+
+/**
+ * Sends a request. @body: JSON, NULL: none. @done is called from the main loop, or at once if the
+ * URL can't be used.
+ */
 void ws_http_client_send(WsHttpClient *client, const char *method, const char *url,
                          const char *body, guint timeout_ms, WsHttpDone done, gpointer data);
+
+G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsHttpClient, ws_http_client_free)
--- a/src/transport/ws-http-server.c
+++ b/src/transport/ws-http-server.c
@@ -10,16 +10,17 @@
 #include <microhttpd.h>
 #include <string.h>
 
-#define MOST_BODY (4u << 20)
+#define MAX_BODY_BYTES (4u << 20)
 /* Of each connection: its request's headers must fit, bodies pass through. */
-#define CONNECTION_MEMORY 4096
+#define CONNECTION_MEMORY_BYTES 4096
+#define RETRY_AFTER_BYTES 16
 
 struct _WsHttpServer {
   struct MHD_Daemon *daemon;
   WsHttpHandler handler;
   gpointer data;
-  guint watch;
-  guint wakeup; /* answers wait to be sent */
+  guint epoll_source;
+  guint idle_source; /* 0: nothing waits to be sent or read */
 };
 
 typedef struct {
@@ -29,7 +30,7 @@
   GByteArray *bytes;
   struct MHD_Response *response;
   guint status;
-  gboolean in_handler;
+  gboolean is_in_handler;
 } Request;
 
 static Request *
@@ -46,8 +47,8 @@
 }
 
 static void
-on_over(void *data, struct MHD_Connection *connection, void **state,
-        enum MHD_RequestTerminationCode why)
+on_completed(void *data, struct MHD_Connection *connection, void **state,
+             enum MHD_RequestTerminationCode why)
 {
   (void)data;
   (void)connection;
@@ -65,14 +66,14 @@
 }
 
 static enum MHD_Result
-hand_over(Request *request)
+handle_request(Request *request)
 {
   WsHttpServer *server = request->server;
   request->base.body = (const char *)request->bytes->data;
   request->base.length = request->bytes->len;
-  request->in_handler = TRUE;
+  request->is_in_handler = TRUE;
   server->handler(&request->base, server->data);
-  request->in_handler = FALSE;
+  request->is_in_handler = FALSE;
   if (request->response != NULL)
     return MHD_queue_response(request->connection, request->status, request->response);
   MHD_suspend_connection(request->connection);
@@ -93,8 +94,8 @@
   if (request->response != NULL)
     return MHD_queue_response(connection, request->status, request->response);
   if (*length == 0)
-    return hand_over(request);
-  if (request->bytes->len + *length > MOST_BODY)
+    return handle_request(request);
+  if (request->bytes->len + *length > MAX_BODY_BYTES)
     return MHD_NO; /* ends the connection: nobody sends so much */
   g_byte_array_append(request->bytes, (const guint8 *)part, (guint)*length);
   *length = 0;
@@ -106,13 +107,13 @@
 static void
 wake_up(WsHttpServer *server)
 {
-  if (server->wakeup == 0)
-    server->wakeup = g_idle_add_full(G_PRIORITY_DEFAULT, on_wakeup, server, NULL);
+  if (server->idle_source == 0)
+    server->idle_source = g_idle_add_full(G_PRIORITY_DEFAULT, on_wakeup, server, NULL);
 }
 
 /* One round reads a part of what has come; the descriptor doesn't tell of the rest again. */
 static void
-run(WsHttpServer *server)
+run_once(WsHttpServer *server)
 {
   MHD_UNSIGNED_LONG_LONG timeout_ms;
   MHD_run(server->daemon);
@@ -125,7 +126,7 @@
 {
   (void)fd;
   (void)condition;
-  run(data);
+  run_once(data);
   return G_SOURCE_CONTINUE;
 }
 
@@ -133,13 +134,13 @@
 on_wakeup(gpointer data)
 {
   WsHttpServer *server = data;
-  server->wakeup = 0;
-  run(server);
+  server->idle_source = 0;
+  run_once(server);
   return G_SOURCE_REMOVE;
 }
 
 static struct MHD_Daemon *
-listen_on(WsHttpServer *server, GSocketAddress *address, guint most, GError **error)
+listen_on(WsHttpServer *server, GSocketAddress *address, guint max_connections, GError **error)
 {
   struct sockaddr_storage native;
   gssize size = g_socket_address_get_native_size(address);
@@ -147,9 +148,9 @@
     return NULL;
   struct MHD_Daemon *daemon = MHD_start_daemon(
       MHD_USE_EPOLL | MHD_ALLOW_SUSPEND_RESUME | MHD_USE_SUPPRESS_DATE_NO_CLOCK, 0, NULL, NULL,
-      on_request, server, MHD_OPTION_SOCK_ADDR, &native, MHD_OPTION_NOTIFY_COMPLETED, on_over,
-      server, MHD_OPTION_CONNECTION_LIMIT, most, MHD_OPTION_CONNECTION_MEMORY_LIMIT,
-      (size_t)CONNECTION_MEMORY, MHD_OPTION_END);
+      on_request, server, MHD_OPTION_SOCK_ADDR, &native, MHD_OPTION_NOTIFY_COMPLETED, on_completed,
+      server, MHD_OPTION_CONNECTION_LIMIT, max_connections, MHD_OPTION_CONNECTION_MEMORY_LIMIT,
+      (size_t)CONNECTION_MEMORY_BYTES, MHD_OPTION_END);
   if (daemon == NULL)
     g_set_error(error, G_IO_ERROR, g_io_error_from_errno(errno),
                 "the address can't be listened on: %s", g_strerror(errno));
@@ -157,7 +158,7 @@
 }
 
 WsHttpServer *
-ws_http_server_new(const char *address, guint most, WsHttpHandler handler, gpointer data,
+ws_http_server_new(const char *address, guint max_connections, WsHttpHandler handler, gpointer data,
                    GError **error)
 {
   g_autoptr(GSocketConnectable) parsed = g_network_address_parse(address, 0, error);
@@ -173,22 +174,22 @@
   WsHttpServer *server = g_new0(WsHttpServer, 1);
   server->handler = handler;
   server->data = data;
-  server->daemon = listen_on(server, socket, most, error);
+  server->daemon = listen_on(server, socket, max_connections, error);
   if (server->daemon == NULL) {
     g_free(server);
     return NULL;
   }
   const union MHD_DaemonInfo *info = MHD_get_daemon_info(server->daemon, MHD_DAEMON_INFO_EPOLL_FD);
-  server->watch = g_unix_fd_add(info->epoll_fd, G_IO_IN, on_ready, server);
+  server->epoll_source = g_unix_fd_add(info->epoll_fd, G_IO_IN, on_ready, server);
   return server;
 }
 
 void
 ws_http_server_free(WsHttpServer *server)
 {
-  g_source_remove(server->watch);
-  if (server->wakeup != 0)
-    g_source_remove(server->wakeup);
+  g_source_remove(server->epoll_source);
+  if (server->idle_source != 0)
+    g_source_remove(server->idle_source);
   MHD_stop_daemon(server->daemon);
   g_free(server);
 }
@@ -203,11 +204,11 @@
       = MHD_create_response_from_buffer(strlen(text), (void *)text, MHD_RESPMEM_MUST_COPY);
   MHD_add_response_header(request->response, "Content-Type", "application/json");
   if (retry_after_s > 0) {
-    char seconds[16];
+    char seconds[RETRY_AFTER_BYTES];
     g_snprintf(seconds, sizeof seconds, "%u", retry_after_s);
     MHD_add_response_header(request->response, "Retry-After", seconds);
   }
-  if (request->in_handler)
+  if (request->is_in_handler)
     return;
   MHD_resume_connection(request->connection);
   wake_up(request->server);
--- a/src/transport/ws-rate.c
+++ b/src/transport/ws-rate.c
@@ -1,9 +1,12 @@
 #include "transport/ws-rate.h"
 
+#define MIN_BURST 1.0
+
 void
 ws_rate_init(WsRate *rate, double per_second, double burst)
 {
-  *rate = (WsRate){ .per_second = per_second, .burst = MAX(burst, 1.0), .tokens = MAX(burst, 1.0) };
+  double size = MAX(burst, MIN_BURST);
+  *rate = (WsRate){ .per_second = per_second, .burst = size, .tokens = size };
 }
 
 /* A request larger than the burst is let through on a full bucket, which then goes into debt. */
--- a/src/transport/ws-rate.h
+++ b/src/transport/ws-rate.h
@@ -1,17 +1,27 @@
-/* A token bucket. It keeps no clock: every call names the time. */
+/**
+ * A token bucket, which limits a rate. It keeps no clock: every call names the time.
+ *
+ * Times are of one clock, in milliseconds.
+ */
 #pragma once
 
 #include <glib.h>
 
 typedef struct {
-  double per_second;
-  double burst;
-  double tokens;
-  gint64 at_ms;
+  double per_second; /**< tokens that are added per second; may be changed at any time */
+  double burst;      /**< the most that it holds, at least 1 */
+  double tokens;     /**< what it holds; negative: it is in debt */
+  gint64 at_ms;      /**< until when tokens have been added */
 } WsRate;
 
+/** Makes a full bucket. */
 void ws_rate_init(WsRate *rate, double per_second, double burst);
+
+/** Whether @count tokens could be taken now. */
 gboolean ws_rate_ready(WsRate *rate, double count, gint64 now_ms);
-/* Takes what may not wait, up to a whole burst in debt. */
-gboolean ws_rate_borrow(WsRate *rate, double count, gint64 now_ms);
+
+/** Takes @count tokens. FALSE: there aren't enough, and none are taken. */
 gboolean ws_rate_take(WsRate *rate, double count, gint64 now_ms);
+
+/** Takes @count tokens for what may not wait. FALSE: a whole burst is owed, and none are taken. */
+gboolean ws_rate_borrow(WsRate *rate, double count, gint64 now_ms);
