--- a/src/main.c
+++ b/src/main.c
@@ -1,7 +1,9 @@
-/* wrenshore: a cluster scheduler that gives idle rented machines back. */
+/* wrenshore: a cluster scheduler that terminates idle rented machines. This file has the command
+   line, the reading of both files, and the log. */
 #include "runtime/ws-runtime.h"
 
 #include <stdio.h>
+#include <stdlib.h>
 #include <string.h>
 
 #define EXIT_USAGE 2
@@ -9,22 +11,22 @@
 typedef struct {
   char *config;
   char *properties;
-  gboolean check;
-  gboolean version;
+  gboolean only_check;
+  gboolean show_version;
 } Options;
 
 static gboolean
 parse_options(int *argc, char ***argv, Options *options)
 {
-  GOptionEntry entries[]
-      = { { "config", 0, 0, G_OPTION_ARG_FILENAME, &options->config,
-            "settings of the platform (JSON)", "FILE" },
-          { "properties", 0, 0, G_OPTION_ARG_FILENAME, &options->properties,
-            "operators' own settings (properties)", "FILE" },
-          { "check", 0, 0, G_OPTION_ARG_NONE, &options->check, "check both files and end", NULL },
-          { "version", 0, 0, G_OPTION_ARG_NONE, &options->version, "show the version and end",
-            NULL },
-          { 0 } };
+  GOptionEntry entries[] = { { "config", 0, 0, G_OPTION_ARG_FILENAME, &options->config,
+                               "settings of the platform (JSON)", "FILE" },
+                             { "properties", 0, 0, G_OPTION_ARG_FILENAME, &options->properties,
+                               "operators' own settings (properties)", "FILE" },
+                             { "check", 0, 0, G_OPTION_ARG_NONE, &options->only_check,
+                               "check both files and end", NULL },
+                             { "version", 0, 0, G_OPTION_ARG_NONE, &options->show_version,
+                               "show the version and end", NULL },
+                             { 0 } };
   g_autoptr(GOptionContext) context = g_option_context_new("- a cluster scheduler");
   g_autoptr(GError) error = NULL;
   g_option_context_add_main_entries(context, entries, NULL);
@@ -39,7 +41,7 @@
     fprintf(stderr, "wrenshore: unexpected argument %s\n", (*argv)[1]);
     return FALSE;
   }
-  if (!options->version && options->config == NULL) {
+  if (!options->show_version && options->config == NULL) {
     fprintf(stderr, "wrenshore: --config FILE is missing\n");
     return FALSE;
   }
@@ -87,7 +89,7 @@
   return g_steal_pointer(&properties);
 }
 
-/* The libraries tell of every connection; that isn't the story of this program. */
+/* Libraries log every connection; details are of this program alone. */
 static gboolean
 is_ours(const GLogField *fields, gsize count)
 {
@@ -100,16 +102,16 @@
 static GLogWriterOutput
 write_log(GLogLevelFlags level, const GLogField *fields, gsize count, gpointer data)
 {
-  GLogLevelFlags least = GPOINTER_TO_UINT(data);
+  GLogLevelFlags max_level = GPOINTER_TO_UINT(data);
   gboolean is_detail = (level & G_LOG_LEVEL_MASK) > G_LOG_LEVEL_MESSAGE;
-  if ((level & G_LOG_LEVEL_MASK) > least || (is_detail && !is_ours(fields, count)))
+  if ((level & G_LOG_LEVEL_MASK) > max_level || (is_detail && !is_ours(fields, count)))
     return G_LOG_WRITER_HANDLED;
   g_autofree char *line = g_log_writer_format_fields(level, fields, count, FALSE);
   fprintf(stderr, "%s\n", line);
   return G_LOG_WRITER_HANDLED;
 }
 
-/* A warning is already something a person should look at. */
+/* Warnings are shown at every level: each is something that an operator should look at. */
 static GLogLevelFlags
 log_level(void)
 {
@@ -127,10 +129,10 @@
   WsRuntime *runtime = ws_runtime_new(settings, properties, &error);
   if (runtime == NULL) {
     fprintf(stderr, "wrenshore: can't listen: %s\n", error->message);
-    return 1;
+    return EXIT_FAILURE;
   }
   g_main_loop_run(loop);
-  return 0;
+  return EXIT_SUCCESS;
 }
 
 static int
@@ -138,9 +140,9 @@
 {
   if (!parse_options(&argc, &argv, options))
     return EXIT_USAGE;
-  if (options->version) {
+  if (options->show_version) {
     printf("wrenshore %s\n", WS_VERSION);
-    return 0;
+    return EXIT_SUCCESS;
   }
   g_log_set_writer_func(write_log, GUINT_TO_POINTER(log_level()), NULL);
   g_autoptr(WsSettings) settings = read_settings(options->config);
@@ -149,9 +151,9 @@
   g_autoptr(WsProperties) properties = read_properties(options->properties, settings);
   if (properties == NULL)
     return EXIT_USAGE;
-  if (options->check) {
+  if (options->only_check) {
     printf("wrenshore: the settings are good\n");
-    return 0;
+    return EXIT_SUCCESS;
   }
   return run(settings, properties);
 }
--- a/src/runtime/ws-runtime.c
+++ b/src/runtime/ws-runtime.c
@@ -3,25 +3,27 @@
 #include "transport/ws-http-client.h"
 #include "transport/ws-http-server.h"
 
-#define TICK_MS 50
+#define TICK_INTERVAL_MS 50
+/* Of an incarnation. */
+#define RANDOM_BITS 10
 /* How the sockets are shared out, so that neither workers and users nor calls to hundreds of
    workers can take what the other controllers and the state service need. */
-#define API_PART 0.65
-#define CLIENT_PART 0.25
-#define MESH_PART 0.05
+#define API_SOCKET_SHARE 0.65
+#define CLIENT_SOCKET_SHARE 0.25
+#define MESH_SOCKET_SHARE 0.05
 
 struct _WsRuntime {
   WsCore *core;
   WsHttpClient *client;
   WsHttpServer *api;
   WsHttpServer *mesh;
-  guint timer;
+  guint tick_source;
 };
 
 typedef struct {
   WsRuntime *runtime;
   guint64 call;
-} Sent;
+} PendingCall;
 
 static gint64
 now_ms(void)
@@ -35,51 +37,51 @@
   return g_get_real_time() / 1000;
 }
 
-static void flush(WsRuntime *runtime);
+static void send_outputs(WsRuntime *runtime);
 
 static void
 on_reply(guint status, const char *body, gsize length, gpointer data)
 {
-  Sent *sent = data;
-  WsRuntime *runtime = sent->runtime;
-  ws_core_reply(runtime->core, now_ms(), wall_ms(), sent->call, status, body, length);
-  g_free(sent);
-  flush(runtime);
+  PendingCall *pending = data;
+  WsRuntime *runtime = pending->runtime;
+  ws_core_reply(runtime->core, now_ms(), wall_ms(), pending->call, status, body, length);
+  g_free(pending);
+  send_outputs(runtime);
 }
 
 static void
-flush(WsRuntime *runtime)
+send_outputs(WsRuntime *runtime)
 {
   WsOutput *output;
   while ((output = ws_core_pop(runtime->core)) != NULL) {
     if (output->is_answer) {
       ws_http_request_answer(output->request, output->status, output->body, output->retry_after_s);
     } else {
-      Sent *sent = g_new0(Sent, 1);
-      *sent = (Sent){ runtime, output->call };
+      PendingCall *pending = g_new0(PendingCall, 1);
+      *pending = (PendingCall){ runtime, output->call };
       ws_http_client_send(runtime->client, output->method, output->url, output->body,
-                          output->timeout_ms, on_reply, sent);
+                          output->timeout_ms, on_reply, pending);
     }
     ws_output_free(output);
   }
 }
 
 static void
-on_api(WsHttpRequest *request, gpointer data)
+on_api_request(WsHttpRequest *request, gpointer data)
 {
   WsRuntime *runtime = data;
   ws_core_request(runtime->core, now_ms(), wall_ms(), WS_DOOR_API, request->method, request->path,
                   request->body, request->length, request);
-  flush(runtime);
+  send_outputs(runtime);
 }
 
 static void
-on_mesh(WsHttpRequest *request, gpointer data)
+on_mesh_request(WsHttpRequest *request, gpointer data)
 {
   WsRuntime *runtime = data;
   ws_core_request(runtime->core, now_ms(), wall_ms(), WS_DOOR_MESH, request->method, request->path,
                   request->body, request->length, request);
-  flush(runtime);
+  send_outputs(runtime);
 }
 
 static gboolean
@@ -87,30 +89,36 @@
 {
   WsRuntime *runtime = data;
   ws_core_tick(runtime->core, now_ms(), wall_ms());
-  flush(runtime);
+  send_outputs(runtime);
   return G_SOURCE_CONTINUE;
 }
 
+/* Microseconds of the time of day tell two runs of a node apart; the low bits are random, since a
+   restart may fall into the same tick of a coarse clock. */
+static guint64
+new_incarnation(void)
+{
+  guint64 random_bits = g_random_int() & ((1u << RANDOM_BITS) - 1);
+  return ((guint64)g_get_real_time() << RANDOM_BITS | random_bits) & G_MAXINT64;
+}
+
 WsRuntime *
 ws_runtime_new(const WsSettings *settings, const WsProperties *properties, GError **error)
 {
   WsRuntime *runtime = g_new0(WsRuntime, 1);
-  /* Microseconds of the time of day tell two runs of a node apart; the low bits are random, since
-     a restart may fall into the same tick of a coarse clock. */
-  guint64 incarnation = ((guint64)g_get_real_time() << 10 | (g_random_int() & 1023)) & G_MAXINT64;
-  runtime->core = ws_core_new(settings, properties, incarnation);
+  runtime->core = ws_core_new(settings, properties, new_incarnation());
   double sockets = (double)settings->max_sockets;
-  runtime->client = ws_http_client_new((guint)(sockets * CLIENT_PART));
-  runtime->api
-      = ws_http_server_new(settings->api_addr, (guint)(sockets * API_PART), on_api, runtime, error);
+  runtime->client = ws_http_client_new((guint)(sockets * CLIENT_SOCKET_SHARE));
+  runtime->api = ws_http_server_new(settings->api_addr, (guint)(sockets * API_SOCKET_SHARE),
+                                    on_api_request, runtime, error);
   if (runtime->api != NULL)
-    runtime->mesh = ws_http_server_new(settings->mesh_addr, (guint)(sockets * MESH_PART), on_mesh,
-                                       runtime, error);
+    runtime->mesh = ws_http_server_new(settings->mesh_addr, (guint)(sockets * MESH_SOCKET_SHARE),
+                                       on_mesh_request, runtime, error);
   if (runtime->mesh == NULL) {
     ws_runtime_free(runtime);
     return NULL;
   }
-  runtime->timer = g_timeout_add(TICK_MS, on_tick, runtime);
+  runtime->tick_source = g_timeout_add(TICK_INTERVAL_MS, on_tick, runtime);
   on_tick(runtime);
   return runtime;
 }
@@ -118,8 +126,8 @@
 void
 ws_runtime_free(WsRuntime *runtime)
 {
-  if (runtime->timer != 0)
-    g_source_remove(runtime->timer);
+  if (runtime->tick_source != 0)
+    g_source_remove(runtime->tick_source);
   if (runtime->api != NULL)
     ws_http_server_free(runtime->api);
   if (runtime->mesh != NULL)
