--- a/src/storage/ws-chunk-record.c
+++ b/src/storage/ws-chunk-record.c
@@ -34,7 +34,8 @@
 static gsize
 bytes_without_times(const WsChunk *chunk, const WsReplica *replica)
 {
-  gsize bytes = BYTES_AROUND_CHUNK + count_digits(chunk->last_attempt) + 2 * sizeof chunk->done;
+  gsize bytes
+      = BYTES_AROUND_CHUNK + count_digits(chunk->last_attempt) + 2 * sizeof chunk->completed;
   for (guint i = 0; i < chunk->assignments->len; i++) {
     const WsAssignment *assignment = &g_array_index(chunk->assignments, WsAssignment, i);
     const char *machine = ws_replica_machine(replica, assignment->machine)->name;
@@ -50,9 +51,9 @@
 max_bytes_without_times(const WsReplica *replica)
 {
   gsize max_digits = count_digits(G_MAXUINT64);
-  gsize assignment_bytes
-      = BYTES_AROUND_ASSIGNMENT + count_digits(WS_MAX_TASKS) + max_digits + replica->longest_name;
-  return BYTES_AROUND_CHUNK + max_digits + 2 * sizeof(((WsChunk *)NULL)->done)
+  gsize assignment_bytes = BYTES_AROUND_ASSIGNMENT + count_digits(WS_MAX_TASKS) + max_digits
+                           + replica->longest_name_bytes;
+  return BYTES_AROUND_CHUNK + max_digits + 2 * sizeof(((WsChunk *)NULL)->completed)
          + WS_CHUNK_TASKS * MAX(assignment_bytes, BYTES_OF_LONG_ASSIGNMENT);
 }
 
@@ -90,9 +91,9 @@
       json_array_append_new(item, json_integer((json_int_t)assignment->assigned_ms));
     json_array_append_new(assignments, item);
   }
-  char hex[2 * sizeof chunk->done + 1];
-  for (guint i = 0; i < sizeof chunk->done; i++)
-    g_snprintf(hex + (gsize)2 * i, 3, "%02x", chunk->done[i]);
+  char hex[2 * sizeof chunk->completed + 1];
+  for (guint i = 0; i < sizeof chunk->completed; i++)
+    g_snprintf(hex + (gsize)2 * i, 3, "%02x", chunk->completed[i]);
   return json_pack("{s:I, s:o, s:s}", FIELD_LAST_ATTEMPT, (json_int_t)chunk->last_attempt,
                    FIELD_ASSIGNMENTS, assignments, FIELD_COMPLETED, hex);
 }
@@ -100,15 +101,15 @@
 static gboolean
 parse_completed(WsChunk *chunk, const char *hex)
 {
-  if (strlen(hex) != 2 * sizeof chunk->done)
+  if (strlen(hex) != 2 * sizeof chunk->completed)
     return FALSE;
-  for (guint i = 0; i < sizeof chunk->done; i++) {
+  for (guint i = 0; i < sizeof chunk->completed; i++) {
     gint high = g_ascii_xdigit_value(hex[(gsize)2 * i]);
     gint low = g_ascii_xdigit_value(hex[(gsize)2 * i + 1]);
     if (high < 0 || low < 0)
       return FALSE;
-    chunk->done[i] = (guint8)(high << 4 | low);
-    for (guint bits = chunk->done[i]; bits != 0; bits &= bits - 1)
+    chunk->completed[i] = (guint8)(high << 4 | low);
+    for (guint bits = chunk->completed[i]; bits != 0; bits &= bits - 1)
       chunk->completed_count++;
   }
   return TRUE;
--- a/src/storage/ws-chunk.c
+++ b/src/storage/ws-chunk.c
@@ -18,28 +18,30 @@
 {
   ws_chunk_remove(chunk, assignment->task);
   g_array_append_vals(chunk->assignments, assignment, 1);
-  chunk->at[assignment->task % WS_CHUNK_TASKS] = (guint8)chunk->assignments->len;
+  chunk->places[assignment->task % WS_CHUNK_TASKS] = (guint8)chunk->assignments->len;
 }
 
 void
 ws_chunk_remove(WsChunk *chunk, guint task)
 {
-  guint8 *at = &chunk->at[task % WS_CHUNK_TASKS];
-  if (*at == 0)
+  guint8 *place = &chunk->places[task % WS_CHUNK_TASKS];
+  if (*place == 0)
     return;
-  guint index = *at - 1u;
-  *at = 0;
+  guint index = *place - 1u;
+  *place = 0;
+  /* The last assignment takes the place of the removed one. */
   g_array_remove_index_fast(chunk->assignments, index);
-  if (index < chunk->assignments->len)
-    chunk->at[g_array_index(chunk->assignments, WsAssignment, index).task % WS_CHUNK_TASKS]
-        = (guint8)(index + 1);
+  if (index == chunk->assignments->len)
+    return;
+  guint moved_task = g_array_index(chunk->assignments, WsAssignment, index).task;
+  chunk->places[moved_task % WS_CHUNK_TASKS] = (guint8)(index + 1);
 }
 
 WsAssignment *
 ws_chunk_find(const WsChunk *chunk, guint task)
 {
-  guint8 at = chunk != NULL ? chunk->at[task % WS_CHUNK_TASKS] : 0;
-  return at != 0 ? &g_array_index(chunk->assignments, WsAssignment, at - 1u) : NULL;
+  guint place = chunk != NULL ? chunk->places[task % WS_CHUNK_TASKS] : 0;
+  return place != 0 ? &g_array_index(chunk->assignments, WsAssignment, place - 1) : NULL;
 }
 
 void
@@ -48,7 +50,7 @@
   guint bit = task % WS_CHUNK_TASKS;
   if (ws_chunk_is_done(chunk, task))
     return;
-  chunk->done[bit / 8] |= (guint8)(1u << (bit % 8));
+  chunk->completed[bit / 8] |= (guint8)(1u << (bit % 8));
   chunk->completed_count++;
 }
 
@@ -56,7 +58,7 @@
 ws_chunk_is_done(const WsChunk *chunk, guint task)
 {
   guint bit = task % WS_CHUNK_TASKS;
-  return chunk != NULL && (chunk->done[bit / 8] >> (bit % 8) & 1) != 0;
+  return chunk != NULL && (chunk->completed[bit / 8] >> (bit % 8) & 1) != 0;
 }
 
 void
--- a/src/storage/ws-chunk.h
+++ b/src/storage/ws-chunk.h
@@ -9,49 +9,55 @@
 #include "protocol/ws-heartbeat.h"
 #include "protocol/ws-index.h"
 
-#include <glib.h>
-
+/** Tasks per chunk. */
 #define WS_CHUNK_TASKS 128
 
+/** That a task is assigned to a machine, and what this node knows of it besides. */
 typedef struct {
-  guint task;
+  guint task; /**< its number within the job */
   WsMachineIndex machine;
   guint64 attempt;
-  gint64 assigned_ms; /* wall clock */
-  /* soft: */
-  guint64 since_version; /* of the record that first named it; 0: not known */
-  WsTaskState state;
-  gboolean
-      is_confirmed_gone;    /* the worker has shown that a cancelled task's attempt is not there */
-  gint64 stop_forwarded_ms; /* when another owner was last asked to stop it */
-  gboolean launch_sent;     /* its launch was in an answer to a report */
-  gboolean
-      is_stop_requested; /* a stop is wanted, so that something else gets the room or the machine */
+  gint64 assigned_ms; /**< wall clock; 0: not recorded */
+
+  /* Not stored. Written by workers, and by scheduling for stops. */
+  guint64 since_version;      /**< of the record that first named it; 0: not known */
+  WsTaskState state;          /**< as its worker last reported it */
+  gboolean is_confirmed_gone; /**< of a cancelled task: its worker has shown that it isn't there */
+  gint64 stop_forwarded_ms;   /**< when another owner was last asked to stop it; 0: never */
+  gboolean launch_sent;       /**< its launch was in an answer to a heartbeat */
+  gboolean is_stop_requested; /**< to free its capacity or its machine for something else */
 } WsAssignment;
 
 typedef struct {
-  guint64 last_attempt;      /* the last attempt number given out */
-  GArray *assignments;       /* of WsAssignment; see ws_chunk_add */
-  guint8 at[WS_CHUNK_TASKS]; /* of each task: 0, or one more than its place among the assignments */
-  guint8 done[WS_CHUNK_TASKS / 8];
+  guint64 last_attempt;          /**< the last attempt number given out */
+  GArray *assignments;           /**< of WsAssignment, in no order */
+  guint8 places[WS_CHUNK_TASKS]; /**< by task: 0, or one more than its place in assignments */
+  guint8 completed[WS_CHUNK_TASKS / 8]; /**< a bit for each task */
   guint completed_count;
 } WsChunk;
 
-/** A copy that the caller frees; @chunk NULL: an empty one. */
+/** A copy that the caller frees. @chunk: NULL: an empty chunk. */
 WsChunk *ws_chunk_copy(const WsChunk *chunk);
 
-/** Adds the assignment, in place of one that the task may have. */
+/** Adds a copy of the assignment, in place of one that the task may have. */
 void ws_chunk_add(WsChunk *chunk, const WsAssignment *assignment);
 
+/** Removes the task's assignment, if it has one. */
 void ws_chunk_remove(WsChunk *chunk, guint task);
 
-/** The task's assignment, or NULL. @chunk may be NULL. */
+/**
+ * The task's assignment, or NULL. It is owned by the chunk, and good until assignments are added
+ * or removed. @chunk may be NULL.
+ */
 WsAssignment *ws_chunk_find(const WsChunk *chunk, guint task);
 
+/** Marks the task as completed. */
 void ws_chunk_set_done(WsChunk *chunk, guint task);
 
+/** Whether the task is completed. @chunk may be NULL. */
 gboolean ws_chunk_is_done(const WsChunk *chunk, guint task);
 
+/** @chunk may be NULL. */
 void ws_chunk_free(WsChunk *chunk);
 
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsChunk, ws_chunk_free)
--- a/src/storage/ws-evidence.c
+++ b/src/storage/ws-evidence.c
@@ -2,7 +2,8 @@
 
 #include <string.h>
 
-/* Places in the item of a message; those before are all that versions before 0.4 know. */
+/* Places in the array that is a release in a message between controllers. Versions before 0.4 know
+   no more than those before ITEM_MACHINE: job, task, attempt, whether the task is completed. */
 #define ITEM_MACHINE 4
 #define ITEM_KIND 5
 #define ITEM_EPOCH 6
--- a/src/storage/ws-evidence.h
+++ b/src/storage/ws-evidence.h
@@ -1,5 +1,5 @@
 /**
- * What the conclusion that a task is gone from its machine rests on, and whether it still holds.
+ * Evidence that a task is gone from its machine, and whether it still holds.
  *
  * A conclusion waits: for a write, for the leader, for the end of an outage. What it was drawn from
  * may be over by then. A worker that didn't have a task under one epoch may have been told to
@@ -13,18 +13,19 @@
 
 #include "storage/ws-replica.h"
 
+/** What shows that a task's attempt is gone. */
 typedef enum {
-  WS_EVIDENCE_ABSENT,  /* a report under the owner's token doesn't show the attempt */
-  WS_EVIDENCE_EXITED,  /* a report under the owner's token shows that it has ended */
-  WS_EVIDENCE_RETURNED /* the cloud has confirmed the machine's return */
+  WS_EVIDENCE_ABSENT,  /**< a heartbeat under the owner's token doesn't have the attempt */
+  WS_EVIDENCE_EXITED,  /**< a heartbeat under the owner's token shows that it has exited */
+  WS_EVIDENCE_RETURNED /**< the cloud has confirmed the machine's return */
 } WsEvidenceKind;
 
 typedef struct {
   WsEvidenceKind kind;
   WsMachineIndex machine;
-  guint64 epoch;       /* the latest one under which the machine's owner has stated it */
-  guint64 incarnation; /* of the worker's message; 0: there is none */
-  guint64 sequence;
+  guint64 epoch;       /**< the latest one under which the machine's owner has stated it */
+  guint64 incarnation; /**< of the worker's message; 0: there is none */
+  guint64 sequence;    /**< of the worker's message */
 } WsEvidence;
 
 /** A task's attempt that is gone from its machine, and is to be taken off the records. */
@@ -32,7 +33,7 @@
   WsJobIndex job;
   guint task;
   guint64 attempt;
-  gboolean done;
+  gboolean done; /**< whether the task is completed, else it is to run again */
   WsEvidence evidence;
 } WsRelease;
 
--- a/src/storage/ws-keys.h
+++ b/src/storage/ws-keys.h
@@ -1,23 +1,37 @@
-/* The keys of the stored state. All share one prefix, so that one watch covers them. */
+/**
+ * The keys of the stored state. All share one prefix, so that one watch covers them.
+ *
+ * The spelling of keys is part of the stored format, which all versions of the program share.
+ */
 #pragma once
 
 #include <glib.h>
 
 #define WS_PREFIX "w/"
-#define WS_KEY_EPOCH WS_PREFIX "epoch"
-#define WS_KEY_CATALOG WS_PREFIX "catalog"
-#define WS_KEY_LEADER WS_PREFIX "leader"
-#define WS_KEYS_MEMBER WS_PREFIX "member/"
-#define WS_KEYS_JOB WS_PREFIX "job/"
-#define WS_KEYS_TASKS WS_PREFIX "task/"
-#define WS_KEYS_TEAM_USE WS_PREFIX "team-use/"
-/* A record for each team, which versions before 0.2 wrote. */
-#define WS_KEYS_TEAM WS_PREFIX "team/"
-#define WS_KEYS_RENTAL_BATCH WS_PREFIX "lot/"
-#define WS_KEYS_MARK WS_PREFIX "mark/"
-#define WS_KEYS_RENTAL_INTENT WS_PREFIX "rent/"
-#define WS_KEYS_MAILBOX WS_PREFIX "mail/"
 
+/* Single records. */
+#define WS_KEY_EPOCH WS_PREFIX "epoch"     /**< the present epoch */
+#define WS_KEY_CATALOG WS_PREFIX "catalog" /**< the cloud's catalog */
+#define WS_KEY_LEADER WS_PREFIX "leader"   /**< the leader, under its lease */
+
+/* Prefixes of records, each with what follows it. */
+#define WS_KEYS_MEMBER WS_PREFIX "member/"      /**< node: a member, under its lease */
+#define WS_KEYS_JOB WS_PREFIX "job/"            /**< job */
+#define WS_KEYS_TASKS WS_PREFIX "task/"         /**< job, "/", number of a chunk */
+#define WS_KEYS_TEAM_USE WS_PREFIX "team-use/"  /**< number of a group of teams */
+#define WS_KEYS_TEAM WS_PREFIX "team/"          /**< team; versions before 0.2 wrote these */
+#define WS_KEYS_RENTAL_BATCH WS_PREFIX "lot/"   /**< rental batch */
+#define WS_KEYS_MARK WS_PREFIX "mark/"          /**< machine: its termination mark */
+#define WS_KEYS_RENTAL_INTENT WS_PREFIX "rent/" /**< idempotency key of a rental */
+#define WS_KEYS_MAILBOX WS_PREFIX "mail/"       /**< node: what it left for the others */
+
+/* The caller frees the keys. */
+
+/** The key of a job's record. */
 char *ws_key_job(const char *id);
+
+/** The key of a chunk's record. */
 char *ws_key_chunk(const char *id, guint chunk);
+
+/** The key of any record. @prefix: one of WS_KEYS_.... */
 char *ws_key(const char *prefix, const char *name);
--- a/src/storage/ws-machine-records.c
+++ b/src/storage/ws-machine-records.c
@@ -40,8 +40,8 @@
 guint
 ws_rental_batch_max_machines(const WsSettings *settings)
 {
-  gsize left = (gsize)settings->state_record_bytes - (gsize)2 * BYTES_AROUND_BATCH;
-  return MIN((guint)(left / (BYTES_AROUND_NAME + BYTES_OF_ORDINARY_NAME)), MAX_MACHINES_PER_BATCH);
+  gsize bytes = (gsize)settings->state_record_bytes - (gsize)2 * BYTES_AROUND_BATCH;
+  return MIN((guint)(bytes / (BYTES_AROUND_NAME + BYTES_OF_ORDINARY_NAME)), MAX_MACHINES_PER_BATCH);
 }
 
 json_t *
--- a/src/storage/ws-replica-apply.c
+++ b/src/storage/ws-replica-apply.c
@@ -60,7 +60,7 @@
     note_removed(replica, key, version);
   known->version = version;
   known->present = value != NULL;
-  replica->applying = version;
+  replica->applying_version = version;
   apply_value(replica, key, value);
   return TRUE;
 }
--- a/src/storage/ws-replica-jobs.c
+++ b/src/storage/ws-replica-jobs.c
@@ -65,7 +65,7 @@
       *assignment = *known;
       continue;
     }
-    assignment->since_version = replica->is_loading ? 0 : replica->applying;
+    assignment->since_version = replica->is_loading ? 0 : replica->applying_version;
     WsTaskRef ref = { job->index, assignment->task };
     g_array_append_val(replica->fresh, ref);
     /* The machine's idle timeout begins anew. */
--- a/src/storage/ws-replica-machines.c
+++ b/src/storage/ws-replica-machines.c
@@ -36,7 +36,7 @@
   machine = g_new0(WsMachine, 1);
   char *copy = g_strdup(name);
   machine->name = copy;
-  replica->longest_name = MAX(replica->longest_name, strlen(copy));
+  replica->longest_name_bytes = MAX(replica->longest_name_bytes, strlen(copy));
   machine->index = replica->machines->len;
   machine->type = WS_NO_TYPE;
   machine->zone = WS_NO_ZONE;
--- a/src/storage/ws-replica.c
+++ b/src/storage/ws-replica.c
@@ -1,7 +1,11 @@
+/* The replica itself, and how its jobs, machines, types, teams and zones are found. */
 #include "storage/ws-replica-internal.h"
 
 #include <string.h>
 
+/* A catalog may say 0. */
+#define MIN_FETCH_GB_PER_S 0.01
+
 static void
 letter_free(gpointer data)
 {
@@ -93,8 +97,9 @@
 WsTypeIndex
 ws_replica_find_type(const WsReplica *replica, const char *name)
 {
-  for (WsTypeIndex t = 0; replica->catalog != NULL && name != NULL && t < replica->catalog->len;
-       t++)
+  if (replica->catalog == NULL || name == NULL)
+    return WS_NO_TYPE;
+  for (WsTypeIndex t = 0; t < replica->catalog->len; t++)
     if (strcmp(ws_replica_type(replica, t)->name, name) == 0)
       return t;
   return WS_NO_TYPE;
@@ -106,7 +111,7 @@
   if (replica->catalog != NULL)
     g_ptr_array_unref(replica->catalog);
   replica->catalog = catalog;
-  for (guint i = 0; i < replica->machines->len; i++) {
+  for (WsMachineIndex i = 0; i < replica->machines->len; i++) {
     WsMachine *machine = ws_replica_machine(replica, i);
     machine->type = ws_replica_find_type(replica, machine->type_name);
   }
@@ -121,17 +126,21 @@
 WsTeamIndex
 ws_replica_find_team(const WsReplica *replica, const char *name)
 {
-  for (WsTeamIndex t = 0; t < replica->settings->teams->len; t++)
-    if (strcmp(((WsTeamSettings *)g_ptr_array_index(replica->settings->teams, t))->name, name) == 0)
+  const GPtrArray *teams = replica->settings->teams;
+  for (WsTeamIndex t = 0; t < teams->len; t++) {
+    const WsTeamSettings *team = g_ptr_array_index(teams, t);
+    if (strcmp(team->name, name) == 0)
       return t;
+  }
   return WS_NO_TEAM;
 }
 
 WsZoneIndex
 ws_replica_find_zone(const WsReplica *replica, const char *name)
 {
-  for (WsZoneIndex z = 0; name != NULL && z < replica->settings->zones->len; z++)
-    if (strcmp(g_ptr_array_index(replica->settings->zones, z), name) == 0)
+  const GPtrArray *zones = replica->settings->zones;
+  for (WsZoneIndex z = 0; name != NULL && z < zones->len; z++)
+    if (strcmp(g_ptr_array_index(zones, z), name) == 0)
       return z;
   return WS_NO_ZONE;
 }
@@ -167,5 +176,5 @@
 double
 ws_job_fetch_s(const WsReplica *replica, const WsJob *job)
 {
-  return job->spec->image_gb / MAX(ws_replica_type(replica, 0)->fetch_gb_per_s, 0.01);
+  return job->spec->image_gb / MAX(ws_replica_type(replica, 0)->fetch_gb_per_s, MIN_FETCH_GB_PER_S);
 }
--- a/src/storage/ws-replica.h
+++ b/src/storage/ws-replica.h
@@ -33,11 +33,11 @@
   const WsSettings *settings; /**< borrowed */
 
   /* Versions. */
-  GHashTable *versions; /**< key -> WsKeyVersion */
-  GQueue removed;       /**< of WsRemovedKey: removed keys still among the versions */
-  guint64 revision;     /**< everything up to here has been applied */
-  gboolean is_loading;  /**< what is applied has been read, and may be of any age */
-  guint64 applying;     /**< the version that is being applied */
+  GHashTable *versions;     /**< key -> WsKeyVersion */
+  GQueue removed;           /**< of WsRemovedKey: removed keys still among the versions */
+  guint64 revision;         /**< everything up to here has been applied */
+  gboolean is_loading;      /**< what is applied has been read, and may be of any age */
+  guint64 applying_version; /**< the version that is being applied */
 
   /* What has changed, for those who act on it; they empty the arrays. */
   GArray *fresh;     /**< of WsTaskRef: new assignments */
@@ -61,7 +61,7 @@
   /* Machines. */
   GPtrArray *machines;       /**< of WsMachine, by index */
   GHashTable *machine_index; /**< name -> WsMachine */
-  gsize longest_name;        /**< of a machine, in bytes */
+  gsize longest_name_bytes;  /**< of a machine, in bytes */
   GPtrArray *rents;          /**< of WsRentalIntent */
   GPtrArray *rental_batches; /**< of WsRentalBatch */
   GPtrArray *catalog;        /**< of WsType; NULL: not known yet */
--- a/src/storage/ws-status.h
+++ b/src/storage/ws-status.h
@@ -15,8 +15,8 @@
   gint64 reported_ms;            /**< its last heartbeat that was no answer to a call */
   gint64 incarnation_changed_ms; /**< when it was seen to begin a new incarnation */
   gint64 up_ms;                  /**< when it was first heard */
-  GArray *images;                /**< of guint: the images that it has, least recently used first */
-  gint64 interruption_ms;        /**< when the cloud takes it back; 0: no interruption notice */
+  GArray *images;         /**< of WsImageIndex: the images that it has, least recently used first */
+  gint64 interruption_ms; /**< when the cloud takes it back; 0: no interruption notice */
 
   /* The newest message, by incarnation and sequence number. */
   guint64 incarnation;
--- a/src/storage/ws-team-use.c
+++ b/src/storage/ws-team-use.c
@@ -4,8 +4,8 @@
 
 /* A team's part of a record, beside its name: two amounts of up to 19 digits, and punctuation. */
 #define BYTES_PER_TEAM 48
-/* A record is filled to this part of the largest value, as names spread unevenly. */
-#define FILLED_PART 0.5
+/* How full a record may be on average, as names spread unevenly. */
+#define FILL_RATIO 0.5
 
 /* Stored field names; amounts are in thousandths. */
 #define FIELD_CPUS "c"
@@ -19,7 +19,7 @@
     const WsTeamSettings *team = g_ptr_array_index(settings->teams, t);
     bytes += (double)strlen(team->name) + BYTES_PER_TEAM;
   }
-  return 1 + (guint)(bytes / (FILLED_PART * settings->state_value_kb * 1024.0));
+  return 1 + (guint)(bytes / (FILL_RATIO * settings->state_value_kb * 1024.0));
 }
 
 guint
