--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -115,6 +115,9 @@
                     "w/lot/r-1-1");
   assert_written_as(ws_rental_intent_encode(g_ptr_array_index(replica->rents, 0)), "w/rent/r-1-4");
   assert_written_as(ws_mark_encode("notice", FALSE), "w/mark/m-000000");
+  assert_written_as(ws_leader_encode(replica->leader_incarnation, "n0"), "w/leader");
+  const WsMember *member = &g_array_index(replica->members, WsMember, 1);
+  assert_written_as(ws_member_encode(member->incarnation), "w/member/n1");
   ws_replica_free(replica);
 }
 
