--- a/src/coordination/ws-epoch.c
+++ b/src/coordination/ws-epoch.c
@@ -1,3 +1,4 @@
+/* The record of an epoch, its members, and rendezvous hashing of machines. */
 #include "coordination/ws-epoch.h"
 
 /* Stored field names. */
--- a/src/protocol/ws-cloud.c
+++ b/src/protocol/ws-cloud.c
@@ -1,3 +1,4 @@
+/* Reading and writing the cloud's messages. */
 #include "protocol/ws-cloud.h"
 
 #include "protocol/ws-field-names.h"
--- a/src/protocol/ws-heartbeat.c
+++ b/src/protocol/ws-heartbeat.c
@@ -1,3 +1,4 @@
+/* Reading heartbeats, writing commands and answers. */
 #include "protocol/ws-heartbeat.h"
 
 #include "protocol/ws-job-spec.h"
@@ -142,9 +143,9 @@
   heartbeat->interruption_s = -1.0;
   heartbeat->tasks = g_array_new(FALSE, TRUE, sizeof(WsTaskStatus));
   g_array_set_clear_func(heartbeat->tasks, task_status_clear);
-  const char *bad = parse_fields(message, heartbeat);
-  if (bad != NULL) {
-    ws_error_set_invalid(error, WS_ERROR_INVALID_FIELD, bad);
+  const char *invalid = parse_fields(message, heartbeat);
+  if (invalid != NULL) {
+    ws_error_set_invalid(error, WS_ERROR_INVALID_FIELD, invalid);
     return NULL;
   }
   return g_steal_pointer(&heartbeat);
--- a/src/protocol/ws-job-spec.c
+++ b/src/protocol/ws-job-spec.c
@@ -1,3 +1,4 @@
+/* Reading and writing submissions, which are also part of the stored records of jobs. */
 #include "protocol/ws-job-spec.h"
 
 #include "protocol/ws-field-names.h"
@@ -7,7 +8,7 @@
 static const char *const KINDS[] = { "sweep", "service", "group", NULL };
 static const char *const PRIORITIES[] = { "critical", "urgent", "standard", "best_effort", NULL };
 
-#define MAX_SECONDS 1e9
+#define MAX_NUMBER 1e9 /* of seconds, and of GB of an image */
 #define MAX_TEXT_BYTES 200
 #define MAX_MACHINE_TYPES 1000
 #define NO_DEADLINE_S (-1.0)
@@ -29,9 +30,9 @@
 }
 
 static gboolean
-parse_seconds(const json_t *message, const char *name, double *value)
+parse_non_negative(const json_t *message, const char *name, double *value)
 {
-  return ws_json_number(message, name, value) && *value >= 0.0 && *value <= MAX_SECONDS;
+  return ws_json_number(message, name, value) && *value >= 0.0 && *value <= MAX_NUMBER;
 }
 
 static gboolean
@@ -88,7 +89,7 @@
 parse_deadline(const json_t *message, double *value)
 {
   *value = NO_DEADLINE_S;
-  return ws_json_number_or_null(message, WS_FIELD_DEADLINE_S, value) && *value <= MAX_SECONDS
+  return ws_json_number_or_null(message, WS_FIELD_DEADLINE_S, value) && *value <= MAX_NUMBER
          && (*value >= 0.0 || *value == NO_DEADLINE_S);
 }
 
@@ -102,36 +103,86 @@
   return TRUE;
 }
 
-/* The name of the first member that is missing or invalid, or NULL. */
 static const char *
-parse_members(const json_t *m, WsJobSpec *s)
+parse_identity(const json_t *message, WsJobSpec *spec)
 {
   guint kind = 0, priority = 0;
-  const char *bad
-      = !parse_id(m, &s->id)                                            ? WS_FIELD_ID
-        : !parse_text(m, WS_FIELD_CLASS, &s->class_name)                ? WS_FIELD_CLASS
-        : !parse_text(m, WS_FIELD_TEAM, &s->team)                       ? WS_FIELD_TEAM
-        : !parse_name(m, WS_FIELD_KIND, KINDS, &kind)                   ? WS_FIELD_KIND
-        : !parse_name(m, WS_FIELD_PRIORITY, PRIORITIES, &priority)      ? WS_FIELD_PRIORITY
-        : !parse_tasks(m, &s->tasks)                                    ? WS_FIELD_TASKS
-        : !ws_amount_parse_need(m, WS_FIELD_CPUS, &s->need.cpus)        ? WS_FIELD_CPUS
-        : !ws_amount_parse_need(m, WS_FIELD_GPUS, &s->need.gpus)        ? WS_FIELD_GPUS
-        : !ws_amount_parse_need(m, WS_FIELD_MEMORY_GB, &s->need.memory) ? WS_FIELD_MEMORY_GB
-        : !parse_text(m, WS_FIELD_IMAGE, &s->image)                     ? WS_FIELD_IMAGE
-        : !parse_seconds(m, WS_FIELD_IMAGE_GB, &s->image_gb)            ? WS_FIELD_IMAGE_GB
-        : !parse_types(m, &s->types)                                    ? WS_FIELD_MACHINE_TYPES
-        : !parse_zone(m, &s->zone)                                      ? WS_FIELD_ZONE
-        : !ws_json_bool(m, WS_FIELD_ONE_ZONE, &s->one_zone)             ? WS_FIELD_ONE_ZONE
-        : !ws_json_bool(m, WS_FIELD_SPREAD, &s->spread)                 ? WS_FIELD_SPREAD
-        : !ws_json_bool(m, WS_FIELD_SPOT, &s->spot)                     ? WS_FIELD_SPOT
-        : !parse_seconds(m, WS_FIELD_ESTIMATE_S, &s->estimate_s)        ? WS_FIELD_ESTIMATE_S
-        : !parse_seconds(m, WS_FIELD_CHECKPOINT_S, &s->checkpoint_s)    ? WS_FIELD_CHECKPOINT_S
-        : !parse_seconds(m, WS_FIELD_SAVE_S, &s->save_s)                ? WS_FIELD_SAVE_S
-        : !parse_deadline(m, &s->deadline_s)                            ? WS_FIELD_DEADLINE_S
-                                                                        : NULL;
-  s->kind = (WsKind)kind;
-  s->priority = (WsPriority)priority;
-  return bad;
+  if (!parse_id(message, &spec->id))
+    return WS_FIELD_ID;
+  if (!parse_text(message, WS_FIELD_CLASS, &spec->class_name))
+    return WS_FIELD_CLASS;
+  if (!parse_text(message, WS_FIELD_TEAM, &spec->team))
+    return WS_FIELD_TEAM;
+  if (!parse_name(message, WS_FIELD_KIND, KINDS, &kind))
+    return WS_FIELD_KIND;
+  if (!parse_name(message, WS_FIELD_PRIORITY, PRIORITIES, &priority))
+    return WS_FIELD_PRIORITY;
+  spec->kind = (WsKind)kind;
+  spec->priority = (WsPriority)priority;
+  return NULL;
+}
+
+static const char *
+parse_needs(const json_t *message, WsJobSpec *spec)
+{
+  if (!parse_tasks(message, &spec->tasks))
+    return WS_FIELD_TASKS;
+  if (!ws_amount_parse_need(message, WS_FIELD_CPUS, &spec->need.cpus))
+    return WS_FIELD_CPUS;
+  if (!ws_amount_parse_need(message, WS_FIELD_GPUS, &spec->need.gpus))
+    return WS_FIELD_GPUS;
+  if (!ws_amount_parse_need(message, WS_FIELD_MEMORY_GB, &spec->need.memory))
+    return WS_FIELD_MEMORY_GB;
+  if (!parse_text(message, WS_FIELD_IMAGE, &spec->image))
+    return WS_FIELD_IMAGE;
+  if (!parse_non_negative(message, WS_FIELD_IMAGE_GB, &spec->image_gb))
+    return WS_FIELD_IMAGE_GB;
+  return NULL;
+}
+
+static const char *
+parse_placement(const json_t *message, WsJobSpec *spec)
+{
+  if (!parse_types(message, &spec->types))
+    return WS_FIELD_MACHINE_TYPES;
+  if (!parse_zone(message, &spec->zone))
+    return WS_FIELD_ZONE;
+  if (!ws_json_bool(message, WS_FIELD_ONE_ZONE, &spec->one_zone))
+    return WS_FIELD_ONE_ZONE;
+  if (!ws_json_bool(message, WS_FIELD_SPREAD, &spec->spread))
+    return WS_FIELD_SPREAD;
+  if (!ws_json_bool(message, WS_FIELD_SPOT, &spec->spot))
+    return WS_FIELD_SPOT;
+  return NULL;
+}
+
+static const char *
+parse_times(const json_t *message, WsJobSpec *spec)
+{
+  if (!parse_non_negative(message, WS_FIELD_ESTIMATE_S, &spec->estimate_s))
+    return WS_FIELD_ESTIMATE_S;
+  if (!parse_non_negative(message, WS_FIELD_CHECKPOINT_S, &spec->checkpoint_s))
+    return WS_FIELD_CHECKPOINT_S;
+  if (!parse_non_negative(message, WS_FIELD_SAVE_S, &spec->save_s))
+    return WS_FIELD_SAVE_S;
+  if (!parse_deadline(message, &spec->deadline_s))
+    return WS_FIELD_DEADLINE_S;
+  return NULL;
+}
+
+/* Returns the name of the first field that is missing or invalid, as do the functions that it
+   calls; NULL: all are good. */
+static const char *
+parse_fields(const json_t *message, WsJobSpec *spec)
+{
+  const char *invalid = parse_identity(message, spec);
+  if (invalid == NULL)
+    invalid = parse_needs(message, spec);
+  if (invalid == NULL)
+    invalid = parse_placement(message, spec);
+  if (invalid == NULL)
+    invalid = parse_times(message, spec);
+  return invalid;
 }
 
 WsJobSpec *
@@ -142,9 +193,9 @@
     return NULL;
   }
   g_autoptr(WsJobSpec) spec = g_new0(WsJobSpec, 1);
-  const char *bad = parse_members(message, spec);
-  if (bad != NULL) {
-    ws_error_set_invalid(error, WS_ERROR_INVALID_FIELD, bad);
+  const char *invalid = parse_fields(message, spec);
+  if (invalid != NULL) {
+    ws_error_set_invalid(error, WS_ERROR_INVALID_FIELD, invalid);
     return NULL;
   }
   return g_steal_pointer(&spec);
@@ -162,27 +213,29 @@
 }
 
 json_t *
-ws_job_spec_encode(const WsJobSpec *s)
-{
-  json_t *m = json_pack("{s:s, s:s, s:s, s:s, s:s, s:i}", WS_FIELD_ID, s->id, WS_FIELD_CLASS,
-                        s->class_name, WS_FIELD_TEAM, s->team, WS_FIELD_KIND, KINDS[s->kind],
-                        WS_FIELD_PRIORITY, PRIORITIES[s->priority], WS_FIELD_TASKS, (int)s->tasks);
-  json_object_set_new(m, WS_FIELD_CPUS, ws_amount_encode(s->need.cpus));
-  json_object_set_new(m, WS_FIELD_GPUS, ws_amount_encode(s->need.gpus));
-  json_object_set_new(m, WS_FIELD_MEMORY_GB, ws_amount_encode(s->need.memory));
-  json_object_set_new(m, WS_FIELD_IMAGE, json_string(s->image));
-  json_object_set_new(m, WS_FIELD_IMAGE_GB, json_real(s->image_gb));
-  json_object_set_new(m, WS_FIELD_MACHINE_TYPES, encode_types(s->types));
-  json_object_set_new(m, WS_FIELD_ZONE, s->zone != NULL ? json_string(s->zone) : json_null());
-  json_object_set_new(m, WS_FIELD_ONE_ZONE, json_boolean(s->one_zone));
-  json_object_set_new(m, WS_FIELD_SPREAD, json_boolean(s->spread));
-  json_object_set_new(m, WS_FIELD_SPOT, json_boolean(s->spot));
-  json_object_set_new(m, WS_FIELD_ESTIMATE_S, json_real(s->estimate_s));
-  json_object_set_new(m, WS_FIELD_CHECKPOINT_S, json_real(s->checkpoint_s));
-  json_object_set_new(m, WS_FIELD_SAVE_S, json_real(s->save_s));
-  json_object_set_new(m, WS_FIELD_DEADLINE_S,
-                      s->deadline_s >= 0.0 ? json_real(s->deadline_s) : json_null());
-  return m;
+ws_job_spec_encode(const WsJobSpec *spec)
+{
+  json_t *message
+      = json_pack("{s:s, s:s, s:s, s:s, s:s, s:i}", WS_FIELD_ID, spec->id, WS_FIELD_CLASS,
+                  spec->class_name, WS_FIELD_TEAM, spec->team, WS_FIELD_KIND, KINDS[spec->kind],
+                  WS_FIELD_PRIORITY, PRIORITIES[spec->priority], WS_FIELD_TASKS, (int)spec->tasks);
+  json_object_set_new(message, WS_FIELD_CPUS, ws_amount_encode(spec->need.cpus));
+  json_object_set_new(message, WS_FIELD_GPUS, ws_amount_encode(spec->need.gpus));
+  json_object_set_new(message, WS_FIELD_MEMORY_GB, ws_amount_encode(spec->need.memory));
+  json_object_set_new(message, WS_FIELD_IMAGE, json_string(spec->image));
+  json_object_set_new(message, WS_FIELD_IMAGE_GB, json_real(spec->image_gb));
+  json_object_set_new(message, WS_FIELD_MACHINE_TYPES, encode_types(spec->types));
+  json_object_set_new(message, WS_FIELD_ZONE,
+                      spec->zone != NULL ? json_string(spec->zone) : json_null());
+  json_object_set_new(message, WS_FIELD_ONE_ZONE, json_boolean(spec->one_zone));
+  json_object_set_new(message, WS_FIELD_SPREAD, json_boolean(spec->spread));
+  json_object_set_new(message, WS_FIELD_SPOT, json_boolean(spec->spot));
+  json_object_set_new(message, WS_FIELD_ESTIMATE_S, json_real(spec->estimate_s));
+  json_object_set_new(message, WS_FIELD_CHECKPOINT_S, json_real(spec->checkpoint_s));
+  json_object_set_new(message, WS_FIELD_SAVE_S, json_real(spec->save_s));
+  json_object_set_new(message, WS_FIELD_DEADLINE_S,
+                      spec->deadline_s >= 0.0 ? json_real(spec->deadline_s) : json_null());
+  return message;
 }
 
 void
--- a/src/protocol/ws-json.c
+++ b/src/protocol/ws-json.c
@@ -1,3 +1,4 @@
+/* Typed, checked reading of JSON. */
 #include "protocol/ws-json.h"
 
 json_t *
--- a/src/protocol/ws-json.h
+++ b/src/protocol/ws-json.h
@@ -9,7 +9,9 @@
 #include <glib.h>
 #include <jansson.h>
 
-/** Parses a text of @length bytes; NULL: it is no JSON or has a member twice. Owned by the caller.
+/**
+ * Parses a text of @length bytes, which may be NULL. The caller owns the value. NULL: the text is
+ * no JSON, or an object has a member twice.
  */
 json_t *ws_json_parse(const char *body, gsize length);
 
--- a/src/protocol/ws-names.c
+++ b/src/protocol/ws-names.c
@@ -1,3 +1,4 @@
+/* Names and their dense indices. */
 #include "protocol/ws-names.h"
 
 void
--- a/src/protocol/ws-properties.c
+++ b/src/protocol/ws-properties.c
@@ -1,3 +1,4 @@
+/* Reading the properties file, with GKeyFile. */
 #include "protocol/ws-properties.h"
 
 #include <string.h>
@@ -105,13 +106,13 @@
 static const char *
 parse_key(WsProperties *properties, const char *key, const char *value, GPtrArray *zones)
 {
-  const char *const bad_seconds = "not a number of seconds above 0 and up to 3600";
+  const char *const not_seconds = "not a number of seconds above 0 and up to 3600";
   if (strcmp(key, "giveback.hold_s") == 0)
-    return parse_seconds(value, &properties->idle_timeout_s) ? NULL : bad_seconds;
+    return parse_seconds(value, &properties->idle_timeout_s) ? NULL : not_seconds;
   if (strcmp(key, "giveback.backoff_min_s") == 0)
-    return parse_seconds(value, &properties->backoff_min_s) ? NULL : bad_seconds;
+    return parse_seconds(value, &properties->backoff_min_s) ? NULL : not_seconds;
   if (strcmp(key, "giveback.backoff_max_s") == 0)
-    return parse_seconds(value, &properties->backoff_max_s) ? NULL : bad_seconds;
+    return parse_seconds(value, &properties->backoff_max_s) ? NULL : not_seconds;
   if (strcmp(key, "fleet.spare_tasks") == 0)
     return parse_count(value, MAX_HEADROOM_TASKS, &properties->headroom_tasks)
                ? NULL
@@ -141,9 +142,10 @@
   g_auto(GStrv) keys = g_key_file_get_keys(file, GROUP, NULL, NULL);
   for (char **key = keys; *key != NULL; key++) {
     g_autofree char *value = g_key_file_get_string(file, GROUP, *key, NULL);
-    const char *bad = value == NULL ? "not readable" : parse_key(properties, *key, value, zones);
-    if (bad != NULL) {
-      g_set_error(error, WS_ERROR, WS_ERROR_INVALID_PROPERTY, "%s: %s", *key, bad);
+    const char *problem
+        = value == NULL ? "not readable" : parse_key(properties, *key, value, zones);
+    if (problem != NULL) {
+      g_set_error(error, WS_ERROR, WS_ERROR_INVALID_PROPERTY, "%s: %s", *key, problem);
       return FALSE;
     }
   }
--- a/src/protocol/ws-resources.c
+++ b/src/protocol/ws-resources.c
@@ -1,3 +1,4 @@
+/* Amounts of CPUs, GPUs and memory. */
 #include "protocol/ws-resources.h"
 
 #include <math.h>
--- a/src/protocol/ws-settings.c
+++ b/src/protocol/ws-settings.c
@@ -1,3 +1,4 @@
+/* Reading the settings file, section by section. */
 #include "protocol/ws-settings.h"
 
 #include <string.h>
@@ -89,10 +90,10 @@
     return "peers (31 nodes are the most)";
   const WsNode *self = g_ptr_array_index(settings->nodes, 0);
   g_ptr_array_sort(settings->nodes, compare_names);
-  for (guint n = 0; n < settings->nodes->len; n++)
+  for (WsNodeIndex n = 0; n < settings->nodes->len; n++)
     if (g_ptr_array_index(settings->nodes, n) == self)
       settings->self = n;
-  for (guint n = 1; n < settings->nodes->len; n++)
+  for (WsNodeIndex n = 1; n < settings->nodes->len; n++)
     if (compare_names(&settings->nodes->pdata[n - 1], &settings->nodes->pdata[n]) == 0)
       return "peers (a name twice)";
   return NULL;
@@ -241,20 +242,20 @@
   const json_t *workers = json_object_get(params, "workers");
   const json_t *state = json_object_get(params, "state");
   const json_t *limits = json_object_get(params, "limits");
-  const char *bad = parse_lists(settings, params);
-  if (bad == NULL)
-    bad = parse_gang_times(settings, workers);
-  if (bad == NULL)
-    bad = parse_worker_times(settings, workers);
-  if (bad == NULL)
-    bad = parse_state_limits(settings, state);
-  if (bad == NULL)
-    bad = parse_cloud_limits(settings, json_object_get(params, "cloud"));
-  if (bad == NULL && !ws_json_count(limits, "max_sockets", &settings->max_sockets))
-    bad = "params.limits.max_sockets";
-  if (bad == NULL)
-    bad = parse_next_limits(settings, json_object_get(state, "next"));
-  return bad;
+  const char *invalid = parse_lists(settings, params);
+  if (invalid == NULL)
+    invalid = parse_gang_times(settings, workers);
+  if (invalid == NULL)
+    invalid = parse_worker_times(settings, workers);
+  if (invalid == NULL)
+    invalid = parse_state_limits(settings, state);
+  if (invalid == NULL)
+    invalid = parse_cloud_limits(settings, json_object_get(params, "cloud"));
+  if (invalid == NULL && !ws_json_count(limits, "max_sockets", &settings->max_sockets))
+    invalid = "params.limits.max_sockets";
+  if (invalid == NULL)
+    invalid = parse_next_limits(settings, json_object_get(state, "next"));
+  return invalid;
 }
 
 /* Returns the name of the first setting that is missing or invalid, as do the other functions of
@@ -263,9 +264,9 @@
 parse_all(WsSettings *settings, const json_t *message)
 {
   const json_t *services = json_object_get(message, "services");
-  const char *bad = parse_nodes(settings, message);
-  if (bad != NULL)
-    return bad;
+  const char *invalid = parse_nodes(settings, message);
+  if (invalid != NULL)
+    return invalid;
   if (!copy_text(message, "api_addr", &settings->api_addr))
     return "api_addr";
   if (!copy_text(message, "mesh_addr", &settings->mesh_addr))
@@ -289,9 +290,9 @@
   settings->zones = g_ptr_array_new_with_free_func(g_free);
   settings->objectives = g_ptr_array_new_with_free_func(objective_free);
   settings->teams = g_ptr_array_new_with_free_func(team_free);
-  const char *bad = parse_all(settings, message);
-  if (bad != NULL) {
-    ws_error_set_invalid(error, WS_ERROR_INVALID_SETTING, bad);
+  const char *invalid = parse_all(settings, message);
+  if (invalid != NULL) {
+    ws_error_set_invalid(error, WS_ERROR_INVALID_SETTING, invalid);
     return NULL;
   }
   return g_steal_pointer(&settings);
--- a/src/runtime/ws-runtime.c
+++ b/src/runtime/ws-runtime.c
@@ -1,3 +1,4 @@
+/* Feeds the core with requests, replies and ticks, and carries out what it puts out. */
 #include "runtime/ws-runtime.h"
 
 #include "transport/ws-http-client.h"
--- a/src/storage/ws-chunk-record.c
+++ b/src/storage/ws-chunk-record.c
@@ -1,3 +1,4 @@
+/* The record of a chunk: its size, how it is written and read. */
 #include "storage/ws-chunk-record.h"
 
 #include <string.h>
--- a/src/storage/ws-chunk.c
+++ b/src/storage/ws-chunk.c
@@ -1,3 +1,4 @@
+/* A chunk in memory: its assignments and completed tasks. */
 #include "storage/ws-chunk.h"
 
 WsChunk *
--- a/src/storage/ws-constraints.c
+++ b/src/storage/ws-constraints.c
@@ -1,3 +1,4 @@
+/* What a job's specification allows. */
 #include "storage/ws-constraints.h"
 
 gboolean
@@ -19,7 +20,7 @@
 ws_constraints_allow_zone(const WsJob *job, const guint *counts, guint zones, WsZoneIndex zone)
 {
   if (job->spec->one_zone)
-    for (guint z = 0; z < zones; z++)
+    for (WsZoneIndex z = 0; z < zones; z++)
       if (z != zone && counts[z] > 0)
         return FALSE;
   return !job->spec->spread || counts[zone] + 1 <= (job->tasks + 1) / 2;
--- a/src/storage/ws-evidence.c
+++ b/src/storage/ws-evidence.c
@@ -1,3 +1,4 @@
+/* Evidence of releases, and releases as items of messages between controllers. */
 #include "storage/ws-evidence.h"
 
 #include <string.h>
--- a/src/storage/ws-gang-phase.c
+++ b/src/storage/ws-gang-phase.c
@@ -1,3 +1,4 @@
+/* The phase of a gang's present attempt. */
 #include "storage/ws-gang-phase.h"
 
 gboolean
--- a/src/storage/ws-job-record.c
+++ b/src/storage/ws-job-record.c
@@ -1,3 +1,4 @@
+/* The record of a job. */
 #include "storage/ws-job-record.h"
 
 #include <string.h>
--- a/src/storage/ws-keys.c
+++ b/src/storage/ws-keys.c
@@ -1,3 +1,4 @@
+/* Keys of the stored state. */
 #include "storage/ws-keys.h"
 
 char *
--- a/src/storage/ws-machine-records.c
+++ b/src/storage/ws-machine-records.c
@@ -1,3 +1,4 @@
+/* The records of rental batches, rental intents and termination marks. */
 #include "storage/ws-machine-records.h"
 
 #include <string.h>
--- a/src/storage/ws-machine-records.h
+++ b/src/storage/ws-machine-records.h
@@ -18,7 +18,8 @@
 gboolean ws_rental_batch_has_place(const WsRentalBatch *rental_batch, const WsReplica *replica,
                                    const char *machine);
 
-/** How many machines of ordinary names a rental batch's record takes; the cloud gives 50 at once.
+/**
+ * How many machines of ordinary names a rental batch's record takes; the cloud gives 50 at once.
  */
 guint ws_rental_batch_max_machines(const WsSettings *settings);
 
@@ -31,6 +32,8 @@
 /** The record of a termination mark. @is_immediate: without drain. */
 json_t *ws_mark_encode(const char *reason, gboolean is_immediate);
 
-/** Reads the record of a termination mark. What it doesn't say is left as it is. @reason is
- * borrowed from @value. */
+/**
+ * Reads the record of a termination mark. What it doesn't say is left as it is. @reason is
+ * borrowed from @value.
+ */
 void ws_mark_parse(const json_t *value, const char **reason, gboolean *is_immediate);
--- a/src/storage/ws-machine.c
+++ b/src/storage/ws-machine.c
@@ -1,3 +1,4 @@
+/* Machines and rentals: images and memory. */
 #include "storage/ws-machine.h"
 
 gboolean
--- a/src/storage/ws-replica-apply.c
+++ b/src/storage/ws-replica-apply.c
@@ -49,17 +49,17 @@
 gboolean
 ws_replica_apply(WsReplica *replica, const char *key, const json_t *value, guint64 version)
 {
-  WsKeyVersion *known = g_hash_table_lookup(replica->versions, key);
-  if (known != NULL && known->version >= version)
+  WsKeyVersion *newest = g_hash_table_lookup(replica->versions, key);
+  if (newest != NULL && newest->version >= version)
     return FALSE;
-  if (known == NULL) {
-    known = g_new0(WsKeyVersion, 1);
-    g_hash_table_insert(replica->versions, g_strdup(key), known);
+  if (newest == NULL) {
+    newest = g_new0(WsKeyVersion, 1);
+    g_hash_table_insert(replica->versions, g_strdup(key), newest);
   }
   if (value == NULL)
     note_removed(replica, key, version);
-  known->version = version;
-  known->present = value != NULL;
+  newest->version = version;
+  newest->present = value != NULL;
   replica->applying_version = version;
   apply_value(replica, key, value);
   return TRUE;
@@ -73,15 +73,15 @@
   gpointer key, value;
   g_hash_table_iter_init(&iter, replica->versions);
   while (g_hash_table_iter_next(&iter, &key, &value)) {
-    const WsKeyVersion *known = value;
-    if (known->present && known->version <= revision && !g_hash_table_contains(read, key))
+    const WsKeyVersion *newest = value;
+    if (newest->present && newest->version <= revision && !g_hash_table_contains(read, key))
       g_ptr_array_add(missing, g_strdup(key));
   }
   for (guint i = 0; i < missing->len; i++) {
     const char *name = g_ptr_array_index(missing, i);
-    WsKeyVersion *known = g_hash_table_lookup(replica->versions, name);
-    known->present = FALSE;
-    note_removed(replica, name, known->version);
+    WsKeyVersion *newest = g_hash_table_lookup(replica->versions, name);
+    newest->present = FALSE;
+    note_removed(replica, name, newest->version);
     apply_value(replica, name, NULL);
   }
 }
@@ -96,8 +96,8 @@
   replica->revision = revision;
   WsRemovedKey *removed;
   while ((removed = g_queue_peek_head(&replica->removed)) != NULL && removed->version <= revision) {
-    const WsKeyVersion *known = g_hash_table_lookup(replica->versions, removed->key);
-    if (known != NULL && !known->present && known->version <= revision)
+    const WsKeyVersion *newest = g_hash_table_lookup(replica->versions, removed->key);
+    if (newest != NULL && !newest->present && newest->version <= revision)
       g_hash_table_remove(replica->versions, removed->key);
     g_free(removed->key);
     g_free(g_queue_pop_head(&replica->removed));
--- a/src/storage/ws-replica-jobs.c
+++ b/src/storage/ws-replica-jobs.c
@@ -59,10 +59,10 @@
 {
   for (guint i = 0; i < chunk->assignments->len; i++) {
     WsAssignment *assignment = &g_array_index(chunk->assignments, WsAssignment, i);
-    const WsAssignment *known = ws_chunk_find(old, assignment->task);
-    if (known != NULL && known->attempt == assignment->attempt
-        && known->machine == assignment->machine) {
-      *assignment = *known;
+    const WsAssignment *previous = ws_chunk_find(old, assignment->task);
+    if (previous != NULL && previous->attempt == assignment->attempt
+        && previous->machine == assignment->machine) {
+      *assignment = *previous;
       continue;
     }
     assignment->since_version = replica->is_loading ? 0 : replica->applying_version;
--- a/src/storage/ws-replica.c
+++ b/src/storage/ws-replica.c
@@ -148,8 +148,8 @@
 guint64
 ws_replica_version(const WsReplica *replica, const char *key)
 {
-  const WsKeyVersion *known = g_hash_table_lookup(replica->versions, key);
-  return known != NULL && known->present ? known->version : 0;
+  const WsKeyVersion *newest = g_hash_table_lookup(replica->versions, key);
+  return newest != NULL && newest->present ? newest->version : 0;
 }
 
 void
--- a/src/storage/ws-team-use.c
+++ b/src/storage/ws-team-use.c
@@ -1,3 +1,4 @@
+/* Records of teams' use: which record a team belongs to, how it is written and read. */
 #include "storage/ws-team-use.h"
 
 #include <string.h>
@@ -15,7 +16,7 @@
 ws_team_use_groups(const WsSettings *settings)
 {
   double bytes = 0.0;
-  for (guint t = 0; t < settings->teams->len; t++) {
+  for (WsTeamIndex t = 0; t < settings->teams->len; t++) {
     const WsTeamSettings *team = g_ptr_array_index(settings->teams, t);
     bytes += (double)strlen(team->name) + BYTES_PER_TEAM;
   }
@@ -46,7 +47,7 @@
 ws_team_use_encode(const WsSettings *settings, guint group, const WsResources *use)
 {
   json_t *value = json_object();
-  for (guint t = 0; t < settings->teams->len; t++) {
+  for (WsTeamIndex t = 0; t < settings->teams->len; t++) {
     const WsTeamSettings *team = g_ptr_array_index(settings->teams, t);
     if (ws_team_use_group(settings, t) == group)
       json_object_set_new(value, team->name, encode_amount(&use[t]));
--- a/src/transport/ws-http-client.c
+++ b/src/transport/ws-http-client.c
@@ -1,3 +1,4 @@
+/* Outgoing HTTP, by libsoup. */
 #include "transport/ws-http-client.h"
 
 #include <libsoup/soup.h>
--- a/src/transport/ws-rate.c
+++ b/src/transport/ws-rate.c
@@ -1,3 +1,4 @@
+/* Token bucket. */
 #include "transport/ws-rate.h"
 
 #define MIN_BURST 1.0
