--- a/src/coordination/ws-epoch.h
+++ b/src/coordination/ws-epoch.h
@@ -14,6 +14,7 @@
   guint64 incarnation; /**< of the run */
 } WsMember;
 
+/** An epoch. Owns its array. */
 typedef struct {
   guint64 number; /**< also the fencing token; 0: none yet */
   WsNodeIndex leader;
@@ -23,6 +24,7 @@
 /** Makes @epoch the one before the first, without members. To be cleared with ws_epoch_clear. */
 void ws_epoch_init(WsEpoch *epoch);
 
+/** Frees what the epoch owns. */
 void ws_epoch_clear(WsEpoch *epoch);
 
 /** Reads the stored record into an initialised epoch. FALSE: it is damaged; @epoch is undefined. */
--- a/src/protocol/ws-error.h
+++ b/src/protocol/ws-error.h
@@ -18,6 +18,7 @@
   WS_ERROR_INVALID_PROPERTY, /**< a property is unknown or invalid */
 } WsError;
 
+/** The quark behind WS_ERROR. */
 GQuark ws_error_quark(void);
 
 /** Sets @error, which may be NULL, to WS_ERROR_MALFORMED for a message that is no JSON object. */
--- a/src/protocol/ws-heartbeat.h
+++ b/src/protocol/ws-heartbeat.h
@@ -54,6 +54,7 @@
 /** Reads a heartbeat, which the caller frees. NULL with @error set: it is invalid. */
 WsHeartbeat *ws_heartbeat_parse(const json_t *message, GError **error);
 
+/** @heartbeat may be NULL. */
 void ws_heartbeat_free(WsHeartbeat *heartbeat);
 
 /** The attempt's status, owned by the heartbeat; NULL: the heartbeat doesn't have it. */
--- a/src/protocol/ws-index.h
+++ b/src/protocol/ws-index.h
@@ -7,6 +7,7 @@
 
 #include <glib.h>
 
+/** The value of all of them that says that there is none. */
 #define WS_NONE G_MAXUINT32
 
 /** A controller: its place among WsSettings.nodes. */
--- a/src/protocol/ws-job-spec.h
+++ b/src/protocol/ws-job-spec.h
@@ -9,6 +9,7 @@
 /** The largest number of tasks that a job may have. */
 #define WS_MAX_TASKS 100000
 
+/** How the tasks of a job belong together. */
 typedef enum {
   WS_KIND_ARRAY,   /**< independent tasks */
   WS_KIND_SERVICE, /**< tasks that run until the job is cancelled */
@@ -46,6 +47,7 @@
 /** The submission as ws_job_spec_parse reads it. */
 json_t *ws_job_spec_encode(const WsJobSpec *spec);
 
+/** @spec may be NULL. */
 void ws_job_spec_free(WsJobSpec *spec);
 
 /** Whether the text, which may be NULL, is of the form of a job's id. */
--- a/src/protocol/ws-names.h
+++ b/src/protocol/ws-names.h
@@ -5,6 +5,7 @@
 
 #include "protocol/ws-index.h"
 
+/** A table of names. Owns them. */
 typedef struct {
   GHashTable *index; /**< name -> index */
   GPtrArray *names;  /**< of char *, by index */
@@ -13,6 +14,7 @@
 /** Makes @names empty. To be cleared with ws_names_clear. */
 void ws_names_init(WsNames *names);
 
+/** Frees all names. */
 void ws_names_clear(WsNames *names);
 
 /** The name's index; a new name gets the next one. */
--- a/src/protocol/ws-properties.h
+++ b/src/protocol/ws-properties.h
@@ -14,6 +14,7 @@
   guint value;
 } WsBudget;
 
+/** The operators' settings. */
 typedef struct {
   double idle_timeout_s; /**< how long a machine is idle before it is given up */
   double backoff_min_s;  /**< first pause after a refused return or a put-off stop */
@@ -34,6 +35,7 @@
 gboolean ws_properties_parse(WsProperties *properties, const char *text, GPtrArray *zones,
                              GError **error);
 
+/** @properties may be NULL. */
 void ws_properties_free(WsProperties *properties);
 
 /** How many of @total machines may be unavailable at once. */
--- a/src/protocol/ws-resources.c
+++ b/src/protocol/ws-resources.c
@@ -10,9 +10,10 @@
 #define MAX_AMOUNT 1e9
 
 gboolean
-ws_resources_fit(const WsResources *need, const WsResources *room)
+ws_resources_fit(const WsResources *need, const WsResources *available)
 {
-  return need->cpus <= room->cpus && need->gpus <= room->gpus && need->memory <= room->memory;
+  return need->cpus <= available->cpus && need->gpus <= available->gpus
+         && need->memory <= available->memory;
 }
 
 void
--- a/src/protocol/ws-resources.h
+++ b/src/protocol/ws-resources.h
@@ -7,14 +7,15 @@
 
 #include "protocol/ws-json.h"
 
+/** An amount of each resource. */
 typedef struct {
   gint64 cpus;   /**< thousandths of a CPU */
   gint64 gpus;   /**< thousandths of a GPU */
   gint64 memory; /**< thousandths of a GB */
 } WsResources;
 
-/** Whether the need fits into what is free, in each dimension. */
-gboolean ws_resources_fit(const WsResources *need, const WsResources *room);
+/** Whether the need fits into what is available, in each dimension. */
+gboolean ws_resources_fit(const WsResources *need, const WsResources *available);
 
 /** Adds @part to @sum @times times; @times may be negative. */
 void ws_resources_add(WsResources *sum, const WsResources *part, gint64 times);
--- a/src/protocol/ws-settings.h
+++ b/src/protocol/ws-settings.h
@@ -14,6 +14,7 @@
   char *endpoint; /**< address for the other controllers; NULL: it is this one */
 } WsNode;
 
+/** A team and its quota. */
 typedef struct {
   char *name;
   WsResources guarantee; /**< 0: none in that dimension */
@@ -27,6 +28,7 @@
   double within_s;
 } WsObjective;
 
+/** The settings. Owns all that it points to. */
 typedef struct {
   GPtrArray *nodes; /**< of WsNode, ordered by name; WsNodeIndex is an index into it */
   WsNodeIndex self;
@@ -68,6 +70,7 @@
 /** Reads the settings, which the caller frees. NULL with @error set: they are invalid. */
 WsSettings *ws_settings_parse(const json_t *message, GError **error);
 
+/** @settings may be NULL. */
 void ws_settings_free(WsSettings *settings);
 
 /** Whether one more such need is within the team's limit. @use: what the team uses. */
--- a/src/runtime/ws-runtime.h
+++ b/src/runtime/ws-runtime.h
@@ -5,6 +5,7 @@
 
 #include "core/ws-core.h"
 
+/** A running node. */
 typedef struct _WsRuntime WsRuntime;
 
 /**
@@ -14,6 +15,7 @@
 WsRuntime *ws_runtime_new(const WsSettings *settings, const WsProperties *properties,
                           GError **error);
 
+/** Stops listening and frees the node. */
 void ws_runtime_free(WsRuntime *runtime);
 
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsRuntime, ws_runtime_free)
--- a/src/storage/ws-chunk.h
+++ b/src/storage/ws-chunk.h
@@ -28,6 +28,7 @@
   gboolean is_stop_requested; /**< to free its capacity or its machine for something else */
 } WsAssignment;
 
+/** The assignments and completed tasks of a chunk. */
 typedef struct {
   guint64 last_attempt;          /**< the last attempt number given out */
   GArray *assignments;           /**< of WsAssignment, in no order */
--- a/src/storage/ws-evidence.h
+++ b/src/storage/ws-evidence.h
@@ -20,6 +20,7 @@
   WS_EVIDENCE_RETURNED /**< the cloud has confirmed the machine's return */
 } WsEvidenceKind;
 
+/** What shows that a task is gone, and under which epoch that was stated. */
 typedef struct {
   WsEvidenceKind kind;
   WsMachineIndex machine;
--- a/src/storage/ws-job.h
+++ b/src/storage/ws-job.h
@@ -10,8 +10,10 @@
 #include "storage/ws-chunk.h"
 #include "storage/ws-status.h"
 
+/** What has become of a job. */
 typedef enum { WS_JOB_ACTIVE, WS_JOB_DONE, WS_JOB_CANCELLED } WsJobState;
 
+/** A job. Owned by the replica. */
 typedef struct {
   WsJobIndex index;
   char *id;
--- a/src/storage/ws-keys.h
+++ b/src/storage/ws-keys.h
@@ -7,6 +7,7 @@
 
 #include <glib.h>
 
+/** What all keys begin with. */
 #define WS_PREFIX "w/"
 
 /* Single records. */
--- a/src/storage/ws-machine.h
+++ b/src/storage/ws-machine.h
@@ -9,6 +9,7 @@
 #include "protocol/ws-job-spec.h"
 #include "storage/ws-status.h"
 
+/** A machine. Owned by the replica. */
 typedef struct {
   WsMachineIndex index;
   const char *name;    /**< owned by the replica */
@@ -47,6 +48,7 @@
   guint count;
 } WsRentalIntent;
 
+/** Frees the intent and its strings. */
 void ws_rental_intent_free(WsRentalIntent *intent);
 
 /**
@@ -64,6 +66,7 @@
   GArray *machines; /**< of WsMachineIndex */
 } WsRentalBatch;
 
+/** Frees the rental batch, but not the machines. */
 void ws_rental_batch_free(WsRentalBatch *rental_batch);
 
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsRentalIntent, ws_rental_intent_free)
--- a/src/storage/ws-replica.c
+++ b/src/storage/ws-replica.c
@@ -7,7 +7,7 @@
 #define MIN_FETCH_GB_PER_S 0.01
 
 static void
-letter_free(gpointer data)
+message_free(gpointer data)
 {
   json_decref(data);
 }
@@ -61,7 +61,7 @@
   g_hash_table_unref(replica->machine_index);
   g_ptr_array_unref(replica->rents);
   g_ptr_array_unref(replica->rental_batches);
-  g_queue_clear_full(&replica->mailbox, letter_free);
+  g_queue_clear_full(&replica->mailbox, message_free);
   g_free(replica->team_use);
   g_free(replica->team_is_recorded);
   ws_names_clear(&replica->images);
--- a/src/storage/ws-replica.h
+++ b/src/storage/ws-replica.h
@@ -29,6 +29,7 @@
   guint64 version;
 } WsRemovedKey;
 
+/** The replica. Owns all that it points to but for the settings. */
 typedef struct {
   const WsSettings *settings; /**< borrowed */
 
@@ -70,6 +71,7 @@
 /** An empty replica. @settings must outlive it. */
 WsReplica *ws_replica_new(const WsSettings *settings);
 
+/** Frees the replica with its jobs and machines. */
 void ws_replica_free(WsReplica *replica);
 
 /**
--- a/src/transport/ws-http-client.h
+++ b/src/transport/ws-http-client.h
@@ -5,6 +5,7 @@
 
 #include <glib.h>
 
+/** A client with its connections. */
 typedef struct _WsHttpClient WsHttpClient;
 
 /**
--- a/src/transport/ws-http-server.h
+++ b/src/transport/ws-http-server.h
@@ -5,6 +5,7 @@
 
 #include <glib.h>
 
+/** A server on one address. */
 typedef struct _WsHttpServer WsHttpServer;
 typedef struct _WsHttpRequest WsHttpRequest;
 
--- a/src/transport/ws-rate.h
+++ b/src/transport/ws-rate.h
@@ -7,6 +7,7 @@
 
 #include <glib.h>
 
+/** A bucket. */
 typedef struct {
   double per_second; /**< tokens that are added per second; may be changed at any time */
   double burst;      /**< the most that it holds, at least 1 */
