--- a/src/protocol/ws-cloud.c
+++ b/src/protocol/ws-cloud.c
@@ -123,7 +123,7 @@
 }
 
 json_t *
-ws_return_encode(GPtrArray *machines)
+ws_return_encode(const GPtrArray *machines)
 {
   json_t *list = json_array();
   for (guint i = 0; i < machines->len; i++)
--- a/src/protocol/ws-cloud.h
+++ b/src/protocol/ws-cloud.h
@@ -44,4 +44,4 @@
                          guint count);
 
 /** The return of machines. @machines: of char *, their names. */
-json_t *ws_return_encode(GPtrArray *machines);
+json_t *ws_return_encode(const GPtrArray *machines);
--- a/src/storage/ws-replica-jobs.c
+++ b/src/storage/ws-replica-jobs.c
@@ -17,7 +17,7 @@
 }
 
 static void
-link_assignment(WsReplica *replica, WsJob *job, const WsAssignment *assignment)
+link_assignment(WsReplica *replica, const WsJob *job, const WsAssignment *assignment)
 {
   WsMachine *machine = ws_replica_machine(replica, assignment->machine);
   WsTaskRef ref = { job->index, assignment->task };
@@ -27,7 +27,7 @@
 }
 
 static void
-unlink_assignment(WsReplica *replica, WsJob *job, const WsAssignment *assignment)
+unlink_assignment(WsReplica *replica, const WsJob *job, const WsAssignment *assignment)
 {
   WsMachine *machine = ws_replica_machine(replica, assignment->machine);
   for (guint i = 0; i < machine->tasks->len; i++) {
