--- a/src/workers/ws-launch.c
+++ b/src/workers/ws-launch.c
@@ -1,4 +1,5 @@
-/* What was assigned on this node's machines, by whoever wrote it, is launched at once. */
+/** Launches what was assigned on this node's machines, by whichever node, as soon as it is known.
+ */
 #include "workers/ws-workers.h"
 
 typedef struct {
@@ -8,19 +9,20 @@
 } Launch;
 
 static gint
-by_machine(gconstpointer a, gconstpointer b)
+compare_machines(gconstpointer a, gconstpointer b)
 {
   const Launch *first = a, *second = b;
   return first->machine < second->machine ? -1 : first->machine > second->machine;
 }
 
+/* The new assignments that are this node's to launch. */
 static GArray *
-take_fresh(WsCore *core)
+take_launches(WsCore *core)
 {
-  GArray *fresh = core->replica->fresh;
+  GArray *assigned = core->replica->fresh;
   GArray *launches = g_array_new(FALSE, FALSE, sizeof(Launch));
-  for (guint i = 0; i < fresh->len; i++) {
-    const WsTaskRef *ref = &g_array_index(fresh, WsTaskRef, i);
+  for (guint i = 0; i < assigned->len; i++) {
+    const WsTaskRef *ref = &g_array_index(assigned, WsTaskRef, i);
     const WsJob *job = ws_replica_job(core->replica, ref->job);
     const WsAssignment *assignment = job->spec != NULL ? ws_job_assignment(job, ref->task) : NULL;
     if (assignment == NULL || assignment->state != WS_TASK_ASSIGNED
@@ -29,29 +31,37 @@
     Launch launch = { ref->job, ref->task, assignment->machine };
     g_array_append_val(launches, launch);
   }
-  g_array_set_size(fresh, 0);
+  g_array_set_size(assigned, 0);
   return launches;
 }
 
+/* Launches those of the first one's machine; returns the place of the next machine's. */
+static guint
+launch_on_machine(WsCore *core, const GArray *launches, guint first)
+{
+  g_autoptr(GArray) tasks = g_array_new(FALSE, FALSE, sizeof(WsTaskRef));
+  WsMachineIndex index = g_array_index(launches, Launch, first).machine;
+  WsMachine *machine = ws_replica_machine(core->replica, index);
+  guint i = first;
+  for (; i < launches->len && g_array_index(launches, Launch, i).machine == index; i++) {
+    const Launch *launch = &g_array_index(launches, Launch, i);
+    WsTaskRef ref = { launch->job, launch->task };
+    g_array_append_val(tasks, ref);
+    g_info("task %s/%u goes to %s", ws_replica_job(core->replica, launch->job)->id, launch->task,
+           machine->name);
+  }
+  ws_worker_rpc_launch(core, machine, tasks);
+  return i;
+}
+
 void
 ws_workers_launch_assigned(WsCore *core)
 {
   if (core->replica->fresh->len == 0)
     return;
-  g_autoptr(GArray) launches = take_fresh(core);
-  g_array_sort(launches, by_machine);
+  g_autoptr(GArray) launches = take_launches(core);
+  g_array_sort(launches, compare_machines);
   guint i = 0;
-  while (i < launches->len) {
-    g_autoptr(GArray) tasks = g_array_new(FALSE, FALSE, sizeof(WsTaskRef));
-    WsMachine *machine
-        = ws_replica_machine(core->replica, g_array_index(launches, Launch, i).machine);
-    for (; i < launches->len && g_array_index(launches, Launch, i).machine == machine->index; i++) {
-      const Launch *launch = &g_array_index(launches, Launch, i);
-      WsTaskRef ref = { launch->job, launch->task };
-      g_array_append_val(tasks, ref);
-      g_info("task %s/%u goes to %s", ws_replica_job(core->replica, launch->job)->id, launch->task,
-             machine->name);
-    }
-    ws_worker_rpc_launch(core, machine, tasks);
-  }
+  while (i < launches->len)
+    i = launch_on_machine(core, launches, i);
 }
--- a/src/workers/ws-worker-rpc.c
+++ b/src/workers/ws-worker-rpc.c
@@ -1,3 +1,10 @@
+/**
+ * Commands sent to a worker's own address.
+ *
+ * A command without an answer may be carried out minutes later. A launch is therefore counted with
+ * its machine as indeterminate from the moment it is sent until its answer; without an answer it
+ * stays so until the worker has shown a higher fencing token or a new incarnation.
+ */
 #include "workers/ws-workers.h"
 
 #include "membership/ws-membership.h"
@@ -5,30 +12,37 @@
 
 #include <string.h>
 
-/* Launches on their way at once; the others go with the answers to reports. Those of critical tasks
-   and of gangs always go. */
+/* Calls in flight at once. Further launches go with the answers to heartbeats, except those of
+   critical tasks and of gangs. */
 #define MAX_RPCS_IN_FLIGHT 48
-/* What an orderly stop may take beyond the time for saving. */
+#define COMMAND_TIMEOUT_MS 2000
+/* What a graceful stop may take beyond the time for saving. */
 #define GRACE_MARGIN_S 1.0
 
+/* A call in flight. */
 typedef struct {
   WsMachineIndex machine;
   guint64 fencing_token;
   guint64 incarnation;
-  gboolean launches;
-} Direct;
+  gboolean has_launches;
+} CommandCall;
+
+/* Whether the call's launches are still counted: neither token nor incarnation has ended them. */
+static gboolean
+is_counted(const CommandCall *call, const WsMachine *machine)
+{
+  return call->has_launches && machine->worker.indeterminate_launches > 0
+         && machine->worker.indeterminate_fencing_token == call->fencing_token
+         && machine->worker.indeterminate_incarnation == call->incarnation;
+}
 
 static void
-on_direct(WsCore *core, guint status, const json_t *body, gpointer data)
+on_command_reply(WsCore *core, guint status, const json_t *body, gpointer data)
 {
-  Direct *direct = data;
-  WsMachine *machine = ws_replica_machine(core->replica, direct->machine);
+  g_autofree CommandCall *call = data;
+  WsMachine *machine = ws_replica_machine(core->replica, call->machine);
   core->rpcs_in_flight--;
-  /* Without an answer the launch may still be carried out minutes later, so the doubt stays until
-     the worker has seen a higher token or begun a new session. */
-  if (status != 0 && direct->launches && machine->worker.indeterminate_launches > 0
-      && machine->worker.indeterminate_fencing_token == direct->fencing_token
-      && machine->worker.indeterminate_incarnation == direct->incarnation)
+  if (status != 0 && is_counted(call, machine))
     machine->worker.indeterminate_launches--;
   g_autofree char *reason = NULL;
   g_autoptr(WsHeartbeat) heartbeat
@@ -36,26 +50,30 @@
   if (heartbeat != NULL && strcmp(heartbeat->machine, machine->name) == 0
       && ws_owns_machine(core, machine))
     ws_workers_note_status(core, machine, heartbeat);
-  g_free(direct);
 }
 
 static void
-send_direct(WsCore *core, WsMachine *machine, json_t *commands, gboolean launches)
+count_indeterminate(WsCore *core, WsMachine *machine, const CommandCall *call)
+{
+  if (machine->worker.indeterminate_launches == 0)
+    machine->worker.indeterminate_ms = core->now;
+  machine->worker.indeterminate_launches++;
+  machine->worker.indeterminate_fencing_token = call->fencing_token;
+  machine->worker.indeterminate_incarnation = call->incarnation;
+}
+
+static void
+send_commands(WsCore *core, WsMachine *machine, json_t *commands /* taken */, gboolean has_launches)
 {
-  Direct *direct = g_new0(Direct, 1);
-  *direct = (Direct){ machine->index, core->replica->epoch.number, machine->worker.incarnation,
-                      launches };
+  CommandCall *call = g_new0(CommandCall, 1);
+  *call = (CommandCall){ machine->index, core->replica->epoch.number, machine->worker.incarnation,
+                         has_launches };
   core->rpcs_in_flight++;
-  if (launches) {
-    if (machine->worker.indeterminate_launches == 0)
-      machine->worker.indeterminate_ms = core->now;
-    machine->worker.indeterminate_launches++;
-    machine->worker.indeterminate_fencing_token = direct->fencing_token;
-    machine->worker.indeterminate_incarnation = direct->incarnation;
-  }
+  if (has_launches)
+    count_indeterminate(core, machine, call);
   ws_call(core, "POST", machine->worker.endpoint, "/commands",
-          ws_commands_encode(direct->fencing_token, direct->incarnation, commands), 2000, on_direct,
-          direct);
+          ws_commands_encode(call->fencing_token, call->incarnation, commands), COMMAND_TIMEOUT_MS,
+          on_command_reply, call);
 }
 
 gboolean
@@ -70,12 +88,12 @@
 void
 ws_worker_rpc_raise_fencing_token(WsCore *core, WsMachine *machine)
 {
-  send_direct(core, machine, json_array(), FALSE);
+  send_commands(core, machine, json_array(), FALSE);
 }
 
-/* Somebody waits for a critical task, and the other tasks of a gang wait for each of it. */
+/* A user waits for a critical task, and the other tasks of a gang wait for each of it. */
 static gboolean
-any_urgent(const WsCore *core, const GArray *tasks)
+has_urgent_task(const WsCore *core, const GArray *tasks)
 {
   for (guint i = 0; i < tasks->len; i++) {
     const WsJob *job = ws_replica_job(core->replica, g_array_index(tasks, WsTaskRef, i).job);
@@ -89,22 +107,20 @@
 ws_worker_rpc_launch(WsCore *core, WsMachine *machine, GArray *tasks)
 {
   if (!ws_worker_rpc_is_possible(core, machine) || !ws_has_all_cancellations(core)
-      || (core->rpcs_in_flight >= MAX_RPCS_IN_FLIGHT && !any_urgent(core, tasks)))
+      || (core->rpcs_in_flight >= MAX_RPCS_IN_FLIGHT && !has_urgent_task(core, tasks)))
     return;
-  json_t *commands = json_array();
+  g_autoptr(json_t) commands = json_array();
   for (guint i = 0; i < tasks->len; i++) {
     const WsTaskRef *ref = &g_array_index(tasks, WsTaskRef, i);
     const WsJob *job = ws_replica_job(core->replica, ref->job);
-    WsAssignment *assignment = ws_job_assignment(job, ref->task);
+    const WsAssignment *assignment = ws_job_assignment(job, ref->task);
     if (assignment == NULL || job->state != WS_JOB_ACTIVE || ws_cancellations_has(core, job))
       continue;
     json_array_append_new(commands, ws_command_encode(WS_OP_LAUNCH, job->id, assignment->task,
                                                       assignment->attempt, 0.0));
   }
   if (json_array_size(commands) > 0)
-    send_direct(core, machine, commands, TRUE);
-  else
-    json_decref(commands);
+    send_commands(core, machine, g_steal_pointer(&commands), TRUE);
 }
 
 double
@@ -130,5 +146,5 @@
   json_array_append_new(commands, ws_command_encode(WS_OP_HALT, job->id, assignment->task,
                                                     assignment->attempt,
                                                     ws_halt_grace_s(core, job, assignment)));
-  send_direct(core, machine, commands, FALSE);
+  send_commands(core, machine, commands, FALSE);
 }
