--- a/src/workers/ws-relay.c
+++ b/src/workers/ws-relay.c
@@ -1,22 +1,27 @@
-/* Heartbeats passed on to the owner of their machine. The answer of the owner goes back to the
-   worker as it is; if the owner can't be reached directly, the third node is tried, and if nobody
-   answers in time the worker still gets our token, which keeps its tasks alive. */
+/**
+ * Heartbeats passed on to the owner of their machine.
+ *
+ * The owner's answer goes back to the worker as it is. If the owner can't be reached directly, a
+ * third node that reaches it is tried. If nobody answers in time, this node answers with its own
+ * fencing token and without launches, which renews the lease of the worker's tasks.
+ */
 #include "workers/ws-workers.h"
 
 #include "membership/ws-membership.h"
+#include "protocol/ws-relay-message.h"
 
 #include <string.h>
 
 #define RELAY_TIMEOUT_MS 1200
 #define FORWARD_TIMEOUT_MS 900
-/* Reports on their way to one owner. When it has just ended, and nobody knows yet, its workers come
-   to us by the hundred; they live on our token as well. */
+/* Heartbeats in flight to one owner. When it has just ended, and nobody knows yet, its workers come
+   to this node by the hundred; the others' leases are renewed from here. */
 #define MAX_RELAYS_IN_FLIGHT 12
 
 typedef struct {
   gpointer request;
   WsNodeIndex owner;
-  WsNodeIndex via; /* the node asked last */
+  WsNodeIndex via; /* the node called last */
   char *heartbeat;
 } Relay;
 
@@ -29,14 +34,15 @@
 
 static void send_relay(WsCore *core, Relay *relay);
 
-static guint
-third_node(const WsCore *core, const Relay *relay)
+/* A node that reaches the owner and is reached from here; WS_NO_NODE: there is none. */
+static WsNodeIndex
+find_third_node(const WsCore *core, const Relay *relay)
 {
-  for (guint n = 0; n < core->settings->nodes->len; n++)
+  for (WsNodeIndex n = 0; n < core->settings->nodes->len; n++)
     if (n != core->settings->self && n != relay->owner && ws_peer_is_reachable(core, n)
         && ws_peer_link_is_up(core, n, relay->owner))
       return n;
-  return WS_NONE;
+  return WS_NO_NODE;
 }
 
 static void
@@ -49,18 +55,27 @@
     ws_cancelled_tasks_add_halts(core, heartbeat, commands);
 }
 
+/* Renews the lease without the owner, if this node may. */
 static void
-keep_alive(WsCore *core, const char *heartbeat, gpointer request)
+answer_without_owner(WsCore *core, const char *heartbeat, gpointer request)
 {
+  if (!ws_is_active_member(core) || !ws_may_renew_worker_leases(core)) {
+    ws_answer_later(core, request, 1);
+    return;
+  }
   json_t *commands = json_array();
   add_halts(core, heartbeat, commands);
-  if (ws_is_active_member(core) && ws_may_renew_worker_leases(core))
-    ws_answer(core, request, 200,
-              ws_heartbeat_answer_encode(core->replica->epoch.number, g_steal_pointer(&commands)),
-              0);
-  else
-    ws_answer_later(core, request, 1);
-  json_decref(commands);
+  ws_answer(core, request, 200, ws_heartbeat_answer_encode(core->replica->epoch.number, commands),
+            0);
+}
+
+/* The owner may not know yet of a cancellation that this node knows of. */
+static void
+answer_as_owner(WsCore *core, const Relay *relay, const json_t *body)
+{
+  json_t *answer = json_deep_copy(body);
+  add_halts(core, relay->heartbeat, ws_heartbeat_answer_commands(answer));
+  ws_answer(core, relay->request, 200, answer, 0);
 }
 
 static void
@@ -68,30 +83,30 @@
 {
   Relay *relay = data;
   core->peers[relay->owner].relays_in_flight--;
-  if (status == 200) {
-    /* The owner may not have been told yet. */
-    json_t *answer = json_deep_copy(body);
-    add_halts(core, relay->heartbeat, ws_heartbeat_answer_commands(answer));
-    ws_answer(core, relay->request, 200, answer, 0);
-  } else if (relay->via == relay->owner && third_node(core, relay) != WS_NONE) {
-    relay->via = third_node(core, relay);
-    send_relay(core, relay);
-    return;
-  } else {
-    keep_alive(core, relay->heartbeat, relay->request);
+  if (status != 200 && relay->via == relay->owner) {
+    WsNodeIndex third = find_third_node(core, relay);
+    if (third != WS_NO_NODE) {
+      relay->via = third;
+      send_relay(core, relay);
+      return;
+    }
   }
+  if (status == 200)
+    answer_as_owner(core, relay, body);
+  else
+    answer_without_owner(core, relay->heartbeat, relay->request);
   relay_free(relay);
 }
 
 static void
 send_relay(WsCore *core, Relay *relay)
 {
-  json_t *message
-      = json_pack("{s:I, s:s, s:s}", "epoch", (json_int_t)core->replica->epoch.number, "owner",
-                  ws_settings_node(core->settings, relay->owner)->name, "report", relay->heartbeat);
+  WsRelayMessage message
+      = { core->replica->epoch.number, ws_settings_node(core->settings, relay->owner)->name,
+          relay->heartbeat };
   core->peers[relay->owner].relays_in_flight++;
-  ws_call(core, "POST", ws_settings_node(core->settings, relay->via)->endpoint, "/relay", message,
-          RELAY_TIMEOUT_MS, on_relayed, relay);
+  ws_call(core, "POST", ws_settings_node(core->settings, relay->via)->endpoint, "/relay",
+          ws_relay_message_encode(&message), RELAY_TIMEOUT_MS, on_relayed, relay);
 }
 
 void
@@ -100,17 +115,18 @@
   Relay *relay = g_new0(Relay, 1);
   *relay = (Relay){ request, owner, owner, g_strdup(heartbeat) };
   if (!ws_peer_is_reachable(core, owner))
-    relay->via = third_node(core, relay);
+    relay->via = find_third_node(core, relay);
   if (relay->via != WS_NO_NODE && core->peers[owner].relays_in_flight < MAX_RELAYS_IN_FLIGHT) {
     send_relay(core, relay);
     return;
   }
-  keep_alive(core, heartbeat, request);
+  answer_without_owner(core, heartbeat, request);
   relay_free(relay);
 }
 
+/* The owner's answer to a heartbeat that was forwarded for another node. */
 static void
-on_passed(WsCore *core, guint status, const json_t *body, gpointer data)
+on_forwarded(WsCore *core, guint status, const json_t *body, gpointer data)
 {
   if (status == 200)
     ws_answer(core, data, 200, json_incref((json_t *)body), 0);
@@ -119,7 +135,7 @@
 }
 
 static void
-take_relayed_report(WsCore *core, const char *text, gpointer request)
+answer_relayed_heartbeat(WsCore *core, const char *text, gpointer request)
 {
   g_autoptr(json_t) message = ws_json_parse(text, strlen(text));
   g_autofree char *reason = NULL;
@@ -136,20 +152,18 @@
 void
 ws_relay_handle(WsCore *core, const json_t *message, gpointer request)
 {
-  guint64 epoch;
-  const char *owner, *text;
-  if (!ws_json_count(message, "epoch", &epoch) || !ws_json_string(message, "owner", &owner)
-      || !ws_json_string(message, "report", &text)) {
+  WsRelayMessage relayed;
+  if (!ws_relay_message_parse(message, &relayed)) {
     ws_answer_reason(core, request, 400, "malformed");
     return;
   }
-  WsNodeIndex node = ws_settings_find_node(core->settings, owner);
-  if (!ws_is_active_member(core) || epoch != core->replica->epoch.number || node == WS_NO_NODE) {
+  WsNodeIndex owner = ws_settings_find_node(core->settings, relayed.owner);
+  if (!ws_is_active_member(core) || relayed.epoch != core->replica->epoch.number
+      || owner == WS_NO_NODE)
     ws_answer_later(core, request, 1);
-  } else if (node == core->settings->self) {
-    take_relayed_report(core, text, request);
-  } else {
-    ws_call(core, "POST", ws_settings_node(core->settings, node)->endpoint, "/relay",
-            json_incref((json_t *)message), FORWARD_TIMEOUT_MS, on_passed, request);
-  }
+  else if (owner == core->settings->self)
+    answer_relayed_heartbeat(core, relayed.heartbeat, request);
+  else
+    ws_call(core, "POST", ws_settings_node(core->settings, owner)->endpoint, "/relay",
+            json_incref((json_t *)message), FORWARD_TIMEOUT_MS, on_forwarded, request);
 }
