--- /dev/null
+++ b/src/workers/ws-reconciliation.c
@@ -0,0 +1,202 @@
+/**
+ * The owner's answer to a heartbeat: the commands that bring a worker to what the records assign.
+ *
+ * The commands follow from two things only: the records of what is assigned to the machine, and its
+ * newest heartbeat. Only the machine's owner works them out, since nobody else may release a task
+ * or let the worker forget one.
+ */
+#include "workers/ws-workers-private.h"
+
+#include "commit/ws-releases.h"
+#include "fleet/ws-fleet.h"
+#include "storage/ws-gang-phase.h"
+
+typedef struct {
+  WsCore *core;
+  WsMachine *machine;
+  const WsHeartbeat *heartbeat;
+  json_t *commands;
+  gboolean has_present_token; /* the worker has shown the token of the present epoch */
+  gboolean is_behind;         /* the replica is older than the epoch */
+  gboolean has_halts;
+  gboolean repeats_launch; /* a launch that was answered before doesn't show in the heartbeat */
+} Reconciliation;
+
+static void
+add_command(Reconciliation *run, WsOp op, const char *job, guint task, guint64 attempt,
+            double grace_s)
+{
+  static const char *const NAMES[]
+      = { [WS_OP_LAUNCH] = "launch", [WS_OP_HALT] = "halt", [WS_OP_REAP] = "reap" };
+  const WsHeartbeat *heartbeat = run->heartbeat;
+  g_debug("command to %s: %s %s/%u attempt %" G_GUINT64_FORMAT " under token %" G_GUINT64_FORMAT
+          ", upon heartbeat %" G_GUINT64_FORMAT " of incarnation %" G_GUINT64_FORMAT
+          " with token %" G_GUINT64_FORMAT,
+          heartbeat->machine, NAMES[op], job, task, attempt, run->core->replica->epoch.number,
+          heartbeat->sequence, heartbeat->incarnation, heartbeat->fencing_token);
+  run->has_halts = run->has_halts || op == WS_OP_HALT;
+  json_array_append_new(run->commands, ws_command_encode(op, job, task, attempt, grace_s));
+}
+
+/* Whether an absence, or an end, may be acted on: the worker knows the present token, and no launch
+   can arrive late. */
+static gboolean
+is_conclusive(const Reconciliation *run)
+{
+  return run->has_present_token && run->machine->worker.indeterminate_launches == 0;
+}
+
+/* Whether the task is stopped because its machine is to be terminated. A running gang is stopped as
+   a whole, see ws_gang_stop(). */
+static gboolean
+is_drained(WsCore *core, WsMachine *machine, WsJob *job, const WsAssignment *assignment)
+{
+  if (!machine->is_marked || (ws_job_is_gang(job) && assignment->state >= WS_TASK_RUNNING))
+    return FALSE;
+  return ws_termination_may_stop(core, machine, job, assignment);
+}
+
+/* A task that the records don't assign here: it ends, and an ended one is forgotten. */
+static void
+command_unassigned(Reconciliation *run, const WsTaskStatus *task)
+{
+  if (run->is_behind)
+    return;
+  if (task->state != WS_TASK_EXITED)
+    add_command(run, WS_OP_HALT, task->job, task->task, task->attempt, 0.0);
+  else if (is_conclusive(run))
+    add_command(run, WS_OP_REAP, task->job, task->task, task->attempt, 0.0);
+}
+
+static void
+command_present(Reconciliation *run, const WsTaskStatus *task)
+{
+  WsJob *job;
+  WsCore *core = run->core;
+  WsAssignment *assignment = ws_worker_status_find_assignment(core, run->machine, task, &job);
+  if (assignment == NULL) {
+    command_unassigned(run, task);
+    return;
+  }
+  if (task->state == WS_TASK_EXITED)
+    return;
+  gboolean is_cancelled = ws_cancellations_has(core, job);
+  if (task->state == WS_TASK_SAVING && !is_cancelled)
+    return;
+  if (is_cancelled || assignment->is_stop_requested || ws_gang_is_ending(job)
+      || is_drained(core, run->machine, job, assignment))
+    add_command(run, WS_OP_HALT, task->job, task->task, task->attempt,
+                ws_halt_grace_s(core, job, assignment));
+}
+
+/* Whether the assignment is to end. One that is about to be released counts: launched again, one
+   that had failed ran on two machines. */
+static gboolean
+is_unwanted(const Reconciliation *run, WsJob *job, const WsAssignment *assignment)
+{
+  return ws_cancellations_has(run->core, job) || assignment->is_stop_requested
+         || run->machine->is_marked || ws_gang_is_ending(job)
+         || ws_releases_has(run->core, job, assignment);
+}
+
+/* An assigned task that the heartbeat doesn't show is launched, again if need be, or released. It
+   isn't launched while a cancellation of it may be unknown here. */
+static void
+command_absent(Reconciliation *run, WsJob *job, WsAssignment *assignment)
+{
+  if (is_unwanted(run, job, assignment)) {
+    if (is_conclusive(run))
+      ws_releases_add_reported(run->core, job, assignment, WS_EVIDENCE_ABSENT, FALSE);
+    return;
+  }
+  if (!ws_has_all_cancellations(run->core))
+    return;
+  add_command(run, WS_OP_LAUNCH, job->id, assignment->task, assignment->attempt, 0.0);
+  run->repeats_launch = run->repeats_launch || assignment->launch_sent;
+  assignment->launch_sent = TRUE;
+}
+
+static void
+command_all_present(Reconciliation *run)
+{
+  const GArray *tasks = run->heartbeat->tasks;
+  for (guint i = 0; i < tasks->len; i++)
+    command_present(run, &g_array_index(tasks, WsTaskStatus, i));
+}
+
+static void
+command_all_absent(Reconciliation *run)
+{
+  const WsMachine *machine = run->machine;
+  for (guint i = 0; i < machine->tasks->len; i++) {
+    const WsTaskRef *ref = &g_array_index(machine->tasks, WsTaskRef, i);
+    WsJob *job = ws_replica_job(run->core->replica, ref->job);
+    WsAssignment *assignment = ws_job_assignment(job, ref->task);
+    if (assignment != NULL && assignment->machine == machine->index
+        && ws_heartbeat_find_task(run->heartbeat, job->id, assignment->task, assignment->attempt)
+               == NULL)
+      command_absent(run, job, assignment);
+  }
+}
+
+/* An outbound-unreachable machine, whose heartbeats arrive while answers and commands don't reach
+   it, doesn't show the present token, nor tasks it was to launch, or goes on with what it was to
+   halt. */
+static void
+note_unacknowledged(const Reconciliation *run)
+{
+  WsMachine *machine = run->machine;
+  machine->worker.consecutive_halts = run->has_halts ? machine->worker.consecutive_halts + 1 : 0;
+  gboolean is_unacknowledged
+      = run->repeats_launch || !run->has_present_token || machine->worker.consecutive_halts > 1;
+  if (!is_unacknowledged)
+    machine->worker.unacknowledged_ms = 0;
+  else if (machine->worker.unacknowledged_ms == 0)
+    machine->worker.unacknowledged_ms = run->core->now;
+}
+
+/* A late copy of a heartbeat may come from a machine that was returned before this node began; only
+   a machine that has had an answer of this epoch is there. */
+static void
+note_heartbeat(Reconciliation *run)
+{
+  WsCore *core = run->core;
+  run->machine->worker.reported_ms = core->now;
+  if (!run->has_present_token)
+    return;
+  if (!run->machine->is_recorded)
+    ws_cloud_list_reconcile(core, run->machine, core->wall);
+  ws_worker_status_note_tasks(core, run->machine, run->heartbeat);
+}
+
+static void
+reconcile(Reconciliation *run)
+{
+  note_heartbeat(run);
+  command_all_present(run);
+  if (!run->is_behind)
+    command_all_absent(run);
+  note_unacknowledged(run);
+}
+
+json_t *
+ws_workers_answer_heartbeat(WsCore *core, const WsHeartbeat *heartbeat)
+{
+  guint64 fencing_token = core->replica->epoch.number;
+  WsMachine *machine = ws_replica_get_machine(core->replica, heartbeat->machine);
+  ws_replica_describe_machine(core->replica, machine, heartbeat->type, heartbeat->zone,
+                              heartbeat->spot);
+  Reconciliation run = { .core = core,
+                         .machine = machine,
+                         .heartbeat = heartbeat,
+                         .commands = json_array(),
+                         .has_present_token = heartbeat->fencing_token == fencing_token,
+                         .is_behind = !ws_has_caught_up_with_epoch(core) };
+  gboolean was_usable = ws_machine_is_up(core, machine) && machine->worker.interruption_ms == 0;
+  if (ws_worker_status_note_header(core, machine, heartbeat)) {
+    reconcile(&run);
+    core->replan_is_needed
+        = core->replan_is_needed || !was_usable || machine->worker.interruption_ms > 0;
+  }
+  return ws_heartbeat_answer_encode(fencing_token, run.commands);
+}
--- /dev/null
+++ b/src/workers/ws-worker-status.c
@@ -0,0 +1,213 @@
+/**
+ * What a worker's status changes in what is known of its machine and tasks.
+ *
+ * Presence is believed of any status newer than the last one. Nothing is concluded from absence
+ * here, see ws-reconciliation.c.
+ */
+#include "workers/ws-workers-private.h"
+
+#include "commit/ws-releases.h"
+
+#define MAX_KNOWN_IMAGES 10
+/* The pause before a failed job's tasks are placed again doubles with each failure in a row. */
+#define JOB_RETRY_MS 500
+#define MAX_JOB_RETRY_DOUBLINGS 7u
+/* The same after a gang's attempt that was never complete. */
+#define MIN_GANG_BACKOFF_MS 500
+#define MAX_GANG_BACKOFF_DOUBLINGS 6u
+
+static void
+remember_image(WsMachine *machine, WsImageIndex image)
+{
+  GArray *images = machine->worker.images;
+  if (images->len > 0 && g_array_index(images, WsImageIndex, images->len - 1) == image)
+    return;
+  machine->worker.announcement_is_due
+      = machine->worker.announcement_is_due || !ws_machine_has_image(machine, image);
+  for (guint i = 0; i < images->len; i++)
+    if (g_array_index(images, WsImageIndex, i) == image) {
+      g_array_remove_index(images, i);
+      break;
+    }
+  g_array_append_val(images, image);
+  if (images->len > MAX_KNOWN_IMAGES)
+    g_array_remove_index(images, 0);
+}
+
+/* A machine on which several jobs fail is faulty; a job that fails on several machines is wrong
+   and is tried ever more rarely until its user cancels it. */
+static void
+note_error(WsCore *core, WsMachine *machine, WsJob *job)
+{
+  job->status.consecutive_errors++;
+  guint doublings = MIN(job->status.consecutive_errors, MAX_JOB_RETRY_DOUBLINGS);
+  job->status.retry_ms = core->now + JOB_RETRY_MS * (gint64)(1u << doublings);
+  if (machine->fleet.last_failed_job != job->index)
+    machine->fleet.failed_jobs++;
+  machine->fleet.last_failed_job = job->index;
+  g_info("a task of job %s failed on %s", job->id, machine->name);
+}
+
+/* Its tasks didn't come together in time: that says nothing against a machine or the job, but the
+   next attempt waits, the longer the more often this has happened. */
+static void
+back_off_gang(WsCore *core, WsJob *job)
+{
+  job->status.incomplete_attempts
+      = MIN(job->status.incomplete_attempts + 1, MAX_GANG_BACKOFF_DOUBLINGS);
+  job->status.retry_ms
+      = core->now + MIN_GANG_BACKOFF_MS * (gint64)(1u << job->status.incomplete_attempts);
+  g_info("gang %s was not complete in time", job->id);
+}
+
+static void
+note_exit(WsCore *core, WsMachine *machine, WsJob *job, WsAssignment *assignment, WsExit why)
+{
+  if (assignment->state == WS_TASK_EXITED)
+    return;
+  assignment->state = WS_TASK_EXITED;
+  if (why == WS_EXIT_ERROR)
+    note_error(core, machine, job);
+  if (why == WS_EXIT_REFUSED)
+    job->status.retry_ms = core->now + JOB_RETRY_MS;
+  if (why == WS_EXIT_INCOMPLETE)
+    back_off_gang(core, job);
+  if (why == WS_EXIT_DONE) {
+    machine->fleet.failed_jobs = 0;
+    machine->fleet.last_failed_job = WS_NO_JOB;
+    job->status.consecutive_errors = 0;
+  }
+}
+
+WsAssignment *
+ws_worker_status_find_assignment(const WsCore *core, const WsMachine *machine,
+                                 const WsTaskStatus *task, WsJob **job)
+{
+  *job = ws_replica_find_job(core->replica, task->job);
+  if (*job == NULL || (*job)->spec == NULL || task->task >= (*job)->tasks)
+    return NULL;
+  WsAssignment *assignment = ws_job_assignment(*job, task->task);
+  return assignment != NULL && assignment->machine == machine->index
+                 && assignment->attempt == task->attempt
+             ? assignment
+             : NULL;
+}
+
+static void
+note_task(WsCore *core, WsMachine *machine, const WsTaskStatus *task)
+{
+  WsJob *job;
+  WsAssignment *assignment = ws_worker_status_find_assignment(core, machine, task, &job);
+  if (assignment == NULL)
+    return;
+  if (task->state == WS_TASK_EXITED) {
+    note_exit(core, machine, job, assignment, task->why);
+    ws_releases_add_reported(core, job, assignment, WS_EVIDENCE_EXITED, task->why == WS_EXIT_DONE);
+    return;
+  }
+  ws_releases_refute(core, job, assignment);
+  if (task->state != assignment->state)
+    g_debug("task %s/%u on %s: state %d", job->id, assignment->task, machine->name, task->state);
+  assignment->state = task->state;
+  if (assignment->state >= WS_TASK_GATHERING)
+    remember_image(machine, job->image);
+}
+
+void
+ws_worker_status_note_tasks(WsCore *core, WsMachine *machine, const WsHeartbeat *heartbeat)
+{
+  for (guint i = 0; i < heartbeat->tasks->len; i++)
+    note_task(core, machine, &g_array_index(heartbeat->tasks, WsTaskStatus, i));
+}
+
+/* All tasks of the incarnation before are gone. A command names its incarnation, so the worker now
+   refuses launches that were sent to an earlier one. */
+static void
+begin_incarnation(WsCore *core, WsMachine *machine, guint64 incarnation)
+{
+  if (machine->worker.incarnation != 0) {
+    machine->worker.incarnation_changed_ms = core->now;
+    g_info("machine %s begins incarnation %" G_GUINT64_FORMAT, machine->name, incarnation);
+  }
+  machine->worker.indeterminate_launches = 0;
+  for (guint i = 0; i < machine->tasks->len; i++) {
+    const WsTaskRef *ref = &g_array_index(machine->tasks, WsTaskRef, i);
+    WsAssignment *assignment
+        = ws_job_assignment(ws_replica_job(core->replica, ref->job), ref->task);
+    if (assignment == NULL)
+      continue;
+    assignment->state = WS_TASK_ASSIGNED;
+    assignment->launch_sent = FALSE;
+  }
+}
+
+/* A worker that has shown a token refuses what was sent under an older one. */
+static void
+note_fencing_token(WsMachine *machine, guint64 fencing_token)
+{
+  if (fencing_token <= machine->worker.fencing_token)
+    return;
+  if (machine->worker.indeterminate_fencing_token < fencing_token)
+    machine->worker.indeterminate_launches = 0;
+  machine->worker.fencing_token = fencing_token;
+}
+
+static void
+note_presence(WsCore *core, WsMachine *machine)
+{
+  machine->worker.heard_ms = core->now;
+  machine->worker.failed_probes = 0;
+  if (machine->worker.up_ms != 0)
+    return;
+  machine->worker.up_ms = core->now;
+  g_info("machine %s is up", machine->name);
+}
+
+/* @interruption_s: from now on; negative: the cloud has given no notice */
+static void
+note_interruption(WsCore *core, WsMachine *machine, double interruption_s)
+{
+  if (interruption_s < 0.0)
+    machine->worker.interruption_ms = 0;
+  else if (machine->worker.interruption_ms == 0)
+    machine->worker.interruption_ms = core->now + (gint64)(interruption_s * 1000.0);
+}
+
+static void
+note_endpoint(WsMachine *machine, const char *endpoint)
+{
+  if (g_strcmp0(machine->worker.endpoint, endpoint) == 0)
+    return;
+  g_free(machine->worker.endpoint);
+  machine->worker.endpoint = g_strdup(endpoint);
+  machine->worker.announcement_is_due = TRUE;
+}
+
+gboolean
+ws_worker_status_note_header(WsCore *core, WsMachine *machine, const WsHeartbeat *heartbeat)
+{
+  if (heartbeat->incarnation < machine->worker.incarnation
+      || (heartbeat->incarnation == machine->worker.incarnation
+          && heartbeat->sequence <= machine->worker.sequence))
+    return FALSE;
+  if (heartbeat->incarnation > machine->worker.incarnation)
+    begin_incarnation(core, machine, heartbeat->incarnation);
+  machine->worker.incarnation = heartbeat->incarnation;
+  machine->worker.sequence = heartbeat->sequence;
+  note_fencing_token(machine, heartbeat->fencing_token);
+  note_presence(core, machine);
+  note_interruption(core, machine, heartbeat->interruption_s);
+  note_endpoint(machine, heartbeat->endpoint);
+  return TRUE;
+}
+
+/* A status under an older token may be a late copy: its tasks aren't acted on. */
+gboolean
+ws_workers_note_status(WsCore *core, WsMachine *machine, const WsHeartbeat *heartbeat)
+{
+  if (!ws_worker_status_note_header(core, machine, heartbeat))
+    return FALSE;
+  if (heartbeat->fencing_token == core->replica->epoch.number)
+    ws_worker_status_note_tasks(core, machine, heartbeat);
+  return TRUE;
+}
