--- a/src/commit/ws-legacy-releases.c
+++ b/src/commit/ws-legacy-releases.c
@@ -3,8 +3,6 @@
 
 #include "membership/ws-membership.h"
 
-#include <string.h>
-
 #define STATUS_TIMEOUT_MS 1000
 #define STATUS_RETRY_MS 1500
 /* Those versions repeat a release every 2 s; after such a pause it begins anew. */
@@ -72,10 +70,9 @@
 on_status(WsCore *core, guint status, const json_t *body, gpointer data)
 {
   const WsMachine *machine = ws_replica_machine(core->replica, GPOINTER_TO_UINT(data));
-  g_autofree char *reason = NULL;
-  g_autoptr(WsHeartbeat) heartbeat = status == 200 ? ws_heartbeat_parse(body, &reason) : NULL;
-  if (heartbeat == NULL || strcmp(heartbeat->machine, machine->name) != 0
-      || heartbeat->fencing_token != core->replica->epoch.number || !ws_is_leader(core))
+  g_autoptr(WsHeartbeat) heartbeat = ws_heartbeat_parse_status_reply(status, body, machine->name);
+  if (heartbeat == NULL || heartbeat->fencing_token != core->replica->epoch.number
+      || !ws_is_leader(core))
     return;
   const GArray *hints = core->legacy_releases->hints;
   for (guint i = 0; i < hints->len; i++) {
--- a/src/membership/ws-failure-detector.c
+++ b/src/membership/ws-failure-detector.c
@@ -1,8 +1,6 @@
 /* Machines that say nothing: which are asked, which are waited for, and which are given up. */
 #include "membership/ws-membership.h"
 
-#include <string.h>
-
 #define STATUS_PAUSE_MS 600
 #define STATUS_TIMEOUT_MS 500
 #define INDETERMINATE_MS 8000
@@ -96,13 +94,11 @@
 on_status(WsCore *core, guint status, const json_t *body, gpointer data)
 {
   WsMachine *machine = ws_replica_machine(core->replica, GPOINTER_TO_UINT(data));
-  g_autofree char *reason = NULL;
-  g_autoptr(WsHeartbeat) heartbeat = status == 200 ? ws_heartbeat_parse(body, &reason) : NULL;
+  g_autoptr(WsHeartbeat) heartbeat = ws_heartbeat_parse_status_reply(status, body, machine->name);
   core->probes_in_flight--;
   /* An answer older than what is known is not from the machine that was known: it has begun anew.
    */
-  if (heartbeat == NULL || strcmp(heartbeat->machine, machine->name) != 0
-      || !ws_owns_machine(core, machine)
+  if (heartbeat == NULL || !ws_owns_machine(core, machine)
       || !core->handlers->note_worker_status(core, machine, heartbeat)) {
     machine->worker.failed_probes++;
     return;
--- a/src/protocol/ws-heartbeat.c
+++ b/src/protocol/ws-heartbeat.c
@@ -5,6 +5,10 @@
 
 #include <string.h>
 
+/* HTTP statuses of a worker's answer: carried out, and refused as outdated. */
+#define STATUS_OK 200
+#define STATUS_CONFLICT 409
+
 static gboolean
 task_name(const char *name, char **job, guint *task)
 {
@@ -144,6 +148,28 @@
   return g_steal_pointer(&heartbeat);
 }
 
+static WsHeartbeat *
+parse_status_of(const json_t *body, const char *machine)
+{
+  g_autofree char *reason = NULL;
+  g_autoptr(WsHeartbeat) heartbeat = ws_heartbeat_parse(body, &reason);
+  if (heartbeat == NULL || strcmp(heartbeat->machine, machine) != 0)
+    return NULL;
+  return g_steal_pointer(&heartbeat);
+}
+
+WsHeartbeat *
+ws_heartbeat_parse_status_reply(guint status, const json_t *body, const char *machine)
+{
+  return status == STATUS_OK ? parse_status_of(body, machine) : NULL;
+}
+
+WsHeartbeat *
+ws_heartbeat_parse_command_reply(guint status, const json_t *body, const char *machine)
+{
+  return status == STATUS_OK || status == STATUS_CONFLICT ? parse_status_of(body, machine) : NULL;
+}
+
 const WsTaskStatus *
 ws_heartbeat_find_task(const WsHeartbeat *heartbeat, const char *job, guint task, guint64 attempt)
 {
--- a/src/protocol/ws-heartbeat.h
+++ b/src/protocol/ws-heartbeat.h
@@ -51,6 +51,22 @@
 typedef enum { WS_OP_LAUNCH, WS_OP_HALT, WS_OP_REAP } WsOp;
 
 WsHeartbeat *ws_heartbeat_parse(const json_t *message, char **reason);
+
+/**
+ * Reads the answer of a machine's worker to a call for its status.
+ *
+ * Returns NULL if the answer isn't one (@status is 0: none came), is malformed, or is another
+ * machine's, as after an address has passed on.
+ */
+WsHeartbeat *ws_heartbeat_parse_status_reply(guint status, const json_t *body, const char *machine);
+
+/**
+ * Reads the answer of a machine's worker to commands. A refusal, for an outdated fencing token or
+ * incarnation, carries the worker's status too; otherwise as ws_heartbeat_parse_status_reply().
+ */
+WsHeartbeat *ws_heartbeat_parse_command_reply(guint status, const json_t *body,
+                                              const char *machine);
+
 void ws_heartbeat_free(WsHeartbeat *heartbeat);
 
 json_t *ws_command_encode(WsOp op, const char *job, guint task, guint64 attempt, double grace_s);
--- a/src/workers/ws-cancelled-tasks.c
+++ b/src/workers/ws-cancelled-tasks.c
@@ -108,10 +108,8 @@
   core->cancelled_tasks->halts_in_flight--;
   if (status == 0)
     schedule_halt(core, machine, UNREACHABLE_HALT_RETRY_MS);
-  g_autofree char *reason = NULL;
-  g_autoptr(WsHeartbeat) heartbeat
-      = status == 200 || status == 409 ? ws_heartbeat_parse(body, &reason) : NULL;
-  if (heartbeat == NULL || strcmp(heartbeat->machine, machine->name) != 0)
+  g_autoptr(WsHeartbeat) heartbeat = ws_heartbeat_parse_command_reply(status, body, machine->name);
+  if (heartbeat == NULL)
     return;
   confirm_halted(core, machine, heartbeat);
   if (ws_owns_machine(core, machine))
--- a/src/workers/ws-worker-rpc.c
+++ b/src/workers/ws-worker-rpc.c
@@ -10,8 +10,6 @@
 #include "membership/ws-membership.h"
 #include "storage/ws-gang-phase.h"
 
-#include <string.h>
-
 /* Calls in flight at once. Further launches go with the answers to heartbeats, except those of
    critical tasks and of gangs. */
 #define MAX_RPCS_IN_FLIGHT 48
@@ -44,11 +42,8 @@
   core->rpcs_in_flight--;
   if (status != 0 && is_counted(call, machine))
     machine->worker.indeterminate_launches--;
-  g_autofree char *reason = NULL;
-  g_autoptr(WsHeartbeat) heartbeat
-      = status == 200 || status == 409 ? ws_heartbeat_parse(body, &reason) : NULL;
-  if (heartbeat != NULL && strcmp(heartbeat->machine, machine->name) == 0
-      && ws_owns_machine(core, machine))
+  g_autoptr(WsHeartbeat) heartbeat = ws_heartbeat_parse_command_reply(status, body, machine->name);
+  if (heartbeat != NULL && ws_owns_machine(core, machine))
     ws_workers_note_status(core, machine, heartbeat);
 }
 
--- a/tests/test-protocol.c
+++ b/tests/test-protocol.c
@@ -1,5 +1,6 @@
 #include "protocol/ws-cloud.h"
 #include "protocol/ws-heartbeat.h"
+#include "protocol/ws-relay-message.h"
 #include "protocol/ws-settings.h"
 #include "ws-site.h"
 #include "ws-gen.h"
@@ -116,6 +117,47 @@
   g_assert_cmpint(g_array_index(report->tasks, WsTaskStatus, 1).why, ==, WS_EXIT_DONE);
 }
 
+/* Which answers of a worker count as its status: a refusal does only as the answer to commands. */
+static void
+test_worker_replies(void)
+{
+  static const struct {
+    guint status;
+    const char *machine;
+    gboolean is_status_reply;
+    gboolean is_command_reply;
+  } CASES[] = { { 200, "m-000231", TRUE, TRUE },   { 409, "m-000231", FALSE, TRUE },
+                { 0, "m-000231", FALSE, FALSE },   { 503, "m-000231", FALSE, FALSE },
+                { 200, "m-000232", FALSE, FALSE }, { 409, "m-000232", FALSE, FALSE } };
+  g_autoptr(json_t) body = ws_json_parse(REPORT, strlen(REPORT));
+  for (guint i = 0; i < G_N_ELEMENTS(CASES); i++) {
+    g_autoptr(WsHeartbeat) status
+        = ws_heartbeat_parse_status_reply(CASES[i].status, body, CASES[i].machine);
+    g_autoptr(WsHeartbeat) command
+        = ws_heartbeat_parse_command_reply(CASES[i].status, body, CASES[i].machine);
+    g_assert_true((status != NULL) == CASES[i].is_status_reply);
+    g_assert_true((command != NULL) == CASES[i].is_command_reply);
+  }
+  g_assert_null(ws_heartbeat_parse_status_reply(200, NULL, "m-000231"));
+}
+
+static void
+test_relay_message(void)
+{
+  WsRelayMessage relay = { 7, "node-2", REPORT }, parsed;
+  g_autoptr(json_t) message = ws_relay_message_encode(&relay);
+  g_assert_true(ws_relay_message_parse(message, &parsed));
+  g_assert_cmpuint(parsed.epoch, ==, 7);
+  g_assert_cmpstr(parsed.owner, ==, "node-2");
+  g_assert_cmpstr(parsed.heartbeat, ==, REPORT);
+  static const char *const FIELDS[] = { "epoch", "owner", "report" };
+  for (guint i = 0; i < G_N_ELEMENTS(FIELDS); i++) {
+    g_autoptr(json_t) damaged = json_copy(message);
+    json_object_del(damaged, FIELDS[i]);
+    g_assert_false(ws_relay_message_parse(damaged, &parsed));
+  }
+}
+
 /* Bytes changed at random never crash the reader. */
 static void
 report_damaged(GRand *rand)
@@ -243,6 +285,8 @@
   g_test_add_func("/protocol/submission-edges", test_submission_edges);
   g_test_add_func("/protocol/amounts", test_amounts);
   g_test_add_func("/protocol/report", test_report);
+  g_test_add_func("/protocol/worker-replies", test_worker_replies);
+  g_test_add_func("/protocol/relay-message", test_relay_message);
   g_test_add_func("/protocol/damaged-reports", test_damaged_reports);
   g_test_add_func("/protocol/commands", test_commands);
   g_test_add_func("/protocol/cloud", test_cloud);
