--- a/src/fleet/ws-termination.c
+++ b/src/fleet/ws-termination.c
@@ -1,9 +1,11 @@
-/* Node termination: idle timeout, mark, close, drain, return, clear.
-
-   The owner selects a machine that was empty for the idle timeout and, if the budget allows it,
-   writes the mark; from then on the machine is closed. The leader returns what is marked and empty
-   (see ws-returns.c) and clears the mark once the cloud has confirmed. Marks outlive every
-   controller, so whoever leads goes on with them. */
+/**
+ * Node termination: idle timeout, termination mark, drain, return, clearing of the mark.
+ *
+ * The owner selects a machine that was empty for the idle timeout and, if the disruption budget
+ * allows it, has the leader write the mark; from then on the machine gets no new tasks. The leader
+ * returns what is marked and empty (see ws-returns.c) and clears the mark once the cloud has
+ * confirmed. Marks are stored, so whoever leads goes on with them.
+ */
 #include "fleet/ws-fleet.h"
 
 #include "store/ws-store.h"
@@ -12,7 +14,15 @@
 
 #include <string.h>
 
-#define FORWARDED_MARK_TIMEOUT_MS 5000
+/* After so long without the mark a request for it is taken for lost. */
+#define MARK_REQUEST_TIMEOUT_MS 5000
+/* A machine is faulty once so many jobs have failed there since one last succeeded. */
+#define FAULTY_FAILED_JOBS 2
+
+/* Reasons of marks, as they are stored. */
+#define REASON_IDLE "idle"
+#define REASON_INTERRUPTION "notice"
+#define REASON_FAULTY "faulty"
 
 static const WsBudget *
 budget_for(const WsCore *core, const WsMachine *machine)
@@ -26,7 +36,13 @@
   return NULL;
 }
 
-/* Silent and marked machines are unavailable. */
+static gboolean
+is_unavailable(const WsCore *core, const WsMachine *machine)
+{
+  return machine->is_marked || machine->fleet.mark_is_pending || !ws_machine_is_up(core, machine);
+}
+
+/* Whether the disruption budget for its type and zone allows one more machine to be unavailable. */
 static gboolean
 budget_allows(const WsCore *core, const WsMachine *machine)
 {
@@ -40,17 +56,15 @@
         || g_strcmp0(other->type_name, machine->type_name) != 0)
       continue;
     total++;
-    unavailable
-        += other->is_marked || other->fleet.mark_is_pending || !ws_machine_is_up(core, other) ? 1
-                                                                                              : 0;
+    unavailable += is_unavailable(core, other) ? 1 : 0;
   }
   return unavailable + 1 <= ws_budget_allowed(budget, total + 1);
 }
 
-/* A cut makes every machine of the zone unavailable; nothing is given back there until it heals.
-   From inside, the zone is cut as soon as another member can't be reached from it. */
+/* Whether the zone's members and all other members reach one another. A partition makes every
+   machine of the zone unavailable, so none is terminated there until it heals. */
 static gboolean
-zone_is_whole(const WsCore *core, WsZoneIndex zone)
+zone_is_connected(const WsCore *core, WsZoneIndex zone)
 {
   const GArray *members = core->replica->epoch.members;
   if (ws_zone_is_partitioned(core, zone))
@@ -60,7 +74,7 @@
     if (ws_replica_find_zone(core->replica, ws_settings_node(core->settings, node)->zone) != zone)
       continue;
     for (guint k = 0; k < members->len; k++) {
-      guint other = g_array_index(members, WsMember, k).node;
+      WsNodeIndex other = g_array_index(members, WsMember, k).node;
       if (!ws_peer_is_reachable(core, node) || !ws_peer_link_is_up(core, node, other))
         return FALSE;
     }
@@ -70,72 +84,83 @@
 
 typedef struct {
   WsMachineIndex machine;
-  char *why;
-  gboolean now;
-} Marking;
+  char *reason;
+  gboolean immediately; /* without drain */
+} MarkRequest;
 
 struct _WsTermination {
-  GArray *wanted;  /* of Marking: the leader writes them, many in one transaction */
-  GArray *writing; /* of Marking */
+  GArray *requested; /* of MarkRequest: the leader writes them, many in one transaction */
+  GArray *writing;   /* of MarkRequest: in the transaction in flight */
 };
 
 static void
-marking_clear(gpointer data)
+clear_mark_request(gpointer data)
 {
-  g_free(((Marking *)data)->why);
+  g_free(((MarkRequest *)data)->reason);
 }
 
 static GArray *
-markings_new(void)
+mark_requests_new(void)
 {
-  GArray *markings = g_array_new(FALSE, FALSE, sizeof(Marking));
-  g_array_set_clear_func(markings, marking_clear);
-  return markings;
+  GArray *requests = g_array_new(FALSE, FALSE, sizeof(MarkRequest));
+  g_array_set_clear_func(requests, clear_mark_request);
+  return requests;
 }
 
 WsTermination *
 ws_termination_new(void)
 {
   WsTermination *termination = g_new0(WsTermination, 1);
-  termination->wanted = markings_new();
-  termination->writing = markings_new();
+  termination->requested = mark_requests_new();
+  termination->writing = mark_requests_new();
   return termination;
 }
 
 void
 ws_termination_free(WsTermination *termination)
 {
-  g_array_unref(termination->wanted);
+  g_array_unref(termination->requested);
   g_array_unref(termination->writing);
   g_free(termination);
 }
 
+static void
+log_mark(const WsCore *core, const WsMachine *machine, const char *reason)
+{
+  const char *zone = machine->zone != WS_NO_ZONE
+                         ? g_ptr_array_index(core->settings->zones, machine->zone)
+                         : "no zone";
+  g_info("machine %s (%s, %s, %u tasks) is marked: %s", machine->name,
+         machine->spot ? "spot" : "ordinary", zone, machine->tasks->len, reason);
+}
+
 static void
 on_marked(WsCore *core, WsTxnResult result, gpointer data)
 {
   (void)data;
   GArray *writing = core->termination->writing;
   for (guint i = 0; i < writing->len; i++) {
-    const Marking *marking = &g_array_index(writing, Marking, i);
-    WsMachine *machine = ws_replica_machine(core->replica, marking->machine);
+    const MarkRequest *request = &g_array_index(writing, MarkRequest, i);
+    WsMachine *machine = ws_replica_machine(core->replica, request->machine);
     machine->fleet.mark_is_pending = FALSE;
     if (result == WS_TXN_COMMITTED)
-      g_info("machine %s (%s, %s, %u tasks) is marked: %s", machine->name,
-             machine->spot ? "spot" : "ordinary",
-             machine->zone != WS_NO_ZONE
-                 ? (char *)g_ptr_array_index(core->settings->zones, machine->zone)
-                 : "no zone",
-             machine->tasks->len, marking->why);
+      log_mark(core, machine, request->reason);
   }
   g_array_set_size(writing, 0);
   core->replan_is_needed = TRUE;
 }
 
-/* An owner's choice is forwarded to the leader, who alone writes marks. */
+static gboolean
+has_mark(const WsMachine *machine, gboolean immediately)
+{
+  return machine->is_marked && (!immediately || machine->mark_is_immediate);
+}
+
 void
-ws_termination_request_mark(WsCore *core, WsMachine *machine, const char *why, gboolean now)
+ws_termination_request_mark(WsCore *core, WsMachine *machine, const char *reason,
+                            gboolean immediately)
 {
-  if (machine->fleet.mark_is_pending || (machine->is_marked && (!now || machine->mark_is_immediate))
+  if (machine->fleet.mark_is_pending || has_mark(machine, immediately)
       || !ws_store_is_available(core))
     return;
   /* Owners take a returned machine for silent until its mark is cleared. */
@@ -144,46 +169,60 @@
   machine->fleet.mark_is_pending = TRUE;
   machine->fleet.mark_pending_ms = core->now;
   if (!ws_is_leader(core)) {
-    ws_peer_request_mark(core, machine, why, now);
+    ws_peer_request_mark(core, machine, reason, immediately);
     return;
   }
-  Marking marking = { machine->index, g_strdup(why), now };
-  g_array_append_val(core->termination->wanted, marking);
+  MarkRequest request = { machine->index, g_strdup(reason), immediately };
+  g_array_append_val(core->termination->requested, request);
+}
+
+/* Asked again for a request that the leader writes: two owners may have chosen at once what the
+   budget allows only one of. */
+static gboolean
+is_still_allowed(const WsCore *core, const WsMachine *machine, const MarkRequest *request)
+{
+  if (!machine->is_recorded || !ws_is_leader(core))
+    return FALSE;
+  return request->immediately || strcmp(request->reason, REASON_INTERRUPTION) == 0
+         || budget_allows(core, machine);
+}
+
+/* Moves the first request into the transaction, or drops it. */
+static void
+write_first_request(WsCore *core, WsTxn *txn)
+{
+  WsTermination *termination = core->termination;
+  MarkRequest request = g_array_index(termination->requested, MarkRequest, 0);
+  WsMachine *machine = ws_replica_machine(core->replica, request.machine);
+  if (is_still_allowed(core, machine, &request)) {
+    g_autofree char *key = ws_key(WS_KEYS_MARK, machine->name);
+    ws_txn_compare(txn, core->replica, key);
+    ws_txn_put(txn, key, ws_mark_encode(request.reason, request.immediately));
+    request.reason = g_strdup(request.reason);
+    g_array_append_val(termination->writing, request);
+  } else {
+    machine->fleet.mark_is_pending = FALSE;
+  }
+  g_array_remove_index(termination->requested, 0);
 }
 
 void
 ws_termination_pump(WsCore *core)
 {
   WsTermination *termination = core->termination;
-  if (termination->wanted->len == 0 || termination->writing->len > 0)
+  if (termination->requested->len == 0 || termination->writing->len > 0)
     return;
   WsTxn *txn = ws_txn_new();
   ws_txn_compare(txn, core->replica, WS_KEY_EPOCH);
-  while (termination->wanted->len > 0
-         && ws_txn_operation_count(txn) < core->settings->state_txn_ops) {
-    Marking marking = g_array_index(termination->wanted, Marking, 0);
-    WsMachine *machine = ws_replica_machine(core->replica, marking.machine);
-    /* Two owners may have chosen at once what the budget allows only one of. */
-    if (!machine->is_recorded || !ws_is_leader(core)
-        || (!marking.now && strcmp(marking.why, "notice") != 0 && !budget_allows(core, machine))) {
-      machine->fleet.mark_is_pending = FALSE;
-      g_array_remove_index(termination->wanted, 0);
-      continue;
-    }
-    g_autofree char *key = ws_key(WS_KEYS_MARK, machine->name);
-    ws_txn_compare(txn, core->replica, key);
-    ws_txn_put(txn, key, ws_mark_encode(marking.why, marking.now));
-    marking.why = g_strdup(marking.why);
-    g_array_append_val(termination->writing, marking);
-    g_array_remove_index(termination->wanted, 0);
-  }
+  while (termination->requested->len > 0
+         && ws_txn_operation_count(txn) < core->settings->state_txn_ops)
+    write_first_request(core, txn);
   if (termination->writing->len > 0)
     ws_txn_commit(core, txn, WS_REQUEST_TASK, on_marked, NULL);
   else
     ws_txn_free(txn);
 }
 
-/* Stops go one at a time per service, and back off while one of its tasks is down already. */
 gboolean
 ws_termination_may_stop(WsCore *core, WsMachine *machine, WsJob *job,
                         const WsAssignment *assignment)
@@ -192,15 +231,14 @@
     return TRUE;
   if (core->now < machine->fleet.stop_after_ms)
     return FALSE;
-  guint down = job->tasks - job->assigned_count;
-  if (down == 0) {
+  guint min_ms = (guint)(core->properties->backoff_min_s * 1000.0);
+  guint max_ms = (guint)(core->properties->backoff_max_s * 1000.0);
+  if (job->assigned_count == job->tasks) {
     machine->fleet.stop_backoff_ms = 0;
-    machine->fleet.stop_after_ms = core->now + (gint64)(core->properties->backoff_min_s * 1000.0);
+    machine->fleet.stop_after_ms = core->now + min_ms;
     return TRUE;
   }
-  guint least = (guint)(core->properties->backoff_min_s * 1000.0);
-  guint most = (guint)(core->properties->backoff_max_s * 1000.0);
-  machine->fleet.stop_backoff_ms = CLAMP(machine->fleet.stop_backoff_ms * 2, least, most);
+  machine->fleet.stop_backoff_ms = CLAMP(machine->fleet.stop_backoff_ms * 2, min_ms, max_ms);
   machine->fleet.stop_after_ms = core->now + machine->fleet.stop_backoff_ms;
   g_debug("the stop of a task of %s on %s backs off for %u ms", job->id, machine->name,
           machine->fleet.stop_backoff_ms);
@@ -210,12 +248,12 @@
 gboolean
 ws_termination_is_allowed(const WsCore *core, const WsMachine *machine)
 {
-  return zone_is_whole(core, machine->zone) && budget_allows(core, machine)
+  return zone_is_connected(core, machine->zone) && budget_allows(core, machine)
          && (machine->spot || ws_headroom_remains_without(core, machine));
 }
 
-/* While the state service is away nothing is placed: a machine that is empty then isn't idle.
-   Dozens were given back at the end of an outage, with hundreds of jobs waiting. */
+/* While the store is unavailable nothing is placed: a machine that is empty then isn't idle. Dozens
+   were returned at the end of an outage, with hundreds of jobs waiting. */
 static void
 mark_if_idle(WsCore *core, WsMachine *machine)
 {
@@ -228,17 +266,19 @@
   if (core->now - machine->fleet.empty_ms < (gint64)(core->properties->idle_timeout_s * 1000.0))
     return;
   if (ws_termination_is_allowed(core, machine))
-    ws_termination_request_mark(core, machine, "idle", FALSE);
+    ws_termination_request_mark(core, machine, REASON_IDLE, FALSE);
 }
 
 static void
-tend(WsCore *core, WsMachine *machine)
+mark_if_due(WsCore *core, WsMachine *machine)
 {
-  if (machine->worker.interruption_ms > 0 && !machine->is_marked)
-    ws_termination_request_mark(core, machine, "notice", FALSE);
-  else if (machine->fleet.failed_jobs >= 2 && !machine->is_marked)
-    ws_termination_request_mark(core, machine, "faulty", FALSE);
-  else if (!machine->is_marked)
+  if (machine->is_marked)
+    return;
+  if (machine->worker.interruption_ms > 0)
+    ws_termination_request_mark(core, machine, REASON_INTERRUPTION, FALSE);
+  else if (machine->fleet.failed_jobs >= FAULTY_FAILED_JOBS)
+    ws_termination_request_mark(core, machine, REASON_FAULTY, FALSE);
+  else
     mark_if_idle(core, machine);
 }
 
@@ -247,14 +287,13 @@
 {
   for (guint i = 0; i < core->replica->machines->len; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, i);
-    /* Nothing came of it. Also on machines that this node no longer owns: one that had asked for a
-       mark and then led refused everybody else's marks of that machine, and it was never returned.
-     */
+    /* Also on machines that this node no longer owns: one that had requested a mark and then led
+       refused all other requests for that machine, and it was never returned. */
     if (machine->fleet.mark_is_pending
-        && core->now - machine->fleet.mark_pending_ms > FORWARDED_MARK_TIMEOUT_MS)
+        && core->now - machine->fleet.mark_pending_ms > MARK_REQUEST_TIMEOUT_MS)
       machine->fleet.mark_is_pending = FALSE;
     if (machine->is_recorded && ws_owns_machine(core, machine))
-      tend(core, machine);
+      mark_if_due(core, machine);
   }
   ws_consolidation_tick(core);
 }
