--- a/src/fleet/ws-cloud-list.c
+++ b/src/fleet/ws-cloud-list.c
@@ -1,3 +1,6 @@
+/**
+ * Reconciliation with the cloud's list of machines, page by page.
+ */
 #include "fleet/ws-fleet.h"
 
 #include "store/ws-store.h"
@@ -5,11 +8,20 @@
 
 #include <string.h>
 
+#define LIST_TIMEOUT_MS 4000
+/* A machine without a record is taken for one after this multiple of the time by which lists lag
+   behind: a list may be older than the one before, and show a machine that an earlier leader
+   returned. */
+#define LIST_LAG_FACTOR 3.0
+
+/* The reason of a mark, as it is stored. */
+#define REASON_FAILED "failed"
+
 struct _WsCloudList {
-  gint64 next_ms;
-  gboolean listing;
-  char *after;
-  guint64 batches; /* of machines that weren't expected */
+  gint64 next_call_ms;
+  gboolean call_in_flight;
+  char *last_id;      /* the last machine of the page before; NULL: the list begins anew */
+  guint64 last_batch; /* number of the last rental batch of unexpected machines in this run */
 };
 
 WsCloudList *
@@ -21,21 +33,20 @@
 void
 ws_cloud_list_free(WsCloudList *list)
 {
-  g_free(list->after);
+  g_free(list->last_id);
   g_free(list);
 }
 
-/* Machines that weren't expected get a rental batch of their own: those of a kind share one. */
-
 static void
 on_recorded(WsCore *core, WsTxnResult result, gpointer data)
 {
   g_autoptr(GArray) machines = data;
   for (guint i = 0; i < machines->len; i++) {
-    WsMachine *machine = ws_replica_machine(core->replica, g_array_index(machines, guint, i));
+    WsMachine *machine
+        = ws_replica_machine(core->replica, g_array_index(machines, WsMachineIndex, i));
     machine->fleet.mark_is_pending = FALSE;
     if (result == WS_TXN_COMMITTED)
-      g_info("machine %s wasn't expected; it is used or given back", machine->name);
+      g_info("machine %s wasn't expected; it is used or returned", machine->name);
     else
       machine->fleet.needs_record = TRUE;
   }
@@ -53,29 +64,36 @@
 }
 
 static gboolean
-belongs(const WsRentalBatch *rental_batch, const WsMachine *machine)
+is_of_kind(const WsRentalBatch *rental_batch, const WsMachine *machine)
 {
   return strcmp(rental_batch->type, machine->type_name) == 0 && rental_batch->spot == machine->spot;
 }
 
-/* All machines of the kind that wait for a rental batch. */
 static WsRentalBatch *
-gather_rental_batch(WsCore *core, const WsMachine *first, GArray *machines)
+new_rental_batch(WsCore *core, const WsMachine *first)
 {
-  const char *zone = g_ptr_array_index(core->settings->zones, first->zone);
   WsRentalBatch *rental_batch = g_new0(WsRentalBatch, 1);
   rental_batch->name = g_strdup_printf("a-%" G_GUINT64_FORMAT "-%u-%" G_GUINT64_FORMAT,
                                        core->replica->epoch.number, core->settings->self,
-                                       ++core->cloud_list->batches);
+                                       ++core->cloud_list->last_batch);
   rental_batch->type = g_strdup(first->type_name);
-  rental_batch->zone = g_strdup(zone);
+  rental_batch->zone = g_strdup(g_ptr_array_index(core->settings->zones, first->zone));
   rental_batch->spot = first->spot;
   rental_batch->rented_ms = first->rented_ms;
-  rental_batch->machines = g_array_new(FALSE, FALSE, sizeof(guint));
+  rental_batch->machines = g_array_new(FALSE, FALSE, sizeof(WsMachineIndex));
+  return rental_batch;
+}
+
+/* Puts machines without a record that are of the first one's kind into one rental batch, and
+   appends them to @machines. */
+static WsRentalBatch *
+fill_rental_batch(WsCore *core, const WsMachine *first, GArray *machines)
+{
+  WsRentalBatch *rental_batch = new_rental_batch(core, first);
   for (guint i = first->index; i < core->replica->machines->len; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, i);
     if (!machine->fleet.needs_record || machine->zone != first->zone
-        || !belongs(rental_batch, machine)
+        || !is_of_kind(rental_batch, machine)
         || rental_batch->machines->len >= ws_rental_batch_max_machines(core->settings)
         || !ws_rental_batch_has_place(rental_batch, core->replica, machine->name))
       continue;
@@ -94,7 +112,7 @@
   if (!ws_is_active_member(core) || !ws_store_is_available(core))
     return;
   WsTxn *txn = ws_txn_new();
-  GArray *machines = g_array_new(FALSE, FALSE, sizeof(guint));
+  GArray *machines = g_array_new(FALSE, FALSE, sizeof(WsMachineIndex));
   ws_txn_compare(txn, core->replica, WS_KEY_EPOCH);
   for (guint i = 0; i < core->replica->machines->len; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, i);
@@ -103,7 +121,7 @@
     if (!machine->fleet.needs_record
         || ws_txn_operation_count(txn) >= core->settings->state_txn_ops)
       continue;
-    WsRentalBatch *rental_batch = gather_rental_batch(core, machine, machines);
+    WsRentalBatch *rental_batch = fill_rental_batch(core, machine, machines);
     g_autofree char *key = ws_key(WS_KEYS_RENTAL_BATCH, rental_batch->name);
     ws_txn_compare_version(txn, key, 0);
     ws_txn_put(txn, key, ws_rental_batch_encode(rental_batch, core->replica));
@@ -117,18 +135,22 @@
   g_array_unref(machines);
 }
 
+static gint64
+first_listing_ms(const WsCore *core)
+{
+  return (gint64)(core->settings->list_lag_s * (LIST_LAG_FACTOR * 1000.0));
+}
+
 static void
-take_listed(WsCore *core, const WsListedMachine *listed)
+handle_listed(WsCore *core, const WsListedMachine *listed)
 {
   if (ws_returns_is_confirmed(core, listed->id))
     return;
   WsMachine *machine = ws_replica_get_machine(core->replica, listed->id);
   if (!machine->is_recorded) {
-    /* A list may be old, also older than the one before: a machine that was returned by an earlier
-       leader would be taken for a new one. */
     if (machine->fleet.listed_ms == 0)
       machine->fleet.listed_ms = core->now;
-    if (core->now - machine->fleet.listed_ms < (gint64)(core->settings->list_lag_s * 3000.0))
+    if (core->now - machine->fleet.listed_ms < first_listing_ms(core))
       return;
     ws_replica_describe_machine(core->replica, machine, listed->type, listed->zone, listed->spot);
     ws_cloud_list_reconcile(core, machine, core->wall - (gint64)(listed->age_s * 1000.0));
@@ -137,7 +159,7 @@
   if (machine->worker.endpoint == NULL && listed->endpoint != NULL)
     machine->worker.endpoint = g_strdup(listed->endpoint);
   if (listed->failed && !ws_machine_is_up(core, machine))
-    ws_termination_request_mark(core, machine, "failed", TRUE);
+    ws_termination_request_mark(core, machine, REASON_FAILED, TRUE);
 }
 
 static void
@@ -147,16 +169,17 @@
   WsCloudList *list = core->cloud_list;
   gboolean more = FALSE;
   g_autoptr(GPtrArray) machines = status == 200 ? ws_listing_parse(body, &more) : NULL;
-  list->listing = FALSE;
-  list->next_ms = core->now + (gint64)(core->settings->list_lag_s * 1000.0);
-  g_clear_pointer(&list->after, g_free);
+  list->call_in_flight = FALSE;
+  list->next_call_ms = core->now + (gint64)(core->settings->list_lag_s * 1000.0);
+  g_clear_pointer(&list->last_id, g_free);
   if (machines == NULL || !ws_is_leader(core))
     return;
   for (guint i = 0; i < machines->len; i++)
-    take_listed(core, g_ptr_array_index(machines, i));
+    handle_listed(core, g_ptr_array_index(machines, i));
   if (more && machines->len > 0) {
-    list->after = g_strdup(((WsListedMachine *)g_ptr_array_index(machines, machines->len - 1))->id);
-    list->next_ms = core->now;
+    list->last_id
+        = g_strdup(((WsListedMachine *)g_ptr_array_index(machines, machines->len - 1))->id);
+    list->next_call_ms = core->now;
   }
 }
 
@@ -164,11 +187,11 @@
 ws_cloud_list_tick(WsCore *core)
 {
   WsCloudList *list = core->cloud_list;
-  if (list->listing || core->now < list->next_ms || !ws_fleet_take_call_budget(core))
+  if (list->call_in_flight || core->now < list->next_call_ms || !ws_fleet_take_call_budget(core))
     return;
-  list->listing = TRUE;
-  g_autofree char *path = list->after == NULL
+  list->call_in_flight = TRUE;
+  g_autofree char *path = list->last_id == NULL
                               ? g_strdup("/machines?page=500")
-                              : g_strdup_printf("/machines?from=%s&page=500", list->after);
-  ws_call(core, "GET", core->settings->cloud_addr, path, NULL, 4000, on_list, NULL);
+                              : g_strdup_printf("/machines?from=%s&page=500", list->last_id);
+  ws_call(core, "GET", core->settings->cloud_addr, path, NULL, LIST_TIMEOUT_MS, on_list, NULL);
 }
--- a/src/fleet/ws-returns.c
+++ b/src/fleet/ws-returns.c
@@ -1,3 +1,7 @@
+/**
+ * Scale in: returns of marked machines to the cloud, the release of what the records have there,
+ * and the end of their marks.
+ */
 #include "fleet/ws-fleet.h"
 
 #include "store/ws-store.h"
@@ -7,14 +11,18 @@
 #include <string.h>
 
 #define MAX_MACHINES_PER_RETURN 100
+#define RETURN_TIMEOUT_MS 4000
+
+/* The reason of a mark, as it is stored. */
+#define REASON_CANCELLED "cancelled"
 
 struct _WsReturns {
-  GHashTable *confirmed; /* names of machines */
-  GHashTable *unmarked;  /* names returned, or to be returned, without a mark */
-  gboolean returning;
-  gint64 next_ms;
+  GHashTable *confirmed;   /* names of machines */
+  GHashTable *unmarked;    /* names of machines that are or were returned without a mark */
+  gboolean call_in_flight; /* to the cloud */
+  gint64 next_call_ms;
   guint backoff_ms;
-  gboolean clearing;
+  gboolean is_clearing; /* a transaction that clears marks is in flight */
 };
 
 WsReturns *
@@ -34,7 +42,8 @@
   g_free(returns);
 }
 
-/* Late reports and old lists still show machines that were returned; names are never used again. */
+/* Late heartbeats and old lists still show machines that were returned; names are never used again.
+ */
 gboolean
 ws_returns_is_confirmed(const WsCore *core, const char *name)
 {
@@ -44,12 +53,13 @@
 }
 
 static void
-on_cleared(WsCore *core, WsTxnResult result, gpointer data)
+on_marks_cleared(WsCore *core, WsTxnResult result, gpointer data)
 {
   g_autoptr(GArray) machines = data;
-  core->returns->clearing = FALSE;
+  core->returns->is_clearing = FALSE;
   for (guint i = 0; i < machines->len; i++) {
-    WsMachine *machine = ws_replica_machine(core->replica, g_array_index(machines, guint, i));
+    WsMachine *machine
+        = ws_replica_machine(core->replica, g_array_index(machines, WsMachineIndex, i));
     machine->fleet.mark_is_pending = FALSE;
     if (result == WS_TXN_COMMITTED)
       g_info("machine %s is returned and its mark cleared", machine->name);
@@ -57,24 +67,24 @@
 }
 
 static gboolean
-is_in(const GArray *machines, WsMachineIndex machine)
+contains_machine(const GArray *machines, WsMachineIndex machine)
 {
   for (guint i = 0; i < machines->len; i++)
-    if (g_array_index(machines, guint, i) == machine)
+    if (g_array_index(machines, WsMachineIndex, i) == machine)
       return TRUE;
   return FALSE;
 }
 
-/* The rental batch without the machines, or its end. */
+/* Writes the rental batch without the machines, or deletes it. */
 static void
 shrink_rental_batch(WsCore *core, WsTxn *txn, const WsRentalBatch *rental_batch,
-                    const GArray *without)
+                    const GArray *removed)
 {
   g_autofree char *key = ws_key(WS_KEYS_RENTAL_BATCH, rental_batch->name);
-  g_autoptr(GArray) left = g_array_new(FALSE, FALSE, sizeof(guint));
+  g_autoptr(GArray) left = g_array_new(FALSE, FALSE, sizeof(WsMachineIndex));
   for (guint i = 0; i < rental_batch->machines->len; i++) {
-    WsMachineIndex machine = g_array_index(rental_batch->machines, guint, i);
-    if (!is_in(without, machine))
+    WsMachineIndex machine = g_array_index(rental_batch->machines, WsMachineIndex, i);
+    if (!contains_machine(removed, machine))
       g_array_append_val(left, machine);
   }
   if (left->len == rental_batch->machines->len)
@@ -97,14 +107,14 @@
     const WsRentalBatch *rental_batch = g_ptr_array_index(core->replica->rental_batches, i);
     gboolean any = FALSE;
     for (guint k = 0; k < rental_batch->machines->len && !any; k++)
-      any = is_in(machines, g_array_index(rental_batch->machines, guint, k));
+      any = contains_machine(machines, g_array_index(rental_batch->machines, WsMachineIndex, k));
     count += any ? 1 : 0;
   }
   return count;
 }
 
-/* Marks that are over go with their machines' place in their rental batches, many in one
- * transaction. */
+/* Clears the marks together with the machines' places in their rental batches, as many as fit into
+   one transaction. */
 static void
 clear_marks(WsCore *core, GArray *machines /* taken */)
 {
@@ -114,7 +124,8 @@
   WsTxn *txn = ws_txn_new();
   ws_txn_compare(txn, core->replica, WS_KEY_EPOCH);
   for (guint i = 0; i < machines->len; i++) {
-    WsMachine *machine = ws_replica_machine(core->replica, g_array_index(machines, guint, i));
+    WsMachine *machine
+        = ws_replica_machine(core->replica, g_array_index(machines, WsMachineIndex, i));
     g_autofree char *mark = ws_key(WS_KEYS_MARK, machine->name);
     machine->fleet.mark_is_pending = TRUE;
     machine->fleet.mark_pending_ms = core->now;
@@ -122,13 +133,13 @@
   }
   for (guint i = 0; i < core->replica->rental_batches->len; i++)
     shrink_rental_batch(core, txn, g_ptr_array_index(core->replica->rental_batches, i), machines);
-  core->returns->clearing = TRUE;
-  ws_txn_commit(core, txn, WS_REQUEST_OTHER, on_cleared, machines);
+  core->returns->is_clearing = TRUE;
+  ws_txn_commit(core, txn, WS_REQUEST_OTHER, on_marks_cleared, machines);
 }
 
-/* A machine that the cloud has taken back is gone with everything on it. */
+/* The cloud has confirmed the return: the machine is gone with everything on it. */
 static void
-release_all(WsCore *core, WsMachine *machine)
+release_tasks(WsCore *core, WsMachine *machine)
 {
   for (guint i = 0; i < machine->tasks->len; i++) {
     const WsTaskRef *ref = &g_array_index(machine->tasks, WsTaskRef, i);
@@ -139,49 +150,48 @@
   }
 }
 
-/* From its mark on a machine gets nothing new; what was assigned to it before, also by a
-   transaction that had no answer, is known once the watch has passed the mark. A machine was
-   returned as empty whose tasks had just been assigned. */
+/* Whether the replica has all that was assigned to the machine: from its mark on it gets nothing
+   new, and what was assigned before, also by an indeterminate transaction, is known once the watch
+   has passed the mark. A machine was returned as empty whose tasks had just been assigned. */
 static gboolean
-knows_what_is_on(const WsCore *core, const WsMachine *machine)
+knows_assignments(const WsCore *core, const WsMachine *machine)
 {
   g_autofree char *key = ws_key(WS_KEYS_MARK, machine->name);
   return core->replica->revision >= ws_replica_version(core->replica, key);
 }
 
-/* Whatever is on record for a machine that no rental batch names any more, and that hasn't been
-   heard for as long as its lease, waits for nothing. Only the cloud's confirmed return takes a
-   machine out of its rental batch, and nothing is assigned to one that is in none. */
+/* Whether tasks are recorded on a machine that no rental batch names any more and that hasn't sent
+   a heartbeat for as long as its lease. Only the cloud's confirmed return takes a machine out of
+   its rental batch, and nothing is assigned to one that is in none: so the tasks are gone. */
 static gboolean
-is_lost(const WsCore *core, const WsMachine *machine)
+is_orphaned(const WsCore *core, const WsMachine *machine)
 {
   gint64 since_ms = MAX(machine->worker.heard_ms, core->epoch_known_ms);
   return !machine->is_recorded && !machine->is_marked && machine->tasks->len > 0
          && (double)(core->now - since_ms) > core->settings->lease_s * 1000.0;
 }
 
+/* Releases the tasks of returned machines, and clears the marks of those that are empty. */
 static void
-keep_marks(WsCore *core)
+finish_returns(WsCore *core)
 {
-  GArray *over = g_array_new(FALSE, FALSE, sizeof(guint));
+  g_autoptr(GArray) empty = g_array_new(FALSE, FALSE, sizeof(WsMachineIndex));
   for (guint i = 0; i < core->replica->machines->len; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, i);
-    if (is_lost(core, machine))
-      release_all(core, machine);
+    if (is_orphaned(core, machine))
+      release_tasks(core, machine);
     if (!machine->is_marked || machine->fleet.mark_is_pending
-        || !ws_returns_is_confirmed(core, machine->name) || !knows_what_is_on(core, machine))
+        || !ws_returns_is_confirmed(core, machine->name) || !knows_assignments(core, machine))
       continue;
-    release_all(core, machine);
-    if (machine->tasks->len == 0 && over->len < core->settings->state_txn_ops)
-      g_array_append_val(over, machine->index);
+    release_tasks(core, machine);
+    if (machine->tasks->len == 0 && empty->len < core->settings->state_txn_ops)
+      g_array_append_val(empty, machine->index);
   }
-  if (over->len > 0 && !core->returns->clearing)
-    clear_marks(core, over);
-  else
-    g_array_unref(over);
+  if (empty->len > 0 && !core->returns->is_clearing)
+    clear_marks(core, g_steal_pointer(&empty));
 }
 
-/* What was returned can be rented again. */
+/* The cloud has capacity for what was returned. */
 static void
 note_returned(WsCore *core, const char *name)
 {
@@ -195,35 +205,34 @@
 on_returned(WsCore *core, guint status, const json_t *body, gpointer data)
 {
   (void)body;
-  GPtrArray *names = data;
+  g_autoptr(GPtrArray) names = data;
   WsReturns *returns = core->returns;
-  returns->returning = FALSE;
+  returns->call_in_flight = FALSE;
   if (status == 200) {
     returns->backoff_ms = 0;
     for (guint i = 0; i < names->len; i++)
       note_returned(core, g_ptr_array_index(names, i));
   } else {
-    guint least = (guint)(core->properties->backoff_min_s * 1000.0);
-    guint most = (guint)(core->properties->backoff_max_s * 1000.0);
-    returns->backoff_ms = CLAMP(returns->backoff_ms * 2, least, most);
-    returns->next_ms = core->now + returns->backoff_ms;
+    guint min_ms = (guint)(core->properties->backoff_min_s * 1000.0);
+    guint max_ms = (guint)(core->properties->backoff_max_s * 1000.0);
+    returns->backoff_ms = CLAMP(returns->backoff_ms * 2, min_ms, max_ms);
+    returns->next_call_ms = core->now + returns->backoff_ms;
     g_info("the cloud took no return (status %u): again in %u ms", status, returns->backoff_ms);
   }
-  g_ptr_array_unref(names);
 }
 
 static void
-send_return(WsCore *core, GPtrArray *names /* taken */)
+send_return(WsCore *core, GPtrArray *machine_names /* taken */)
 {
   WsReturns *returns = core->returns;
-  if (names->len == 0 || returns->returning || core->now < returns->next_ms
-      || !ws_fleet_take_call_budget(core)) {
-    g_ptr_array_unref(names);
+  g_autoptr(GPtrArray) names = machine_names;
+  if (names->len == 0 || returns->call_in_flight || core->now < returns->next_call_ms
+      || !ws_fleet_take_call_budget(core))
     return;
-  }
-  returns->returning = TRUE;
-  ws_call(core, "POST", core->settings->cloud_addr, "/machines/return", ws_return_encode(names),
-          4000, on_returned, names);
+  json_t *body = ws_return_encode(names);
+  returns->call_in_flight = TRUE;
+  ws_call(core, "POST", core->settings->cloud_addr, "/machines/return", body, RETURN_TIMEOUT_MS,
+          on_returned, g_steal_pointer(&names));
 }
 
 void
@@ -235,9 +244,9 @@
               machine->name);
 }
 
-/* The record is mended as soon as the state service is back: the mark follows the return, and goes
-   the ordinary way with the machine's place in its rental batch. If this process ends before, the
-   machine is silent with tasks on record, and is found by that. */
+/* The records are repaired as soon as the store is available: the mark follows the return, and is
+   cleared with the machine's place in its rental batch as always. If this process ends before, the
+   machine is silent with tasks on record, which the failure detector finds. */
 void
 ws_returns_tick_unmarked(WsCore *core)
 {
@@ -253,21 +262,27 @@
       g_ptr_array_add(names, g_strdup(name));
     else if (ws_returns_is_confirmed(core, name) && machine->is_recorded
              && !machine->mark_is_immediate && ws_is_active_member(core))
-      ws_termination_request_mark(core, machine, "cancelled", TRUE);
+      ws_termination_request_mark(core, machine, REASON_CANCELLED, TRUE);
   }
   send_return(core, names);
 }
 
+static gboolean
+is_to_be_returned(const WsCore *core, const WsMachine *machine)
+{
+  if (!machine->is_marked || ws_returns_is_confirmed(core, machine->name))
+    return FALSE;
+  return machine->mark_is_immediate
+         || (machine->tasks->len == 0 && knows_assignments(core, machine));
+}
+
 static void
-keep_returns(WsCore *core)
+return_marked(WsCore *core)
 {
   GPtrArray *names = g_ptr_array_new_with_free_func(g_free);
   for (guint i = 0; i < core->replica->machines->len; i++) {
     const WsMachine *machine = ws_replica_machine(core->replica, i);
-    if (machine->is_marked && !ws_returns_is_confirmed(core, machine->name)
-        && (machine->mark_is_immediate
-            || (machine->tasks->len == 0 && knows_what_is_on(core, machine)))
-        && names->len < MAX_MACHINES_PER_RETURN)
+    if (names->len < MAX_MACHINES_PER_RETURN && is_to_be_returned(core, machine))
       g_ptr_array_add(names, g_strdup(machine->name));
   }
   send_return(core, names);
@@ -276,6 +291,6 @@
 void
 ws_returns_tick(WsCore *core)
 {
-  keep_marks(core);
-  keep_returns(core);
+  finish_returns(core);
+  return_marked(core);
 }
