--- a/src/fleet/ws-consolidation.c
+++ b/src/fleet/ws-consolidation.c
@@ -1,31 +1,40 @@
-/* Consolidation: a machine that holds only a few services, whose work fits on others, is given back
-   by the same path as an empty one. The move costs its people a moment, so it is done only where
-   the image is there already, when nothing waits for room, and for few machines at a time, of which
-   no two hold tasks of the same service. */
+/**
+ * Consolidation: a machine with only a few tasks of services, which fit on other machines, is
+ * terminated in the same way as an empty one.
+ *
+ * Each move interrupts a service for a moment. So tasks move only to machines that have the image,
+ * when no task waits for capacity, and from few machines at a time, of which no two have tasks of
+ * the same service.
+ */
 #include "fleet/ws-fleet.h"
 
 #include "membership/ws-membership.h"
 #include "commit/ws-commit.h"
 #include "storage/ws-constraints.h"
 
-/* Machines looked at in one tick, beside those that are consolidated: each is held against all
- * others. */
-#define MOST_LOOKS 4
+/* Machines compared with all others in vain in one tick. */
+#define MAX_FAILED_CANDIDATES 4
 /* One in so many machines is consolidated at a time. */
 #define MACHINES_PER_CONSOLIDATION 50
-/* How long each node's turn is; in its first half it may begin. */
+/* How long each node's turn is; it selects machines in the first half only. */
 #define TURN_MS 2000
+/* How long after the beginning of an epoch machines may be consolidated. */
+#define EPOCH_SETTLING_MS 15000
 
-/* What is consolidated together, in thought. */
+/* The reason of a mark, as it is stored. */
+#define REASON_CONSOLIDATION "merge"
+
+/* The moves that are planned in one tick. */
 typedef struct {
-  WsResources *taken; /* by machine: what moves there */
-  gboolean *closing;  /* by machine */
-  GHashTable *jobs;   /* index of each whose task moves */
-  guint machines;     /* so many */
+  WsResources *planned; /* by WsMachineIndex: what moves there */
+  gboolean *is_source;  /* by WsMachineIndex */
+  GHashTable *jobs;     /* WsJobIndex of each job with a task that moves */
+  guint source_count;
 } Batch;
 
+/* Whether no task waits for a machine and no termination is under way. */
 static gboolean
-is_quiet(const WsCore *core)
+is_settled(const WsCore *core)
 {
   for (guint i = 0; i < core->replica->active->len; i++) {
     const WsJob *job = g_ptr_array_index(core->replica->active, i);
@@ -37,12 +46,12 @@
     if (machine->is_recorded && (machine->is_marked || machine->fleet.mark_is_pending))
       return FALSE;
   }
-  return core->now - core->epoch_known_ms > 15000;
+  return core->now - core->epoch_known_ms > EPOCH_SETTLING_MS;
 }
 
-/* Whether the rules on zones let a task of the job move. */
+/* Whether the job's constraints on zones allow a task to move. */
 static gboolean
-may_move(const WsCore *core, const WsJob *job, WsNodeIndex from, guint to)
+may_move(const WsCore *core, const WsJob *job, WsZoneIndex from, WsZoneIndex to)
 {
   guint zones = core->settings->zones->len;
   g_autofree guint *counts = g_new0(guint, zones);
@@ -57,24 +66,24 @@
           const WsJob *job)
 {
   if (target == machine || !target->is_recorded || target->is_marked
-      || batch->closing[target->index] || target->worker.interruption_ms != 0
+      || batch->is_source[target->index] || target->worker.interruption_ms != 0
       || target->tasks->len == 0 || !ws_machine_has_image(target, job->image)
       || !ws_machine_is_up(core, target)
       || !ws_constraints_allow_machine(core->replica, job->spec, job->zone, target))
     return FALSE;
-  WsResources room = ws_replica_type(core->replica, target->type)->capacity;
-  ws_resources_add(&room, &target->used, -1);
-  ws_resources_add(&room, &batch->taken[target->index], -1);
-  return ws_resources_fit(&job->spec->need, &room)
+  WsResources available = ws_replica_type(core->replica, target->type)->capacity;
+  ws_resources_add(&available, &target->used, -1);
+  ws_resources_add(&available, &batch->planned[target->index], -1);
+  return ws_resources_fit(&job->spec->need, &available)
          && may_move(core, job, machine->zone, target->zone);
 }
 
-/* Whether its tasks may move, and none of a service of which one moves already; nothing that moves
-   is to come here. */
+/* Whether all its tasks may move, none of them of a service of which another moves already, and
+   none is planned to move here. */
 static gboolean
-may_close(const WsCore *core, const Batch *batch, const WsMachine *machine)
+may_be_source(const WsCore *core, const Batch *batch, const WsMachine *machine)
 {
-  const WsResources *moved = &batch->taken[machine->index];
+  const WsResources *planned = &batch->planned[machine->index];
   for (guint i = 0; i < machine->tasks->len; i++) {
     const WsTaskRef *ref = &g_array_index(machine->tasks, WsTaskRef, i);
     const WsJob *job = ws_replica_job(core->replica, ref->job);
@@ -84,7 +93,7 @@
         || g_hash_table_contains(batch->jobs, GUINT_TO_POINTER(job->index)))
       return FALSE;
   }
-  return machine->tasks->len > 0 && moved->cpus == 0 && moved->gpus == 0;
+  return machine->tasks->len > 0 && planned->cpus == 0 && planned->gpus == 0;
 }
 
 static const WsMachine *
@@ -98,9 +107,9 @@
   return NULL;
 }
 
-/* Gives each task a place elsewhere, in thought; what was given stays taken if that fails. */
+/* Plans a target for each task; if one has none, what was planned for the others stays. */
 static gboolean
-fits_elsewhere(const WsCore *core, Batch *batch, const WsMachine *machine)
+plan_moves(const WsCore *core, Batch *batch, const WsMachine *machine)
 {
   for (guint i = 0; i < machine->tasks->len; i++) {
     const WsTaskRef *ref = &g_array_index(machine->tasks, WsTaskRef, i);
@@ -108,7 +117,7 @@
     const WsMachine *target = find_target(core, batch, machine, job);
     if (target == NULL)
       return FALSE;
-    ws_resources_add(&batch->taken[target->index], &job->spec->need, 1);
+    ws_resources_add(&batch->planned[target->index], &job->spec->need, 1);
   }
   return TRUE;
 }
@@ -116,28 +125,28 @@
 static void
 consolidate(WsCore *core, Batch *batch, WsMachine *machine)
 {
-  batch->closing[machine->index] = TRUE;
-  batch->machines++;
+  batch->is_source[machine->index] = TRUE;
+  batch->source_count++;
   for (guint i = 0; i < machine->tasks->len; i++)
     g_hash_table_add(batch->jobs,
                      GUINT_TO_POINTER(g_array_index(machine->tasks, WsTaskRef, i).job));
-  ws_termination_request_mark(core, machine, "merge", FALSE);
+  ws_termination_request_mark(core, machine, REASON_CONSOLIDATION, FALSE);
 }
 
 static gboolean
-is_sparse(const WsCore *core, const WsMachine *machine)
+is_underused(const WsCore *core, const WsMachine *machine)
 {
-  const WsResources *room = &ws_replica_type(core->replica, machine->type)->capacity;
+  const WsResources *capacity = &ws_replica_type(core->replica, machine->type)->capacity;
   return machine->is_recorded && machine->type != WS_NO_TYPE && !machine->is_marked
          && !machine->spot && ws_machine_is_up(core, machine)
-         && 2 * machine->used.cpus <= room->cpus && 2 * machine->used.gpus <= room->gpus;
+         && 2 * machine->used.cpus <= capacity->cpus && 2 * machine->used.gpus <= capacity->gpus;
 }
 
-/* Whether the machine has been sparse for the hold. */
+/* Whether the machine has been underused for the idle timeout. */
 static gboolean
 is_due(const WsCore *core, WsMachine *machine)
 {
-  if (!is_sparse(core, machine)) {
+  if (!is_underused(core, machine)) {
     machine->fleet.underused_ms = 0;
     return FALSE;
   }
@@ -147,29 +156,38 @@
          >= (gint64)(core->properties->idle_timeout_s * 1000.0);
 }
 
+static guint
+count_recorded(const WsCore *core)
+{
+  guint count = 0;
+  for (guint i = 0; i < core->replica->machines->len; i++)
+    count += ws_replica_machine(core->replica, i)->is_recorded ? 1 : 0;
+  return count;
+}
+
 static void
 consolidate_some(WsCore *core, Batch *batch)
 {
-  guint count = core->replica->machines->len, stored = 0, looked = 0;
-  for (guint i = 0; i < count; i++)
-    stored += ws_replica_machine(core->replica, i)->is_recorded ? 1 : 0;
+  guint count = core->replica->machines->len;
+  guint max_sources = count_recorded(core) / MACHINES_PER_CONSOLIDATION;
+  guint failed = 0;
   for (guint i = 0; i < count; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, i);
     if (!machine->is_recorded || machine->type == WS_NO_TYPE || !ws_owns_machine(core, machine)
-        || !is_due(core, machine) || looked >= MOST_LOOKS || !may_close(core, batch, machine)
-        || batch->machines > stored / MACHINES_PER_CONSOLIDATION)
+        || !is_due(core, machine) || failed >= MAX_FAILED_CANDIDATES
+        || !may_be_source(core, batch, machine) || batch->source_count > max_sources)
       continue;
-    if (fits_elsewhere(core, batch, machine) && ws_termination_is_allowed(core, machine)) {
+    if (plan_moves(core, batch, machine) && ws_termination_is_allowed(core, machine)) {
       consolidate(core, batch, machine);
       continue;
     }
-    looked++;
-    machine->fleet.underused_ms = core->now; /* the others have their turn first */
+    failed++;
+    machine->fleet.underused_ms = core->now; /* the others are candidates first */
   }
 }
 
-/* Nodes take turns by the time of day: three that began at the same moment all counted on the same
-   room, and a service's task waited half a minute for a new machine. */
+/* Nodes take turns by the wall clock: three that began at the same moment all planned with the same
+   free capacity, and a service's task waited half a minute for a new machine. */
 static gboolean
 is_our_turn(const WsCore *core)
 {
@@ -183,13 +201,13 @@
 void
 ws_consolidation_tick(WsCore *core)
 {
-  if (core->replica->catalog == NULL || !is_our_turn(core) || !is_quiet(core))
+  if (core->replica->catalog == NULL || !is_our_turn(core) || !is_settled(core))
     return;
   guint count = MAX(core->replica->machines->len, 1u);
   Batch batch
       = { g_new0(WsResources, count), g_new0(gboolean, count), g_hash_table_new(NULL, NULL), 0 };
   consolidate_some(core, &batch);
-  g_free(batch.taken);
-  g_free(batch.closing);
+  g_free(batch.planned);
+  g_free(batch.is_source);
   g_hash_table_unref(batch.jobs);
 }
