--- a/src/fleet/ws-fleet.h
+++ b/src/fleet/ws-fleet.h
@@ -20,6 +20,27 @@
 
 void ws_consolidation_tick(WsCore *core);
 
+/**
+ * Headroom: placement slots kept for the next critical job, which can't wait for a machine to boot.
+ */
+
+/** Whether the machine, of a known type, was rented lately and may still come up. */
+gboolean ws_machine_is_booting(const WsCore *core, const WsMachine *machine);
+
+/** The critical job after which headroom is measured: the largest active one, or NULL. */
+const WsJob *ws_headroom_job(const WsReplica *replica);
+
+/**
+ * Counts slots for one task each that needs @need, up to as many as are to be kept: on machines
+ * that aren't spot, up or booting, where no task of a service takes the capacity.
+ *
+ * @except: a machine that is left out, or NULL
+ */
+guint ws_headroom_count_slots(const WsCore *core, const WsResources *need, const WsMachine *except);
+
+/** Whether as many slots as are to be kept are there without the machine. */
+gboolean ws_headroom_remains_without(const WsCore *core, const WsMachine *machine);
+
 /**
  * The fleet of rented machines: the leader's calls to the cloud, its prices, and machines that
  * never came up. Rentals, returns and the cloud's list have modules of their own.
--- /dev/null
+++ b/src/fleet/ws-headroom.c
@@ -0,0 +1,79 @@
+/**
+ * How much capacity is kept for the next critical job.
+ *
+ * Slots are free ones and those of arrays, whose tasks may be preempted for a critical task.
+ */
+#include "fleet/ws-fleet.h"
+
+#include "membership/ws-membership.h"
+
+/* A machine is taken for booting for this multiple of its type's boot time. */
+#define BOOTING_FACTOR 1.6
+
+gboolean
+ws_machine_is_booting(const WsCore *core, const WsMachine *machine)
+{
+  double age_s = (double)(core->wall - machine->rented_ms) / 1000.0;
+  return machine->worker.heard_ms == 0
+         && age_s < BOOTING_FACTOR * ws_replica_type(core->replica, machine->type)->boot_s;
+}
+
+const WsJob *
+ws_headroom_job(const WsReplica *replica)
+{
+  const WsJob *largest = NULL;
+  for (guint i = 0; i < replica->active->len; i++) {
+    const WsJob *job = g_ptr_array_index(replica->active, i);
+    if (job->spec->priority == WS_CRITICAL && job->state == WS_JOB_ACTIVE
+        && (largest == NULL || job->spec->need.gpus > largest->spec->need.gpus))
+      largest = job;
+  }
+  return largest;
+}
+
+static gboolean
+is_eligible(const WsCore *core, const WsMachine *machine)
+{
+  return machine->is_recorded && !machine->is_marked && !machine->spot
+         && machine->type != WS_NO_TYPE && machine->zone != WS_NO_ZONE
+         && (ws_machine_is_booting(core, machine) || ws_machine_is_up(core, machine));
+}
+
+/* What tasks of services leave of the machine. */
+static WsResources
+capacity_beside_services(const WsReplica *replica, const WsMachine *machine)
+{
+  WsResources capacity = ws_replica_type(replica, machine->type)->capacity;
+  for (guint i = 0; i < machine->tasks->len; i++) {
+    const WsJob *job = ws_replica_job(replica, g_array_index(machine->tasks, WsTaskRef, i).job);
+    if (job->spec->kind == WS_KIND_SERVICE)
+      ws_resources_add(&capacity, &job->spec->need, -1);
+  }
+  return capacity;
+}
+
+guint
+ws_headroom_count_slots(const WsCore *core, const WsResources *need, const WsMachine *except)
+{
+  guint max_slots = core->properties->headroom_tasks;
+  guint slots = 0;
+  for (guint i = 0; i < core->replica->machines->len && slots < max_slots; i++) {
+    const WsMachine *machine = ws_replica_machine(core->replica, i);
+    if (machine == except || !is_eligible(core, machine))
+      continue;
+    WsResources capacity = capacity_beside_services(core->replica, machine);
+    for (; ws_resources_fit(need, &capacity) && slots < max_slots; slots++)
+      ws_resources_add(&capacity, need, -1);
+  }
+  return slots;
+}
+
+gboolean
+ws_headroom_remains_without(const WsCore *core, const WsMachine *machine)
+{
+  const WsJob *job = ws_headroom_job(core->replica);
+  if (job == NULL || core->properties->headroom_tasks == 0)
+    return TRUE;
+  return ws_headroom_count_slots(core, &job->spec->need, machine)
+         >= core->properties->headroom_tasks;
+}
--- a/src/fleet/ws-termination.c
+++ b/src/fleet/ws-termination.c
@@ -10,7 +10,6 @@
 
 #include "store/ws-store.h"
 #include "membership/ws-membership.h"
-#include "scheduling/ws-scheduling.h"
 
 #include <string.h>
 
--- a/src/scheduling/ws-demand.c
+++ b/src/scheduling/ws-demand.c
@@ -82,14 +82,6 @@
   }
 }
 
-static gboolean
-is_booting(const WsCore *core, const WsMachine *machine)
-{
-  double age_s = (double)(core->wall - machine->rented_ms) / 1000.0;
-  return machine->worker.heard_ms == 0
-         && age_s < 1.6 * ws_replica_type(core->replica, machine->type)->boot_s;
-}
-
 WsDemand *
 ws_demand_new(WsCore *core)
 {
@@ -106,7 +98,7 @@
     demand->by_zone[machine->zone]++;
     if (machine->is_marked || ws_zone_is_partitioned(core, machine->zone))
       continue; /* nobody hears of a machine that comes up behind a cut */
-    if (is_booting(core, machine))
+    if (ws_machine_is_booting(core, machine))
       add_virtual(demand, machine->type, machine->zone, machine->spot,
                   &ws_replica_type(replica, machine->type)->capacity, FALSE);
     else if (ws_machine_is_up(core, machine))
@@ -328,64 +320,15 @@
   return FALSE;
 }
 
-/* Places for one more critical task on ordinary machines, up to what is enough: free ones, and
-   those of arrays, which may be stopped for it. */
-static guint
-count_places(const WsCore *core, const WsResources *need, const WsMachine *without, guint enough)
-{
-  const WsReplica *replica = core->replica;
-  guint places = 0;
-  for (guint i = 0; i < replica->machines->len && places < enough; i++) {
-    const WsMachine *machine = ws_replica_machine(replica, i);
-    if (machine == without || !machine->is_recorded || machine->is_marked || machine->spot
-        || machine->type == WS_NO_TYPE || machine->zone == WS_NO_ZONE
-        || !(is_booting(core, machine) || ws_machine_is_up(core, machine)))
-      continue;
-    WsResources room = ws_replica_type(replica, machine->type)->capacity;
-    for (guint k = 0; k < machine->tasks->len; k++) {
-      const WsJob *job = ws_replica_job(replica, g_array_index(machine->tasks, WsTaskRef, k).job);
-      if (job->spec->kind == WS_KIND_SERVICE)
-        ws_resources_add(&room, &job->spec->need, -1);
-    }
-    for (; ws_resources_fit(need, &room) && places < enough; places++)
-      ws_resources_add(&room, need, -1);
-  }
-  return places;
-}
-
-/* A critical job that stands for the next one: the largest open one. */
-static const WsJob *
-typical_critical(const WsReplica *replica)
-{
-  const WsJob *largest = NULL;
-  for (guint i = 0; i < replica->active->len; i++) {
-    const WsJob *job = g_ptr_array_index(replica->active, i);
-    if (job->spec->priority == WS_CRITICAL && job->state == WS_JOB_ACTIVE
-        && (largest == NULL || job->spec->need.gpus > largest->spec->need.gpus))
-      largest = job;
-  }
-  return largest;
-}
-
-gboolean
-ws_headroom_remains_without(const WsCore *core, const WsMachine *machine)
-{
-  const WsJob *job = typical_critical(core->replica);
-  if (job == NULL || core->properties->headroom_tasks == 0)
-    return TRUE;
-  return count_places(core, &job->spec->need, machine, core->properties->headroom_tasks)
-         >= core->properties->headroom_tasks;
-}
-
 /* Critical jobs can't wait for a machine to boot, so some places for them are always kept. */
 static void
 add_spare(WsDemand *demand)
 {
   const WsCore *core = demand->core;
-  const WsJob *job = typical_critical(core->replica);
+  const WsJob *job = ws_headroom_job(core->replica);
   if (job == NULL)
     return;
-  guint places = count_places(core, &job->spec->need, NULL, core->properties->headroom_tasks);
+  guint places = ws_headroom_count_slots(core, &job->spec->need, NULL);
   for (guint i = 0; i < demand->machines->len && places < core->properties->headroom_tasks; i++) {
     Virtual *machine = &g_array_index(demand->machines, Virtual, i);
     if (!machine->on_order)
--- a/src/scheduling/ws-scheduling.h
+++ b/src/scheduling/ws-scheduling.h
@@ -37,8 +37,6 @@
 /* The same for a gang: all its machines are in one zone, where that is asked for. */
 void ws_demand_add_gang(WsDemand *demand, const WsJob *job, guint tasks);
 void ws_demand_end(WsDemand *demand); /* takes it */
-/* Whether the places kept for critical jobs are there without the machine too. */
-gboolean ws_headroom_remains_without(const WsCore *core, const WsMachine *machine);
 
 typedef struct {
   WsResources free;   /* room now, less what this plan gave away */
