--- a/src/core/ws-core.c
+++ b/src/core/ws-core.c
@@ -6,7 +6,7 @@
 #include "fleet/ws-fleet.h"
 #include "workers/ws-workers.h"
 #include "scheduling/ws-scheduling.h"
-#include "api/ws-users.h"
+#include "api/ws-job-api.h"
 #include "commit/ws-releases.h"
 #include "commit/ws-legacy-releases.h"
 #include "store/ws-write-stats.h"
@@ -249,7 +249,7 @@
     else
       ws_workers_handle_heartbeat(core, body, length, request);
   } else {
-    ws_users_request(core, method, path, body, length, request);
+    ws_job_api_handle_request(core, method, path, body, length, request);
   }
 }
 
--- /dev/null
+++ b/src/protocol/ws-job-summary.h
@@ -0,0 +1,24 @@
+/**
+ * The answer to a job's user: its state, and for a poll how many tasks are done and running.
+ */
+#pragma once
+
+#include <jansson.h>
+#include <glib.h>
+
+typedef enum {
+  WS_USER_STATE_QUEUED, /**< no task has a machine */
+  WS_USER_STATE_RUNNING,
+  WS_USER_STATE_DONE,
+  WS_USER_STATE_CANCELLED
+} WsUserState;
+
+typedef struct {
+  const char *job_id; /**< borrowed */
+  WsUserState state;
+  guint done_tasks;
+  guint running_tasks;
+} WsJobSummary;
+
+/** Returns a new JSON object. @with_tasks: the numbers of tasks too, as the answer to a poll has */
+json_t *ws_job_summary_encode(const WsJobSummary *summary, gboolean with_tasks);
--- a/tests/test-protocol.c
+++ b/tests/test-protocol.c
@@ -1,5 +1,6 @@
 #include "protocol/ws-cloud.h"
 #include "protocol/ws-heartbeat.h"
+#include "protocol/ws-job-summary.h"
 #include "protocol/ws-relay-message.h"
 #include "protocol/ws-settings.h"
 #include "ws-site.h"
@@ -158,6 +159,26 @@
   }
 }
 
+static void
+test_job_summary(void)
+{
+  static const struct {
+    WsUserState state;
+    gboolean with_tasks;
+    const char *text;
+  } CASES[] = { { WS_USER_STATE_QUEUED, FALSE, "{\"id\":\"j\",\"stav\":\"queued\"}" },
+                { WS_USER_STATE_RUNNING, TRUE,
+                  "{\"id\":\"j\",\"stav\":\"running\",\"done\":3,\"running\":2}" },
+                { WS_USER_STATE_DONE, FALSE, "{\"id\":\"j\",\"stav\":\"done\"}" },
+                { WS_USER_STATE_CANCELLED, FALSE, "{\"id\":\"j\",\"stav\":\"cancelled\"}" } };
+  for (guint i = 0; i < G_N_ELEMENTS(CASES); i++) {
+    WsJobSummary summary = { "j", CASES[i].state, 3, 2 };
+    g_autoptr(json_t) message = ws_job_summary_encode(&summary, CASES[i].with_tasks);
+    g_autofree char *text = ws_json_text(message);
+    g_assert_cmpstr(text, ==, CASES[i].text);
+  }
+}
+
 /* Bytes changed at random never crash the reader. */
 static void
 report_damaged(GRand *rand)
@@ -287,6 +308,7 @@
   g_test_add_func("/protocol/report", test_report);
   g_test_add_func("/protocol/worker-replies", test_worker_replies);
   g_test_add_func("/protocol/relay-message", test_relay_message);
+  g_test_add_func("/protocol/job-summary", test_job_summary);
   g_test_add_func("/protocol/damaged-reports", test_damaged_reports);
   g_test_add_func("/protocol/commands", test_commands);
   g_test_add_func("/protocol/cloud", test_cloud);
