--- a/src/context/ws-context.h
+++ b/src/context/ws-context.h
@@ -28,7 +28,7 @@
 typedef struct _WsPeerRequests WsPeerRequests;
 typedef struct _WsTermination WsTermination;
 typedef struct _WsCancellations WsCancellations;
-typedef struct _WsCancelledTasks WsCancelledTasks;
+typedef struct _WsWorkers WsWorkers;
 typedef struct _WsReservations WsReservations;
 typedef struct _WsWriteStats WsWriteStats;
 typedef struct _WsLegacyReleases WsLegacyReleases;
@@ -90,7 +90,7 @@
   WsPeerRequests *peer_requests;
   WsTermination *termination;
   WsCancellations *cancellations;
-  WsCancelledTasks *cancelled_tasks;
+  WsWorkers *workers;
   WsReservations *reservations;
   WsWriteStats *write_stats;
   WsLegacyReleases *legacy_releases;
@@ -102,7 +102,6 @@
   gboolean is_reached_from_other_zones; /* cut off, yet heard by machines of other zones */
   gint64 report_ms;                     /* when a worker last reported to this node itself */
   gboolean is_unreached_by_workers;     /* none does, although there are some for it */
-  guint rpcs_in_flight;                 /* launches on their way */
   guint probes_in_flight;
   guint next_probe; /* where the next round of status calls begins */
   guint64 plan_steps;
--- a/src/core/ws-core.c
+++ b/src/core/ws-core.c
@@ -52,7 +52,7 @@
   core->peer_requests = ws_peer_requests_new(settings);
   core->termination = ws_termination_new();
   core->cancellations = ws_cancellations_new(settings);
-  core->cancelled_tasks = ws_cancelled_tasks_new();
+  core->workers = ws_workers_new();
   core->reservations = ws_reservations_new();
   core->write_stats = ws_write_stats_new();
   core->legacy_releases = ws_legacy_releases_new();
@@ -88,7 +88,7 @@
   ws_peer_requests_free(core->peer_requests, core->settings);
   ws_termination_free(core->termination);
   ws_cancellations_free(core->cancellations);
-  ws_cancelled_tasks_free(core->cancelled_tasks);
+  ws_workers_free(core->workers);
   ws_reservations_free(core->reservations);
   ws_write_stats_free(core->write_stats);
   ws_legacy_releases_free(core->legacy_releases);
--- a/src/workers/ws-cancelled-tasks.c
+++ b/src/workers/ws-cancelled-tasks.c
@@ -4,7 +4,7 @@
  * Every node halts them, on whichever machine: a halt does no harm, so the owner's right isn't
  * needed. A machine that hasn't confirmed the end of such a task in time is returned.
  */
-#include "workers/ws-workers.h"
+#include "workers/ws-workers-private.h"
 
 #include "fleet/ws-fleet.h"
 #include "membership/ws-membership.h"
@@ -92,7 +92,8 @@
 {
   gint64 *at_ms = g_new(gint64, 1);
   *at_ms = core->now + after_ms;
-  g_hash_table_insert(core->cancelled_tasks->next_halt_ms, GUINT_TO_POINTER(machine->index), at_ms);
+  g_hash_table_insert(core->workers->cancelled_tasks->next_halt_ms,
+                      GUINT_TO_POINTER(machine->index), at_ms);
 }
 
 typedef struct {
@@ -105,7 +106,7 @@
 {
   g_autofree HaltCall *call = data;
   WsMachine *machine = ws_replica_machine(core->replica, call->machine);
-  core->cancelled_tasks->halts_in_flight--;
+  core->workers->cancelled_tasks->halts_in_flight--;
   if (status == 0)
     schedule_halt(core, machine, UNREACHABLE_HALT_RETRY_MS);
   g_autoptr(WsHeartbeat) heartbeat = ws_heartbeat_parse_command_reply(status, body, machine->name);
@@ -144,7 +145,7 @@
 send_halts(WsCore *core, WsMachine *machine)
 {
   schedule_halt(core, machine, HALT_RETRY_MS);
-  core->cancelled_tasks->halts_in_flight++;
+  core->workers->cancelled_tasks->halts_in_flight++;
   HaltCall *call = g_new0(HaltCall, 1);
   *call = (HaltCall){ machine->index,
                       MAX(machine->worker.incarnation, machine->worker.halt_incarnation) > 0 };
@@ -159,10 +160,10 @@
 static gboolean
 may_halt(const WsCore *core, const WsMachine *machine)
 {
-  const gint64 *at_ms
-      = g_hash_table_lookup(core->cancelled_tasks->next_halt_ms, GUINT_TO_POINTER(machine->index));
+  const gint64 *at_ms = g_hash_table_lookup(core->workers->cancelled_tasks->next_halt_ms,
+                                            GUINT_TO_POINTER(machine->index));
   return machine->worker.endpoint != NULL
-         && core->cancelled_tasks->halts_in_flight < MAX_HALTS_IN_FLIGHT
+         && core->workers->cancelled_tasks->halts_in_flight < MAX_HALTS_IN_FLIGHT
          && (at_ms == NULL || core->now >= *at_ms);
 }
 
@@ -244,7 +245,7 @@
 {
   g_autoptr(GHashTable) seen = g_hash_table_new(NULL, NULL);
   if (ws_cancellations_count(core) == 0)
-    g_hash_table_remove_all(core->cancelled_tasks->next_halt_ms);
+    g_hash_table_remove_all(core->workers->cancelled_tasks->next_halt_ms);
   for (guint c = 0; c < ws_cancellations_count(core); c++) {
     const WsJob *job = ws_replica_find_job(core->replica, ws_cancellations_job_id(core, c));
     if (job != NULL)
--- a/src/workers/ws-launch.c
+++ b/src/workers/ws-launch.c
@@ -1,6 +1,6 @@
 /** Launches what was assigned on this node's machines, by whichever node, as soon as it is known.
  */
-#include "workers/ws-workers.h"
+#include "workers/ws-workers-private.h"
 
 typedef struct {
   WsJobIndex job;
--- a/src/workers/ws-relay.c
+++ b/src/workers/ws-relay.c
@@ -5,7 +5,7 @@
  * third node that reaches it is tried. If nobody answers in time, this node answers with its own
  * fencing token and without launches, which renews the lease of the worker's tasks.
  */
-#include "workers/ws-workers.h"
+#include "workers/ws-workers-private.h"
 
 #include "membership/ws-membership.h"
 #include "protocol/ws-relay-message.h"
--- a/src/workers/ws-worker-rpc.c
+++ b/src/workers/ws-worker-rpc.c
@@ -5,7 +5,7 @@
  * its machine as indeterminate from the moment it is sent until its answer; without an answer it
  * stays so until the worker has shown a higher fencing token or a new incarnation.
  */
-#include "workers/ws-workers.h"
+#include "workers/ws-workers-private.h"
 
 #include "membership/ws-membership.h"
 #include "storage/ws-gang-phase.h"
@@ -39,7 +39,7 @@
 {
   g_autofree CommandCall *call = data;
   WsMachine *machine = ws_replica_machine(core->replica, call->machine);
-  core->rpcs_in_flight--;
+  core->workers->rpcs_in_flight--;
   if (status != 0 && is_counted(call, machine))
     machine->worker.indeterminate_launches--;
   g_autoptr(WsHeartbeat) heartbeat = ws_heartbeat_parse_command_reply(status, body, machine->name);
@@ -63,7 +63,7 @@
   CommandCall *call = g_new0(CommandCall, 1);
   *call = (CommandCall){ machine->index, core->replica->epoch.number, machine->worker.incarnation,
                          has_launches };
-  core->rpcs_in_flight++;
+  core->workers->rpcs_in_flight++;
   if (has_launches)
     count_indeterminate(core, machine, call);
   ws_call(core, "POST", machine->worker.endpoint, "/commands",
@@ -99,10 +99,10 @@
 }
 
 void
-ws_worker_rpc_launch(WsCore *core, WsMachine *machine, GArray *tasks)
+ws_worker_rpc_launch(WsCore *core, WsMachine *machine, const GArray *tasks)
 {
   if (!ws_worker_rpc_is_possible(core, machine) || !ws_has_all_cancellations(core)
-      || (core->rpcs_in_flight >= MAX_RPCS_IN_FLIGHT && !has_urgent_task(core, tasks)))
+      || (core->workers->rpcs_in_flight >= MAX_RPCS_IN_FLIGHT && !has_urgent_task(core, tasks)))
     return;
   g_autoptr(json_t) commands = json_array();
   for (guint i = 0; i < tasks->len; i++) {
--- a/src/workers/ws-workers.c
+++ b/src/workers/ws-workers.c
@@ -1,7 +1,7 @@
 /**
  * Heartbeats as they come in: answered here, passed on, or sent to the owner of the machine.
  */
-#include "workers/ws-workers.h"
+#include "workers/ws-workers-private.h"
 
 #include "membership/ws-membership.h"
 #include "fleet/ws-fleet.h"
@@ -14,6 +14,21 @@
 /* The share of its lease for which a worker that came back isn't turned away again. */
 #define KEPT_LEASE_SHARE 0.6
 
+WsWorkers *
+ws_workers_new(void)
+{
+  WsWorkers *workers = g_new0(WsWorkers, 1);
+  workers->cancelled_tasks = ws_cancelled_tasks_new();
+  return workers;
+}
+
+void
+ws_workers_free(WsWorkers *workers)
+{
+  ws_cancelled_tasks_free(workers->cancelled_tasks);
+  g_free(workers);
+}
+
 /* Whether all nodes of the machine's zone reach the owner. */
 static gboolean
 zone_reaches(const WsCore *core, WsZoneIndex zone, WsNodeIndex owner)
--- a/src/workers/ws-workers.h
+++ b/src/workers/ws-workers.h
@@ -1,59 +1,59 @@
 /**
- * The service for workers: heartbeats in, commands out, and what is done about cancelled tasks.
+ * The service for workers: heartbeats in, commands out, and the end of cancelled tasks.
  *
- * Called by the core for each heartbeat. Owns the direct calls to workers and the cancellations
- * that this node knows of.
+ * A worker sends heartbeats with its status to any node; the owner of its machine answers with
+ * commands, and the answer renews the lease of the machine's tasks. The owner also calls workers
+ * itself, since that is faster. Owns the calls in flight and what is left to halt of cancelled
+ * jobs.
  */
 #pragma once
 
 #include "membership/ws-membership.h"
 
+/** Creates the state of this package, with no calls in flight. */
+WsWorkers *ws_workers_new(void);
+void ws_workers_free(WsWorkers *workers);
+
+/**
+ * Handles a worker's heartbeat, which is answered now or later: with commands, with a redirect to
+ * the owner of its machine, or, where this node may renew no lease, with 503.
+ *
+ * @body: @length bytes, read before the call returns; answered with 400 if it is malformed
+ * @request: the handle under which ws_answer() answers it, exactly once
+ */
 void ws_workers_handle_heartbeat(WsCore *core, const char *body, gsize length, gpointer request);
-/* The answer to a report of a machine that this node owns. */
-json_t *ws_workers_answer_heartbeat(WsCore *core, const WsHeartbeat *heartbeat);
-/* Believes what a message says of tasks that are there; concludes nothing from absence. */
-/* Returns FALSE for a message older than one that was seen before. */
+
+/**
+ * Notes the status that a worker has given as the answer to a call.
+ *
+ * Presence is believed of every status, and nothing is concluded from absence. Returns FALSE, with
+ * nothing noted, if the status is older than one that was noted before.
+ */
 gboolean ws_workers_note_status(WsCore *core, WsMachine *machine, const WsHeartbeat *heartbeat);
 
-WsCancelledTasks *ws_cancelled_tasks_new(void);
-void ws_cancelled_tasks_free(WsCancelledTasks *cancelled_tasks);
+/** Launches what was newly assigned on this node's machines. */
+void ws_workers_launch_assigned(WsCore *core);
 
-/** Adds halts for what the heartbeat shows of cancelled jobs: an answer that renews a lease has
-    them, whoever gives it. */
-void ws_cancelled_tasks_add_halts(const WsCore *core, const WsHeartbeat *heartbeat,
-                                  json_t *commands);
+/** Handles another node's request to pass a heartbeat on, see ws-relay-message.h. */
+void ws_relay_handle(WsCore *core, const json_t *message, gpointer request);
 
 /** Halts what is left of cancelled jobs, and has machines returned that don't confirm in time. */
 void ws_cancelled_tasks_enforce(WsCore *core);
 
-/**
- * Direct commands: calls to a worker's own address.
+/*
+ * Commands sent to a worker's own address.
  *
- * They are faster than the answers to reports, but may be carried out minutes later when their
- * answer is lost. A launch without an answer is therefore remembered with its machine as an
- * indeterminate outcome ("doubt"), and nothing on the machine is released for being absent until a
- * higher token or a new session has ended it.
+ * They are faster than the answers to heartbeats, but may be carried out minutes later when their
+ * answer is lost. A launch without an answer is therefore counted with its machine as
+ * indeterminate: nothing on the machine is released for being absent until the worker has shown a
+ * higher fencing token or a new incarnation.
  */
 
-/** Whether the machine has shown our token lately: the others learn it from their next report. */
+/** Whether this node may command the worker: it is up, reached, and knows the present token. */
 gboolean ws_worker_rpc_is_possible(const WsCore *core, const WsMachine *machine);
 
-/** Tells the worker our token, so that it drops the answers of whoever has an older one. */
+/** Sends the worker the present fencing token, so that it refuses commands under older ones. */
 void ws_worker_rpc_raise_fencing_token(WsCore *core, WsMachine *machine);
 
-/** Passes a heartbeat on to the owner of its machine, and the owner's answer back. */
-void ws_relay_heartbeat(WsCore *core, WsNodeIndex owner, const char *heartbeat, gpointer request);
-
-/** Answers another node's request to pass a heartbeat on. */
-void ws_relay_handle(WsCore *core, const json_t *message, gpointer request);
-
-/** Launches what was newly assigned on this node's machines. */
-void ws_workers_launch_assigned(WsCore *core);
-
-/** Launches the tasks (of WsTaskRef) that are assigned to the machine. */
-void ws_worker_rpc_launch(WsCore *core, WsMachine *machine, GArray *tasks);
-
+/** Halts the task, with the time that it needs to save. Does nothing if no command is possible. */
 void ws_worker_rpc_halt(WsCore *core, WsJob *job, WsAssignment *assignment);
-
-/** How long a task that is halted may take to save; 0: it has nothing to save. */
-double ws_halt_grace_s(const WsCore *core, const WsJob *job, const WsAssignment *assignment);
