--- a/src/core/ws-core.c
+++ b/src/core/ws-core.c
@@ -45,12 +45,8 @@
   core->election = ws_election_new();
   core->assignments = ws_assignments_new();
   core->fleet = ws_fleet_new(settings);
-  core->rentals = ws_rentals_new();
-  core->returns = ws_returns_new();
-  core->cloud_list = ws_cloud_list_new();
   core->plan = ws_plan_new();
   core->peer_requests = ws_peer_requests_new(settings);
-  core->termination = ws_termination_new();
   core->cancellations = ws_cancellations_new(settings);
   core->workers = ws_workers_new();
   core->reservations = ws_reservations_new();
@@ -81,12 +77,8 @@
   ws_election_free(core->election);
   ws_assignments_free(core->assignments);
   ws_fleet_free(core->fleet);
-  ws_rentals_free(core->rentals);
-  ws_returns_free(core->returns);
-  ws_cloud_list_free(core->cloud_list);
   ws_plan_free(core->plan);
   ws_peer_requests_free(core->peer_requests, core->settings);
-  ws_termination_free(core->termination);
   ws_cancellations_free(core->cancellations);
   ws_workers_free(core->workers);
   ws_reservations_free(core->reservations);
--- a/src/fleet/ws-cloud-list.c
+++ b/src/fleet/ws-cloud-list.c
@@ -1,7 +1,7 @@
 /**
  * Reconciliation with the cloud's list of machines, page by page.
  */
-#include "fleet/ws-fleet.h"
+#include "fleet/ws-fleet-private.h"
 
 #include "store/ws-store.h"
 #include "membership/ws-membership.h"
@@ -75,7 +75,7 @@
   WsRentalBatch *rental_batch = g_new0(WsRentalBatch, 1);
   rental_batch->name = g_strdup_printf("a-%" G_GUINT64_FORMAT "-%u-%" G_GUINT64_FORMAT,
                                        core->replica->epoch.number, core->settings->self,
-                                       ++core->cloud_list->last_batch);
+                                       ++core->fleet->cloud_list->last_batch);
   rental_batch->type = g_strdup(first->type_name);
   rental_batch->zone = g_strdup(g_ptr_array_index(core->settings->zones, first->zone));
   rental_batch->spot = first->spot;
@@ -166,7 +166,7 @@
 on_list(WsCore *core, guint status, const json_t *body, gpointer data)
 {
   (void)data;
-  WsCloudList *list = core->cloud_list;
+  WsCloudList *list = core->fleet->cloud_list;
   gboolean more = FALSE;
   g_autoptr(GPtrArray) machines = status == 200 ? ws_listing_parse(body, &more) : NULL;
   list->call_in_flight = FALSE;
@@ -186,7 +186,7 @@
 void
 ws_cloud_list_tick(WsCore *core)
 {
-  WsCloudList *list = core->cloud_list;
+  WsCloudList *list = core->fleet->cloud_list;
   if (list->call_in_flight || core->now < list->next_call_ms || !ws_fleet_take_call_budget(core))
     return;
   list->call_in_flight = TRUE;
--- a/src/fleet/ws-consolidation.c
+++ b/src/fleet/ws-consolidation.c
@@ -6,7 +6,7 @@
  * when no task waits for capacity, and from few machines at a time, of which no two have tasks of
  * the same service.
  */
-#include "fleet/ws-fleet.h"
+#include "fleet/ws-fleet-private.h"
 
 #include "membership/ws-membership.h"
 #include "commit/ws-commit.h"
--- /dev/null
+++ b/src/fleet/ws-fleet-private.h
@@ -0,0 +1,61 @@
+/**
+ * What the modules of src/fleet share.
+ */
+#pragma once
+
+#include "fleet/ws-fleet.h"
+
+typedef struct _WsRentals WsRentals;
+typedef struct _WsReturns WsReturns;
+typedef struct _WsCloudList WsCloudList;
+typedef struct _WsTermination WsTermination;
+
+struct _WsFleet {
+  WsRate calls; /* to the cloud */
+  gint64 next_catalog_ms;
+  gboolean catalog_in_flight;
+  WsRentals *rentals;
+  WsReturns *returns;
+  WsCloudList *cloud_list;
+  WsTermination *termination;
+};
+
+WsRentals *ws_rentals_new(void);
+void ws_rentals_free(WsRentals *rentals);
+WsReturns *ws_returns_new(void);
+void ws_returns_free(WsReturns *returns);
+WsCloudList *ws_cloud_list_new(void);
+void ws_cloud_list_free(WsCloudList *list);
+WsTermination *ws_termination_new(void);
+void ws_termination_free(WsTermination *termination);
+
+/** Takes one call to the cloud from its rate limit; FALSE: none is left now. */
+gboolean ws_fleet_take_call_budget(WsCore *core);
+
+/** Sends rental intents to the cloud; only the leader calls it. */
+void ws_rentals_tick(WsCore *core);
+
+/** Begins or prolongs the back-off of a kind, or ends it if the cloud has @enough of it. */
+void ws_rentals_note_capacity(WsCore *core, WsTypeIndex type, WsZoneIndex zone, gboolean spot,
+                              gboolean enough);
+
+/** Returns marked machines and clears marks; only the leader calls it. */
+void ws_returns_tick(WsCore *core);
+
+/** Returns what was requested unmarked, and marks it as soon as that is possible; on every node. */
+void ws_returns_tick_unmarked(WsCore *core);
+
+/** Asks the cloud for its list when it is due; only the leader calls it. */
+void ws_cloud_list_tick(WsCore *core);
+
+/**
+ * Whether a machine that works may be terminated: by the disruption budget, the reachability of its
+ * zone, and the headroom for critical jobs.
+ */
+gboolean ws_termination_is_allowed(const WsCore *core, const WsMachine *machine);
+
+/** Whether as many slots as are to be kept for critical jobs are there without the machine. */
+gboolean ws_headroom_remains_without(const WsCore *core, const WsMachine *machine);
+
+/** Requests marks for underused machines when it is this node's turn. */
+void ws_consolidation_tick(WsCore *core);
--- a/src/fleet/ws-fleet.c
+++ b/src/fleet/ws-fleet.c
@@ -1,7 +1,7 @@
 /**
  * The leader's calls to the cloud within its rate limit, its catalog, and machines that don't boot.
  */
-#include "fleet/ws-fleet.h"
+#include "fleet/ws-fleet-private.h"
 
 #include "store/ws-store.h"
 #include "membership/ws-membership.h"
@@ -19,24 +19,26 @@
 /* The reason of a mark, as it is stored. */
 #define REASON_NEVER_UP "never up"
 
-struct _WsFleet {
-  WsRate calls;
-  gint64 next_catalog_ms;
-  gboolean catalog_in_flight;
-};
-
 WsFleet *
 ws_fleet_new(const WsSettings *settings)
 {
   WsFleet *fleet = g_new0(WsFleet, 1);
   double per_second = settings->cloud_rps * USED_RATE_SHARE;
   ws_rate_init(&fleet->calls, per_second, per_second * BURST_S);
+  fleet->rentals = ws_rentals_new();
+  fleet->returns = ws_returns_new();
+  fleet->cloud_list = ws_cloud_list_new();
+  fleet->termination = ws_termination_new();
   return fleet;
 }
 
 void
 ws_fleet_free(WsFleet *fleet)
 {
+  ws_rentals_free(fleet->rentals);
+  ws_returns_free(fleet->returns);
+  ws_cloud_list_free(fleet->cloud_list);
+  ws_termination_free(fleet->termination);
   g_free(fleet);
 }
 
--- a/src/fleet/ws-headroom.c
+++ b/src/fleet/ws-headroom.c
@@ -3,7 +3,7 @@
  *
  * Slots are free ones and those of arrays, whose tasks may be preempted for a critical task.
  */
-#include "fleet/ws-fleet.h"
+#include "fleet/ws-fleet-private.h"
 
 #include "membership/ws-membership.h"
 
--- a/src/fleet/ws-rentals.c
+++ b/src/fleet/ws-rentals.c
@@ -1,7 +1,7 @@
 /**
  * Scale out: the intent in the store, the request to the cloud, the rental batch in its place.
  */
-#include "fleet/ws-fleet.h"
+#include "fleet/ws-fleet-private.h"
 
 #include "store/ws-store.h"
 
@@ -60,7 +60,7 @@
 ws_rentals_no_capacity(const WsCore *core, WsTypeIndex type, WsZoneIndex zone, gboolean spot)
 {
   const CapacityBackoff *backoff
-      = g_hash_table_lookup(core->rentals->backoffs, kind_key(type, zone, spot));
+      = g_hash_table_lookup(core->fleet->rentals->backoffs, kind_key(type, zone, spot));
   return backoff != NULL && core->now < backoff->until_ms;
 }
 
@@ -82,13 +82,13 @@
 {
   gpointer key = kind_key(type, zone, spot);
   if (enough) {
-    g_hash_table_remove(core->rentals->backoffs, key);
+    g_hash_table_remove(core->fleet->rentals->backoffs, key);
     return;
   }
-  CapacityBackoff *backoff = g_hash_table_lookup(core->rentals->backoffs, key);
+  CapacityBackoff *backoff = g_hash_table_lookup(core->fleet->rentals->backoffs, key);
   if (backoff == NULL) {
     backoff = g_new0(CapacityBackoff, 1);
-    g_hash_table_insert(core->rentals->backoffs, key, backoff);
+    g_hash_table_insert(core->fleet->rentals->backoffs, key, backoff);
   }
   double factor = backoff_factor(core);
   backoff->backoff_ms = CLAMP(backoff->backoff_ms * 2, (guint)(MIN_CAPACITY_BACKOFF_MS * factor),
@@ -101,7 +101,7 @@
 {
   (void)result;
   (void)data;
-  core->rentals->is_writing = FALSE;
+  core->fleet->rentals->is_writing = FALSE;
 }
 
 /* While a rental waits for the cloud's rate limit, further demand accumulates: fewer and larger
@@ -111,7 +111,7 @@
 {
   for (guint i = 0; i < core->replica->rents->len; i++) {
     const WsRentalIntent *intent = g_ptr_array_index(core->replica->rents, i);
-    if (!g_hash_table_contains(core->rentals->in_flight, intent->request))
+    if (!g_hash_table_contains(core->fleet->rentals->in_flight, intent->request))
       return TRUE;
   }
   return FALSE;
@@ -120,7 +120,7 @@
 static void
 add_intent(WsCore *core, WsTypeIndex type, WsZoneIndex zone, gboolean spot, guint machines)
 {
-  WsRentals *rentals = core->rentals;
+  WsRentals *rentals = core->fleet->rentals;
   g_autofree char *request = g_strdup_printf("r-%" G_GUINT64_FORMAT "-%" G_GUINT64_FORMAT,
                                              core->replica->epoch.number, ++rentals->last_request);
   g_autofree char *key = ws_key(WS_KEYS_RENTAL_INTENT, request);
@@ -137,7 +137,7 @@
 void
 ws_rentals_request(WsCore *core, WsTypeIndex type, WsZoneIndex zone, gboolean spot, guint machines)
 {
-  WsRentals *rentals = core->rentals;
+  WsRentals *rentals = core->fleet->rentals;
   if (rentals->is_writing || has_unsent_intent(core))
     return;
   if (rentals->intents == NULL) {
@@ -154,7 +154,7 @@
 void
 ws_rentals_record_intents(WsCore *core)
 {
-  WsRentals *rentals = core->rentals;
+  WsRentals *rentals = core->fleet->rentals;
   if (rentals->intents == NULL)
     return;
   rentals->is_writing = TRUE;
@@ -178,7 +178,7 @@
 {
   gint64 *at_ms = g_new(gint64, 1);
   *at_ms = core->now + RENTAL_RETRY_MS;
-  g_hash_table_insert(core->rentals->next_tries, g_strdup(request), at_ms);
+  g_hash_table_insert(core->fleet->rentals->next_tries, g_strdup(request), at_ms);
 }
 
 static void
@@ -187,7 +187,7 @@
   char *request = data;
   if (result != WS_TXN_COMMITTED)
     schedule_retry(core, request);
-  g_hash_table_remove(core->rentals->in_flight, request);
+  g_hash_table_remove(core->fleet->rentals->in_flight, request);
   core->replan_is_needed = TRUE;
   g_free(request);
 }
@@ -254,7 +254,7 @@
         && g_strcmp0(json_string_value(json_object_get(body, "error")), "no capacity") == 0;
   if (intent == NULL || (names == NULL && !no_capacity && status != 400)) {
     schedule_retry(core, request);
-    g_hash_table_remove(core->rentals->in_flight, request);
+    g_hash_table_remove(core->fleet->rentals->in_flight, request);
     return;
   }
   WsZoneIndex zone = ws_replica_find_zone(core->replica, intent->zone);
@@ -269,7 +269,7 @@
 static void
 send_rental(WsCore *core, const WsRentalIntent *intent)
 {
-  WsRentals *rentals = core->rentals;
+  WsRentals *rentals = core->fleet->rentals;
   const gint64 *retry_ms = g_hash_table_lookup(rentals->next_tries, intent->request);
   if (g_hash_table_contains(rentals->in_flight, intent->request)
       || (retry_ms != NULL && core->now < *retry_ms) || !ws_fleet_take_call_budget(core))
--- a/src/fleet/ws-returns.c
+++ b/src/fleet/ws-returns.c
@@ -2,7 +2,7 @@
  * Scale in: returns of marked machines to the cloud, the release of what the records have there,
  * and the end of their marks.
  */
-#include "fleet/ws-fleet.h"
+#include "fleet/ws-fleet-private.h"
 
 #include "store/ws-store.h"
 #include "membership/ws-membership.h"
@@ -49,14 +49,14 @@
 {
   const WsMachine *machine = ws_replica_find_machine(core->replica, name);
   return (machine != NULL && machine->is_returned)
-         || g_hash_table_contains(core->returns->confirmed, name);
+         || g_hash_table_contains(core->fleet->returns->confirmed, name);
 }
 
 static void
 on_marks_cleared(WsCore *core, WsTxnResult result, gpointer data)
 {
   g_autoptr(GArray) machines = data;
-  core->returns->is_clearing = FALSE;
+  core->fleet->returns->is_clearing = FALSE;
   for (guint i = 0; i < machines->len; i++) {
     WsMachine *machine
         = ws_replica_machine(core->replica, g_array_index(machines, WsMachineIndex, i));
@@ -133,7 +133,7 @@
   }
   for (guint i = 0; i < core->replica->rental_batches->len; i++)
     shrink_rental_batch(core, txn, g_ptr_array_index(core->replica->rental_batches, i), machines);
-  core->returns->is_clearing = TRUE;
+  core->fleet->returns->is_clearing = TRUE;
   ws_txn_commit(core, txn, WS_REQUEST_OTHER, on_marks_cleared, machines);
 }
 
@@ -187,7 +187,7 @@
     if (machine->tasks->len == 0 && empty->len < core->settings->state_txn_ops)
       g_array_append_val(empty, machine->index);
   }
-  if (empty->len > 0 && !core->returns->is_clearing)
+  if (empty->len > 0 && !core->fleet->returns->is_clearing)
     clear_marks(core, g_steal_pointer(&empty));
 }
 
@@ -196,7 +196,7 @@
 note_returned(WsCore *core, const char *name)
 {
   const WsMachine *machine = ws_replica_find_machine(core->replica, name);
-  g_hash_table_add(core->returns->confirmed, g_strdup(name));
+  g_hash_table_add(core->fleet->returns->confirmed, g_strdup(name));
   if (machine != NULL && machine->type != WS_NO_TYPE && machine->zone != WS_NO_ZONE)
     ws_rentals_note_capacity(core, machine->type, machine->zone, machine->spot, TRUE);
 }
@@ -206,7 +206,7 @@
 {
   (void)body;
   g_autoptr(GPtrArray) names = data;
-  WsReturns *returns = core->returns;
+  WsReturns *returns = core->fleet->returns;
   returns->call_in_flight = FALSE;
   if (status == 200) {
     returns->backoff_ms = 0;
@@ -224,7 +224,7 @@
 static void
 send_return(WsCore *core, GPtrArray *machine_names /* taken */)
 {
-  WsReturns *returns = core->returns;
+  WsReturns *returns = core->fleet->returns;
   g_autoptr(GPtrArray) names = machine_names;
   if (names->len == 0 || returns->call_in_flight || core->now < returns->next_call_ms
       || !ws_fleet_take_call_budget(core))
@@ -238,7 +238,7 @@
 void
 ws_returns_request_unmarked(WsCore *core, const WsMachine *machine)
 {
-  if (g_hash_table_add(core->returns->unmarked, g_strdup(machine->name)))
+  if (g_hash_table_add(core->fleet->returns->unmarked, g_strdup(machine->name)))
     g_message("machine %s holds a cancelled task and the state service takes no mark: it is"
               " returned without one",
               machine->name);
@@ -253,7 +253,7 @@
   GPtrArray *names = g_ptr_array_new_with_free_func(g_free);
   GHashTableIter iter;
   gpointer name;
-  g_hash_table_iter_init(&iter, core->returns->unmarked);
+  g_hash_table_iter_init(&iter, core->fleet->returns->unmarked);
   while (g_hash_table_iter_next(&iter, &name, NULL)) {
     WsMachine *machine = ws_replica_find_machine(core->replica, name);
     if (machine == NULL || machine->is_returned)
--- a/src/fleet/ws-termination.c
+++ b/src/fleet/ws-termination.c
@@ -6,7 +6,7 @@
  * returns what is marked and empty (see ws-returns.c) and clears the mark once the cloud has
  * confirmed. Marks are stored, so whoever leads goes on with them.
  */
-#include "fleet/ws-fleet.h"
+#include "fleet/ws-fleet-private.h"
 
 #include "store/ws-store.h"
 #include "membership/ws-membership.h"
@@ -137,7 +137,7 @@
 on_marked(WsCore *core, WsTxnResult result, gpointer data)
 {
   (void)data;
-  GArray *writing = core->termination->writing;
+  GArray *writing = core->fleet->termination->writing;
   for (guint i = 0; i < writing->len; i++) {
     const MarkRequest *request = &g_array_index(writing, MarkRequest, i);
     WsMachine *machine = ws_replica_machine(core->replica, request->machine);
@@ -172,7 +172,7 @@
     return;
   }
   MarkRequest request = { machine->index, g_strdup(reason), immediately };
-  g_array_append_val(core->termination->requested, request);
+  g_array_append_val(core->fleet->termination->requested, request);
 }
 
 /* Asked again for a request that the leader writes: two owners may have chosen at once what the
@@ -190,7 +190,7 @@
 static void
 write_first_request(WsCore *core, WsTxn *txn)
 {
-  WsTermination *termination = core->termination;
+  WsTermination *termination = core->fleet->termination;
   MarkRequest request = g_array_index(termination->requested, MarkRequest, 0);
   WsMachine *machine = ws_replica_machine(core->replica, request.machine);
   if (is_still_allowed(core, machine, &request)) {
@@ -208,7 +208,7 @@
 void
 ws_termination_pump(WsCore *core)
 {
-  WsTermination *termination = core->termination;
+  WsTermination *termination = core->fleet->termination;
   if (termination->requested->len == 0 || termination->writing->len > 0)
     return;
   WsTxn *txn = ws_txn_new();
