--- a/src/fleet/ws-rentals.c
+++ b/src/fleet/ws-rentals.c
@@ -128,8 +128,8 @@
                             .zone = g_ptr_array_index(core->settings->zones, zone),
                             .spot = spot,
                             .count = machines };
-  g_info("renting %u %s machines of type %s in %s", intent.count, spot ? "spot" : "ordinary",
-         intent.type, intent.zone);
+  g_info("scale out: requesting %u %s machines of type %s in %s", intent.count,
+         spot ? "spot" : "ordinary", intent.type, intent.zone);
   ws_txn_compare_version(rentals->intents, key, 0);
   ws_txn_put(rentals->intents, key, ws_rental_intent_encode(&intent));
 }
@@ -261,7 +261,7 @@
   guint count = names != NULL ? names->len : 0;
   ws_rentals_note_capacity(core, ws_replica_find_type(core->replica, intent->type), zone,
                            intent->spot, count >= intent->count);
-  g_info("the cloud rented %u of %u %s machines in %s", count, intent->count,
+  g_info("scale out: the cloud rented %u of %u %s machines in %s", count, intent->count,
          intent->spot ? "spot" : "ordinary", intent->zone);
   close_intent(core, intent, names);
 }
--- a/src/fleet/ws-returns.c
+++ b/src/fleet/ws-returns.c
@@ -217,7 +217,8 @@
     guint max_ms = (guint)(core->properties->backoff_max_s * 1000.0);
     returns->backoff_ms = CLAMP(returns->backoff_ms * 2, min_ms, max_ms);
     returns->next_call_ms = core->now + returns->backoff_ms;
-    g_info("the cloud took no return (status %u): again in %u ms", status, returns->backoff_ms);
+    g_info("scale in: the cloud refused a return (status %u): retry in %u ms", status,
+           returns->backoff_ms);
   }
 }
 
@@ -239,7 +240,7 @@
 ws_returns_request_unmarked(WsCore *core, const WsMachine *machine)
 {
   if (g_hash_table_add(core->fleet->returns->unmarked, g_strdup(machine->name)))
-    g_message("machine %s holds a cancelled task and the state service takes no mark: it is"
+    g_message("machine %s has a task of a cancelled job and the store takes no mark: it is"
               " returned without one",
               machine->name);
 }
