--- a/src/fleet/ws-rentals.c
+++ b/src/fleet/ws-rentals.c
@@ -248,11 +248,9 @@
 {
   g_autofree char *request = data;
   const WsRentalIntent *intent = find_intent(core, request);
-  g_autoptr(GPtrArray) names = status == 200 ? ws_names_parse(body) : NULL;
-  gboolean no_capacity
-      = status == 503
-        && g_strcmp0(json_string_value(json_object_get(body, "error")), "no capacity") == 0;
-  if (intent == NULL || (names == NULL && !no_capacity && status != 400)) {
+  g_autoptr(GPtrArray) names = NULL;
+  WsRentalResult result = ws_rental_reply_parse(status, body, &names);
+  if (intent == NULL || result == WS_RENTAL_FAILED) {
     schedule_retry(core, request);
     g_hash_table_remove(core->fleet->rentals->in_flight, request);
     return;
--- a/src/protocol/ws-cloud.c
+++ b/src/protocol/ws-cloud.c
@@ -3,6 +3,12 @@
 #include "protocol/ws-field-names.h"
 
 #include <math.h>
+#include <string.h>
+
+/* HTTP statuses of the cloud's answers. */
+#define STATUS_OK 200
+#define STATUS_BAD_REQUEST 400
+#define STATUS_UNAVAILABLE 503
 
 static void
 type_free(gpointer data)
@@ -136,6 +142,26 @@
   return list;
 }
 
+static gboolean
+has_no_capacity(const json_t *body)
+{
+  const char *error;
+  return ws_json_string(body, "error", &error) && strcmp(error, "no capacity") == 0;
+}
+
+WsRentalResult
+ws_rental_reply_parse(guint status, const json_t *body, GPtrArray **names)
+{
+  *names = status == STATUS_OK ? ws_names_parse(body) : NULL;
+  if (*names != NULL)
+    return WS_RENTAL_RENTED;
+  if (status == STATUS_BAD_REQUEST)
+    return WS_RENTAL_REFUSED;
+  if (status == STATUS_UNAVAILABLE && has_no_capacity(body))
+    return WS_RENTAL_NO_CAPACITY;
+  return WS_RENTAL_FAILED;
+}
+
 json_t *
 ws_rental_encode(const char *request, const char *type, const char *zone, gboolean spot,
                  guint count)
--- a/tests/test-protocol.c
+++ b/tests/test-protocol.c
@@ -179,6 +179,32 @@
   }
 }
 
+static void
+test_rental_replies(void)
+{
+  static const struct {
+    guint status;
+    const char *body;
+    WsRentalResult result;
+  } CASES[] = { { 200, "{\"stroje\":[\"m-1\",\"m-2\"]}", WS_RENTAL_RENTED },
+                { 200, "{\"stroje\":[1]}", WS_RENTAL_FAILED },
+                { 200, "{}", WS_RENTAL_FAILED },
+                { 400, "{}", WS_RENTAL_REFUSED },
+                { 503, "{\"error\":\"no capacity\"}", WS_RENTAL_NO_CAPACITY },
+                { 503, "{\"error\":\"down\"}", WS_RENTAL_FAILED },
+                { 503, "", WS_RENTAL_FAILED },
+                { 500, "{\"error\":\"no capacity\"}", WS_RENTAL_FAILED },
+                { 0, "", WS_RENTAL_FAILED } };
+  for (guint i = 0; i < G_N_ELEMENTS(CASES); i++) {
+    g_autoptr(json_t) body = ws_json_parse(CASES[i].body, strlen(CASES[i].body));
+    g_autoptr(GPtrArray) names = NULL;
+    g_assert_cmpint(ws_rental_reply_parse(CASES[i].status, body, &names), ==, CASES[i].result);
+    g_assert_true((names != NULL) == (CASES[i].result == WS_RENTAL_RENTED));
+    if (names != NULL)
+      g_assert_cmpuint(names->len, ==, 2);
+  }
+}
+
 /* Bytes changed at random never crash the reader. */
 static void
 report_damaged(GRand *rand)
@@ -309,6 +335,7 @@
   g_test_add_func("/protocol/worker-replies", test_worker_replies);
   g_test_add_func("/protocol/relay-message", test_relay_message);
   g_test_add_func("/protocol/job-summary", test_job_summary);
+  g_test_add_func("/protocol/rental-replies", test_rental_replies);
   g_test_add_func("/protocol/damaged-reports", test_damaged_reports);
   g_test_add_func("/protocol/commands", test_commands);
   g_test_add_func("/protocol/cloud", test_cloud);
