--- a/src/fleet/ws-cloud-list.c
+++ b/src/fleet/ws-cloud-list.c
@@ -5,6 +5,7 @@
 
 #include "store/ws-store.h"
 #include "membership/ws-membership.h"
+#include "storage/ws-mark-reasons.h"
 
 #include <string.h>
 
@@ -14,9 +15,6 @@
    returned. */
 #define LIST_LAG_FACTOR 3.0
 
-/* The reason of a mark, as it is stored. */
-#define REASON_FAILED "failed"
-
 struct _WsCloudList {
   gint64 next_call_ms;
   gboolean call_in_flight;
@@ -159,7 +157,7 @@
   if (machine->worker.endpoint == NULL && listed->endpoint != NULL)
     machine->worker.endpoint = g_strdup(listed->endpoint);
   if (listed->failed && !ws_machine_is_up(core, machine))
-    ws_termination_request_mark(core, machine, REASON_FAILED, TRUE);
+    ws_termination_request_mark(core, machine, WS_MARK_FAILED, TRUE);
 }
 
 static void
--- a/src/fleet/ws-consolidation.c
+++ b/src/fleet/ws-consolidation.c
@@ -11,6 +11,7 @@
 #include "membership/ws-membership.h"
 #include "commit/ws-commit.h"
 #include "storage/ws-constraints.h"
+#include "storage/ws-mark-reasons.h"
 
 /* Machines compared with all others in vain in one tick. */
 #define MAX_FAILED_CANDIDATES 4
@@ -21,9 +22,6 @@
 /* How long after the beginning of an epoch machines may be consolidated. */
 #define EPOCH_SETTLING_MS 15000
 
-/* The reason of a mark, as it is stored. */
-#define REASON_CONSOLIDATION "merge"
-
 /* The moves that are planned in one tick. */
 typedef struct {
   WsResources *planned; /* by WsMachineIndex: what moves there */
@@ -130,7 +128,7 @@
   for (guint i = 0; i < machine->tasks->len; i++)
     g_hash_table_add(batch->jobs,
                      GUINT_TO_POINTER(g_array_index(machine->tasks, WsTaskRef, i).job));
-  ws_termination_request_mark(core, machine, REASON_CONSOLIDATION, FALSE);
+  ws_termination_request_mark(core, machine, WS_MARK_CONSOLIDATION, FALSE);
 }
 
 static gboolean
--- a/src/fleet/ws-fleet.c
+++ b/src/fleet/ws-fleet.c
@@ -5,6 +5,7 @@
 
 #include "store/ws-store.h"
 #include "membership/ws-membership.h"
+#include "storage/ws-mark-reasons.h"
 
 #define CATALOG_REFRESH_MS 60000
 #define CATALOG_RETRY_MS 1500
@@ -16,9 +17,6 @@
 #define USED_RATE_SHARE 0.9
 #define BURST_S 2.0
 
-/* The reason of a mark, as it is stored. */
-#define REASON_NEVER_UP "never up"
-
 WsFleet *
 ws_fleet_new(const WsSettings *settings)
 {
@@ -112,7 +110,7 @@
     double boot_s = ws_replica_type(core->replica, machine->type)->boot_s;
     double age_s = (double)(core->wall - machine->rented_ms) / 1000.0;
     if (age_s > BOOT_TIMEOUT_FACTOR * boot_s + BOOT_TIMEOUT_MARGIN_S)
-      ws_termination_request_mark(core, machine, REASON_NEVER_UP, TRUE);
+      ws_termination_request_mark(core, machine, WS_MARK_NEVER_UP, TRUE);
   }
 }
 
--- a/src/fleet/ws-returns.c
+++ b/src/fleet/ws-returns.c
@@ -7,15 +7,13 @@
 #include "store/ws-store.h"
 #include "membership/ws-membership.h"
 #include "commit/ws-releases.h"
+#include "storage/ws-mark-reasons.h"
 
 #include <string.h>
 
 #define MAX_MACHINES_PER_RETURN 100
 #define RETURN_TIMEOUT_MS 4000
 
-/* The reason of a mark, as it is stored. */
-#define REASON_CANCELLED "cancelled"
-
 struct _WsReturns {
   GHashTable *confirmed;   /* names of machines */
   GHashTable *unmarked;    /* names of machines that are or were returned without a mark */
@@ -263,7 +261,7 @@
       g_ptr_array_add(names, g_strdup(name));
     else if (ws_returns_is_confirmed(core, name) && machine->is_recorded
              && !machine->mark_is_immediate && ws_is_active_member(core))
-      ws_termination_request_mark(core, machine, REASON_CANCELLED, TRUE);
+      ws_termination_request_mark(core, machine, WS_MARK_CANCELLED, TRUE);
   }
   send_return(core, names);
 }
--- a/src/fleet/ws-termination.c
+++ b/src/fleet/ws-termination.c
@@ -10,6 +10,7 @@
 
 #include "store/ws-store.h"
 #include "membership/ws-membership.h"
+#include "storage/ws-mark-reasons.h"
 
 #include <string.h>
 
@@ -18,11 +19,6 @@
 /* A machine is faulty once so many jobs have failed there since one last succeeded. */
 #define FAULTY_FAILED_JOBS 2
 
-/* Reasons of marks, as they are stored. */
-#define REASON_IDLE "idle"
-#define REASON_INTERRUPTION "notice"
-#define REASON_FAULTY "faulty"
-
 static const WsBudget *
 budget_for(const WsCore *core, const WsMachine *machine)
 {
@@ -182,7 +178,7 @@
 {
   if (!machine->is_recorded || !ws_is_leader(core))
     return FALSE;
-  return request->immediately || strcmp(request->reason, REASON_INTERRUPTION) == 0
+  return request->immediately || strcmp(request->reason, WS_MARK_INTERRUPTION) == 0
          || budget_allows(core, machine);
 }
 
@@ -265,7 +261,7 @@
   if (core->now - machine->fleet.empty_ms < (gint64)(core->properties->idle_timeout_s * 1000.0))
     return;
   if (ws_termination_is_allowed(core, machine))
-    ws_termination_request_mark(core, machine, REASON_IDLE, FALSE);
+    ws_termination_request_mark(core, machine, WS_MARK_IDLE, FALSE);
 }
 
 static void
@@ -274,9 +270,9 @@
   if (machine->is_marked)
     return;
   if (machine->worker.interruption_ms > 0)
-    ws_termination_request_mark(core, machine, REASON_INTERRUPTION, FALSE);
+    ws_termination_request_mark(core, machine, WS_MARK_INTERRUPTION, FALSE);
   else if (machine->fleet.failed_jobs >= FAULTY_FAILED_JOBS)
-    ws_termination_request_mark(core, machine, REASON_FAULTY, FALSE);
+    ws_termination_request_mark(core, machine, WS_MARK_FAULTY, FALSE);
   else
     mark_if_idle(core, machine);
 }
--- a/src/workers/ws-cancelled-tasks.c
+++ b/src/workers/ws-cancelled-tasks.c
@@ -8,6 +8,7 @@
 
 #include "fleet/ws-fleet.h"
 #include "membership/ws-membership.h"
+#include "storage/ws-mark-reasons.h"
 #include "store/ws-store.h"
 
 #include <string.h>
@@ -192,7 +193,7 @@
     return;
   if (ws_store_is_available(core)) {
     if (ws_is_active_member(core) && machine->is_recorded && !machine->mark_is_immediate)
-      ws_termination_request_mark(core, machine, "cancelled", TRUE);
+      ws_termination_request_mark(core, machine, WS_MARK_CANCELLED, TRUE);
   } else if (share >= RETURN_DEADLINE_SHARE && may_return_unmarked(core)) {
     ws_returns_request_unmarked(core, machine);
   }
