--- /dev/null
+++ b/src/api/ws-admission.h
@@ -0,0 +1,13 @@
+/**
+ * Admission of jobs: whether a job could ever run on this fleet, within its team's limit.
+ */
+#pragma once
+
+#include "context/ws-context.h"
+
+/**
+ * Returns why the job can never run, for its user; NULL: it may. A static string.
+ *
+ * It depends on settings and the cloud's catalog, which must be known.
+ */
+const char *ws_admission_refusal(const WsCore *core, const WsJobSpec *spec);
--- a/src/api/ws-job-api.c
+++ b/src/api/ws-job-api.c
@@ -3,11 +3,11 @@
  * another node may know better.
  */
 #include "api/ws-job-api.h"
+#include "api/ws-admission.h"
 
 #include "store/ws-store.h"
 #include "scheduling/ws-scheduling.h"
 #include "protocol/ws-job-summary.h"
-#include "storage/ws-constraints.h"
 
 #include <string.h>
 
@@ -16,8 +16,6 @@
 #define MAX_BODY_BYTES 65536
 /* How often a request is decided before its user is asked to retry. */
 #define MAX_TRIES 4
-/* What a job's record holds beside its submission. */
-#define JOB_RECORD_OVERHEAD_BYTES 160
 /* Retry-After: after a request that may succeed soon, and while the store is unavailable. */
 #define RETRY_AFTER_S 1
 #define RETRY_AFTER_OUTAGE_S 2
@@ -138,71 +136,6 @@
   }
 }
 
-/* Whether the store takes the job's record, also with what is added to it later. */
-static gboolean
-fits_record(const WsCore *core, const WsJobSpec *spec)
-{
-  g_autoptr(json_t) value = ws_job_spec_encode(spec);
-  g_autofree char *text = ws_json_text(value);
-  return strlen(text) + JOB_RECORD_OVERHEAD_BYTES <= core->settings->state_record_bytes;
-}
-
-/* Whether all tasks of a gang could ever run at once. */
-static gboolean
-can_run_at_once(const WsCore *core, const WsJobSpec *spec)
-{
-  if (spec->kind != WS_KIND_GANG)
-    return TRUE;
-  gboolean is_contradictory = spec->one_zone && spec->spread && spec->tasks > 1;
-  guint tasks_in_chunk = MIN(spec->tasks, WS_CHUNK_TASKS);
-  return !is_contradictory && tasks_in_chunk <= ws_chunk_free_places(NULL, core->replica);
-}
-
-static const WsTeamSettings *
-team_settings(const WsCore *core, WsTeamIndex team)
-{
-  return g_ptr_array_index(core->settings->teams, team);
-}
-
-static gboolean
-is_within_limit(const WsJobSpec *spec, const WsTeamSettings *team)
-{
-  WsResources need = { 0 };
-  ws_resources_add(&need, &spec->need, spec->kind == WS_KIND_ARRAY ? 1 : (gint64)spec->tasks);
-  return ws_team_allows(team, &need);
-}
-
-static gboolean
-fits_some_type(const WsCore *core, const WsJobSpec *spec)
-{
-  for (WsTypeIndex t = 0; t < core->replica->catalog->len; t++) {
-    const WsType *type = ws_replica_type(core->replica, t);
-    if (ws_constraints_allow_type(spec, type) && ws_resources_fit(&spec->need, &type->capacity))
-      return TRUE;
-  }
-  return FALSE;
-}
-
-/* Why the job can never run, or NULL. */
-static const char *
-refusal_reason(const WsCore *core, const WsJobSpec *spec)
-{
-  WsTeamIndex team = ws_replica_find_team(core->replica, spec->team);
-  if (team == WS_NO_TEAM)
-    return "unknown team";
-  if (spec->zone != NULL && ws_replica_find_zone(core->replica, spec->zone) == WS_NO_ZONE)
-    return "unknown zone";
-  if (!fits_some_type(core, spec))
-    return "a task fits no allowed machine type";
-  if (!fits_record(core, spec))
-    return "is longer than the service can store";
-  if (!can_run_at_once(core, spec))
-    return "its tasks can't all run at the same time";
-  if (!is_within_limit(spec, team_settings(core, team)))
-    return "needs more than the team's limit";
-  return NULL;
-}
-
 static void
 accept(WsCore *core, UserRequest *user_request)
 {
@@ -229,7 +162,7 @@
     finish_later(core, user_request);
     return;
   }
-  const char *reason = refusal_reason(core, user_request->spec);
+  const char *reason = ws_admission_refusal(core, user_request->spec);
   /* Another node, of an older version maybe, may have accepted it by its own rules. */
   if (reason != NULL && !user_request->has_read)
     ws_store_linearizable_read(core, on_read, user_request);
