--- a/src/fleet/ws-cloud-list.c
+++ b/src/fleet/ws-cloud-list.c
@@ -10,6 +10,7 @@
 #include <string.h>
 
 #define LIST_TIMEOUT_MS 4000
+#define LIST_PAGE_MACHINES 500u
 /* A machine without a record is taken for one after this multiple of the time by which lists lag
    behind: a list may be older than the one before, and show a machine that an earlier leader
    returned. */
@@ -88,7 +89,7 @@
 fill_rental_batch(WsCore *core, const WsMachine *first, GArray *machines)
 {
   WsRentalBatch *rental_batch = new_rental_batch(core, first);
-  for (guint i = first->index; i < core->replica->machines->len; i++) {
+  for (WsMachineIndex i = first->index; i < core->replica->machines->len; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, i);
     if (!machine->fleet.needs_record || machine->zone != first->zone
         || !is_of_kind(rental_batch, machine)
@@ -112,7 +113,7 @@
   WsTxn *txn = ws_txn_new();
   GArray *machines = g_array_new(FALSE, FALSE, sizeof(WsMachineIndex));
   ws_txn_compare(txn, core->replica, WS_KEY_EPOCH);
-  for (guint i = 0; i < core->replica->machines->len; i++) {
+  for (WsMachineIndex i = 0; i < core->replica->machines->len; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, i);
     if (machine->is_recorded || ws_returns_is_confirmed(core, machine->name))
       machine->fleet.needs_record = FALSE;
@@ -188,8 +189,9 @@
   if (list->call_in_flight || core->now < list->next_call_ms || !ws_fleet_take_call_budget(core))
     return;
   list->call_in_flight = TRUE;
-  g_autofree char *path = list->last_id == NULL
-                              ? g_strdup("/machines?page=500")
-                              : g_strdup_printf("/machines?from=%s&page=500", list->last_id);
+  g_autofree char *path
+      = list->last_id == NULL
+            ? g_strdup_printf("/machines?page=%u", LIST_PAGE_MACHINES)
+            : g_strdup_printf("/machines?from=%s&page=%u", list->last_id, LIST_PAGE_MACHINES);
   ws_call(core, "GET", core->settings->cloud_addr, path, NULL, LIST_TIMEOUT_MS, on_list, NULL);
 }
--- a/src/fleet/ws-consolidation.c
+++ b/src/fleet/ws-consolidation.c
@@ -39,7 +39,7 @@
     if (job->state == WS_JOB_ACTIVE && job->assigned_count + job->completed_count < job->tasks)
       return FALSE;
   }
-  for (guint i = 0; i < core->replica->machines->len; i++) {
+  for (WsMachineIndex i = 0; i < core->replica->machines->len; i++) {
     const WsMachine *machine = ws_replica_machine(core->replica, i);
     if (machine->is_recorded && (machine->is_marked || machine->fleet.mark_is_pending))
       return FALSE;
@@ -97,7 +97,7 @@
 static const WsMachine *
 find_target(const WsCore *core, const Batch *batch, const WsMachine *machine, const WsJob *job)
 {
-  for (guint m = 0; m < core->replica->machines->len; m++) {
+  for (WsMachineIndex m = 0; m < core->replica->machines->len; m++) {
     const WsMachine *target = ws_replica_machine(core->replica, m);
     if (is_target(core, batch, machine, target, job))
       return target;
@@ -158,7 +158,7 @@
 count_recorded(const WsCore *core)
 {
   guint count = 0;
-  for (guint i = 0; i < core->replica->machines->len; i++)
+  for (WsMachineIndex i = 0; i < core->replica->machines->len; i++)
     count += ws_replica_machine(core->replica, i)->is_recorded ? 1 : 0;
   return count;
 }
--- a/src/fleet/ws-fleet.c
+++ b/src/fleet/ws-fleet.c
@@ -103,7 +103,7 @@
   gint64 lease_ms = (gint64)(core->settings->lease_s * 1000.0);
   if (core->now - core->epoch_known_ms < lease_ms)
     return;
-  for (guint i = 0; i < core->replica->machines->len; i++) {
+  for (WsMachineIndex i = 0; i < core->replica->machines->len; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, i);
     if (!is_not_up(core, machine))
       continue;
--- a/src/fleet/ws-headroom.c
+++ b/src/fleet/ws-headroom.c
@@ -57,7 +57,7 @@
 {
   guint max_slots = core->properties->headroom_tasks;
   guint slots = 0;
-  for (guint i = 0; i < core->replica->machines->len && slots < max_slots; i++) {
+  for (WsMachineIndex i = 0; i < core->replica->machines->len && slots < max_slots; i++) {
     const WsMachine *machine = ws_replica_machine(core->replica, i);
     if (machine == except || !is_eligible(core, machine))
       continue;
--- a/src/fleet/ws-rentals.c
+++ b/src/fleet/ws-rentals.c
@@ -16,6 +16,10 @@
 #define RENTAL_RETRY_MS 1500
 #define RENTAL_TIMEOUT_MS 4000
 
+/* Bits of a kind's key: the lowest says whether it is spot. */
+#define KIND_ZONE_SHIFT 1u
+#define KIND_TYPE_SHIFT 16u
+
 /* Until when a kind of machine isn't requested, since the cloud had none. */
 typedef struct {
   gint64 until_ms;
@@ -53,7 +57,7 @@
 static gpointer
 kind_key(WsTypeIndex type, WsZoneIndex zone, gboolean spot)
 {
-  return GUINT_TO_POINTER(type << 16 | zone << 1 | (spot ? 1u : 0u));
+  return GUINT_TO_POINTER(type << KIND_TYPE_SHIFT | zone << KIND_ZONE_SHIFT | (spot ? 1u : 0u));
 }
 
 gboolean
@@ -69,7 +73,7 @@
 backoff_factor(const WsCore *core)
 {
   double kinds = 0.0;
-  for (guint t = 0; core->replica->catalog != NULL && t < core->replica->catalog->len; t++)
+  for (WsTypeIndex t = 0; core->replica->catalog != NULL && t < core->replica->catalog->len; t++)
     kinds += 2.0 * g_strv_length(ws_replica_type(core->replica, t)->zones);
   double per_second = FAILED_RENTALS_WRITE_SHARE * core->settings->state_write_rps;
   double period_ms = 1000.0 * WRITES_PER_RENTAL * kinds / per_second;
--- a/src/fleet/ws-returns.c
+++ b/src/fleet/ws-returns.c
@@ -174,7 +174,7 @@
 finish_returns(WsCore *core)
 {
   g_autoptr(GArray) empty = g_array_new(FALSE, FALSE, sizeof(WsMachineIndex));
-  for (guint i = 0; i < core->replica->machines->len; i++) {
+  for (WsMachineIndex i = 0; i < core->replica->machines->len; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, i);
     if (is_orphaned(core, machine))
       release_tasks(core, machine);
@@ -279,7 +279,7 @@
 return_marked(WsCore *core)
 {
   GPtrArray *names = g_ptr_array_new_with_free_func(g_free);
-  for (guint i = 0; i < core->replica->machines->len; i++) {
+  for (WsMachineIndex i = 0; i < core->replica->machines->len; i++) {
     const WsMachine *machine = ws_replica_machine(core->replica, i);
     if (names->len < MAX_MACHINES_PER_RETURN && is_to_be_returned(core, machine))
       g_ptr_array_add(names, g_strdup(machine->name));
--- a/src/fleet/ws-termination.c
+++ b/src/fleet/ws-termination.c
@@ -45,7 +45,7 @@
   guint total = 0, unavailable = 0;
   if (budget == NULL)
     return TRUE;
-  for (guint i = 0; i < core->replica->machines->len; i++) {
+  for (WsMachineIndex i = 0; i < core->replica->machines->len; i++) {
     const WsMachine *other = ws_replica_machine(core->replica, i);
     if (!other->is_recorded || other == machine || other->zone != machine->zone
         || g_strcmp0(other->type_name, machine->type_name) != 0)
@@ -280,7 +280,7 @@
 void
 ws_termination_tick(WsCore *core)
 {
-  for (guint i = 0; i < core->replica->machines->len; i++) {
+  for (WsMachineIndex i = 0; i < core->replica->machines->len; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, i);
     /* Also on machines that this node no longer owns: one that had requested a mark and then led
        refused all other requests for that machine, and it was never returned. */
