--- a/src/workers/ws-launch.c
+++ b/src/workers/ws-launch.c
@@ -47,8 +47,8 @@
     const Launch *launch = &g_array_index(launches, Launch, i);
     WsTaskRef ref = { launch->job, launch->task };
     g_array_append_val(tasks, ref);
-    g_info("task %s/%u goes to %s", ws_replica_job(core->replica, launch->job)->id, launch->task,
-           machine->name);
+    g_info("task %s/%u is assigned to %s", ws_replica_job(core->replica, launch->job)->id,
+           launch->task, machine->name);
   }
   ws_worker_rpc_launch(core, machine, tasks);
   return i;
