--- a/src/fleet/ws-fleet-private.h
+++ b/src/fleet/ws-fleet-private.h
@@ -32,6 +32,13 @@
 /** Takes one call to the cloud from its rate limit; FALSE: none is left now. */
 gboolean ws_fleet_take_call_budget(WsCore *core);
 
+/**
+ * Doubles a back-off within the limits of the properties.
+ *
+ * @backoff_ms: the one before; 0: there was none, and the shortest is returned
+ */
+guint ws_fleet_next_backoff_ms(const WsCore *core, guint backoff_ms);
+
 /** Sends rental intents to the cloud; only the leader calls it. */
 void ws_rentals_tick(WsCore *core);
 
--- a/src/fleet/ws-fleet.c
+++ b/src/fleet/ws-fleet.c
@@ -46,6 +46,14 @@
   return ws_rate_take(&core->fleet->calls, 1.0, core->now);
 }
 
+guint
+ws_fleet_next_backoff_ms(const WsCore *core, guint backoff_ms)
+{
+  guint min_ms = (guint)(core->properties->backoff_min_s * 1000.0);
+  guint max_ms = (guint)(core->properties->backoff_max_s * 1000.0);
+  return CLAMP(backoff_ms * 2, min_ms, max_ms);
+}
+
 static void
 on_catalog_stored(WsCore *core, WsTxnResult result, gpointer data)
 {
--- a/src/fleet/ws-returns.c
+++ b/src/fleet/ws-returns.c
@@ -211,9 +211,7 @@
     for (guint i = 0; i < names->len; i++)
       note_returned(core, g_ptr_array_index(names, i));
   } else {
-    guint min_ms = (guint)(core->properties->backoff_min_s * 1000.0);
-    guint max_ms = (guint)(core->properties->backoff_max_s * 1000.0);
-    returns->backoff_ms = CLAMP(returns->backoff_ms * 2, min_ms, max_ms);
+    returns->backoff_ms = ws_fleet_next_backoff_ms(core, returns->backoff_ms);
     returns->next_call_ms = core->now + returns->backoff_ms;
     g_info("scale in: the cloud refused a return (status %u): retry in %u ms", status,
            returns->backoff_ms);
--- a/src/fleet/ws-termination.c
+++ b/src/fleet/ws-termination.c
@@ -226,14 +226,12 @@
     return TRUE;
   if (core->now < machine->fleet.stop_after_ms)
     return FALSE;
-  guint min_ms = (guint)(core->properties->backoff_min_s * 1000.0);
-  guint max_ms = (guint)(core->properties->backoff_max_s * 1000.0);
   if (job->assigned_count == job->tasks) {
     machine->fleet.stop_backoff_ms = 0;
-    machine->fleet.stop_after_ms = core->now + min_ms;
+    machine->fleet.stop_after_ms = core->now + (gint64)(core->properties->backoff_min_s * 1000.0);
     return TRUE;
   }
-  machine->fleet.stop_backoff_ms = CLAMP(machine->fleet.stop_backoff_ms * 2, min_ms, max_ms);
+  machine->fleet.stop_backoff_ms = ws_fleet_next_backoff_ms(core, machine->fleet.stop_backoff_ms);
   machine->fleet.stop_after_ms = core->now + machine->fleet.stop_backoff_ms;
   g_debug("the stop of a task of %s on %s backs off for %u ms", job->id, machine->name,
           machine->fleet.stop_backoff_ms);
