--- a/src/fleet/ws-fleet-private.h
+++ b/src/fleet/ws-fleet-private.h
@@ -18,6 +18,7 @@
   WsReturns *returns;
   WsCloudList *cloud_list;
   WsTermination *termination;
+  gboolean is_clearing_marks; /* a transaction that does is in flight */
 };
 
 WsRentals *ws_rentals_new(void);
@@ -46,9 +47,18 @@
 void ws_rentals_note_capacity(WsCore *core, WsTypeIndex type, WsZoneIndex zone, gboolean spot,
                               gboolean enough);
 
-/** Returns marked machines and clears marks; only the leader calls it. */
+/** Returns marked machines and cleans up after returned ones; only the leader calls it. */
 void ws_returns_tick(WsCore *core);
 
+/**
+ * Whether the replica has all that was assigned to the marked machine, so that it is empty if no
+ * task is known there.
+ */
+gboolean ws_returns_knows_assignments(const WsCore *core, const WsMachine *machine);
+
+/** Releases the tasks of returned machines, and clears the marks of those that are empty. */
+void ws_mark_cleanup_tick(WsCore *core);
+
 /** Returns what was requested unmarked, and marks it as soon as that is possible; on every node. */
 void ws_returns_tick_unmarked(WsCore *core);
 
