--- a/src/commit/ws-legacy-releases.c
+++ b/src/commit/ws-legacy-releases.c
@@ -1,7 +1,7 @@
 /* Hints of versions before 0.4 that an attempt is gone, and how they are confirmed. */
 #include "commit/ws-commit.h"
 
-#include <string.h>
+#include "storage/ws-mark-reasons.h"
 
 #define STATUS_TIMEOUT_MS 1000
 #define STATUS_RETRY_MS 1500
@@ -71,9 +71,9 @@
 on_status(WsCore *core, guint status, const json_t *body, gpointer data)
 {
   const WsMachine *machine = ws_replica_machine(core->replica, GPOINTER_TO_UINT(data));
-  g_autoptr(WsHeartbeat) heartbeat = status == 200 ? ws_heartbeat_parse(body, NULL) : NULL;
-  if (heartbeat == NULL || strcmp(heartbeat->machine, machine->name) != 0
-      || heartbeat->fencing_token != core->replica->epoch.number || !ws_is_leader(core))
+  g_autoptr(WsHeartbeat) heartbeat = ws_heartbeat_parse_status_reply(status, body, machine->name);
+  if (heartbeat == NULL || heartbeat->fencing_token != core->replica->epoch.number
+      || !ws_is_leader(core))
     return;
   const GArray *hints = core->legacy_releases->hints;
   for (guint i = 0; i < hints->len; i++) {
@@ -115,7 +115,7 @@
     hint->since_ms = core->now;
   hint->last_ms = core->now;
   if ((double)(core->now - hint->since_ms) > core->settings->lease_s * 1000.0)
-    core->handlers->request_termination(core, machine, "unproven", TRUE);
+    core->handlers->request_termination(core, machine, WS_MARK_REASON_LEGACY_RELEASE, TRUE);
   else
     probe_worker(core, hint, machine);
 }
--- a/src/context/ws-context.h
+++ b/src/context/ws-context.h
@@ -26,14 +26,10 @@
 typedef struct _WsFailureDetector WsFailureDetector;
 typedef struct _WsAssignments WsAssignments;
 typedef struct _WsFleet WsFleet;
-typedef struct _WsRentals WsRentals;
-typedef struct _WsReturns WsReturns;
-typedef struct _WsCloudList WsCloudList;
 typedef struct _WsPlan WsPlan;
 typedef struct _WsPeerRequests WsPeerRequests;
-typedef struct _WsTermination WsTermination;
 typedef struct _WsCancellations WsCancellations;
-typedef struct _WsCancelledTasks WsCancelledTasks;
+typedef struct _WsWorkers WsWorkers;
 typedef struct _WsReservations WsReservations;
 typedef struct _WsWriteStats WsWriteStats;
 typedef struct _WsLegacyReleases WsLegacyReleases;
@@ -113,17 +109,12 @@
   WsEstimator *estimator;
   WsGarbage *garbage;
   WsFleet *fleet;
-  WsRentals *rentals;
-  WsReturns *returns;
-  WsCloudList *cloud_list;
-  WsTermination *termination;
-  WsCancelledTasks *cancelled_tasks;
+  WsWorkers *workers;
   WsPlan *plan;
   WsReservations *reservations;
 
   /* Shared between packages. */
   gboolean replan_is_needed;     /**< something has changed that planning depends on */
-  guint rpcs_in_flight;          /**< command RPCs to workers without a reply */
   gint64 next_reconciliation_ms; /**< when the next periodic reconciliation is due */
 };
 
--- a/src/core/ws-core.c
+++ b/src/core/ws-core.c
@@ -1,7 +1,7 @@
 /* The core: connects the packages, and takes each input through them in a fixed order. */
 #include "core/ws-core.h"
 
-#include "api/ws-users.h"
+#include "api/ws-job-api.h"
 #include "commit/ws-commit.h"
 #include "fleet/ws-fleet.h"
 #include "membership/ws-membership.h"
@@ -54,14 +54,10 @@
   core->failure_detector = ws_failure_detector_new(settings);
   core->assignments = ws_assignments_new();
   core->fleet = ws_fleet_new(settings);
-  core->rentals = ws_rentals_new();
-  core->returns = ws_returns_new();
-  core->cloud_list = ws_cloud_list_new();
   core->plan = ws_plan_new();
   core->peer_requests = ws_peer_requests_new(settings);
-  core->termination = ws_termination_new();
   core->cancellations = ws_cancellations_new(settings);
-  core->cancelled_tasks = ws_cancelled_tasks_new();
+  core->workers = ws_workers_new();
   core->reservations = ws_reservations_new();
   core->write_stats = ws_write_stats_new();
   core->legacy_releases = ws_legacy_releases_new();
@@ -91,14 +87,10 @@
   ws_failure_detector_free(core->failure_detector);
   ws_assignments_free(core->assignments);
   ws_fleet_free(core->fleet);
-  ws_rentals_free(core->rentals);
-  ws_returns_free(core->returns);
-  ws_cloud_list_free(core->cloud_list);
   ws_plan_free(core->plan);
   ws_peer_requests_free(core->peer_requests, core->settings);
-  ws_termination_free(core->termination);
   ws_cancellations_free(core->cancellations);
-  ws_cancelled_tasks_free(core->cancelled_tasks);
+  ws_workers_free(core->workers);
   ws_reservations_free(core->reservations);
   ws_write_stats_free(core->write_stats);
   ws_legacy_releases_free(core->legacy_releases);
@@ -248,7 +240,7 @@
   else if (strcmp(path, PATH_HEARTBEAT) == 0)
     handle_heartbeat(core, method, body, length, request);
   else
-    ws_users_request(core, method, path, body, length, request);
+    ws_job_api_handle_request(core, method, path, body, length, request);
 }
 
 void
--- a/src/membership/ws-failure-detector.c
+++ b/src/membership/ws-failure-detector.c
@@ -6,8 +6,6 @@
 
 #include "storage/ws-mark-reasons.h"
 
-#include <string.h>
-
 #define PROBE_INTERVAL_MS 600
 #define PROBE_TIMEOUT_MS 500
 #define MAX_PROBES_IN_FLIGHT 32
@@ -53,12 +51,11 @@
 on_probe_answered(WsCore *core, guint status, const json_t *body, gpointer data)
 {
   WsMachine *machine = ws_replica_machine(core->replica, GPOINTER_TO_UINT(data));
-  g_autoptr(WsHeartbeat) heartbeat = status == 200 ? ws_heartbeat_parse(body, NULL) : NULL;
+  g_autoptr(WsHeartbeat) heartbeat = ws_heartbeat_parse_status_reply(status, body, machine->name);
   core->failure_detector->probes_in_flight--;
   /* An answer older than what is known is not from the machine that was known: it has begun anew.
    */
-  if (heartbeat == NULL || strcmp(heartbeat->machine, machine->name) != 0
-      || !ws_owns_machine(core, machine)
+  if (heartbeat == NULL || !ws_owns_machine(core, machine)
       || !core->handlers->note_worker_status(core, machine, heartbeat)) {
     machine->worker.failed_probes++;
     return;
--- a/src/protocol/ws-heartbeat.c
+++ b/src/protocol/ws-heartbeat.c
@@ -10,6 +10,10 @@
 /* A name is part of keys and paths. */
 #define NOT_IN_MACHINE_NAMES " /"
 
+/* HTTP statuses of a worker's answer: carried out, and refused as outdated. */
+#define STATUS_OK 200
+#define STATUS_CONFLICT 409
+
 static gboolean
 parse_task_name(const char *name, char **job, guint *task)
 {
@@ -151,6 +155,27 @@
   return g_steal_pointer(&heartbeat);
 }
 
+static WsHeartbeat *
+parse_status_of(const json_t *body, const char *machine)
+{
+  g_autoptr(WsHeartbeat) heartbeat = ws_heartbeat_parse(body, NULL);
+  if (heartbeat == NULL || strcmp(heartbeat->machine, machine) != 0)
+    return NULL;
+  return g_steal_pointer(&heartbeat);
+}
+
+WsHeartbeat *
+ws_heartbeat_parse_status_reply(guint status, const json_t *body, const char *machine)
+{
+  return status == STATUS_OK ? parse_status_of(body, machine) : NULL;
+}
+
+WsHeartbeat *
+ws_heartbeat_parse_command_reply(guint status, const json_t *body, const char *machine)
+{
+  return status == STATUS_OK || status == STATUS_CONFLICT ? parse_status_of(body, machine) : NULL;
+}
+
 const WsTaskStatus *
 ws_heartbeat_find_task(const WsHeartbeat *heartbeat, const char *job, guint task, guint64 attempt)
 {
--- a/src/protocol/ws-heartbeat.h
+++ b/src/protocol/ws-heartbeat.h
@@ -61,6 +61,21 @@
 const WsTaskStatus *ws_heartbeat_find_task(const WsHeartbeat *heartbeat, const char *job,
                                            guint task, guint64 attempt);
 
+/**
+ * Reads the answer of a machine's worker to a call for its status.
+ *
+ * Returns NULL if the answer isn't one (@status is 0: none came), is malformed, or is another
+ * machine's, as after an address has passed on.
+ */
+WsHeartbeat *ws_heartbeat_parse_status_reply(guint status, const json_t *body, const char *machine);
+
+/**
+ * Reads the answer of a machine's worker to commands. A refusal, for an outdated fencing token or
+ * incarnation, carries the worker's status too; otherwise as ws_heartbeat_parse_status_reply().
+ */
+WsHeartbeat *ws_heartbeat_parse_command_reply(guint status, const json_t *body,
+                                              const char *machine);
+
 /** The operations of commands. */
 typedef enum {
   WS_OP_LAUNCH,
--- a/src/scheduling/ws-demand.c
+++ b/src/scheduling/ws-demand.c
@@ -50,14 +50,6 @@
   }
 }
 
-static gboolean
-is_booting(const WsCore *core, const WsMachine *machine)
-{
-  double age_s = (double)(core->wall - machine->rented_ms) / 1000.0;
-  return machine->worker.heard_ms == 0
-         && age_s < 1.6 * ws_replica_type(core->replica, machine->type)->boot_s;
-}
-
 static void
 add_machine(WsDemand *demand, const WsMachine *machine)
 {
@@ -66,7 +58,7 @@
   /* Nobody hears of a machine that comes up behind a partition. */
   if (machine->is_marked || ws_zone_is_partitioned(core, machine->zone))
     return;
-  if (is_booting(core, machine))
+  if (ws_machine_is_booting(core, machine))
     add_virtual(demand, WS_VIRTUAL_BOOTING, machine->type, machine->zone, machine->spot,
                 &ws_replica_type(core->replica, machine->type)->capacity);
   else if (ws_machine_is_up(core, machine))
@@ -175,65 +167,16 @@
   return FALSE;
 }
 
-/* Places for one more critical task on ordinary machines, up to what is enough: free ones, and
-   those of arrays, which may be stopped for it. */
-static guint
-count_places(const WsCore *core, const WsResources *need, const WsMachine *without, guint enough)
-{
-  const WsReplica *replica = core->replica;
-  guint places = 0;
-  for (guint i = 0; i < replica->machines->len && places < enough; i++) {
-    const WsMachine *machine = ws_replica_machine(replica, i);
-    if (machine == without || !machine->is_recorded || machine->is_marked || machine->spot
-        || machine->type == WS_NO_TYPE || machine->zone == WS_NO_ZONE
-        || !(is_booting(core, machine) || ws_machine_is_up(core, machine)))
-      continue;
-    WsResources room = ws_replica_type(replica, machine->type)->capacity;
-    for (guint k = 0; k < machine->tasks->len; k++) {
-      const WsJob *job = ws_replica_job(replica, g_array_index(machine->tasks, WsTaskRef, k).job);
-      if (job->spec->kind == WS_KIND_SERVICE)
-        ws_resources_add(&room, &job->spec->need, -1);
-    }
-    for (; ws_resources_fit(need, &room) && places < enough; places++)
-      ws_resources_add(&room, need, -1);
-  }
-  return places;
-}
-
-/* A critical job that stands for the next one: the largest open one. */
-static const WsJob *
-typical_critical(const WsReplica *replica)
-{
-  const WsJob *largest = NULL;
-  for (guint i = 0; i < replica->active->len; i++) {
-    const WsJob *job = g_ptr_array_index(replica->active, i);
-    if (job->spec->priority == WS_CRITICAL && job->state == WS_JOB_ACTIVE
-        && (largest == NULL || job->spec->need.gpus > largest->spec->need.gpus))
-      largest = job;
-  }
-  return largest;
-}
-
-gboolean
-ws_headroom_remains_without(const WsCore *core, const WsMachine *machine)
-{
-  const WsJob *job = typical_critical(core->replica);
-  if (job == NULL || core->properties->headroom_tasks == 0)
-    return TRUE;
-  return count_places(core, &job->spec->need, machine, core->properties->headroom_tasks)
-         >= core->properties->headroom_tasks;
-}
-
 /* Critical jobs can't wait for a machine to boot, so some slots for them are always kept. */
 static void
 add_headroom(WsDemand *demand)
 {
   const WsCore *core = demand->core;
-  const WsJob *job = typical_critical(core->replica);
+  const WsJob *job = ws_headroom_job(core->replica);
   if (job == NULL)
     return;
   guint wanted = core->properties->headroom_tasks;
-  guint slots = count_places(core, &job->spec->need, NULL, wanted);
+  guint slots = ws_headroom_count_slots(core, &job->spec->need, NULL);
   for (guint i = 0; i < demand->machines->len && slots < wanted; i++) {
     WsVirtualMachine *machine = ws_demand_machine(demand, i);
     if (machine->source == WS_VIRTUAL_ORDERED && !machine->is_spot)
--- a/src/scheduling/ws-scheduling.h
+++ b/src/scheduling/ws-scheduling.h
@@ -42,9 +42,6 @@
 /** How many machines all these plans have examined: the cost of planning. */
 guint64 ws_plan_machines_examined(const WsCore *core);
 
-/** Whether the headroom that is kept for critical jobs is there without the machine too. */
-gboolean ws_headroom_remains_without(const WsCore *core, const WsMachine *machine);
-
 /*
  * Gangs: jobs whose tasks run at the same time or not at all
  *
--- a/tests/test-peer-messages.c
+++ b/tests/test-peer-messages.c
@@ -156,6 +156,25 @@
   g_assert_false(ws_relay_message_parse(body, &message));
 }
 
+/* An envelope that lacks a field is malformed; the heartbeat is passed on as it came. */
+static void
+test_relay_lacks_field(void)
+{
+  static const char HEARTBEAT[] = "{\"stroj\":\"m-000231\",\"kusy\":[]}";
+  WsRelayMessage relay = { 7, "node-2", HEARTBEAT }, parsed;
+  g_autoptr(json_t) message = ws_relay_message_encode(&relay);
+  g_assert_true(ws_relay_message_parse(message, &parsed));
+  g_assert_cmpuint(parsed.epoch, ==, 7);
+  g_assert_cmpstr(parsed.owner, ==, "node-2");
+  g_assert_cmpstr(parsed.heartbeat, ==, HEARTBEAT);
+  static const char *const FIELDS[] = { "epoch", "owner", "report" };
+  for (guint i = 0; i < G_N_ELEMENTS(FIELDS); i++) {
+    g_autoptr(json_t) damaged = json_copy(message);
+    json_object_del(damaged, FIELDS[i]);
+    g_assert_false(ws_relay_message_parse(damaged, &parsed));
+  }
+}
+
 /* Peer requests. */
 
 static WsPeerRequest *
@@ -299,6 +318,7 @@
   g_test_add_func("/peer-messages/cancellations", test_cancellations);
   g_test_add_func("/peer-messages/cancellations-malformed", test_cancellations_malformed);
   g_test_add_func("/peer-messages/relay", test_relay);
+  g_test_add_func("/peer-messages/relay-lacks-field", test_relay_lacks_field);
   g_test_add_func("/peer-messages/requests-encode", test_requests_encode);
   g_test_add_func("/peer-messages/requests-parse", test_requests_parse);
   g_test_add_func("/peer-messages/mailbox", test_mailbox);
--- a/tests/test-protocol.c
+++ b/tests/test-protocol.c
@@ -1,5 +1,6 @@
 #include "protocol/ws-cloud.h"
 #include "protocol/ws-heartbeat.h"
+#include "protocol/ws-job-summary.h"
 #include "protocol/ws-settings.h"
 #include "ws-site.h"
 #include "ws-gen.h"
@@ -118,6 +119,76 @@
   g_assert_cmpint(g_array_index(report->tasks, WsTaskStatus, 1).why, ==, WS_EXIT_DONE);
 }
 
+/* Which answers of a worker count as its status: a refusal does only as the answer to commands. */
+static void
+test_worker_replies(void)
+{
+  static const struct {
+    guint status;
+    const char *machine;
+    gboolean is_status_reply;
+    gboolean is_command_reply;
+  } CASES[] = { { 200, "m-000231", TRUE, TRUE },   { 409, "m-000231", FALSE, TRUE },
+                { 0, "m-000231", FALSE, FALSE },   { 503, "m-000231", FALSE, FALSE },
+                { 200, "m-000232", FALSE, FALSE }, { 409, "m-000232", FALSE, FALSE } };
+  g_autoptr(json_t) body = ws_json_parse(REPORT, strlen(REPORT));
+  for (guint i = 0; i < G_N_ELEMENTS(CASES); i++) {
+    g_autoptr(WsHeartbeat) status
+        = ws_heartbeat_parse_status_reply(CASES[i].status, body, CASES[i].machine);
+    g_autoptr(WsHeartbeat) command
+        = ws_heartbeat_parse_command_reply(CASES[i].status, body, CASES[i].machine);
+    g_assert_true((status != NULL) == CASES[i].is_status_reply);
+    g_assert_true((command != NULL) == CASES[i].is_command_reply);
+  }
+  g_assert_null(ws_heartbeat_parse_status_reply(200, NULL, "m-000231"));
+}
+
+static void
+test_job_summary(void)
+{
+  static const struct {
+    WsUserState state;
+    gboolean with_tasks;
+    const char *text;
+  } CASES[] = { { WS_USER_STATE_QUEUED, FALSE, "{\"id\":\"j\",\"stav\":\"queued\"}" },
+                { WS_USER_STATE_RUNNING, TRUE,
+                  "{\"id\":\"j\",\"stav\":\"running\",\"done\":3,\"running\":2}" },
+                { WS_USER_STATE_DONE, FALSE, "{\"id\":\"j\",\"stav\":\"done\"}" },
+                { WS_USER_STATE_CANCELLED, FALSE, "{\"id\":\"j\",\"stav\":\"cancelled\"}" } };
+  for (guint i = 0; i < G_N_ELEMENTS(CASES); i++) {
+    WsJobSummary summary = { "j", CASES[i].state, 3, 2 };
+    g_autoptr(json_t) message = ws_job_summary_encode(&summary, CASES[i].with_tasks);
+    g_autofree char *text = ws_json_text(message);
+    g_assert_cmpstr(text, ==, CASES[i].text);
+  }
+}
+
+static void
+test_rental_replies(void)
+{
+  static const struct {
+    guint status;
+    const char *body;
+    WsRentalResult result;
+  } CASES[] = { { 200, "{\"stroje\":[\"m-1\",\"m-2\"]}", WS_RENTAL_RENTED },
+                { 200, "{\"stroje\":[1]}", WS_RENTAL_FAILED },
+                { 200, "{}", WS_RENTAL_FAILED },
+                { 400, "{}", WS_RENTAL_REFUSED },
+                { 503, "{\"error\":\"no capacity\"}", WS_RENTAL_NO_CAPACITY },
+                { 503, "{\"error\":\"down\"}", WS_RENTAL_FAILED },
+                { 503, "", WS_RENTAL_FAILED },
+                { 500, "{\"error\":\"no capacity\"}", WS_RENTAL_FAILED },
+                { 0, "", WS_RENTAL_FAILED } };
+  for (guint i = 0; i < G_N_ELEMENTS(CASES); i++) {
+    g_autoptr(json_t) body = ws_json_parse(CASES[i].body, strlen(CASES[i].body));
+    g_autoptr(GPtrArray) names = NULL;
+    g_assert_cmpint(ws_rental_reply_parse(CASES[i].status, body, &names), ==, CASES[i].result);
+    g_assert_true((names != NULL) == (CASES[i].result == WS_RENTAL_RENTED));
+    if (names != NULL)
+      g_assert_cmpuint(names->len, ==, 2);
+  }
+}
+
 /* Bytes changed at random never crash the reader. */
 static void
 report_damaged(GRand *rand)
@@ -247,6 +318,9 @@
   g_test_add_func("/protocol/submission-edges", test_submission_edges);
   g_test_add_func("/protocol/amounts", test_amounts);
   g_test_add_func("/protocol/report", test_report);
+  g_test_add_func("/protocol/worker-replies", test_worker_replies);
+  g_test_add_func("/protocol/job-summary", test_job_summary);
+  g_test_add_func("/protocol/rental-replies", test_rental_replies);
   g_test_add_func("/protocol/damaged-reports", test_damaged_reports);
   g_test_add_func("/protocol/commands", test_commands);
   g_test_add_func("/protocol/cloud", test_cloud);
