--- a/tests/sim/trace.h
+++ b/tests/sim/trace.h
@@ -10,6 +10,6 @@
 
 #include "core/ws-core.h"
 
-/** Writes one line, if a trace is wanted. @method, @url: of the request that an answer is for. */
+/** Writes one line, if a trace is wanted; with the method and URL of the request of an answer. */
 void sim_trace_output(gint64 now_ms, const char *node, const char *method, const char *url,
                       const WsOutput *output);
