--- a/tests/test-combined-faults.c
+++ b/tests/test-combined-faults.c
@@ -2,6 +2,7 @@
    world that checks the rules from outside, and pairs and triples of troubles drawn by a generator.
  */
 #include "sim/troubles.h"
+#include "ws-suite.h"
 
 #include <glib/gstdio.h>
 
@@ -545,11 +546,23 @@
   g_assert_cmpmem(first, first_length, second, second_length);
 }
 
+static const WsTest TESTS[] = {
+  { "/combined-faults/mute-is-unused", test_mute_is_unused },
+  { "/combined-faults/objects-twice", test_objects_twice },
+  { "/combined-faults/objects-quota", test_objects_quota },
+  { "/combined-faults/objects-place", test_objects_place },
+  { "/combined-faults/objects-cancelled", test_objects_cancelled },
+  { "/combined-faults/objects-forgotten", test_objects_forgotten },
+  { "/combined-faults/waits-beside-room", test_waits_beside_room },
+  { "/combined-faults/drawn", test_drawn },
+  { "/combined-faults/trace/repeats", test_trace_repeats },
+  { "/combined-faults/trace/subprocess/days", play_traced_days },
+};
+
 int
 main(int argc, char **argv)
 {
-  g_test_init(&argc, &argv, NULL);
-  g_log_set_always_fatal(G_LOG_LEVEL_ERROR);
+  ws_suite_init(&argc, &argv);
   for (gsize i = 0; i < G_N_ELEMENTS(GAPS); i++) {
     g_autofree char *path = g_strconcat("/combined-faults/gap/", GAPS[i].name, NULL);
     g_test_add_data_func(path, &GAPS[i], test_gap);
@@ -558,15 +571,6 @@
     g_autofree char *path = g_strconcat("/combined-faults/", COMBINED_FAULTS[i].name, NULL);
     g_test_add_data_func(path, &COMBINED_FAULTS[i], test_combined_faults);
   }
-  g_test_add_func("/combined-faults/mute-is-unused", test_mute_is_unused);
-  g_test_add_func("/combined-faults/objects-twice", test_objects_twice);
-  g_test_add_func("/combined-faults/objects-quota", test_objects_quota);
-  g_test_add_func("/combined-faults/objects-place", test_objects_place);
-  g_test_add_func("/combined-faults/objects-cancelled", test_objects_cancelled);
-  g_test_add_func("/combined-faults/objects-forgotten", test_objects_forgotten);
-  g_test_add_func("/combined-faults/waits-beside-room", test_waits_beside_room);
-  g_test_add_func("/combined-faults/drawn", test_drawn);
-  g_test_add_func("/combined-faults/trace/repeats", test_trace_repeats);
-  g_test_add_func("/combined-faults/trace/subprocess/days", play_traced_days);
+  ws_suite_add(TESTS, G_N_ELEMENTS(TESTS));
   return g_test_run();
 }
--- a/tests/test-core.c
+++ b/tests/test-core.c
@@ -1,6 +1,7 @@
 /* Whole controllers in a simulated world: generated schedules of faults, with the rules checked at
    every start of a task and every answer to a user. */
 #include "sim/sim.h"
+#include "ws-suite.h"
 
 static void
 submit_some(Sim *sim, guint count)
@@ -427,23 +428,26 @@
   }
 }
 
+static const WsTest TESTS[] = {
+  { "/core/quiet", test_quiet },
+  { "/core/budget", test_budget },
+  { "/core/cut-zone", test_cut_zone },
+  { "/core/large", test_large },
+  { "/core/rough", test_rough },
+  { "/core/unfinished-mark", test_unfinished_mark },
+  { "/core/rough-paces", test_rough_paces },
+  { "/core/crash-twice", test_crash_twice },
+  { "/core/alone", test_alone },
+  { "/core/zone-alone", test_zone_alone },
+  { "/core/deaf", test_deaf },
+  { "/core/begun", test_begun },
+  { "/core/served", test_served },
+};
+
 int
 main(int argc, char **argv)
 {
-  g_test_init(&argc, &argv, NULL);
-  g_log_set_always_fatal(G_LOG_LEVEL_ERROR);
-  g_test_add_func("/core/quiet", test_quiet);
-  g_test_add_func("/core/budget", test_budget);
-  g_test_add_func("/core/cut-zone", test_cut_zone);
-  g_test_add_func("/core/large", test_large);
-  g_test_add_func("/core/rough", test_rough);
-  g_test_add_func("/core/unfinished-mark", test_unfinished_mark);
-  g_test_add_func("/core/rough-paces", test_rough_paces);
-  g_test_add_func("/core/crash-twice", test_crash_twice);
-  g_test_add_func("/core/alone", test_alone);
-  g_test_add_func("/core/zone-alone", test_zone_alone);
-  g_test_add_func("/core/deaf", test_deaf);
-  g_test_add_func("/core/begun", test_begun);
-  g_test_add_func("/core/served", test_served);
+  ws_suite_init(&argc, &argv);
+  ws_suite_add(TESTS, G_N_ELEMENTS(TESTS));
   return g_test_run();
 }
--- a/tests/test-evidence.c
+++ b/tests/test-evidence.c
@@ -6,6 +6,7 @@
 #include "sim/rig.h"
 #include "sim/troubles.h"
 #include "ws-site.h"
+#include "ws-suite.h"
 
 #define NEW_EPOCH_S 1.5
 #define WRITE_S 2.0
@@ -609,25 +610,28 @@
   sim_play_seeds(3000, 5, flapping_day);
 }
 
+static const WsTest TESTS[] = {
+  { "/evidence/pending-over-an-epoch", test_pending_over_an_epoch },
+  { "/evidence/bare-pending-over-an-epoch", test_bare_pending_over_an_epoch },
+  { "/evidence/from-former-owner", test_from_former_owner },
+  { "/evidence/bare-from-former-owner", test_bare_from_former_owner },
+  { "/evidence/new-session-before-the-write", test_new_session_before_the_write },
+  { "/evidence/same-owner-over-an-epoch", test_same_owner_over_an_epoch },
+  { "/evidence/no-launch-behind-own-epoch", test_no_launch_behind_own_epoch },
+  { "/evidence/no-halt-behind-own-epoch", test_no_halt_behind_own_epoch },
+  { "/evidence/returned-over-epochs", test_returned_over_epochs },
+  { "/evidence/bare-of-the-only-owner", test_bare_of_the_only_owner },
+  { "/evidence/bare-confirmed-by-worker", test_bare_confirmed_by_worker },
+  { "/evidence/bare-is-not-lost", test_bare_is_not_lost },
+  { "/evidence/histories", test_histories },
+  { "/evidence/round-trip", test_round_trip },
+  { "/evidence/flapping", test_flapping },
+};
+
 int
 main(int argc, char **argv)
 {
-  g_test_init(&argc, &argv, NULL);
-  g_log_set_always_fatal(G_LOG_LEVEL_ERROR);
-  g_test_add_func("/evidence/pending-over-an-epoch", test_pending_over_an_epoch);
-  g_test_add_func("/evidence/bare-pending-over-an-epoch", test_bare_pending_over_an_epoch);
-  g_test_add_func("/evidence/from-former-owner", test_from_former_owner);
-  g_test_add_func("/evidence/bare-from-former-owner", test_bare_from_former_owner);
-  g_test_add_func("/evidence/new-session-before-the-write", test_new_session_before_the_write);
-  g_test_add_func("/evidence/same-owner-over-an-epoch", test_same_owner_over_an_epoch);
-  g_test_add_func("/evidence/no-launch-behind-own-epoch", test_no_launch_behind_own_epoch);
-  g_test_add_func("/evidence/no-halt-behind-own-epoch", test_no_halt_behind_own_epoch);
-  g_test_add_func("/evidence/returned-over-epochs", test_returned_over_epochs);
-  g_test_add_func("/evidence/bare-of-the-only-owner", test_bare_of_the_only_owner);
-  g_test_add_func("/evidence/bare-confirmed-by-worker", test_bare_confirmed_by_worker);
-  g_test_add_func("/evidence/bare-is-not-lost", test_bare_is_not_lost);
-  g_test_add_func("/evidence/histories", test_histories);
-  g_test_add_func("/evidence/round-trip", test_round_trip);
-  g_test_add_func("/evidence/flapping", test_flapping);
+  ws_suite_init(&argc, &argv);
+  ws_suite_add(TESTS, G_N_ELEMENTS(TESTS));
   return g_test_run();
 }
--- a/tests/test-gangs.c
+++ b/tests/test-gangs.c
@@ -3,6 +3,7 @@
 #include "storage/ws-gang-phase.h"
 #include "sim/rig.h"
 #include "sim/troubles.h"
+#include "ws-suite.h"
 
 #include <string.h>
 
@@ -534,28 +535,31 @@
   rig_free(rig);
 }
 
+static const WsTest TESTS[] = {
+  { "/gangs/phase", test_phase },
+  { "/gangs/refusals", test_refusals },
+  { "/gangs/halts-at-loss", test_halts_at_loss },
+  { "/gangs/one-done-is-all", test_one_done_is_all },
+  { "/gangs/reasons-blame-nobody", test_reasons_blame_nobody },
+  { "/gangs/zone-with-room", test_zone_with_room },
+  { "/gangs/spread-to-fetch", test_spread_to_fetch },
+  { "/gangs/objects-two-attempts", test_objects_two_attempts },
+  { "/gangs/runs-together", test_runs_together },
+  { "/gangs/loses-machine", test_loses_machine },
+  { "/gangs/short-hang", test_short_hang },
+  { "/gangs/orderly-stop", test_orderly_stop },
+  { "/gangs/no-stop-unreached", test_no_stop_unreached },
+  { "/gangs/leader-ends", test_leader_ends },
+  { "/gangs/cancelled", test_cancelled },
+  { "/gangs/cut-through", test_cut_through },
+  { "/gangs/begins-beside-small", test_begins_beside_small },
+  { "/gangs/drawn", test_drawn },
+};
+
 int
 main(int argc, char **argv)
 {
-  g_test_init(&argc, &argv, NULL);
-  g_log_set_always_fatal(G_LOG_LEVEL_ERROR);
-  g_test_add_func("/gangs/phase", test_phase);
-  g_test_add_func("/gangs/refusals", test_refusals);
-  g_test_add_func("/gangs/halts-at-loss", test_halts_at_loss);
-  g_test_add_func("/gangs/one-done-is-all", test_one_done_is_all);
-  g_test_add_func("/gangs/reasons-blame-nobody", test_reasons_blame_nobody);
-  g_test_add_func("/gangs/zone-with-room", test_zone_with_room);
-  g_test_add_func("/gangs/spread-to-fetch", test_spread_to_fetch);
-  g_test_add_func("/gangs/objects-two-attempts", test_objects_two_attempts);
-  g_test_add_func("/gangs/runs-together", test_runs_together);
-  g_test_add_func("/gangs/loses-machine", test_loses_machine);
-  g_test_add_func("/gangs/short-hang", test_short_hang);
-  g_test_add_func("/gangs/orderly-stop", test_orderly_stop);
-  g_test_add_func("/gangs/no-stop-unreached", test_no_stop_unreached);
-  g_test_add_func("/gangs/leader-ends", test_leader_ends);
-  g_test_add_func("/gangs/cancelled", test_cancelled);
-  g_test_add_func("/gangs/cut-through", test_cut_through);
-  g_test_add_func("/gangs/begins-beside-small", test_begins_beside_small);
-  g_test_add_func("/gangs/drawn", test_drawn);
+  ws_suite_init(&argc, &argv);
+  ws_suite_add(TESTS, G_N_ELEMENTS(TESTS));
   return g_test_run();
 }
--- a/tests/test-http.c
+++ b/tests/test-http.c
@@ -4,6 +4,7 @@
 #include "runtime/ws-runtime.h"
 #include "sim/state.h"
 #include "ws-gen.h"
+#include "ws-suite.h"
 
 #include <libsoup/soup.h>
 #include <string.h>
@@ -284,11 +285,14 @@
   g_assert_error(error, G_IO_ERROR, G_IO_ERROR_ADDRESS_IN_USE);
 }
 
+static const WsTest TESTS[] = {
+  { "/http/all", test_all },
+};
+
 int
 main(int argc, char **argv)
 {
-  g_test_init(&argc, &argv, NULL);
-  g_log_set_always_fatal(G_LOG_LEVEL_ERROR);
-  g_test_add_func("/http/all", test_all);
+  ws_suite_init(&argc, &argv);
+  ws_suite_add(TESTS, G_N_ELEMENTS(TESTS));
   return g_test_run();
 }
--- a/tests/test-regressions.c
+++ b/tests/test-regressions.c
@@ -2,6 +2,7 @@
    test fails when its guard is taken out. */
 #include "protocol/ws-json.h"
 #include "sim/rig.h"
+#include "ws-suite.h"
 
 #include <string.h>
 
@@ -866,47 +867,50 @@
   rig_free(rig);
 }
 
+static const WsTest TESTS[] = {
+  { "/regressions/conditions", test_conditions },
+  { "/regressions/done", test_done },
+  { "/regressions/unconfirmed", test_unconfirmed },
+  { "/regressions/order", test_order },
+  { "/regressions/doubt", test_doubt },
+  { "/regressions/doubt-unheard", test_doubt_unheard },
+  { "/regressions/no-reap-in-doubt", test_no_reap_in_doubt },
+  { "/regressions/absence", test_absence },
+  { "/regressions/entitlement", test_entitlement },
+  { "/regressions/asked-twice", test_asked_twice },
+  { "/regressions/gang", test_gang },
+  { "/regressions/member", test_member },
+  { "/regressions/ghost", test_ghost },
+  { "/regressions/late-copy", test_late_copy },
+  { "/regressions/critical-first", test_critical_first },
+  { "/regressions/unheard", test_unheard },
+  { "/regressions/slow-reports", test_slow_reports },
+  { "/regressions/cut-at-once", test_cut_at_once },
+  { "/regressions/death-beside-cut", test_death_beside_cut },
+  { "/regressions/restart-beside-cut", test_restart_beside_cut },
+  { "/regressions/cut-without-controller", test_cut_without_controller },
+  { "/regressions/new-owner", test_new_owner },
+  { "/regressions/stood-still", test_stood_still },
+  { "/regressions/empty-in-outage", test_empty_in_outage },
+  { "/regressions/cancel-told", test_cancel_told },
+  { "/regressions/cancel-tells", test_cancel_tells },
+  { "/regressions/stops-vouching", test_stops_vouching },
+  { "/regressions/vouches-in-cut-zone", test_vouches_in_cut_zone },
+  { "/regressions/untold", test_untold },
+  { "/regressions/unmarked-return", test_unmarked_return },
+  { "/regressions/small-task", test_small_task },
+  { "/regressions/loses-little", test_loses_little },
+  { "/regressions/lost-machine", test_lost_machine },
+  { "/regressions/new-leader-reads", test_new_leader_reads },
+  { "/regressions/shared-transactions", test_shared_transactions },
+  { "/regressions/no-place-no-stop", test_no_place_no_stop },
+  { "/regressions/reserved", test_reserved },
+};
+
 int
 main(int argc, char **argv)
 {
-  g_test_init(&argc, &argv, NULL);
-  g_log_set_always_fatal(G_LOG_LEVEL_ERROR);
-  g_test_add_func("/regressions/conditions", test_conditions);
-  g_test_add_func("/regressions/done", test_done);
-  g_test_add_func("/regressions/unconfirmed", test_unconfirmed);
-  g_test_add_func("/regressions/order", test_order);
-  g_test_add_func("/regressions/doubt", test_doubt);
-  g_test_add_func("/regressions/doubt-unheard", test_doubt_unheard);
-  g_test_add_func("/regressions/no-reap-in-doubt", test_no_reap_in_doubt);
-  g_test_add_func("/regressions/absence", test_absence);
-  g_test_add_func("/regressions/entitlement", test_entitlement);
-  g_test_add_func("/regressions/asked-twice", test_asked_twice);
-  g_test_add_func("/regressions/gang", test_gang);
-  g_test_add_func("/regressions/member", test_member);
-  g_test_add_func("/regressions/ghost", test_ghost);
-  g_test_add_func("/regressions/late-copy", test_late_copy);
-  g_test_add_func("/regressions/critical-first", test_critical_first);
-  g_test_add_func("/regressions/unheard", test_unheard);
-  g_test_add_func("/regressions/slow-reports", test_slow_reports);
-  g_test_add_func("/regressions/cut-at-once", test_cut_at_once);
-  g_test_add_func("/regressions/death-beside-cut", test_death_beside_cut);
-  g_test_add_func("/regressions/restart-beside-cut", test_restart_beside_cut);
-  g_test_add_func("/regressions/cut-without-controller", test_cut_without_controller);
-  g_test_add_func("/regressions/new-owner", test_new_owner);
-  g_test_add_func("/regressions/stood-still", test_stood_still);
-  g_test_add_func("/regressions/empty-in-outage", test_empty_in_outage);
-  g_test_add_func("/regressions/cancel-told", test_cancel_told);
-  g_test_add_func("/regressions/cancel-tells", test_cancel_tells);
-  g_test_add_func("/regressions/stops-vouching", test_stops_vouching);
-  g_test_add_func("/regressions/vouches-in-cut-zone", test_vouches_in_cut_zone);
-  g_test_add_func("/regressions/untold", test_untold);
-  g_test_add_func("/regressions/unmarked-return", test_unmarked_return);
-  g_test_add_func("/regressions/small-task", test_small_task);
-  g_test_add_func("/regressions/loses-little", test_loses_little);
-  g_test_add_func("/regressions/lost-machine", test_lost_machine);
-  g_test_add_func("/regressions/new-leader-reads", test_new_leader_reads);
-  g_test_add_func("/regressions/shared-transactions", test_shared_transactions);
-  g_test_add_func("/regressions/no-place-no-stop", test_no_place_no_stop);
-  g_test_add_func("/regressions/reserved", test_reserved);
+  ws_suite_init(&argc, &argv);
+  ws_suite_add(TESTS, G_N_ELEMENTS(TESTS));
   return g_test_run();
 }
--- a/tests/test-size.c
+++ b/tests/test-size.c
@@ -3,6 +3,7 @@
    messages, not seconds. */
 #include "storage/ws-replica.h"
 #include "sim/rig.h"
+#include "ws-suite.h"
 
 #define SMALL 80u
 #define LARGE 640u
@@ -342,18 +343,17 @@
   rig_free(rig);
 }
 
+static const WsTest TESTS[] = {
+  { "/size/report", test_report }, { "/size/takeover", test_takeover },
+  { "/size/tick", test_tick },     { "/size/gossip", test_gossip },
+  { "/size/plan", test_plan },     { "/size/full", test_full },
+  { "/size/merge", test_merge },   { "/size/cancelled-in-bulk", test_cancelled_in_bulk },
+};
+
 int
 main(int argc, char **argv)
 {
-  g_test_init(&argc, &argv, NULL);
-  g_log_set_always_fatal(G_LOG_LEVEL_ERROR);
-  g_test_add_func("/size/report", test_report);
-  g_test_add_func("/size/takeover", test_takeover);
-  g_test_add_func("/size/tick", test_tick);
-  g_test_add_func("/size/gossip", test_gossip);
-  g_test_add_func("/size/plan", test_plan);
-  g_test_add_func("/size/full", test_full);
-  g_test_add_func("/size/merge", test_merge);
-  g_test_add_func("/size/cancelled-in-bulk", test_cancelled_in_bulk);
+  ws_suite_init(&argc, &argv);
+  ws_suite_add(TESTS, G_N_ELEMENTS(TESTS));
   return g_test_run();
 }
--- a/tests/test-storage.c
+++ b/tests/test-storage.c
@@ -1,6 +1,7 @@
 #include "storage/ws-team-use.h"
 #include "ws-gen.h"
 #include "ws-site.h"
+#include "ws-suite.h"
 
 #include <string.h>
 
@@ -206,15 +207,18 @@
   }
 }
 
+static const WsTest TESTS[] = {
+  { "/storage/early", test_early },
+  { "/storage/forget", test_forget },
+  { "/storage/damaged", test_damaged },
+  { "/storage/team-use", test_team_use },
+};
+
 int
 main(int argc, char **argv)
 {
-  g_test_init(&argc, &argv, NULL);
-  g_log_set_always_fatal(G_LOG_LEVEL_ERROR);
+  ws_suite_init(&argc, &argv);
   g_log_set_writer_func(count_warnings, NULL, NULL);
-  g_test_add_func("/storage/early", test_early);
-  g_test_add_func("/storage/forget", test_forget);
-  g_test_add_func("/storage/damaged", test_damaged);
-  g_test_add_func("/storage/team-use", test_team_use);
+  ws_suite_add(TESTS, G_N_ELEMENTS(TESTS));
   return g_test_run();
 }
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -5,6 +5,7 @@
 #include "sim/troubles.h"
 #include "storage/ws-team-use.h"
 #include "ws-site.h"
+#include "ws-suite.h"
 
 #include <string.h>
 
@@ -353,21 +354,24 @@
   sim_free(sim);
 }
 
+static const WsTest TESTS[] = {
+  { "/upgrade/reads", test_reads },
+  { "/upgrade/writes", test_writes },
+  { "/upgrade/same-team-record", test_same_team_record },
+  { "/upgrade/messages", test_messages },
+  { "/upgrade/gossip", test_gossip },
+  { "/upgrade/chunk-sizes", test_chunk_sizes },
+  { "/upgrade/lot-sizes", test_lot_sizes },
+  { "/upgrade/limits-fall", test_limits_fall },
+  { "/upgrade/larger-records", test_larger_records },
+  { "/upgrade/accepted-elsewhere", test_accepted_elsewhere },
+  { "/upgrade/unannounced", test_unannounced },
+};
+
 int
 main(int argc, char **argv)
 {
-  g_test_init(&argc, &argv, NULL);
-  g_log_set_always_fatal(G_LOG_LEVEL_ERROR);
-  g_test_add_func("/upgrade/reads", test_reads);
-  g_test_add_func("/upgrade/writes", test_writes);
-  g_test_add_func("/upgrade/same-team-record", test_same_team_record);
-  g_test_add_func("/upgrade/messages", test_messages);
-  g_test_add_func("/upgrade/gossip", test_gossip);
-  g_test_add_func("/upgrade/chunk-sizes", test_chunk_sizes);
-  g_test_add_func("/upgrade/lot-sizes", test_lot_sizes);
-  g_test_add_func("/upgrade/limits-fall", test_limits_fall);
-  g_test_add_func("/upgrade/larger-records", test_larger_records);
-  g_test_add_func("/upgrade/accepted-elsewhere", test_accepted_elsewhere);
-  g_test_add_func("/upgrade/unannounced", test_unannounced);
+  ws_suite_init(&argc, &argv);
+  ws_suite_add(TESTS, G_N_ELEMENTS(TESTS));
   return g_test_run();
 }
