--- a/tests/test-regressions.c
+++ b/tests/test-regressions.c
@@ -35,7 +35,7 @@
 
 /* Every write of assignments carries the epoch, the job and the team as conditions. */
 static void
-test_conditions(void)
+test_assignment_writes_are_conditional(void)
 {
   Rig *rig = rig_new(TRUE);
   static const char *const KEYS[] = { "w/epoch", "w/job/req-1", "w/task/req-1/0", "w/team-use/0" };
@@ -48,7 +48,7 @@
 
 /* The end of a task is written before the worker may forget it. */
 static void
-test_done(void)
+test_end_is_stored_before_reap(void)
 {
   Rig *rig = rig_new(TRUE);
   rig_send_report(rig, 1, one_task("exited", "done"));
@@ -62,7 +62,7 @@
 
 /* A report without our token may be a late copy: its ends are not believed. */
 static void
-test_unconfirmed(void)
+test_no_release_without_current_fencing_token(void)
 {
   Rig *rig = rig_new(TRUE);
   rig_send_report(rig, 0, one_task("exited", "done"));
@@ -73,7 +73,7 @@
 
 /* An older message is answered, but changes nothing and orders nothing. */
 static void
-test_order(void)
+test_stale_sequence_changes_nothing(void)
 {
   Rig *rig = rig_new(TRUE);
   rig_send_report(rig, 1, one_task("running", ""));
@@ -86,7 +86,7 @@
 /* A cancelled task whose direct launch had no answer isn't released for being absent, nor may the
    worker forget an attempt, until the worker has seen a higher token. */
 static void
-test_doubt(void)
+test_no_release_while_launch_is_indeterminate(void)
 {
   Rig *rig = rig_new(FALSE);
   rig_ask(rig, "POST", "/api/jobs/req-1/withdraw", NULL);
@@ -108,7 +108,7 @@
 /* A machine that isn't heard doesn't learn a higher token: no epoch is begun for its doubt. They
    followed one another every 10 s while a zone was cut off. */
 static void
-test_doubt_unheard(void)
+test_no_epoch_for_unreachable_machine(void)
 {
   Rig *rig = rig_new(FALSE);
   rig_run(rig, 30.0);
@@ -118,7 +118,7 @@
 }
 
 static void
-test_no_reap_in_doubt(void)
+test_no_reap_while_launch_is_indeterminate(void)
 {
   Rig *rig = rig_new(FALSE);
   rig_send_report(rig, 1, one_task("exited", "done"));
@@ -129,7 +129,7 @@
 
 /* Without doubt the same absence releases it at once, if the report carries our token. */
 static void
-test_absence(void)
+test_absence_releases_after_acknowledged_launch(void)
 {
   Rig *rig = rig_new(TRUE);
   rig_ask(rig, "POST", "/api/jobs/req-1/withdraw", NULL);
@@ -143,7 +143,7 @@
 
 /* A higher token than ours means that we don't know the newest epoch. */
 static void
-test_entitlement(void)
+test_no_renewal_under_newer_fencing_token(void)
 {
   Rig *rig = rig_new(TRUE);
   rig_send_report(rig, 9, json_array());
@@ -155,7 +155,7 @@
    that transaction fails: the task must still be assigned once. It was assigned twice in one
    transaction, which broke ran_twice on a rough day of dvorak-lodni. */
 static void
-test_asked_twice(void)
+test_task_is_assigned_once(void)
 {
   Rig *rig = rig_new(TRUE);
   rig_ask(rig, "POST", "/v1/report", rig_report_of(rig, "m-2", 0, 1, json_array()));
@@ -178,7 +178,7 @@
 
 /* The tasks of a gang share their attempt, and when one ends early the others are stopped. */
 static void
-test_gang(void)
+test_gang_shares_attempt_and_halts_together(void)
 {
   Rig *rig = rig_new(TRUE);
   json_t *gang = rig_submission();
@@ -203,7 +203,7 @@
 /* A late transaction of an earlier run must not replace the member's record, so it's written on a
    condition; and a node whose record is gone all the same writes it again. */
 static void
-test_member(void)
+test_member_record_is_conditional_and_restored(void)
 {
   Rig *rig = rig_new(TRUE);
   g_assert_true(has_condition(rig->member_txn, "w/member/n0"));
@@ -215,7 +215,7 @@
 
 /* A late report of a machine that was returned must not bring it back as a new one. */
 static void
-test_ghost(void)
+test_returned_machine_is_not_recorded_again(void)
 {
   Rig *rig = rig_new(TRUE);
   rig_write_key(rig, "w/lot/a-1-0-1", NULL);
@@ -231,7 +231,7 @@
    began, names an old token: nothing is recorded for it. The machine itself would show ours next
    time. */
 static void
-test_late_copy(void)
+test_stale_token_records_no_machine(void)
 {
   Rig *rig = rig_new(TRUE);
   rig_report_now(rig, "m-9", 0, 5, json_array());
@@ -248,7 +248,7 @@
 /* When the ends of many tasks come at once, as after a cut, the assignment of a critical task isn't
    written after all of them. */
 static void
-test_critical_first(void)
+test_critical_assignment_precedes_releases(void)
 {
   enum { JOBS = 12 };
   Rig *rig = rig_bare(TRUE);
@@ -312,7 +312,7 @@
 /* A node that no worker reaches doesn't take those that the others have not passed on for dead:
    with hundreds of machines 290 live ones were returned. Once it is reached, it does. */
 static void
-test_unheard(void)
+test_no_termination_by_unreachable_node(void)
 {
   Rig *rig = rig_bare(TRUE);
   guint64 sequence = 0;
@@ -334,7 +334,7 @@
 /* Behind a cut some machines were heard a little earlier than the others. They aren't taken for
    dead while it doesn't show yet that all are silent: 90 were returned whose tasks went on. */
 static void
-test_cut_at_once(void)
+test_no_termination_while_partition_emerges(void)
 {
   Rig *rig = rig_bare(TRUE);
   rig->zone = "b";
@@ -358,7 +358,7 @@
    show ours after 4 s: it's used all the same. After several epochs in a row the whole fleet looked
    deaf. */
 static void
-test_slow_reports(void)
+test_slow_heartbeats_keep_machine_eligible(void)
 {
   Rig *rig = rig_new(TRUE);
   rig->settings->report_s = 5.0;
@@ -376,7 +376,7 @@
 /* What is silent behind a cut doesn't make a machine elsewhere wait, that died meanwhile: dozens
    were given up only after a lease. */
 static void
-test_death_beside_cut(void)
+test_death_outside_partition_is_detected(void)
 {
   Rig *rig = rig_bare(TRUE);
   rig->zone = "b";
@@ -402,7 +402,7 @@
    none is rented there, and they are given up only after several leases. On a rough day 85 were
    marked and returned in the middle of a cut, which took the changes that waiting work needed. */
 static void
-test_cut_without_controller(void)
+test_zone_without_controller_has_grace_period(void)
 {
   Rig *rig = rig_bare(TRUE);
   g_ptr_array_add(rig->settings->zones, g_strdup("d"));
@@ -446,7 +446,7 @@
 /* A controller that begins beside a cut has never heard the machines behind it. They aren't taken
    for dead all the same: 148 were returned whose tasks went on. */
 static void
-test_restart_beside_cut(void)
+test_no_termination_after_restart_in_partition(void)
 {
   Rig *rig = rig_restarted("b", TRUE);
   rig_run(rig, 40.0);
@@ -457,7 +457,7 @@
 /* Where nothing is cut off, they have the time to wait for their old node in vain and to find this
    one; then they are given up. */
 static void
-test_new_owner(void)
+test_new_owner_waits_before_termination(void)
 {
   Rig *rig = rig_restarted("a", FALSE);
   rig_run(rig, 14.5); /* the first of them are in the lease of its last run */
@@ -470,7 +470,7 @@
 /* A node that stood still while its clocks ran on takes nothing for granted: it answers no worker
    and marks nothing, before it has renewed its lease and read. */
 static void
-test_stood_still(void)
+test_stalled_node_renews_before_it_answers(void)
 {
   Rig *rig = rig_new(TRUE);
   rig->now_ms += 30000;
@@ -487,7 +487,7 @@
 
 /* A machine that is empty during an outage isn't idle: nothing could be placed on it. */
 static void
-test_empty_in_outage(void)
+test_no_idle_timeout_during_outage(void)
 {
   Rig *rig = rig_bare(TRUE);
   for (guint64 sequence = 1; sequence <= 30; sequence++) {
@@ -507,7 +507,7 @@
 /* A peer's word that a job is cancelled counts whatever the records say: its task is halted, and
    not launched again in a new session. What can't be understood changes nothing. */
 static void
-test_cancel_told(void)
+test_peer_cancellation_halts_task(void)
 {
   Rig *rig = rig_new(TRUE);
   rig_mesh(rig, "/cancelled", json_pack("{s:s, s:[[s]]}", "node", "n1", "jobs", "req-1"));
@@ -527,7 +527,7 @@
 
 /* Peers are told until each has acknowledged it, and then no more. */
 static void
-test_cancel_tells(void)
+test_cancellation_is_redelivered_until_acknowledged(void)
 {
   Rig *rig = rig_new(FALSE);
   rig_ask(rig, "POST", "/api/jobs/req-1/withdraw", NULL);
@@ -552,7 +552,7 @@
 /* A node without state service and peers, which machines of other zones reach, stops renewing in
    time for what may have been confirmed without it: also those that come back to it. */
 static void
-test_stops_vouching(void)
+test_isolated_node_stops_lease_renewal(void)
 {
   Rig *rig = rig_new(TRUE);
   rig->zone = "b";
@@ -570,7 +570,7 @@
 /* If only its own zone reaches it, the zone is what is cut off, and its answers keep tasks alive.
  */
 static void
-test_vouches_in_cut_zone(void)
+test_partitioned_zone_keeps_lease_renewal(void)
 {
   Rig *rig = rig_new(TRUE);
   rig->state_out = rig->peers_silent = TRUE;
@@ -583,7 +583,7 @@
 /* In an outage for everybody tasks are launched (again) only when the peers have told all that they
    knew, and leases aren't renewed for ever before that. */
 static void
-test_untold(void)
+test_no_launch_before_cancellations_are_acknowledged(void)
 {
   Rig *rig = rig_new(TRUE);
   rig->peers_untold = 1;
@@ -606,7 +606,7 @@
 /* A machine that doesn't confirm a cancellation while the state service takes no mark is returned
    without one, and its record is mended afterwards: nothing leaks. */
 static void
-test_unmarked_return(void)
+test_return_without_mark_leaks_nothing(void)
 {
   Rig *rig = rig_new(FALSE);
   rig->cloud_returns = TRUE;
@@ -628,7 +628,7 @@
 /* Where a smaller type has room for it, a task leaves the larger machine to larger tasks: each
    small one kept a large one out, on a day of armor-releves with half of the processors unused. */
 static void
-test_small_task(void)
+test_small_task_leaves_large_machine_free(void)
 {
   Rig *rig = rig_two_types();
   for (guint64 sequence = 1; sequence <= 2; sequence++) {
@@ -676,7 +676,7 @@
 /* Minutes of a large task's work aren't thrown away for seconds of a small one's: nearly a third of
    what was paid for on armor-releves went that way. */
 static void
-test_loses_little(void)
+test_no_preemption_of_long_work_for_short_task(void)
 {
   g_assert_true(is_stopped_after(1.0));
   g_assert_false(is_stopped_after(20.0));
@@ -685,7 +685,7 @@
 /* What is recorded for a machine that no rental batch names any more is released once its lease
    must be over: two jobs waited for ever for a machine that had been returned. */
 static void
-test_lost_machine(void)
+test_unrecorded_machine_is_released_after_lease(void)
 {
   Rig *rig = rig_new(TRUE);
   rig_write_key(rig, "w/lot/a-1-0-1", NULL);
@@ -700,7 +700,7 @@
 /* A new leader assigns nothing before its replica has reached the epoch that it wrote: what was
    written until then may have come and gone again, and conditions on its absence would hold. */
 static void
-test_new_leader_reads(void)
+test_new_leader_reads_before_assignment(void)
 {
   Rig *rig = rig_bare(TRUE);
   rig_send_report(rig, 0, json_array());
@@ -760,7 +760,7 @@
    limit were stopped and placed again, over and over, for a job bound to a zone without a machine.
  */
 static void
-test_no_place_no_stop(void)
+test_no_preemption_without_usable_slot(void)
 {
   g_assert_true(is_stopped_for_zone("a"));
   g_assert_false(is_stopped_for_zone("b"));
@@ -769,7 +769,7 @@
 /* What was freed for a job isn't given to a less urgent one, until it is clear that the job doesn't
    take it: two nodes took it from each other in turn, and neither job ran. */
 static void
-test_reserved(void)
+test_reservation_holds_until_declined(void)
 {
   Rig *rig = rig_bare(TRUE);
   rig_send_report(rig, 0, json_array());
@@ -843,7 +843,7 @@
 /* Where a transaction holds few changes, the ends of tasks don't fill one after another while a job
    waits beside free room: 13 to 26 jobs waited so on a day of armor-releves. */
 static void
-test_shared_transactions(void)
+test_releases_leave_space_for_assignments(void)
 {
   static const char *const MACHINES[] = { "m-1", "m-2", "m-3" };
   Rig *rig = rig_bare(TRUE);
@@ -868,43 +868,64 @@
 }
 
 static const WsTest TESTS[] = {
-  { "/regressions/conditions", test_conditions },
-  { "/regressions/done", test_done },
-  { "/regressions/unconfirmed", test_unconfirmed },
-  { "/regressions/order", test_order },
-  { "/regressions/doubt", test_doubt },
-  { "/regressions/doubt-unheard", test_doubt_unheard },
-  { "/regressions/no-reap-in-doubt", test_no_reap_in_doubt },
-  { "/regressions/absence", test_absence },
-  { "/regressions/entitlement", test_entitlement },
-  { "/regressions/asked-twice", test_asked_twice },
-  { "/regressions/gang", test_gang },
-  { "/regressions/member", test_member },
-  { "/regressions/ghost", test_ghost },
-  { "/regressions/late-copy", test_late_copy },
-  { "/regressions/critical-first", test_critical_first },
-  { "/regressions/unheard", test_unheard },
-  { "/regressions/slow-reports", test_slow_reports },
-  { "/regressions/cut-at-once", test_cut_at_once },
-  { "/regressions/death-beside-cut", test_death_beside_cut },
-  { "/regressions/restart-beside-cut", test_restart_beside_cut },
-  { "/regressions/cut-without-controller", test_cut_without_controller },
-  { "/regressions/new-owner", test_new_owner },
-  { "/regressions/stood-still", test_stood_still },
-  { "/regressions/empty-in-outage", test_empty_in_outage },
-  { "/regressions/cancel-told", test_cancel_told },
-  { "/regressions/cancel-tells", test_cancel_tells },
-  { "/regressions/stops-vouching", test_stops_vouching },
-  { "/regressions/vouches-in-cut-zone", test_vouches_in_cut_zone },
-  { "/regressions/untold", test_untold },
-  { "/regressions/unmarked-return", test_unmarked_return },
-  { "/regressions/small-task", test_small_task },
-  { "/regressions/loses-little", test_loses_little },
-  { "/regressions/lost-machine", test_lost_machine },
-  { "/regressions/new-leader-reads", test_new_leader_reads },
-  { "/regressions/shared-transactions", test_shared_transactions },
-  { "/regressions/no-place-no-stop", test_no_place_no_stop },
-  { "/regressions/reserved", test_reserved },
+  { "/regressions/assignment-writes-are-conditional", test_assignment_writes_are_conditional },
+  { "/regressions/end-is-stored-before-reap", test_end_is_stored_before_reap },
+  { "/regressions/no-release-without-current-fencing-token",
+    test_no_release_without_current_fencing_token },
+  { "/regressions/stale-sequence-changes-nothing", test_stale_sequence_changes_nothing },
+  { "/regressions/no-release-while-launch-is-indeterminate",
+    test_no_release_while_launch_is_indeterminate },
+  { "/regressions/no-epoch-for-unreachable-machine", test_no_epoch_for_unreachable_machine },
+  { "/regressions/no-reap-while-launch-is-indeterminate",
+    test_no_reap_while_launch_is_indeterminate },
+  { "/regressions/absence-releases-after-acknowledged-launch",
+    test_absence_releases_after_acknowledged_launch },
+  { "/regressions/no-renewal-under-newer-fencing-token",
+    test_no_renewal_under_newer_fencing_token },
+  { "/regressions/task-is-assigned-once", test_task_is_assigned_once },
+  { "/regressions/gang-shares-attempt-and-halts-together",
+    test_gang_shares_attempt_and_halts_together },
+  { "/regressions/member-record-is-conditional-and-restored",
+    test_member_record_is_conditional_and_restored },
+  { "/regressions/returned-machine-is-not-recorded-again",
+    test_returned_machine_is_not_recorded_again },
+  { "/regressions/stale-token-records-no-machine", test_stale_token_records_no_machine },
+  { "/regressions/critical-assignment-precedes-releases",
+    test_critical_assignment_precedes_releases },
+  { "/regressions/no-termination-by-unreachable-node", test_no_termination_by_unreachable_node },
+  { "/regressions/slow-heartbeats-keep-machine-eligible",
+    test_slow_heartbeats_keep_machine_eligible },
+  { "/regressions/no-termination-while-partition-emerges",
+    test_no_termination_while_partition_emerges },
+  { "/regressions/death-outside-partition-is-detected", test_death_outside_partition_is_detected },
+  { "/regressions/no-termination-after-restart-in-partition",
+    test_no_termination_after_restart_in_partition },
+  { "/regressions/zone-without-controller-has-grace-period",
+    test_zone_without_controller_has_grace_period },
+  { "/regressions/new-owner-waits-before-termination", test_new_owner_waits_before_termination },
+  { "/regressions/stalled-node-renews-before-it-answers",
+    test_stalled_node_renews_before_it_answers },
+  { "/regressions/no-idle-timeout-during-outage", test_no_idle_timeout_during_outage },
+  { "/regressions/peer-cancellation-halts-task", test_peer_cancellation_halts_task },
+  { "/regressions/cancellation-is-redelivered-until-acknowledged",
+    test_cancellation_is_redelivered_until_acknowledged },
+  { "/regressions/isolated-node-stops-lease-renewal", test_isolated_node_stops_lease_renewal },
+  { "/regressions/partitioned-zone-keeps-lease-renewal",
+    test_partitioned_zone_keeps_lease_renewal },
+  { "/regressions/no-launch-before-cancellations-are-acknowledged",
+    test_no_launch_before_cancellations_are_acknowledged },
+  { "/regressions/return-without-mark-leaks-nothing", test_return_without_mark_leaks_nothing },
+  { "/regressions/small-task-leaves-large-machine-free",
+    test_small_task_leaves_large_machine_free },
+  { "/regressions/no-preemption-of-long-work-for-short-task",
+    test_no_preemption_of_long_work_for_short_task },
+  { "/regressions/unrecorded-machine-is-released-after-lease",
+    test_unrecorded_machine_is_released_after_lease },
+  { "/regressions/new-leader-reads-before-assignment", test_new_leader_reads_before_assignment },
+  { "/regressions/releases-leave-space-for-assignments",
+    test_releases_leave_space_for_assignments },
+  { "/regressions/no-preemption-without-usable-slot", test_no_preemption_without_usable_slot },
+  { "/regressions/reservation-holds-until-declined", test_reservation_holds_until_declined },
 };
 
 int
