--- a/tests/test-core.c
+++ b/tests/test-core.c
@@ -79,7 +79,7 @@
 
 /* Budgets hold give-back back, and no longer than they are set. */
 static void
-test_budget(void)
+test_budget_limits_termination(void)
 {
   Sim *sim = busy_then_idle(21);
   guint in_a = sim_machines_in(sim, "a"), in_b = sim_machines_in(sim, "b");
@@ -118,7 +118,7 @@
 }
 
 static void
-test_cut_zone(void)
+test_no_termination_in_partitioned_zone(void)
 {
   guint in_a = 0;
   for (guint32 seed = 21; seed < 29; seed++)
@@ -255,7 +255,7 @@
 /* A node asked for a machine's mark, lost the machine to another node, and led: it refused what the
    new owner asked for, and the machine, which had died, was never returned. */
 static void
-test_unfinished_mark(void)
+test_mark_survives_change_of_owner(void)
 {
   rough_day(821, 2.0, 12.0);
 }
@@ -273,7 +273,7 @@
 
 /* Two crashes of every controller within a second, in the middle of an election too. */
 static void
-test_crash_twice(void)
+test_jobs_survive_repeated_crashes(void)
 {
   for (guint32 seed = 100; seed < 106; seed++) {
     Sim *sim = sim_new(seed);
@@ -300,7 +300,7 @@
 /* A node that reaches neither the state service nor the others, while all workers reach it, sends
    them away: the others act without it, and no task is lost with a lease. */
 static void
-test_alone(void)
+test_isolated_node_loses_no_task(void)
 {
   static const SimJob ARRAY = { .tasks = 4, .team = "blue", .priority = "standard", .run_s = 3.0 };
   for (guint32 seed = 40; seed < 46; seed++) {
@@ -323,7 +323,7 @@
    return its machines, neither meanwhile nor in the moments after the cut when workers look for
    their owner. */
 static void
-test_zone_alone(void)
+test_partitioned_zone_keeps_its_tasks(void)
 {
   for (guint32 seed = 50; seed < 56; seed++) {
     Sim *sim = sim_new(seed);
@@ -365,7 +365,7 @@
 
 /* Small jobs never stop coming, and there are too few machines: a large one begins all the same. */
 static void
-test_begun(void)
+test_large_job_starts_among_small_jobs(void)
 {
   static const SimJob SMALL = { .tasks = 2, .team = "blue", .priority = "standard", .run_s = 12.0 };
   static const SimJob LARGE
@@ -420,7 +420,7 @@
 }
 
 static void
-test_served(void)
+test_every_job_starts_and_completes(void)
 {
   for (guint32 seed = 200; seed < 206; seed++) {
     g_test_message("seed %u", seed);
@@ -430,18 +430,18 @@
 
 static const WsTest TESTS[] = {
   { "/core/quiet", test_quiet },
-  { "/core/budget", test_budget },
-  { "/core/cut-zone", test_cut_zone },
+  { "/core/budget-limits-termination", test_budget_limits_termination },
+  { "/core/no-termination-in-partitioned-zone", test_no_termination_in_partitioned_zone },
   { "/core/large", test_large },
   { "/core/rough", test_rough },
-  { "/core/unfinished-mark", test_unfinished_mark },
+  { "/core/mark-survives-change-of-owner", test_mark_survives_change_of_owner },
   { "/core/rough-paces", test_rough_paces },
-  { "/core/crash-twice", test_crash_twice },
-  { "/core/alone", test_alone },
-  { "/core/zone-alone", test_zone_alone },
+  { "/core/jobs-survive-repeated-crashes", test_jobs_survive_repeated_crashes },
+  { "/core/isolated-node-loses-no-task", test_isolated_node_loses_no_task },
+  { "/core/partitioned-zone-keeps-its-tasks", test_partitioned_zone_keeps_its_tasks },
   { "/core/deaf", test_deaf },
-  { "/core/begun", test_begun },
-  { "/core/served", test_served },
+  { "/core/large-job-starts-among-small-jobs", test_large_job_starts_among_small_jobs },
+  { "/core/every-job-starts-and-completes", test_every_job_starts_and_completes },
 };
 
 int
