--- a/tests/test-evidence.c
+++ b/tests/test-evidence.c
@@ -170,13 +170,13 @@
 }
 
 static void
-test_pending_over_an_epoch(void)
+test_pending_release_expires_with_ownership(void)
 {
   pending_over_an_epoch(TRUE);
 }
 
 static void
-test_bare_pending_over_an_epoch(void)
+test_pending_legacy_release_expires_with_ownership(void)
 {
   pending_over_an_epoch(FALSE);
 }
@@ -200,20 +200,20 @@
 }
 
 static void
-test_from_former_owner(void)
+test_no_release_by_former_owner(void)
 {
   from_former_owner(TRUE);
 }
 
 static void
-test_bare_from_former_owner(void)
+test_no_legacy_release_by_former_owner(void)
 {
   from_former_owner(FALSE);
 }
 
 /* The cloud's word holds whoever owns the machine since. */
 static void
-test_returned_over_epochs(void)
+test_returned_machine_is_released_in_any_epoch(void)
 {
   World world;
   begin(&world);
@@ -230,7 +230,7 @@
    right to launch the attempt: it was assigned to a machine that the sender's version has owned
    since. */
 static void
-test_bare_of_the_only_owner(void)
+test_legacy_release_by_only_owner_holds(void)
 {
   World world;
   begin(&world);
@@ -251,7 +251,7 @@
 
 /* Otherwise the worker is asked, and an end that it still holds is proof, with whatever reason. */
 static void
-test_bare_confirmed_by_worker(void)
+test_legacy_release_needs_current_worker_status(void)
 {
   World world;
   begin(&world);
@@ -274,7 +274,7 @@
 
 /* What can't be proven and is repeated for a lease isn't lost: the machine is returned. */
 static void
-test_bare_is_not_lost(void)
+test_unproven_legacy_release_terminates_machine(void)
 {
   World world;
   begin(&world);
@@ -297,7 +297,7 @@
 /* The task failed, its release is on its way, and the machine begins a new session without it: the
    owner launches nothing that it is about to release. */
 static void
-test_new_session_before_the_write(void)
+test_no_launch_while_release_is_pending(void)
 {
   World world;
   begin(&world);
@@ -321,7 +321,7 @@
 
 /* What an owner concludes while it remains the owner is written in a later epoch too. */
 static void
-test_same_owner_over_an_epoch(void)
+test_release_holds_for_same_owner(void)
 {
   World world;
   begin(&world);
@@ -358,7 +358,7 @@
 /* A leader whose replica is older than its own epoch launches nothing by it: the attempt may have
    been taken elsewhere meanwhile. */
 static void
-test_no_launch_behind_own_epoch(void)
+test_no_launch_before_caught_up_with_epoch(void)
 {
   World world;
   begin(&world);
@@ -376,7 +376,7 @@
 
 /* Nor does it halt or reap what it doesn't know: that may have been assigned meanwhile. */
 static void
-test_no_halt_behind_own_epoch(void)
+test_no_halt_before_caught_up_with_epoch(void)
 {
   World world;
   begin(&world);
@@ -535,14 +535,14 @@
 }
 
 static void
-test_histories(void)
+test_release_holds_exactly_under_one_owner(void)
 {
   sim_play_seeds(4000, 30, check_history);
 }
 
 /* A release comes through a message as it was; damaged evidence is none. */
 static void
-test_round_trip(void)
+test_release_encoding_round_trip(void)
 {
   g_autoptr(WsSettings) settings = ws_test_settings(0);
   WsReplica *replica = ws_replica_new(settings);
@@ -611,20 +611,25 @@
 }
 
 static const WsTest TESTS[] = {
-  { "/evidence/pending-over-an-epoch", test_pending_over_an_epoch },
-  { "/evidence/bare-pending-over-an-epoch", test_bare_pending_over_an_epoch },
-  { "/evidence/from-former-owner", test_from_former_owner },
-  { "/evidence/bare-from-former-owner", test_bare_from_former_owner },
-  { "/evidence/new-session-before-the-write", test_new_session_before_the_write },
-  { "/evidence/same-owner-over-an-epoch", test_same_owner_over_an_epoch },
-  { "/evidence/no-launch-behind-own-epoch", test_no_launch_behind_own_epoch },
-  { "/evidence/no-halt-behind-own-epoch", test_no_halt_behind_own_epoch },
-  { "/evidence/returned-over-epochs", test_returned_over_epochs },
-  { "/evidence/bare-of-the-only-owner", test_bare_of_the_only_owner },
-  { "/evidence/bare-confirmed-by-worker", test_bare_confirmed_by_worker },
-  { "/evidence/bare-is-not-lost", test_bare_is_not_lost },
-  { "/evidence/histories", test_histories },
-  { "/evidence/round-trip", test_round_trip },
+  { "/evidence/pending-release-expires-with-ownership",
+    test_pending_release_expires_with_ownership },
+  { "/evidence/pending-legacy-release-expires-with-ownership",
+    test_pending_legacy_release_expires_with_ownership },
+  { "/evidence/no-release-by-former-owner", test_no_release_by_former_owner },
+  { "/evidence/no-legacy-release-by-former-owner", test_no_legacy_release_by_former_owner },
+  { "/evidence/no-launch-while-release-is-pending", test_no_launch_while_release_is_pending },
+  { "/evidence/release-holds-for-same-owner", test_release_holds_for_same_owner },
+  { "/evidence/no-launch-before-caught-up-with-epoch", test_no_launch_before_caught_up_with_epoch },
+  { "/evidence/no-halt-before-caught-up-with-epoch", test_no_halt_before_caught_up_with_epoch },
+  { "/evidence/returned-machine-is-released-in-any-epoch",
+    test_returned_machine_is_released_in_any_epoch },
+  { "/evidence/legacy-release-by-only-owner-holds", test_legacy_release_by_only_owner_holds },
+  { "/evidence/legacy-release-needs-current-worker-status",
+    test_legacy_release_needs_current_worker_status },
+  { "/evidence/unproven-legacy-release-terminates-machine",
+    test_unproven_legacy_release_terminates_machine },
+  { "/evidence/release-holds-exactly-under-one-owner", test_release_holds_exactly_under_one_owner },
+  { "/evidence/release-encoding-round-trip", test_release_encoding_round_trip },
   { "/evidence/flapping", test_flapping },
 };
 
