--- a/tests/test-gangs.c
+++ b/tests/test-gangs.c
@@ -81,7 +81,7 @@
 }
 
 static void
-test_phase(void)
+test_phase_follows_from_task_states(void)
 {
   for (guint32 seed = 1; seed <= 300; seed++) {
     g_autoptr(GRand) rand = g_rand_new_with_seed(seed);
@@ -116,7 +116,7 @@
 }
 
 static void
-test_runs_together(void)
+test_tasks_start_together(void)
 {
   for (guint32 seed = 800; seed < 804; seed++) {
     Sim *sim = gang_world(seed, seed % 2 == 0 ? &GANG : &WIDE_GANG);
@@ -131,7 +131,7 @@
 /* The loss of one task is that of the attempt; the next one starts when nothing of it is left,
    which the world checks. */
 static void
-test_loses_machine(void)
+test_machine_loss_restarts_whole_gang(void)
 {
   static void (*const TROUBLES[])(Sim *, guint, double) = { sim_hang, sim_deafen, sim_mute };
   static const double SECONDS[] = { 20.0, 60.0, 60.0 };
@@ -150,7 +150,7 @@
 /* A machine that hangs for less than its lease takes the attempt with it, and holds its own task
    until it goes on. */
 static void
-test_short_hang(void)
+test_short_stall_restarts_once(void)
 {
   for (guint32 seed = 825; seed < 829; seed++) {
     Sim *sim = gang_world(seed, &GANG);
@@ -167,7 +167,7 @@
 
 /* A notice of one machine stops the whole gang at once, with the time that it needs to save. */
 static void
-test_orderly_stop(void)
+test_interruption_notice_saves_progress(void)
 {
   for (guint32 seed = 830; seed < 836; seed++) {
     Sim *sim = gang_world(seed, &GANG);
@@ -184,7 +184,7 @@
 
 /* Controllers end at any step of a start, a loss or a stop. */
 static void
-test_leader_ends(void)
+test_leader_crashes_at_any_step(void)
 {
   for (guint32 seed = 850; seed < 850 + sim_seed_count(10); seed++) {
     Sim *sim = gang_world(seed, seed % 3 == 0 ? &WIDE_GANG : &GANG);
@@ -202,7 +202,7 @@
 
 /* A cancellation in any phase, also in the middle of a stop; the world checks cancel_s. */
 static void
-test_cancelled(void)
+test_cancelled_in_any_phase(void)
 {
   for (guint32 seed = 870; seed < 870 + sim_seed_count(12); seed++) {
     Sim *sim = gang_world(seed, &GANG);
@@ -220,7 +220,7 @@
 
 /* A cut between zones goes through a gang whose tasks may be in any. */
 static void
-test_cut_through(void)
+test_partition_through_gang(void)
 {
   for (guint32 seed = 890; seed < 894; seed++) {
     Sim *sim = gang_world(seed, &WIDE_GANG);
@@ -236,7 +236,7 @@
 /* Small tasks come all the time and take each place that becomes free; the gang, which needs
    several at once, begins within four minutes all the same. */
 static void
-test_begins_beside_small(void)
+test_starts_among_small_jobs(void)
 {
   static const SimJob SMALL
       = { .tasks = 2, .team = "blue", .priority = "standard", .spot = TRUE, .run_s = 7.0 };
@@ -281,7 +281,7 @@
 
 /* The world objects when two attempts hold places at once. */
 static void
-test_objects_two_attempts(void)
+test_checker_detects_two_attempts(void)
 {
   if (g_test_subprocess()) {
     Sim *sim = gang_world(899, &GANG);
@@ -319,7 +319,7 @@
 }
 
 static void
-test_refusals(void)
+test_invalid_gangs_are_rejected(void)
 {
   static const struct {
     const char *field;
@@ -381,7 +381,7 @@
 
 /* What the others of a lost task have is lost too: they are halted without time to save. */
 static void
-test_halts_at_loss(void)
+test_loss_halts_all_without_grace(void)
 {
   Rig *rig = rig_with_gang();
   rig_send_report(rig, 1, two_tasks("running", NULL, "running"));
@@ -395,7 +395,7 @@
 
 /* One task that is done is the end of all, in one record; a cancellation comes too late then. */
 static void
-test_one_done_is_all(void)
+test_one_completion_completes_all(void)
 {
   Rig *rig = rig_with_gang();
   rig_send_report(rig, 1, two_tasks("exited", "done", "running"));
@@ -410,7 +410,7 @@
 /* A gang that isn't complete in time, or lost a task elsewhere, says nothing against the machine.
  */
 static void
-test_reasons_blame_nobody(void)
+test_peer_exit_reasons_mark_no_machine(void)
 {
   static const char *const WHY[] = { "peers", "incomplete" };
   for (guint k = 0; k < 2 * G_N_ELEMENTS(WHY); k++) {
@@ -428,7 +428,7 @@
 /* A gang that must be in one zone goes where there is room for all of it, also when the machine
    that suits its first task best is elsewhere. */
 static void
-test_zone_with_room(void)
+test_placed_in_zone_with_capacity(void)
 {
   static const char *const MACHINES[] = { "m-2", "m-3" };
   Rig *rig = rig_with_machine();
@@ -485,7 +485,7 @@
 /* A gang whose image no machine has is spread, so that it's there for the next one, which is packed
    where the image is. */
 static void
-test_spread_to_fetch(void)
+test_spread_while_image_is_missing(void)
 {
   Rig *rig = rig_with_machine();
   rig_lift_limits(rig);
@@ -508,7 +508,7 @@
    reached no stop is begun, since the others would lose what they have for nothing; then all are
    halted, with the time that they need to save and to wait for each other. */
 static void
-test_no_stop_unreached(void)
+test_no_stop_while_machine_is_unreachable(void)
 {
   Rig *rig = rig_with_machine();
   rig->spot = TRUE;
@@ -536,23 +536,23 @@
 }
 
 static const WsTest TESTS[] = {
-  { "/gangs/phase", test_phase },
-  { "/gangs/refusals", test_refusals },
-  { "/gangs/halts-at-loss", test_halts_at_loss },
-  { "/gangs/one-done-is-all", test_one_done_is_all },
-  { "/gangs/reasons-blame-nobody", test_reasons_blame_nobody },
-  { "/gangs/zone-with-room", test_zone_with_room },
-  { "/gangs/spread-to-fetch", test_spread_to_fetch },
-  { "/gangs/objects-two-attempts", test_objects_two_attempts },
-  { "/gangs/runs-together", test_runs_together },
-  { "/gangs/loses-machine", test_loses_machine },
-  { "/gangs/short-hang", test_short_hang },
-  { "/gangs/orderly-stop", test_orderly_stop },
-  { "/gangs/no-stop-unreached", test_no_stop_unreached },
-  { "/gangs/leader-ends", test_leader_ends },
-  { "/gangs/cancelled", test_cancelled },
-  { "/gangs/cut-through", test_cut_through },
-  { "/gangs/begins-beside-small", test_begins_beside_small },
+  { "/gangs/phase-follows-from-task-states", test_phase_follows_from_task_states },
+  { "/gangs/invalid-gangs-are-rejected", test_invalid_gangs_are_rejected },
+  { "/gangs/loss-halts-all-without-grace", test_loss_halts_all_without_grace },
+  { "/gangs/one-completion-completes-all", test_one_completion_completes_all },
+  { "/gangs/peer-exit-reasons-mark-no-machine", test_peer_exit_reasons_mark_no_machine },
+  { "/gangs/placed-in-zone-with-capacity", test_placed_in_zone_with_capacity },
+  { "/gangs/spread-while-image-is-missing", test_spread_while_image_is_missing },
+  { "/gangs/checker-detects-two-attempts", test_checker_detects_two_attempts },
+  { "/gangs/tasks-start-together", test_tasks_start_together },
+  { "/gangs/machine-loss-restarts-whole-gang", test_machine_loss_restarts_whole_gang },
+  { "/gangs/short-stall-restarts-once", test_short_stall_restarts_once },
+  { "/gangs/interruption-notice-saves-progress", test_interruption_notice_saves_progress },
+  { "/gangs/no-stop-while-machine-is-unreachable", test_no_stop_while_machine_is_unreachable },
+  { "/gangs/leader-crashes-at-any-step", test_leader_crashes_at_any_step },
+  { "/gangs/cancelled-in-any-phase", test_cancelled_in_any_phase },
+  { "/gangs/partition-through-gang", test_partition_through_gang },
+  { "/gangs/starts-among-small-jobs", test_starts_among_small_jobs },
   { "/gangs/drawn", test_drawn },
 };
 
