--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -69,7 +69,7 @@
 
 /* All that production has acknowledged is known to the new version. */
 static void
-test_reads(void)
+test_reads_stored_records(void)
 {
   g_autoptr(WsSettings) settings = ws_test_settings(1);
   WsReplica *replica = read_records(settings);
@@ -101,7 +101,7 @@
 /* What the new version writes while production may read it is, byte for byte, what production would
    have written. */
 static void
-test_writes(void)
+test_writes_records_byte_for_byte(void)
 {
   g_autoptr(WsSettings) settings = ws_test_settings(1);
   WsReplica *replica = read_records(settings);
@@ -121,7 +121,7 @@
 
 /* Both versions count a team's use in the same record, whatever the limits to come are. */
 static void
-test_same_team_record(void)
+test_team_record_is_independent_of_limits(void)
 {
   g_autoptr(json_t) message = ws_test_message(0);
   json_t *state = json_object_get(json_object_get(message, "params"), "state");
@@ -137,7 +137,7 @@
 
 /* Peer messages of production: taken as they are. */
 static void
-test_messages(void)
+test_accepts_peer_messages(void)
 {
   static const struct {
     const char *path;
@@ -166,7 +166,7 @@
 /* The new version's gossip has each field of production's, of the same type, and one more, which
    production doesn't read. */
 static void
-test_gossip(void)
+test_gossip_is_compatible(void)
 {
   static const char PRODUCTION[]
       = "{\"node\":\"n1\",\"epoch\":1,\"store\":true,\"reaches\":7,\"wants_epoch\":false,"
@@ -206,7 +206,7 @@
 
 /* Whatever a record says to fit fits, and what places it has left can be filled. */
 static void
-test_chunk_sizes(void)
+test_chunks_fit_record_limit(void)
 {
   g_autoptr(WsSettings) settings = ws_test_settings(0);
   settings->state_record_bytes = NEXT_BYTES;
@@ -230,7 +230,7 @@
 
 /* A rental whose machines have long names has several records. */
 static void
-test_lot_sizes(void)
+test_rental_batches_fit_record_limit(void)
 {
   g_autoptr(WsSettings) settings = ws_test_settings(0);
   settings->state_record_bytes = NEXT_BYTES;
@@ -257,7 +257,7 @@
 /* The lower limits come into force at any moment, among troubles: nothing is refused for its size,
    which the end of each day checks, and all is served. */
 static void
-test_limits_fall(void)
+test_limits_lowered_at_runtime(void)
 {
   for (guint32 seed = 900; seed < 900 + sim_seed_count(12); seed++) {
     g_test_message("seed %u", seed);
@@ -285,7 +285,7 @@
 /* A record that production left larger than may be written now: its ends wait until what is left
    fits, and are then written together. */
 static void
-test_larger_records(void)
+test_oversized_records_are_reduced_at_once(void)
 {
   g_autoptr(GRand) rand = g_rand_new_with_seed(920);
   g_autoptr(WsSettings) settings = ws_test_settings(0);
@@ -318,7 +318,7 @@
 
 /* A job that production has accepted is known, whatever this version would have said of it. */
 static void
-test_accepted_elsewhere(void)
+test_accepted_job_is_never_rejected(void)
 {
   Rig *rig = rig_bare(TRUE);
   rig_send_report(rig, 0, json_array());
@@ -341,7 +341,7 @@
 
 /* A refusal for size that nobody announced holds up only what is refused. */
 static void
-test_unannounced(void)
+test_unannounced_limits_delay_only_what_is_refused(void)
 {
   Sim *sim = sim_loaded_world(930);
   sim_lower_limits(sim, 2, NEXT_BYTES); /* one job and its team's use */
@@ -355,17 +355,18 @@
 }
 
 static const WsTest TESTS[] = {
-  { "/upgrade/reads", test_reads },
-  { "/upgrade/writes", test_writes },
-  { "/upgrade/same-team-record", test_same_team_record },
-  { "/upgrade/messages", test_messages },
-  { "/upgrade/gossip", test_gossip },
-  { "/upgrade/chunk-sizes", test_chunk_sizes },
-  { "/upgrade/lot-sizes", test_lot_sizes },
-  { "/upgrade/limits-fall", test_limits_fall },
-  { "/upgrade/larger-records", test_larger_records },
-  { "/upgrade/accepted-elsewhere", test_accepted_elsewhere },
-  { "/upgrade/unannounced", test_unannounced },
+  { "/upgrade/reads-stored-records", test_reads_stored_records },
+  { "/upgrade/writes-records-byte-for-byte", test_writes_records_byte_for_byte },
+  { "/upgrade/team-record-is-independent-of-limits", test_team_record_is_independent_of_limits },
+  { "/upgrade/accepts-peer-messages", test_accepts_peer_messages },
+  { "/upgrade/gossip-is-compatible", test_gossip_is_compatible },
+  { "/upgrade/chunks-fit-record-limit", test_chunks_fit_record_limit },
+  { "/upgrade/rental-batches-fit-record-limit", test_rental_batches_fit_record_limit },
+  { "/upgrade/limits-lowered-at-runtime", test_limits_lowered_at_runtime },
+  { "/upgrade/oversized-records-are-reduced-at-once", test_oversized_records_are_reduced_at_once },
+  { "/upgrade/accepted-job-is-never-rejected", test_accepted_job_is_never_rejected },
+  { "/upgrade/unannounced-limits-delay-only-what-is-refused",
+    test_unannounced_limits_delay_only_what_is_refused },
 };
 
 int
