--- a/tests/test-combined-faults.c
+++ b/tests/test-combined-faults.c
@@ -84,21 +84,21 @@
 }
 
 static const Gap GAPS[] = {
-  { .name = "refused" },
-  { .name = "confirming-ends", .crash_confirming = TRUE },
-  { .name = "leader-alone", .leader_alone = TRUE },
-  { .name = "cloud-out", .cloud_out = TRUE },
-  { .name = "one-restarted", .restarted = TRUE },
-  { .name = "deaf", .trouble = sim_deafen, .trouble_s = 60.0 },
-  { .name = "mute", .trouble = sim_mute, .trouble_s = 60.0 },
-  { .name = "hung", .trouble = sim_hang, .trouble_s = 10.0 },
-  { .name = "launch-on-its-way", .begins_late = TRUE },
+  { .name = "leader-refused" },
+  { .name = "acknowledging-nodes-crash", .crash_confirming = TRUE },
+  { .name = "leader-isolated", .leader_alone = TRUE },
+  { .name = "cloud-outage", .cloud_out = TRUE },
+  { .name = "one-node-restarted", .restarted = TRUE },
+  { .name = "machine-outbound-unreachable", .trouble = sim_deafen, .trouble_s = 60.0 },
+  { .name = "machine-inbound-unreachable", .trouble = sim_mute, .trouble_s = 60.0 },
+  { .name = "machine-stalled", .trouble = sim_hang, .trouble_s = 10.0 },
+  { .name = "launch-in-flight", .begins_late = TRUE },
 };
 
 /* Machines whose reports reach nobody, while calls reach them: what was started there would end
    with their leases again and again, so new work goes elsewhere. */
 static void
-test_mute_is_unused(void)
+test_no_work_on_inbound_unreachable_machine(void)
 {
   static const SimJob ARRAY = { .tasks = 4, .team = "blue", .priority = "standard", .run_s = 16.0 };
   for (guint32 seed = 560; seed < 564; seed++) {
@@ -127,7 +127,7 @@
 } CombinedFaults;
 
 static void
-play_leaders_change(Sim *sim)
+play_repeated_leader_failover(Sim *sim)
 {
   for (guint i = 0; i < 10; i++) {
     sim_faults(sim)->state_out = i == 4 || i == 5;
@@ -138,7 +138,7 @@
 }
 
 static void
-play_held_up(Sim *sim)
+play_machines_stall_and_resume(Sim *sim)
 {
   for (guint i = 0; i < 6; i++) {
     sim_trouble_machines(sim, 2, sim_hang, g_rand_double_range(sim_rand(sim), 1.0, 9.0));
@@ -149,7 +149,7 @@
 }
 
 static void
-play_leader_ends_unreached(Sim *sim)
+play_leader_crash_while_machines_unreachable(Sim *sim)
 {
   sim_trouble_machines(sim, 2, sim_hang, 8.0);
   sim_trouble_machines(sim, 2, sim_deafen, 15.0);
@@ -160,7 +160,7 @@
 }
 
 static void
-play_mute(Sim *sim)
+play_machines_inbound_unreachable(Sim *sim)
 {
   for (guint i = 0; i < 5; i++)
     sim_trouble_machines(sim, 1, sim_mute, 45.0);
@@ -169,7 +169,7 @@
 }
 
 static void
-play_zone_with_controller(Sim *sim)
+play_partitioned_zone_with_controller(Sim *sim)
 {
   guint zone = (guint)g_rand_int_range(sim_rand(sim), 0, SIM_NODES);
   sim_faults(sim)->cut = 1u << zone;
@@ -180,7 +180,7 @@
 }
 
 static void
-play_no_room(Sim *sim)
+play_no_free_capacity(Sim *sim)
 {
   sim_faults(sim)->most_machines = 3;
   sim_add_load(sim, 2);
@@ -190,7 +190,7 @@
 }
 
 static void
-play_ends_far_apart(Sim *sim)
+play_completions_across_failovers(Sim *sim)
 {
   static const SimJob PAIR = { .tasks = 2, .team = "red", .priority = "standard", .run_s = 11.0 };
   for (guint i = 0; i < 5; i++) {
@@ -203,7 +203,7 @@
 }
 
 static void
-play_all_away(Sim *sim)
+play_all_nodes_down_longer_than_lease(Sim *sim)
 {
   for (guint n = 0; n < SIM_NODES; n++)
     sim_crash(sim, n, 14.0 + n);
@@ -213,7 +213,7 @@
 }
 
 static void
-play_cancel_at_end(Sim *sim)
+play_cancellation_at_completion(Sim *sim)
 {
   sim_cancel_at_end(sim, 0.7);
   sim_add_load(sim, 2);
@@ -221,7 +221,7 @@
 }
 
 static void
-play_slow_then_out(Sim *sim)
+play_slow_store_then_outage(Sim *sim)
 {
   sim_faults(sim)->slow_state_ms = 1500;
   sim_cancel_some(sim, 2);
@@ -235,7 +235,7 @@
 }
 
 static void
-play_hand_over_and_back(Sim *sim)
+play_leadership_handed_over_and_back(Sim *sim)
 {
   guint leader = sim_leader_or_first(sim);
   sim_crash(sim, leader, 6.0);
@@ -251,7 +251,7 @@
 }
 
 static void
-play_late_writes(Sim *sim)
+play_delayed_transactions(Sim *sim)
 {
   sim_faults(sim)->late_writes = 0.3;
   for (guint i = 0; i < 6; i++) {
@@ -264,7 +264,7 @@
 }
 
 static void
-play_old_reports(Sim *sim)
+play_duplicated_heartbeats(Sim *sim)
 {
   sim_faults(sim)->copies = 0.5;
   for (guint i = 0; i < 6; i++) {
@@ -290,7 +290,7 @@
 }
 
 static void
-play_report_held_back(Sim *sim)
+play_delayed_heartbeats(Sim *sim)
 {
   for (guint i = 0; i < 5; i++) {
     sim_faults(sim)->net.late = 0.4;
@@ -302,7 +302,7 @@
 }
 
 static void
-play_bound_to_a_zone(Sim *sim)
+play_zone_bound_jobs_lose_machines(Sim *sim)
 {
   sim_add_load(sim, 2);
   sim_run(sim, 10.0);
@@ -315,7 +315,7 @@
 }
 
 static void
-play_leader_with_workers_only(Sim *sim)
+play_isolated_leader(Sim *sim)
 {
   guint leader = sim_leader_or_first(sim);
   sim_faults(sim)->alone = 1u << leader;
@@ -325,7 +325,7 @@
 }
 
 static void
-play_standing_still(Sim *sim)
+play_leader_stalls(Sim *sim)
 {
   guint leader = sim_leader_or_first(sim);
   sim_freeze(sim, leader, 40.0);
@@ -336,24 +336,24 @@
 }
 
 static const CombinedFaults COMBINED_FAULTS[] = {
-  { "leaders-change", play_leaders_change },
-  { "held-up", play_held_up },
-  { "leader-ends-unreached", play_leader_ends_unreached },
-  { "mute", play_mute },
-  { "zone-with-controller", play_zone_with_controller },
-  { "no-room", play_no_room },
-  { "ends-far-apart", play_ends_far_apart },
-  { "all-away", play_all_away },
-  { "cancel-at-end", play_cancel_at_end },
-  { "slow-then-out", play_slow_then_out },
-  { "hand-over-and-back", play_hand_over_and_back },
-  { "late-writes", play_late_writes },
-  { "old-reports", play_old_reports },
+  { "repeated-leader-failover", play_repeated_leader_failover },
+  { "machines-stall-and-resume", play_machines_stall_and_resume },
+  { "leader-crash-while-machines-unreachable", play_leader_crash_while_machines_unreachable },
+  { "machines-inbound-unreachable", play_machines_inbound_unreachable },
+  { "partitioned-zone-with-controller", play_partitioned_zone_with_controller },
+  { "no-free-capacity", play_no_free_capacity },
+  { "completions-across-failovers", play_completions_across_failovers },
+  { "all-nodes-down-longer-than-lease", play_all_nodes_down_longer_than_lease },
+  { "cancellation-at-completion", play_cancellation_at_completion },
+  { "slow-store-then-outage", play_slow_store_then_outage },
+  { "leadership-handed-over-and-back", play_leadership_handed_over_and_back },
+  { "delayed-transactions", play_delayed_transactions },
+  { "duplicated-heartbeats", play_duplicated_heartbeats },
   { "team-at-limit", play_team_at_limit },
-  { "report-held-back", play_report_held_back },
-  { "bound-to-a-zone", play_bound_to_a_zone },
-  { "leader-with-workers-only", play_leader_with_workers_only },
-  { "standing-still", play_standing_still },
+  { "delayed-heartbeats", play_delayed_heartbeats },
+  { "zone-bound-jobs-lose-machines", play_zone_bound_jobs_lose_machines },
+  { "isolated-leader", play_isolated_leader },
+  { "leader-stalls", play_leader_stalls },
 };
 
 static void
@@ -388,10 +388,10 @@
 /* Tasks of a team at its limit were stopped for a more urgent job of the team that is bound to a
    zone without a machine; another node placed them again, over and over, and neither job ran. */
 static void
-test_waits_beside_room(void)
+test_no_preemption_loop_for_zone_bound_job(void)
 {
   Sim *sim = sim_loaded_world(602);
-  play_held_up(sim);
+  play_machines_stall_and_resume(sim);
   sim_serve_all(sim);
   sim_free(sim);
 }
@@ -437,7 +437,7 @@
 static const SimJob FOUR = { .tasks = 4, .team = "blue", .priority = "standard", .run_s = 90.0 };
 
 static void
-test_objects_twice(void)
+test_checker_detects_duplicate_run(void)
 {
   if (is_parent_of_objection("*ran_twice*"))
     return;
@@ -447,7 +447,7 @@
 }
 
 static void
-test_objects_quota(void)
+test_checker_detects_exceeded_quota(void)
 {
   static const SimJob WIDE = { .tasks = 9, .team = "blue", .priority = "standard", .run_s = 60.0 };
   if (is_parent_of_objection("*quota of blue*"))
@@ -464,7 +464,7 @@
 }
 
 static void
-test_objects_place(void)
+test_checker_detects_wrong_placement(void)
 {
   static const SimJob IN_A
       = { .tasks = 2, .team = "blue", .priority = "standard", .zone = "a", .run_s = 90.0 };
@@ -482,7 +482,7 @@
 }
 
 static void
-test_objects_cancelled(void)
+test_checker_detects_run_after_cancellation(void)
 {
   if (is_parent_of_objection("*ran_cancelled*"))
     return;
@@ -496,7 +496,7 @@
 }
 
 static void
-test_objects_forgotten(void)
+test_checker_detects_forgotten_job(void)
 {
   if (is_parent_of_objection("*forgotten: nothing is heard*"))
     return;
@@ -534,7 +534,7 @@
 }
 
 static void
-test_trace_repeats(void)
+test_trace_is_deterministic(void)
 {
   gsize first_length, second_length;
   g_autofree char *directory = g_dir_make_tmp("wrenshore-trace-XXXXXX", NULL);
@@ -547,15 +547,18 @@
 }
 
 static const WsTest TESTS[] = {
-  { "/combined-faults/mute-is-unused", test_mute_is_unused },
-  { "/combined-faults/objects-twice", test_objects_twice },
-  { "/combined-faults/objects-quota", test_objects_quota },
-  { "/combined-faults/objects-place", test_objects_place },
-  { "/combined-faults/objects-cancelled", test_objects_cancelled },
-  { "/combined-faults/objects-forgotten", test_objects_forgotten },
-  { "/combined-faults/waits-beside-room", test_waits_beside_room },
+  { "/combined-faults/no-work-on-inbound-unreachable-machine",
+    test_no_work_on_inbound_unreachable_machine },
+  { "/combined-faults/checker-detects-duplicate-run", test_checker_detects_duplicate_run },
+  { "/combined-faults/checker-detects-exceeded-quota", test_checker_detects_exceeded_quota },
+  { "/combined-faults/checker-detects-wrong-placement", test_checker_detects_wrong_placement },
+  { "/combined-faults/checker-detects-run-after-cancellation",
+    test_checker_detects_run_after_cancellation },
+  { "/combined-faults/checker-detects-forgotten-job", test_checker_detects_forgotten_job },
+  { "/combined-faults/no-preemption-loop-for-zone-bound-job",
+    test_no_preemption_loop_for_zone_bound_job },
   { "/combined-faults/drawn", test_drawn },
-  { "/combined-faults/trace/repeats", test_trace_repeats },
+  { "/combined-faults/trace/is-deterministic", test_trace_is_deterministic },
   { "/combined-faults/trace/subprocess/days", play_traced_days },
 };
 
@@ -564,7 +567,8 @@
 {
   ws_suite_init(&argc, &argv);
   for (gsize i = 0; i < G_N_ELEMENTS(GAPS); i++) {
-    g_autofree char *path = g_strconcat("/combined-faults/gap/", GAPS[i].name, NULL);
+    g_autofree char *path
+        = g_strconcat("/combined-faults/cancellation-before-outage/", GAPS[i].name, NULL);
     g_test_add_data_func(path, &GAPS[i], test_gap);
   }
   for (gsize i = 0; i < G_N_ELEMENTS(COMBINED_FAULTS); i++) {
