--- /dev/null
+++ b/tests/sim/fixture.h
@@ -0,0 +1,85 @@
+/* One controller alone in its epoch, with a state service and scripted workers: for what random
+   schedules rarely lean on, and for counting. */
+#pragma once
+
+#include "core/ws-core.h"
+#include "sim/state.h"
+
+typedef struct Fixture {
+  WsSettings *settings;
+  WsProperties *properties;
+  SimState *state;
+  WsCore *core;
+  guint run; /* counts its restarts */
+  gint64 now_ms;
+  const char *zone;           /* of the machines that report */
+  gboolean spot;              /* what kind they are */
+  gboolean peers_unreachable; /* the other controllers aren't there */
+  gboolean store_unavailable; /* the state service answers 503 */
+  gboolean workers_answer;    /* direct commands */
+  json_t *status_report;      /* what workers answer to /status; NULL: nothing */
+  gboolean hold_watch;        /* the next watch gets no answer until it is released */
+  guint64 held_watch;
+  gboolean has_small_type;         /* the cloud has a smaller type too */
+  gboolean cloud_confirms_returns; /* it answers returns */
+  gboolean peers_lack_store;
+  guint unacknowledged_by_peers; /* cancellations that a peer knows and has not told */
+  gboolean peers_acknowledge;    /* what they are told of cancellations */
+  guint cancellations_sent;      /* how often peers were told */
+  guint returns_requested;       /* returns asked of the cloud */
+  guint direct_commands;         /* direct commands seen */
+  guint64 sequence;
+  guint status; /* the last answer to a request of ours */
+  json_t *answer;
+  gboolean hold_assignment; /* the next transaction that assigns a task waits for held's answer */
+  guint64 held_call;
+  json_t *last_transaction;
+  json_t *assignment_transaction; /* the last one that wrote a task's record */
+  guint outputs;                  /* answers and calls of the core */
+  gsize gossip_bytes;             /* of the last gossip; a peer acknowledges it */
+  json_t *member_transaction;     /* the last one that wrote the member's own record */
+} Fixture;
+
+typedef struct {
+  Fixture *fixture;
+  guint64 call;
+  guint run;
+} StoreCall;
+
+/* A machine that has shown the token, a job and its task on the machine. */
+Fixture *fixture_new_with_job(gboolean workers_answer);
+/* The same without machine and job. */
+Fixture *fixture_new(gboolean workers_answer);
+/* The same where the cloud has a small type beside the large one. */
+Fixture *fixture_new_with_two_types(void);
+void fixture_free(Fixture *fixture);
+/* The controller ends and begins anew, with the same state service. */
+void fixture_restart(Fixture *fixture);
+void fixture_release_watch(Fixture *fixture);
+void fixture_pump(Fixture *fixture);
+void fixture_run(Fixture *fixture, double seconds);
+/* A request, and no pause after it. */
+void fixture_request(Fixture *fixture, WsDoor door, const char *method, const char *path,
+                     json_t *body /* taken, may be NULL */);
+/* The teams have no limits. */
+void fixture_lift_quotas(Fixture *fixture);
+/* A POST, and no pause after it. */
+void fixture_post(Fixture *fixture, const char *path, json_t *body /* taken */);
+/* A request, and a moment for its answer. */
+void fixture_call(Fixture *fixture, const char *method, const char *path, json_t *body /* taken */);
+json_t *fixture_heartbeat(const Fixture *fixture, const char *machine, guint64 fencing_token,
+                          guint64 sequence, json_t *tasks);
+/* What another controller says, and a moment for the answer. */
+void fixture_send_peer_message(Fixture *fixture, const char *path, json_t *body /* taken */);
+/* A report of any machine, and no pause after it. */
+void fixture_post_heartbeat(Fixture *fixture, const char *machine, guint64 fencing_token,
+                            guint64 sequence, json_t *tasks /* taken */);
+void fixture_send_heartbeat(Fixture *fixture, guint64 fencing_token, json_t *tasks);
+json_t *fixture_submission(void);
+gboolean fixture_task_is_assigned(const Fixture *fixture);
+/* Whether the last answer to a report has the command. */
+gboolean fixture_has_command(const Fixture *fixture, const char *op);
+/* What somebody else writes to the state service; value NULL: removes the key, which is there. */
+void fixture_write_key(Fixture *fixture, const char *key, json_t *value /* taken */);
+void fixture_reply(Fixture *fixture, guint64 call, guint status, const json_t *body);
+void fixture_on_store_reply(gpointer data, guint status, json_t *body);
--- a/tests/test-evidence.c
+++ b/tests/test-evidence.c
@@ -3,7 +3,7 @@
    A release is written only while what it rests on still holds: an incident broke ran_twice when a
    former owner's release was written after the next owner had launched the same attempt. */
 #include "storage/ws-evidence.h"
-#include "sim/rig.h"
+#include "sim/fixture.h"
 #include "sim/troubles.h"
 #include "ws-site.h"
 #include "ws-suite.h"
@@ -14,7 +14,7 @@
 
 /* Whether the machine is n1's while the first nodes are members, so many of them. */
 static gboolean
-is_of_n1(const Rig *rig, const char *machine, guint members)
+is_of_n1(const Fixture *fixture, const char *machine, guint members)
 {
   WsEpoch epoch;
   ws_epoch_init(&epoch);
@@ -22,25 +22,25 @@
     WsMember member = { node, 1 };
     g_array_append_val(epoch.members, member);
   }
-  gboolean is = ws_epoch_owner(&epoch, machine, rig->settings) == 1;
+  gboolean is = ws_epoch_owner(&epoch, machine, fixture->settings) == 1;
   ws_epoch_clear(&epoch);
   return is;
 }
 
 /* A machine that is n1's wherever n1 is a member beside n0. */
 static char *
-name_of_machine_of_n1(const Rig *rig)
+name_of_machine_of_n1(const Fixture *fixture)
 {
   for (guint i = 0;; i++) {
     char *name = g_strdup_printf("m-%u", i);
-    if (is_of_n1(rig, name, 2) && is_of_n1(rig, name, 3))
+    if (is_of_n1(fixture, name, 2) && is_of_n1(fixture, name, 3))
       return name;
     g_free(name);
   }
 }
 
 typedef struct {
-  Rig *rig;
+  Fixture *fixture;
   char *machine;
   guint64 sequence;
 } World;
@@ -48,7 +48,7 @@
 static void
 report(World *world, guint64 fencing_token, json_t *tasks /* taken */)
 {
-  rig_report_now(world->rig, world->machine, fencing_token, ++world->sequence, tasks);
+  fixture_post_heartbeat(world->fixture, world->machine, fencing_token, ++world->sequence, tasks);
 }
 
 static json_t *
@@ -61,39 +61,40 @@
 static void
 begin(World *world)
 {
-  *world = (World){ .rig = rig_bare(TRUE) };
-  world->machine = name_of_machine_of_n1(world->rig);
+  *world = (World){ .fixture = fixture_new(TRUE) };
+  world->machine = name_of_machine_of_n1(world->fixture);
   report(world, 0, json_array());
-  rig_run(world->rig, 0.3);
+  fixture_run(world->fixture, 0.3);
   report(world, 1, json_array());
-  rig_run(world->rig, 0.3);
-  rig_ask(world->rig, "POST", "/api/jobs", rig_submission());
-  rig_run(world->rig, 1.0);
-  g_assert_true(rig_is_assigned(world->rig));
+  fixture_run(world->fixture, 0.3);
+  fixture_call(world->fixture, "POST", "/api/jobs", fixture_submission());
+  fixture_run(world->fixture, 1.0);
+  g_assert_true(fixture_task_is_assigned(world->fixture));
 }
 
 static void
 end(World *world)
 {
-  rig_free(world->rig);
+  fixture_free(world->fixture);
   g_free(world->machine);
 }
 
 static guint64
-epoch_number(const Rig *rig)
+epoch_number(const Fixture *fixture)
 {
   return (guint64)json_integer_value(
-      json_object_get(sim_state_get(rig->state, "w/epoch"), "number"));
+      json_object_get(sim_state_get(fixture->state, "w/epoch"), "number"));
 }
 
 /* n1 joins or leaves, and n0 writes the next epoch. */
 static void
 change_epoch(World *world, gboolean has_n1)
 {
-  guint64 before = epoch_number(world->rig);
-  rig_write_key(world->rig, "w/member/n1", has_n1 ? json_pack("{s:i}", "incarnation", 1) : NULL);
-  rig_run(world->rig, NEW_EPOCH_S);
-  g_assert_cmpuint(epoch_number(world->rig), ==, before + 1);
+  guint64 before = epoch_number(world->fixture);
+  fixture_write_key(world->fixture, "w/member/n1",
+                    has_n1 ? json_pack("{s:i}", "incarnation", 1) : NULL);
+  fixture_run(world->fixture, NEW_EPOCH_S);
+  g_assert_cmpuint(epoch_number(world->fixture), ==, before + 1);
 }
 
 /* n1 says what it knew of the task under the token: that it is absent, or its machine returned. */
@@ -116,35 +117,35 @@
 static gboolean
 is_first_attempt_on_record(const World *world)
 {
-  const json_t *on = json_object_get(sim_state_get(world->rig->state, "w/task/req-1/0"), "on");
+  const json_t *on = json_object_get(sim_state_get(world->fixture->state, "w/task/req-1/0"), "on");
   return json_integer_value(json_array_get(json_array_get(on, 0), 2)) == 1;
 }
 
 /* A second for the transaction that is to be held. */
 static void
-wait_for_held(Rig *rig)
+wait_for_held(Fixture *fixture)
 {
-  for (guint i = 0; i < 20 && rig->held == 0; i++)
-    rig_run(rig, 0.05);
+  for (guint i = 0; i < 20 && fixture->held_call == 0; i++)
+    fixture_run(fixture, 0.05);
 }
 
 /* Somebody writes that the task's second attempt is on the machine. */
 static void
-assign_second_attempt(Rig *rig, const char *machine)
+assign_second_attempt(Fixture *fixture, const char *machine)
 {
-  rig_write_key(rig, "w/task/req-1/0",
-                json_pack("{s:i, s:[[i, s, i, i]], s:s}", "a", 2, "on", 0, machine, 2, 1000, "d",
-                          "00000000000000000000000000000000"));
+  fixture_write_key(fixture, "w/task/req-1/0",
+                    json_pack("{s:i, s:[[i, s, i, i]], s:s}", "a", 2, "on", 0, machine, 2, 1000,
+                              "d", "00000000000000000000000000000000"));
 }
 
 /* The machine is n0's now, and hears that it is to launch the task. */
 static void
 launch_by_n0(World *world)
 {
-  guint64 fencing_token = epoch_number(world->rig);
+  guint64 fencing_token = epoch_number(world->fixture);
   report(world, fencing_token - 1, json_array());
   report(world, fencing_token, json_array());
-  g_assert_true(rig_has_command(world->rig, "launch"));
+  g_assert_true(fixture_has_command(world->fixture, "launch"));
   report(world, fencing_token, task_in_state("fetching"));
 }
 
@@ -156,15 +157,15 @@
   World world;
   begin(&world);
   change_epoch(&world, TRUE);
-  world.rig->hold = TRUE;
-  rig_request(world.rig, WS_DOOR_MESH, "POST", "/ask",
-              has_evidence ? release_of_n1(&world, 2, "absent", 2) : bare_release_of_n1(2));
-  wait_for_held(world.rig);
+  world.fixture->hold_assignment = TRUE;
+  fixture_request(world.fixture, WS_DOOR_MESH, "POST", "/ask",
+                  has_evidence ? release_of_n1(&world, 2, "absent", 2) : bare_release_of_n1(2));
+  wait_for_held(world.fixture);
   change_epoch(&world, FALSE);
   launch_by_n0(&world);
-  if (world.rig->held != 0)
-    rig_reply(world.rig, world.rig->held, 409, NULL);
-  rig_run(world.rig, WRITE_S);
+  if (world.fixture->held_call != 0)
+    fixture_reply(world.fixture, world.fixture->held_call, 409, NULL);
+  fixture_run(world.fixture, WRITE_S);
   g_assert_true(is_first_attempt_on_record(&world));
   end(&world);
 }
@@ -192,9 +193,9 @@
   change_epoch(&world, FALSE);
   launch_by_n0(&world);
   change_epoch(&world, TRUE);
-  rig_request(world.rig, WS_DOOR_MESH, "POST", "/ask",
-              has_evidence ? release_of_n1(&world, 4, "absent", 2) : bare_release_of_n1(4));
-  rig_run(world.rig, WRITE_S);
+  fixture_request(world.fixture, WS_DOOR_MESH, "POST", "/ask",
+                  has_evidence ? release_of_n1(&world, 4, "absent", 2) : bare_release_of_n1(4));
+  fixture_run(world.fixture, WRITE_S);
   g_assert_true(is_first_attempt_on_record(&world));
   end(&world);
 }
@@ -220,8 +221,9 @@
   change_epoch(&world, TRUE);
   change_epoch(&world, FALSE);
   change_epoch(&world, TRUE);
-  rig_request(world.rig, WS_DOOR_MESH, "POST", "/ask", release_of_n1(&world, 4, "returned", 1));
-  rig_run(world.rig, WRITE_S);
+  fixture_request(world.fixture, WS_DOOR_MESH, "POST", "/ask",
+                  release_of_n1(&world, 4, "returned", 1));
+  fixture_run(world.fixture, WRITE_S);
   g_assert_false(is_first_attempt_on_record(&world));
   end(&world);
 }
@@ -235,15 +237,15 @@
   World world;
   begin(&world);
   change_epoch(&world, TRUE);
-  Rig *rig = world.rig;
-  assign_second_attempt(rig, world.machine);
-  rig_run(rig, 1.0);
-  rig_request(rig, WS_DOOR_MESH, "POST", "/ask",
-              json_pack("{s:i, s:[[s, i, i, b]]}", "epoch", 2, "releases", "req-1", 0, 2, 0));
-  rig_run(rig, 0.4);
+  Fixture *fixture = world.fixture;
+  assign_second_attempt(fixture, world.machine);
+  fixture_run(fixture, 1.0);
+  fixture_request(fixture, WS_DOOR_MESH, "POST", "/ask",
+                  json_pack("{s:i, s:[[s, i, i, b]]}", "epoch", 2, "releases", "req-1", 0, 2, 0));
+  fixture_run(fixture, 0.4);
   g_assert_cmpstr(
       json_string_value(json_array_get(
-          json_array_get(json_object_get(sim_state_get(rig->state, "w/task/req-1/0"), "on"), 0),
+          json_array_get(json_object_get(sim_state_get(fixture->state, "w/task/req-1/0"), "on"), 0),
           1)),
       !=, world.machine);
   end(&world);
@@ -256,17 +258,17 @@
   World world;
   begin(&world);
   change_epoch(&world, TRUE);
-  Rig *rig = world.rig;
+  Fixture *fixture = world.fixture;
   for (guint64 fencing_token = 1; fencing_token <= 2;
        fencing_token++) { /* only what is said under our token counts */
     json_t *tasks = json_pack("[{s:s, s:i, s:s, s:s}]", "kus", "req-1/0", "pokus", 1, "stav",
                               "exited", "duvod", "error");
-    json_decref(rig->status_report);
-    rig->status_report
-        = rig_report_of(rig, world.machine, fencing_token, 100 + fencing_token, tasks);
-    rig_run(rig, WRITE_S);
-    rig_request(rig, WS_DOOR_MESH, "POST", "/ask", bare_release_of_n1(2));
-    rig_run(rig, 0.4);
+    json_decref(fixture->status_report);
+    fixture->status_report
+        = fixture_heartbeat(fixture, world.machine, fencing_token, 100 + fencing_token, tasks);
+    fixture_run(fixture, WRITE_S);
+    fixture_request(fixture, WS_DOOR_MESH, "POST", "/ask", bare_release_of_n1(2));
+    fixture_run(fixture, 0.4);
     g_assert_true(is_first_attempt_on_record(&world) == (fencing_token == 1));
   }
   end(&world);
@@ -279,17 +281,17 @@
   World world;
   begin(&world);
   change_epoch(&world, TRUE);
-  Rig *rig = world.rig;
+  Fixture *fixture = world.fixture;
   g_autofree char *mark = g_strdup_printf("w/mark/%s", world.machine);
-  guint repeats = (guint)(rig->settings->lease_s / REPEATED_EVERY_S) + 1;
+  guint repeats = (guint)(fixture->settings->lease_s / REPEATED_EVERY_S) + 1;
   for (guint i = 0; i < repeats; i++) {
-    g_assert_false(sim_state_has(rig->state, mark));
-    rig_request(rig, WS_DOOR_MESH, "POST", "/ask", bare_release_of_n1(2));
-    rig_run(rig, REPEATED_EVERY_S);
+    g_assert_false(sim_state_has(fixture->state, mark));
+    fixture_request(fixture, WS_DOOR_MESH, "POST", "/ask", bare_release_of_n1(2));
+    fixture_run(fixture, REPEATED_EVERY_S);
   }
-  rig_request(rig, WS_DOOR_MESH, "POST", "/ask", bare_release_of_n1(2));
-  rig_run(rig, 1.0);
-  g_assert_true(sim_state_has(rig->state, mark));
+  fixture_request(fixture, WS_DOOR_MESH, "POST", "/ask", bare_release_of_n1(2));
+  fixture_run(fixture, 1.0);
+  g_assert_true(sim_state_has(fixture->state, mark));
   g_assert_true(is_first_attempt_on_record(&world));
   end(&world);
 }
@@ -301,20 +303,20 @@
 {
   World world;
   begin(&world);
-  Rig *rig = world.rig;
-  rig->hold = TRUE;
+  Fixture *fixture = world.fixture;
+  fixture->hold_assignment = TRUE;
   report(&world, 1,
          json_pack("[{s:s, s:i, s:s, s:s}]", "kus", "req-1/0", "pokus", 1, "stav", "exited",
                    "duvod", "error"));
-  wait_for_held(rig);
-  g_assert_cmpuint(rig->held, !=, 0);
-  json_t *anew = rig_report_of(rig, world.machine, 1, ++world.sequence, json_array());
+  wait_for_held(fixture);
+  g_assert_cmpuint(fixture->held_call, !=, 0);
+  json_t *anew = fixture_heartbeat(fixture, world.machine, 1, ++world.sequence, json_array());
   json_object_set_new(anew, "smena", json_integer(2));
-  rig_tell(rig, "/v1/report", anew);
-  g_assert_cmpuint(rig->status, ==, 200);
-  g_assert_false(rig_has_command(rig, "launch"));
-  rig_reply(rig, rig->held, 409, NULL);
-  rig_run(rig, WRITE_S);
+  fixture_post(fixture, "/v1/report", anew);
+  g_assert_cmpuint(fixture->status, ==, 200);
+  g_assert_false(fixture_has_command(fixture, "launch"));
+  fixture_reply(fixture, fixture->held_call, 409, NULL);
+  fixture_run(fixture, WRITE_S);
   g_assert_false(is_first_attempt_on_record(&world));
   end(&world);
 }
@@ -326,11 +328,12 @@
   World world;
   begin(&world);
   change_epoch(&world, TRUE);
-  rig_write_key(world.rig, "w/member/n2", json_pack("{s:i}", "incarnation", 1));
-  rig_run(world.rig, NEW_EPOCH_S);
-  g_assert_cmpuint(epoch_number(world.rig), ==, 3);
-  rig_request(world.rig, WS_DOOR_MESH, "POST", "/ask", release_of_n1(&world, 3, "absent", 2));
-  rig_run(world.rig, WRITE_S);
+  fixture_write_key(world.fixture, "w/member/n2", json_pack("{s:i}", "incarnation", 1));
+  fixture_run(world.fixture, NEW_EPOCH_S);
+  g_assert_cmpuint(epoch_number(world.fixture), ==, 3);
+  fixture_request(world.fixture, WS_DOOR_MESH, "POST", "/ask",
+                  release_of_n1(&world, 3, "absent", 2));
+  fixture_run(world.fixture, WRITE_S);
   g_assert_false(is_first_attempt_on_record(&world));
   end(&world);
 }
@@ -340,19 +343,19 @@
 static void
 be_behind_own_epoch(World *world)
 {
-  Rig *rig = world->rig;
-  rig->hold_watch = TRUE;
-  rig_write_key(rig, "w/unused", json_object()); /* answers the watch that is open */
-  rig_run(rig, 1.0);
-  g_assert_cmpuint(rig->held_watch, !=, 0);
-  assign_second_attempt(rig, "m-elsewhere");
-  rig_mesh(rig, "/gossip",
-           json_pack("{s:s, s:i, s:b, s:i, s:b, s:b, s:i, s:i, s:i, s:i, s:b, s:i, s:[]}", "node",
-                     "n1", "epoch", 1, "store", 1, "reaches", 7, "wants_epoch", 1, "unheard", 0,
-                     "base", 0, "rev", 0, "ack", 0, "incarnation", 1, "loaded", 1, "untold", 0,
-                     "machines"));
-  rig_run(rig, 0.5);
-  g_assert_cmpuint(epoch_number(rig), ==, 2);
+  Fixture *fixture = world->fixture;
+  fixture->hold_watch = TRUE;
+  fixture_write_key(fixture, "w/unused", json_object()); /* answers the watch that is open */
+  fixture_run(fixture, 1.0);
+  g_assert_cmpuint(fixture->held_watch, !=, 0);
+  assign_second_attempt(fixture, "m-elsewhere");
+  fixture_send_peer_message(
+      fixture, "/gossip",
+      json_pack("{s:s, s:i, s:b, s:i, s:b, s:b, s:i, s:i, s:i, s:i, s:b, s:i, s:[]}", "node", "n1",
+                "epoch", 1, "store", 1, "reaches", 7, "wants_epoch", 1, "unheard", 0, "base", 0,
+                "rev", 0, "ack", 0, "incarnation", 1, "loaded", 1, "untold", 0, "machines"));
+  fixture_run(fixture, 0.5);
+  g_assert_cmpuint(epoch_number(fixture), ==, 2);
 }
 
 /* A leader whose replica is older than its own epoch launches nothing by it: the attempt may have
@@ -365,12 +368,12 @@
   be_behind_own_epoch(&world);
   report(&world, 1, json_array());
   report(&world, 2, json_array());
-  g_assert_cmpuint(world.rig->status, ==, 200);
-  g_assert_false(rig_has_command(world.rig, "launch"));
-  rig_release_watch(world.rig);
-  rig_run(world.rig, 1.0);
+  g_assert_cmpuint(world.fixture->status, ==, 200);
+  g_assert_false(fixture_has_command(world.fixture, "launch"));
+  fixture_release_watch(world.fixture);
+  fixture_run(world.fixture, 1.0);
   report(&world, 2, json_array());
-  g_assert_false(rig_has_command(world.rig, "launch"));
+  g_assert_false(fixture_has_command(world.fixture, "launch"));
   end(&world);
 }
 
@@ -387,15 +390,15 @@
     json_object_set_new(json_array_get(tasks, 0), "pokus", json_integer(3));
     json_object_set_new(json_array_get(tasks, 0), "duvod", json_string("done"));
     report(&world, 2, json_deep_copy(tasks));
-    g_assert_cmpuint(world.rig->status, ==, 200);
-    g_assert_false(rig_has_command(world.rig, "halt"));
-    g_assert_false(rig_has_command(world.rig, "reap"));
+    g_assert_cmpuint(world.fixture->status, ==, 200);
+    g_assert_false(fixture_has_command(world.fixture, "halt"));
+    g_assert_false(fixture_has_command(world.fixture, "reap"));
     json_decref(tasks);
   }
-  rig_release_watch(world.rig);
-  rig_run(world.rig, 1.0);
+  fixture_release_watch(world.fixture);
+  fixture_run(world.fixture, 1.0);
   report(&world, 2, task_in_state("running")); /* this attempt isn't on the records any more */
-  g_assert_true(rig_has_command(world.rig, "halt"));
+  g_assert_true(fixture_has_command(world.fixture, "halt"));
   end(&world);
 }
 
@@ -473,7 +476,7 @@
 static void
 add_assignments(WsReplica *replica)
 {
-  json_t *spec = rig_submission();
+  json_t *spec = fixture_submission();
   json_object_set_new(spec, "kusy", json_integer(MACHINES));
   apply(replica, "w/job/req-1",
         json_pack("{s:s, s:i, s:s, s:o}", "s", "active", "at", 1, "home", "", "spec", spec));
--- a/tests/test-gangs.c
+++ b/tests/test-gangs.c
@@ -1,7 +1,7 @@
 /* Gangs: all tasks run together or none does, whatever happens to machines and controllers. */
 #include "scheduling/ws-scheduling.h"
 #include "storage/ws-gang-phase.h"
-#include "sim/rig.h"
+#include "sim/fixture.h"
 #include "sim/troubles.h"
 #include "ws-suite.h"
 
@@ -301,7 +301,7 @@
 static json_t *
 gang_submission(guint tasks)
 {
-  json_t *submission = rig_submission();
+  json_t *submission = fixture_submission();
   json_object_set_new(submission, "druh", json_string("group"));
   json_object_set_new(submission, "kusy", json_integer(tasks));
   json_object_set_new(submission, "zaloha_s", json_real(20.0));
@@ -309,13 +309,13 @@
   return submission;
 }
 
-static Rig *
-rig_with_machine(void)
+static Fixture *
+fixture_with_machine(void)
 {
-  Rig *rig = rig_bare(TRUE);
-  rig_send_report(rig, 0, json_array());
-  rig_send_report(rig, 1, json_array());
-  return rig;
+  Fixture *fixture = fixture_new(TRUE);
+  fixture_send_heartbeat(fixture, 0, json_array());
+  fixture_send_heartbeat(fixture, 1, json_array());
+  return fixture;
 }
 
 static void
@@ -330,20 +330,20 @@
                 { "scatter", TRUE, 2, 201 },   { "druh", FALSE, 2, 400 },
                 { "one_zone", FALSE, 6, 201 }, { "one_zone", FALSE, 200, 422 } };
   for (guint i = 0; i < G_N_ELEMENTS(CASES); i++) {
-    Rig *rig = rig_with_machine();
+    Fixture *fixture = fixture_with_machine();
     json_t *submission = gang_submission(CASES[i].tasks);
     json_object_set_new(submission, CASES[i].field, json_boolean(CASES[i].value));
-    rig_ask(rig, "POST", "/api/jobs", submission);
-    g_assert_cmpuint(rig->status, ==, CASES[i].status);
-    rig_free(rig);
+    fixture_call(fixture, "POST", "/api/jobs", submission);
+    g_assert_cmpuint(fixture->status, ==, CASES[i].status);
+    fixture_free(fixture);
   }
-  Rig *rig = rig_with_machine();
+  Fixture *fixture = fixture_with_machine();
   json_t *torn = gang_submission(2);
   json_object_set_new(torn, "one_zone", json_true());
   json_object_set_new(torn, "scatter", json_true());
-  rig_ask(rig, "POST", "/api/jobs", torn);
-  g_assert_cmpuint(rig->status, ==, 422);
-  rig_free(rig);
+  fixture_call(fixture, "POST", "/api/jobs", torn);
+  g_assert_cmpuint(fixture->status, ==, 422);
+  fixture_free(fixture);
 }
 
 static json_t *
@@ -355,11 +355,11 @@
 
 /* The grace of the halt in the last answer for the task, NULL for any; negative: it has none. */
 static double
-halt_grace(const Rig *rig, const char *task)
+halt_grace(const Fixture *fixture, const char *task)
 {
   size_t i;
   const json_t *command;
-  json_array_foreach(json_object_get(rig->answer, "prikazy"), i, command)
+  json_array_foreach(json_object_get(fixture->answer, "prikazy"), i, command)
   {
     if (strcmp(json_string_value(json_object_get(command, "ukon")), "halt") == 0
         && (task == NULL || strcmp(json_string_value(json_object_get(command, "kus")), task) == 0))
@@ -368,43 +368,43 @@
   return -1.0;
 }
 
-static Rig *
-rig_with_gang(void)
+static Fixture *
+fixture_with_gang(void)
 {
-  Rig *rig = rig_with_machine();
-  rig_ask(rig, "POST", "/api/jobs", gang_submission(2));
-  g_assert_cmpuint(rig->status, ==, 201);
-  rig_run(rig, 1.0);
-  g_assert_true(rig_is_assigned(rig));
-  return rig;
+  Fixture *fixture = fixture_with_machine();
+  fixture_call(fixture, "POST", "/api/jobs", gang_submission(2));
+  g_assert_cmpuint(fixture->status, ==, 201);
+  fixture_run(fixture, 1.0);
+  g_assert_true(fixture_task_is_assigned(fixture));
+  return fixture;
 }
 
 /* What the others of a lost task have is lost too: they are halted without time to save. */
 static void
 test_loss_halts_all_without_grace(void)
 {
-  Rig *rig = rig_with_gang();
-  rig_send_report(rig, 1, two_tasks("running", NULL, "running"));
-  g_assert_cmpfloat(halt_grace(rig, "req-1/1"), <, 0.0);
-  rig_send_report(rig, 1, two_tasks("exited", "error", "running"));
-  rig_run(rig, 0.5);
-  rig_send_report(rig, 1, two_tasks("exited", "error", "running"));
-  g_assert_cmpfloat(halt_grace(rig, "req-1/1"), ==, 0.0);
-  rig_free(rig);
+  Fixture *fixture = fixture_with_gang();
+  fixture_send_heartbeat(fixture, 1, two_tasks("running", NULL, "running"));
+  g_assert_cmpfloat(halt_grace(fixture, "req-1/1"), <, 0.0);
+  fixture_send_heartbeat(fixture, 1, two_tasks("exited", "error", "running"));
+  fixture_run(fixture, 0.5);
+  fixture_send_heartbeat(fixture, 1, two_tasks("exited", "error", "running"));
+  g_assert_cmpfloat(halt_grace(fixture, "req-1/1"), ==, 0.0);
+  fixture_free(fixture);
 }
 
 /* One task that is done is the end of all, in one record; a cancellation comes too late then. */
 static void
 test_one_completion_completes_all(void)
 {
-  Rig *rig = rig_with_gang();
-  rig_send_report(rig, 1, two_tasks("exited", "done", "running"));
-  rig_run(rig, 0.5);
-  rig_ask(rig, "POST", "/api/jobs/req-1/withdraw", NULL);
-  g_assert_cmpstr(json_string_value(json_object_get(rig->answer, "stav")), ==, "done");
-  const json_t *use = sim_state_get(rig->state, "w/team-use/0");
+  Fixture *fixture = fixture_with_gang();
+  fixture_send_heartbeat(fixture, 1, two_tasks("exited", "done", "running"));
+  fixture_run(fixture, 0.5);
+  fixture_call(fixture, "POST", "/api/jobs/req-1/withdraw", NULL);
+  g_assert_cmpstr(json_string_value(json_object_get(fixture->answer, "stav")), ==, "done");
+  const json_t *use = sim_state_get(fixture->state, "w/team-use/0");
   g_assert_cmpint(json_integer_value(json_object_get(json_object_get(use, "red"), "g")), ==, 0);
-  rig_free(rig);
+  fixture_free(fixture);
 }
 
 /* A gang that isn't complete in time, or lost a task elsewhere, says nothing against the machine.
@@ -414,14 +414,14 @@
 {
   static const char *const WHY[] = { "peers", "incomplete" };
   for (guint k = 0; k < 2 * G_N_ELEMENTS(WHY); k++) {
-    Rig *rig = rig_with_gang();
-    rig_send_report(rig, 1, two_tasks("exited", WHY[k % 2], "running"));
-    rig_run(rig, 0.5);
-    rig_send_report(rig, 1, json_array());
-    rig_run(rig, 3.0);
-    g_assert_false(sim_state_has(rig->state, "w/mark/m-1"));
-    g_assert_true(rig_is_assigned(rig));
-    rig_free(rig);
+    Fixture *fixture = fixture_with_gang();
+    fixture_send_heartbeat(fixture, 1, two_tasks("exited", WHY[k % 2], "running"));
+    fixture_run(fixture, 0.5);
+    fixture_send_heartbeat(fixture, 1, json_array());
+    fixture_run(fixture, 3.0);
+    g_assert_false(sim_state_has(fixture->state, "w/mark/m-1"));
+    g_assert_true(fixture_task_is_assigned(fixture));
+    fixture_free(fixture);
   }
 }
 
@@ -431,29 +431,31 @@
 test_placed_in_zone_with_capacity(void)
 {
   static const char *const MACHINES[] = { "m-2", "m-3" };
-  Rig *rig = rig_with_machine();
-  rig->zone = "b";
+  Fixture *fixture = fixture_with_machine();
+  fixture->zone = "b";
   for (guint i = 0; i < 2 * G_N_ELEMENTS(MACHINES); i++)
-    rig_ask(rig, "POST", "/v1/report",
-            rig_report_of(rig, MACHINES[i / 2], i % 2, ++rig->sequence, json_array()));
+    fixture_call(
+        fixture, "POST", "/v1/report",
+        fixture_heartbeat(fixture, MACHINES[i / 2], i % 2, ++fixture->sequence, json_array()));
   json_t *submission = gang_submission(GANG_TASKS);
   json_object_set_new(submission, "one_zone", json_true());
-  rig_ask(rig, "POST", "/api/jobs", submission);
-  rig_run(rig, 1.0);
-  g_assert_true(rig_is_assigned(rig));
-  g_autofree char *record = ws_json_text(sim_state_get(rig->state, "w/task/req-1/0"));
+  fixture_call(fixture, "POST", "/api/jobs", submission);
+  fixture_run(fixture, 1.0);
+  g_assert_true(fixture_task_is_assigned(fixture));
+  g_autofree char *record = ws_json_text(sim_state_get(fixture->state, "w/task/req-1/0"));
   g_assert_null(strstr(record, "m-1"));
-  rig_free(rig);
+  fixture_free(fixture);
 }
 
 /* A report of a machine on which the tasks that it has on record run. */
 static void
-report_running(Rig *rig, const char *machine, gboolean is_noticed)
+report_running(Fixture *fixture, const char *machine, gboolean is_noticed)
 {
   json_t *tasks = json_array();
   size_t i;
   const json_t *item;
-  json_array_foreach(json_object_get(sim_state_get(rig->state, "w/task/req-1/0"), "on"), i, item)
+  json_array_foreach(json_object_get(sim_state_get(fixture->state, "w/task/req-1/0"), "on"), i,
+                     item)
   {
     g_autofree char *name = g_strdup_printf("req-1/%" JSON_INTEGER_FORMAT,
                                             json_integer_value(json_array_get(item, 0)));
@@ -462,20 +464,20 @@
           tasks, json_pack("{s:s, s:i, s:s}", "kus", name, "pokus", 1, "stav", "running"));
   }
   g_assert_cmpuint(json_array_size(tasks), >, 0);
-  json_t *report = rig_report_of(rig, machine, 1, ++rig->sequence, tasks);
+  json_t *report = fixture_heartbeat(fixture, machine, 1, ++fixture->sequence, tasks);
   if (is_noticed)
     json_object_set_new(report, "vypoved_s", json_real(20.0));
-  rig_ask(rig, "POST", "/v1/report", report);
+  fixture_call(fixture, "POST", "/v1/report", report);
 }
 
 static guint
-count_machines_of(const Rig *rig, const char *job)
+count_machines_of(const Fixture *fixture, const char *job)
 {
   g_autofree char *key = g_strdup_printf("w/task/%s/0", job);
   g_autoptr(GHashTable) machines = g_hash_table_new(g_str_hash, g_str_equal);
   size_t i;
   const json_t *item;
-  json_array_foreach(json_object_get(sim_state_get(rig->state, key), "on"), i, item)
+  json_array_foreach(json_object_get(sim_state_get(fixture->state, key), "on"), i, item)
   {
     g_hash_table_add(machines, (gpointer)json_string_value(json_array_get(item, 1)));
   }
@@ -487,21 +489,22 @@
 static void
 test_spread_while_image_is_missing(void)
 {
-  Rig *rig = rig_with_machine();
-  rig_lift_limits(rig);
+  Fixture *fixture = fixture_with_machine();
+  fixture_lift_quotas(fixture);
   for (guint i = 0; i < 2; i++)
-    rig_ask(rig, "POST", "/v1/report", rig_report_of(rig, "m-2", i, ++rig->sequence, json_array()));
-  rig_ask(rig, "POST", "/api/jobs", gang_submission(2));
-  rig_run(rig, 1.0);
-  g_assert_cmpuint(count_machines_of(rig, "req-1"), ==, 2);
-  report_running(rig, "m-1", FALSE);
-  report_running(rig, "m-2", FALSE);
+    fixture_call(fixture, "POST", "/v1/report",
+                 fixture_heartbeat(fixture, "m-2", i, ++fixture->sequence, json_array()));
+  fixture_call(fixture, "POST", "/api/jobs", gang_submission(2));
+  fixture_run(fixture, 1.0);
+  g_assert_cmpuint(count_machines_of(fixture, "req-1"), ==, 2);
+  report_running(fixture, "m-1", FALSE);
+  report_running(fixture, "m-2", FALSE);
   json_t *next = gang_submission(2);
   json_object_set_new(next, "id", json_string("req-2"));
-  rig_ask(rig, "POST", "/api/jobs", next);
-  rig_run(rig, 1.0);
-  g_assert_cmpuint(count_machines_of(rig, "req-2"), ==, 1);
-  rig_free(rig);
+  fixture_call(fixture, "POST", "/api/jobs", next);
+  fixture_run(fixture, 1.0);
+  g_assert_cmpuint(count_machines_of(fixture, "req-2"), ==, 1);
+  fixture_free(fixture);
 }
 
 /* A gang on two machines, of which the first is to be taken back. While the second one can't be
@@ -510,29 +513,31 @@
 static void
 test_no_stop_while_machine_is_unreachable(void)
 {
-  Rig *rig = rig_with_machine();
-  rig->spot = TRUE;
-  rig_ask(rig, "POST", "/v1/report", rig_report_of(rig, "m-2", 0, ++rig->sequence, json_array()));
-  rig_ask(rig, "POST", "/v1/report", rig_report_of(rig, "m-2", 1, ++rig->sequence, json_array()));
+  Fixture *fixture = fixture_with_machine();
+  fixture->spot = TRUE;
+  fixture_call(fixture, "POST", "/v1/report",
+               fixture_heartbeat(fixture, "m-2", 0, ++fixture->sequence, json_array()));
+  fixture_call(fixture, "POST", "/v1/report",
+               fixture_heartbeat(fixture, "m-2", 1, ++fixture->sequence, json_array()));
   json_t *submission = gang_submission(GANG_TASKS);
   json_object_set_new(submission, "vypujcky", json_true());
-  rig_ask(rig, "POST", "/api/jobs", submission);
-  rig_run(rig, 1.0);
-  report_running(rig, "m-1", FALSE);
-  report_running(rig, "m-2", FALSE);
+  fixture_call(fixture, "POST", "/api/jobs", submission);
+  fixture_run(fixture, 1.0);
+  report_running(fixture, "m-1", FALSE);
+  report_running(fixture, "m-2", FALSE);
   for (guint i = 0; i < 3; i++) {
-    rig_run(rig, 1.5);
-    report_running(rig, "m-1", i > 0);
-    g_assert_cmpfloat(halt_grace(rig, NULL), <, 0.0);
+    fixture_run(fixture, 1.5);
+    report_running(fixture, "m-1", i > 0);
+    g_assert_cmpfloat(halt_grace(fixture, NULL), <, 0.0);
   }
-  g_assert_true(sim_state_has(rig->state, "w/mark/m-1"));
-  report_running(rig, "m-2", FALSE);
-  rig_run(rig, 0.5);
-  report_running(rig, "m-2", FALSE);
-  g_assert_cmpfloat(halt_grace(rig, NULL), >=, 3.0 + rig->settings->gang_peer_s);
-  report_running(rig, "m-1", TRUE);
-  g_assert_cmpfloat(halt_grace(rig, NULL), >=, 3.0 + rig->settings->gang_peer_s);
-  rig_free(rig);
+  g_assert_true(sim_state_has(fixture->state, "w/mark/m-1"));
+  report_running(fixture, "m-2", FALSE);
+  fixture_run(fixture, 0.5);
+  report_running(fixture, "m-2", FALSE);
+  g_assert_cmpfloat(halt_grace(fixture, NULL), >=, 3.0 + fixture->settings->gang_peer_s);
+  report_running(fixture, "m-1", TRUE);
+  g_assert_cmpfloat(halt_grace(fixture, NULL), >=, 3.0 + fixture->settings->gang_peer_s);
+  fixture_free(fixture);
 }
 
 static const WsTest TESTS[] = {
--- a/tests/test-regressions.c
+++ b/tests/test-regressions.c
@@ -1,7 +1,7 @@
 /* One controller and one scripted worker: the guards that random schedules rarely lean on. Each
    test fails when its guard is taken out. */
 #include "protocol/ws-json.h"
-#include "sim/rig.h"
+#include "sim/fixture.h"
 #include "ws-suite.h"
 
 #include <string.h>
@@ -37,50 +37,51 @@
 static void
 test_assignment_writes_are_conditional(void)
 {
-  Rig *rig = rig_new(TRUE);
+  Fixture *fixture = fixture_new_with_job(TRUE);
   static const char *const KEYS[] = { "w/epoch", "w/job/req-1", "w/task/req-1/0", "w/team-use/0" };
-  g_assert_true(has_condition(rig->assign_txn, "w/lot/a-1-0-1"));
-  rig_send_report(rig, 1, one_task("exited", "error"));
+  g_assert_true(has_condition(fixture->assignment_transaction, "w/lot/a-1-0-1"));
+  fixture_send_heartbeat(fixture, 1, one_task("exited", "error"));
   for (guint k = 0; k < G_N_ELEMENTS(KEYS); k++)
-    g_assert_true(has_condition(rig->last_txn, KEYS[k]));
-  rig_free(rig);
+    g_assert_true(has_condition(fixture->last_transaction, KEYS[k]));
+  fixture_free(fixture);
 }
 
 /* The end of a task is written before the worker may forget it. */
 static void
 test_end_is_stored_before_reap(void)
 {
-  Rig *rig = rig_new(TRUE);
-  rig_send_report(rig, 1, one_task("exited", "done"));
-  g_assert_false(rig_has_command(rig, "reap"));
-  rig_ask(rig, "GET", "/api/jobs/req-1", NULL);
-  g_assert_cmpstr(json_string_value(json_object_get(rig->answer, "stav")), ==, "done");
-  rig_send_report(rig, 1, one_task("exited", "done"));
-  g_assert_true(rig_has_command(rig, "reap"));
-  rig_free(rig);
+  Fixture *fixture = fixture_new_with_job(TRUE);
+  fixture_send_heartbeat(fixture, 1, one_task("exited", "done"));
+  g_assert_false(fixture_has_command(fixture, "reap"));
+  fixture_call(fixture, "GET", "/api/jobs/req-1", NULL);
+  g_assert_cmpstr(json_string_value(json_object_get(fixture->answer, "stav")), ==, "done");
+  fixture_send_heartbeat(fixture, 1, one_task("exited", "done"));
+  g_assert_true(fixture_has_command(fixture, "reap"));
+  fixture_free(fixture);
 }
 
 /* A report without our token may be a late copy: its ends are not believed. */
 static void
 test_no_release_without_current_fencing_token(void)
 {
-  Rig *rig = rig_new(TRUE);
-  rig_send_report(rig, 0, one_task("exited", "done"));
-  rig_ask(rig, "GET", "/api/jobs/req-1", NULL);
-  g_assert_cmpstr(json_string_value(json_object_get(rig->answer, "stav")), !=, "done");
-  rig_free(rig);
+  Fixture *fixture = fixture_new_with_job(TRUE);
+  fixture_send_heartbeat(fixture, 0, one_task("exited", "done"));
+  fixture_call(fixture, "GET", "/api/jobs/req-1", NULL);
+  g_assert_cmpstr(json_string_value(json_object_get(fixture->answer, "stav")), !=, "done");
+  fixture_free(fixture);
 }
 
 /* An older message is answered, but changes nothing and orders nothing. */
 static void
 test_stale_sequence_changes_nothing(void)
 {
-  Rig *rig = rig_new(TRUE);
-  rig_send_report(rig, 1, one_task("running", ""));
-  rig_ask(rig, "POST", "/v1/report", rig_report_of(rig, "m-1", 1, 1, json_array()));
-  g_assert_cmpuint(rig->status, ==, 200);
-  g_assert_false(rig_has_command(rig, "launch"));
-  rig_free(rig);
+  Fixture *fixture = fixture_new_with_job(TRUE);
+  fixture_send_heartbeat(fixture, 1, one_task("running", ""));
+  fixture_call(fixture, "POST", "/v1/report",
+               fixture_heartbeat(fixture, "m-1", 1, 1, json_array()));
+  g_assert_cmpuint(fixture->status, ==, 200);
+  g_assert_false(fixture_has_command(fixture, "launch"));
+  fixture_free(fixture);
 }
 
 /* A cancelled task whose direct launch had no answer isn't released for being absent, nor may the
@@ -88,21 +89,21 @@
 static void
 test_no_release_while_launch_is_indeterminate(void)
 {
-  Rig *rig = rig_new(FALSE);
-  rig_ask(rig, "POST", "/api/jobs/req-1/withdraw", NULL);
-  g_assert_cmpuint(rig->status, ==, 200);
-  rig_send_report(rig, 1, json_array());
-  rig_run(rig, 1.0);
-  g_assert_true(rig_is_assigned(rig));
+  Fixture *fixture = fixture_new_with_job(FALSE);
+  fixture_call(fixture, "POST", "/api/jobs/req-1/withdraw", NULL);
+  g_assert_cmpuint(fixture->status, ==, 200);
+  fixture_send_heartbeat(fixture, 1, json_array());
+  fixture_run(fixture, 1.0);
+  g_assert_true(fixture_task_is_assigned(fixture));
   for (guint i = 0; i < 8; i++) {
-    rig_send_report(rig, 1, json_array());
-    rig_run(rig, 1.5);
+    fixture_send_heartbeat(fixture, 1, json_array());
+    fixture_run(fixture, 1.5);
   }
-  g_assert_true(rig_is_assigned(rig));
-  rig_send_report(rig, 2, json_array()); /* the leader has raised the token meanwhile */
-  rig_run(rig, 1.0);
-  g_assert_false(rig_is_assigned(rig));
-  rig_free(rig);
+  g_assert_true(fixture_task_is_assigned(fixture));
+  fixture_send_heartbeat(fixture, 2, json_array()); /* the leader has raised the token meanwhile */
+  fixture_run(fixture, 1.0);
+  g_assert_false(fixture_task_is_assigned(fixture));
+  fixture_free(fixture);
 }
 
 /* A machine that isn't heard doesn't learn a higher token: no epoch is begun for its doubt. They
@@ -110,45 +111,46 @@
 static void
 test_no_epoch_for_unreachable_machine(void)
 {
-  Rig *rig = rig_new(FALSE);
-  rig_run(rig, 30.0);
+  Fixture *fixture = fixture_new_with_job(FALSE);
+  fixture_run(fixture, 30.0);
   g_assert_cmpint(
-      json_integer_value(json_object_get(sim_state_get(rig->state, "w/epoch"), "number")), ==, 1);
-  rig_free(rig);
+      json_integer_value(json_object_get(sim_state_get(fixture->state, "w/epoch"), "number")), ==,
+      1);
+  fixture_free(fixture);
 }
 
 static void
 test_no_reap_while_launch_is_indeterminate(void)
 {
-  Rig *rig = rig_new(FALSE);
-  rig_send_report(rig, 1, one_task("exited", "done"));
-  rig_send_report(rig, 1, one_task("exited", "done"));
-  g_assert_false(rig_has_command(rig, "reap"));
-  rig_free(rig);
+  Fixture *fixture = fixture_new_with_job(FALSE);
+  fixture_send_heartbeat(fixture, 1, one_task("exited", "done"));
+  fixture_send_heartbeat(fixture, 1, one_task("exited", "done"));
+  g_assert_false(fixture_has_command(fixture, "reap"));
+  fixture_free(fixture);
 }
 
 /* Without doubt the same absence releases it at once, if the report carries our token. */
 static void
 test_absence_releases_after_acknowledged_launch(void)
 {
-  Rig *rig = rig_new(TRUE);
-  rig_ask(rig, "POST", "/api/jobs/req-1/withdraw", NULL);
-  rig_send_report(rig, 0, json_array());
-  g_assert_true(rig_is_assigned(rig));
-  rig_send_report(rig, 1, json_array());
-  rig_run(rig, 1.0);
-  g_assert_false(rig_is_assigned(rig));
-  rig_free(rig);
+  Fixture *fixture = fixture_new_with_job(TRUE);
+  fixture_call(fixture, "POST", "/api/jobs/req-1/withdraw", NULL);
+  fixture_send_heartbeat(fixture, 0, json_array());
+  g_assert_true(fixture_task_is_assigned(fixture));
+  fixture_send_heartbeat(fixture, 1, json_array());
+  fixture_run(fixture, 1.0);
+  g_assert_false(fixture_task_is_assigned(fixture));
+  fixture_free(fixture);
 }
 
 /* A higher token than ours means that we don't know the newest epoch. */
 static void
 test_no_renewal_under_newer_fencing_token(void)
 {
-  Rig *rig = rig_new(TRUE);
-  rig_send_report(rig, 9, json_array());
-  g_assert_cmpuint(rig->status, ==, 503);
-  rig_free(rig);
+  Fixture *fixture = fixture_new_with_job(TRUE);
+  fixture_send_heartbeat(fixture, 9, json_array());
+  g_assert_cmpuint(fixture->status, ==, 503);
+  fixture_free(fixture);
 }
 
 /* The leader asks again for a task whose assignment is on its way, on another machine, and then
@@ -157,47 +159,49 @@
 static void
 test_task_is_assigned_once(void)
 {
-  Rig *rig = rig_new(TRUE);
-  rig_ask(rig, "POST", "/v1/report", rig_report_of(rig, "m-2", 0, 1, json_array()));
-  rig_ask(rig, "POST", "/v1/report", rig_report_of(rig, "m-2", 1, 2, json_array()));
-  json_t *second = rig_submission();
+  Fixture *fixture = fixture_new_with_job(TRUE);
+  fixture_call(fixture, "POST", "/v1/report",
+               fixture_heartbeat(fixture, "m-2", 0, 1, json_array()));
+  fixture_call(fixture, "POST", "/v1/report",
+               fixture_heartbeat(fixture, "m-2", 1, 2, json_array()));
+  json_t *second = fixture_submission();
   json_object_set_new(second, "id", json_string("req-2"));
-  rig->hold = TRUE;
-  rig_ask(rig, "POST", "/api/jobs", second);
-  g_assert_cmpuint(rig->held, !=, 0);
-  rig_request(rig, WS_DOOR_MESH, "POST", "/ask",
-              json_pack("{s:i, s:[[s, i, s], [s, i, s]], s:[]}", "epoch", 1, "picks", "req-2", 0,
-                        "m-1", "req-2", 0, "m-2", "stops"));
-  rig_reply(rig, rig->held, 409, NULL);
-  rig_pump(rig);
-  rig_run(rig, 1.0);
-  const json_t *record = sim_state_get(rig->state, "w/task/req-2/0");
+  fixture->hold_assignment = TRUE;
+  fixture_call(fixture, "POST", "/api/jobs", second);
+  g_assert_cmpuint(fixture->held_call, !=, 0);
+  fixture_request(fixture, WS_DOOR_MESH, "POST", "/ask",
+                  json_pack("{s:i, s:[[s, i, s], [s, i, s]], s:[]}", "epoch", 1, "picks", "req-2",
+                            0, "m-1", "req-2", 0, "m-2", "stops"));
+  fixture_reply(fixture, fixture->held_call, 409, NULL);
+  fixture_pump(fixture);
+  fixture_run(fixture, 1.0);
+  const json_t *record = sim_state_get(fixture->state, "w/task/req-2/0");
   g_assert_cmpuint(json_array_size(json_object_get(record, "on")), ==, 1);
-  rig_free(rig);
+  fixture_free(fixture);
 }
 
 /* The tasks of a gang share their attempt, and when one ends early the others are stopped. */
 static void
 test_gang_shares_attempt_and_halts_together(void)
 {
-  Rig *rig = rig_new(TRUE);
-  json_t *gang = rig_submission();
+  Fixture *fixture = fixture_new_with_job(TRUE);
+  json_t *gang = fixture_submission();
   json_object_set_new(gang, "id", json_string("req-2"));
   json_object_set_new(gang, "druh", json_string("group"));
   json_object_set_new(gang, "kusy", json_integer(2));
-  rig_ask(rig, "POST", "/api/jobs", gang);
-  rig_run(rig, 1.0);
-  const json_t *on = json_object_get(sim_state_get(rig->state, "w/task/req-2/0"), "on");
+  fixture_call(fixture, "POST", "/api/jobs", gang);
+  fixture_run(fixture, 1.0);
+  const json_t *on = json_object_get(sim_state_get(fixture->state, "w/task/req-2/0"), "on");
   g_assert_cmpuint(json_array_size(on), ==, 2);
   for (guint i = 0; i < 2; i++)
     g_assert_cmpint(json_integer_value(json_array_get(json_array_get(on, i), 2)), ==, 1);
   for (guint i = 0; i < 2; i++)
-    rig_send_report(rig, 1,
-                    json_pack("[{s:s, s:i, s:s, s:s}, {s:s, s:i, s:s}]", "kus", "req-2/0", "pokus",
-                              1, "stav", "exited", "duvod", "error", "kus", "req-2/1", "pokus", 1,
-                              "stav", "running"));
-  g_assert_true(rig_has_command(rig, "halt"));
-  rig_free(rig);
+    fixture_send_heartbeat(fixture, 1,
+                           json_pack("[{s:s, s:i, s:s, s:s}, {s:s, s:i, s:s}]", "kus", "req-2/0",
+                                     "pokus", 1, "stav", "exited", "duvod", "error", "kus",
+                                     "req-2/1", "pokus", 1, "stav", "running"));
+  g_assert_true(fixture_has_command(fixture, "halt"));
+  fixture_free(fixture);
 }
 
 /* A late transaction of an earlier run must not replace the member's record, so it's written on a
@@ -205,26 +209,26 @@
 static void
 test_member_record_is_conditional_and_restored(void)
 {
-  Rig *rig = rig_new(TRUE);
-  g_assert_true(has_condition(rig->member_txn, "w/member/n0"));
-  rig_write_key(rig, "w/member/n0", NULL);
-  rig_run(rig, 2.5);
-  g_assert_true(sim_state_has(rig->state, "w/member/n0"));
-  rig_free(rig);
+  Fixture *fixture = fixture_new_with_job(TRUE);
+  g_assert_true(has_condition(fixture->member_transaction, "w/member/n0"));
+  fixture_write_key(fixture, "w/member/n0", NULL);
+  fixture_run(fixture, 2.5);
+  g_assert_true(sim_state_has(fixture->state, "w/member/n0"));
+  fixture_free(fixture);
 }
 
 /* A late report of a machine that was returned must not bring it back as a new one. */
 static void
 test_returned_machine_is_not_recorded_again(void)
 {
-  Rig *rig = rig_new(TRUE);
-  rig_write_key(rig, "w/lot/a-1-0-1", NULL);
-  rig_run(rig, 0.5);
-  rig_send_report(rig, 1, json_array());
-  g_assert_cmpuint(rig->status, ==, 503);
-  rig_run(rig, 1.0);
-  g_assert_false(sim_state_has(rig->state, "w/lot/a-1-0-1"));
-  rig_free(rig);
+  Fixture *fixture = fixture_new_with_job(TRUE);
+  fixture_write_key(fixture, "w/lot/a-1-0-1", NULL);
+  fixture_run(fixture, 0.5);
+  fixture_send_heartbeat(fixture, 1, json_array());
+  g_assert_cmpuint(fixture->status, ==, 503);
+  fixture_run(fixture, 1.0);
+  g_assert_false(sim_state_has(fixture->state, "w/lot/a-1-0-1"));
+  fixture_free(fixture);
 }
 
 /* A copy of an old report, from a machine that was returned before this run of the controller
@@ -233,16 +237,16 @@
 static void
 test_stale_token_records_no_machine(void)
 {
-  Rig *rig = rig_new(TRUE);
-  rig_report_now(rig, "m-9", 0, 5, json_array());
-  rig_run(rig, 2.0);
-  rig_report_now(rig, "m-9", 0, 6, json_array());
-  rig_run(rig, 2.0);
-  g_assert_false(sim_state_names(rig->state, "w/lot/", "m-9"));
-  rig_report_now(rig, "m-9", 1, 7, json_array());
-  rig_run(rig, 1.0);
-  g_assert_true(sim_state_names(rig->state, "w/lot/", "m-9"));
-  rig_free(rig);
+  Fixture *fixture = fixture_new_with_job(TRUE);
+  fixture_post_heartbeat(fixture, "m-9", 0, 5, json_array());
+  fixture_run(fixture, 2.0);
+  fixture_post_heartbeat(fixture, "m-9", 0, 6, json_array());
+  fixture_run(fixture, 2.0);
+  g_assert_false(sim_state_names(fixture->state, "w/lot/", "m-9"));
+  fixture_post_heartbeat(fixture, "m-9", 1, 7, json_array());
+  fixture_run(fixture, 1.0);
+  g_assert_true(sim_state_names(fixture->state, "w/lot/", "m-9"));
+  fixture_free(fixture);
 }
 
 /* When the ends of many tasks come at once, as after a cut, the assignment of a critical task isn't
@@ -251,61 +255,64 @@
 test_critical_assignment_precedes_releases(void)
 {
   enum { JOBS = 12 };
-  Rig *rig = rig_bare(TRUE);
+  Fixture *fixture = fixture_new(TRUE);
   for (guint64 sequence = 1; sequence <= 2 + JOBS; sequence++) {
     for (guint m = 0; m < JOBS; m++) {
       g_autofree char *machine = g_strdup_printf("m-1%u", m);
-      rig_report_now(rig, machine, sequence == 1 ? 0 : 1, sequence, json_array());
+      fixture_post_heartbeat(fixture, machine, sequence == 1 ? 0 : 1, sequence, json_array());
     }
-    rig_run(rig, 0.5);
+    fixture_run(fixture, 0.5);
     if (sequence <= 2)
       continue;
     guint number = (guint)sequence - 3;
     g_autofree char *id = g_strdup_printf("req-1%u", number);
-    json_t *job = rig_submission();
+    json_t *job = fixture_submission();
     json_object_set_new(job, "id", json_string(id));
     json_object_set_new(job, "dilna", json_string(number < 5 ? "red" : "blue"));
     json_object_set_new(job, "cpus", json_real(20.0)); /* one on each machine */
-    rig_ask(rig, "POST", "/api/jobs", job);
+    fixture_call(fixture, "POST", "/api/jobs", job);
   }
-  rig_run(rig, 1.0);
-  rig->hold = TRUE;
+  fixture_run(fixture, 1.0);
+  fixture->hold_assignment = TRUE;
   for (guint number = 0; number < JOBS; number++) {
     g_autofree char *key = g_strdup_printf("w/task/req-1%u/0", number);
     g_autofree char *task = g_strdup_printf("req-1%u/0", number);
-    const json_t *on = json_object_get(sim_state_get(rig->state, key), "on");
+    const json_t *on = json_object_get(sim_state_get(fixture->state, key), "on");
     g_assert_cmpuint(json_array_size(on), ==, 1);
-    rig_report_now(rig, json_string_value(json_array_get(json_array_get(on, 0), 1)), 1, 100,
-                   json_pack("[{s:s, s:i, s:s, s:s}]", "kus", task, "pokus", 1, "stav", "exited",
-                             "duvod", "done"));
+    fixture_post_heartbeat(fixture, json_string_value(json_array_get(json_array_get(on, 0), 1)), 1,
+                           100,
+                           json_pack("[{s:s, s:i, s:s, s:s}]", "kus", task, "pokus", 1, "stav",
+                                     "exited", "duvod", "done"));
   }
-  json_t *critical = rig_submission();
+  json_t *critical = fixture_submission();
   json_object_set_new(critical, "id", json_string("req-9"));
   json_object_set_new(critical, "prednost", json_string("critical"));
-  rig_ask(rig, "POST", "/api/jobs", critical);
-  json_t *before = rig->last_txn;
-  rig_reply(rig, rig->held, 409, NULL);
-  rig_pump(rig);
-  for (guint i = 0; i < 20 && rig->last_txn == before; i++)
-    rig_run(rig, 0.05);
-  g_assert_true(names_key(rig->last_txn, "apply", "set", "w/task/req-9/0"));
-  rig_free(rig);
+  fixture_call(fixture, "POST", "/api/jobs", critical);
+  json_t *before = fixture->last_transaction;
+  fixture_reply(fixture, fixture->held_call, 409, NULL);
+  fixture_pump(fixture);
+  for (guint i = 0; i < 20 && fixture->last_transaction == before; i++)
+    fixture_run(fixture, 0.05);
+  g_assert_true(names_key(fixture->last_transaction, "apply", "set", "w/task/req-9/0"));
+  fixture_free(fixture);
 }
 
 /* Reports of sixteen machines, less the first few, passed on by another node or sent here. */
 static void
-report_all(Rig *rig, guint first, guint64 fencing_token, guint64 sequence, gboolean is_relayed)
+report_all(Fixture *fixture, guint first, guint64 fencing_token, guint64 sequence,
+           gboolean is_relayed)
 {
   for (guint m = first; m < 16; m++) {
     g_autofree char *name = g_strdup_printf("m-1%02u", m);
     if (!is_relayed) {
-      rig_report_now(rig, name, fencing_token, sequence, json_array());
+      fixture_post_heartbeat(fixture, name, fencing_token, sequence, json_array());
       continue;
     }
-    g_autoptr(json_t) report = rig_report_of(rig, name, fencing_token, sequence, json_array());
+    g_autoptr(json_t) report
+        = fixture_heartbeat(fixture, name, fencing_token, sequence, json_array());
     g_autofree char *report_text = ws_json_text(report);
-    rig_request(rig, WS_DOOR_MESH, "POST", "/relay",
-                json_pack("{s:i, s:s, s:s}", "epoch", 1, "owner", "n0", "report", report_text));
+    fixture_request(fixture, WS_DOOR_MESH, "POST", "/relay",
+                    json_pack("{s:i, s:s, s:s}", "epoch", 1, "owner", "n0", "report", report_text));
   }
 }
 
@@ -314,21 +321,21 @@
 static void
 test_no_termination_by_unreachable_node(void)
 {
-  Rig *rig = rig_bare(TRUE);
+  Fixture *fixture = fixture_new(TRUE);
   guint64 sequence = 0;
   for (guint i = 0; i < 3; i++) {
-    report_all(rig, 0, i == 0 ? 0 : 1, ++sequence, FALSE);
-    rig_run(rig, 1.5);
+    report_all(fixture, 0, i == 0 ? 0 : 1, ++sequence, FALSE);
+    fixture_run(fixture, 1.5);
   }
   for (guint i = 0; i < 5; i++) {
-    report_all(rig, 2, 1, ++sequence, TRUE);
-    rig_run(rig, 1.5);
+    report_all(fixture, 2, 1, ++sequence, TRUE);
+    fixture_run(fixture, 1.5);
   }
-  g_assert_cmpuint(sim_state_count(rig->state, "w/mark/"), ==, 0);
-  report_all(rig, 2, 1, ++sequence, FALSE);
-  rig_run(rig, 1.2);
-  g_assert_cmpuint(sim_state_count(rig->state, "w/mark/"), ==, 2);
-  rig_free(rig);
+  g_assert_cmpuint(sim_state_count(fixture->state, "w/mark/"), ==, 0);
+  report_all(fixture, 2, 1, ++sequence, FALSE);
+  fixture_run(fixture, 1.2);
+  g_assert_cmpuint(sim_state_count(fixture->state, "w/mark/"), ==, 2);
+  fixture_free(fixture);
 }
 
 /* Behind a cut some machines were heard a little earlier than the others. They aren't taken for
@@ -336,22 +343,22 @@
 static void
 test_no_termination_while_partition_emerges(void)
 {
-  Rig *rig = rig_bare(TRUE);
-  rig->zone = "b";
-  rig->spot = TRUE;
-  report_all(rig, 0, 0, 1, FALSE);
-  rig_run(rig, 1.5);
-  report_all(rig, 0, 1, 2, FALSE);
-  rig_run(rig, 2.3);
-  report_all(rig, 8, 1, 3, FALSE);
-  rig->peers_silent = TRUE;
-  rig->zone = "a";
+  Fixture *fixture = fixture_new(TRUE);
+  fixture->zone = "b";
+  fixture->spot = TRUE;
+  report_all(fixture, 0, 0, 1, FALSE);
+  fixture_run(fixture, 1.5);
+  report_all(fixture, 0, 1, 2, FALSE);
+  fixture_run(fixture, 2.3);
+  report_all(fixture, 8, 1, 3, FALSE);
+  fixture->peers_unreachable = TRUE;
+  fixture->zone = "a";
   for (guint64 sequence = 1; sequence <= 11; sequence++) {
-    rig_report_now(rig, "m-1", sequence == 1 ? 0 : 1, sequence, json_array());
-    rig_run(rig, 1.0);
+    fixture_post_heartbeat(fixture, "m-1", sequence == 1 ? 0 : 1, sequence, json_array());
+    fixture_run(fixture, 1.0);
   }
-  g_assert_cmpuint(sim_state_count(rig->state, "w/mark/"), ==, 0);
-  rig_free(rig);
+  g_assert_cmpuint(sim_state_count(fixture->state, "w/mark/"), ==, 0);
+  fixture_free(fixture);
 }
 
 /* Where reports come 5 s apart, a machine that showed an old token last time hasn't had the time to
@@ -360,17 +367,17 @@
 static void
 test_slow_heartbeats_keep_machine_eligible(void)
 {
-  Rig *rig = rig_new(TRUE);
-  rig->settings->report_s = 5.0;
-  rig->settings->lease_s = 26.0;
-  rig_send_report(rig, 0, one_task("running", ""));
-  rig_run(rig, 4.5);
-  json_t *second = rig_submission();
+  Fixture *fixture = fixture_new_with_job(TRUE);
+  fixture->settings->report_s = 5.0;
+  fixture->settings->lease_s = 26.0;
+  fixture_send_heartbeat(fixture, 0, one_task("running", ""));
+  fixture_run(fixture, 4.5);
+  json_t *second = fixture_submission();
   json_object_set_new(second, "id", json_string("req-2"));
-  rig_ask(rig, "POST", "/api/jobs", second);
-  rig_run(rig, 0.5);
-  g_assert_true(sim_state_has(rig->state, "w/task/req-2/0"));
-  rig_free(rig);
+  fixture_call(fixture, "POST", "/api/jobs", second);
+  fixture_run(fixture, 0.5);
+  g_assert_true(sim_state_has(fixture->state, "w/task/req-2/0"));
+  fixture_free(fixture);
 }
 
 /* What is silent behind a cut doesn't make a machine elsewhere wait, that died meanwhile: dozens
@@ -378,24 +385,24 @@
 static void
 test_death_outside_partition_is_detected(void)
 {
-  Rig *rig = rig_bare(TRUE);
-  rig->zone = "b";
+  Fixture *fixture = fixture_new(TRUE);
+  fixture->zone = "b";
   for (guint64 sequence = 1; sequence <= 2; sequence++) {
-    report_all(rig, 0, sequence == 1 ? 0 : 1, sequence, FALSE);
-    rig->zone = "a";
-    rig_report_now(rig, "m-2", sequence == 1 ? 0 : 1, sequence, json_array());
-    rig->zone = "b";
-    rig_run(rig, 1.5);
+    report_all(fixture, 0, sequence == 1 ? 0 : 1, sequence, FALSE);
+    fixture->zone = "a";
+    fixture_post_heartbeat(fixture, "m-2", sequence == 1 ? 0 : 1, sequence, json_array());
+    fixture->zone = "b";
+    fixture_run(fixture, 1.5);
   }
-  rig->peers_silent = TRUE;
-  rig->zone = "a";
+  fixture->peers_unreachable = TRUE;
+  fixture->zone = "a";
   for (guint64 sequence = 1; sequence <= 8; sequence++) {
-    rig_report_now(rig, "m-1", sequence == 1 ? 0 : 1, sequence, json_array());
-    rig_run(rig, 1.0);
+    fixture_post_heartbeat(fixture, "m-1", sequence == 1 ? 0 : 1, sequence, json_array());
+    fixture_run(fixture, 1.0);
   }
-  g_assert_cmpuint(sim_state_count(rig->state, "w/mark/"), ==, 1);
-  g_assert_true(sim_state_has(rig->state, "w/mark/m-2"));
-  rig_free(rig);
+  g_assert_cmpuint(sim_state_count(fixture->state, "w/mark/"), ==, 1);
+  g_assert_true(sim_state_has(fixture->state, "w/mark/m-2"));
+  fixture_free(fixture);
 }
 
 /* A zone in which no controller is counts as cut off when most of its machines are silent together:
@@ -404,43 +411,44 @@
 static void
 test_zone_without_controller_has_grace_period(void)
 {
-  Rig *rig = rig_bare(TRUE);
-  g_ptr_array_add(rig->settings->zones, g_strdup("d"));
-  rig_restart(rig);
-  rig->zone = "d";
+  Fixture *fixture = fixture_new(TRUE);
+  g_ptr_array_add(fixture->settings->zones, g_strdup("d"));
+  fixture_restart(fixture);
+  fixture->zone = "d";
   for (guint64 sequence = 1; sequence <= 3; sequence++) {
-    report_all(rig, 0, sequence == 1 ? 1 : 2, sequence, FALSE);
-    rig_run(rig, 1.5);
+    report_all(fixture, 0, sequence == 1 ? 1 : 2, sequence, FALSE);
+    fixture_run(fixture, 1.5);
   }
-  rig_run(rig, 2.0 * rig->settings->lease_s);
-  g_assert_cmpuint(sim_state_count(rig->state, "w/mark/"), ==, 0);
-  rig_run(rig, 2.0 * rig->settings->lease_s);
-  g_assert_cmpuint(sim_state_count(rig->state, "w/mark/"), ==, 16);
-  rig_free(rig);
+  fixture_run(fixture, 2.0 * fixture->settings->lease_s);
+  g_assert_cmpuint(sim_state_count(fixture->state, "w/mark/"), ==, 0);
+  fixture_run(fixture, 2.0 * fixture->settings->lease_s);
+  g_assert_cmpuint(sim_state_count(fixture->state, "w/mark/"), ==, 16);
+  fixture_free(fixture);
 }
 
 /* Six tasks on six machines of the zone, and the controller begins anew. */
-static Rig *
-rig_restarted(const char *zone, gboolean peers_silent)
+static Fixture *
+restarted_fixture(const char *zone, gboolean peers_silent)
 {
-  Rig *rig = rig_bare(TRUE);
-  rig->zone = zone;
-  rig->spot = TRUE;
+  Fixture *fixture = fixture_new(TRUE);
+  fixture->zone = zone;
+  fixture->spot = TRUE;
   for (guint64 sequence = 1; sequence <= 3; sequence++) {
-    report_all(rig, 0, sequence == 1 ? 0 : 1, sequence, FALSE);
-    rig_run(rig, 1.5);
+    report_all(fixture, 0, sequence == 1 ? 0 : 1, sequence, FALSE);
+    fixture_run(fixture, 1.5);
   }
-  json_t *job = rig_submission();
+  json_t *job = fixture_submission();
   json_object_set_new(job, "kusy", json_integer(6));
   json_object_set_new(job, "cpus", json_real(32.0));
   json_object_set_new(job, "vypujcky", json_true());
-  rig_ask(rig, "POST", "/api/jobs", job);
-  rig_run(rig, 1.0);
+  fixture_call(fixture, "POST", "/api/jobs", job);
+  fixture_run(fixture, 1.0);
   g_assert_cmpuint(
-      json_array_size(json_object_get(sim_state_get(rig->state, "w/task/req-1/0"), "on")), ==, 6);
-  rig->peers_silent = peers_silent;
-  rig_restart(rig);
-  return rig;
+      json_array_size(json_object_get(sim_state_get(fixture->state, "w/task/req-1/0"), "on")), ==,
+      6);
+  fixture->peers_unreachable = peers_silent;
+  fixture_restart(fixture);
+  return fixture;
 }
 
 /* A controller that begins beside a cut has never heard the machines behind it. They aren't taken
@@ -448,10 +456,10 @@
 static void
 test_no_termination_after_restart_in_partition(void)
 {
-  Rig *rig = rig_restarted("b", TRUE);
-  rig_run(rig, 40.0);
-  g_assert_cmpuint(sim_state_count(rig->state, "w/mark/"), ==, 0);
-  rig_free(rig);
+  Fixture *fixture = restarted_fixture("b", TRUE);
+  fixture_run(fixture, 40.0);
+  g_assert_cmpuint(sim_state_count(fixture->state, "w/mark/"), ==, 0);
+  fixture_free(fixture);
 }
 
 /* Where nothing is cut off, they have the time to wait for their old node in vain and to find this
@@ -459,12 +467,12 @@
 static void
 test_new_owner_waits_before_termination(void)
 {
-  Rig *rig = rig_restarted("a", FALSE);
-  rig_run(rig, 14.5); /* the first of them are in the lease of its last run */
-  g_assert_cmpuint(sim_state_count(rig->state, "w/mark/"), ==, 0);
-  rig_run(rig, 6.0);
-  g_assert_cmpuint(sim_state_count(rig->state, "w/mark/"), ==, 16);
-  rig_free(rig);
+  Fixture *fixture = restarted_fixture("a", FALSE);
+  fixture_run(fixture, 14.5); /* the first of them are in the lease of its last run */
+  g_assert_cmpuint(sim_state_count(fixture->state, "w/mark/"), ==, 0);
+  fixture_run(fixture, 6.0);
+  g_assert_cmpuint(sim_state_count(fixture->state, "w/mark/"), ==, 16);
+  fixture_free(fixture);
 }
 
 /* A node that stood still while its clocks ran on takes nothing for granted: it answers no worker
@@ -472,36 +480,36 @@
 static void
 test_stalled_node_renews_before_it_answers(void)
 {
-  Rig *rig = rig_new(TRUE);
-  rig->now_ms += 30000;
-  rig_report_now(rig, "m-1", 1, 50, one_task("running", ""));
-  g_assert_cmpuint(rig->status, ==, 503);
-  rig_run(rig, 2.0);
-  rig_report_now(rig, "m-1", 1, 51, one_task("running", ""));
-  g_assert_cmpuint(rig->status, ==, 200);
-  rig_run(rig, 2.0);
-  g_assert_true(rig_is_assigned(rig));
-  g_assert_cmpuint(sim_state_count(rig->state, "w/mark/"), ==, 0);
-  rig_free(rig);
+  Fixture *fixture = fixture_new_with_job(TRUE);
+  fixture->now_ms += 30000;
+  fixture_post_heartbeat(fixture, "m-1", 1, 50, one_task("running", ""));
+  g_assert_cmpuint(fixture->status, ==, 503);
+  fixture_run(fixture, 2.0);
+  fixture_post_heartbeat(fixture, "m-1", 1, 51, one_task("running", ""));
+  g_assert_cmpuint(fixture->status, ==, 200);
+  fixture_run(fixture, 2.0);
+  g_assert_true(fixture_task_is_assigned(fixture));
+  g_assert_cmpuint(sim_state_count(fixture->state, "w/mark/"), ==, 0);
+  fixture_free(fixture);
 }
 
 /* A machine that is empty during an outage isn't idle: nothing could be placed on it. */
 static void
 test_no_idle_timeout_during_outage(void)
 {
-  Rig *rig = rig_bare(TRUE);
+  Fixture *fixture = fixture_new(TRUE);
   for (guint64 sequence = 1; sequence <= 30; sequence++) {
-    rig->state_out = rig->peers_silent = sequence >= 6 && sequence < 20;
-    rig_report_now(rig, "m-2", sequence == 1 ? 0 : 1, sequence, json_array());
-    rig_run(rig, 1.0);
+    fixture->store_unavailable = fixture->peers_unreachable = sequence >= 6 && sequence < 20;
+    fixture_post_heartbeat(fixture, "m-2", sequence == 1 ? 0 : 1, sequence, json_array());
+    fixture_run(fixture, 1.0);
   }
-  g_assert_cmpuint(sim_state_count(rig->state, "w/mark/"), ==, 0);
+  g_assert_cmpuint(sim_state_count(fixture->state, "w/mark/"), ==, 0);
   for (guint64 sequence = 31; sequence <= 50; sequence++) {
-    rig_report_now(rig, "m-2", 1, sequence, json_array());
-    rig_run(rig, 1.0);
+    fixture_post_heartbeat(fixture, "m-2", 1, sequence, json_array());
+    fixture_run(fixture, 1.0);
   }
-  g_assert_cmpuint(sim_state_count(rig->state, "w/mark/"), ==, 1);
-  rig_free(rig);
+  g_assert_cmpuint(sim_state_count(fixture->state, "w/mark/"), ==, 1);
+  fixture_free(fixture);
 }
 
 /* A peer's word that a job is cancelled counts whatever the records say: its task is halted, and
@@ -509,44 +517,47 @@
 static void
 test_peer_cancellation_halts_task(void)
 {
-  Rig *rig = rig_new(TRUE);
-  rig_mesh(rig, "/cancelled", json_pack("{s:s, s:[[s]]}", "node", "n1", "jobs", "req-1"));
-  g_assert_cmpuint(rig->status, ==, 400);
-  rig_mesh(rig, "/cancelled", json_pack("{s:s, s:[[s, i]]}", "node", "n9", "jobs", "req-1", 0));
-  g_assert_cmpuint(rig->status, ==, 400);
-  rig_send_report(rig, 1, one_task("running", ""));
-  g_assert_false(rig_has_command(rig, "halt"));
-  rig_mesh(rig, "/cancelled", json_pack("{s:s, s:[[s, i]]}", "node", "n1", "jobs", "req-1", 0));
-  g_assert_cmpuint(rig->status, ==, 200);
-  rig_send_report(rig, 1, one_task("running", ""));
-  g_assert_true(rig_has_command(rig, "halt"));
-  rig_send_report(rig, 1, json_array());
-  g_assert_false(rig_has_command(rig, "launch"));
-  rig_free(rig);
+  Fixture *fixture = fixture_new_with_job(TRUE);
+  fixture_send_peer_message(fixture, "/cancelled",
+                            json_pack("{s:s, s:[[s]]}", "node", "n1", "jobs", "req-1"));
+  g_assert_cmpuint(fixture->status, ==, 400);
+  fixture_send_peer_message(fixture, "/cancelled",
+                            json_pack("{s:s, s:[[s, i]]}", "node", "n9", "jobs", "req-1", 0));
+  g_assert_cmpuint(fixture->status, ==, 400);
+  fixture_send_heartbeat(fixture, 1, one_task("running", ""));
+  g_assert_false(fixture_has_command(fixture, "halt"));
+  fixture_send_peer_message(fixture, "/cancelled",
+                            json_pack("{s:s, s:[[s, i]]}", "node", "n1", "jobs", "req-1", 0));
+  g_assert_cmpuint(fixture->status, ==, 200);
+  fixture_send_heartbeat(fixture, 1, one_task("running", ""));
+  g_assert_true(fixture_has_command(fixture, "halt"));
+  fixture_send_heartbeat(fixture, 1, json_array());
+  g_assert_false(fixture_has_command(fixture, "launch"));
+  fixture_free(fixture);
 }
 
 /* Peers are told until each has acknowledged it, and then no more. */
 static void
 test_cancellation_is_redelivered_until_acknowledged(void)
 {
-  Rig *rig = rig_new(FALSE);
-  rig_ask(rig, "POST", "/api/jobs/req-1/withdraw", NULL);
-  g_assert_cmpuint(rig->told, ==, 2);
-  rig_run(rig, 3.0);
-  g_assert_cmpuint(rig->told, >=, 8);
-  rig->peers_take = TRUE;
-  rig_run(rig, 1.0);
-  guint told = rig->told;
-  rig_run(rig, 3.0);
-  g_assert_cmpuint(rig->told, ==, told);
-  rig_free(rig);
+  Fixture *fixture = fixture_new_with_job(FALSE);
+  fixture_call(fixture, "POST", "/api/jobs/req-1/withdraw", NULL);
+  g_assert_cmpuint(fixture->cancellations_sent, ==, 2);
+  fixture_run(fixture, 3.0);
+  g_assert_cmpuint(fixture->cancellations_sent, >=, 8);
+  fixture->peers_acknowledge = TRUE;
+  fixture_run(fixture, 1.0);
+  guint told = fixture->cancellations_sent;
+  fixture_run(fixture, 3.0);
+  g_assert_cmpuint(fixture->cancellations_sent, ==, told);
+  fixture_free(fixture);
 }
 
 static guint
-status_of_report(Rig *rig, const char *machine, guint64 sequence)
+status_of_report(Fixture *fixture, const char *machine, guint64 sequence)
 {
-  rig_report_now(rig, machine, 1, sequence, json_array());
-  return rig->status;
+  fixture_post_heartbeat(fixture, machine, 1, sequence, json_array());
+  return fixture->status;
 }
 
 /* A node without state service and peers, which machines of other zones reach, stops renewing in
@@ -554,17 +565,17 @@
 static void
 test_isolated_node_stops_lease_renewal(void)
 {
-  Rig *rig = rig_new(TRUE);
-  rig->zone = "b";
-  g_assert_cmpuint(status_of_report(rig, "m-2", 1), ==, 200);
-  rig->state_out = rig->peers_silent = TRUE;
-  rig_run(rig, 5.0);
-  g_assert_cmpuint(status_of_report(rig, "m-2", 2), ==, 503);
-  g_assert_cmpuint(status_of_report(rig, "m-2", 3), ==, 200); /* it has found nobody else */
-  rig_run(rig, 13.0);
-  g_assert_cmpuint(status_of_report(rig, "m-2", 4), ==, 503);
-  g_assert_cmpuint(status_of_report(rig, "m-2", 5), ==, 503);
-  rig_free(rig);
+  Fixture *fixture = fixture_new_with_job(TRUE);
+  fixture->zone = "b";
+  g_assert_cmpuint(status_of_report(fixture, "m-2", 1), ==, 200);
+  fixture->store_unavailable = fixture->peers_unreachable = TRUE;
+  fixture_run(fixture, 5.0);
+  g_assert_cmpuint(status_of_report(fixture, "m-2", 2), ==, 503);
+  g_assert_cmpuint(status_of_report(fixture, "m-2", 3), ==, 200); /* it has found nobody else */
+  fixture_run(fixture, 13.0);
+  g_assert_cmpuint(status_of_report(fixture, "m-2", 4), ==, 503);
+  g_assert_cmpuint(status_of_report(fixture, "m-2", 5), ==, 503);
+  fixture_free(fixture);
 }
 
 /* If only its own zone reaches it, the zone is what is cut off, and its answers keep tasks alive.
@@ -572,12 +583,12 @@
 static void
 test_partitioned_zone_keeps_lease_renewal(void)
 {
-  Rig *rig = rig_new(TRUE);
-  rig->state_out = rig->peers_silent = TRUE;
-  rig_run(rig, 25.0);
-  rig_send_report(rig, 1, one_task("running", ""));
-  g_assert_cmpuint(rig->status, ==, 200);
-  rig_free(rig);
+  Fixture *fixture = fixture_new_with_job(TRUE);
+  fixture->store_unavailable = fixture->peers_unreachable = TRUE;
+  fixture_run(fixture, 25.0);
+  fixture_send_heartbeat(fixture, 1, one_task("running", ""));
+  g_assert_cmpuint(fixture->status, ==, 200);
+  fixture_free(fixture);
 }
 
 /* In an outage for everybody tasks are launched (again) only when the peers have told all that they
@@ -585,22 +596,22 @@
 static void
 test_no_launch_before_cancellations_are_acknowledged(void)
 {
-  Rig *rig = rig_new(TRUE);
-  rig->peers_untold = 1;
-  rig->state_out = rig->peers_without_state = TRUE;
-  rig_run(rig, 5.0);
-  rig_send_report(rig, 1, json_array());
-  g_assert_cmpuint(rig->status, ==, 200);
-  g_assert_false(rig_has_command(rig, "launch"));
-  rig_run(rig, 13.0);
-  rig_send_report(rig, 1, one_task("running", ""));
-  g_assert_cmpuint(rig->status, ==, 503);
-  rig->peers_untold = 0;
-  rig_run(rig, 2.0);
-  rig_send_report(rig, 1, json_array());
-  g_assert_cmpuint(rig->status, ==, 200);
-  g_assert_true(rig_has_command(rig, "launch"));
-  rig_free(rig);
+  Fixture *fixture = fixture_new_with_job(TRUE);
+  fixture->unacknowledged_by_peers = 1;
+  fixture->store_unavailable = fixture->peers_lack_store = TRUE;
+  fixture_run(fixture, 5.0);
+  fixture_send_heartbeat(fixture, 1, json_array());
+  g_assert_cmpuint(fixture->status, ==, 200);
+  g_assert_false(fixture_has_command(fixture, "launch"));
+  fixture_run(fixture, 13.0);
+  fixture_send_heartbeat(fixture, 1, one_task("running", ""));
+  g_assert_cmpuint(fixture->status, ==, 503);
+  fixture->unacknowledged_by_peers = 0;
+  fixture_run(fixture, 2.0);
+  fixture_send_heartbeat(fixture, 1, json_array());
+  g_assert_cmpuint(fixture->status, ==, 200);
+  g_assert_true(fixture_has_command(fixture, "launch"));
+  fixture_free(fixture);
 }
 
 /* A machine that doesn't confirm a cancellation while the state service takes no mark is returned
@@ -608,21 +619,21 @@
 static void
 test_return_without_mark_leaks_nothing(void)
 {
-  Rig *rig = rig_new(FALSE);
-  rig->cloud_returns = TRUE;
-  rig_ask(rig, "POST", "/api/jobs/req-1/withdraw", NULL);
-  rig->state_out = rig->peers_without_state = TRUE;
-  rig_run(rig, 16.0);
-  g_assert_cmpuint(rig->returned, ==, 0);
-  rig_run(rig, 6.0);
-  g_assert_cmpuint(rig->returned, ==, 1);
-  g_assert_true(sim_state_names(rig->state, "w/lot/", "m-1"));
-  rig->state_out = rig->peers_without_state = FALSE;
-  rig_run(rig, 8.0);
-  g_assert_false(sim_state_names(rig->state, "w/lot/", "m-1"));
-  g_assert_cmpuint(sim_state_count(rig->state, "w/mark/"), ==, 0);
-  g_assert_false(rig_is_assigned(rig));
-  rig_free(rig);
+  Fixture *fixture = fixture_new_with_job(FALSE);
+  fixture->cloud_confirms_returns = TRUE;
+  fixture_call(fixture, "POST", "/api/jobs/req-1/withdraw", NULL);
+  fixture->store_unavailable = fixture->peers_lack_store = TRUE;
+  fixture_run(fixture, 16.0);
+  g_assert_cmpuint(fixture->returns_requested, ==, 0);
+  fixture_run(fixture, 6.0);
+  g_assert_cmpuint(fixture->returns_requested, ==, 1);
+  g_assert_true(sim_state_names(fixture->state, "w/lot/", "m-1"));
+  fixture->store_unavailable = fixture->peers_lack_store = FALSE;
+  fixture_run(fixture, 8.0);
+  g_assert_false(sim_state_names(fixture->state, "w/lot/", "m-1"));
+  g_assert_cmpuint(sim_state_count(fixture->state, "w/mark/"), ==, 0);
+  g_assert_false(fixture_task_is_assigned(fixture));
+  fixture_free(fixture);
 }
 
 /* Where a smaller type has room for it, a task leaves the larger machine to larger tasks: each
@@ -630,19 +641,19 @@
 static void
 test_small_task_leaves_large_machine_free(void)
 {
-  Rig *rig = rig_two_types();
+  Fixture *fixture = fixture_new_with_two_types();
   for (guint64 sequence = 1; sequence <= 2; sequence++) {
-    rig_report_now(rig, "m-1", sequence - 1, sequence, json_array());
-    json_t *small = rig_report_of(rig, "m-2", sequence - 1, sequence, json_array());
+    fixture_post_heartbeat(fixture, "m-1", sequence - 1, sequence, json_array());
+    json_t *small = fixture_heartbeat(fixture, "m-2", sequence - 1, sequence, json_array());
     json_object_set_new(small, "typ", json_string("g1"));
-    rig_tell(rig, "/v1/report", small);
-    rig_run(rig, 0.5);
+    fixture_post(fixture, "/v1/report", small);
+    fixture_run(fixture, 0.5);
   }
-  rig_ask(rig, "POST", "/api/jobs", rig_submission());
-  rig_run(rig, 1.0);
-  const json_t *on = json_object_get(sim_state_get(rig->state, "w/task/req-1/0"), "on");
+  fixture_call(fixture, "POST", "/api/jobs", fixture_submission());
+  fixture_run(fixture, 1.0);
+  const json_t *on = json_object_get(sim_state_get(fixture->state, "w/task/req-1/0"), "on");
   g_assert_cmpstr(json_string_value(json_array_get(json_array_get(on, 0), 1)), ==, "m-2");
-  rig_free(rig);
+  fixture_free(fixture);
 }
 
 /* Whether an urgent task of seconds has a large one stopped that fills the only machine, if that
@@ -650,26 +661,26 @@
 static gboolean
 is_stopped_after(double run_s)
 {
-  Rig *rig = rig_bare(TRUE);
-  rig_send_report(rig, 0, json_array());
-  rig_send_report(rig, 1, json_array());
-  json_t *large = rig_submission();
+  Fixture *fixture = fixture_new(TRUE);
+  fixture_send_heartbeat(fixture, 0, json_array());
+  fixture_send_heartbeat(fixture, 1, json_array());
+  json_t *large = fixture_submission();
   json_object_set_new(large, "cpus", json_real(32.0));
-  rig_ask(rig, "POST", "/api/jobs", large);
-  rig_run(rig, 1.0);
+  fixture_call(fixture, "POST", "/api/jobs", large);
+  fixture_run(fixture, 1.0);
   for (guint second = 0; second < run_s; second++) {
-    rig_send_report(rig, 1, one_task("running", ""));
-    rig_run(rig, 0.7);
+    fixture_send_heartbeat(fixture, 1, one_task("running", ""));
+    fixture_run(fixture, 0.7);
   }
-  json_t *urgent = rig_submission();
+  json_t *urgent = fixture_submission();
   json_object_set_new(urgent, "id", json_string("req-2"));
   json_object_set_new(urgent, "prednost", json_string("urgent"));
   json_object_set_new(urgent, "odhad_s", json_real(10.0));
-  rig_ask(rig, "POST", "/api/jobs", urgent);
-  rig_run(rig, 1.0);
-  rig_send_report(rig, 1, one_task("running", ""));
-  gboolean is_stopped = rig_has_command(rig, "halt");
-  rig_free(rig);
+  fixture_call(fixture, "POST", "/api/jobs", urgent);
+  fixture_run(fixture, 1.0);
+  fixture_send_heartbeat(fixture, 1, one_task("running", ""));
+  gboolean is_stopped = fixture_has_command(fixture, "halt");
+  fixture_free(fixture);
   return is_stopped;
 }
 
@@ -687,14 +698,15 @@
 static void
 test_unrecorded_machine_is_released_after_lease(void)
 {
-  Rig *rig = rig_new(TRUE);
-  rig_write_key(rig, "w/lot/a-1-0-1", NULL);
-  rig_run(rig, 10.0);
-  g_assert_true(rig_is_assigned(rig));
-  rig_run(rig, 6.0);
+  Fixture *fixture = fixture_new_with_job(TRUE);
+  fixture_write_key(fixture, "w/lot/a-1-0-1", NULL);
+  fixture_run(fixture, 10.0);
+  g_assert_true(fixture_task_is_assigned(fixture));
+  fixture_run(fixture, 6.0);
   g_assert_cmpuint(
-      json_array_size(json_object_get(sim_state_get(rig->state, "w/task/req-1/0"), "on")), ==, 0);
-  rig_free(rig);
+      json_array_size(json_object_get(sim_state_get(fixture->state, "w/task/req-1/0"), "on")), ==,
+      0);
+  fixture_free(fixture);
 }
 
 /* A new leader assigns nothing before its replica has reached the epoch that it wrote: what was
@@ -702,30 +714,30 @@
 static void
 test_new_leader_reads_before_assignment(void)
 {
-  Rig *rig = rig_bare(TRUE);
-  rig_send_report(rig, 0, json_array());
-  rig_send_report(rig, 1, json_array());
-  rig->hold_watch = TRUE;
-  rig_restart(rig);
-  rig_send_report(rig, 2, json_array());
-  rig_ask(rig, "POST", "/api/jobs", rig_submission());
-  rig_run(rig, 2.0);
-  g_assert_false(rig_is_assigned(rig));
-  rig_release_watch(rig);
-  rig_send_report(rig, 2, json_array());
-  rig_run(rig, 1.5);
-  g_assert_true(rig_is_assigned(rig));
-  rig_free(rig);
+  Fixture *fixture = fixture_new(TRUE);
+  fixture_send_heartbeat(fixture, 0, json_array());
+  fixture_send_heartbeat(fixture, 1, json_array());
+  fixture->hold_watch = TRUE;
+  fixture_restart(fixture);
+  fixture_send_heartbeat(fixture, 2, json_array());
+  fixture_call(fixture, "POST", "/api/jobs", fixture_submission());
+  fixture_run(fixture, 2.0);
+  g_assert_false(fixture_task_is_assigned(fixture));
+  fixture_release_watch(fixture);
+  fixture_send_heartbeat(fixture, 2, json_array());
+  fixture_run(fixture, 1.5);
+  g_assert_true(fixture_task_is_assigned(fixture));
+  fixture_free(fixture);
 }
 
 /* Empty machines report until they have shown the token. */
 static void
-show_machines(Rig *rig, const char *const *names, guint count)
+show_machines(Fixture *fixture, const char *const *names, guint count)
 {
   for (guint64 sequence = 1; sequence <= 2; sequence++)
     for (guint m = 0; m < count; m++) {
-      rig_report_now(rig, names[m], sequence - 1, sequence, json_array());
-      rig_run(rig, 0.3);
+      fixture_post_heartbeat(fixture, names[m], sequence - 1, sequence, json_array());
+      fixture_run(fixture, 0.3);
     }
 }
 
@@ -735,24 +747,24 @@
 is_stopped_for_zone(const char *zone)
 {
   static const char *const MACHINES[] = { "m-1", "m-2" };
-  Rig *rig = rig_bare(TRUE);
-  show_machines(rig, MACHINES, G_N_ELEMENTS(MACHINES));
-  json_t *filling = rig_submission();
+  Fixture *fixture = fixture_new(TRUE);
+  show_machines(fixture, MACHINES, G_N_ELEMENTS(MACHINES));
+  json_t *filling = fixture_submission();
   json_object_set_new(filling, "kusy", json_integer(6));
   json_object_set_new(filling, "prednost", json_string("best_effort"));
-  rig_ask(rig, "POST", "/api/jobs", filling);
-  rig_run(rig, 1.5);
-  const json_t *record = sim_state_get(rig->state, "w/task/req-1/0");
+  fixture_call(fixture, "POST", "/api/jobs", filling);
+  fixture_run(fixture, 1.5);
+  const json_t *record = sim_state_get(fixture->state, "w/task/req-1/0");
   g_assert_cmpuint(json_array_size(json_object_get(record, "on")), ==, 6);
-  guint commands = rig->direct;
-  json_t *urgent = rig_submission();
+  guint commands = fixture->direct_commands;
+  json_t *urgent = fixture_submission();
   json_object_set_new(urgent, "id", json_string("req-2"));
   json_object_set_new(urgent, "prednost", json_string("urgent"));
   json_object_set_new(urgent, "hala", json_string(zone));
-  rig_ask(rig, "POST", "/api/jobs", urgent);
-  rig_run(rig, 1.0);
-  gboolean is_stopped = rig->direct > commands;
-  rig_free(rig);
+  fixture_call(fixture, "POST", "/api/jobs", urgent);
+  fixture_run(fixture, 1.0);
+  gboolean is_stopped = fixture->direct_commands > commands;
+  fixture_free(fixture);
   return is_stopped;
 }
 
@@ -771,73 +783,74 @@
 static void
 test_reservation_holds_until_declined(void)
 {
-  Rig *rig = rig_bare(TRUE);
-  rig_send_report(rig, 0, json_array());
-  rig_send_report(rig, 1, json_array());
-  json_t *urgent = rig_submission();
+  Fixture *fixture = fixture_new(TRUE);
+  fixture_send_heartbeat(fixture, 0, json_array());
+  fixture_send_heartbeat(fixture, 1, json_array());
+  json_t *urgent = fixture_submission();
   json_object_set_new(urgent, "id", json_string("req-2"));
   json_object_set_new(urgent, "prednost", json_string("urgent"));
   json_object_set_new(urgent, "kusy", json_integer(4));
   json_object_set_new(urgent, "hala", json_string("b"));
-  rig_ask(rig, "POST", "/api/jobs", urgent);
-  rig_mesh(rig, "/ask",
-           json_pack("{s:i, s:[[s, i, s]]}", "epoch", 1, "reservations", "req-2", 4, "m-1"));
-  json_t *best_effort = rig_submission();
+  fixture_call(fixture, "POST", "/api/jobs", urgent);
+  fixture_send_peer_message(
+      fixture, "/ask",
+      json_pack("{s:i, s:[[s, i, s]]}", "epoch", 1, "reservations", "req-2", 4, "m-1"));
+  json_t *best_effort = fixture_submission();
   json_object_set_new(best_effort, "prednost", json_string("best_effort"));
-  rig_ask(rig, "POST", "/api/jobs", best_effort);
-  rig_run(rig, 1.5);
-  g_assert_false(rig_is_assigned(rig));
-  rig_send_report(rig, 1, json_array());
-  rig_run(rig, 3.0);
-  rig_send_report(rig, 1, json_array());
-  rig_run(rig, 1.5);
-  g_assert_true(rig_is_assigned(rig));
-  rig_free(rig);
+  fixture_call(fixture, "POST", "/api/jobs", best_effort);
+  fixture_run(fixture, 1.5);
+  g_assert_false(fixture_task_is_assigned(fixture));
+  fixture_send_heartbeat(fixture, 1, json_array());
+  fixture_run(fixture, 3.0);
+  fixture_send_heartbeat(fixture, 1, json_array());
+  fixture_run(fixture, 1.5);
+  g_assert_true(fixture_task_is_assigned(fixture));
+  fixture_free(fixture);
 }
 
 #define MANY 8
 
 /* The record of the only task of job number i. */
 static const json_t *
-only_assignment(const Rig *rig, guint i)
+only_assignment(const Fixture *fixture, guint i)
 {
   g_autofree char *key = g_strdup_printf("w/task/req-%u/0", i);
-  return json_array_get(json_object_get(sim_state_get(rig->state, key), "on"), 0);
+  return json_array_get(json_object_get(sim_state_get(fixture->state, key), "on"), 0);
 }
 
 static guint
-count_done(const Rig *rig)
+count_done(const Fixture *fixture)
 {
   guint count = 0;
   for (guint i = 1; i <= MANY; i++) {
     g_autofree char *key = g_strdup_printf("w/job/req-%u", i);
-    const json_t *job = sim_state_get(rig->state, key);
+    const json_t *job = sim_state_get(fixture->state, key);
     count += g_strcmp0(json_string_value(json_object_get(job, "s")), "done") == 0 ? 1 : 0;
   }
   return count;
 }
 
 static void
-submit_number(Rig *rig, guint i)
+submit_number(Fixture *fixture, guint i)
 {
   g_autofree char *id = g_strdup_printf("req-%u", i);
-  json_t *job = rig_submission();
+  json_t *job = fixture_submission();
   json_object_set_new(job, "id", json_string(id));
-  rig_tell(rig, "/api/jobs", job);
+  fixture_post(fixture, "/api/jobs", job);
 }
 
 /* Every task of the machine is done. */
 static void
-report_ends(Rig *rig, const char *machine)
+report_ends(Fixture *fixture, const char *machine)
 {
   json_t *tasks = json_array();
   for (guint i = 1; i <= MANY; i++) {
     g_autofree char *name = g_strdup_printf("req-%u/0", i);
-    if (g_strcmp0(json_string_value(json_array_get(only_assignment(rig, i), 1)), machine) == 0)
+    if (g_strcmp0(json_string_value(json_array_get(only_assignment(fixture, i), 1)), machine) == 0)
       json_array_append_new(tasks, json_pack("{s:s, s:i, s:s, s:s}", "kus", name, "pokus", 1,
                                              "stav", "exited", "duvod", "done"));
   }
-  rig_report_now(rig, machine, 1, 9, tasks);
+  fixture_post_heartbeat(fixture, machine, 1, 9, tasks);
 }
 
 /* Where a transaction holds few changes, the ends of tasks don't fill one after another while a job
@@ -846,25 +859,25 @@
 test_releases_leave_space_for_assignments(void)
 {
   static const char *const MACHINES[] = { "m-1", "m-2", "m-3" };
-  Rig *rig = rig_bare(TRUE);
-  rig->settings->state_txn_ops = 3; /* the teams' use and two jobs that end */
-  rig_lift_limits(rig);
-  show_machines(rig, MACHINES, G_N_ELEMENTS(MACHINES));
+  Fixture *fixture = fixture_new(TRUE);
+  fixture->settings->state_txn_ops = 3; /* the teams' use and two jobs that end */
+  fixture_lift_quotas(fixture);
+  show_machines(fixture, MACHINES, G_N_ELEMENTS(MACHINES));
   for (guint i = 1; i <= MANY; i++)
-    submit_number(rig, i);
-  rig_run(rig, 2.0);
+    submit_number(fixture, i);
+  fixture_run(fixture, 2.0);
   for (guint i = 1; i <= MANY; i++)
-    g_assert_nonnull(only_assignment(rig, i));
+    g_assert_nonnull(only_assignment(fixture, i));
   for (guint m = 0; m < G_N_ELEMENTS(MACHINES); m++)
-    report_ends(rig, MACHINES[m]);
-  submit_number(rig, MANY + 1);
-  for (guint i = 0; i < 100 && only_assignment(rig, MANY + 1) == NULL; i++)
-    rig_run(rig, 0.05);
-  g_assert_nonnull(only_assignment(rig, MANY + 1));
-  g_assert_cmpuint(count_done(rig), <, MANY);
-  rig_run(rig, 3.0);
-  g_assert_cmpuint(count_done(rig), ==, MANY);
-  rig_free(rig);
+    report_ends(fixture, MACHINES[m]);
+  submit_number(fixture, MANY + 1);
+  for (guint i = 0; i < 100 && only_assignment(fixture, MANY + 1) == NULL; i++)
+    fixture_run(fixture, 0.05);
+  g_assert_nonnull(only_assignment(fixture, MANY + 1));
+  g_assert_cmpuint(count_done(fixture), <, MANY);
+  fixture_run(fixture, 3.0);
+  g_assert_cmpuint(count_done(fixture), ==, MANY);
+  fixture_free(fixture);
 }
 
 static const WsTest TESTS[] = {
--- a/tests/test-size.c
+++ b/tests/test-size.c
@@ -2,7 +2,7 @@
    several sizes: it may not grow with the number of machines, or no worse than stated. Steps and
    messages, not seconds. */
 #include "storage/ws-replica.h"
-#include "sim/rig.h"
+#include "sim/fixture.h"
 #include "ws-suite.h"
 
 #define SMALL 80u
@@ -12,39 +12,39 @@
 #define ALONE 6000u
 
 static void
-report(Rig *rig, guint machine, guint64 fencing_token, guint64 sequence)
+report(Fixture *fixture, guint machine, guint64 fencing_token, guint64 sequence)
 {
   g_autofree char *name = g_strdup_printf("m-%06u", machine);
-  rig_report_now(rig, name, fencing_token, sequence, json_array());
+  fixture_post_heartbeat(fixture, name, fencing_token, sequence, json_array());
 }
 
 static void
-report_each(Rig *rig, guint machines, guint64 fencing_token, guint64 sequence)
+report_each(Fixture *fixture, guint machines, guint64 fencing_token, guint64 sequence)
 {
   for (guint m = 0; m < machines; m++)
-    report(rig, m, fencing_token, sequence);
+    report(fixture, m, fencing_token, sequence);
 }
 
 /* All machines have shown the token, and the peers know of them. */
-static Rig *
-rig_with(guint machines)
+static Fixture *
+fixture_with_machines(guint machines)
 {
-  Rig *rig = rig_bare(TRUE);
+  Fixture *fixture = fixture_new(TRUE);
   for (guint64 sequence = 1; sequence <= 3; sequence++) {
-    report_each(rig, machines, sequence == 1 ? 0 : 1, sequence);
-    rig_run(rig, 1.5);
+    report_each(fixture, machines, sequence == 1 ? 0 : 1, sequence);
+    fixture_run(fixture, 1.5);
   }
-  return rig;
+  return fixture;
 }
 
 static guint
 outputs_of_report(guint machines)
 {
-  Rig *rig = rig_with(machines);
-  guint before = rig->outputs;
-  report(rig, 7, 1, 10);
-  guint outputs = rig->outputs - before;
-  rig_free(rig);
+  Fixture *fixture = fixture_with_machines(machines);
+  guint before = fixture->outputs;
+  report(fixture, 7, 1, 10);
+  guint outputs = fixture->outputs - before;
+  fixture_free(fixture);
   return outputs;
 }
 
@@ -61,14 +61,14 @@
 static guint
 outputs_of_takeover(guint machines)
 {
-  Rig *rig = rig_with(machines);
-  rig_restart(rig);
-  rig_run(rig, 6.0); /* the lease of its last run ends meanwhile */
-  guint before = rig->outputs;
-  report_each(rig, machines, 1, 30);
-  guint outputs = rig->outputs - before;
-  g_assert_cmpuint(rig->status, ==, 200);
-  rig_free(rig);
+  Fixture *fixture = fixture_with_machines(machines);
+  fixture_restart(fixture);
+  fixture_run(fixture, 6.0); /* the lease of its last run ends meanwhile */
+  guint before = fixture->outputs;
+  report_each(fixture, machines, 1, 30);
+  guint outputs = fixture->outputs - before;
+  g_assert_cmpuint(fixture->status, ==, 200);
+  fixture_free(fixture);
   return outputs;
 }
 
@@ -84,13 +84,13 @@
 static guint
 outputs_of_second(guint machines)
 {
-  Rig *rig = rig_with(machines);
-  report_each(rig, machines, 1, 11);
-  rig_run(rig, 0.5);
-  guint before = rig->outputs;
-  rig_run(rig, 1.0);
-  guint outputs = rig->outputs - before;
-  rig_free(rig);
+  Fixture *fixture = fixture_with_machines(machines);
+  report_each(fixture, machines, 1, 11);
+  fixture_run(fixture, 0.5);
+  guint before = fixture->outputs;
+  fixture_run(fixture, 1.0);
+  guint outputs = fixture->outputs - before;
+  fixture_free(fixture);
   return outputs;
 }
 
@@ -106,11 +106,11 @@
 static gsize
 quiet_gossip(guint machines)
 {
-  Rig *rig = rig_with(machines);
-  report_each(rig, machines, 1, 11);
-  rig_run(rig, 1.6);
-  gsize bytes = rig->gossip_bytes;
-  rig_free(rig);
+  Fixture *fixture = fixture_with_machines(machines);
+  report_each(fixture, machines, 1, 11);
+  fixture_run(fixture, 1.6);
+  gsize bytes = fixture->gossip_bytes;
+  fixture_free(fixture);
   return bytes;
 }
 
@@ -127,13 +127,13 @@
 static guint64
 steps_of_job(guint machines, guint tasks)
 {
-  Rig *rig = rig_with(machines);
-  json_t *job = rig_submission();
+  Fixture *fixture = fixture_with_machines(machines);
+  json_t *job = fixture_submission();
   json_object_set_new(job, "kusy", json_integer(tasks));
-  guint64 before = ws_core_plan_steps(rig->core);
-  rig_ask(rig, "POST", "/api/jobs", job);
-  guint64 steps = ws_core_plan_steps(rig->core) - before;
-  rig_free(rig);
+  guint64 before = ws_core_plan_steps(fixture->core);
+  fixture_call(fixture, "POST", "/api/jobs", job);
+  guint64 steps = ws_core_plan_steps(fixture->core) - before;
+  fixture_free(fixture);
   return steps;
 }
 
@@ -149,41 +149,41 @@
 }
 
 static void
-submit(Rig *rig, guint number, guint tasks, double cpus)
+submit(Fixture *fixture, guint number, guint tasks, double cpus)
 {
-  json_t *job = rig_submission();
+  json_t *job = fixture_submission();
   g_autofree char *id = g_strdup_printf("req-%06u", number);
   json_object_set_new(job, "id", json_string(id));
   json_object_set_new(job, "kusy", json_integer((json_int_t)tasks));
   json_object_set_new(job, "cpus", json_real(cpus));
-  rig_tell(rig, "/api/jobs", job);
+  fixture_post(fixture, "/api/jobs", job);
 }
 
 /* Every machine shows the task of the first job that is assigned to it. */
 static void
-report_tasks(Rig *rig, guint machines, guint64 sequence)
+report_tasks(Fixture *fixture, guint machines, guint64 sequence)
 {
   for (guint chunk = 0; chunk * WS_CHUNK_TASKS < machines; chunk++) {
     g_autofree char *key = g_strdup_printf("w/task/req-000001/%u", chunk);
     size_t i;
     const json_t *on;
-    json_array_foreach(json_object_get(sim_state_get(rig->state, key), "on"), i, on)
+    json_array_foreach(json_object_get(sim_state_get(fixture->state, key), "on"), i, on)
     {
       g_autofree char *task = g_strdup_printf("req-000001/%" JSON_INTEGER_FORMAT,
                                               json_integer_value(json_array_get(on, 0)));
-      rig_report_now(rig, json_string_value(json_array_get(on, 1)), 1, sequence,
-                     json_pack("[{s:s, s:O, s:s}]", "kus", task, "pokus", json_array_get(on, 2),
-                               "stav", "running"));
+      fixture_post_heartbeat(fixture, json_string_value(json_array_get(on, 1)), 1, sequence,
+                             json_pack("[{s:s, s:O, s:s}]", "kus", task, "pokus",
+                                       json_array_get(on, 2), "stav", "running"));
     }
   }
 }
 
 static void
-report_for_a_while(Rig *rig, guint machines, guint64 first)
+report_for_a_while(Fixture *fixture, guint machines, guint64 first)
 {
   for (guint64 sequence = first; sequence < first + 3; sequence++) {
-    report_tasks(rig, machines, sequence);
-    rig_run(rig, 1.5);
+    report_tasks(fixture, machines, sequence);
+    fixture_run(fixture, 1.5);
   }
 }
 
@@ -192,19 +192,19 @@
 static guint64
 steps_when_full(guint machines, guint jobs)
 {
-  Rig *rig = rig_with(machines);
-  rig_lift_limits(rig);
-  submit(rig, 1, machines, 24.0);
-  rig_run(rig, 2.0);
-  report_for_a_while(rig, machines, 11);
+  Fixture *fixture = fixture_with_machines(machines);
+  fixture_lift_quotas(fixture);
+  submit(fixture, 1, machines, 24.0);
+  fixture_run(fixture, 2.0);
+  report_for_a_while(fixture, machines, 11);
   for (guint j = 0; j < jobs; j++)
-    submit(rig, 100 + j, 25, 16.0);
-  report_for_a_while(rig, machines, 16);
-  guint64 steps = ws_core_plan_steps(rig->core), plans = ws_core_plans(rig->core);
-  report_for_a_while(rig, machines, 21);
-  steps = ws_core_plan_steps(rig->core) - steps;
-  plans = ws_core_plans(rig->core) - plans;
-  rig_free(rig);
+    submit(fixture, 100 + j, 25, 16.0);
+  report_for_a_while(fixture, machines, 16);
+  guint64 steps = ws_core_plan_steps(fixture->core), plans = ws_core_plans(fixture->core);
+  report_for_a_while(fixture, machines, 21);
+  steps = ws_core_plan_steps(fixture->core) - steps;
+  plans = ws_core_plans(fixture->core) - plans;
+  fixture_free(fixture);
   return steps / MAX(plans, 1u);
 }
 
@@ -220,7 +220,7 @@
 
 /* What every so many of the jobs have assigned is reported as running, machine by machine. */
 static void
-report_jobs(Rig *rig, guint machines, guint step, guint64 sequence)
+report_jobs(Fixture *fixture, guint machines, guint step, guint64 sequence)
 {
   g_autoptr(GPtrArray) lists = g_ptr_array_new();
   for (guint m = 0; m < machines; m++)
@@ -229,7 +229,7 @@
     g_autofree char *key = g_strdup_printf("w/task/req-%06u/0", j);
     size_t i;
     const json_t *on;
-    json_array_foreach(json_object_get(sim_state_get(rig->state, key), "on"), i, on)
+    json_array_foreach(json_object_get(sim_state_get(fixture->state, key), "on"), i, on)
     {
       guint64 machine = g_ascii_strtoull(json_string_value(json_array_get(on, 1)) + 2, NULL, 10);
       g_autofree char *task = g_strdup_printf("req-%06u/%" JSON_INTEGER_FORMAT, j,
@@ -241,18 +241,19 @@
   }
   for (guint m = 0; m < machines; m++) {
     g_autofree char *name = g_strdup_printf("m-%06u", m);
-    rig_report_now(rig, name, 1, sequence, g_ptr_array_index(lists, m));
+    fixture_post_heartbeat(fixture, name, 1, sequence, g_ptr_array_index(lists, m));
   }
 }
 
 /* Runs for a while, and notes when the first mark is there. */
 static void
-run_to_marks(Rig *rig, double seconds, gint64 *marked_ms)
+run_to_marks(Fixture *fixture, double seconds, gint64 *marked_ms)
 {
-  for (gint64 until_ms = rig->now_ms + (gint64)(seconds * 1000.0); rig->now_ms < until_ms;) {
-    rig_run(rig, 0.05);
-    if (*marked_ms == 0 && sim_state_count(rig->state, "w/mark/") > 0)
-      *marked_ms = rig->now_ms;
+  for (gint64 until_ms = fixture->now_ms + (gint64)(seconds * 1000.0);
+       fixture->now_ms < until_ms;) {
+    fixture_run(fixture, 0.05);
+    if (*marked_ms == 0 && sim_state_count(fixture->state, "w/mark/") > 0)
+      *marked_ms = fixture->now_ms;
   }
 }
 
@@ -263,37 +264,37 @@
 static guint
 most_merged(guint machines)
 {
-  Rig *rig = rig_with(machines);
+  Fixture *fixture = fixture_with_machines(machines);
   guint most = 0;
   gint64 marked_ms = 0;
-  rig_run(rig, 0.4); /* else the hold would end in our turn anyway */
-  rig_lift_limits(rig);
+  fixture_run(fixture, 0.4); /* else the hold would end in our turn anyway */
+  fixture_lift_quotas(fixture);
   for (guint j = 0; j < machines; j++) {
-    json_t *job = rig_submission();
+    json_t *job = fixture_submission();
     g_autofree char *id = g_strdup_printf("req-%06u", j);
     json_object_set_new(job, "id", json_string(id));
     json_object_set_new(job, "druh", json_string("service"));
     json_object_set_new(job, "kusy", json_integer(4));
-    rig_tell(rig, "/api/jobs", job);
+    fixture_post(fixture, "/api/jobs", job);
   }
   guint64 sequence = 20;
   for (guint i = 0; i < 6; i++) {
-    rig_run(rig, 1.5);
-    report_jobs(rig, machines, 1, ++sequence);
+    fixture_run(fixture, 1.5);
+    report_jobs(fixture, machines, 1, ++sequence);
   }
   for (guint j = 0; j < machines; j++) {
     if (j % 4 == 0)
       continue; /* one in four stays: one task on each machine */
     g_autofree char *path = g_strdup_printf("/api/jobs/req-%06u/withdraw", j);
-    rig_tell(rig, path, json_object());
+    fixture_post(fixture, path, json_object());
   }
   for (guint i = 0; i < 30; i++) {
-    run_to_marks(rig, 1.5, &marked_ms);
-    report_jobs(rig, machines, 4, ++sequence);
-    most = MAX(most, sim_state_count(rig->state, "w/mark/"));
+    run_to_marks(fixture, 1.5, &marked_ms);
+    report_jobs(fixture, machines, 4, ++sequence);
+    most = MAX(most, sim_state_count(fixture->state, "w/mark/"));
   }
   g_assert_cmpint(marked_ms % 2000, <, 1100);
-  rig_free(rig);
+  fixture_free(fixture);
   return most;
 }
 
@@ -312,35 +313,35 @@
 test_cancelled_in_bulk(void)
 {
   enum { JOBS = 200 };
-  Rig *rig = rig_with(HUGE);
-  rig_lift_limits(rig);
+  Fixture *fixture = fixture_with_machines(HUGE);
+  fixture_lift_quotas(fixture);
   for (guint i = 0; i < JOBS; i++) {
-    json_t *job = rig_submission();
+    json_t *job = fixture_submission();
     g_autofree char *id = g_strdup_printf("req-%u", i);
     json_object_set_new(job, "id", json_string(id));
     json_object_set_new(job, "cpus", json_real(32.0));
-    rig_tell(rig, "/api/jobs", job);
+    fixture_post(fixture, "/api/jobs", job);
   }
-  for (guint round = 0; round < 20 && sim_state_count(rig->state, "w/task/") < JOBS; round++) {
+  for (guint round = 0; round < 20 && sim_state_count(fixture->state, "w/task/") < JOBS; round++) {
     for (guint m = 0; m < HUGE; m++)
-      report(rig, m, 1, 10 + round);
-    rig_run(rig, 1.0);
+      report(fixture, m, 1, 10 + round);
+    fixture_run(fixture, 1.0);
   }
-  g_assert_cmpuint(sim_state_count(rig->state, "w/task/"), ==, JOBS);
-  rig->workers_answer = FALSE;
-  rig->peers_take = TRUE;
-  guint direct = rig->direct;
+  g_assert_cmpuint(sim_state_count(fixture->state, "w/task/"), ==, JOBS);
+  fixture->workers_answer = FALSE;
+  fixture->peers_acknowledge = TRUE;
+  guint direct = fixture->direct_commands;
   for (guint i = 0; i < JOBS; i++) {
     g_autofree char *path = g_strdup_printf("/api/jobs/req-%u/withdraw", i);
-    rig_tell(rig, path, json_object());
+    fixture_post(fixture, path, json_object());
   }
-  rig_run(rig, 1.0);
-  g_assert_cmpuint(rig->told, >, 0);
-  g_assert_cmpuint(rig->told, <=, 24);
-  rig_run(rig, 4.0);
-  g_assert_cmpuint(rig->direct - direct, >=, 24);
-  g_assert_cmpuint(rig->direct - direct, <=, (guint64)5 * 24);
-  rig_free(rig);
+  fixture_run(fixture, 1.0);
+  g_assert_cmpuint(fixture->cancellations_sent, >, 0);
+  g_assert_cmpuint(fixture->cancellations_sent, <=, 24);
+  fixture_run(fixture, 4.0);
+  g_assert_cmpuint(fixture->direct_commands - direct, >=, 24);
+  g_assert_cmpuint(fixture->direct_commands - direct, <=, (guint64)5 * 24);
+  fixture_free(fixture);
 }
 
 static const WsTest TESTS[] = {
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -1,7 +1,7 @@
 /* Two versions of the program on the same records, and limits of the state service that fall. The
    fixtures were written by the encoders of the version in production, commit ee59907. */
 #include "commit/ws-release-order.h"
-#include "sim/rig.h"
+#include "sim/fixture.h"
 #include "sim/troubles.h"
 #include "storage/ws-team-use.h"
 #include "ws-site.h"
@@ -151,16 +151,17 @@
     { "/ask", "{\"marks\":[[\"m-1\",\"notice\",false]],\"epoch\":1}" },
     { "/cancelled", "{\"node\":\"n2\",\"jobs\":[[\"req-000003\",7]]}" },
   };
-  Rig *rig = rig_new(TRUE);
+  Fixture *fixture = fixture_new_with_job(TRUE);
   for (guint i = 0; i < G_N_ELEMENTS(MESSAGES); i++) {
-    rig_mesh(rig, MESSAGES[i].path, ws_json_parse(MESSAGES[i].body, strlen(MESSAGES[i].body)));
-    g_assert_cmpuint(rig->status, ==, 200);
+    fixture_send_peer_message(fixture, MESSAGES[i].path,
+                              ws_json_parse(MESSAGES[i].body, strlen(MESSAGES[i].body)));
+    g_assert_cmpuint(fixture->status, ==, 200);
   }
-  rig_run(rig, 1.0);
-  g_assert_true(sim_state_has(rig->state, "w/mark/m-1"));
-  rig_ask(rig, "GET", "/api/jobs/req-1", NULL);
-  g_assert_cmpstr(json_string_value(json_object_get(rig->answer, "stav")), ==, "done");
-  rig_free(rig);
+  fixture_run(fixture, 1.0);
+  g_assert_true(sim_state_has(fixture->state, "w/mark/m-1"));
+  fixture_call(fixture, "GET", "/api/jobs/req-1", NULL);
+  g_assert_cmpstr(json_string_value(json_object_get(fixture->answer, "stav")), ==, "done");
+  fixture_free(fixture);
 }
 
 /* The new version's gossip has each field of production's, of the same type, and one more, which
@@ -172,20 +173,20 @@
       = "{\"node\":\"n1\",\"epoch\":1,\"store\":true,\"reaches\":7,\"wants_epoch\":false,"
         "\"unheard\":false,\"base\":1,\"rev\":2,\"ack\":2,\"incarnation\":1000002,\"loaded\":true,"
         "\"untold\":0,\"machines\":[]}";
-  Rig *rig = rig_new(TRUE);
+  Fixture *fixture = fixture_new_with_job(TRUE);
   g_autoptr(json_t) production = ws_json_parse(PRODUCTION, strlen(PRODUCTION));
-  rig_mesh(rig, "/gossip", json_incref(production));
+  fixture_send_peer_message(fixture, "/gossip", json_incref(production));
   const char *name;
   json_t *value;
   json_object_foreach(production, name, value)
   {
-    const json_t *ours = json_object_get(rig->answer, name);
+    const json_t *ours = json_object_get(fixture->answer, name);
     g_assert_nonnull(ours);
     g_assert_true(json_is_boolean(value) ? json_is_boolean(ours)
                                          : json_typeof(ours) == json_typeof(value));
   }
-  g_assert_cmpuint(json_object_size(rig->answer), ==, json_object_size(production) + 1);
-  rig_free(rig);
+  g_assert_cmpuint(json_object_size(fixture->answer), ==, json_object_size(production) + 1);
+  fixture_free(fixture);
 }
 
 /* Limits to come. */
@@ -320,23 +321,23 @@
 static void
 test_accepted_job_is_never_rejected(void)
 {
-  Rig *rig = rig_bare(TRUE);
-  rig_send_report(rig, 0, json_array());
-  rig_send_report(rig, 1, json_array());
-  rig->settings->state_record_bytes = 300;
-  rig_ask(rig, "POST", "/api/jobs", rig_submission());
-  g_assert_cmpuint(rig->status, ==, 422);
-  rig->hold_watch = TRUE; /* this node doesn't hear of it by itself */
-  rig_run(rig, 10.0);
-  g_autoptr(json_t) submission = rig_submission();
-  rig_write_key(
-      rig, "w/job/req-1",
+  Fixture *fixture = fixture_new(TRUE);
+  fixture_send_heartbeat(fixture, 0, json_array());
+  fixture_send_heartbeat(fixture, 1, json_array());
+  fixture->settings->state_record_bytes = 300;
+  fixture_call(fixture, "POST", "/api/jobs", fixture_submission());
+  g_assert_cmpuint(fixture->status, ==, 422);
+  fixture->hold_watch = TRUE; /* this node doesn't hear of it by itself */
+  fixture_run(fixture, 10.0);
+  g_autoptr(json_t) submission = fixture_submission();
+  fixture_write_key(
+      fixture, "w/job/req-1",
       json_pack("{s:s, s:i, s:s, s:O}", "s", "active", "at", 1, "home", "", "spec", submission));
-  rig_request(rig, WS_DOOR_API, "POST", "/api/jobs", json_incref(submission));
-  rig_release_watch(rig);
-  rig_run(rig, 1.5);
-  g_assert_cmpuint(rig->status, !=, 422);
-  rig_free(rig);
+  fixture_request(fixture, WS_DOOR_API, "POST", "/api/jobs", json_incref(submission));
+  fixture_release_watch(fixture);
+  fixture_run(fixture, 1.5);
+  g_assert_cmpuint(fixture->status, !=, 422);
+  fixture_free(fixture);
 }
 
 /* A refusal for size that nobody announced holds up only what is refused. */
