--- a/tests/sim/troubles.c
+++ b/tests/sim/fault-injection.c
@@ -1,4 +1,4 @@
-#include "sim/troubles.h"
+#include "sim/fault-injection.h"
 
 void
 sim_add_load(Sim *sim, guint rounds)
--- a/tests/test-combined-faults.c
+++ b/tests/test-combined-faults.c
@@ -1,7 +1,7 @@
 /* Where troubles meet: each meeting that users have seen break a rule, brought about in a simulated
    world that checks the rules from outside, and pairs and triples of troubles drawn by a generator.
  */
-#include "sim/troubles.h"
+#include "sim/fault-injection.h"
 #include "ws-suite.h"
 
 #include <glib/gstdio.h>
--- a/tests/test-evidence.c
+++ b/tests/test-evidence.c
@@ -4,7 +4,7 @@
    former owner's release was written after the next owner had launched the same attempt. */
 #include "storage/ws-evidence.h"
 #include "sim/fixture.h"
-#include "sim/troubles.h"
+#include "sim/fault-injection.h"
 #include "ws-site.h"
 #include "ws-suite.h"
 
--- a/tests/test-gangs.c
+++ b/tests/test-gangs.c
@@ -2,7 +2,7 @@
 #include "scheduling/ws-scheduling.h"
 #include "storage/ws-gang-phase.h"
 #include "sim/fixture.h"
-#include "sim/troubles.h"
+#include "sim/fault-injection.h"
 #include "ws-suite.h"
 
 #include <string.h>
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -2,7 +2,7 @@
    fixtures were written by the encoders of the version in production, commit ee59907. */
 #include "commit/ws-release-order.h"
 #include "sim/fixture.h"
-#include "sim/troubles.h"
+#include "sim/fault-injection.h"
 #include "storage/ws-team-use.h"
 #include "ws-site.h"
 #include "ws-suite.h"
