--- a/tests/sim/fault-injection.c
+++ b/tests/sim/fault-injection.c
@@ -15,7 +15,7 @@
 }
 
 void
-sim_cancel_some(Sim *sim, guint count)
+sim_cancel_many(Sim *sim, guint count)
 {
   for (guint i = 0; i < count; i++)
     sim_cancel_any(sim);
@@ -35,19 +35,19 @@
 }
 
 void
-sim_trouble_machines(Sim *sim, guint count, void (*trouble)(Sim *, guint, double), double seconds)
+sim_inject_machine_faults(Sim *sim, guint count, SimMachineFault inject, double seconds)
 {
   for (guint i = 0; i < count; i++) {
-    guint machine = sim_any_machine(sim);
+    guint machine = sim_draw_machine(sim);
     if (machine != G_MAXUINT)
-      trouble(sim, machine, seconds);
+      inject(sim, machine, seconds);
   }
 }
 
 void
-sim_serve_all(Sim *sim)
+sim_expect_recovery(Sim *sim)
 {
-  sim_calm(sim);
+  sim_end_faults(sim);
   for (guint i = 0; i < 400 && sim_open_jobs(sim) > 0; i++)
     sim_run(sim, 1.0);
   if (sim_open_jobs(sim) > 0)
@@ -61,7 +61,7 @@
 }
 
 Sim *
-sim_loaded_world(guint32 seed)
+sim_new_with_load(guint32 seed)
 {
   Sim *sim = sim_new(seed);
   sim_run(sim, 3.0);
@@ -84,289 +84,289 @@
   const char *name;
   void (*begin)(Sim *sim, double seconds);
   void (*end)(Sim *sim);
-} Trouble;
+} FaultType;
 
 static void
-begin_refused(Sim *sim, double seconds)
+begin_store_refusal(Sim *sim, double seconds)
 {
   (void)seconds;
-  sim_faults(sim)->state_refuses
+  sim_faults(sim)->store_refuses_nodes
       = 1u << (g_rand_boolean(sim_rand(sim)) ? sim_leader_or_first(sim)
                                              : sim_other_node(sim_leader_or_first(sim)));
 }
 
 static void
-end_refused(Sim *sim)
+end_store_refusal(Sim *sim)
 {
-  sim_faults(sim)->state_refuses = 0;
+  sim_faults(sim)->store_refuses_nodes = 0;
 }
 
 static void
-begin_outage(Sim *sim, double seconds)
+begin_store_outage(Sim *sim, double seconds)
 {
   (void)seconds;
-  sim_faults(sim)->state_out = TRUE;
+  sim_faults(sim)->store_unavailable = TRUE;
 }
 
 static void
-end_outage(Sim *sim)
+end_store_outage(Sim *sim)
 {
-  sim_faults(sim)->state_out = FALSE;
+  sim_faults(sim)->store_unavailable = FALSE;
 }
 
 static void
-begin_slow(Sim *sim, double seconds)
+begin_slow_store(Sim *sim, double seconds)
 {
   (void)seconds;
-  sim_faults(sim)->slow_state_ms = 1200;
+  sim_faults(sim)->store_delay_ms = 1200;
 }
 
 static void
-end_slow(Sim *sim)
+end_slow_store(Sim *sim)
 {
-  sim_faults(sim)->slow_state_ms = 0;
+  sim_faults(sim)->store_delay_ms = 0;
 }
 
 static void
-begin_late_writes(Sim *sim, double seconds)
+begin_delayed_transactions(Sim *sim, double seconds)
 {
   (void)seconds;
-  sim_faults(sim)->late_writes = 0.2;
+  sim_faults(sim)->delayed_transactions = 0.2;
 }
 
 static void
-end_late_writes(Sim *sim)
+end_delayed_transactions(Sim *sim)
 {
-  sim_faults(sim)->late_writes = 0.0;
+  sim_faults(sim)->delayed_transactions = 0.0;
 }
 
 static void
-begin_copies(Sim *sim, double seconds)
+begin_duplicated_heartbeats(Sim *sim, double seconds)
 {
   (void)seconds;
-  sim_faults(sim)->copies = 0.4;
+  sim_faults(sim)->duplicated_heartbeats = 0.4;
 }
 
 static void
-end_copies(Sim *sim)
+end_duplicated_heartbeats(Sim *sim)
 {
-  sim_faults(sim)->copies = 0.0;
+  sim_faults(sim)->duplicated_heartbeats = 0.0;
 }
 
 static void
-begin_net(Sim *sim, double seconds)
+begin_lossy_network(Sim *sim, double seconds)
 {
   (void)seconds;
   sim_faults(sim)->net = (SimNet){ 0.05, 0.05, 0.1 };
 }
 
 static void
-end_net(Sim *sim)
+end_lossy_network(Sim *sim)
 {
   sim_faults(sim)->net = (SimNet){ 0 };
 }
 
 static void
-begin_cut(Sim *sim, double seconds)
+begin_partition(Sim *sim, double seconds)
 {
   (void)seconds;
-  sim_faults(sim)->cut = 1u << g_rand_int_range(sim_rand(sim), 0, SIM_NODES);
+  sim_faults(sim)->partitioned_zones = 1u << g_rand_int_range(sim_rand(sim), 0, SIM_NODES);
 }
 
 static void
-end_cut(Sim *sim)
+end_partition(Sim *sim)
 {
-  sim_faults(sim)->cut = 0;
+  sim_faults(sim)->partitioned_zones = 0;
 }
 
 static void
-begin_alone(Sim *sim, double seconds)
+begin_isolation(Sim *sim, double seconds)
 {
   (void)seconds;
-  sim_faults(sim)->alone = 1u << sim_leader_or_first(sim);
+  sim_faults(sim)->isolated_nodes = 1u << sim_leader_or_first(sim);
 }
 
 static void
-end_alone(Sim *sim)
+end_isolation(Sim *sim)
 {
-  sim_faults(sim)->alone = 0;
+  sim_faults(sim)->isolated_nodes = 0;
 }
 
 static void
-begin_unheard(Sim *sim, double seconds)
+begin_unreachable_node(Sim *sim, double seconds)
 {
   (void)seconds;
-  sim_faults(sim)->unheard = 1u << g_rand_int_range(sim_rand(sim), 0, SIM_NODES);
+  sim_faults(sim)->unreachable_nodes = 1u << g_rand_int_range(sim_rand(sim), 0, SIM_NODES);
 }
 
 static void
-end_unheard(Sim *sim)
+end_unreachable_node(Sim *sim)
 {
-  sim_faults(sim)->unheard = 0;
+  sim_faults(sim)->unreachable_nodes = 0;
 }
 
 static void
-begin_cloud(Sim *sim, double seconds)
+begin_cloud_outage(Sim *sim, double seconds)
 {
   (void)seconds;
-  sim_faults(sim)->cloud_out = TRUE;
+  sim_faults(sim)->cloud_unavailable = TRUE;
 }
 
 static void
-end_cloud(Sim *sim)
+end_cloud_outage(Sim *sim)
 {
-  sim_faults(sim)->cloud_out = FALSE;
+  sim_faults(sim)->cloud_unavailable = FALSE;
 }
 
 static void
-begin_cancel_at_end(Sim *sim, double seconds)
+begin_cancellation_at_completion(Sim *sim, double seconds)
 {
   (void)seconds;
-  sim_cancel_at_end(sim, 0.5);
+  sim_cancel_at_completion(sim, 0.5);
 }
 
 static void
-end_cancel_at_end(Sim *sim)
+end_cancellation_at_completion(Sim *sim)
 {
-  sim_cancel_at_end(sim, 0.0);
+  sim_cancel_at_completion(sim, 0.0);
 }
 
 static void
-begin_bulk(Sim *sim, double seconds)
+begin_bulk_cancellation(Sim *sim, double seconds)
 {
   (void)seconds;
-  sim_trouble_machines(sim, 2, sim_hang, 8.0);
-  sim_cancel_some(sim, 5);
+  sim_inject_machine_faults(sim, 2, sim_stall_machine, 8.0);
+  sim_cancel_many(sim, 5);
 }
 
 static void
-begin_deaf(Sim *sim, double seconds)
+begin_outbound_unreachable(Sim *sim, double seconds)
 {
-  sim_trouble_machines(sim, 2, sim_deafen, seconds);
+  sim_inject_machine_faults(sim, 2, sim_block_outbound, seconds);
 }
 
 static void
-begin_mute(Sim *sim, double seconds)
+begin_inbound_unreachable(Sim *sim, double seconds)
 {
-  sim_trouble_machines(sim, 2, sim_mute, seconds);
+  sim_inject_machine_faults(sim, 2, sim_block_inbound, seconds);
 }
 
 static void
-begin_hang(Sim *sim, double seconds)
+begin_machine_stall(Sim *sim, double seconds)
 {
-  sim_trouble_machines(sim, 3, sim_hang, MIN(seconds, 20.0));
+  sim_inject_machine_faults(sim, 3, sim_stall_machine, MIN(seconds, 20.0));
 }
 
 static void
-begin_crash(Sim *sim, double seconds)
+begin_leader_crash(Sim *sim, double seconds)
 {
-  sim_crash(sim, sim_leader_or_first(sim), MIN(seconds, 8.0));
+  sim_crash_node(sim, sim_leader_or_first(sim), MIN(seconds, 8.0));
 }
 
 static void
-begin_crash_all(Sim *sim, double seconds)
+begin_crash_of_all(Sim *sim, double seconds)
 {
   for (guint n = 0; n < SIM_NODES; n++)
-    sim_crash(sim, n, g_rand_double_range(sim_rand(sim), 0.1, MIN(seconds, 14.0)));
+    sim_crash_node(sim, n, g_rand_double_range(sim_rand(sim), 0.1, MIN(seconds, 14.0)));
 }
 
 static void
-begin_freeze(Sim *sim, double seconds)
+begin_node_pause(Sim *sim, double seconds)
 {
-  sim_freeze(sim, (guint)g_rand_int_range(sim_rand(sim), 0, SIM_NODES), seconds);
+  sim_pause_node(sim, (guint)g_rand_int_range(sim_rand(sim), 0, SIM_NODES), seconds);
 }
 
 static void
-begin_kill(Sim *sim, double seconds)
+begin_machine_loss(Sim *sim, double seconds)
 {
   (void)seconds;
   for (guint i = 0; i < 2; i++)
-    sim_kill_machine(sim);
-  sim_restart_machine(sim);
+    sim_kill_any_machine(sim);
+  sim_restart_any_machine(sim);
 }
 
 static void
-begin_odd(Sim *sim, double seconds)
+begin_malformed_requests(Sim *sim, double seconds)
 {
   (void)seconds;
   for (guint i = 0; i < 5; i++) {
-    sim_odd_requests(sim);
+    sim_send_malformed_requests(sim);
     sim_run(sim, 0.7);
   }
 }
 
-static const Trouble TROUBLES[] = {
-  { "odd-requests", begin_odd, NULL },
-  { "refused", begin_refused, end_refused },
-  { "outage", begin_outage, end_outage },
-  { "slow", begin_slow, end_slow },
-  { "late-writes", begin_late_writes, end_late_writes },
-  { "copies", begin_copies, end_copies },
-  { "net", begin_net, end_net },
-  { "cut", begin_cut, end_cut },
-  { "alone", begin_alone, end_alone },
-  { "unheard", begin_unheard, end_unheard },
-  { "cloud-out", begin_cloud, end_cloud },
-  { "cancel-at-end", begin_cancel_at_end, end_cancel_at_end },
-  { "bulk", begin_bulk, NULL },
-  { "deaf", begin_deaf, NULL },
-  { "mute", begin_mute, NULL },
-  { "hang", begin_hang, NULL },
-  { "crash", begin_crash, NULL },
-  { "crash-all", begin_crash_all, NULL },
-  { "freeze", begin_freeze, NULL },
-  { "kill", begin_kill, NULL },
+static const FaultType FAULTS[] = {
+  { "malformed-requests", begin_malformed_requests, NULL },
+  { "store-refusal", begin_store_refusal, end_store_refusal },
+  { "store-outage", begin_store_outage, end_store_outage },
+  { "slow-store", begin_slow_store, end_slow_store },
+  { "delayed-transactions", begin_delayed_transactions, end_delayed_transactions },
+  { "duplicated-heartbeats", begin_duplicated_heartbeats, end_duplicated_heartbeats },
+  { "lossy-network", begin_lossy_network, end_lossy_network },
+  { "partition", begin_partition, end_partition },
+  { "isolated-leader", begin_isolation, end_isolation },
+  { "unreachable-node", begin_unreachable_node, end_unreachable_node },
+  { "cloud-outage", begin_cloud_outage, end_cloud_outage },
+  { "cancellation-at-completion", begin_cancellation_at_completion,
+    end_cancellation_at_completion },
+  { "bulk-cancellation", begin_bulk_cancellation, NULL },
+  { "outbound-unreachable", begin_outbound_unreachable, NULL },
+  { "inbound-unreachable", begin_inbound_unreachable, NULL },
+  { "machine-stall", begin_machine_stall, NULL },
+  { "leader-crash", begin_leader_crash, NULL },
+  { "crash-of-all", begin_crash_of_all, NULL },
+  { "node-pause", begin_node_pause, NULL },
+  { "machine-loss", begin_machine_loss, NULL },
 };
 
 typedef struct {
-  const Trouble *trouble;
+  const FaultType *type;
   double at_s;
   double for_s;
-  gboolean begun;
-  gboolean over;
-} Drawn;
+  gboolean is_begun;
+  gboolean is_over;
+} ScheduledFault;
 
 static void
-step_drawn(Sim *sim, Drawn *drawn, double now_s)
+step_scheduled_fault(Sim *sim, ScheduledFault *drawn, double now_s)
 {
-  if (!drawn->begun && now_s >= drawn->at_s) {
-    drawn->begun = TRUE;
-    drawn->trouble->begin(sim, drawn->for_s);
+  if (!drawn->is_begun && now_s >= drawn->at_s) {
+    drawn->is_begun = TRUE;
+    drawn->type->begin(sim, drawn->for_s);
   }
-  if (drawn->begun && !drawn->over && now_s >= drawn->at_s + drawn->for_s) {
-    drawn->over = TRUE;
-    if (drawn->trouble->end != NULL)
-      drawn->trouble->end(sim);
+  if (drawn->is_begun && !drawn->is_over && now_s >= drawn->at_s + drawn->for_s) {
+    drawn->is_over = TRUE;
+    if (drawn->type->end != NULL)
+      drawn->type->end(sim);
   }
 }
 
 void
-sim_play_drawn_troubles(Sim *sim)
+sim_inject_random_faults(Sim *sim)
 {
   GRand *rand = sim_rand(sim);
-  Drawn drawn[3];
+  ScheduledFault drawn[3];
   guint count = 2 + (guint)g_rand_int_range(rand, 0, 2);
   for (guint i = 0; i < count; i++) {
-    guint which = (guint)g_rand_int_range(rand, 0, G_N_ELEMENTS(TROUBLES));
-    drawn[i] = (Drawn){ &TROUBLES[which], g_rand_double_range(rand, 0.0, 8.0),
-                        g_rand_double_range(rand, 2.0, 50.0), FALSE, FALSE };
-    g_test_message("%s at %.1f s for %.1f s", drawn[i].trouble->name, drawn[i].at_s,
-                   drawn[i].for_s);
+    guint which = (guint)g_rand_int_range(rand, 0, G_N_ELEMENTS(FAULTS));
+    drawn[i] = (ScheduledFault){ &FAULTS[which], g_rand_double_range(rand, 0.0, 8.0),
+                                 g_rand_double_range(rand, 2.0, 50.0), FALSE, FALSE };
+    g_test_message("%s at %.1f s for %.1f s", drawn[i].type->name, drawn[i].at_s, drawn[i].for_s);
   }
   for (guint step = 0; step < 120; step++) {
     double now_s = 0.5 * step;
     for (guint i = 0; i < count; i++)
-      step_drawn(sim, &drawn[i], now_s);
+      step_scheduled_fault(sim, &drawn[i], now_s);
     if (g_rand_int_range(rand, 0, 16) == 0)
-      sim_cancel_some(sim, 1);
+      sim_cancel_many(sim, 1);
     sim_run(sim, 0.5);
   }
 }
 
 void
-sim_ask_odd_things(Sim *sim)
+sim_repeat_malformed_requests(Sim *sim)
 {
-  begin_odd(sim, 0.0);
+  begin_malformed_requests(sim, 0.0);
 }
 
 void
--- a/tests/sim/fault-injection.h
+++ b/tests/sim/fault-injection.h
@@ -9,9 +9,9 @@
 void sim_add_load(Sim *sim, guint rounds);
 
 /** A world in which such a load has begun to run. */
-Sim *sim_loaded_world(guint32 seed);
+Sim *sim_new_with_load(guint32 seed);
 
-void sim_cancel_some(Sim *sim, guint count);
+void sim_cancel_many(Sim *sim, guint count);
 
 /** The node that leads, or node 0 while none does. */
 guint sim_leader_or_first(const Sim *sim);
@@ -19,16 +19,15 @@
 guint sim_other_node(guint node);
 
 /** Brings machines that are up into trouble. */
-void sim_trouble_machines(Sim *sim, guint count, void (*trouble)(Sim *, guint, double),
-                          double seconds);
+void sim_inject_machine_faults(Sim *sim, guint count, SimMachineFault inject, double seconds);
 
 /** Two or three troubles drawn at random, with overlapping times, for a minute. */
-void sim_play_drawn_troubles(Sim *sim);
+void sim_inject_random_faults(Sim *sim);
 
 /** Ends all troubles; fails unless everything is served then, and no machine leaks. */
-void sim_serve_all(Sim *sim);
+void sim_expect_recovery(Sim *sim);
 
-void sim_ask_odd_things(Sim *sim);
+void sim_repeat_malformed_requests(Sim *sim);
 
 /** How many seeds a test plays: as usual, or WS_SEEDS. */
 guint sim_seed_count(guint usual);
--- a/tests/sim/sim-checker.c
+++ b/tests/sim/sim-checker.c
@@ -79,7 +79,7 @@
       sim_gang_task_is_ready(sim, machine, task);
       return;
     }
-    sim_find_job(sim, task->job)->begun = TRUE;
+    sim_find_job(sim, task->job)->has_started = TRUE;
     task->state = "running";
     task->next_ms = run_s < 0.0 ? G_MAXINT64 : sim->now_ms + (gint64)(run_s * 1000.0);
     machine->report_ms = MIN(machine->report_ms, sim->now_ms + 500);
@@ -88,7 +88,7 @@
     task->why = "done";
     Job *job = sim_find_job(sim, task->job);
     job->completed[task->task] = 1;
-    if (sim_chance(sim, sim->cancel_at_end))
+    if (sim_chance(sim, sim->cancel_at_completion))
       sim_user_cancels(sim, job);
     machine->report_ms = MIN(machine->report_ms, sim->now_ms + 500);
   }
@@ -106,7 +106,7 @@
 }
 
 guint
-sim_running(const Sim *sim, guint job)
+sim_count_running(const Sim *sim, guint job)
 {
   guint count = 0;
   for (guint i = 0; i < sim->machines->len; i++)
@@ -116,7 +116,7 @@
 }
 
 guint
-sim_machine_of(const Sim *sim, guint job)
+sim_machine_running(const Sim *sim, guint job)
 {
   for (guint i = 0; i < sim->machines->len; i++)
     if (running_on(sim, g_ptr_array_index(sim->machines, i), g_ptr_array_index(sim->jobs, job)) > 0)
@@ -131,10 +131,11 @@
 }
 
 void
-sim_check_known(const Sim *sim, const Job *job)
+sim_check_answered(const Sim *sim, const Job *job)
 {
-  gint64 since_ms = MAX(job->answered_ms, sim->calm_ms);
-  if (sim->calm_ms > 0 && job->told == TOLD_ACCEPTED && sim->now_ms - since_ms > KNOWN_MS)
+  gint64 since_ms = MAX(job->answered_ms, sim->faults_ended_ms);
+  if (sim->faults_ended_ms > 0 && job->told == TOLD_ACCEPTED
+      && sim->now_ms - since_ms > UNHEARD_JOB_LIMIT_MS)
     g_error("seed %u, %.1f s: forgotten: nothing is heard of %s", sim->seed, sim_now_s(sim),
             job->id);
 }
@@ -161,15 +162,16 @@
 }
 
 static gboolean
-has_room_for(const Sim *sim, const Job *job, const Machine *machine)
+has_free_capacity(const Sim *sim, const Job *job, const Machine *machine)
 {
   guint taken = 0;
   for (guint k = 0; k < machine->worker->tasks->len; k++)
     taken += strcmp(g_array_index(machine->worker->tasks, SimTask, k).state, "exited") != 0;
-  return sim_is_up(sim, machine) && !sim_hangs(sim, machine)
-         && machine->worker->interruption_ms == 0 && sim->now_ms >= machine->deaf_until_ms
-         && sim->now_ms >= machine->mute_until_ms && (job->spec.spot || !machine->worker->spot)
-         && taken < SIM_PLACES;
+  return sim_is_up(sim, machine) && !sim_is_stalled(sim, machine)
+         && machine->worker->interruption_ms == 0
+         && sim->now_ms >= machine->outbound_unreachable_until_ms
+         && sim->now_ms >= machine->inbound_unreachable_until_ms
+         && (job->spec.spot || !machine->worker->spot) && taken < SIM_PLACES;
 }
 
 /* Once the troubles are over no job waits for long while a machine that fits has room and its team
@@ -180,23 +182,23 @@
 {
   gboolean any = FALSE;
   guint team = 0;
-  if (sim->calm_ms == 0 || job->told != TOLD_ACCEPTED || job->cancelling || job->spec.scatter
-      || job->spec.one_zone || job->spec.zone != NULL)
+  if (sim->faults_ended_ms == 0 || job->told != TOLD_ACCEPTED || job->cancelling
+      || job->spec.scatter || job->spec.one_zone || job->spec.zone != NULL)
     return;
   for (guint i = 0; i < sim->machines->len && !any; i++)
-    any = has_room_for(sim, job, g_ptr_array_index(sim->machines, i));
+    any = has_free_capacity(sim, job, g_ptr_array_index(sim->machines, i));
   any = any && count_placed(sim, job, &team) < job->spec.tasks
         && team < (strcmp(job->spec.team, "red") == 0 ? 6u : 8u);
   if (!any)
-    job->beside_ms = 0;
-  else if (job->beside_ms == 0)
-    job->beside_ms = sim->now_ms;
-  else if (sim->now_ms - job->beside_ms > WAIT_MS)
+    job->beside_capacity_ms = 0;
+  else if (job->beside_capacity_ms == 0)
+    job->beside_capacity_ms = sim->now_ms;
+  else if (sim->now_ms - job->beside_capacity_ms > IDLE_CAPACITY_LIMIT_MS)
     g_error("seed %u, %.1f s: %s waits beside room", sim->seed, sim_now_s(sim), job->id);
 }
 
 void
-sim_start_by_hand(Sim *sim, guint machine, guint job, guint task)
+sim_force_start(Sim *sim, guint machine, guint job, guint task)
 {
   const Job *started = g_ptr_array_index(sim->jobs, job);
   SimTask begun = { .job = g_strdup(started->id),
@@ -247,10 +249,10 @@
 }
 
 gboolean
-sim_begun(const Sim *sim, guint index)
+sim_has_started(const Sim *sim, guint index)
 {
   const Job *job = g_ptr_array_index(sim->jobs, index);
-  return job->begun || job->cancelling;
+  return job->has_started || job->cancelling;
 }
 
 guint
--- a/tests/sim/sim-cloud.c
+++ b/tests/sim/sim-cloud.c
@@ -31,7 +31,7 @@
   if (names == NULL) {
     names = json_array();
     for (json_int_t i = json_integer_value(json_object_get(body, "how_many"));
-         i > 0 && (sim->faults.most_machines == 0 || sim_machines(sim) < sim->faults.most_machines);
+         i > 0 && (sim->faults.max_machines == 0 || sim_machines(sim) < sim->faults.max_machines);
          i--) {
       g_autofree char *name = g_strdup_printf("m-%06u", sim->machines->len);
       Machine *machine = g_new0(Machine, 1);
@@ -87,7 +87,7 @@
 void
 sim_ask_cloud(Sim *sim, Call *call)
 {
-  if (sim->faults.cloud_out) {
+  if (sim->faults.cloud_unavailable) {
     sim_reply_to(call, 503, json_pack("{s:s}", "error", "trouble"));
   } else if (g_str_has_prefix(call->path, "/catalog")) {
     sim_reply_to(call, 200,
@@ -99,7 +99,7 @@
     take_back(sim, call->body);
     sim_reply_to(call, 200, json_object());
   } else if (strcmp(call->path, "/machines") == 0) {
-    if (sim->faults.rent_nothing)
+    if (sim->faults.cloud_is_full)
       sim_reply_to(call, 503, json_pack("{s:s}", "error", "no capacity"));
     else
       sim_reply_to(call, 200, rent(sim, call->body));
@@ -115,9 +115,9 @@
 }
 
 gboolean
-sim_hangs(const Sim *sim, const Machine *machine)
+sim_is_stalled(const Sim *sim, const Machine *machine)
 {
-  return sim->now_ms < machine->hangs_until_ms;
+  return sim->now_ms < machine->stalled_until_ms;
 }
 
 static void
@@ -144,7 +144,7 @@
   guint tasks = machine->worker->tasks->len;
   sim_worker_lease(machine->worker, sim->now_ms, sim->lease_ms);
   sim->lost_tasks += tasks - machine->worker->tasks->len;
-  if (sim_hangs(sim, machine))
+  if (sim_is_stalled(sim, machine))
     return;
   if (machine->worker->interruption_ms > 0 && sim->now_ms >= machine->worker->interruption_ms) {
     machine->returned = TRUE;
--- a/tests/sim/sim-faults.c
+++ b/tests/sim/sim-faults.c
@@ -16,24 +16,24 @@
 }
 
 void
-sim_crash(Sim *sim, guint node, double back_after_s)
+sim_crash_node(Sim *sim, guint node, double back_after_s)
 {
   WsCore *core = sim->nodes[node].core;
   sim->nodes[node].core = NULL;
   if (core != NULL)
     free_core(core);
   sim->nodes[node].back_ms = sim->now_ms + (gint64)(back_after_s * 1000.0);
-  sim->nodes[node].frozen_until_ms = 0;
+  sim->nodes[node].paused_until_ms = 0;
 }
 
 void
-sim_freeze(Sim *sim, guint node, double seconds)
+sim_pause_node(Sim *sim, guint node, double seconds)
 {
-  sim->nodes[node].frozen_until_ms = sim->now_ms + (gint64)(seconds * 1000.0);
+  sim->nodes[node].paused_until_ms = sim->now_ms + (gint64)(seconds * 1000.0);
 }
 
 static Machine *
-any_up(Sim *sim)
+draw_running_machine(Sim *sim)
 {
   guint count = sim->machines->len;
   guint first = count > 0 ? (guint)g_rand_int_range(sim->rand, 0, (gint32)count) : 0;
@@ -46,9 +46,9 @@
 }
 
 void
-sim_kill_machine(Sim *sim)
+sim_kill_any_machine(Sim *sim)
 {
-  Machine *machine = any_up(sim);
+  Machine *machine = draw_running_machine(sim);
   if (machine == NULL)
     return;
   machine->dead = TRUE;
@@ -56,40 +56,40 @@
 }
 
 void
-sim_hang_machine(Sim *sim, double seconds)
+sim_stall_any_machine(Sim *sim, double seconds)
 {
-  Machine *machine = any_up(sim);
+  Machine *machine = draw_running_machine(sim);
   if (machine != NULL)
-    machine->hangs_until_ms = sim->now_ms + (gint64)(seconds * 1000.0);
+    machine->stalled_until_ms = sim->now_ms + (gint64)(seconds * 1000.0);
 }
 
 static void
-give_notice(const Sim *sim, Machine *machine, double seconds)
+interrupt(const Sim *sim, Machine *machine, double seconds)
 {
   if (machine->worker->spot && machine->worker->interruption_ms == 0)
     machine->worker->interruption_ms = sim->now_ms + (gint64)(seconds * 1000.0);
 }
 
 void
-sim_notice_machine(Sim *sim, double seconds)
+sim_interrupt_any_machine(Sim *sim, double seconds)
 {
-  Machine *machine = any_up(sim);
+  Machine *machine = draw_running_machine(sim);
   if (machine != NULL)
-    give_notice(sim, machine, seconds);
+    interrupt(sim, machine, seconds);
 }
 
 void
-sim_notice(Sim *sim, guint machine, double seconds)
+sim_interrupt_machine(Sim *sim, guint machine, double seconds)
 {
-  give_notice(sim, g_ptr_array_index(sim->machines, machine), seconds);
+  interrupt(sim, g_ptr_array_index(sim->machines, machine), seconds);
 }
 
 void
-sim_deafen_machine(Sim *sim, double seconds)
+sim_block_outbound_of_any(Sim *sim, double seconds)
 {
-  Machine *machine = any_up(sim);
+  Machine *machine = draw_running_machine(sim);
   if (machine != NULL)
-    machine->deaf_until_ms = sim->now_ms + (gint64)(seconds * 1000.0);
+    machine->outbound_unreachable_until_ms = sim->now_ms + (gint64)(seconds * 1000.0);
 }
 
 static void
@@ -99,27 +99,32 @@
 }
 
 void
-sim_hang(Sim *sim, guint machine, double seconds)
+sim_stall_machine(Sim *sim, guint machine, double seconds)
 {
-  set_until(sim, &((Machine *)g_ptr_array_index(sim->machines, machine))->hangs_until_ms, seconds);
+  set_until(sim, &((Machine *)g_ptr_array_index(sim->machines, machine))->stalled_until_ms,
+            seconds);
 }
 
 void
-sim_deafen(Sim *sim, guint machine, double seconds)
+sim_block_outbound(Sim *sim, guint machine, double seconds)
 {
-  set_until(sim, &((Machine *)g_ptr_array_index(sim->machines, machine))->deaf_until_ms, seconds);
+  set_until(sim,
+            &((Machine *)g_ptr_array_index(sim->machines, machine))->outbound_unreachable_until_ms,
+            seconds);
 }
 
 void
-sim_mute(Sim *sim, guint machine, double seconds)
+sim_block_inbound(Sim *sim, guint machine, double seconds)
 {
-  set_until(sim, &((Machine *)g_ptr_array_index(sim->machines, machine))->mute_until_ms, seconds);
+  set_until(sim,
+            &((Machine *)g_ptr_array_index(sim->machines, machine))->inbound_unreachable_until_ms,
+            seconds);
 }
 
 guint
-sim_any_machine(Sim *sim)
+sim_draw_machine(Sim *sim)
 {
-  Machine *machine = any_up(sim);
+  Machine *machine = draw_running_machine(sim);
   guint place = G_MAXUINT;
   if (machine != NULL)
     (void)g_ptr_array_find(sim->machines, machine, &place);
@@ -127,9 +132,9 @@
 }
 
 void
-sim_restart_machine(Sim *sim)
+sim_restart_any_machine(Sim *sim)
 {
-  Machine *machine = any_up(sim);
+  Machine *machine = draw_running_machine(sim);
   if (machine == NULL)
     return;
   g_array_set_size(machine->worker->tasks, 0);
@@ -139,11 +144,11 @@
 }
 
 void
-sim_calm(Sim *sim)
+sim_end_faults(Sim *sim)
 {
   sim->faults = (SimFaults){ 0 };
-  sim->cancel_at_end = 0.0;
-  sim->calm_ms = sim->now_ms;
+  sim->cancel_at_completion = 0.0;
+  sim->faults_ended_ms = sim->now_ms;
 }
 
 void
--- a/tests/sim/sim-gangs.c
+++ b/tests/sim/sim-gangs.c
@@ -44,7 +44,7 @@
 static gboolean
 acts(const Sim *sim, const Member *member)
 {
-  return sim_is_up(sim, member->machine) && !sim_hangs(sim, member->machine);
+  return sim_is_up(sim, member->machine) && !sim_is_stalled(sim, member->machine);
 }
 
 /* The rule beside those of the protocol: one attempt at a time holds places. */
@@ -92,7 +92,7 @@
   gang->lost_ms = 0;
   gang->is_over = FALSE;
   gang->starts++;
-  job->begun = TRUE;
+  job->has_started = TRUE;
   for (guint i = 0; i < members->len; i++) {
     const Member *member = &g_array_index(members, Member, i);
     if (member->task->attempt != attempt)
--- a/tests/sim/sim-network.c
+++ b/tests/sim/sim-network.c
@@ -64,7 +64,7 @@
 
 /* Not now, or lost, is an answer too. */
 static void
-check_odd(const Sim *sim, const Call *call)
+check_malformed_reply(const Sim *sim, const Call *call)
 {
   const char *state = json_string_value(json_object_get(call->answer, "stav"));
   if (call->status == 503 || call->status == 0)
@@ -80,9 +80,9 @@
 {
   Call *call = data;
   gboolean is_for_node = is_from_node(call);
-  gint64 frozen_ms = is_for_node ? sim->nodes[call->node].frozen_until_ms - sim->now_ms : 0;
-  if (!call->over && frozen_ms > 0) {
-    sim_later(sim, frozen_ms, deliver_reply, call);
+  gint64 paused_ms = is_for_node ? sim->nodes[call->node].paused_until_ms - sim->now_ms : 0;
+  if (!call->over && paused_ms > 0) {
+    sim_later(sim, paused_ms, deliver_reply, call);
     return;
   }
   if (!call->over) {
@@ -92,7 +92,7 @@
     } else if (call->job != NULL) {
       sim_user_replied(sim, call);
     } else if (call->expected != 0) {
-      check_odd(sim, call);
+      check_malformed_reply(sim, call);
     } else if (sim->nodes[call->node].core != NULL && sim->nodes[call->node].run == call->run) {
       g_autofree char *text = ws_json_text(call->answer);
       ws_core_reply(sim->nodes[call->node].core, sim->now_ms, sim_wall(sim), call->call,
@@ -164,11 +164,12 @@
 }
 
 static gboolean
-is_cut(const Sim *sim, const char *one, const char *other)
+is_partitioned(const Sim *sim, const char *one, const char *other)
 {
   if (one == NULL || other == NULL || strcmp(one, other) == 0)
     return FALSE;
-  return (sim->faults.cut >> (one[0] - 'a') & 1) != (sim->faults.cut >> (other[0] - 'a') & 1);
+  return (sim->faults.partitioned_zones >> (one[0] - 'a') & 1)
+         != (sim->faults.partitioned_zones >> (other[0] - 'a') & 1);
 }
 
 static void arrive(Sim *sim, gpointer data);
@@ -187,12 +188,13 @@
 {
   g_autofree char *name = g_strndup(call->address + 2, strcspn(call->address + 2, ":"));
   Machine *machine = sim_find_machine(sim, name);
-  if (machine == NULL || !sim_is_up(sim, machine) || sim->now_ms < machine->deaf_until_ms
-      || (sim->faults.unheard >> call->node & 1) != 0) {
+  if (machine == NULL || !sim_is_up(sim, machine)
+      || sim->now_ms < machine->outbound_unreachable_until_ms
+      || (sim->faults.unreachable_nodes >> call->node & 1) != 0) {
     sim_call_unref(call);
-  } else if (sim_hangs(sim, machine)) {
-    sim_later(sim, machine->hangs_until_ms - sim->now_ms, arrive, call);
-  } else if (is_cut(sim, zone_of_caller(call), machine->worker->zone)) {
+  } else if (sim_is_stalled(sim, machine)) {
+    sim_later(sim, machine->stalled_until_ms - sim->now_ms, arrive, call);
+  } else if (is_partitioned(sim, zone_of_caller(call), machine->worker->zone)) {
     sim_later(sim, 1000, arrive, call); /* held back until the cut ends */
   } else {
     ask_worker(sim, call, machine);
@@ -204,17 +206,19 @@
 {
   guint node = (guint)(strchr(call->address, '-')[1] - '0');
   gboolean is_node = is_from_node(call);
-  gboolean is_alone
-      = is_node && ((sim->faults.alone >> node | sim->faults.alone >> call->node) & 1) != 0;
-  gboolean is_unheard
-      = call->machine != NULL
-        && ((sim->faults.unheard >> node & 1) != 0 || sim->now_ms < call->machine->mute_until_ms);
-  if (is_alone || is_unheard)
+  gboolean is_isolated
+      = is_node
+        && ((sim->faults.isolated_nodes >> node | sim->faults.isolated_nodes >> call->node) & 1)
+               != 0;
+  gboolean is_unreachable = call->machine != NULL
+                            && ((sim->faults.unreachable_nodes >> node & 1) != 0
+                                || sim->now_ms < call->machine->inbound_unreachable_until_ms);
+  if (is_isolated || is_unreachable)
     sim_call_unref(call);
-  else if (is_cut(sim, zone_of_caller(call), SIM_ZONES[node]))
+  else if (is_partitioned(sim, zone_of_caller(call), SIM_ZONES[node]))
     sim_later(sim, 1000, arrive, call);
-  else if (sim->now_ms < sim->nodes[node].frozen_until_ms)
-    sim_later(sim, sim->nodes[node].frozen_until_ms - sim->now_ms, arrive, call);
+  else if (sim->now_ms < sim->nodes[node].paused_until_ms)
+    sim_later(sim, sim->nodes[node].paused_until_ms - sim->now_ms, arrive, call);
   else
     ask_node(sim, call, node, call->address[0] == 'm' ? WS_DOOR_MESH : WS_DOOR_API);
 }
@@ -222,7 +226,7 @@
 static gboolean
 is_refused(const Sim *sim, const Call *call)
 {
-  return sim->faults.state_out || (sim->faults.state_refuses >> call->node & 1) != 0;
+  return sim->faults.store_unavailable || (sim->faults.store_refuses_nodes >> call->node & 1) != 0;
 }
 
 static void
@@ -257,8 +261,8 @@
   call->held = body;
   if (is_refused(sim, call) && g_str_has_prefix(call->path, "/follow"))
     sim_later(sim, 100, release_held, call);
-  else if (sim->faults.slow_state_ms > 0)
-    sim_later(sim, g_rand_int_range(sim->rand, 0, (gint32)sim->faults.slow_state_ms), release_slow,
+  else if (sim->faults.store_delay_ms > 0)
+    sim_later(sim, g_rand_int_range(sim->rand, 0, (gint32)sim->faults.store_delay_ms), release_slow,
               call);
   else
     release_slow(sim, call);
@@ -274,11 +278,11 @@
 
 /* It gets no answer, and is carried out after newer ones. */
 static void
-write_late(Sim *sim, gpointer data)
+commit_delayed(Sim *sim, gpointer data)
 {
   Call *call = data;
-  if (sim->faults.state_out)
-    sim_later(sim, 1000, write_late, call);
+  if (sim->faults.store_unavailable)
+    sim_later(sim, 1000, commit_delayed, call);
   else
     sim_state_request(sim->state, sim->now_ms, call->method, call->path, call->body, ignored, call);
 }
@@ -286,12 +290,12 @@
 static void
 ask_state(Sim *sim, Call *call)
 {
-  if ((sim->faults.alone >> call->node & 1) != 0)
+  if ((sim->faults.isolated_nodes >> call->node & 1) != 0)
     sim_call_unref(call);
   else if (is_refused(sim, call))
     sim_reply_to(call, 503, json_object());
-  else if (strcmp(call->path, "/multi") == 0 && sim_chance(sim, sim->faults.late_writes))
-    sim_later(sim, g_rand_int_range(sim->rand, 2000, 12000), write_late, call);
+  else if (strcmp(call->path, "/multi") == 0 && sim_chance(sim, sim->faults.delayed_transactions))
+    sim_later(sim, g_rand_int_range(sim->rand, 2000, 12000), commit_delayed, call);
   else
     sim_state_request(sim->state, sim->now_ms, call->method, call->path, call->body, state_replied,
                       call);
@@ -331,7 +335,7 @@
     call->refs++;
     sim_later(sim, after_ms + g_rand_int_range(sim->rand, 1, 3000), arrive, call);
   }
-  if (call->machine != NULL && sim_chance(sim, sim->faults.copies)) {
+  if (call->machine != NULL && sim_chance(sim, sim->faults.duplicated_heartbeats)) {
     call->refs++;
     sim_later(sim, after_ms + g_rand_int_range(sim->rand, 1000, 4 * (gint32)sim->lease_ms), arrive,
               call);
@@ -386,10 +390,10 @@
                        + g_rand_int_range(sim->rand, 0, (gint32)sim->report_ms / 2);
   if (!sim_is_up(sim, machine))
     return;
-  if (sim->now_ms < machine->deaf_until_ms)
+  if (sim->now_ms < machine->outbound_unreachable_until_ms)
     call->status = 0;
   if (call->status == 200) {
-    if (!sim_hangs(sim, machine))
+    if (!sim_is_stalled(sim, machine))
       sim_worker_answer(machine->worker, sim->now_ms, call->sent_ms, call->session, call->answer,
                         sim_describe, sim);
     return;
--- a/tests/sim/sim-private.h
+++ b/tests/sim/sim-private.h
@@ -10,8 +10,8 @@
 #define TICK_MS 50
 #define CANCEL_MS 30000
 #define BOOT_MS 8000
-#define KNOWN_MS 75000
-#define WAIT_MS 90000
+#define UNHEARD_JOB_LIMIT_MS 75000
+#define IDLE_CAPACITY_LIMIT_MS 90000
 
 typedef enum { TOLD_NOTHING, TOLD_ACCEPTED, TOLD_DONE, TOLD_CANCELLED } Told;
 
@@ -37,8 +37,8 @@
   gint64 cancelled_ms;
   gint64 next_ms; /* when its user asks again */
   gint64 answered_ms;
-  gint64 beside_ms; /* since when a task of it waits beside room; 0: none does */
-  gboolean begun;
+  gint64 beside_capacity_ms; /* since when a task of it waits beside room; 0: none does */
+  gboolean has_started;
   guint8 *completed;
   Gang gang;
 } Job;
@@ -48,9 +48,9 @@
   gint64 up_ms;
   gboolean returned;
   gboolean dead;
-  gint64 hangs_until_ms;
-  gint64 deaf_until_ms;
-  gint64 mute_until_ms;
+  gint64 stalled_until_ms;
+  gint64 outbound_unreachable_until_ms;
+  gint64 inbound_unreachable_until_ms;
   gint64 report_ms;
   guint node; /* where it reports */
 } Machine;
@@ -59,7 +59,7 @@
   WsCore *core;
   guint run; /* counts its lives */
   gint64 back_ms;
-  gint64 frozen_until_ms;
+  gint64 paused_until_ms;
 } Node;
 
 typedef void (*Run)(Sim *sim, gpointer data);
@@ -81,11 +81,11 @@
   guint64 lives;
   GSequence *events;
   SimState *state;
-  gint64 calm_ms; /* since when all troubles are over; 0: they aren't */
+  gint64 faults_ended_ms; /* since when all troubles are over; 0: they aren't */
   guint lost_tasks;
   guint returned_tasks;
   guint late_starts;
-  double cancel_at_end;
+  double cancel_at_completion;
   SimFaults faults;
   Node nodes[SIM_NODES];
   WsSettings *settings[SIM_NODES];
@@ -138,12 +138,12 @@
 void sim_check_one_attempt(const Sim *sim, const SimTask *task);
 void sim_gang_task_is_ready(const Sim *sim, Machine *machine, SimTask *task);
 void sim_step_gang(Sim *sim, Job *job);
-void sim_check_known(const Sim *sim, const Job *job);
+void sim_check_answered(const Sim *sim, const Job *job);
 void sim_check_waiting(const Sim *sim, Job *job);
 gboolean sim_describe(gpointer world, const char *id, guint task, double *run_s);
 Job *sim_find_job(const Sim *sim, const char *id);
 Machine *sim_find_machine(const Sim *sim, const char *name);
-gboolean sim_hangs(const Sim *sim, const Machine *machine);
+gboolean sim_is_stalled(const Sim *sim, const Machine *machine);
 gboolean sim_is_up(const Sim *sim, const Machine *machine);
 void sim_later(Sim *sim, gint64 after_ms, Run run, gpointer data);
 double sim_now_s(const Sim *sim);
--- a/tests/sim/sim-users.c
+++ b/tests/sim/sim-users.c
@@ -40,8 +40,8 @@
 }
 
 static void
-ask_odd(Sim *sim, const char *method, const char *path, json_t *body /* taken */, guint expected,
-        const char *state)
+send_malformed(Sim *sim, const char *method, const char *path, json_t *body /* taken */,
+               guint expected, const char *state)
 {
   Call *call = g_new0(Call, 1);
   call->expected = expected;
@@ -66,25 +66,25 @@
 }
 
 void
-sim_odd_requests(Sim *sim)
+sim_send_malformed_requests(Sim *sim)
 {
   if (sim->jobs->len == 0)
     return;
   const Job *any
       = g_ptr_array_index(sim->jobs, (guint)g_rand_int_range(sim->rand, 0, (gint32)sim->jobs->len));
-  ask_odd(sim, "GET", "/api/jobs/req-999999", NULL, 404, NULL);
-  ask_odd(sim, "POST", "/api/jobs/req-999999/withdraw", NULL, 404, NULL);
-  ask_odd(sim, "POST", "/api/jobs", changed(any, "kusy", NULL), 400, NULL);
-  ask_odd(sim, "POST", "/api/jobs", changed(any, "dilna", json_integer(7)), 400, NULL);
-  ask_odd(sim, "POST", "/api/jobs", changed(any, "dilna", json_string("green")), 422, NULL);
-  ask_odd(sim, "POST", "/api/jobs", changed(any, "hala", json_string("z")), 422, NULL);
-  ask_odd(sim, "POST", "/api/jobs", changed(any, "cpus", json_real(500.0)), 422, NULL);
+  send_malformed(sim, "GET", "/api/jobs/req-999999", NULL, 404, NULL);
+  send_malformed(sim, "POST", "/api/jobs/req-999999/withdraw", NULL, 404, NULL);
+  send_malformed(sim, "POST", "/api/jobs", changed(any, "kusy", NULL), 400, NULL);
+  send_malformed(sim, "POST", "/api/jobs", changed(any, "dilna", json_integer(7)), 400, NULL);
+  send_malformed(sim, "POST", "/api/jobs", changed(any, "dilna", json_string("green")), 422, NULL);
+  send_malformed(sim, "POST", "/api/jobs", changed(any, "hala", json_string("z")), 422, NULL);
+  send_malformed(sim, "POST", "/api/jobs", changed(any, "cpus", json_real(500.0)), 422, NULL);
   if (any->told != TOLD_DONE && any->told != TOLD_CANCELLED)
     return;
   g_autofree char *withdraw = g_strdup_printf("/api/jobs/%s/withdraw", any->id);
   const char *state = any->told == TOLD_DONE ? "done" : "cancelled";
-  ask_odd(sim, "POST", withdraw, NULL, 200, state);
-  ask_odd(sim, "POST", "/api/jobs", json_deep_copy(any->message), 200, state);
+  send_malformed(sim, "POST", withdraw, NULL, 200, state);
+  send_malformed(sim, "POST", "/api/jobs", json_deep_copy(any->message), 200, state);
 }
 
 void
@@ -167,13 +167,13 @@
 }
 
 void
-sim_cancel_at_end(Sim *sim, double part)
+sim_cancel_at_completion(Sim *sim, double part)
 {
-  sim->cancel_at_end = part;
+  sim->cancel_at_completion = part;
 }
 
 gboolean
-sim_told_cancelled(const Sim *sim, guint job)
+sim_is_told_cancelled(const Sim *sim, guint job)
 {
   return ((Job *)g_ptr_array_index(sim->jobs, job))->told == TOLD_CANCELLED;
 }
--- a/tests/sim/sim.c
+++ b/tests/sim/sim.c
@@ -24,7 +24,7 @@
 {
   if (sim->nodes[node].core == NULL && sim->now_ms >= sim->nodes[node].back_ms)
     start_node(sim, node);
-  if (sim->nodes[node].core == NULL || sim->now_ms < sim->nodes[node].frozen_until_ms)
+  if (sim->nodes[node].core == NULL || sim->now_ms < sim->nodes[node].paused_until_ms)
     return;
   ws_core_tick(sim->nodes[node].core, sim->now_ms, sim_wall(sim));
   sim_pump(sim, node);
@@ -40,7 +40,7 @@
 tick(Sim *sim, gpointer data)
 {
   (void)data;
-  sim_state_tick(sim->state, sim->now_ms, sim->faults.state_out);
+  sim_state_tick(sim->state, sim->now_ms, sim->faults.store_unavailable);
   for (guint n = 0; n < SIM_NODES; n++)
     step_node(sim, n);
   for (guint i = 0; i < sim->machines->len; i++)
@@ -48,7 +48,7 @@
   for (guint i = 0; i < sim->jobs->len; i++) {
     sim_step_user(sim, g_ptr_array_index(sim->jobs, i));
     sim_step_gang(sim, g_ptr_array_index(sim->jobs, i));
-    sim_check_known(sim, g_ptr_array_index(sim->jobs, i));
+    sim_check_answered(sim, g_ptr_array_index(sim->jobs, i));
     if (sim->now_ms % 1000 == 0)
       sim_check_waiting(sim, g_ptr_array_index(sim->jobs, i));
   }
@@ -93,13 +93,13 @@
   sim->rentals = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, names_free);
   for (guint n = 0; n < SIM_NODES; n++)
     sim->settings[n] = ws_test_settings(n);
-  sim_pace(sim, sim->settings[0]->report_s, sim->settings[0]->lease_s);
+  sim_set_pace(sim, sim->settings[0]->report_s, sim->settings[0]->lease_s);
   sim_later(sim, 0, tick, NULL);
   return sim;
 }
 
 void
-sim_pace(Sim *sim, double report_s, double lease_s)
+sim_set_pace(Sim *sim, double report_s, double lease_s)
 {
   sim->report_ms = (gint64)(report_s * 1000.0);
   sim->lease_ms = (gint64)(lease_s * 1000.0);
@@ -114,7 +114,7 @@
 drain(Sim *sim)
 {
   for (guint n = 0; n < SIM_NODES; n++)
-    sim_crash(sim, n, 1e9);
+    sim_crash_node(sim, n, 1e9);
   sim_state_free(sim->state);
   while (g_sequence_get_length(sim->events) > 0) {
     GSequenceIter *first = g_sequence_get_begin_iter(sim->events);
--- a/tests/sim/sim.h
+++ b/tests/sim/sim.h
@@ -13,6 +13,9 @@
 
 typedef struct _Sim Sim;
 
+/* What befalls a machine for so many seconds. */
+typedef void (*SimMachineFault)(Sim *sim, guint machine, double seconds);
+
 typedef struct {
   double lose;   /* chance that a request or its answer is lost */
   double repeat; /* chance that a request arrives twice */
@@ -22,17 +25,19 @@
 /* Faults may be set and ended at any time. */
 typedef struct {
   SimNet net;
-  gboolean state_out;   /* the state service answers 503 */
-  guint state_refuses;  /* bit for each node that alone is refused */
-  guint cut;            /* bit for each zone that is cut off from the other zones */
-  guint unheard;        /* bit for each node that no worker reaches, nor it them */
-  double late_writes;   /* chance that a transaction gets no answer and is carried out late */
-  gint64 slow_state_ms; /* by which an answer of the state service may be late */
-  guint alone;          /* bit for each node that reaches neither state service nor other nodes */
-  double copies;        /* chance that a copy of a report comes late, up to several leases */
-  guint most_machines;  /* that the cloud has in all; 0: any number */
-  gboolean cloud_out;
-  gboolean rent_nothing;
+  gboolean store_unavailable; /* the state service answers 503 */
+  guint store_refuses_nodes;  /* bit for each node that alone is refused */
+  guint partitioned_zones;    /* bit for each zone that is cut off from the other zones */
+  guint unreachable_nodes;    /* bit for each node that no worker reaches, nor it them */
+  double
+      delayed_transactions; /* chance that a transaction gets no answer and is carried out late */
+  gint64 store_delay_ms;    /* by which an answer of the state service may be late */
+  guint isolated_nodes; /* bit for each node that reaches neither state service nor other nodes */
+  double
+      duplicated_heartbeats; /* chance that a copy of a report comes late, up to several leases */
+  guint max_machines;        /* that the cloud has in all; 0: any number */
+  gboolean cloud_unavailable;
+  gboolean cloud_is_full;
 } SimFaults;
 
 typedef struct {
@@ -51,39 +56,39 @@
 Sim *sim_new(guint32 seed);
 void sim_free(Sim *sim);
 /* How often workers report, and how long their lease is; before anything runs. */
-void sim_pace(Sim *sim, double report_s, double lease_s);
+void sim_set_pace(Sim *sim, double report_s, double lease_s);
 SimFaults *sim_faults(Sim *sim);
 GRand *sim_rand(Sim *sim);
 WsProperties *sim_properties(Sim *sim); /* of all nodes */
 gint64 sim_now(const Sim *sim);
 void sim_run(Sim *sim, double seconds);
-void sim_crash(Sim *sim, guint node, double back_after_s);
+void sim_crash_node(Sim *sim, guint node, double back_after_s);
 /* The node stands still while its clocks run on. */
-void sim_freeze(Sim *sim, guint node, double seconds);
+void sim_pause_node(Sim *sim, guint node, double seconds);
 gboolean sim_node_up(const Sim *sim, guint node);
 void sim_submit(Sim *sim, const SimJob *job);
 void sim_cancel_any(Sim *sim);
 void sim_cancel(Sim *sim, guint job);
 /* Users cancel this part of the jobs at the end of a task of theirs. */
-void sim_cancel_at_end(Sim *sim, double part);
+void sim_cancel_at_completion(Sim *sim, double part);
 /* Users ask about jobs that nobody submitted, cancel what is done, repeat submissions, and send
    some that can't run or lack a field: each must get its answer, or a refusal for now. */
-void sim_odd_requests(Sim *sim);
+void sim_send_malformed_requests(Sim *sim);
 /* How often attempts of the gang started, lost a task while they ran, and were stopped with their
    progress saved. */
 guint sim_gang_starts(const Sim *sim, guint job);
 guint sim_gang_losses(const Sim *sim, guint job);
 guint sim_gang_saves(const Sim *sim, guint job);
 /* Breaks a rule on purpose: the task begins on the machine, whatever anybody decided. */
-void sim_start_by_hand(Sim *sim, guint machine, guint job, guint task);
+void sim_force_start(Sim *sim, guint machine, guint job, guint task);
 /* A machine with a running task of the job, by its place; G_MAXUINT: there is none. */
-guint sim_machine_of(const Sim *sim, guint job);
-guint sim_any_machine(Sim *sim); /* that is up; G_MAXUINT: none */
-void sim_hang(Sim *sim, guint machine, double seconds);
+guint sim_machine_running(const Sim *sim, guint job);
+guint sim_draw_machine(Sim *sim); /* that is up; G_MAXUINT: none */
+void sim_stall_machine(Sim *sim, guint machine, double seconds);
 /* Its reports arrive, but neither answers nor commands reach it. */
-void sim_deafen(Sim *sim, guint machine, double seconds);
+void sim_block_outbound(Sim *sim, guint machine, double seconds);
 /* Its reports reach no controller, while direct commands reach it. */
-void sim_mute(Sim *sim, guint machine, double seconds);
+void sim_block_inbound(Sim *sim, guint machine, double seconds);
 /* The settings announce lower limits of the state service: what a node writes from now on. */
 void sim_announce_limits(Sim *sim, guint ops, gsize bytes);
 /* The state service has such limits from now on. */
@@ -92,30 +97,30 @@
 guint sim_refused_for_size(const Sim *sim);
 /* The node that leads, as the state service has it; G_MAXUINT: none. */
 guint sim_leader(const Sim *sim);
-gboolean sim_told_cancelled(const Sim *sim, guint job);
-guint sim_running(const Sim *sim, guint job); /* its tasks that run now */
+gboolean sim_is_told_cancelled(const Sim *sim, guint job);
+guint sim_count_running(const Sim *sim, guint job); /* its tasks that run now */
 /* A random machine that is up: it dies, or hangs for a while. */
-void sim_kill_machine(Sim *sim);
-void sim_hang_machine(Sim *sim, double seconds);
-void sim_notice_machine(Sim *sim, double seconds);
-void sim_notice(Sim *sim, guint machine, double seconds); /* if it may be taken back */
+void sim_kill_any_machine(Sim *sim);
+void sim_stall_any_machine(Sim *sim, double seconds);
+void sim_interrupt_any_machine(Sim *sim, double seconds);
+void sim_interrupt_machine(Sim *sim, guint machine, double seconds); /* if it may be taken back */
 /* Its reports arrive, but neither answers nor commands reach it. */
-void sim_deafen_machine(Sim *sim, double seconds);
+void sim_block_outbound_of_any(Sim *sim, double seconds);
 /* It's back within a fraction of a second, in a new session. */
-void sim_restart_machine(Sim *sim);
+void sim_restart_any_machine(Sim *sim);
 /* All troubles are over: from now on no accepted job may go unanswered, or wait beside room that
    fits it, for long. */
-void sim_calm(Sim *sim);
+void sim_end_faults(Sim *sim);
 
 /* Tasks that started more than a moment after their user was told that they are cancelled. */
 guint sim_late_starts(const Sim *sim);
 guint sim_count_jobs(const Sim *sim); /* submitted so far */
 guint sim_open_jobs(const Sim *sim);  /* told accepted, and neither done nor cancelled */
 guint sim_done_jobs(const Sim *sim);
-guint sim_lost_tasks(const Sim *sim);            /* killed with the worker's lease */
-guint sim_returned_tasks(const Sim *sim);        /* that were on machines when they were returned */
-gboolean sim_begun(const Sim *sim, guint index); /* a task has run, or nobody wants it */
-guint sim_machines(const Sim *sim);              /* rented and not returned: charged for */
+guint sim_lost_tasks(const Sim *sim);     /* killed with the worker's lease */
+guint sim_returned_tasks(const Sim *sim); /* that were on machines when they were returned */
+gboolean sim_has_started(const Sim *sim, guint index); /* a task has run, or nobody wants it */
+guint sim_machines(const Sim *sim);                    /* rented and not returned: charged for */
 guint sim_machines_in(const Sim *sim, const char *zone);
 guint sim_task_records(const Sim *sim);
 guint sim_marks(const Sim *sim);      /* in the state service */
--- a/tests/sim/state.c
+++ b/tests/sim/state.c
@@ -30,7 +30,7 @@
   guint64 next_lease;
   gint64 ticked_ms;
   guint max_operations;
-  gsize most_bytes; /* of a value */
+  gsize max_value_bytes; /* of a value */
   guint refused_for_size;
 };
 
@@ -59,7 +59,7 @@
 {
   SimState *state = g_new0(SimState, 1);
   state->max_operations = 16; /* as the settings of the tests say */
-  state->most_bytes = (gsize)16 * 1024;
+  state->max_value_bytes = (gsize)16 * 1024;
   state->entries = g_tree_new_full(compare, NULL, g_free, entry_free);
   state->leases = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
   state->log = g_ptr_array_new_with_free_func(event_free);
@@ -194,7 +194,7 @@
   {
     const json_t *value = json_object_get(item, "value");
     g_autofree char *written = value != NULL ? json_dumps(value, JSON_COMPACT) : NULL;
-    if (written != NULL && strlen(written) > state->most_bytes)
+    if (written != NULL && strlen(written) > state->max_value_bytes)
       return "a value is too large";
   }
   return NULL;
@@ -341,10 +341,10 @@
 }
 
 void
-sim_state_set_limits(SimState *state, guint max_operations, gsize most_bytes)
+sim_state_set_limits(SimState *state, guint max_operations, gsize max_value_bytes)
 {
   state->max_operations = max_operations;
-  state->most_bytes = most_bytes;
+  state->max_value_bytes = max_value_bytes;
 }
 
 guint
--- a/tests/sim/state.h
+++ b/tests/sim/state.h
@@ -14,7 +14,7 @@
 void sim_state_request(SimState *state, gint64 now_ms, const char *method, const char *path,
                        const json_t *body, SimReply reply, gpointer data);
 /* From now on larger transactions and values get 400; what is stored stays readable. */
-void sim_state_set_limits(SimState *state, guint max_operations, gsize most_bytes);
+void sim_state_set_limits(SimState *state, guint max_operations, gsize max_value_bytes);
 /* Transactions that were refused for their size. */
 guint sim_state_refused_for_size(const SimState *state);
 guint sim_state_count(const SimState *state, const char *prefix);
--- a/tests/test-combined-faults.c
+++ b/tests/test-combined-faults.c
@@ -12,10 +12,10 @@
     = { .tasks = 6, .team = "blue", .priority = "standard", .spot = TRUE, .run_s = 300.0 };
 
 static void
-wait_until_cancelled(Sim *sim, double most_s)
+wait_until_cancelled(Sim *sim, double max_s)
 {
-  for (guint i = 0; i < most_s * 20.0; i++) {
-    if (sim_told_cancelled(sim, 0) && sim_told_cancelled(sim, 1))
+  for (guint i = 0; i < max_s * 20.0; i++) {
+    if (sim_is_told_cancelled(sim, 0) && sim_is_told_cancelled(sim, 1))
       return;
     sim_run(sim, 0.05);
   }
@@ -29,41 +29,42 @@
   gboolean leader_alone;     /* the leader can't reach its peers either */
   gboolean cloud_out;
   gboolean restarted; /* one of the others was restarted before, and can't read */
-  void (*trouble)(Sim *sim, guint machine, double seconds);
-  double trouble_s;
+  SimMachineFault inject;
+  double fault_s;
   gboolean begins_late; /* the cancellation comes while launches are on their way */
-} Gap;
+} CancellationCase;
 
 static void
-refusal_then_outage(guint32 seed, const Gap *gap)
+play_cancellation_before_outage(guint32 seed, const CancellationCase *spec)
 {
   Sim *sim = sim_new(seed);
-  g_test_message("%s, seed %u", gap->name, seed);
+  g_test_message("%s, seed %u", spec->name, seed);
   sim_properties(sim)->idle_timeout_s = 60.0;
   sim_run(sim, 3.0);
   sim_submit(sim, &LONG);
   sim_submit(sim, &BLUE_LONG);
-  sim_run(sim, gap->begins_late ? 1.0 : 40.0);
-  for (guint i = 0; gap->begins_late && i < 400 && sim_running(sim, 0) == 0; i++)
+  sim_run(sim, spec->begins_late ? 1.0 : 40.0);
+  for (guint i = 0; spec->begins_late && i < 400 && sim_count_running(sim, 0) == 0; i++)
     sim_run(sim, 0.05);
   guint leader = sim_leader(sim);
   g_assert_cmpuint(leader, <, SIM_NODES);
-  g_assert_cmpuint(sim_running(sim, 0), >, 0);
-  if (gap->trouble != NULL)
-    gap->trouble(sim, sim_machine_of(sim, 0), gap->trouble_s);
-  *(gap->leader_alone ? &sim_faults(sim)->alone : &sim_faults(sim)->state_refuses) = 1u << leader;
+  g_assert_cmpuint(sim_count_running(sim, 0), >, 0);
+  if (spec->inject != NULL)
+    spec->inject(sim, sim_machine_running(sim, 0), spec->fault_s);
+  *(spec->leader_alone ? &sim_faults(sim)->isolated_nodes : &sim_faults(sim)->store_refuses_nodes)
+      = 1u << leader;
   sim_run(sim, 0.5);
   sim_cancel(sim, 0);
   sim_cancel(sim, 1);
   wait_until_cancelled(sim, 2.0);
-  sim_faults(sim)->state_out = TRUE;
-  sim_faults(sim)->cloud_out = gap->cloud_out;
-  if (gap->crash_confirming || gap->restarted)
-    sim_crash(sim, (leader + 1) % SIM_NODES, 2.0);
-  if (gap->crash_confirming)
-    sim_crash(sim, (leader + 2) % SIM_NODES, 2.0);
+  sim_faults(sim)->store_unavailable = TRUE;
+  sim_faults(sim)->cloud_unavailable = spec->cloud_out;
+  if (spec->crash_confirming || spec->restarted)
+    sim_crash_node(sim, (leader + 1) % SIM_NODES, 2.0);
+  if (spec->crash_confirming)
+    sim_crash_node(sim, (leader + 2) % SIM_NODES, 2.0);
   sim_run(sim, 50.0);
-  sim_calm(sim);
+  sim_end_faults(sim);
   for (guint i = 0; i < 200 && sim_open_jobs(sim) > 0; i++) {
     sim_cancel_any(sim);
     sim_run(sim, 1.0);
@@ -77,21 +78,21 @@
 }
 
 static void
-test_gap(gconstpointer data)
+test_cancellation_before_outage(gconstpointer data)
 {
   for (guint32 seed = 500; seed < 505; seed++)
-    refusal_then_outage(seed, data);
+    play_cancellation_before_outage(seed, data);
 }
 
-static const Gap GAPS[] = {
+static const CancellationCase CANCELLATION_CASES[] = {
   { .name = "leader-refused" },
   { .name = "acknowledging-nodes-crash", .crash_confirming = TRUE },
   { .name = "leader-isolated", .leader_alone = TRUE },
   { .name = "cloud-outage", .cloud_out = TRUE },
   { .name = "one-node-restarted", .restarted = TRUE },
-  { .name = "machine-outbound-unreachable", .trouble = sim_deafen, .trouble_s = 60.0 },
-  { .name = "machine-inbound-unreachable", .trouble = sim_mute, .trouble_s = 60.0 },
-  { .name = "machine-stalled", .trouble = sim_hang, .trouble_s = 10.0 },
+  { .name = "machine-outbound-unreachable", .inject = sim_block_outbound, .fault_s = 60.0 },
+  { .name = "machine-inbound-unreachable", .inject = sim_block_inbound, .fault_s = 60.0 },
+  { .name = "machine-stalled", .inject = sim_stall_machine, .fault_s = 10.0 },
   { .name = "launch-in-flight", .begins_late = TRUE },
 };
 
@@ -109,7 +110,7 @@
     for (guint i = 0; i < 90 && sim_done_jobs(sim) == 0; i++)
       sim_run(sim, 1.0);
     for (guint machine = 0; machine < sim_machines(sim); machine++)
-      sim_mute(sim, machine, 1e6);
+      sim_block_inbound(sim, machine, 1e6);
     sim_run(sim, 10.0);
     sim_submit(sim, &ARRAY);
     sim_run(sim, 70.0);
@@ -130,9 +131,9 @@
 play_repeated_leader_failover(Sim *sim)
 {
   for (guint i = 0; i < 10; i++) {
-    sim_faults(sim)->state_out = i == 4 || i == 5;
-    sim_crash(sim, sim_leader_or_first(sim), g_rand_double_range(sim_rand(sim), 0.1, 7.0));
-    sim_cancel_some(sim, 1);
+    sim_faults(sim)->store_unavailable = i == 4 || i == 5;
+    sim_crash_node(sim, sim_leader_or_first(sim), g_rand_double_range(sim_rand(sim), 0.1, 7.0));
+    sim_cancel_many(sim, 1);
     sim_run(sim, 12.0);
   }
 }
@@ -141,8 +142,9 @@
 play_machines_stall_and_resume(Sim *sim)
 {
   for (guint i = 0; i < 6; i++) {
-    sim_trouble_machines(sim, 2, sim_hang, g_rand_double_range(sim_rand(sim), 1.0, 9.0));
-    sim_cancel_some(sim, 1);
+    sim_inject_machine_faults(sim, 2, sim_stall_machine,
+                              g_rand_double_range(sim_rand(sim), 1.0, 9.0));
+    sim_cancel_many(sim, 1);
     sim_add_load(sim, 1);
     sim_run(sim, 8.0);
   }
@@ -151,11 +153,11 @@
 static void
 play_leader_crash_while_machines_unreachable(Sim *sim)
 {
-  sim_trouble_machines(sim, 2, sim_hang, 8.0);
-  sim_trouble_machines(sim, 2, sim_deafen, 15.0);
-  sim_crash(sim, sim_leader_or_first(sim), 5.0);
+  sim_inject_machine_faults(sim, 2, sim_stall_machine, 8.0);
+  sim_inject_machine_faults(sim, 2, sim_block_outbound, 15.0);
+  sim_crash_node(sim, sim_leader_or_first(sim), 5.0);
   sim_run(sim, 4.0);
-  sim_cancel_some(sim, 3);
+  sim_cancel_many(sim, 3);
   sim_run(sim, 30.0);
 }
 
@@ -163,8 +165,8 @@
 play_machines_inbound_unreachable(Sim *sim)
 {
   for (guint i = 0; i < 5; i++)
-    sim_trouble_machines(sim, 1, sim_mute, 45.0);
-  sim_cancel_some(sim, 2);
+    sim_inject_machine_faults(sim, 1, sim_block_inbound, 45.0);
+  sim_cancel_many(sim, 2);
   sim_run(sim, 50.0);
 }
 
@@ -172,20 +174,20 @@
 play_partitioned_zone_with_controller(Sim *sim)
 {
   guint zone = (guint)g_rand_int_range(sim_rand(sim), 0, SIM_NODES);
-  sim_faults(sim)->cut = 1u << zone;
-  sim_faults(sim)->alone = 1u << zone;
+  sim_faults(sim)->partitioned_zones = 1u << zone;
+  sim_faults(sim)->isolated_nodes = 1u << zone;
   sim_run(sim, 5.0);
-  sim_cancel_some(sim, 4);
+  sim_cancel_many(sim, 4);
   sim_run(sim, 45.0);
 }
 
 static void
 play_no_free_capacity(Sim *sim)
 {
-  sim_faults(sim)->most_machines = 3;
+  sim_faults(sim)->max_machines = 3;
   sim_add_load(sim, 2);
   sim_run(sim, 60.0);
-  sim_crash(sim, sim_leader_or_first(sim), 1.0);
+  sim_crash_node(sim, sim_leader_or_first(sim), 1.0);
   sim_run(sim, 30.0);
 }
 
@@ -194,10 +196,10 @@
 {
   static const SimJob PAIR = { .tasks = 2, .team = "red", .priority = "standard", .run_s = 11.0 };
   for (guint i = 0; i < 5; i++) {
-    sim_faults(sim)->most_machines = 1 + i; /* the second task begins when the first has ended */
+    sim_faults(sim)->max_machines = 1 + i; /* the second task begins when the first has ended */
     sim_submit(sim, &PAIR);
     sim_run(sim, 9.0);
-    sim_crash(sim, sim_leader_or_first(sim), 3.0);
+    sim_crash_node(sim, sim_leader_or_first(sim), 3.0);
     sim_run(sim, 6.0);
   }
 }
@@ -206,16 +208,16 @@
 play_all_nodes_down_longer_than_lease(Sim *sim)
 {
   for (guint n = 0; n < SIM_NODES; n++)
-    sim_crash(sim, n, 14.0 + n);
+    sim_crash_node(sim, n, 14.0 + n);
   sim_run(sim, 16.0);
-  sim_cancel_some(sim, 3);
+  sim_cancel_many(sim, 3);
   sim_run(sim, 20.0);
 }
 
 static void
 play_cancellation_at_completion(Sim *sim)
 {
-  sim_cancel_at_end(sim, 0.7);
+  sim_cancel_at_completion(sim, 0.7);
   sim_add_load(sim, 2);
   sim_run(sim, 60.0);
 }
@@ -223,14 +225,14 @@
 static void
 play_slow_store_then_outage(Sim *sim)
 {
-  sim_faults(sim)->slow_state_ms = 1500;
-  sim_cancel_some(sim, 2);
+  sim_faults(sim)->store_delay_ms = 1500;
+  sim_cancel_many(sim, 2);
   sim_run(sim, 10.0);
-  sim_faults(sim)->state_refuses = 1u << sim_leader_or_first(sim);
-  sim_cancel_some(sim, 3);
+  sim_faults(sim)->store_refuses_nodes = 1u << sim_leader_or_first(sim);
+  sim_cancel_many(sim, 3);
   sim_run(sim, 2.0);
-  sim_faults(sim)->state_out = TRUE;
-  sim_cancel_some(sim, 2);
+  sim_faults(sim)->store_unavailable = TRUE;
+  sim_cancel_many(sim, 2);
   sim_run(sim, 45.0);
 }
 
@@ -238,38 +240,38 @@
 play_leadership_handed_over_and_back(Sim *sim)
 {
   guint leader = sim_leader_or_first(sim);
-  sim_crash(sim, leader, 6.0);
+  sim_crash_node(sim, leader, 6.0);
   sim_run(sim, 7.0);
-  sim_crash(sim, sim_leader_or_first(sim), 0.3);
+  sim_crash_node(sim, sim_leader_or_first(sim), 0.3);
   sim_run(sim, 0.5);
   for (guint n = 0; n < SIM_NODES; n++)
-    sim_crash(sim, n, n == leader ? 0.4 : 20.0);
-  sim_cancel_some(sim, 2);
+    sim_crash_node(sim, n, n == leader ? 0.4 : 20.0);
+  sim_cancel_many(sim, 2);
   sim_run(sim, 1.0);
-  sim_crash(sim, leader, 0.2);
+  sim_crash_node(sim, leader, 0.2);
   sim_run(sim, 25.0);
 }
 
 static void
 play_delayed_transactions(Sim *sim)
 {
-  sim_faults(sim)->late_writes = 0.3;
+  sim_faults(sim)->delayed_transactions = 0.3;
   for (guint i = 0; i < 6; i++) {
-    sim_cancel_some(sim, 1);
+    sim_cancel_many(sim, 1);
     sim_add_load(sim, 1);
     sim_run(sim, 10.0);
     if (i % 2 == 1)
-      sim_crash(sim, sim_leader_or_first(sim), 0.2);
+      sim_crash_node(sim, sim_leader_or_first(sim), 0.2);
   }
 }
 
 static void
 play_duplicated_heartbeats(Sim *sim)
 {
-  sim_faults(sim)->copies = 0.5;
+  sim_faults(sim)->duplicated_heartbeats = 0.5;
   for (guint i = 0; i < 6; i++) {
-    sim_trouble_machines(sim, 1, sim_hang, 14.0); /* a new session */
-    sim_restart_machine(sim);
+    sim_inject_machine_faults(sim, 1, sim_stall_machine, 14.0); /* a new session */
+    sim_restart_any_machine(sim);
     sim_run(sim, 8.0);
   }
 }
@@ -282,10 +284,10 @@
   sim_submit(sim, &FULL);
   sim_submit(sim, &FULL);
   sim_run(sim, 20.0);
-  sim_trouble_machines(sim, 2, sim_hang, 10.0);
-  sim_crash(sim, sim_leader_or_first(sim), 2.0);
+  sim_inject_machine_faults(sim, 2, sim_stall_machine, 10.0);
+  sim_crash_node(sim, sim_leader_or_first(sim), 2.0);
   sim_run(sim, 1.0);
-  sim_cancel_some(sim, 3);
+  sim_cancel_many(sim, 3);
   sim_run(sim, 30.0);
 }
 
@@ -296,7 +298,7 @@
     sim_faults(sim)->net.late = 0.4;
     sim_run(sim, 3.0);
     sim_faults(sim)->net.late = 0.0;
-    sim_crash(sim, sim_leader_or_first(sim), 3.0);
+    sim_crash_node(sim, sim_leader_or_first(sim), 3.0);
     sim_run(sim, 9.0);
   }
 }
@@ -307,10 +309,10 @@
   sim_add_load(sim, 2);
   sim_run(sim, 10.0);
   for (guint i = 0; i < 8; i++) {
-    sim_kill_machine(sim);
+    sim_kill_any_machine(sim);
     sim_run(sim, 3.0);
   }
-  sim_faults(sim)->rent_nothing = TRUE;
+  sim_faults(sim)->cloud_is_full = TRUE;
   sim_run(sim, 15.0);
 }
 
@@ -318,9 +320,9 @@
 play_isolated_leader(Sim *sim)
 {
   guint leader = sim_leader_or_first(sim);
-  sim_faults(sim)->alone = 1u << leader;
+  sim_faults(sim)->isolated_nodes = 1u << leader;
   sim_run(sim, 1.0);
-  sim_cancel_some(sim, 4);
+  sim_cancel_many(sim, 4);
   sim_run(sim, 50.0);
 }
 
@@ -328,10 +330,10 @@
 play_leader_stalls(Sim *sim)
 {
   guint leader = sim_leader_or_first(sim);
-  sim_freeze(sim, leader, 40.0);
-  sim_cancel_some(sim, 3);
+  sim_pause_node(sim, leader, 40.0);
+  sim_cancel_many(sim, 3);
   sim_run(sim, 20.0);
-  sim_freeze(sim, sim_other_node(leader), 6.0);
+  sim_pause_node(sim, sim_other_node(leader), 6.0);
   sim_run(sim, 25.0);
 }
 
@@ -362,27 +364,27 @@
   const CombinedFaults *faults = data;
   for (guint32 seed = 600; seed < 600 + sim_seed_count(3); seed++) {
     g_test_message("%s, seed %u", faults->name, seed);
-    Sim *sim = sim_loaded_world(seed);
+    Sim *sim = sim_new_with_load(seed);
     faults->play(sim);
-    sim_serve_all(sim);
+    sim_expect_recovery(sim);
     sim_free(sim);
   }
 }
 
 static void
-drawn_day(guint32 seed)
+play_drawn_faults(guint32 seed)
 {
-  Sim *sim = sim_loaded_world(seed);
-  sim_play_drawn_troubles(sim);
-  sim_serve_all(sim);
-  sim_ask_odd_things(sim);
+  Sim *sim = sim_new_with_load(seed);
+  sim_inject_random_faults(sim);
+  sim_expect_recovery(sim);
+  sim_repeat_malformed_requests(sim);
   sim_free(sim);
 }
 
 static void
 test_drawn(void)
 {
-  sim_play_seeds(1000, 40, drawn_day);
+  sim_play_seeds(1000, 40, play_drawn_faults);
 }
 
 /* Tasks of a team at its limit were stopped for a more urgent job of the team that is bound to a
@@ -390,9 +392,9 @@
 static void
 test_no_preemption_loop_for_zone_bound_job(void)
 {
-  Sim *sim = sim_loaded_world(602);
+  Sim *sim = sim_new_with_load(602);
   play_machines_stall_and_resume(sim);
-  sim_serve_all(sim);
+  sim_expect_recovery(sim);
   sim_free(sim);
 }
 
@@ -400,7 +402,7 @@
 
 /* TRUE in the parent, which sees that its child ends with the objection. */
 static gboolean
-is_parent_of_objection(const char *pattern)
+expects_abort_in_child(const char *pattern)
 {
   if (g_test_subprocess())
     return FALSE;
@@ -418,7 +420,7 @@
   sim_run(sim, 3.0);
   sim_submit(sim, first);
   sim_submit(sim, second);
-  for (guint i = 0; i < 60 && sim_running(sim, 0) + sim_running(sim, 1) < tasks; i++)
+  for (guint i = 0; i < 60 && sim_count_running(sim, 0) + sim_count_running(sim, 1) < tasks; i++)
     sim_run(sim, 1.0);
   return sim;
 }
@@ -428,8 +430,8 @@
 start_everywhere(Sim *sim, guint task)
 {
   for (guint machine = 0; machine < sim_machines(sim); machine++)
-    if (machine != sim_machine_of(sim, 0))
-      sim_start_by_hand(sim, machine, 0, task);
+    if (machine != sim_machine_running(sim, 0))
+      sim_force_start(sim, machine, 0, task);
   sim_run(sim, 1.0);
 }
 
@@ -439,7 +441,7 @@
 static void
 test_checker_detects_duplicate_run(void)
 {
-  if (is_parent_of_objection("*ran_twice*"))
+  if (expects_abort_in_child("*ran_twice*"))
     return;
   Sim *sim = running_world(700, &ONE, &FOUR, 5);
   start_everywhere(sim, 0);
@@ -450,15 +452,15 @@
 test_checker_detects_exceeded_quota(void)
 {
   static const SimJob WIDE = { .tasks = 9, .team = "blue", .priority = "standard", .run_s = 60.0 };
-  if (is_parent_of_objection("*quota of blue*"))
+  if (expects_abort_in_child("*quota of blue*"))
     return;
   Sim *sim = sim_new(701);
   sim_run(sim, 3.0);
   sim_submit(sim, &WIDE);
-  for (guint i = 0; i < 60 && sim_running(sim, 0) < 8; i++)
+  for (guint i = 0; i < 60 && sim_count_running(sim, 0) < 8; i++)
     sim_run(sim, 1.0);
   for (guint machine = 0; machine < sim_machines(sim); machine++)
-    sim_start_by_hand(sim, machine, 0, 8);
+    sim_force_start(sim, machine, 0, 8);
   sim_run(sim, 1.0);
   sim_free(sim);
 }
@@ -470,13 +472,13 @@
       = { .tasks = 2, .team = "blue", .priority = "standard", .zone = "a", .run_s = 90.0 };
   static const SimJob IN_B
       = { .tasks = 1, .team = "red", .priority = "standard", .zone = "b", .run_s = 90.0 };
-  if (is_parent_of_objection("*wrong_place*"))
+  if (expects_abort_in_child("*wrong_place*"))
     return;
   Sim *sim = running_world(702, &IN_A, &FOUR, 6);
-  guint in_a = sim_machine_of(sim, 0);
+  guint in_a = sim_machine_running(sim, 0);
   g_assert_cmpuint(in_a, !=, G_MAXUINT);
   sim_submit(sim, &IN_B);
-  sim_start_by_hand(sim, in_a, 2, 0);
+  sim_force_start(sim, in_a, 2, 0);
   sim_run(sim, 1.0);
   sim_free(sim);
 }
@@ -484,13 +486,13 @@
 static void
 test_checker_detects_run_after_cancellation(void)
 {
-  if (is_parent_of_objection("*ran_cancelled*"))
+  if (expects_abort_in_child("*ran_cancelled*"))
     return;
   Sim *sim = running_world(703, &ONE, &FOUR, 5);
   sim_cancel(sim, 0);
   sim_run(sim, 35.0);
-  g_assert_true(sim_told_cancelled(sim, 0));
-  sim_start_by_hand(sim, sim_any_machine(sim), 0, 0);
+  g_assert_true(sim_is_told_cancelled(sim, 0));
+  sim_force_start(sim, sim_draw_machine(sim), 0, 0);
   sim_run(sim, 1.0);
   sim_free(sim);
 }
@@ -498,12 +500,12 @@
 static void
 test_checker_detects_forgotten_job(void)
 {
-  if (is_parent_of_objection("*forgotten: nothing is heard*"))
+  if (expects_abort_in_child("*forgotten: nothing is heard*"))
     return;
   Sim *sim = running_world(704, &ONE, &FOUR, 5);
-  sim_calm(sim);
+  sim_end_faults(sim);
   for (guint node = 0; node < SIM_NODES; node++)
-    sim_crash(sim, node, 1000.0);
+    sim_crash_node(sim, node, 1000.0);
   sim_run(sim, 90.0);
   sim_free(sim);
 }
@@ -512,15 +514,15 @@
    differ: so that a change that means to leave the behaviour alone can be held to it. */
 
 static void
-play_traced_days(void)
+play_traced_faults(void)
 {
   for (guint32 seed = 1000; seed < 1003; seed++)
-    drawn_day(seed);
+    play_drawn_faults(seed);
 }
 
 /* What a process of its own traces of these days. */
 static char *
-traced_days(const char *directory, const char *name, gsize *length)
+trace_of_own_process(const char *directory, const char *name, gsize *length)
 {
   char *text;
   g_autofree char *path = g_build_filename(directory, name, NULL);
@@ -539,8 +541,8 @@
   gsize first_length, second_length;
   g_autofree char *directory = g_dir_make_tmp("wrenshore-trace-XXXXXX", NULL);
   g_assert_nonnull(directory);
-  g_autofree char *first = traced_days(directory, "first", &first_length);
-  g_autofree char *second = traced_days(directory, "second", &second_length);
+  g_autofree char *first = trace_of_own_process(directory, "first", &first_length);
+  g_autofree char *second = trace_of_own_process(directory, "second", &second_length);
   g_rmdir(directory);
   g_assert_cmpuint(first_length, >, 0);
   g_assert_cmpmem(first, first_length, second, second_length);
@@ -559,17 +561,17 @@
     test_no_preemption_loop_for_zone_bound_job },
   { "/combined-faults/drawn", test_drawn },
   { "/combined-faults/trace/is-deterministic", test_trace_is_deterministic },
-  { "/combined-faults/trace/subprocess/days", play_traced_days },
+  { "/combined-faults/trace/subprocess/days", play_traced_faults },
 };
 
 int
 main(int argc, char **argv)
 {
   ws_suite_init(&argc, &argv);
-  for (gsize i = 0; i < G_N_ELEMENTS(GAPS); i++) {
-    g_autofree char *path
-        = g_strconcat("/combined-faults/cancellation-before-outage/", GAPS[i].name, NULL);
-    g_test_add_data_func(path, &GAPS[i], test_gap);
+  for (gsize i = 0; i < G_N_ELEMENTS(CANCELLATION_CASES); i++) {
+    g_autofree char *path = g_strconcat("/combined-faults/cancellation-before-outage/",
+                                        CANCELLATION_CASES[i].name, NULL);
+    g_test_add_data_func(path, &CANCELLATION_CASES[i], test_cancellation_before_outage);
   }
   for (gsize i = 0; i < G_N_ELEMENTS(COMBINED_FAULTS); i++) {
     g_autofree char *path = g_strconcat("/combined-faults/", COMBINED_FAULTS[i].name, NULL);
--- a/tests/test-core.c
+++ b/tests/test-core.c
@@ -23,7 +23,7 @@
 /* Without faults everything is done, services run until they are cancelled, and in the end the
    machines are given back but for the place that is kept. */
 static void
-quiet_day(guint32 seed)
+play_without_faults(guint32 seed)
 {
   Sim *sim = sim_new(seed);
   static const SimJob ARRAY = { .tasks = 5, .team = "red", .priority = "standard", .run_s = 5.0 };
@@ -43,12 +43,12 @@
 test_quiet(void)
 {
   for (guint32 seed = 1; seed <= 3; seed++)
-    quiet_day(seed);
+    play_without_faults(seed);
 }
 
 /* Two services that need machines in several zones ran, and are cancelled. */
 static Sim *
-busy_then_idle(guint32 seed)
+sim_with_idle_machines(guint32 seed)
 {
   static const SimJob RED = { .tasks = 6, .service = TRUE, .team = "red", .priority = "standard" };
   static const SimJob BLUE
@@ -81,7 +81,7 @@
 static void
 test_budget_limits_termination(void)
 {
-  Sim *sim = busy_then_idle(21);
+  Sim *sim = sim_with_idle_machines(21);
   guint in_a = sim_machines_in(sim, "a"), in_b = sim_machines_in(sim, "b");
   g_assert_cmpuint(in_a, >, 0);
   g_assert_cmpuint(in_b, >, 0);
@@ -101,16 +101,16 @@
 /* While a zone is cut off nothing is given back there, by an owner outside or inside; once it has
    healed, everything is. Returns how many machines were in it. */
 static guint
-cut_zone(guint32 seed)
+play_partition(guint32 seed)
 {
-  Sim *sim = busy_then_idle(seed);
+  Sim *sim = sim_with_idle_machines(seed);
   guint in_a = sim_machines_in(sim, "a");
-  sim_faults(sim)->cut = 1;
+  sim_faults(sim)->partitioned_zones = 1;
   sim_run(sim, 3.0);
   sim_properties(sim)->idle_timeout_s = 5.0;
   sim_run(sim, 6.0); /* with the pause before it, less than the lease less one report */
   g_assert_cmpuint(sim_machines_in(sim, "a"), ==, in_a);
-  sim_faults(sim)->cut = 0;
+  sim_faults(sim)->partitioned_zones = 0;
   sim_run(sim, 60.0);
   g_assert_cmpuint(sim_machines(sim), ==, 0);
   sim_free(sim);
@@ -122,7 +122,7 @@
 {
   guint in_a = 0;
   for (guint32 seed = 21; seed < 29; seed++)
-    in_a += cut_zone(seed);
+    in_a += play_partition(seed);
   g_assert_cmpuint(in_a, >, 4);
 }
 
@@ -145,68 +145,71 @@
 
 /* The cases stay in one switch, since their numbers decide what a seed plays. */
 static void /* NOLINTNEXTLINE(readability-function-size) */
-any_fault(Sim *sim)
+inject_random_fault(Sim *sim)
 {
   GRand *rand = sim_rand(sim);
   SimFaults *faults = sim_faults(sim);
   switch (g_rand_int_range(rand, 0, 19)) {
   case 0:
-    sim_crash(sim, (guint)g_rand_int_range(rand, 0, SIM_NODES),
-              g_rand_double_range(rand, 0.1, 8.0));
+    sim_crash_node(sim, (guint)g_rand_int_range(rand, 0, SIM_NODES),
+                   g_rand_double_range(rand, 0.1, 8.0));
     break;
   case 1:
     for (guint n = 0; n < SIM_NODES; n++)
-      sim_crash(sim, n, g_rand_double_range(rand, 0.1, 8.0));
+      sim_crash_node(sim, n, g_rand_double_range(rand, 0.1, 8.0));
     break;
   case 2:
-    faults->state_out = !faults->state_out;
+    faults->store_unavailable = !faults->store_unavailable;
     break;
   case 3:
-    faults->state_refuses = faults->state_refuses ? 0 : 1u << g_rand_int_range(rand, 0, SIM_NODES);
+    faults->store_refuses_nodes
+        = faults->store_refuses_nodes ? 0 : 1u << g_rand_int_range(rand, 0, SIM_NODES);
     break;
   case 4:
-    faults->cut = faults->cut ? 0 : 1u << g_rand_int_range(rand, 0, 3);
+    faults->partitioned_zones = faults->partitioned_zones ? 0 : 1u << g_rand_int_range(rand, 0, 3);
     break;
   case 5:
-    faults->cloud_out = !faults->cloud_out;
+    faults->cloud_unavailable = !faults->cloud_unavailable;
     break;
   case 6:
-    faults->rent_nothing = !faults->rent_nothing;
+    faults->cloud_is_full = !faults->cloud_is_full;
     break;
   case 7:
-    sim_kill_machine(sim);
+    sim_kill_any_machine(sim);
     break;
   case 8:
-    sim_hang_machine(sim, g_rand_double_range(rand, 1.0, 20.0));
+    sim_stall_any_machine(sim, g_rand_double_range(rand, 1.0, 20.0));
     break;
   case 9:
-    sim_notice_machine(sim, g_rand_double_range(rand, 1.0, 10.0));
+    sim_interrupt_any_machine(sim, g_rand_double_range(rand, 1.0, 10.0));
     break;
   case 10:
     faults->net = faults->net.lose > 0.0 ? (SimNet){ 0 } : (SimNet){ 0.05, 0.05, 0.03 };
     break;
   case 11:
-    faults->alone = faults->alone ? 0 : 1u << g_rand_int_range(rand, 0, SIM_NODES);
+    faults->isolated_nodes
+        = faults->isolated_nodes ? 0 : 1u << g_rand_int_range(rand, 0, SIM_NODES);
     break;
   case 12:
-    faults->copies = faults->copies > 0.0 ? 0.0 : 0.3;
+    faults->duplicated_heartbeats = faults->duplicated_heartbeats > 0.0 ? 0.0 : 0.3;
     break;
   case 13:
-    sim_deafen_machine(sim, g_rand_double_range(rand, 2.0, 40.0));
+    sim_block_outbound_of_any(sim, g_rand_double_range(rand, 2.0, 40.0));
     break;
   case 14:
-    sim_restart_machine(sim);
+    sim_restart_any_machine(sim);
     break;
   case 15:
-    sim_freeze(sim, (guint)g_rand_int_range(rand, 0, SIM_NODES),
-               g_rand_double_range(rand, 0.2, 30.0));
+    sim_pause_node(sim, (guint)g_rand_int_range(rand, 0, SIM_NODES),
+                   g_rand_double_range(rand, 0.2, 30.0));
     break;
   case 16:
-    faults->unheard = faults->unheard ? 0 : 1u << g_rand_int_range(rand, 0, SIM_NODES);
+    faults->unreachable_nodes
+        = faults->unreachable_nodes ? 0 : 1u << g_rand_int_range(rand, 0, SIM_NODES);
     break;
   case 17:
     for (guint i = 0; i < 4; i++)
-      sim_hang_machine(sim, g_rand_double_range(rand, 6.0, 18.0));
+      sim_stall_any_machine(sim, g_rand_double_range(rand, 6.0, 18.0));
     break;
   default:
     sim_cancel_any(sim);
@@ -214,19 +217,19 @@
 }
 
 static void
-rough_day(guint32 seed, double report_s, double lease_s)
+play_random_faults(guint32 seed, double report_s, double lease_s)
 {
   Sim *sim = sim_new(seed);
   GRand *rand = sim_rand(sim);
-  sim_pace(sim, report_s, lease_s);
+  sim_set_pace(sim, report_s, lease_s);
   sim_run(sim, 2.0);
   for (guint i = 0; i < 30; i++) {
     submit_some(sim, (guint)g_rand_int_range(rand, 0, 3));
-    any_fault(sim);
+    inject_random_fault(sim);
     sim_run(sim, g_rand_double_range(rand, 0.05, 6.0));
   }
   /* All faults end: what was accepted is done or can be cancelled, and no machine leaks. */
-  sim_calm(sim);
+  sim_end_faults(sim);
   for (guint i = 0; i < 400 && sim_open_jobs(sim) > 0; i++) {
     sim_cancel_any(sim);
     sim_run(sim, 1.0);
@@ -248,7 +251,7 @@
   guint32 last = only != NULL ? first : 20;
   for (guint32 seed = first; seed <= last; seed++) {
     g_test_message("seed %u", seed);
-    rough_day(seed, 2.0, 12.0);
+    play_random_faults(seed, 2.0, 12.0);
   }
 }
 
@@ -257,7 +260,7 @@
 static void
 test_mark_survives_change_of_owner(void)
 {
-  rough_day(821, 2.0, 12.0);
+  play_random_faults(821, 2.0, 12.0);
 }
 
 /* The same where workers report less often, and where they do so more often. */
@@ -266,8 +269,8 @@
 {
   for (guint32 seed = 300; seed < 306; seed++) {
     g_test_message("seed %u", seed);
-    rough_day(seed, 6.0, 31.0);
-    rough_day(seed, 1.0, 8.0);
+    play_random_faults(seed, 6.0, 31.0);
+    play_random_faults(seed, 1.0, 8.0);
   }
 }
 
@@ -282,7 +285,7 @@
     sim_run(sim, 20.0);
     for (guint round = 0; round < 2; round++) {
       for (guint n = 0; n < SIM_NODES; n++)
-        sim_crash(sim, n, 0.2);
+        sim_crash_node(sim, n, 0.2);
       sim_run(sim, 0.5);
     }
     for (guint i = 0; i < 300 && sim_open_jobs(sim) > 0; i++) {
@@ -308,7 +311,7 @@
     sim_run(sim, 3.0);
     sim_submit(sim, &SPREAD_SERVICE);
     sim_run(sim, 40.0);
-    sim_faults(sim)->alone = 1u << (seed % SIM_NODES);
+    sim_faults(sim)->isolated_nodes = 1u << (seed % SIM_NODES);
     sim_run(sim, 10.0);
     sim_submit(sim, &ARRAY);
     sim_run(sim, 60.0);
@@ -330,14 +333,14 @@
     sim_run(sim, 3.0);
     sim_submit(sim, &SPREAD_SERVICE);
     sim_run(sim, 40.0);
-    sim_faults(sim)->alone = 1u << (seed % SIM_NODES);
-    sim_faults(sim)->cut = 1u << (seed % SIM_NODES);
+    sim_faults(sim)->isolated_nodes = 1u << (seed % SIM_NODES);
+    sim_faults(sim)->partitioned_zones = 1u << (seed % SIM_NODES);
     sim_run(sim, 14.0);
     /* Whoever waited for two nodes outside, one after the other, has lost its lease by now. */
     guint lost = sim_lost_tasks(sim);
     sim_run(sim, 31.0);
     g_assert_cmpuint(sim_lost_tasks(sim), ==, lost);
-    sim_calm(sim);
+    sim_end_faults(sim);
     sim_run(sim, 30.0);
     g_assert_cmpuint(sim_lost_tasks(sim), ==, lost);
     g_assert_cmpuint(sim_returned_tasks(sim), ==, 0);
@@ -355,7 +358,7 @@
     sim_run(sim, 3.0);
     sim_submit(sim, &ARRAY);
     sim_run(sim, 16.0);
-    sim_deafen_machine(sim, 1e6);
+    sim_block_outbound_of_any(sim, 1e6);
     for (guint i = 0; i < 90 && sim_done_jobs(sim) == 0; i++)
       sim_run(sim, 1.0);
     g_assert_cmpuint(sim_done_jobs(sim), ==, 1);
@@ -371,7 +374,7 @@
   static const SimJob LARGE
       = { .tasks = 40, .team = "blue", .priority = "best_effort", .run_s = 60.0 };
   Sim *sim = sim_new(70);
-  sim_faults(sim)->most_machines = 1;
+  sim_faults(sim)->max_machines = 1;
   sim_run(sim, 3.0);
   sim_submit(sim, &LARGE);
   for (guint i = 0; i < 60; i++) {
@@ -379,14 +382,14 @@
     sim_submit(sim, &SMALL);
     sim_run(sim, 4.0);
   }
-  g_assert_true(sim_begun(sim, 0));
+  g_assert_true(sim_has_started(sim, 0));
   sim_free(sim);
 }
 
 /* Bursts of jobs of every size, priority and team, few machines, and troubles in the middle: within
    four minutes every job has begun, whatever it is, and in the end each is done. */
 static void
-served_day(guint32 seed)
+play_overload(guint32 seed)
 {
   static const SimJob LARGE[]
       = { { .tasks = 40, .team = "red", .priority = "best_effort", .spot = TRUE, .run_s = 8.0 },
@@ -402,15 +405,15 @@
     small.priority = i % 3 ? "standard" : "best_effort";
     sim_submit(sim, &small);
     jobs++;
-    any_fault(sim);
-    sim_faults(sim)->most_machines = 3;
+    inject_random_fault(sim);
+    sim_faults(sim)->max_machines = 3;
     sim_run(sim, 3.0);
   }
-  sim_calm(sim);
-  sim_faults(sim)->most_machines = 3;
+  sim_end_faults(sim);
+  sim_faults(sim)->max_machines = 3;
   sim_run(sim, 210.0);
   for (guint i = 0; i < jobs; i++)
-    if (!sim_begun(sim, i))
+    if (!sim_has_started(sim, i))
       g_error("seed %u: job %u has not begun", seed, i);
   for (guint i = 0; i < 400 && sim_open_jobs(sim) > 0; i++)
     sim_run(sim, 1.0);
@@ -424,7 +427,7 @@
 {
   for (guint32 seed = 200; seed < 206; seed++) {
     g_test_message("seed %u", seed);
-    served_day(seed);
+    play_overload(seed);
   }
 }
 
--- a/tests/test-evidence.c
+++ b/tests/test-evidence.c
@@ -579,7 +579,7 @@
    work takes their room, and the leader loses its place for a while before it can write that they
    are gone. */
 static void
-flapping_day(guint32 seed)
+play_flapping(guint32 seed)
 {
   static const SimJob LOW
       = { .tasks = 8, .team = "blue", .priority = "best_effort", .spot = TRUE, .run_s = 7.0 };
@@ -588,29 +588,29 @@
   Sim *sim = sim_new(seed);
   GRand *rand = sim_rand(sim);
   sim_properties(sim)->idle_timeout_s = 60.0;
-  sim_faults(sim)->most_machines = 3;
+  sim_faults(sim)->max_machines = 3;
   sim_run(sim, 3.0);
   sim_submit(sim, &LOW);
   sim_run(sim, 25.0);
   for (guint round = 0; round < 8; round++) {
     sim_submit(sim, &LOW);
-    sim_crash(sim, sim_other_node(sim_leader_or_first(sim)), 0.3);
+    sim_crash_node(sim, sim_other_node(sim_leader_or_first(sim)), 0.3);
     sim_run(sim, g_rand_double_range(rand, 0.6, 2.0));
     sim_submit(sim, &URGENT);
     sim_run(sim, g_rand_double_range(rand, 0.1, 2.0));
-    sim_faults(sim)->state_refuses = 1u << sim_leader_or_first(sim);
+    sim_faults(sim)->store_refuses_nodes = 1u << sim_leader_or_first(sim);
     sim_run(sim, g_rand_double_range(rand, 5.0, 9.0));
-    sim_faults(sim)->state_refuses = 0;
+    sim_faults(sim)->store_refuses_nodes = 0;
     sim_run(sim, g_rand_double_range(rand, 0.5, 4.0));
   }
-  sim_serve_all(sim);
+  sim_expect_recovery(sim);
   sim_free(sim);
 }
 
 static void
 test_flapping(void)
 {
-  sim_play_seeds(3000, 5, flapping_day);
+  sim_play_seeds(3000, 5, play_flapping);
 }
 
 static const WsTest TESTS[] = {
--- a/tests/test-gangs.c
+++ b/tests/test-gangs.c
@@ -121,7 +121,7 @@
   for (guint32 seed = 800; seed < 804; seed++) {
     Sim *sim = gang_world(seed, seed % 2 == 0 ? &GANG : &WIDE_GANG);
     run_until_started(sim);
-    sim_serve_all(sim);
+    sim_expect_recovery(sim);
     g_assert_cmpuint(sim_gang_starts(sim, 0), ==, 1);
     g_assert_cmpuint(sim_gang_losses(sim, 0), ==, 0);
     sim_free(sim);
@@ -133,16 +133,17 @@
 static void
 test_machine_loss_restarts_whole_gang(void)
 {
-  static void (*const TROUBLES[])(Sim *, guint, double) = { sim_hang, sim_deafen, sim_mute };
+  static const SimMachineFault FAULTS[]
+      = { sim_stall_machine, sim_block_outbound, sim_block_inbound };
   static const double SECONDS[] = { 20.0, 60.0, 60.0 };
   for (guint32 seed = 810; seed < 822; seed++) {
     guint kind = (seed - 810) / 4;
     Sim *sim = gang_world(seed, seed % 2 == 0 ? &GANG : &WIDE_GANG);
     run_until_started(sim);
     sim_run(sim, 3.0);
-    TROUBLES[kind](sim, sim_machine_of(sim, 0), SECONDS[kind]);
+    FAULTS[kind](sim, sim_machine_running(sim, 0), SECONDS[kind]);
     sim_run(sim, 60.0);
-    sim_serve_all(sim);
+    sim_expect_recovery(sim);
     sim_free(sim);
   }
 }
@@ -156,9 +157,9 @@
     Sim *sim = gang_world(seed, &GANG);
     run_until_started(sim);
     sim_run(sim, 2.0);
-    sim_hang(sim, sim_machine_of(sim, 0), 7.0);
+    sim_stall_machine(sim, sim_machine_running(sim, 0), 7.0);
     sim_run(sim, 30.0);
-    sim_serve_all(sim);
+    sim_expect_recovery(sim);
     g_assert_cmpuint(sim_gang_losses(sim, 0), ==, 1);
     g_assert_cmpuint(sim_gang_starts(sim, 0), ==, 2);
     sim_free(sim);
@@ -173,9 +174,9 @@
     Sim *sim = gang_world(seed, &GANG);
     run_until_started(sim);
     sim_run(sim, 6.0);
-    sim_notice(sim, sim_machine_of(sim, 0), 20.0);
+    sim_interrupt_machine(sim, sim_machine_running(sim, 0), 20.0);
     sim_run(sim, 25.0);
-    sim_serve_all(sim);
+    sim_expect_recovery(sim);
     g_assert_cmpuint(sim_gang_saves(sim, 0), ==, 1);
     g_assert_cmpuint(sim_gang_losses(sim, 0), ==, 0);
     sim_free(sim);
@@ -190,12 +191,12 @@
     Sim *sim = gang_world(seed, seed % 3 == 0 ? &WIDE_GANG : &GANG);
     for (guint i = 0; i < 5; i++) {
       sim_run(sim, g_rand_double_range(sim_rand(sim), 0.5, 6.0));
-      if (sim_machine_of(sim, 0) != G_MAXUINT)
-        sim_notice(sim, sim_machine_of(sim, 0), 20.0);
+      if (sim_machine_running(sim, 0) != G_MAXUINT)
+        sim_interrupt_machine(sim, sim_machine_running(sim, 0), 20.0);
       sim_run(sim, g_rand_double_range(sim_rand(sim), 0.0, 1.0));
-      sim_crash(sim, sim_leader_or_first(sim), g_rand_double_range(sim_rand(sim), 0.1, 6.0));
+      sim_crash_node(sim, sim_leader_or_first(sim), g_rand_double_range(sim_rand(sim), 0.1, 6.0));
     }
-    sim_serve_all(sim);
+    sim_expect_recovery(sim);
     sim_free(sim);
   }
 }
@@ -207,12 +208,12 @@
   for (guint32 seed = 870; seed < 870 + sim_seed_count(12); seed++) {
     Sim *sim = gang_world(seed, &GANG);
     sim_run(sim, g_rand_double_range(sim_rand(sim), 0.0, 30.0));
-    if (seed % 2 == 0 && sim_machine_of(sim, 0) != G_MAXUINT)
-      sim_notice(sim, sim_machine_of(sim, 0), 20.0);
+    if (seed % 2 == 0 && sim_machine_running(sim, 0) != G_MAXUINT)
+      sim_interrupt_machine(sim, sim_machine_running(sim, 0), 20.0);
     sim_run(sim, 0.5);
     sim_cancel(sim, 0);
     sim_run(sim, 35.0);
-    sim_serve_all(sim);
+    sim_expect_recovery(sim);
     g_assert_cmpuint(sim_late_starts(sim), ==, 0);
     sim_free(sim);
   }
@@ -226,9 +227,9 @@
     Sim *sim = gang_world(seed, &WIDE_GANG);
     run_until_started(sim);
     sim_run(sim, 2.0);
-    sim_faults(sim)->cut = 1u << (seed % SIM_NODES);
+    sim_faults(sim)->partitioned_zones = 1u << (seed % SIM_NODES);
     sim_run(sim, seed % 2 == 0 ? 8.0 : 40.0);
-    sim_serve_all(sim);
+    sim_expect_recovery(sim);
     sim_free(sim);
   }
 }
@@ -243,40 +244,40 @@
   SimJob anywhere = GANG;
   anywhere.one_zone = FALSE;
   Sim *sim = sim_new(940);
-  sim_faults(sim)->most_machines = 2;
+  sim_faults(sim)->max_machines = 2;
   sim_run(sim, 3.0);
   for (guint i = 0; i < 8; i++)
     sim_submit(sim, &SMALL);
   sim_run(sim, 40.0);
   guint gang = sim_count_jobs(sim);
   sim_submit(sim, &anywhere);
-  for (guint step = 0; step < 160 && !sim_begun(sim, gang); step++) {
+  for (guint step = 0; step < 160 && !sim_has_started(sim, gang); step++) {
     sim_submit(sim, &SMALL);
     sim_run(sim, 1.5);
   }
-  g_assert_true(sim_begun(sim, gang));
+  g_assert_true(sim_has_started(sim, gang));
   sim_free(sim);
 }
 
 /* Gangs among arrays and services, while troubles meet. */
 static void
-drawn_day(guint32 seed)
+play_drawn_faults(guint32 seed)
 {
   g_test_message("seed %u", seed);
-  Sim *sim = sim_loaded_world(seed);
+  Sim *sim = sim_new_with_load(seed);
   for (guint i = 0; i < 3; i++)
     sim_submit(sim, i == 1 ? &WIDE_GANG : &GANG);
   sim_run(sim, g_rand_double_range(sim_rand(sim), 0.0, 25.0));
   sim_submit(sim, &GANG);
-  sim_play_drawn_troubles(sim);
-  sim_serve_all(sim);
+  sim_inject_random_faults(sim);
+  sim_expect_recovery(sim);
   sim_free(sim);
 }
 
 static void
 test_drawn(void)
 {
-  sim_play_seeds(2000, 25, drawn_day);
+  sim_play_seeds(2000, 25, play_drawn_faults);
 }
 
 /* The world objects when two attempts hold places at once. */
@@ -286,7 +287,7 @@
   if (g_test_subprocess()) {
     Sim *sim = gang_world(899, &GANG);
     run_until_started(sim);
-    sim_start_by_hand(sim, sim_machine_of(sim, 0), 0, 1);
+    sim_force_start(sim, sim_machine_running(sim, 0), 0, 1);
     sim_run(sim, 2.0);
     sim_free(sim);
     return;
--- a/tests/test-size.c
+++ b/tests/test-size.c
@@ -262,7 +262,7 @@
    begins only in its turn, here in the first of every two seconds, so that no two count on one
    room. */
 static guint
-most_merged(guint machines)
+max_concurrent_consolidations(guint machines)
 {
   Fixture *fixture = fixture_with_machines(machines);
   guint most = 0;
@@ -299,10 +299,10 @@
 }
 
 static void
-test_merge(void)
+test_consolidation(void)
 {
-  g_assert_cmpuint(most_merged(20), ==, 1);
-  guint many = most_merged(200);
+  g_assert_cmpuint(max_concurrent_consolidations(20), ==, 1);
+  guint many = max_concurrent_consolidations(200);
   g_assert_cmpuint(many, >, 1);
   g_assert_cmpuint(many, <=, 5);
 }
@@ -345,10 +345,10 @@
 }
 
 static const WsTest TESTS[] = {
-  { "/size/report", test_report }, { "/size/takeover", test_takeover },
-  { "/size/tick", test_tick },     { "/size/gossip", test_gossip },
-  { "/size/plan", test_plan },     { "/size/full", test_full },
-  { "/size/merge", test_merge },   { "/size/cancelled-in-bulk", test_cancelled_in_bulk },
+  { "/size/report", test_report },       { "/size/takeover", test_takeover },
+  { "/size/tick", test_tick },           { "/size/gossip", test_gossip },
+  { "/size/plan", test_plan },           { "/size/full", test_full },
+  { "/size/merge", test_consolidation }, { "/size/cancelled-in-bulk", test_cancelled_in_bulk },
 };
 
 int
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -269,8 +269,8 @@
     sim_run(sim, g_rand_double_range(sim_rand(sim), 0.0, 20.0));
     sim_lower_limits(sim, NEXT_OPS, NEXT_BYTES);
     sim_add_load(sim, 1);
-    sim_play_drawn_troubles(sim);
-    sim_serve_all(sim);
+    sim_inject_random_faults(sim);
+    sim_expect_recovery(sim);
     sim_free(sim);
   }
 }
@@ -344,7 +344,7 @@
 static void
 test_unannounced_limits_delay_only_what_is_refused(void)
 {
-  Sim *sim = sim_loaded_world(930);
+  Sim *sim = sim_new_with_load(930);
   sim_lower_limits(sim, 2, NEXT_BYTES); /* one job and its team's use */
   sim_add_load(sim, 1);
   for (guint i = 0; i < 300 && sim_open_jobs(sim) > 0; i++)
