--- a/tests/sim/fault-injection.c
+++ b/tests/sim/fault-injection.c
@@ -52,8 +52,8 @@
     sim_run(sim, 1.0);
   if (sim_open_jobs(sim) > 0)
     g_error("%u jobs are not served", sim_open_jobs(sim));
-  if (sim_refused_for_size(sim) > 0)
-    g_error("%u transactions were refused for their size", sim_refused_for_size(sim));
+  if (sim_rejected_for_size(sim) > 0)
+    g_error("%u transactions were refused for their size", sim_rejected_for_size(sim));
   sim_run(sim, 150.0);
   if (sim_machines(sim) > 0 || sim_marks(sim) > 0 || sim_unrecorded(sim) > 0)
     g_error("%u machines leaked, %u without a record, %u marks", sim_machines(sim),
--- a/tests/sim/fixture.c
+++ b/tests/sim/fixture.c
@@ -94,7 +94,7 @@
       g_free(store_call);
       return;
     }
-    sim_state_request(fixture->state, fixture->now_ms, output->method, path, body,
+    sim_store_request(fixture->store, fixture->now_ms, output->method, path, body,
                       fixture_on_store_reply, store_call);
   } else if (strcmp(path, "/catalog") == 0) {
     g_autoptr(json_t) message = catalog(fixture);
@@ -150,7 +150,7 @@
 {
   for (gint64 until_ms = fixture->now_ms + (gint64)(seconds * 1000.0); fixture->now_ms < until_ms;
        fixture->now_ms += 50) {
-    sim_state_tick(fixture->state, fixture->now_ms, fixture->store_unavailable);
+    sim_store_tick(fixture->store, fixture->now_ms, fixture->store_unavailable);
     ws_core_tick(fixture->core, fixture->now_ms, fixture->now_ms);
     fixture_pump(fixture);
   }
@@ -223,8 +223,8 @@
 {
   /* The final record of a job, which names no submission, is written only when nothing of the job
      is on a machine; its records of tasks are removed later. */
-  const json_t *job = sim_state_get(fixture->state, "w/job/req-1");
-  return json_object_get(job, "spec") != NULL && sim_state_has(fixture->state, "w/task/req-1/0");
+  const json_t *job = sim_store_get(fixture->store, "w/job/req-1");
+  return json_object_get(job, "spec") != NULL && sim_store_has(fixture->store, "w/task/req-1/0");
 }
 
 gboolean
@@ -243,13 +243,13 @@
 void
 fixture_write_key(Fixture *fixture, const char *key, json_t *value)
 {
-  g_assert_true(value != NULL || sim_state_has(fixture->state, key));
+  g_assert_true(value != NULL || sim_store_has(fixture->store, key));
   json_t *change = value != NULL ? json_pack("{s:s, s:o}", "set", key, "value", value)
                                  : json_pack("{s:s}", "remove", key);
   g_autoptr(json_t) transaction = json_pack("{s:[], s:[o]}", "if", "apply", change);
   StoreCall *store_call = g_new0(StoreCall, 1);
   *store_call = (StoreCall){ fixture, 0, 0 }; /* no call of the controller's */
-  sim_state_request(fixture->state, fixture->now_ms, "POST", "/multi", transaction,
+  sim_store_request(fixture->store, fixture->now_ms, "POST", "/multi", transaction,
                     fixture_on_store_reply, store_call);
 }
 
@@ -272,7 +272,7 @@
   fixture->has_small_type = small_type;
   fixture->settings = ws_test_settings(0);
   fixture->properties = ws_properties_new();
-  fixture->state = sim_state_new();
+  fixture->store = sim_store_new();
   fixture->zone = "a";
   fixture->workers_answer = workers_answer;
   fixture->now_ms = 1000;
@@ -328,7 +328,7 @@
 void
 fixture_free(Fixture *fixture)
 {
-  sim_state_free(fixture->state); /* which ends the watch */
+  sim_store_free(fixture->store); /* which ends the watch */
   end_core(fixture);
   ws_properties_free(fixture->properties);
   ws_settings_free(fixture->settings);
--- a/tests/sim/fixture.h
+++ b/tests/sim/fixture.h
@@ -3,12 +3,12 @@
 #pragma once
 
 #include "core/ws-core.h"
-#include "sim/state.h"
+#include "sim/store.h"
 
 typedef struct Fixture {
   WsSettings *settings;
   WsProperties *properties;
-  SimState *state;
+  SimStore *store;
   WsCore *core;
   guint run; /* counts its restarts */
   gint64 now_ms;
--- a/tests/sim/sim-checker.c
+++ b/tests/sim/sim-checker.c
@@ -278,13 +278,13 @@
 guint
 sim_marks(const Sim *sim)
 {
-  return sim_state_count(sim->state, "w/mark/");
+  return sim_store_count(sim->store, "w/mark/");
 }
 
 guint
 sim_task_records(const Sim *sim)
 {
-  return sim_state_count(sim->state, "w/task/");
+  return sim_store_count(sim->store, "w/task/");
 }
 
 guint
@@ -293,7 +293,8 @@
   guint count = 0;
   for (guint i = 0; i < sim->machines->len; i++) {
     const Machine *machine = g_ptr_array_index(sim->machines, i);
-    count += !machine->returned && !sim_state_names(sim->state, "w/lot/", machine->worker->name);
+    count
+        += !machine->returned && !sim_store_lists_name(sim->store, "w/lot/", machine->worker->name);
   }
   return count;
 }
--- a/tests/sim/sim-cloud.c
+++ b/tests/sim/sim-cloud.c
@@ -85,7 +85,7 @@
 }
 
 void
-sim_ask_cloud(Sim *sim, Call *call)
+sim_send_to_cloud(Sim *sim, Call *call)
 {
   if (sim->faults.cloud_unavailable) {
     sim_reply_to(call, 503, json_pack("{s:s}", "error", "trouble"));
--- a/tests/sim/sim-faults.c
+++ b/tests/sim/sim-faults.c
@@ -163,13 +163,13 @@
 void
 sim_lower_limits(Sim *sim, guint ops, gsize bytes)
 {
-  sim_state_set_limits(sim->state, ops, bytes);
+  sim_store_set_limits(sim->store, ops, bytes);
 }
 
 guint
-sim_refused_for_size(const Sim *sim)
+sim_rejected_for_size(const Sim *sim)
 {
-  return sim_state_refused_for_size(sim->state);
+  return sim_store_rejected_for_size(sim->store);
 }
 
 SimFaults *
--- a/tests/sim/sim-network.c
+++ b/tests/sim/sim-network.c
@@ -138,7 +138,7 @@
 /* Requests to nodes: the core answers by the handle, which is the call. */
 
 static void
-ask_node(Sim *sim, Call *call, guint node, WsDoor door)
+send_to_node(Sim *sim, Call *call, guint node, WsDoor door)
 {
   g_autofree char *text = ws_json_text(call->body);
   if (sim->nodes[node].core == NULL) {
@@ -151,7 +151,7 @@
 }
 
 static void
-ask_worker(Sim *sim, Call *call, Machine *machine)
+send_to_worker(Sim *sim, Call *call, Machine *machine)
 {
   json_t *report = NULL;
   if (strcmp(call->path, "/status") == 0) {
@@ -197,7 +197,7 @@
   } else if (is_partitioned(sim, zone_of_caller(call), machine->worker->zone)) {
     sim_later(sim, 1000, arrive, call); /* held back until the cut ends */
   } else {
-    ask_worker(sim, call, machine);
+    send_to_worker(sim, call, machine);
   }
 }
 
@@ -220,7 +220,7 @@
   else if (sim->now_ms < sim->nodes[node].paused_until_ms)
     sim_later(sim, sim->nodes[node].paused_until_ms - sim->now_ms, arrive, call);
   else
-    ask_node(sim, call, node, call->address[0] == 'm' ? WS_DOOR_MESH : WS_DOOR_API);
+    send_to_node(sim, call, node, call->address[0] == 'm' ? WS_DOOR_MESH : WS_DOOR_API);
 }
 
 static gboolean
@@ -248,7 +248,7 @@
 
 /* The open watches of a node that is refused wait as they do in an outage. */
 static void
-state_replied(gpointer data, guint status, json_t *body)
+store_replied(gpointer data, guint status, json_t *body)
 {
   Call *call = data;
   Sim *sim = call->sim;
@@ -284,11 +284,11 @@
   if (sim->faults.store_unavailable)
     sim_later(sim, 1000, commit_delayed, call);
   else
-    sim_state_request(sim->state, sim->now_ms, call->method, call->path, call->body, ignored, call);
+    sim_store_request(sim->store, sim->now_ms, call->method, call->path, call->body, ignored, call);
 }
 
 static void
-ask_state(Sim *sim, Call *call)
+send_to_store(Sim *sim, Call *call)
 {
   if ((sim->faults.isolated_nodes >> call->node & 1) != 0)
     sim_call_unref(call);
@@ -297,7 +297,7 @@
   else if (strcmp(call->path, "/multi") == 0 && sim_chance(sim, sim->faults.delayed_transactions))
     sim_later(sim, g_rand_int_range(sim->rand, 2000, 12000), commit_delayed, call);
   else
-    sim_state_request(sim->state, sim->now_ms, call->method, call->path, call->body, state_replied,
+    sim_store_request(sim->store, sim->now_ms, call->method, call->path, call->body, store_replied,
                       call);
 }
 
@@ -306,9 +306,9 @@
 {
   Call *call = data;
   if (strcmp(call->address, "state:1") == 0) {
-    ask_state(sim, call);
+    send_to_store(sim, call);
   } else if (strcmp(call->address, "cloud:1") == 0) {
-    sim_ask_cloud(sim, call);
+    sim_send_to_cloud(sim, call);
   } else if (g_str_has_prefix(call->address, "w-")) {
     arrive_at_machine(sim, call);
   } else {
--- a/tests/sim/sim-private.h
+++ b/tests/sim/sim-private.h
@@ -3,7 +3,7 @@
 
 #include "sim/sim.h"
 #include "protocol/ws-json.h"
-#include "sim/state.h"
+#include "sim/store.h"
 #include "sim/worker.h"
 #include "ws-site.h"
 
@@ -80,7 +80,7 @@
   guint64 order;
   guint64 lives;
   GSequence *events;
-  SimState *state;
+  SimStore *store;
   gint64 faults_ended_ms; /* since when all troubles are over; 0: they aren't */
   guint lost_tasks;
   guint returned_tasks;
@@ -131,7 +131,7 @@
   guint on_machine;
 } Running;
 
-void sim_ask_cloud(Sim *sim, Call *call);
+void sim_send_to_cloud(Sim *sim, Call *call);
 void sim_call_unref(Call *call);
 void sim_user_cancels(Sim *sim, Job *job);
 gboolean sim_chance(Sim *sim, double part);
--- a/tests/sim/sim.c
+++ b/tests/sim/sim.c
@@ -7,7 +7,7 @@
 sim_leader(const Sim *sim)
 {
   const char *name
-      = json_string_value(json_object_get(sim_state_get(sim->state, "w/leader"), "node"));
+      = json_string_value(json_object_get(sim_store_get(sim->store, "w/leader"), "node"));
   return name != NULL ? (guint)(name[1] - '0') : G_MAXUINT;
 }
 
@@ -40,7 +40,7 @@
 tick(Sim *sim, gpointer data)
 {
   (void)data;
-  sim_state_tick(sim->state, sim->now_ms, sim->faults.store_unavailable);
+  sim_store_tick(sim->store, sim->now_ms, sim->faults.store_unavailable);
   for (guint n = 0; n < SIM_NODES; n++)
     step_node(sim, n);
   for (guint i = 0; i < sim->machines->len; i++)
@@ -85,7 +85,7 @@
   sim->now_ms = 1000;
   sim->rand = g_rand_new_with_seed(seed);
   sim->events = g_sequence_new(g_free);
-  sim->state = sim_state_new();
+  sim->store = sim_store_new();
   sim->properties = ws_properties_new();
   sim->properties->idle_timeout_s = 5.0;
   sim->machines = g_ptr_array_new();
@@ -115,7 +115,7 @@
 {
   for (guint n = 0; n < SIM_NODES; n++)
     sim_crash_node(sim, n, 1e9);
-  sim_state_free(sim->state);
+  sim_store_free(sim->store);
   while (g_sequence_get_length(sim->events) > 0) {
     GSequenceIter *first = g_sequence_get_begin_iter(sim->events);
     Event event = *(Event *)g_sequence_get(first);
--- a/tests/sim/sim.h
+++ b/tests/sim/sim.h
@@ -94,7 +94,7 @@
 /* The state service has such limits from now on. */
 void sim_lower_limits(Sim *sim, guint ops, gsize bytes);
 /* Transactions that it has refused for their size. */
-guint sim_refused_for_size(const Sim *sim);
+guint sim_rejected_for_size(const Sim *sim);
 /* The node that leads, as the state service has it; G_MAXUINT: none. */
 guint sim_leader(const Sim *sim);
 gboolean sim_is_told_cancelled(const Sim *sim, guint job);
--- a/tests/sim/state.c
+++ b/tests/sim/store.c
@@ -1,4 +1,4 @@
-#include "sim/state.h"
+#include "sim/store.h"
 
 #include <stdlib.h>
 #include <string.h>
@@ -17,7 +17,7 @@
 typedef struct {
   guint64 from;
   gint64 until_ms;
-  SimReply reply;
+  SimStoreReply reply;
   gpointer data;
 } Watch;
 
@@ -31,7 +31,7 @@
   gint64 ticked_ms;
   guint max_operations;
   gsize max_value_bytes; /* of a value */
-  guint refused_for_size;
+  guint rejected_for_size;
 };
 
 static void
@@ -54,74 +54,74 @@
   json_decref(data);
 }
 
-SimState *
-sim_state_new(void)
+SimStore *
+sim_store_new(void)
 {
-  SimState *state = g_new0(SimState, 1);
-  state->max_operations = 16; /* as the settings of the tests say */
-  state->max_value_bytes = (gsize)16 * 1024;
-  state->entries = g_tree_new_full(compare, NULL, g_free, entry_free);
-  state->leases = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
-  state->log = g_ptr_array_new_with_free_func(event_free);
-  state->watches = g_array_new(FALSE, FALSE, sizeof(Watch));
-  return state;
+  SimStore *store = g_new0(SimStore, 1);
+  store->max_operations = 16; /* as the settings of the tests say */
+  store->max_value_bytes = (gsize)16 * 1024;
+  store->entries = g_tree_new_full(compare, NULL, g_free, entry_free);
+  store->leases = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
+  store->log = g_ptr_array_new_with_free_func(event_free);
+  store->watches = g_array_new(FALSE, FALSE, sizeof(Watch));
+  return store;
 }
 
 void
-sim_state_free(SimState *state)
+sim_store_free(SimStore *store)
 {
-  for (guint i = 0; i < state->watches->len; i++) {
-    const Watch *watch = &g_array_index(state->watches, Watch, i);
+  for (guint i = 0; i < store->watches->len; i++) {
+    const Watch *watch = &g_array_index(store->watches, Watch, i);
     watch->reply(watch->data, 503, json_object());
   }
-  g_tree_unref(state->entries);
-  g_hash_table_unref(state->leases);
-  g_ptr_array_unref(state->log);
-  g_array_unref(state->watches);
-  g_free(state);
+  g_tree_unref(store->entries);
+  g_hash_table_unref(store->leases);
+  g_ptr_array_unref(store->log);
+  g_array_unref(store->watches);
+  g_free(store);
 }
 
 static void
-put(SimState *state, const char *key, json_t *value, guint64 lease)
+put(SimStore *store, const char *key, json_t *value, guint64 lease)
 {
   Entry *entry = g_new0(Entry, 1);
-  *entry = (Entry){ json_incref(value), state->revision, lease };
-  g_tree_replace(state->entries, g_strdup(key), entry);
-  g_ptr_array_add(state->log, json_pack("{s:s, s:O, s:I}", "set", key, "value", value, "verze",
-                                        (json_int_t)state->revision));
+  *entry = (Entry){ json_incref(value), store->revision, lease };
+  g_tree_replace(store->entries, g_strdup(key), entry);
+  g_ptr_array_add(store->log, json_pack("{s:s, s:O, s:I}", "set", key, "value", value, "verze",
+                                        (json_int_t)store->revision));
 }
 
 static void
-drop(SimState *state, const char *key)
+drop(SimStore *store, const char *key)
 {
-  if (g_tree_lookup(state->entries, key) == NULL)
+  if (g_tree_lookup(store->entries, key) == NULL)
     return;
-  g_ptr_array_add(state->log,
-                  json_pack("{s:s, s:I}", "remove", key, "verze", (json_int_t)state->revision));
-  g_tree_remove(state->entries, key);
+  g_ptr_array_add(store->log,
+                  json_pack("{s:s, s:I}", "remove", key, "verze", (json_int_t)store->revision));
+  g_tree_remove(store->entries, key);
 }
 
 static json_t *
-events_since(const SimState *state, guint64 from)
+events_since(const SimStore *store, guint64 from)
 {
   json_t *events = json_array();
-  for (guint i = 0; i < state->log->len; i++) {
-    json_t *event = g_ptr_array_index(state->log, i);
+  for (guint i = 0; i < store->log->len; i++) {
+    json_t *event = g_ptr_array_index(store->log, i);
     if ((guint64)json_integer_value(json_object_get(event, "verze")) > from)
       json_array_append(events, event);
   }
-  return json_pack("{s:I, s:o}", "zmena", (json_int_t)state->revision, "log", events);
+  return json_pack("{s:I, s:o}", "zmena", (json_int_t)store->revision, "log", events);
 }
 
 static void
-wake(SimState *state, gint64 now_ms, gboolean out)
+wake(SimStore *store, gint64 now_ms, gboolean out)
 {
-  for (guint i = state->watches->len; i-- > 0;) {
-    Watch watch = g_array_index(state->watches, Watch, i);
-    if (out || (watch.from >= state->revision && now_ms < watch.until_ms))
+  for (guint i = store->watches->len; i-- > 0;) {
+    Watch watch = g_array_index(store->watches, Watch, i);
+    if (out || (watch.from >= store->revision && now_ms < watch.until_ms))
       continue;
-    g_array_remove_index(state->watches, i);
-    watch.reply(watch.data, 200, events_since(state, watch.from));
+    g_array_remove_index(store->watches, i);
+    watch.reply(watch.data, 200, events_since(store, watch.from));
   }
 }
 
@@ -140,23 +140,23 @@
 }
 
 static void
-end_lease(SimState *state, guint64 lease)
+end_lease(SimStore *store, guint64 lease)
 {
   g_autoptr(GPtrArray) keys = g_ptr_array_new_with_free_func(g_free);
   Attached attached = { lease, keys };
-  g_tree_foreach(state->entries, collect, &attached);
+  g_tree_foreach(store->entries, collect, &attached);
   if (keys->len > 0)
-    state->revision++;
+    store->revision++;
   for (guint i = 0; i < keys->len; i++)
-    drop(state, g_ptr_array_index(keys, i));
+    drop(store, g_ptr_array_index(keys, i));
 }
 
 void
-sim_state_tick(SimState *state, gint64 now_ms, gboolean out)
+sim_store_tick(SimStore *store, gint64 now_ms, gboolean out)
 {
   GHashTableIter iter;
   gpointer key, value;
-  g_hash_table_iter_init(&iter, state->leases);
+  g_hash_table_iter_init(&iter, store->leases);
   while (g_hash_table_iter_next(&iter, &key, &value)) {
     Lease *lease = value;
     if (out)
@@ -165,81 +165,81 @@
       continue;
     guint64 ended = *(guint64 *)key;
     g_hash_table_iter_remove(&iter);
-    end_lease(state, ended);
+    end_lease(store, ended);
   }
-  wake(state, now_ms, out);
+  wake(store, now_ms, out);
 }
 
 static guint64
-version_of(const SimState *state, const char *key)
+version_of(const SimStore *store, const char *key)
 {
-  const Entry *entry = g_tree_lookup(state->entries, key);
+  const Entry *entry = g_tree_lookup(store->entries, key);
   return entry != NULL ? entry->version : 0;
 }
 
 /* Why the transaction is refused for its size, or NULL. */
 static const char *
-find_oversize(const SimState *state, const json_t *body)
+find_oversize(const SimStore *store, const json_t *body)
 {
   size_t i;
   const json_t *item;
   g_autofree char *text = json_dumps(body, JSON_COMPACT);
   if (strlen(text) > 65536)
     return "longer than 64 KiB";
-  if (json_array_size(json_object_get(body, "apply")) > state->max_operations)
+  if (json_array_size(json_object_get(body, "apply")) > store->max_operations)
     return "too many operations";
-  if (json_array_size(json_object_get(body, "if")) > 4 * (size_t)state->max_operations)
+  if (json_array_size(json_object_get(body, "if")) > 4 * (size_t)store->max_operations)
     return "too many conditions";
   json_array_foreach(json_object_get(body, "apply"), i, item)
   {
     const json_t *value = json_object_get(item, "value");
     g_autofree char *written = value != NULL ? json_dumps(value, JSON_COMPACT) : NULL;
-    if (written != NULL && strlen(written) > state->max_value_bytes)
+    if (written != NULL && strlen(written) > store->max_value_bytes)
       return "a value is too large";
   }
   return NULL;
 }
 
 static json_t *
-transact(SimState *state, const json_t *body, guint *status)
+transact(SimStore *store, const json_t *body, guint *status)
 {
   size_t i;
   const json_t *item;
   json_array_foreach(json_object_get(body, "if"), i, item)
   {
     const char *key = json_string_value(json_object_get(item, "k"));
-    if (version_of(state, key) != (guint64)json_integer_value(json_object_get(item, "verze"))) {
+    if (version_of(store, key) != (guint64)json_integer_value(json_object_get(item, "verze"))) {
       *status = 409;
-      return json_pack("{s:[s], s:I}", "failed", key, "zmena", (json_int_t)state->revision);
+      return json_pack("{s:[s], s:I}", "failed", key, "zmena", (json_int_t)store->revision);
     }
   }
   const json_t *changes = json_object_get(body, "apply");
   json_array_foreach(changes, i, item)
   {
     guint64 lease = (guint64)json_integer_value(json_object_get(item, "najem"));
-    if (lease != 0 && !g_hash_table_contains(state->leases, &lease)) {
+    if (lease != 0 && !g_hash_table_contains(store->leases, &lease)) {
       *status = 400;
       return json_pack("{s:s}", "error", "no such lease");
     }
   }
-  const char *oversize = find_oversize(state, body);
+  const char *oversize = find_oversize(store, body);
   if (oversize != NULL) {
-    state->refused_for_size++;
+    store->rejected_for_size++;
     *status = 400;
     return json_pack("{s:s}", "error", oversize);
   }
-  state->revision += json_array_size(changes) > 0 ? 1 : 0;
+  store->revision += json_array_size(changes) > 0 ? 1 : 0;
   json_array_foreach(changes, i, item)
   {
     const char *key = json_string_value(json_object_get(item, "set"));
     if (key != NULL)
-      put(state, key, json_object_get(item, "value"),
+      put(store, key, json_object_get(item, "value"),
           (guint64)json_integer_value(json_object_get(item, "najem")));
     else
-      drop(state, json_string_value(json_object_get(item, "remove")));
+      drop(store, json_string_value(json_object_get(item, "remove")));
   }
   *status = 200;
-  return json_pack("{s:I}", "zmena", (json_int_t)state->revision);
+  return json_pack("{s:I}", "zmena", (json_int_t)store->revision);
 }
 
 /* A parameter of the query, or NULL. */
@@ -283,81 +283,81 @@
 }
 
 static json_t *
-list(SimState *state, const char *path)
+list(SimStore *store, const char *path)
 {
   g_autofree char *prefix = parameter(path, "starts");
   g_autofree char *from = parameter(path, "from");
   Listing listing = { prefix, from, json_array(), 0 };
-  g_tree_foreach(state->entries, list_entry, &listing);
+  g_tree_foreach(store->entries, list_entry, &listing);
   return json_pack("{s:o, s:b, s:I}", "pairs", listing.pairs, "more", 0, "zmena",
-                   (json_int_t)state->revision);
+                   (json_int_t)store->revision);
 }
 
 static void
-watch(SimState *state, gint64 now_ms, const char *path, SimReply reply, gpointer data)
+watch(SimStore *store, gint64 now_ms, const char *path, SimStoreReply reply, gpointer data)
 {
   g_autofree char *from = parameter(path, "from");
   g_autofree char *wait = parameter(path, "wait_ms");
   Watch watch = { g_ascii_strtoull(from, NULL, 10), now_ms + atoi(wait), reply, data };
-  g_array_append_val(state->watches, watch);
+  g_array_append_val(store->watches, watch);
 }
 
 static json_t *
-make_lease(SimState *state, gint64 now_ms, const json_t *body)
+make_lease(SimStore *store, gint64 now_ms, const json_t *body)
 {
   guint64 *id = g_new(guint64, 1);
-  *id = ++state->next_lease;
+  *id = ++store->next_lease;
   Lease *lease = g_new0(Lease, 1);
   lease->ttl_ms = json_integer_value(json_object_get(body, "ttl_ms"));
   lease->ends_ms = now_ms + lease->ttl_ms;
-  g_hash_table_insert(state->leases, id, lease);
+  g_hash_table_insert(store->leases, id, lease);
   return json_pack("{s:I}", "najem", (json_int_t)*id);
 }
 
 void
-sim_state_request(SimState *state, gint64 now_ms, const char *method, const char *path,
-                  const json_t *body, SimReply reply, gpointer data)
+sim_store_request(SimStore *store, gint64 now_ms, const char *method, const char *path,
+                  const json_t *body, SimStoreReply reply, gpointer data)
 {
   guint status = 200;
   (void)method;
   if (g_str_has_prefix(path, "/follow")) {
-    watch(state, now_ms, path, reply, data);
+    watch(store, now_ms, path, reply, data);
   } else if (g_str_has_prefix(path, "/kv?")) {
-    reply(data, 200, list(state, path));
+    reply(data, 200, list(store, path));
   } else if (strcmp(path, "/multi") == 0) {
-    json_t *answer = transact(state, body, &status);
+    json_t *answer = transact(store, body, &status);
     reply(data, status, answer);
   } else if (strcmp(path, "/holds") == 0) {
-    reply(data, 200, make_lease(state, now_ms, body));
+    reply(data, 200, make_lease(store, now_ms, body));
   } else if (g_str_has_suffix(path, "/renew")) {
     guint64 id = g_ascii_strtoull(path + strlen("/holds/"), NULL, 10);
-    Lease *lease = g_hash_table_lookup(state->leases, &id);
+    Lease *lease = g_hash_table_lookup(store->leases, &id);
     if (lease != NULL)
       lease->ends_ms = now_ms + lease->ttl_ms;
     reply(data, lease != NULL ? 200 : 404, json_object());
   } else {
-    g_error("the state service has no %s", path);
+    g_error("the store has no %s", path);
   }
 }
 
 void
-sim_state_set_limits(SimState *state, guint max_operations, gsize max_value_bytes)
+sim_store_set_limits(SimStore *store, guint max_operations, gsize max_value_bytes)
 {
-  state->max_operations = max_operations;
-  state->max_value_bytes = max_value_bytes;
+  store->max_operations = max_operations;
+  store->max_value_bytes = max_value_bytes;
 }
 
 guint
-sim_state_refused_for_size(const SimState *state)
+sim_store_rejected_for_size(const SimStore *store)
 {
-  return state->refused_for_size;
+  return store->rejected_for_size;
 }
 
 guint
-sim_state_count(const SimState *state, const char *prefix)
+sim_store_count(const SimStore *store, const char *prefix)
 {
   Listing listing = { prefix, NULL, NULL, 0 };
-  g_tree_foreach(state->entries, list_entry, &listing);
+  g_tree_foreach(store->entries, list_entry, &listing);
   return listing.count;
 }
 
@@ -383,22 +383,22 @@
 }
 
 gboolean
-sim_state_names(const SimState *state, const char *prefix, const char *name)
+sim_store_lists_name(const SimStore *store, const char *prefix, const char *name)
 {
   Search search = { prefix, name, FALSE };
-  g_tree_foreach(state->entries, search_entry, &search);
+  g_tree_foreach(store->entries, search_entry, &search);
   return search.found;
 }
 
 gboolean
-sim_state_has(const SimState *state, const char *key)
+sim_store_has(const SimStore *store, const char *key)
 {
-  return g_tree_lookup(state->entries, key) != NULL;
+  return g_tree_lookup(store->entries, key) != NULL;
 }
 
 const json_t *
-sim_state_get(const SimState *state, const char *key)
+sim_store_get(const SimStore *store, const char *key)
 {
-  const Entry *entry = g_tree_lookup(state->entries, key);
+  const Entry *entry = g_tree_lookup(store->entries, key);
   return entry != NULL ? entry->value : NULL;
 }
--- a/tests/test-evidence.c
+++ b/tests/test-evidence.c
@@ -83,7 +83,7 @@
 epoch_number(const Fixture *fixture)
 {
   return (guint64)json_integer_value(
-      json_object_get(sim_state_get(fixture->state, "w/epoch"), "number"));
+      json_object_get(sim_store_get(fixture->store, "w/epoch"), "number"));
 }
 
 /* n1 joins or leaves, and n0 writes the next epoch. */
@@ -117,7 +117,7 @@
 static gboolean
 is_first_attempt_on_record(const World *world)
 {
-  const json_t *on = json_object_get(sim_state_get(world->fixture->state, "w/task/req-1/0"), "on");
+  const json_t *on = json_object_get(sim_store_get(world->fixture->store, "w/task/req-1/0"), "on");
   return json_integer_value(json_array_get(json_array_get(on, 0), 2)) == 1;
 }
 
@@ -245,7 +245,7 @@
   fixture_run(fixture, 0.4);
   g_assert_cmpstr(
       json_string_value(json_array_get(
-          json_array_get(json_object_get(sim_state_get(fixture->state, "w/task/req-1/0"), "on"), 0),
+          json_array_get(json_object_get(sim_store_get(fixture->store, "w/task/req-1/0"), "on"), 0),
           1)),
       !=, world.machine);
   end(&world);
@@ -285,13 +285,13 @@
   g_autofree char *mark = g_strdup_printf("w/mark/%s", world.machine);
   guint repeats = (guint)(fixture->settings->lease_s / REPEATED_EVERY_S) + 1;
   for (guint i = 0; i < repeats; i++) {
-    g_assert_false(sim_state_has(fixture->state, mark));
+    g_assert_false(sim_store_has(fixture->store, mark));
     fixture_request(fixture, WS_DOOR_MESH, "POST", "/ask", bare_release_of_n1(2));
     fixture_run(fixture, REPEATED_EVERY_S);
   }
   fixture_request(fixture, WS_DOOR_MESH, "POST", "/ask", bare_release_of_n1(2));
   fixture_run(fixture, 1.0);
-  g_assert_true(sim_state_has(fixture->state, mark));
+  g_assert_true(sim_store_has(fixture->store, mark));
   g_assert_true(is_first_attempt_on_record(&world));
   end(&world);
 }
--- a/tests/test-gangs.c
+++ b/tests/test-gangs.c
@@ -403,7 +403,7 @@
   fixture_run(fixture, 0.5);
   fixture_call(fixture, "POST", "/api/jobs/req-1/withdraw", NULL);
   g_assert_cmpstr(json_string_value(json_object_get(fixture->answer, "stav")), ==, "done");
-  const json_t *use = sim_state_get(fixture->state, "w/team-use/0");
+  const json_t *use = sim_store_get(fixture->store, "w/team-use/0");
   g_assert_cmpint(json_integer_value(json_object_get(json_object_get(use, "red"), "g")), ==, 0);
   fixture_free(fixture);
 }
@@ -420,7 +420,7 @@
     fixture_run(fixture, 0.5);
     fixture_send_heartbeat(fixture, 1, json_array());
     fixture_run(fixture, 3.0);
-    g_assert_false(sim_state_has(fixture->state, "w/mark/m-1"));
+    g_assert_false(sim_store_has(fixture->store, "w/mark/m-1"));
     g_assert_true(fixture_task_is_assigned(fixture));
     fixture_free(fixture);
   }
@@ -443,7 +443,7 @@
   fixture_call(fixture, "POST", "/api/jobs", submission);
   fixture_run(fixture, 1.0);
   g_assert_true(fixture_task_is_assigned(fixture));
-  g_autofree char *record = ws_json_text(sim_state_get(fixture->state, "w/task/req-1/0"));
+  g_autofree char *record = ws_json_text(sim_store_get(fixture->store, "w/task/req-1/0"));
   g_assert_null(strstr(record, "m-1"));
   fixture_free(fixture);
 }
@@ -455,7 +455,7 @@
   json_t *tasks = json_array();
   size_t i;
   const json_t *item;
-  json_array_foreach(json_object_get(sim_state_get(fixture->state, "w/task/req-1/0"), "on"), i,
+  json_array_foreach(json_object_get(sim_store_get(fixture->store, "w/task/req-1/0"), "on"), i,
                      item)
   {
     g_autofree char *name = g_strdup_printf("req-1/%" JSON_INTEGER_FORMAT,
@@ -478,7 +478,7 @@
   g_autoptr(GHashTable) machines = g_hash_table_new(g_str_hash, g_str_equal);
   size_t i;
   const json_t *item;
-  json_array_foreach(json_object_get(sim_state_get(fixture->state, key), "on"), i, item)
+  json_array_foreach(json_object_get(sim_store_get(fixture->store, key), "on"), i, item)
   {
     g_hash_table_add(machines, (gpointer)json_string_value(json_array_get(item, 1)));
   }
@@ -531,7 +531,7 @@
     report_running(fixture, "m-1", i > 0);
     g_assert_cmpfloat(halt_grace(fixture, NULL), <, 0.0);
   }
-  g_assert_true(sim_state_has(fixture->state, "w/mark/m-1"));
+  g_assert_true(sim_store_has(fixture->store, "w/mark/m-1"));
   report_running(fixture, "m-2", FALSE);
   fixture_run(fixture, 0.5);
   report_running(fixture, "m-2", FALSE);
--- a/tests/test-http.c
+++ b/tests/test-http.c
@@ -2,7 +2,7 @@
    answers to good and bad requests, and connections that are used again. */
 #include "protocol/ws-json.h"
 #include "runtime/ws-runtime.h"
-#include "sim/state.h"
+#include "sim/store.h"
 #include "ws-gen.h"
 #include "ws-suite.h"
 
@@ -10,7 +10,7 @@
 #include <string.h>
 
 typedef struct {
-  SimState *state;
+  SimStore *store;
   SoupServer *server; /* both services */
   GHashTable *connections;
   WsSettings *settings;
@@ -74,7 +74,7 @@
   Held *held = g_new0(Held, 1);
   held->message = g_object_ref(message);
   soup_server_message_pause(message);
-  sim_state_request(stand->state, g_get_monotonic_time() / 1000,
+  sim_store_request(stand->store, g_get_monotonic_time() / 1000,
                     soup_server_message_get_method(message), full, body, on_state, held);
 }
 
@@ -82,7 +82,7 @@
 on_tick(gpointer data)
 {
   Stand *stand = data;
-  sim_state_tick(stand->state, g_get_monotonic_time() / 1000, FALSE);
+  sim_store_tick(stand->store, g_get_monotonic_time() / 1000, FALSE);
   return G_SOURCE_CONTINUE;
 }
 
@@ -122,7 +122,7 @@
   guint services = free_port(), api = free_port(), mesh = free_port();
   g_autofree char *reason = NULL;
   g_autoptr(GError) error = NULL;
-  stand->state = sim_state_new();
+  stand->store = sim_store_new();
   stand->connections = g_hash_table_new(NULL, NULL);
   stand->server = soup_server_new(NULL, NULL);
   soup_server_add_handler(stand->server, NULL, on_request, stand, NULL);
--- a/tests/test-regressions.c
+++ b/tests/test-regressions.c
@@ -114,7 +114,7 @@
   Fixture *fixture = fixture_new_with_job(FALSE);
   fixture_run(fixture, 30.0);
   g_assert_cmpint(
-      json_integer_value(json_object_get(sim_state_get(fixture->state, "w/epoch"), "number")), ==,
+      json_integer_value(json_object_get(sim_store_get(fixture->store, "w/epoch"), "number")), ==,
       1);
   fixture_free(fixture);
 }
@@ -175,7 +175,7 @@
   fixture_reply(fixture, fixture->held_call, 409, NULL);
   fixture_pump(fixture);
   fixture_run(fixture, 1.0);
-  const json_t *record = sim_state_get(fixture->state, "w/task/req-2/0");
+  const json_t *record = sim_store_get(fixture->store, "w/task/req-2/0");
   g_assert_cmpuint(json_array_size(json_object_get(record, "on")), ==, 1);
   fixture_free(fixture);
 }
@@ -191,7 +191,7 @@
   json_object_set_new(gang, "kusy", json_integer(2));
   fixture_call(fixture, "POST", "/api/jobs", gang);
   fixture_run(fixture, 1.0);
-  const json_t *on = json_object_get(sim_state_get(fixture->state, "w/task/req-2/0"), "on");
+  const json_t *on = json_object_get(sim_store_get(fixture->store, "w/task/req-2/0"), "on");
   g_assert_cmpuint(json_array_size(on), ==, 2);
   for (guint i = 0; i < 2; i++)
     g_assert_cmpint(json_integer_value(json_array_get(json_array_get(on, i), 2)), ==, 1);
@@ -213,7 +213,7 @@
   g_assert_true(has_condition(fixture->member_transaction, "w/member/n0"));
   fixture_write_key(fixture, "w/member/n0", NULL);
   fixture_run(fixture, 2.5);
-  g_assert_true(sim_state_has(fixture->state, "w/member/n0"));
+  g_assert_true(sim_store_has(fixture->store, "w/member/n0"));
   fixture_free(fixture);
 }
 
@@ -227,7 +227,7 @@
   fixture_send_heartbeat(fixture, 1, json_array());
   g_assert_cmpuint(fixture->status, ==, 503);
   fixture_run(fixture, 1.0);
-  g_assert_false(sim_state_has(fixture->state, "w/lot/a-1-0-1"));
+  g_assert_false(sim_store_has(fixture->store, "w/lot/a-1-0-1"));
   fixture_free(fixture);
 }
 
@@ -242,10 +242,10 @@
   fixture_run(fixture, 2.0);
   fixture_post_heartbeat(fixture, "m-9", 0, 6, json_array());
   fixture_run(fixture, 2.0);
-  g_assert_false(sim_state_names(fixture->state, "w/lot/", "m-9"));
+  g_assert_false(sim_store_lists_name(fixture->store, "w/lot/", "m-9"));
   fixture_post_heartbeat(fixture, "m-9", 1, 7, json_array());
   fixture_run(fixture, 1.0);
-  g_assert_true(sim_state_names(fixture->state, "w/lot/", "m-9"));
+  g_assert_true(sim_store_lists_name(fixture->store, "w/lot/", "m-9"));
   fixture_free(fixture);
 }
 
@@ -277,7 +277,7 @@
   for (guint number = 0; number < JOBS; number++) {
     g_autofree char *key = g_strdup_printf("w/task/req-1%u/0", number);
     g_autofree char *task = g_strdup_printf("req-1%u/0", number);
-    const json_t *on = json_object_get(sim_state_get(fixture->state, key), "on");
+    const json_t *on = json_object_get(sim_store_get(fixture->store, key), "on");
     g_assert_cmpuint(json_array_size(on), ==, 1);
     fixture_post_heartbeat(fixture, json_string_value(json_array_get(json_array_get(on, 0), 1)), 1,
                            100,
@@ -331,10 +331,10 @@
     report_all(fixture, 2, 1, ++sequence, TRUE);
     fixture_run(fixture, 1.5);
   }
-  g_assert_cmpuint(sim_state_count(fixture->state, "w/mark/"), ==, 0);
+  g_assert_cmpuint(sim_store_count(fixture->store, "w/mark/"), ==, 0);
   report_all(fixture, 2, 1, ++sequence, FALSE);
   fixture_run(fixture, 1.2);
-  g_assert_cmpuint(sim_state_count(fixture->state, "w/mark/"), ==, 2);
+  g_assert_cmpuint(sim_store_count(fixture->store, "w/mark/"), ==, 2);
   fixture_free(fixture);
 }
 
@@ -357,7 +357,7 @@
     fixture_post_heartbeat(fixture, "m-1", sequence == 1 ? 0 : 1, sequence, json_array());
     fixture_run(fixture, 1.0);
   }
-  g_assert_cmpuint(sim_state_count(fixture->state, "w/mark/"), ==, 0);
+  g_assert_cmpuint(sim_store_count(fixture->store, "w/mark/"), ==, 0);
   fixture_free(fixture);
 }
 
@@ -376,7 +376,7 @@
   json_object_set_new(second, "id", json_string("req-2"));
   fixture_call(fixture, "POST", "/api/jobs", second);
   fixture_run(fixture, 0.5);
-  g_assert_true(sim_state_has(fixture->state, "w/task/req-2/0"));
+  g_assert_true(sim_store_has(fixture->store, "w/task/req-2/0"));
   fixture_free(fixture);
 }
 
@@ -400,8 +400,8 @@
     fixture_post_heartbeat(fixture, "m-1", sequence == 1 ? 0 : 1, sequence, json_array());
     fixture_run(fixture, 1.0);
   }
-  g_assert_cmpuint(sim_state_count(fixture->state, "w/mark/"), ==, 1);
-  g_assert_true(sim_state_has(fixture->state, "w/mark/m-2"));
+  g_assert_cmpuint(sim_store_count(fixture->store, "w/mark/"), ==, 1);
+  g_assert_true(sim_store_has(fixture->store, "w/mark/m-2"));
   fixture_free(fixture);
 }
 
@@ -420,9 +420,9 @@
     fixture_run(fixture, 1.5);
   }
   fixture_run(fixture, 2.0 * fixture->settings->lease_s);
-  g_assert_cmpuint(sim_state_count(fixture->state, "w/mark/"), ==, 0);
+  g_assert_cmpuint(sim_store_count(fixture->store, "w/mark/"), ==, 0);
   fixture_run(fixture, 2.0 * fixture->settings->lease_s);
-  g_assert_cmpuint(sim_state_count(fixture->state, "w/mark/"), ==, 16);
+  g_assert_cmpuint(sim_store_count(fixture->store, "w/mark/"), ==, 16);
   fixture_free(fixture);
 }
 
@@ -444,7 +444,7 @@
   fixture_call(fixture, "POST", "/api/jobs", job);
   fixture_run(fixture, 1.0);
   g_assert_cmpuint(
-      json_array_size(json_object_get(sim_state_get(fixture->state, "w/task/req-1/0"), "on")), ==,
+      json_array_size(json_object_get(sim_store_get(fixture->store, "w/task/req-1/0"), "on")), ==,
       6);
   fixture->peers_unreachable = peers_silent;
   fixture_restart(fixture);
@@ -458,7 +458,7 @@
 {
   Fixture *fixture = restarted_fixture("b", TRUE);
   fixture_run(fixture, 40.0);
-  g_assert_cmpuint(sim_state_count(fixture->state, "w/mark/"), ==, 0);
+  g_assert_cmpuint(sim_store_count(fixture->store, "w/mark/"), ==, 0);
   fixture_free(fixture);
 }
 
@@ -469,9 +469,9 @@
 {
   Fixture *fixture = restarted_fixture("a", FALSE);
   fixture_run(fixture, 14.5); /* the first of them are in the lease of its last run */
-  g_assert_cmpuint(sim_state_count(fixture->state, "w/mark/"), ==, 0);
+  g_assert_cmpuint(sim_store_count(fixture->store, "w/mark/"), ==, 0);
   fixture_run(fixture, 6.0);
-  g_assert_cmpuint(sim_state_count(fixture->state, "w/mark/"), ==, 16);
+  g_assert_cmpuint(sim_store_count(fixture->store, "w/mark/"), ==, 16);
   fixture_free(fixture);
 }
 
@@ -489,7 +489,7 @@
   g_assert_cmpuint(fixture->status, ==, 200);
   fixture_run(fixture, 2.0);
   g_assert_true(fixture_task_is_assigned(fixture));
-  g_assert_cmpuint(sim_state_count(fixture->state, "w/mark/"), ==, 0);
+  g_assert_cmpuint(sim_store_count(fixture->store, "w/mark/"), ==, 0);
   fixture_free(fixture);
 }
 
@@ -503,12 +503,12 @@
     fixture_post_heartbeat(fixture, "m-2", sequence == 1 ? 0 : 1, sequence, json_array());
     fixture_run(fixture, 1.0);
   }
-  g_assert_cmpuint(sim_state_count(fixture->state, "w/mark/"), ==, 0);
+  g_assert_cmpuint(sim_store_count(fixture->store, "w/mark/"), ==, 0);
   for (guint64 sequence = 31; sequence <= 50; sequence++) {
     fixture_post_heartbeat(fixture, "m-2", 1, sequence, json_array());
     fixture_run(fixture, 1.0);
   }
-  g_assert_cmpuint(sim_state_count(fixture->state, "w/mark/"), ==, 1);
+  g_assert_cmpuint(sim_store_count(fixture->store, "w/mark/"), ==, 1);
   fixture_free(fixture);
 }
 
@@ -627,11 +627,11 @@
   g_assert_cmpuint(fixture->returns_requested, ==, 0);
   fixture_run(fixture, 6.0);
   g_assert_cmpuint(fixture->returns_requested, ==, 1);
-  g_assert_true(sim_state_names(fixture->state, "w/lot/", "m-1"));
+  g_assert_true(sim_store_lists_name(fixture->store, "w/lot/", "m-1"));
   fixture->store_unavailable = fixture->peers_lack_store = FALSE;
   fixture_run(fixture, 8.0);
-  g_assert_false(sim_state_names(fixture->state, "w/lot/", "m-1"));
-  g_assert_cmpuint(sim_state_count(fixture->state, "w/mark/"), ==, 0);
+  g_assert_false(sim_store_lists_name(fixture->store, "w/lot/", "m-1"));
+  g_assert_cmpuint(sim_store_count(fixture->store, "w/mark/"), ==, 0);
   g_assert_false(fixture_task_is_assigned(fixture));
   fixture_free(fixture);
 }
@@ -651,7 +651,7 @@
   }
   fixture_call(fixture, "POST", "/api/jobs", fixture_submission());
   fixture_run(fixture, 1.0);
-  const json_t *on = json_object_get(sim_state_get(fixture->state, "w/task/req-1/0"), "on");
+  const json_t *on = json_object_get(sim_store_get(fixture->store, "w/task/req-1/0"), "on");
   g_assert_cmpstr(json_string_value(json_array_get(json_array_get(on, 0), 1)), ==, "m-2");
   fixture_free(fixture);
 }
@@ -704,7 +704,7 @@
   g_assert_true(fixture_task_is_assigned(fixture));
   fixture_run(fixture, 6.0);
   g_assert_cmpuint(
-      json_array_size(json_object_get(sim_state_get(fixture->state, "w/task/req-1/0"), "on")), ==,
+      json_array_size(json_object_get(sim_store_get(fixture->store, "w/task/req-1/0"), "on")), ==,
       0);
   fixture_free(fixture);
 }
@@ -754,7 +754,7 @@
   json_object_set_new(filling, "prednost", json_string("best_effort"));
   fixture_call(fixture, "POST", "/api/jobs", filling);
   fixture_run(fixture, 1.5);
-  const json_t *record = sim_state_get(fixture->state, "w/task/req-1/0");
+  const json_t *record = sim_store_get(fixture->store, "w/task/req-1/0");
   g_assert_cmpuint(json_array_size(json_object_get(record, "on")), ==, 6);
   guint commands = fixture->direct_commands;
   json_t *urgent = fixture_submission();
@@ -815,7 +815,7 @@
 only_assignment(const Fixture *fixture, guint i)
 {
   g_autofree char *key = g_strdup_printf("w/task/req-%u/0", i);
-  return json_array_get(json_object_get(sim_state_get(fixture->state, key), "on"), 0);
+  return json_array_get(json_object_get(sim_store_get(fixture->store, key), "on"), 0);
 }
 
 static guint
@@ -824,7 +824,7 @@
   guint count = 0;
   for (guint i = 1; i <= MANY; i++) {
     g_autofree char *key = g_strdup_printf("w/job/req-%u", i);
-    const json_t *job = sim_state_get(fixture->state, key);
+    const json_t *job = sim_store_get(fixture->store, key);
     count += g_strcmp0(json_string_value(json_object_get(job, "s")), "done") == 0 ? 1 : 0;
   }
   return count;
--- a/tests/test-size.c
+++ b/tests/test-size.c
@@ -167,7 +167,7 @@
     g_autofree char *key = g_strdup_printf("w/task/req-000001/%u", chunk);
     size_t i;
     const json_t *on;
-    json_array_foreach(json_object_get(sim_state_get(fixture->state, key), "on"), i, on)
+    json_array_foreach(json_object_get(sim_store_get(fixture->store, key), "on"), i, on)
     {
       g_autofree char *task = g_strdup_printf("req-000001/%" JSON_INTEGER_FORMAT,
                                               json_integer_value(json_array_get(on, 0)));
@@ -229,7 +229,7 @@
     g_autofree char *key = g_strdup_printf("w/task/req-%06u/0", j);
     size_t i;
     const json_t *on;
-    json_array_foreach(json_object_get(sim_state_get(fixture->state, key), "on"), i, on)
+    json_array_foreach(json_object_get(sim_store_get(fixture->store, key), "on"), i, on)
     {
       guint64 machine = g_ascii_strtoull(json_string_value(json_array_get(on, 1)) + 2, NULL, 10);
       g_autofree char *task = g_strdup_printf("req-%06u/%" JSON_INTEGER_FORMAT, j,
@@ -252,7 +252,7 @@
   for (gint64 until_ms = fixture->now_ms + (gint64)(seconds * 1000.0);
        fixture->now_ms < until_ms;) {
     fixture_run(fixture, 0.05);
-    if (*marked_ms == 0 && sim_state_count(fixture->state, "w/mark/") > 0)
+    if (*marked_ms == 0 && sim_store_count(fixture->store, "w/mark/") > 0)
       *marked_ms = fixture->now_ms;
   }
 }
@@ -291,7 +291,7 @@
   for (guint i = 0; i < 30; i++) {
     run_to_marks(fixture, 1.5, &marked_ms);
     report_jobs(fixture, machines, 4, ++sequence);
-    most = MAX(most, sim_state_count(fixture->state, "w/mark/"));
+    most = MAX(most, sim_store_count(fixture->store, "w/mark/"));
   }
   g_assert_cmpint(marked_ms % 2000, <, 1100);
   fixture_free(fixture);
@@ -322,12 +322,12 @@
     json_object_set_new(job, "cpus", json_real(32.0));
     fixture_post(fixture, "/api/jobs", job);
   }
-  for (guint round = 0; round < 20 && sim_state_count(fixture->state, "w/task/") < JOBS; round++) {
+  for (guint round = 0; round < 20 && sim_store_count(fixture->store, "w/task/") < JOBS; round++) {
     for (guint m = 0; m < HUGE; m++)
       report(fixture, m, 1, 10 + round);
     fixture_run(fixture, 1.0);
   }
-  g_assert_cmpuint(sim_state_count(fixture->state, "w/task/"), ==, JOBS);
+  g_assert_cmpuint(sim_store_count(fixture->store, "w/task/"), ==, JOBS);
   fixture->workers_answer = FALSE;
   fixture->peers_acknowledge = TRUE;
   guint direct = fixture->direct_commands;
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -158,7 +158,7 @@
     g_assert_cmpuint(fixture->status, ==, 200);
   }
   fixture_run(fixture, 1.0);
-  g_assert_true(sim_state_has(fixture->state, "w/mark/m-1"));
+  g_assert_true(sim_store_has(fixture->store, "w/mark/m-1"));
   fixture_call(fixture, "GET", "/api/jobs/req-1", NULL);
   g_assert_cmpstr(json_string_value(json_object_get(fixture->answer, "stav")), ==, "done");
   fixture_free(fixture);
@@ -350,8 +350,8 @@
   for (guint i = 0; i < 300 && sim_open_jobs(sim) > 0; i++)
     sim_run(sim, 1.0);
   g_assert_cmpuint(sim_open_jobs(sim), ==, 0);
-  g_assert_cmpuint(sim_refused_for_size(sim), >, 0);
-  g_assert_cmpuint(sim_refused_for_size(sim), <, 200);
+  g_assert_cmpuint(sim_rejected_for_size(sim), >, 0);
+  g_assert_cmpuint(sim_rejected_for_size(sim), <, 200);
   sim_free(sim);
 }
 
