--- a/tests/sim/sim-checker.c
+++ b/tests/sim/sim-checker.c
@@ -18,7 +18,7 @@
     const Machine *machine = g_ptr_array_index(sim->machines, i);
     for (guint k = 0; k < machine->worker->tasks->len; k++) {
       const SimTask *task = &g_array_index(machine->worker->tasks, SimTask, k);
-      if (!sim_task_is_on(task))
+      if (!sim_task_occupies_slot(task))
         continue;
       const Job *other = sim_find_job(sim, task->job);
       count->same_task += other == job && task->task == number ? 1 : 0;
@@ -50,14 +50,14 @@
       || (job->spec.one_zone && count.in_zone < count.same_job)
       || (job->spec.scatter && count.in_zone + 1 > (job->spec.tasks + 1) / 2))
     g_error("seed %u, %.1f s: wrong_place: %s/%u", sim->seed, sim_now_s(sim), job->id, task->task);
-  g_assert_cmpuint(count.on_machine, <, SIM_PLACES);
+  g_assert_cmpuint(count.on_machine, <, SIM_SLOTS);
 }
 
 static void
 check_cancelled(Sim *sim, const SimTask *task)
 {
   const Job *job = sim_find_job(sim, task->job);
-  if (job->told == TOLD_CANCELLED && sim_task_is_on(task)
+  if (job->told == TOLD_CANCELLED && sim_task_occupies_slot(task)
       && sim->now_ms > job->cancelled_ms + CANCEL_MS)
     g_error("seed %u, %.1f s: ran_cancelled: %s/%u", sim->seed, sim_now_s(sim), job->id,
             task->task);
@@ -82,7 +82,7 @@
     sim_find_job(sim, task->job)->has_started = TRUE;
     task->state = "running";
     task->next_ms = run_s < 0.0 ? G_MAXINT64 : sim->now_ms + (gint64)(run_s * 1000.0);
-    machine->report_ms = MIN(machine->report_ms, sim->now_ms + 500);
+    machine->next_heartbeat_ms = MIN(machine->next_heartbeat_ms, sim->now_ms + 500);
   } else if (strcmp(task->state, "running") == 0 && !sim_find_job(sim, task->job)->spec.gang) {
     task->state = "exited";
     task->why = "done";
@@ -90,7 +90,7 @@
     job->completed[task->task] = 1;
     if (sim_chance(sim, sim->cancel_at_completion))
       sim_user_cancels(sim, job);
-    machine->report_ms = MIN(machine->report_ms, sim->now_ms + 500);
+    machine->next_heartbeat_ms = MIN(machine->next_heartbeat_ms, sim->now_ms + 500);
   }
 }
 
@@ -171,7 +171,7 @@
          && machine->worker->interruption_ms == 0
          && sim->now_ms >= machine->outbound_unreachable_until_ms
          && sim->now_ms >= machine->inbound_unreachable_until_ms
-         && (job->spec.spot || !machine->worker->spot) && taken < SIM_PLACES;
+         && (job->spec.spot || !machine->worker->spot) && taken < SIM_SLOTS;
 }
 
 /* Once the troubles are over no job waits for long while a machine that fits has room and its team
--- a/tests/sim/sim-cloud.c
+++ b/tests/sim/sim-cloud.c
@@ -41,7 +41,7 @@
       machine->worker
           = sim_worker_new(name, "g4", zone_named(json_string_value(json_object_get(body, "hala"))),
                            json_is_true(json_object_get(body, "vypujcky")), sim->now_ms);
-      machine->report_ms = machine->up_ms;
+      machine->next_heartbeat_ms = machine->up_ms;
       machine->node = (guint)g_rand_int_range(sim->rand, 0, SIM_NODES);
       g_ptr_array_add(sim->machines, machine);
       json_array_append_new(names, json_string(name));
@@ -69,7 +69,7 @@
 }
 
 static void
-take_back(Sim *sim, const json_t *body)
+return_machines(Sim *sim, const json_t *body)
 {
   size_t i;
   const json_t *name;
@@ -92,11 +92,11 @@
   } else if (g_str_has_prefix(call->path, "/catalog")) {
     sim_reply_to(call, 200,
                  json_pack("{s:[{s:s, s:f, s:f, s:f, s:f, s:f, s:f, s:f, s:f, s:[s,s,s]}]}", "typy",
-                           "sku", "g4", "cpus", 32.0, "accelerators", (double)SIM_PLACES, "mem_gb",
+                           "sku", "g4", "cpus", 32.0, "accelerators", (double)SIM_SLOTS, "mem_gb",
                            64.0, "local_gb", 100.0, "pull_gb_per_s", 1.0, "price", 8.0, "low_price",
                            3.0, "boot_s", 8.0, "haly", "a", "b", "c"));
   } else if (strcmp(call->path, "/machines/return") == 0) {
-    take_back(sim, call->body);
+    return_machines(sim, call->body);
     sim_reply_to(call, 200, json_object());
   } else if (strcmp(call->path, "/machines") == 0) {
     if (sim->faults.cloud_is_full)
@@ -121,16 +121,16 @@
 }
 
 static void
-send_report(Sim *sim, Machine *machine)
+send_heartbeat(Sim *sim, Machine *machine)
 {
   Call *call = g_new0(Call, 1);
   call->machine = machine;
-  call->session = machine->worker->session;
+  call->incarnation = machine->worker->incarnation;
   call->method = g_strdup("POST");
   call->address = g_strdup_printf("api-%u:1", machine->node);
   call->path = g_strdup("/v1/report");
-  call->body = sim_worker_report(machine->worker, sim->now_ms);
-  machine->report_ms = G_MAXINT64;
+  call->body = sim_worker_heartbeat(machine->worker, sim->now_ms);
+  machine->next_heartbeat_ms = G_MAXINT64;
   sim_send_call(sim, call, 4000);
 }
 
@@ -139,10 +139,10 @@
 {
   if (!sim_is_up(sim, machine))
     return;
-  if (machine->worker->seq == 0)
+  if (machine->worker->sequence == 0)
     machine->worker->renewed_ms = MAX(machine->worker->renewed_ms, machine->up_ms);
   guint tasks = machine->worker->tasks->len;
-  sim_worker_lease(machine->worker, sim->now_ms, sim->lease_ms);
+  sim_worker_check_lease(machine->worker, sim->now_ms, sim->lease_ms);
   sim->lost_tasks += tasks - machine->worker->tasks->len;
   if (sim_is_stalled(sim, machine))
     return;
@@ -153,6 +153,6 @@
   }
   for (guint i = 0; i < machine->worker->tasks->len; i++)
     sim_step_task(sim, machine, &g_array_index(machine->worker->tasks, SimTask, i));
-  if (sim->now_ms >= machine->report_ms)
-    send_report(sim, machine);
+  if (sim->now_ms >= machine->next_heartbeat_ms)
+    send_heartbeat(sim, machine);
 }
--- a/tests/sim/sim-faults.c
+++ b/tests/sim/sim-faults.c
@@ -138,9 +138,9 @@
   if (machine == NULL)
     return;
   g_array_set_size(machine->worker->tasks, 0);
-  machine->worker->session++;
+  machine->worker->incarnation++;
   machine->worker->renewed_ms = sim->now_ms;
-  machine->report_ms = sim->now_ms + 300;
+  machine->next_heartbeat_ms = sim->now_ms + 300;
 }
 
 void
--- a/tests/sim/sim-gangs.c
+++ b/tests/sim/sim-gangs.c
@@ -28,21 +28,21 @@
 }
 
 static void
-report_soon(const Sim *sim, Machine *machine)
+send_heartbeat_soon(const Sim *sim, Machine *machine)
 {
-  machine->report_ms = MIN(machine->report_ms, sim->now_ms + 500);
+  machine->next_heartbeat_ms = MIN(machine->next_heartbeat_ms, sim->now_ms + 500);
 }
 
 static void
-end_member(const Sim *sim, const Member *member, const char *why)
+exit_member(const Sim *sim, const Member *member, const char *why)
 {
   member->task->state = "exited";
   member->task->why = why;
-  report_soon(sim, member->machine);
+  send_heartbeat_soon(sim, member->machine);
 }
 
 static gboolean
-acts(const Sim *sim, const Member *member)
+can_act(const Sim *sim, const Member *member)
 {
   return sim_is_up(sim, member->machine) && !sim_is_stalled(sim, member->machine);
 }
@@ -55,7 +55,7 @@
   g_autoptr(GArray) members = find_members(sim, job);
   for (guint i = 0; i < members->len; i++) {
     const SimTask *other = g_array_index(members, Member, i).task;
-    if (sim_task_is_on(other) && other->attempt != task->attempt)
+    if (sim_task_occupies_slot(other) && other->attempt != task->attempt)
       g_error("seed %u, %.1f s: two attempts of gang %s", sim->seed, sim_now_s(sim), job->id);
   }
 }
@@ -65,7 +65,7 @@
 {
   task->state = "gathering";
   task->gathered_ms = sim->now_ms;
-  report_soon(sim, machine);
+  send_heartbeat_soon(sim, machine);
 }
 
 static guint
@@ -75,7 +75,7 @@
   for (guint i = 0; i < members->len; i++) {
     const Member *member = &g_array_index(members, Member, i);
     count += member->task->attempt == attempt && strcmp(member->task->state, state) == 0
-                     && acts(sim, member)
+                     && can_act(sim, member)
                  ? 1
                  : 0;
   }
@@ -99,7 +99,7 @@
       continue;
     member->task->state = "running";
     member->task->save_ms = (gint64)(SIM_SAVE_S * 1000.0);
-    report_soon(sim, member->machine);
+    send_heartbeat_soon(sim, member->machine);
   }
 }
 
@@ -108,7 +108,7 @@
 {
   for (guint i = 0; i < members->len; i++) {
     const Member *member = &g_array_index(members, Member, i);
-    if (strcmp(member->task->state, "gathering") != 0 || !acts(sim, member))
+    if (strcmp(member->task->state, "gathering") != 0 || !can_act(sim, member))
       continue;
     guint64 attempt = member->task->attempt;
     if (count_members(sim, members, attempt, "gathering") == job->spec.tasks) {
@@ -116,7 +116,7 @@
       return;
     }
     if (sim->now_ms - member->task->gathered_ms > GANG_WAIT_MS)
-      end_member(sim, member, "incomplete");
+      exit_member(sim, member, "incomplete");
   }
 }
 
@@ -130,7 +130,7 @@
 
 /* What was done since the last checkpoint is lost. */
 static void
-fall_back(const Sim *sim, Job *job)
+lose_attempt(const Sim *sim, Job *job)
 {
   gint64 checkpoint_ms = (gint64)(SIM_CHECKPOINT_S * 1000.0);
   job->gang.progress_ms
@@ -145,7 +145,7 @@
   for (guint i = 0; i < members->len; i++) {
     const Member *member = &g_array_index(members, Member, i);
     if (member->task->attempt == job->gang.attempt)
-      end_member(sim, member, "done");
+      exit_member(sim, member, "done");
   }
   memset(job->completed, 1, job->spec.tasks);
   job->gang.is_over = TRUE;
@@ -168,15 +168,15 @@
     gang->is_over = TRUE;
     gang->saves++;
   } else {
-    fall_back(sim, job);
+    lose_attempt(sim, job);
   }
   for (guint i = 0; i < members->len; i++) {
     const Member *member = &g_array_index(members, Member, i);
-    if (member->task->attempt != gang->attempt || !acts(sim, member))
+    if (member->task->attempt != gang->attempt || !can_act(sim, member))
       continue;
     gboolean was_saving = strcmp(member->task->state, "flushing") == 0;
     member->task->saved = all_saved;
-    end_member(sim, member, was_saving ? "stopped" : "peers");
+    exit_member(sim, member, was_saving ? "stopped" : "peers");
   }
 }
 
@@ -190,11 +190,11 @@
   if (sim->now_ms - gang->lost_ms < GANG_PEER_MS / 2)
     return;
   if (!gang->is_over)
-    fall_back(sim, job);
+    lose_attempt(sim, job);
   for (guint i = 0; i < members->len; i++) {
     const Member *member = &g_array_index(members, Member, i);
-    if (member->task->attempt == gang->attempt && acts(sim, member))
-      end_member(sim, member, "peers");
+    if (member->task->attempt == gang->attempt && can_act(sim, member))
+      exit_member(sim, member, "peers");
   }
 }
 
--- a/tests/sim/sim-network.c
+++ b/tests/sim/sim-network.c
@@ -155,11 +155,11 @@
 {
   json_t *report = NULL;
   if (strcmp(call->path, "/status") == 0) {
-    sim_reply_to(call, 200, sim_worker_report(machine->worker, sim->now_ms));
+    sim_reply_to(call, 200, sim_worker_heartbeat(machine->worker, sim->now_ms));
     return;
   }
-  guint status
-      = sim_worker_commands(machine->worker, sim->now_ms, call->body, &report, sim_describe, sim);
+  guint status = sim_worker_handle_commands(machine->worker, sim->now_ms, call->body, &report,
+                                            sim_describe, sim);
   sim_reply_to(call, status, report);
 }
 
@@ -386,16 +386,17 @@
 worker_replied(Sim *sim, Call *call)
 {
   Machine *machine = call->machine;
-  machine->report_ms = sim->now_ms + sim->report_ms * 3 / 4
-                       + g_rand_int_range(sim->rand, 0, (gint32)sim->report_ms / 2);
+  machine->next_heartbeat_ms
+      = sim->now_ms + sim->heartbeat_interval_ms * 3 / 4
+        + g_rand_int_range(sim->rand, 0, (gint32)sim->heartbeat_interval_ms / 2);
   if (!sim_is_up(sim, machine))
     return;
   if (sim->now_ms < machine->outbound_unreachable_until_ms)
     call->status = 0;
   if (call->status == 200) {
     if (!sim_is_stalled(sim, machine))
-      sim_worker_answer(machine->worker, sim->now_ms, call->sent_ms, call->session, call->answer,
-                        sim_describe, sim);
+      sim_worker_handle_answer(machine->worker, sim->now_ms, call->sent_ms, call->incarnation,
+                               call->answer, sim_describe, sim);
     return;
   }
   const char *to = call->status == 421
@@ -404,6 +405,7 @@
   guint next = (machine->node + 1) % SIM_NODES;
   if (call->status == 421 && to != NULL)
     next = (guint)(to[1] - '0');
-  machine->report_ms = sim->now_ms + (call->status == 421 && next != machine->node ? 100 : 1000);
+  machine->next_heartbeat_ms
+      = sim->now_ms + (call->status == 421 && next != machine->node ? 100 : 1000);
   machine->node = next;
 }
--- a/tests/sim/sim-private.h
+++ b/tests/sim/sim-private.h
@@ -51,7 +51,7 @@
   gint64 stalled_until_ms;
   gint64 outbound_unreachable_until_ms;
   gint64 inbound_unreachable_until_ms;
-  gint64 report_ms;
+  gint64 next_heartbeat_ms;
   guint node; /* where it reports */
 } Machine;
 
@@ -73,7 +73,7 @@
 
 struct _Sim {
   guint32 seed;
-  gint64 report_ms;
+  gint64 heartbeat_interval_ms;
   gint64 lease_ms;
   GRand *rand;
   gint64 now_ms;
@@ -109,7 +109,7 @@
   guint64 call;
   Machine *machine;
   gint64 sent_ms;
-  guint64 session;
+  guint64 incarnation;
   Job *job;
   guint expected; /* of an odd request: the status */
   const char *expected_state;
--- a/tests/sim/sim.c
+++ b/tests/sim/sim.c
@@ -101,7 +101,7 @@
 void
 sim_set_pace(Sim *sim, double report_s, double lease_s)
 {
-  sim->report_ms = (gint64)(report_s * 1000.0);
+  sim->heartbeat_interval_ms = (gint64)(report_s * 1000.0);
   sim->lease_ms = (gint64)(lease_s * 1000.0);
   for (guint n = 0; n < SIM_NODES; n++) {
     sim->settings[n]->report_s = report_s;
--- a/tests/sim/worker.c
+++ b/tests/sim/worker.c
@@ -19,7 +19,7 @@
   worker->type = type;
   worker->zone = zone;
   worker->spot = spot;
-  worker->session = 1;
+  worker->incarnation = 1;
   worker->renewed_ms = now_ms;
   worker->tasks = g_array_new(FALSE, TRUE, sizeof(SimTask));
   g_array_set_clear_func(worker->tasks, task_clear);
@@ -46,7 +46,7 @@
 }
 
 json_t *
-sim_worker_report(SimWorker *worker, gint64 now_ms)
+sim_worker_heartbeat(SimWorker *worker, gint64 now_ms)
 {
   json_t *tasks = json_array();
   for (guint i = 0; i < worker->tasks->len; i++) {
@@ -66,20 +66,20 @@
                        : json_null();
   return json_pack("{s:s, s:s, s:s, s:s, s:b, s:I, s:I, s:I, s:o, s:o}", "stroj", worker->name,
                    "endpoint", endpoint, "typ", worker->type, "hala", worker->zone, "vypujcky",
-                   worker->spot, "smena", (json_int_t)worker->session, "poradi",
-                   (json_int_t)++worker->seq, "pecet", (json_int_t)worker->token, "vypoved_s",
-                   notice, "kusy", tasks);
+                   worker->spot, "smena", (json_int_t)worker->incarnation, "poradi",
+                   (json_int_t)++worker->sequence, "pecet", (json_int_t)worker->fencing_token,
+                   "vypoved_s", notice, "kusy", tasks);
 }
 
 gboolean
-sim_task_is_on(const SimTask *task)
+sim_task_occupies_slot(const SimTask *task)
 {
   return strcmp(task->state, "fetching") != 0 && strcmp(task->state, "exited") != 0;
 }
 
 /* Fetching tasks count. */
 static guint
-places_taken(const SimWorker *worker)
+slots_taken(const SimWorker *worker)
 {
   guint count = 0;
   for (guint i = 0; i < worker->tasks->len; i++)
@@ -105,7 +105,7 @@
   if (held != NULL || !describe(world, job, number, &run_s)) {
     task.state = "exited";
     task.why = held != NULL ? "busy" : "no_such";
-  } else if (places_taken(worker) >= SIM_PLACES) {
+  } else if (slots_taken(worker) >= SIM_SLOTS) {
     task.state = "exited";
     task.why = "full";
   }
@@ -167,39 +167,40 @@
 }
 
 void
-sim_worker_answer(SimWorker *worker, gint64 now_ms, gint64 sent_ms, guint64 session,
-                  const json_t *answer, SimDescribe describe, gpointer world)
+sim_worker_handle_answer(SimWorker *worker, gint64 now_ms, gint64 sent_ms, guint64 incarnation,
+                         const json_t *answer, SimDescribe describe, gpointer world)
 {
-  const json_t *token = json_object_get(answer, "pecet");
-  if (session != worker->session || !json_is_integer(token)
-      || (guint64)json_integer_value(token) < worker->token)
+  const json_t *fencing_token = json_object_get(answer, "pecet");
+  if (incarnation != worker->incarnation || !json_is_integer(fencing_token)
+      || (guint64)json_integer_value(fencing_token) < worker->fencing_token)
     return;
-  worker->token = (guint64)json_integer_value(token);
+  worker->fencing_token = (guint64)json_integer_value(fencing_token);
   worker->renewed_ms = sent_ms;
   execute_all(worker, now_ms, answer, describe, world);
 }
 
 guint
-sim_worker_commands(SimWorker *worker, gint64 now_ms, const json_t *message, json_t **report,
-                    SimDescribe describe, gpointer world)
+sim_worker_handle_commands(SimWorker *worker, gint64 now_ms, const json_t *message, json_t **report,
+                           SimDescribe describe, gpointer world)
 {
-  guint64 token = (guint64)json_integer_value(json_object_get(message, "pecet"));
-  guint64 session = (guint64)json_integer_value(json_object_get(message, "smena"));
-  guint status = token < worker->token || session != worker->session ? 409 : 200;
+  guint64 fencing_token = (guint64)json_integer_value(json_object_get(message, "pecet"));
+  guint64 incarnation = (guint64)json_integer_value(json_object_get(message, "smena"));
+  guint status
+      = fencing_token < worker->fencing_token || incarnation != worker->incarnation ? 409 : 200;
   if (status == 200) {
-    worker->token = token;
+    worker->fencing_token = fencing_token;
     execute_all(worker, now_ms, message, describe, world);
   }
-  *report = sim_worker_report(worker, now_ms);
+  *report = sim_worker_heartbeat(worker, now_ms);
   return status;
 }
 
 void
-sim_worker_lease(SimWorker *worker, gint64 now_ms, gint64 lease_ms)
+sim_worker_check_lease(SimWorker *worker, gint64 now_ms, gint64 lease_ms)
 {
   if (now_ms - worker->renewed_ms <= lease_ms)
     return;
   g_array_set_size(worker->tasks, 0);
-  worker->session++;
+  worker->incarnation++;
   worker->renewed_ms = now_ms;
 }
--- a/tests/sim/worker.h
+++ b/tests/sim/worker.h
@@ -4,7 +4,7 @@
 #include <glib.h>
 #include <jansson.h>
 
-#define SIM_PLACES 4 /* tasks on a machine; each takes one GPU */
+#define SIM_SLOTS 4 /* tasks on a machine; each takes one GPU */
 
 typedef struct {
   char *job;
@@ -18,18 +18,18 @@
   gboolean saved;     /* exited, and its progress is safe */
 } SimTask;
 
-/* Whether the task takes its place on the machine, and counts for the rules: it has its image. */
-gboolean sim_task_is_on(const SimTask *task);
+/* Whether the task occupies its slot and counts for the invariants: it has its image. */
+gboolean sim_task_occupies_slot(const SimTask *task);
 
 typedef struct {
   char *name;
   const char *type;
   const char *zone;
   gboolean spot;
-  guint64 session;
-  guint64 seq;
-  guint64 token;
-  gint64 renewed_ms;      /* when the last answered report was sent */
+  guint64 incarnation;
+  guint64 sequence;
+  guint64 fencing_token;
+  gint64 renewed_ms;      /* when the last acknowledged heartbeat was sent */
   gint64 interruption_ms; /* 0: none */
   GArray *tasks;          /* of SimTask */
 } SimWorker;
@@ -40,13 +40,13 @@
 SimWorker *sim_worker_new(const char *name, const char *type, const char *zone, gboolean spot,
                           gint64 now_ms);
 void sim_worker_free(SimWorker *worker);
-json_t *sim_worker_report(SimWorker *worker, gint64 now_ms);
-/* Takes the answer to a report that was sent at the time given, in the session given. */
-void sim_worker_answer(SimWorker *worker, gint64 now_ms, gint64 sent_ms, guint64 session,
-                       const json_t *answer, SimDescribe describe, gpointer world);
-/* Direct commands: returns the status, and the body is the worker's report. */
-guint sim_worker_commands(SimWorker *worker, gint64 now_ms, const json_t *message, json_t **report,
-                          SimDescribe describe, gpointer world);
-/* Ends the session when its lease has run out. */
-void sim_worker_lease(SimWorker *worker, gint64 now_ms, gint64 lease_ms);
+json_t *sim_worker_heartbeat(SimWorker *worker, gint64 now_ms);
+/* Takes the answer to a heartbeat that was sent at the time given, by the incarnation given. */
+void sim_worker_handle_answer(SimWorker *worker, gint64 now_ms, gint64 sent_ms, guint64 incarnation,
+                              const json_t *answer, SimDescribe describe, gpointer world);
+/* Direct commands: returns the status, and the body is the worker's heartbeat. */
+guint sim_worker_handle_commands(SimWorker *worker, gint64 now_ms, const json_t *message,
+                                 json_t **report, SimDescribe describe, gpointer world);
+/* Begins a new incarnation without tasks when the lease has expired. */
+void sim_worker_check_lease(SimWorker *worker, gint64 now_ms, gint64 lease_ms);
 SimTask *sim_worker_find(SimWorker *worker, const char *job, guint task);
