--- a/tests/sim/fixture.c
+++ b/tests/sim/fixture.c
@@ -46,7 +46,7 @@
 
 /* A peer that isn't a member, but has all that it's told. */
 static void
-take_gossip(Fixture *fixture, const WsOutput *output, const json_t *body)
+answer_gossip(Fixture *fixture, const WsOutput *output, const json_t *body)
 {
   g_autoptr(json_t) answer = json_pack(
       "{s:s, s:O, s:b, s:i, s:b, s:b, s:i, s:i, s:O, s:i, s:b, s:i, s:[]}", "node",
@@ -59,44 +59,61 @@
   fixture_reply(fixture, output->call, 200, answer);
 }
 
+/* Keeps the transaction for tests to look at. */
 static void
-take_call(Fixture *fixture, const WsOutput *output)
+note_transaction(Fixture *fixture, const WsOutput *output, json_t *body)
 {
-  g_autoptr(json_t) body
-      = output->body != NULL ? ws_json_parse(output->body, strlen(output->body)) : NULL;
-  const char *path = strchr(output->url + strlen("http://"), '/');
-  if (strstr(output->url, "//state") != NULL && fixture->store_unavailable) {
+  g_assert_nonnull(output->body);
+  json_decref(fixture->last_transaction);
+  fixture->last_transaction = json_incref(body);
+  if (strstr(output->body, "\"set\":\"w/task/") != NULL) {
+    json_decref(fixture->assignment_transaction);
+    fixture->assignment_transaction = json_incref(body);
+  }
+  if (strstr(output->body, "\"set\":\"w/member/n0\"") != NULL) {
+    json_decref(fixture->member_transaction);
+    fixture->member_transaction = json_incref(body);
+  }
+}
+
+/* Whether the request to the store gets no answer until the test gives one. */
+static gboolean
+hold_store_call(Fixture *fixture, const WsOutput *output, const char *path)
+{
+  if (fixture->hold_watch && g_str_has_prefix(path, "/follow")) {
+    fixture->held_watch = output->call;
+    return TRUE;
+  }
+  if (fixture->hold_assignment && output->body != NULL && strstr(output->body, "w/task/") != NULL) {
+    fixture->hold_assignment = FALSE;
+    fixture->held_call = output->call;
+    return TRUE;
+  }
+  return FALSE;
+}
+
+static void
+answer_store_call(Fixture *fixture, const WsOutput *output, const char *path, json_t *body)
+{
+  if (fixture->store_unavailable) {
     fixture_reply(fixture, output->call, 503, NULL);
-  } else if (strstr(output->url, "//state") != NULL) {
-    StoreCall *store_call = g_new0(StoreCall, 1);
-    *store_call = (StoreCall){ fixture, output->call, fixture->run };
-    if (strcmp(path, "/multi") == 0) {
-      json_decref(fixture->last_transaction);
-      fixture->last_transaction = json_incref(body);
-      if (strstr(output->body, "\"set\":\"w/task/") != NULL) {
-        json_decref(fixture->assignment_transaction);
-        fixture->assignment_transaction = json_incref(body);
-      }
-      if (strstr(output->body, "\"set\":\"w/member/n0\"") != NULL) {
-        json_decref(fixture->member_transaction);
-        fixture->member_transaction = json_incref(body);
-      }
-    }
-    if (fixture->hold_watch && g_str_has_prefix(path, "/follow")) {
-      fixture->held_watch = output->call;
-      g_free(store_call);
-      return;
-    }
-    if (fixture->hold_assignment && output->body != NULL
-        && strstr(output->body, "w/task/") != NULL) {
-      fixture->hold_assignment = FALSE;
-      fixture->held_call = output->call;
-      g_free(store_call);
-      return;
-    }
-    sim_store_request(fixture->store, fixture->now_ms, output->method, path, body,
-                      fixture_on_store_reply, store_call);
-  } else if (strcmp(path, "/catalog") == 0) {
+    return;
+  }
+  if (strcmp(path, "/multi") == 0)
+    note_transaction(fixture, output, body);
+  if (hold_store_call(fixture, output, path))
+    return;
+  StoreCall *store_call = g_new0(StoreCall, 1);
+  *store_call = (StoreCall){ fixture, output->call, fixture->run };
+  sim_store_request(fixture->store, fixture->now_ms, output->method, path, body,
+                    fixture_on_store_reply, store_call);
+}
+
+/* Calls to the cloud, to workers and to other nodes. */
+static void
+answer_other_call(Fixture *fixture, const WsOutput *output, const char *path, const json_t *body)
+{
+  if (strcmp(path, "/catalog") == 0) {
     g_autoptr(json_t) message = catalog(fixture);
     fixture_reply(fixture, output->call, 200, message);
   } else if (strcmp(path, "/commands") == 0) {
@@ -112,12 +129,24 @@
     fixture->cancellations_sent++;
     fixture_reply(fixture, output->call, fixture->peers_acknowledge ? 200 : 0, NULL);
   } else if (strcmp(path, "/gossip") == 0 && !fixture->peers_unreachable) {
-    take_gossip(fixture, output, body);
+    answer_gossip(fixture, output, body);
   } else {
     fixture_reply(fixture, output->call, 0, NULL);
   }
 }
 
+static void
+answer_call(Fixture *fixture, const WsOutput *output)
+{
+  g_autoptr(json_t) body
+      = output->body != NULL ? ws_json_parse(output->body, strlen(output->body)) : NULL;
+  const char *path = strchr(output->url + strlen("http://"), '/');
+  if (strstr(output->url, "//state") != NULL)
+    answer_store_call(fixture, output, path, body);
+  else
+    answer_other_call(fixture, output, path, body);
+}
+
 void
 fixture_release_watch(Fixture *fixture)
 {
@@ -139,7 +168,7 @@
       fixture->answer
           = output->body != NULL ? ws_json_parse(output->body, strlen(output->body)) : NULL;
     } else {
-      take_call(fixture, output);
+      answer_call(fixture, output);
     }
     ws_output_free(output);
   }
--- a/tests/sim/sim-checker.c
+++ b/tests/sim/sim-checker.c
@@ -11,6 +11,19 @@
   return job != NULL && task < job->spec.tasks;
 }
 
+/* Counts one task that occupies a slot, as a neighbour of task @number of the job. */
+static void
+count_task(const Sim *sim, const Machine *machine, const SimTask *task, const Machine *where,
+           const Job *job, guint number, Running *count)
+{
+  const Job *other = sim_find_job(sim, task->job);
+  count->same_task += other == job && task->task == number ? 1 : 0;
+  count->same_job += other == job ? 1 : 0;
+  count->team += strcmp(other->spec.team, job->spec.team) == 0 ? 1 : 0;
+  count->in_zone += other == job && machine->worker->zone == where->worker->zone ? 1 : 0;
+  count->on_machine += machine == where ? 1 : 0;
+}
+
 static void
 count_running(const Sim *sim, const Machine *where, const Job *job, guint number, Running *count)
 {
@@ -18,14 +31,8 @@
     const Machine *machine = g_ptr_array_index(sim->machines, i);
     for (guint k = 0; k < machine->worker->tasks->len; k++) {
       const SimTask *task = &g_array_index(machine->worker->tasks, SimTask, k);
-      if (!sim_task_occupies_slot(task))
-        continue;
-      const Job *other = sim_find_job(sim, task->job);
-      count->same_task += other == job && task->task == number ? 1 : 0;
-      count->same_job += other == job ? 1 : 0;
-      count->team += strcmp(other->spec.team, job->spec.team) == 0 ? 1 : 0;
-      count->in_zone += other == job && machine->worker->zone == where->worker->zone ? 1 : 0;
-      count->on_machine += machine == where ? 1 : 0;
+      if (sim_task_occupies_slot(task))
+        count_task(sim, machine, task, where, job, number, count);
     }
   }
 }
