--- a/tests/test-http.c
+++ b/tests/test-http.c
@@ -16,7 +16,7 @@
   WsSettings *settings;
   WsProperties *properties;
   WsRuntime *runtime;
-  SoupSession *incarnation;
+  SoupSession *session;
   char *api;
 } Stand;
 
@@ -134,7 +134,7 @@
   stand->properties = ws_properties_new();
   stand->runtime = ws_runtime_new(stand->settings, stand->properties, &error);
   g_assert_no_error(error);
-  stand->incarnation = soup_session_new();
+  stand->session = soup_session_new();
   stand->api = g_strdup_printf("http://127.0.0.1:%u", api);
   g_timeout_add(50, on_tick, stand);
   return stand;
@@ -166,7 +166,7 @@
     soup_message_set_request_body_from_bytes(message, "application/json", bytes);
   }
   Wait wait = { g_main_loop_new(NULL, FALSE), NULL };
-  soup_session_send_and_read_async(stand->incarnation, message, G_PRIORITY_DEFAULT, NULL, on_answer,
+  soup_session_send_and_read_async(stand->session, message, G_PRIORITY_DEFAULT, NULL, on_answer,
                                    &wait);
   g_main_loop_run(wait.loop);
   g_main_loop_unref(wait.loop);
