--- /dev/null
+++ b/tests/regressions/scheduling.c
@@ -0,0 +1,248 @@
+/**
+ * Placement, preemption, reservations, and the share of transactions that assignments get.
+ */
+#include "regressions/regressions.h"
+
+/* When the ends of many tasks come at once, as after a cut, the assignment of a critical task isn't
+   written after all of them. */
+void
+test_critical_assignment_precedes_releases(void)
+{
+  enum { JOBS = 12 };
+  Fixture *fixture = fixture_new(TRUE);
+  for (guint64 sequence = 1; sequence <= 2 + JOBS; sequence++) {
+    for (guint m = 0; m < JOBS; m++) {
+      g_autofree char *machine = g_strdup_printf("m-1%u", m);
+      fixture_post_heartbeat(fixture, machine, sequence == 1 ? 0 : 1, sequence, json_array());
+    }
+    fixture_run(fixture, 0.5);
+    if (sequence <= 2)
+      continue;
+    guint number = (guint)sequence - 3;
+    g_autofree char *id = g_strdup_printf("req-1%u", number);
+    json_t *job = fixture_submission();
+    json_object_set_new(job, "id", json_string(id));
+    json_object_set_new(job, "dilna", json_string(number < 5 ? "red" : "blue"));
+    json_object_set_new(job, "cpus", json_real(20.0)); /* one on each machine */
+    fixture_call(fixture, "POST", "/api/jobs", job);
+  }
+  fixture_run(fixture, 1.0);
+  fixture->hold_assignment = TRUE;
+  for (guint number = 0; number < JOBS; number++) {
+    g_autofree char *key = g_strdup_printf("w/task/req-1%u/0", number);
+    g_autofree char *task = g_strdup_printf("req-1%u/0", number);
+    const json_t *on = json_object_get(sim_store_get(fixture->store, key), "on");
+    g_assert_cmpuint(json_array_size(on), ==, 1);
+    fixture_post_heartbeat(fixture, json_string_value(json_array_get(json_array_get(on, 0), 1)), 1,
+                           100,
+                           json_pack("[{s:s, s:i, s:s, s:s}]", "kus", task, "pokus", 1, "stav",
+                                     "exited", "duvod", "done"));
+  }
+  json_t *critical = fixture_submission();
+  json_object_set_new(critical, "id", json_string("req-9"));
+  json_object_set_new(critical, "prednost", json_string("critical"));
+  fixture_call(fixture, "POST", "/api/jobs", critical);
+  json_t *before = fixture->last_transaction;
+  fixture_reply(fixture, fixture->held_call, 409, NULL);
+  fixture_pump(fixture);
+  for (guint i = 0; i < 20 && fixture->last_transaction == before; i++)
+    fixture_run(fixture, 0.05);
+  g_assert_true(transaction_names_key(fixture->last_transaction, "apply", "set", "w/task/req-9/0"));
+  fixture_free(fixture);
+}
+
+/* Where a smaller type has room for it, a task leaves the larger machine to larger tasks: each
+   small one kept a large one out, on a day of armor-releves with half of the processors unused. */
+void
+test_small_task_leaves_large_machine_free(void)
+{
+  Fixture *fixture = fixture_new_with_two_types();
+  for (guint64 sequence = 1; sequence <= 2; sequence++) {
+    fixture_post_heartbeat(fixture, "m-1", sequence - 1, sequence, json_array());
+    json_t *small = fixture_heartbeat(fixture, "m-2", sequence - 1, sequence, json_array());
+    json_object_set_new(small, "typ", json_string("g1"));
+    fixture_post(fixture, "/v1/report", small);
+    fixture_run(fixture, 0.5);
+  }
+  fixture_call(fixture, "POST", "/api/jobs", fixture_submission());
+  fixture_run(fixture, 1.0);
+  const json_t *on = json_object_get(sim_store_get(fixture->store, "w/task/req-1/0"), "on");
+  g_assert_cmpstr(json_string_value(json_array_get(json_array_get(on, 0), 1)), ==, "m-2");
+  fixture_free(fixture);
+}
+
+/* Whether an urgent task of seconds has a large one stopped that fills the only machine, if that
+   has run for so long. */
+static gboolean
+is_preempted_after(double run_s)
+{
+  Fixture *fixture = fixture_new(TRUE);
+  fixture_send_heartbeat(fixture, 0, json_array());
+  fixture_send_heartbeat(fixture, 1, json_array());
+  json_t *large = fixture_submission();
+  json_object_set_new(large, "cpus", json_real(32.0));
+  fixture_call(fixture, "POST", "/api/jobs", large);
+  fixture_run(fixture, 1.0);
+  for (guint second = 0; second < run_s; second++) {
+    fixture_send_heartbeat(fixture, 1, one_task_in_state("running", ""));
+    fixture_run(fixture, 0.7);
+  }
+  json_t *urgent = fixture_submission();
+  json_object_set_new(urgent, "id", json_string("req-2"));
+  json_object_set_new(urgent, "prednost", json_string("urgent"));
+  json_object_set_new(urgent, "odhad_s", json_real(10.0));
+  fixture_call(fixture, "POST", "/api/jobs", urgent);
+  fixture_run(fixture, 1.0);
+  fixture_send_heartbeat(fixture, 1, one_task_in_state("running", ""));
+  gboolean is_stopped = fixture_has_command(fixture, "halt");
+  fixture_free(fixture);
+  return is_stopped;
+}
+
+/* Minutes of a large task's work aren't thrown away for seconds of a small one's: nearly a third of
+   what was paid for on armor-releves went that way. */
+void
+test_no_preemption_of_long_work_for_short_task(void)
+{
+  g_assert_true(is_preempted_after(1.0));
+  g_assert_false(is_preempted_after(20.0));
+}
+
+/* Whether a less urgent task of a team at its limit is stopped for an urgent job of the team that
+   is bound to the zone; all machines are in zone a. */
+static gboolean
+is_preempted_for_zone(const char *zone)
+{
+  static const char *const MACHINES[] = { "m-1", "m-2" };
+  Fixture *fixture = fixture_new(TRUE);
+  register_machines(fixture, MACHINES, G_N_ELEMENTS(MACHINES));
+  json_t *filling = fixture_submission();
+  json_object_set_new(filling, "kusy", json_integer(6));
+  json_object_set_new(filling, "prednost", json_string("best_effort"));
+  fixture_call(fixture, "POST", "/api/jobs", filling);
+  fixture_run(fixture, 1.5);
+  const json_t *record = sim_store_get(fixture->store, "w/task/req-1/0");
+  g_assert_cmpuint(json_array_size(json_object_get(record, "on")), ==, 6);
+  guint commands = fixture->direct_commands;
+  json_t *urgent = fixture_submission();
+  json_object_set_new(urgent, "id", json_string("req-2"));
+  json_object_set_new(urgent, "prednost", json_string("urgent"));
+  json_object_set_new(urgent, "hala", json_string(zone));
+  fixture_call(fixture, "POST", "/api/jobs", urgent);
+  fixture_run(fixture, 1.0);
+  gboolean is_stopped = fixture->direct_commands > commands;
+  fixture_free(fixture);
+  return is_stopped;
+}
+
+/* Nothing is stopped for a job that couldn't start with what the stop frees: tasks of a team at its
+   limit were stopped and placed again, over and over, for a job bound to a zone without a machine.
+ */
+void
+test_no_preemption_without_usable_slot(void)
+{
+  g_assert_true(is_preempted_for_zone("a"));
+  g_assert_false(is_preempted_for_zone("b"));
+}
+
+/* What was freed for a job isn't given to a less urgent one, until it is clear that the job doesn't
+   take it: two nodes took it from each other in turn, and neither job ran. */
+void
+test_reservation_holds_until_declined(void)
+{
+  Fixture *fixture = fixture_new(TRUE);
+  fixture_send_heartbeat(fixture, 0, json_array());
+  fixture_send_heartbeat(fixture, 1, json_array());
+  json_t *urgent = fixture_submission();
+  json_object_set_new(urgent, "id", json_string("req-2"));
+  json_object_set_new(urgent, "prednost", json_string("urgent"));
+  json_object_set_new(urgent, "kusy", json_integer(4));
+  json_object_set_new(urgent, "hala", json_string("b"));
+  fixture_call(fixture, "POST", "/api/jobs", urgent);
+  fixture_send_peer_message(
+      fixture, "/ask",
+      json_pack("{s:i, s:[[s, i, s]]}", "epoch", 1, "reservations", "req-2", 4, "m-1"));
+  json_t *best_effort = fixture_submission();
+  json_object_set_new(best_effort, "prednost", json_string("best_effort"));
+  fixture_call(fixture, "POST", "/api/jobs", best_effort);
+  fixture_run(fixture, 1.5);
+  g_assert_false(fixture_task_is_assigned(fixture));
+  fixture_send_heartbeat(fixture, 1, json_array());
+  fixture_run(fixture, 3.0);
+  fixture_send_heartbeat(fixture, 1, json_array());
+  fixture_run(fixture, 1.5);
+  g_assert_true(fixture_task_is_assigned(fixture));
+  fixture_free(fixture);
+}
+
+#define JOBS_TO_COMPLETE 8
+
+/* The record of the only task of job number i. */
+static const json_t *
+only_assignment(const Fixture *fixture, guint i)
+{
+  g_autofree char *key = g_strdup_printf("w/task/req-%u/0", i);
+  return json_array_get(json_object_get(sim_store_get(fixture->store, key), "on"), 0);
+}
+
+static guint
+count_done(const Fixture *fixture)
+{
+  guint count = 0;
+  for (guint i = 1; i <= JOBS_TO_COMPLETE; i++) {
+    g_autofree char *key = g_strdup_printf("w/job/req-%u", i);
+    const json_t *job = sim_store_get(fixture->store, key);
+    count += g_strcmp0(json_string_value(json_object_get(job, "s")), "done") == 0 ? 1 : 0;
+  }
+  return count;
+}
+
+static void
+submit_number(Fixture *fixture, guint i)
+{
+  g_autofree char *id = g_strdup_printf("req-%u", i);
+  json_t *job = fixture_submission();
+  json_object_set_new(job, "id", json_string(id));
+  fixture_post(fixture, "/api/jobs", job);
+}
+
+/* Every task of the machine is done. */
+static void
+report_completions(Fixture *fixture, const char *machine)
+{
+  json_t *tasks = json_array();
+  for (guint i = 1; i <= JOBS_TO_COMPLETE; i++) {
+    g_autofree char *name = g_strdup_printf("req-%u/0", i);
+    if (g_strcmp0(json_string_value(json_array_get(only_assignment(fixture, i), 1)), machine) == 0)
+      json_array_append_new(tasks, json_pack("{s:s, s:i, s:s, s:s}", "kus", name, "pokus", 1,
+                                             "stav", "exited", "duvod", "done"));
+  }
+  fixture_post_heartbeat(fixture, machine, 1, 9, tasks);
+}
+
+/* Where a transaction holds few changes, the ends of tasks don't fill one after another while a job
+   waits beside free room: 13 to 26 jobs waited so on a day of armor-releves. */
+void
+test_releases_leave_space_for_assignments(void)
+{
+  static const char *const MACHINES[] = { "m-1", "m-2", "m-3" };
+  Fixture *fixture = fixture_new(TRUE);
+  fixture->settings->state_txn_ops = 3; /* the teams' use and two jobs that end */
+  fixture_lift_quotas(fixture);
+  register_machines(fixture, MACHINES, G_N_ELEMENTS(MACHINES));
+  for (guint i = 1; i <= JOBS_TO_COMPLETE; i++)
+    submit_number(fixture, i);
+  fixture_run(fixture, 2.0);
+  for (guint i = 1; i <= JOBS_TO_COMPLETE; i++)
+    g_assert_nonnull(only_assignment(fixture, i));
+  for (guint m = 0; m < G_N_ELEMENTS(MACHINES); m++)
+    report_completions(fixture, MACHINES[m]);
+  submit_number(fixture, JOBS_TO_COMPLETE + 1);
+  for (guint i = 0; i < 100 && only_assignment(fixture, JOBS_TO_COMPLETE + 1) == NULL; i++)
+    fixture_run(fixture, 0.05);
+  g_assert_nonnull(only_assignment(fixture, JOBS_TO_COMPLETE + 1));
+  g_assert_cmpuint(count_done(fixture), <, JOBS_TO_COMPLETE);
+  fixture_run(fixture, 3.0);
+  g_assert_cmpuint(count_done(fixture), ==, JOBS_TO_COMPLETE);
+  fixture_free(fixture);
+}
