--- /dev/null
+++ b/tests/gangs/simulated.c
@@ -0,0 +1,216 @@
+/**
+ * Gangs in a simulated cluster under faults; the checker sees to it that attempts don't overlap.
+ */
+#include "gangs/gangs.h"
+#include "sim/fault-injection.h"
+
+static const SimJob GANG = { .tasks = GANG_TASKS,
+                             .gang = TRUE,
+                             .team = "blue",
+                             .priority = "standard",
+                             .spot = TRUE,
+                             .one_zone = TRUE,
+                             .run_s = 25.0 };
+static const SimJob WIDE_GANG
+    = { .tasks = 6, .gang = TRUE, .team = "red", .priority = "standard", .run_s = 20.0 };
+
+static Sim *
+gang_world(guint32 seed, const SimJob *gang)
+{
+  Sim *sim = sim_new(seed);
+  g_test_message("seed %u", seed);
+  sim_properties(sim)->idle_timeout_s = 30.0;
+  sim_run(sim, 3.0);
+  sim_submit(sim, gang);
+  return sim;
+}
+
+static void
+run_until_started(Sim *sim)
+{
+  for (guint i = 0; i < 600 && sim_gang_starts(sim, 0) == 0; i++)
+    sim_run(sim, 0.1);
+  g_assert_cmpuint(sim_gang_starts(sim, 0), ==, 1);
+}
+
+void
+test_tasks_start_together(void)
+{
+  for (guint32 seed = 800; seed < 804; seed++) {
+    Sim *sim = gang_world(seed, seed % 2 == 0 ? &GANG : &WIDE_GANG);
+    run_until_started(sim);
+    sim_expect_recovery(sim);
+    g_assert_cmpuint(sim_gang_starts(sim, 0), ==, 1);
+    g_assert_cmpuint(sim_gang_losses(sim, 0), ==, 0);
+    sim_free(sim);
+  }
+}
+
+/* The loss of one task is that of the attempt; the next one starts when nothing of it is left,
+   which the world checks. */
+void
+test_machine_loss_restarts_whole_gang(void)
+{
+  static const SimMachineFault FAULTS[]
+      = { sim_stall_machine, sim_block_outbound, sim_block_inbound };
+  static const double SECONDS[] = { 20.0, 60.0, 60.0 };
+  for (guint32 seed = 810; seed < 822; seed++) {
+    guint kind = (seed - 810) / 4;
+    Sim *sim = gang_world(seed, seed % 2 == 0 ? &GANG : &WIDE_GANG);
+    run_until_started(sim);
+    sim_run(sim, 3.0);
+    FAULTS[kind](sim, sim_machine_running(sim, 0), SECONDS[kind]);
+    sim_run(sim, 60.0);
+    sim_expect_recovery(sim);
+    sim_free(sim);
+  }
+}
+
+/* A machine that hangs for less than its lease takes the attempt with it, and holds its own task
+   until it goes on. */
+void
+test_short_stall_restarts_once(void)
+{
+  for (guint32 seed = 825; seed < 829; seed++) {
+    Sim *sim = gang_world(seed, &GANG);
+    run_until_started(sim);
+    sim_run(sim, 2.0);
+    sim_stall_machine(sim, sim_machine_running(sim, 0), 7.0);
+    sim_run(sim, 30.0);
+    sim_expect_recovery(sim);
+    g_assert_cmpuint(sim_gang_losses(sim, 0), ==, 1);
+    g_assert_cmpuint(sim_gang_starts(sim, 0), ==, 2);
+    sim_free(sim);
+  }
+}
+
+/* A notice of one machine stops the whole gang at once, with the time that it needs to save. */
+void
+test_interruption_notice_saves_progress(void)
+{
+  for (guint32 seed = 830; seed < 836; seed++) {
+    Sim *sim = gang_world(seed, &GANG);
+    run_until_started(sim);
+    sim_run(sim, 6.0);
+    sim_interrupt_machine(sim, sim_machine_running(sim, 0), 20.0);
+    sim_run(sim, 25.0);
+    sim_expect_recovery(sim);
+    g_assert_cmpuint(sim_gang_saves(sim, 0), ==, 1);
+    g_assert_cmpuint(sim_gang_losses(sim, 0), ==, 0);
+    sim_free(sim);
+  }
+}
+
+/* Controllers end at any step of a start, a loss or a stop. */
+void
+test_leader_crashes_at_any_step(void)
+{
+  for (guint32 seed = 850; seed < 850 + sim_seed_count(10); seed++) {
+    Sim *sim = gang_world(seed, seed % 3 == 0 ? &WIDE_GANG : &GANG);
+    for (guint i = 0; i < 5; i++) {
+      sim_run(sim, g_rand_double_range(sim_rand(sim), 0.5, 6.0));
+      if (sim_machine_running(sim, 0) != G_MAXUINT)
+        sim_interrupt_machine(sim, sim_machine_running(sim, 0), 20.0);
+      sim_run(sim, g_rand_double_range(sim_rand(sim), 0.0, 1.0));
+      sim_crash_node(sim, sim_leader_or_first(sim), g_rand_double_range(sim_rand(sim), 0.1, 6.0));
+    }
+    sim_expect_recovery(sim);
+    sim_free(sim);
+  }
+}
+
+/* A cancellation in any phase, also in the middle of a stop; the world checks cancel_s. */
+void
+test_cancelled_in_any_phase(void)
+{
+  for (guint32 seed = 870; seed < 870 + sim_seed_count(12); seed++) {
+    Sim *sim = gang_world(seed, &GANG);
+    sim_run(sim, g_rand_double_range(sim_rand(sim), 0.0, 30.0));
+    if (seed % 2 == 0 && sim_machine_running(sim, 0) != G_MAXUINT)
+      sim_interrupt_machine(sim, sim_machine_running(sim, 0), 20.0);
+    sim_run(sim, 0.5);
+    sim_cancel(sim, 0);
+    sim_run(sim, 35.0);
+    sim_expect_recovery(sim);
+    g_assert_cmpuint(sim_late_starts(sim), ==, 0);
+    sim_free(sim);
+  }
+}
+
+/* A cut between zones goes through a gang whose tasks may be in any. */
+void
+test_partition_through_gang(void)
+{
+  for (guint32 seed = 890; seed < 894; seed++) {
+    Sim *sim = gang_world(seed, &WIDE_GANG);
+    run_until_started(sim);
+    sim_run(sim, 2.0);
+    sim_faults(sim)->partitioned_zones = 1u << (seed % SIM_NODES);
+    sim_run(sim, seed % 2 == 0 ? 8.0 : 40.0);
+    sim_expect_recovery(sim);
+    sim_free(sim);
+  }
+}
+
+/* Small tasks come all the time and take each place that becomes free; the gang, which needs
+   several at once, begins within four minutes all the same. */
+void
+test_starts_among_small_jobs(void)
+{
+  static const SimJob SMALL
+      = { .tasks = 2, .team = "blue", .priority = "standard", .spot = TRUE, .run_s = 7.0 };
+  SimJob anywhere = GANG;
+  anywhere.one_zone = FALSE;
+  Sim *sim = sim_new(940);
+  sim_faults(sim)->max_machines = 2;
+  sim_run(sim, 3.0);
+  for (guint i = 0; i < 8; i++)
+    sim_submit(sim, &SMALL);
+  sim_run(sim, 40.0);
+  guint gang = sim_count_jobs(sim);
+  sim_submit(sim, &anywhere);
+  for (guint step = 0; step < 160 && !sim_has_started(sim, gang); step++) {
+    sim_submit(sim, &SMALL);
+    sim_run(sim, 1.5);
+  }
+  g_assert_true(sim_has_started(sim, gang));
+  sim_free(sim);
+}
+
+/* Gangs among arrays and services, while troubles meet. */
+static void
+play_drawn_faults(guint32 seed)
+{
+  g_test_message("seed %u", seed);
+  Sim *sim = sim_new_with_load(seed);
+  for (guint i = 0; i < 3; i++)
+    sim_submit(sim, i == 1 ? &WIDE_GANG : &GANG);
+  sim_run(sim, g_rand_double_range(sim_rand(sim), 0.0, 25.0));
+  sim_submit(sim, &GANG);
+  sim_inject_random_faults(sim);
+  sim_expect_recovery(sim);
+  sim_free(sim);
+}
+
+void
+test_drawn(void)
+{
+  sim_play_seeds(2000, 25, play_drawn_faults);
+}
+
+/* The world objects when two attempts hold places at once. */
+void
+test_checker_detects_two_attempts(void)
+{
+  if (g_test_subprocess()) {
+    Sim *sim = gang_world(899, &GANG);
+    run_until_started(sim);
+    sim_force_start(sim, sim_machine_running(sim, 0), 0, 1);
+    sim_run(sim, 2.0);
+    sim_free(sim);
+    return;
+  }
+  g_test_trap_subprocess(NULL, 0, G_TEST_SUBPROCESS_DEFAULT);
+  g_test_trap_assert_failed();
+  g_test_trap_assert_stderr("*two attempts of gang*");
+}
