--- /dev/null
+++ b/tests/combined-faults/cancellation.c
@@ -0,0 +1,105 @@
+/**
+ * Cancellations while the leader alone is refused by the store, and then an outage for all nodes.
+ */
+#include "combined-faults/combined-faults.h"
+#include "sim/fault-injection.h"
+
+static const SimJob LONG
+    = { .tasks = 5, .team = "red", .priority = "standard", .spot = TRUE, .run_s = 300.0 };
+static const SimJob BLUE_LONG
+    = { .tasks = 6, .team = "blue", .priority = "standard", .spot = TRUE, .run_s = 300.0 };
+
+static void
+wait_until_cancelled(Sim *sim, double max_s)
+{
+  for (guint i = 0; i < max_s * 20.0; i++) {
+    if (sim_is_told_cancelled(sim, 0) && sim_is_told_cancelled(sim, 1))
+      return;
+    sim_run(sim, 0.05);
+  }
+}
+
+/* Two jobs run on many machines; the leader alone is refused, both jobs are cancelled through the
+   others, and the state service goes away for all, for longer than cancel_s. */
+typedef struct {
+  const char *name;
+  gboolean crash_confirming; /* every other controller ends right after */
+  gboolean leader_alone;     /* the leader can't reach its peers either */
+  gboolean cloud_out;
+  gboolean restarted; /* one of the others was restarted before, and can't read */
+  SimMachineFault inject;
+  double fault_s;
+  gboolean begins_late; /* the cancellation comes while launches are on their way */
+} CancellationCase;
+
+static void
+play_cancellation_before_outage(guint32 seed, const CancellationCase *spec)
+{
+  Sim *sim = sim_new(seed);
+  g_test_message("%s, seed %u", spec->name, seed);
+  sim_properties(sim)->idle_timeout_s = 60.0;
+  sim_run(sim, 3.0);
+  sim_submit(sim, &LONG);
+  sim_submit(sim, &BLUE_LONG);
+  sim_run(sim, spec->begins_late ? 1.0 : 40.0);
+  for (guint i = 0; spec->begins_late && i < 400 && sim_count_running(sim, 0) == 0; i++)
+    sim_run(sim, 0.05);
+  guint leader = sim_leader(sim);
+  g_assert_cmpuint(leader, <, SIM_NODES);
+  g_assert_cmpuint(sim_count_running(sim, 0), >, 0);
+  if (spec->inject != NULL)
+    spec->inject(sim, sim_machine_running(sim, 0), spec->fault_s);
+  *(spec->leader_alone ? &sim_faults(sim)->isolated_nodes : &sim_faults(sim)->store_refuses_nodes)
+      = 1u << leader;
+  sim_run(sim, 0.5);
+  sim_cancel(sim, 0);
+  sim_cancel(sim, 1);
+  wait_until_cancelled(sim, 2.0);
+  sim_faults(sim)->store_unavailable = TRUE;
+  sim_faults(sim)->cloud_unavailable = spec->cloud_out;
+  if (spec->crash_confirming || spec->restarted)
+    sim_crash_node(sim, (leader + 1) % SIM_NODES, 2.0);
+  if (spec->crash_confirming)
+    sim_crash_node(sim, (leader + 2) % SIM_NODES, 2.0);
+  sim_run(sim, 50.0);
+  sim_end_faults(sim);
+  for (guint i = 0; i < 200 && sim_open_jobs(sim) > 0; i++) {
+    sim_cancel_any(sim);
+    sim_run(sim, 1.0);
+  }
+  g_assert_cmpuint(sim_open_jobs(sim), ==, 0);
+  g_assert_cmpuint(sim_late_starts(sim), ==, 0);
+  sim_run(sim, 200.0);
+  g_assert_cmpuint(sim_machines(sim), ==, 0);
+  g_assert_cmpuint(sim_marks(sim), ==, 0);
+  sim_free(sim);
+}
+
+static void
+test_cancellation_before_outage(gconstpointer data)
+{
+  for (guint32 seed = 500; seed < 505; seed++)
+    play_cancellation_before_outage(seed, data);
+}
+
+static const CancellationCase CANCELLATION_CASES[] = {
+  { .name = "leader-refused" },
+  { .name = "acknowledging-nodes-crash", .crash_confirming = TRUE },
+  { .name = "leader-isolated", .leader_alone = TRUE },
+  { .name = "cloud-outage", .cloud_out = TRUE },
+  { .name = "one-node-restarted", .restarted = TRUE },
+  { .name = "machine-outbound-unreachable", .inject = sim_block_outbound, .fault_s = 60.0 },
+  { .name = "machine-inbound-unreachable", .inject = sim_block_inbound, .fault_s = 60.0 },
+  { .name = "machine-stalled", .inject = sim_stall_machine, .fault_s = 10.0 },
+  { .name = "launch-in-flight", .begins_late = TRUE },
+};
+
+void
+add_cancellation_tests(void)
+{
+  for (gsize i = 0; i < G_N_ELEMENTS(CANCELLATION_CASES); i++) {
+    g_autofree char *path = g_strconcat("/combined-faults/cancellation-before-outage/",
+                                        CANCELLATION_CASES[i].name, NULL);
+    g_test_add_data_func(path, &CANCELLATION_CASES[i], test_cancellation_before_outage);
+  }
+}
--- a/tests/test-combined-faults.c
+++ b/tests/test-combined-faults.c
@@ -1,101 +1,12 @@
 /* Where troubles meet: each meeting that users have seen break a rule, brought about in a simulated
    world that checks the rules from outside, and pairs and triples of troubles drawn by a generator.
  */
+#include "combined-faults/combined-faults.h"
 #include "sim/fault-injection.h"
 #include "ws-suite.h"
 
 #include <glib/gstdio.h>
 
-static const SimJob LONG
-    = { .tasks = 5, .team = "red", .priority = "standard", .spot = TRUE, .run_s = 300.0 };
-static const SimJob BLUE_LONG
-    = { .tasks = 6, .team = "blue", .priority = "standard", .spot = TRUE, .run_s = 300.0 };
-
-static void
-wait_until_cancelled(Sim *sim, double max_s)
-{
-  for (guint i = 0; i < max_s * 20.0; i++) {
-    if (sim_is_told_cancelled(sim, 0) && sim_is_told_cancelled(sim, 1))
-      return;
-    sim_run(sim, 0.05);
-  }
-}
-
-/* Two jobs run on many machines; the leader alone is refused, both jobs are cancelled through the
-   others, and the state service goes away for all, for longer than cancel_s. */
-typedef struct {
-  const char *name;
-  gboolean crash_confirming; /* every other controller ends right after */
-  gboolean leader_alone;     /* the leader can't reach its peers either */
-  gboolean cloud_out;
-  gboolean restarted; /* one of the others was restarted before, and can't read */
-  SimMachineFault inject;
-  double fault_s;
-  gboolean begins_late; /* the cancellation comes while launches are on their way */
-} CancellationCase;
-
-static void
-play_cancellation_before_outage(guint32 seed, const CancellationCase *spec)
-{
-  Sim *sim = sim_new(seed);
-  g_test_message("%s, seed %u", spec->name, seed);
-  sim_properties(sim)->idle_timeout_s = 60.0;
-  sim_run(sim, 3.0);
-  sim_submit(sim, &LONG);
-  sim_submit(sim, &BLUE_LONG);
-  sim_run(sim, spec->begins_late ? 1.0 : 40.0);
-  for (guint i = 0; spec->begins_late && i < 400 && sim_count_running(sim, 0) == 0; i++)
-    sim_run(sim, 0.05);
-  guint leader = sim_leader(sim);
-  g_assert_cmpuint(leader, <, SIM_NODES);
-  g_assert_cmpuint(sim_count_running(sim, 0), >, 0);
-  if (spec->inject != NULL)
-    spec->inject(sim, sim_machine_running(sim, 0), spec->fault_s);
-  *(spec->leader_alone ? &sim_faults(sim)->isolated_nodes : &sim_faults(sim)->store_refuses_nodes)
-      = 1u << leader;
-  sim_run(sim, 0.5);
-  sim_cancel(sim, 0);
-  sim_cancel(sim, 1);
-  wait_until_cancelled(sim, 2.0);
-  sim_faults(sim)->store_unavailable = TRUE;
-  sim_faults(sim)->cloud_unavailable = spec->cloud_out;
-  if (spec->crash_confirming || spec->restarted)
-    sim_crash_node(sim, (leader + 1) % SIM_NODES, 2.0);
-  if (spec->crash_confirming)
-    sim_crash_node(sim, (leader + 2) % SIM_NODES, 2.0);
-  sim_run(sim, 50.0);
-  sim_end_faults(sim);
-  for (guint i = 0; i < 200 && sim_open_jobs(sim) > 0; i++) {
-    sim_cancel_any(sim);
-    sim_run(sim, 1.0);
-  }
-  g_assert_cmpuint(sim_open_jobs(sim), ==, 0);
-  g_assert_cmpuint(sim_late_starts(sim), ==, 0);
-  sim_run(sim, 200.0);
-  g_assert_cmpuint(sim_machines(sim), ==, 0);
-  g_assert_cmpuint(sim_marks(sim), ==, 0);
-  sim_free(sim);
-}
-
-static void
-test_cancellation_before_outage(gconstpointer data)
-{
-  for (guint32 seed = 500; seed < 505; seed++)
-    play_cancellation_before_outage(seed, data);
-}
-
-static const CancellationCase CANCELLATION_CASES[] = {
-  { .name = "leader-refused" },
-  { .name = "acknowledging-nodes-crash", .crash_confirming = TRUE },
-  { .name = "leader-isolated", .leader_alone = TRUE },
-  { .name = "cloud-outage", .cloud_out = TRUE },
-  { .name = "one-node-restarted", .restarted = TRUE },
-  { .name = "machine-outbound-unreachable", .inject = sim_block_outbound, .fault_s = 60.0 },
-  { .name = "machine-inbound-unreachable", .inject = sim_block_inbound, .fault_s = 60.0 },
-  { .name = "machine-stalled", .inject = sim_stall_machine, .fault_s = 10.0 },
-  { .name = "launch-in-flight", .begins_late = TRUE },
-};
-
 /* Machines whose reports reach nobody, while calls reach them: what was started there would end
    with their leases again and again, so new work goes elsewhere. */
 static void
@@ -398,118 +309,6 @@
   sim_free(sim);
 }
 
-/* The checks themselves: a rule that is broken on purpose is objected to. */
-
-/* TRUE in the parent, which sees that its child ends with the objection. */
-static gboolean
-expects_abort_in_child(const char *pattern)
-{
-  if (g_test_subprocess())
-    return FALSE;
-  g_test_trap_subprocess(NULL, 0, G_TEST_SUBPROCESS_DEFAULT);
-  g_test_trap_assert_failed();
-  g_test_trap_assert_stderr(pattern);
-  return TRUE;
-}
-
-/* A world in which the jobs run. */
-static Sim *
-running_world(guint32 seed, const SimJob *first, const SimJob *second, guint tasks)
-{
-  Sim *sim = sim_new(seed);
-  sim_run(sim, 3.0);
-  sim_submit(sim, first);
-  sim_submit(sim, second);
-  for (guint i = 0; i < 60 && sim_count_running(sim, 0) + sim_count_running(sim, 1) < tasks; i++)
-    sim_run(sim, 1.0);
-  return sim;
-}
-
-/* The task of the first job begins on every machine but its own. */
-static void
-start_everywhere(Sim *sim, guint task)
-{
-  for (guint machine = 0; machine < sim_machines(sim); machine++)
-    if (machine != sim_machine_running(sim, 0))
-      sim_force_start(sim, machine, 0, task);
-  sim_run(sim, 1.0);
-}
-
-static const SimJob ONE = { .tasks = 1, .team = "red", .priority = "standard", .run_s = 90.0 };
-static const SimJob FOUR = { .tasks = 4, .team = "blue", .priority = "standard", .run_s = 90.0 };
-
-static void
-test_checker_detects_duplicate_run(void)
-{
-  if (expects_abort_in_child("*ran_twice*"))
-    return;
-  Sim *sim = running_world(700, &ONE, &FOUR, 5);
-  start_everywhere(sim, 0);
-  sim_free(sim);
-}
-
-static void
-test_checker_detects_exceeded_quota(void)
-{
-  static const SimJob WIDE = { .tasks = 9, .team = "blue", .priority = "standard", .run_s = 60.0 };
-  if (expects_abort_in_child("*quota of blue*"))
-    return;
-  Sim *sim = sim_new(701);
-  sim_run(sim, 3.0);
-  sim_submit(sim, &WIDE);
-  for (guint i = 0; i < 60 && sim_count_running(sim, 0) < 8; i++)
-    sim_run(sim, 1.0);
-  for (guint machine = 0; machine < sim_machines(sim); machine++)
-    sim_force_start(sim, machine, 0, 8);
-  sim_run(sim, 1.0);
-  sim_free(sim);
-}
-
-static void
-test_checker_detects_wrong_placement(void)
-{
-  static const SimJob IN_A
-      = { .tasks = 2, .team = "blue", .priority = "standard", .zone = "a", .run_s = 90.0 };
-  static const SimJob IN_B
-      = { .tasks = 1, .team = "red", .priority = "standard", .zone = "b", .run_s = 90.0 };
-  if (expects_abort_in_child("*wrong_place*"))
-    return;
-  Sim *sim = running_world(702, &IN_A, &FOUR, 6);
-  guint in_a = sim_machine_running(sim, 0);
-  g_assert_cmpuint(in_a, !=, G_MAXUINT);
-  sim_submit(sim, &IN_B);
-  sim_force_start(sim, in_a, 2, 0);
-  sim_run(sim, 1.0);
-  sim_free(sim);
-}
-
-static void
-test_checker_detects_run_after_cancellation(void)
-{
-  if (expects_abort_in_child("*ran_cancelled*"))
-    return;
-  Sim *sim = running_world(703, &ONE, &FOUR, 5);
-  sim_cancel(sim, 0);
-  sim_run(sim, 35.0);
-  g_assert_true(sim_is_told_cancelled(sim, 0));
-  sim_force_start(sim, sim_draw_machine(sim), 0, 0);
-  sim_run(sim, 1.0);
-  sim_free(sim);
-}
-
-static void
-test_checker_detects_forgotten_job(void)
-{
-  if (expects_abort_in_child("*forgotten: nothing is heard*"))
-    return;
-  Sim *sim = running_world(704, &ONE, &FOUR, 5);
-  sim_end_faults(sim);
-  for (guint node = 0; node < SIM_NODES; node++)
-    sim_crash_node(sim, node, 1000.0);
-  sim_run(sim, 90.0);
-  sim_free(sim);
-}
-
 /* Two plays with the same seeds put out the same, to the byte, in two processes whose addresses
    differ: so that a change that means to leave the behaviour alone can be held to it. */
 
@@ -568,11 +367,7 @@
 main(int argc, char **argv)
 {
   ws_suite_init(&argc, &argv);
-  for (gsize i = 0; i < G_N_ELEMENTS(CANCELLATION_CASES); i++) {
-    g_autofree char *path = g_strconcat("/combined-faults/cancellation-before-outage/",
-                                        CANCELLATION_CASES[i].name, NULL);
-    g_test_add_data_func(path, &CANCELLATION_CASES[i], test_cancellation_before_outage);
-  }
+  add_cancellation_tests();
   for (gsize i = 0; i < G_N_ELEMENTS(COMBINED_FAULTS); i++) {
     g_autofree char *path = g_strconcat("/combined-faults/", COMBINED_FAULTS[i].name, NULL);
     g_test_add_data_func(path, &COMBINED_FAULTS[i], test_combined_faults);
