--- a/tests/combined-faults/cancellation.c
+++ b/tests/combined-faults/cancellation.c
@@ -20,7 +20,7 @@
 }
 
 /* Two jobs run on many machines; the leader alone is refused, both jobs are cancelled through the
-   others, and the state service goes away for all, for longer than cancel_s. */
+   others, and the store becomes unavailable for all, for longer than cancel_s. */
 typedef struct {
   const char *name;
   gboolean crash_confirming; /* every other controller ends right after */
--- a/tests/combined-faults/checker.c
+++ b/tests/combined-faults/checker.c
@@ -16,7 +16,7 @@
   return TRUE;
 }
 
-/* A world in which the jobs run. */
+/* A simulated cluster in which the jobs run. */
 static Sim *
 running_world(guint32 seed, const SimJob *first, const SimJob *second, guint tasks)
 {
--- a/tests/evidence/flapping.c
+++ b/tests/evidence/flapping.c
@@ -5,7 +5,7 @@
 #include "sim/fault-injection.h"
 
 /* Again and again an epoch begins, tasks are assigned whose machines don't know it yet, more urgent
-   work takes their room, and the leader loses its place for a while before it can write that they
+   work takes their slots, and the leader loses its lease for a while before it can write that they
    are gone. */
 static void
 play_flapping(guint32 seed)
--- a/tests/gangs/one-node.c
+++ b/tests/gangs/one-node.c
@@ -134,7 +134,7 @@
   }
 }
 
-/* A gang that must be in one zone goes where there is room for all of it, also when the machine
+/* A gang that must be in one zone goes where there is capacity for all of it, also when the machine
    that suits its first task best is elsewhere. */
 void
 test_placed_in_zone_with_capacity(void)
@@ -156,7 +156,7 @@
   fixture_free(fixture);
 }
 
-/* A report of a machine on which the tasks that it has on record run. */
+/* A heartbeat of a machine on which the tasks that it has on record run. */
 static void
 report_running(Fixture *fixture, const char *machine, gboolean is_noticed)
 {
--- a/tests/gangs/simulated.c
+++ b/tests/gangs/simulated.c
@@ -47,7 +47,7 @@
 }
 
 /* The loss of one task is that of the attempt; the next one starts when nothing of it is left,
-   which the world checks. */
+   which the checker sees to. */
 void
 test_machine_loss_restarts_whole_gang(void)
 {
@@ -66,7 +66,7 @@
   }
 }
 
-/* A machine that hangs for less than its lease takes the attempt with it, and holds its own task
+/* A machine that stalls for less than its lease takes the attempt with it, and keeps its own task
    until it goes on. */
 void
 test_short_stall_restarts_once(void)
@@ -119,7 +119,7 @@
   }
 }
 
-/* A cancellation in any phase, also in the middle of a stop; the world checks cancel_s. */
+/* A cancellation in any phase, also in the middle of a stop; the checker knows cancel_s. */
 void
 test_cancelled_in_any_phase(void)
 {
@@ -137,7 +137,7 @@
   }
 }
 
-/* A cut between zones goes through a gang whose tasks may be in any. */
+/* A partition between zones goes through a gang whose tasks may be in any. */
 void
 test_partition_through_gang(void)
 {
@@ -177,7 +177,7 @@
   sim_free(sim);
 }
 
-/* Gangs among arrays and services, while troubles meet. */
+/* Gangs among arrays and services, during combined faults. */
 static void
 play_drawn_faults(guint32 seed)
 {
@@ -198,7 +198,7 @@
   sim_play_seeds(2000, 25, play_drawn_faults);
 }
 
-/* The world objects when two attempts hold places at once. */
+/* The checker reports two attempts that occupy slots at once. */
 void
 test_checker_detects_two_attempts(void)
 {
--- a/tests/regressions/cancellation.c
+++ b/tests/regressions/cancellation.c
@@ -4,7 +4,7 @@
 #include "regressions/regressions.h"
 
 /* A peer's word that a job is cancelled counts whatever the records say: its task is halted, and
-   not launched again in a new session. What can't be understood changes nothing. */
+   not launched again by a new incarnation. What can't be understood changes nothing. */
 void
 test_peer_cancellation_halts_task(void)
 {
@@ -27,7 +27,7 @@
   fixture_free(fixture);
 }
 
-/* Peers are told until each has acknowledged it, and then no more. */
+/* A cancellation is sent to the peers until each has acknowledged it, and then no more. */
 void
 test_cancellation_is_redelivered_until_acknowledged(void)
 {
@@ -51,8 +51,9 @@
   return fixture->status;
 }
 
-/* A node without state service and peers, which machines of other zones reach, stops renewing in
-   time for what may have been confirmed without it: also those that come back to it. */
+/* A node that reaches neither the store nor peers, while machines of other zones reach it, stops
+   renewing their leases before cancellations that it cannot know of are due; also of those that
+   come back. */
 void
 test_isolated_node_stops_lease_renewal(void)
 {
@@ -69,8 +70,7 @@
   fixture_free(fixture);
 }
 
-/* If only its own zone reaches it, the zone is what is cut off, and its answers keep tasks alive.
- */
+/* If only its own zone reaches it, the zone is partitioned, and its answers keep tasks alive. */
 void
 test_partitioned_zone_keeps_lease_renewal(void)
 {
@@ -82,8 +82,8 @@
   fixture_free(fixture);
 }
 
-/* In an outage for everybody tasks are launched (again) only when the peers have told all that they
-   knew, and leases aren't renewed for ever before that. */
+/* In an outage for all nodes tasks are launched (again) only when the peers' cancellations are all
+   acknowledged, and leases aren't renewed for ever before that. */
 void
 test_no_launch_before_cancellations_are_acknowledged(void)
 {
@@ -105,7 +105,7 @@
   fixture_free(fixture);
 }
 
-/* A machine that doesn't confirm a cancellation while the state service takes no mark is returned
+/* A machine that doesn't confirm a cancellation while the store takes no mark is returned
    without one, and its record is mended afterwards: nothing leaks. */
 void
 test_return_without_mark_leaks_nothing(void)
--- a/tests/regressions/failure-detection.c
+++ b/tests/regressions/failure-detection.c
@@ -4,7 +4,7 @@
  */
 #include "regressions/regressions.h"
 
-/* A late report of a machine that was returned must not bring it back as a new one. */
+/* A late heartbeat of a machine that was returned must not bring it back as a new one. */
 void
 test_returned_machine_is_not_recorded_again(void)
 {
@@ -18,9 +18,9 @@
   fixture_free(fixture);
 }
 
-/* A copy of an old report, from a machine that was returned before this run of the controller
-   began, names an old token: nothing is recorded for it. The machine itself would show ours next
-   time. */
+/* A copy of an old heartbeat, from a machine that was returned before this run of the controller
+   began, names an old fencing token: nothing is recorded for it. The machine itself would show ours
+   next time. */
 void
 test_stale_token_records_no_machine(void)
 {
@@ -36,8 +36,8 @@
   fixture_free(fixture);
 }
 
-/* A node that no worker reaches doesn't take those that the others have not passed on for dead:
-   with hundreds of machines 290 live ones were returned. Once it is reached, it does. */
+/* A node that no worker reaches doesn't declare machines dead whose heartbeats no other node
+   relays: with hundreds of machines 290 live ones were returned. Once it is reached, it does. */
 void
 test_no_termination_by_unreachable_node(void)
 {
@@ -58,8 +58,9 @@
   fixture_free(fixture);
 }
 
-/* Behind a cut some machines were heard a little earlier than the others. They aren't taken for
-   dead while it doesn't show yet that all are silent: 90 were returned whose tasks went on. */
+/* The last heartbeats from behind a partition arrive at slightly different times. The machines
+   aren't declared dead before it shows that all are silent: 90 were returned whose tasks went on.
+ */
 void
 test_no_termination_while_partition_emerges(void)
 {
@@ -81,9 +82,9 @@
   fixture_free(fixture);
 }
 
-/* Where reports come 5 s apart, a machine that showed an old token last time hasn't had the time to
-   show ours after 4 s: it's used all the same. After several epochs in a row the whole fleet looked
-   deaf. */
+/* Where heartbeats come 5 s apart, a machine that showed an old fencing token last time hasn't had
+   the time to show ours after 4 s: it's used all the same. After several epochs in a row the whole
+   fleet looked unreachable. */
 void
 test_slow_heartbeats_keep_machine_eligible(void)
 {
@@ -100,8 +101,8 @@
   fixture_free(fixture);
 }
 
-/* What is silent behind a cut doesn't make a machine elsewhere wait, that died meanwhile: dozens
-   were given up only after a lease. */
+/* Machines that are silent behind a partition don't delay the detection of one that died elsewhere:
+   dozens were declared dead only after a lease. */
 void
 test_death_outside_partition_is_detected(void)
 {
@@ -125,9 +126,10 @@
   fixture_free(fixture);
 }
 
-/* A zone in which no controller is counts as cut off when most of its machines are silent together:
-   none is rented there, and they are given up only after several leases. On a rough day 85 were
-   marked and returned in the middle of a cut, which took the changes that waiting work needed. */
+/* A zone without a controller counts as partitioned when most of its machines are silent together:
+   none is rented there, and they are declared dead only after several leases. Once 85 were
+   marked and returned in the middle of a partition, which took the changes that waiting work
+   needed. */
 void
 test_zone_without_controller_has_grace_period(void)
 {
@@ -171,8 +173,8 @@
   return fixture;
 }
 
-/* A controller that begins beside a cut has never heard the machines behind it. They aren't taken
-   for dead all the same: 148 were returned whose tasks went on. */
+/* A controller that starts during a partition has never heard the machines behind it. They aren't
+   declared dead all the same: 148 were returned whose tasks went on. */
 void
 test_no_termination_after_restart_in_partition(void)
 {
@@ -182,8 +184,8 @@
   fixture_free(fixture);
 }
 
-/* Where nothing is cut off, they have the time to wait for their old node in vain and to find this
-   one; then they are given up. */
+/* Without a partition they have the time to wait for their old node in vain and to find this one;
+   then they are declared dead. */
 void
 test_new_owner_waits_before_termination(void)
 {
@@ -195,8 +197,8 @@
   fixture_free(fixture);
 }
 
-/* A node that stood still while its clocks ran on takes nothing for granted: it answers no worker
-   and marks nothing, before it has renewed its lease and read. */
+/* A node whose process was paused while its clocks ran on takes nothing for granted: it answers no
+   worker and marks nothing, before it has renewed its lease and read. */
 void
 test_stalled_node_renews_before_it_answers(void)
 {
--- a/tests/regressions/scheduling.c
+++ b/tests/regressions/scheduling.c
@@ -3,8 +3,8 @@
  */
 #include "regressions/regressions.h"
 
-/* When the ends of many tasks come at once, as after a cut, the assignment of a critical task isn't
-   written after all of them. */
+/* When the ends of many tasks come at once, as after a partition, the assignment of a critical task
+   isn't written after all of them. */
 void
 test_critical_assignment_precedes_releases(void)
 {
@@ -51,7 +51,7 @@
   fixture_free(fixture);
 }
 
-/* Where a smaller type has room for it, a task leaves the larger machine to larger tasks: each
+/* Where a smaller type has capacity for it, a task leaves the larger machine to larger tasks: each
    small one kept a large one out, on a day of armor-releves with half of the processors unused. */
 void
 test_small_task_leaves_large_machine_free(void)
@@ -221,7 +221,7 @@
 }
 
 /* Where a transaction holds few changes, the ends of tasks don't fill one after another while a job
-   waits beside free room: 13 to 26 jobs waited so on a day of armor-releves. */
+   waits beside free capacity: 13 to 26 jobs waited so on a day of armor-releves. */
 void
 test_releases_leave_space_for_assignments(void)
 {
--- a/tests/regressions/writes.c
+++ b/tests/regressions/writes.c
@@ -30,7 +30,7 @@
   fixture_free(fixture);
 }
 
-/* A report without our token may be a late copy: its ends are not believed. */
+/* A heartbeat without our fencing token may be a late copy: completions in it don't count. */
 void
 test_no_release_without_current_fencing_token(void)
 {
@@ -55,7 +55,7 @@
 }
 
 /* A cancelled task whose direct launch had no answer isn't released for being absent, nor may the
-   worker forget an attempt, until the worker has seen a higher token. */
+   worker forget an attempt, until the worker has seen a higher fencing token. */
 void
 test_no_release_while_launch_is_indeterminate(void)
 {
@@ -76,8 +76,8 @@
   fixture_free(fixture);
 }
 
-/* A machine that isn't heard doesn't learn a higher token: no epoch is begun for its doubt. They
-   followed one another every 10 s while a zone was cut off. */
+/* A machine that cannot be reached doesn't learn a higher fencing token: no epoch is begun to
+   settle its indeterminate launch. Epochs followed one another every 10 s during a partition. */
 void
 test_no_epoch_for_unreachable_machine(void)
 {
@@ -99,7 +99,8 @@
   fixture_free(fixture);
 }
 
-/* Without doubt the same absence releases it at once, if the report carries our token. */
+/* After an acknowledged launch the same absence releases it at once, if the heartbeat carries our
+   fencing token. */
 void
 test_absence_releases_after_acknowledged_launch(void)
 {
@@ -113,7 +114,7 @@
   fixture_free(fixture);
 }
 
-/* A higher token than ours means that we don't know the newest epoch. */
+/* A higher fencing token than ours means that we don't know the newest epoch. */
 void
 test_no_renewal_under_newer_fencing_token(void)
 {
--- a/tests/sim/fault-injection.c
+++ b/tests/sim/fault-injection.c
@@ -1,3 +1,6 @@
+/**
+ * Load, fault injection and the final check that tests of the simulated cluster share.
+ */
 #include "sim/fault-injection.h"
 
 void
@@ -78,7 +81,7 @@
   return wanted != NULL ? (guint)g_ascii_strtoull(wanted, NULL, 10) : usual;
 }
 
-/* Pairs and triples of troubles that overlap, drawn from a seed. */
+/* Pairs and triples of faults that overlap, drawn from a seed. */
 
 typedef struct {
   const char *name;
--- a/tests/sim/fault-injection.h
+++ b/tests/sim/fault-injection.h
@@ -1,14 +1,15 @@
 /**
- * Loads and troubles that several tests of the simulated world share.
+ * Load, fault injection and the final check that tests of the simulated cluster share.
  */
 #pragma once
 
 #include "sim/sim.h"
 
-/** Submits arrays of both teams, more than there is room for, some of them bound to one zone. */
+/** Submits arrays of both teams, more than there is capacity for, some of them bound to one zone.
+ */
 void sim_add_load(Sim *sim, guint rounds);
 
-/** A world in which such a load has begun to run. */
+/** A simulated cluster in which such a load has begun to run. */
 Sim *sim_new_with_load(guint32 seed);
 
 void sim_cancel_many(Sim *sim, guint count);
@@ -18,13 +19,13 @@
 
 guint sim_other_node(guint node);
 
-/** Brings machines that are up into trouble. */
+/** Injects the fault into random machines that are up. */
 void sim_inject_machine_faults(Sim *sim, guint count, SimMachineFault inject, double seconds);
 
-/** Two or three troubles drawn at random, with overlapping times, for a minute. */
+/** Injects two or three faults drawn at random, with overlapping times, for a minute. */
 void sim_inject_random_faults(Sim *sim);
 
-/** Ends all troubles; fails unless everything is served then, and no machine leaks. */
+/** Ends all faults; fails unless then every job completes, and no machine leaks. */
 void sim_expect_recovery(Sim *sim);
 
 void sim_repeat_malformed_requests(Sim *sim);
--- a/tests/sim/fixture.c
+++ b/tests/sim/fixture.c
@@ -1,3 +1,7 @@
+/**
+ * The one-node harness: a controller whose calls are answered by a simulated store and scripted
+ * peers, workers and cloud.
+ */
 #include "sim/fixture.h"
 
 #include "sim/trace.h"
@@ -44,7 +48,7 @@
   return message;
 }
 
-/* A peer that isn't a member, but has all that it's told. */
+/* The answer of a peer that isn't a member, but acknowledges all gossip. */
 static void
 answer_gossip(Fixture *fixture, const WsOutput *output, const json_t *body)
 {
--- a/tests/sim/fixture.h
+++ b/tests/sim/fixture.h
@@ -1,5 +1,8 @@
-/* One controller alone in its epoch, with a state service and scripted workers: for what random
-   schedules rarely lean on, and for counting. */
+/**
+ * The one-node harness: a controller alone in its epoch, with a simulated store and scripted peers,
+ * workers and cloud. For invariants that random schedules rarely rest on, and for counting
+ * messages.
+ */
 #pragma once
 
 #include "core/ws-core.h"
@@ -12,10 +15,10 @@
   WsCore *core;
   guint run; /* counts its restarts */
   gint64 now_ms;
-  const char *zone;           /* of the machines that report */
+  const char *zone;           /* of the machines that send heartbeats */
   gboolean spot;              /* what kind they are */
   gboolean peers_unreachable; /* the other controllers aren't there */
-  gboolean store_unavailable; /* the state service answers 503 */
+  gboolean store_unavailable; /* the store answers 503 */
   gboolean workers_answer;    /* direct commands */
   json_t *status_report;      /* what workers answer to /status; NULL: nothing */
   gboolean hold_watch;        /* the next watch gets no answer until it is released */
@@ -23,9 +26,9 @@
   gboolean has_small_type;         /* the cloud has a smaller type too */
   gboolean cloud_confirms_returns; /* it answers returns */
   gboolean peers_lack_store;
-  guint unacknowledged_by_peers; /* cancellations that a peer knows and has not told */
-  gboolean peers_acknowledge;    /* what they are told of cancellations */
-  guint cancellations_sent;      /* how often peers were told */
+  guint unacknowledged_by_peers; /* cancellations that a peer has not got acknowledged */
+  gboolean peers_acknowledge;    /* cancellations that they are sent */
+  guint cancellations_sent;      /* to peers, repetitions too */
   guint returns_requested;       /* returns asked of the cloud */
   guint direct_commands;         /* direct commands seen */
   guint64 sequence;
@@ -46,14 +49,14 @@
   guint run;
 } StoreCall;
 
-/* A machine that has shown the token, a job and its task on the machine. */
+/* A machine that has shown the fencing token, a job and its task on the machine. */
 Fixture *fixture_new_with_job(gboolean workers_answer);
 /* The same without machine and job. */
 Fixture *fixture_new(gboolean workers_answer);
 /* The same where the cloud has a small type beside the large one. */
 Fixture *fixture_new_with_two_types(void);
 void fixture_free(Fixture *fixture);
-/* The controller ends and begins anew, with the same state service. */
+/* The controller ends and begins anew, with the same store. */
 void fixture_restart(Fixture *fixture);
 void fixture_release_watch(Fixture *fixture);
 void fixture_pump(Fixture *fixture);
@@ -71,15 +74,15 @@
                           guint64 sequence, json_t *tasks);
 /* What another controller says, and a moment for the answer. */
 void fixture_send_peer_message(Fixture *fixture, const char *path, json_t *body /* taken */);
-/* A report of any machine, and no pause after it. */
+/* A heartbeat of any machine, and no pause after it. */
 void fixture_post_heartbeat(Fixture *fixture, const char *machine, guint64 fencing_token,
                             guint64 sequence, json_t *tasks /* taken */);
 void fixture_send_heartbeat(Fixture *fixture, guint64 fencing_token, json_t *tasks);
 json_t *fixture_submission(void);
 gboolean fixture_task_is_assigned(const Fixture *fixture);
-/* Whether the last answer to a report has the command. */
+/* Whether the last answer to a heartbeat has the command. */
 gboolean fixture_has_command(const Fixture *fixture, const char *op);
-/* What somebody else writes to the state service; value NULL: removes the key, which is there. */
+/* What somebody else writes to the store; value NULL: removes the key, which is there. */
 void fixture_write_key(Fixture *fixture, const char *key, json_t *value /* taken */);
 void fixture_reply(Fixture *fixture, guint64 call, guint status, const json_t *body);
 void fixture_on_store_reply(gpointer data, guint status, json_t *body);
--- a/tests/sim/sim-checker.c
+++ b/tests/sim/sim-checker.c
@@ -1,4 +1,6 @@
-/* The rules, checked from outside by what workers run and users were told, and counts for tests. */
+/**
+ * The invariants, checked by what workers run and what users were told; and counts for tests.
+ */
 #include "sim/sim-private.h"
 
 #include <string.h>
@@ -37,7 +39,7 @@
   }
 }
 
-/* What was on its way when the user was told. */
+/* How long a launch may have been in flight when the user was told. */
 #define ON_ITS_WAY_MS 1500
 
 static void
@@ -181,9 +183,9 @@
          && (job->spec.spot || !machine->worker->spot) && taken < SIM_SLOTS;
 }
 
-/* Once the troubles are over no job waits for long while a machine that fits has room and its team
-   is under its limit. Jobs bound to zones are left out: where they fit hangs on their other tasks.
- */
+/* Once the faults are over no job waits for long while a machine that fits has free capacity and
+   its team is under its limit. Jobs bound to zones are left out: where they fit depends on their
+   other tasks. */
 void
 sim_check_waiting(const Sim *sim, Job *job)
 {
--- a/tests/sim/sim-cloud.c
+++ b/tests/sim/sim-cloud.c
@@ -1,4 +1,6 @@
-/* The cloud and its machines. */
+/**
+ * The simulated cloud and its machines.
+ */
 #include "sim/sim-private.h"
 
 #include <string.h>
--- a/tests/sim/sim-faults.c
+++ b/tests/sim/sim-faults.c
@@ -1,4 +1,6 @@
-/* Faults that tests bring about. */
+/**
+ * Faults that tests inject into the simulated cluster.
+ */
 #include "sim/sim-private.h"
 
 /* Nothing that a crashed node would still have sent or answered gets out. */
--- a/tests/sim/sim-gangs.c
+++ b/tests/sim/sim-gangs.c
@@ -1,4 +1,6 @@
-/* Gangs of the simulated world: their tasks wait for each other, run, save and end together. */
+/**
+ * Gangs of the simulated cluster: their tasks wait for each other, run, save and end together.
+ */
 #include "sim/sim-private.h"
 
 #include <string.h>
@@ -47,7 +49,7 @@
   return sim_is_up(sim, member->machine) && !sim_is_stalled(sim, member->machine);
 }
 
-/* The rule beside those of the protocol: one attempt at a time holds places. */
+/* An invariant beside those of the protocol: one attempt at a time occupies slots. */
 void
 sim_check_one_attempt(const Sim *sim, const SimTask *task)
 {
--- a/tests/sim/sim-network.c
+++ b/tests/sim/sim-network.c
@@ -1,4 +1,6 @@
-/* The network: calls on their way, which are lost, delayed, repeated or held back. */
+/**
+ * The simulated network: messages in flight, which are lost, delayed, duplicated or held back.
+ */
 #include "sim/sim-private.h"
 #include "sim/trace.h"
 
@@ -174,7 +176,7 @@
 
 static void arrive(Sim *sim, gpointer data);
 
-/* Users, cloud and state service are in no zone. */
+/* Users, the cloud and the store are in no zone. */
 static const char *
 zone_of_caller(const Call *call)
 {
@@ -195,7 +197,7 @@
   } else if (sim_is_stalled(sim, machine)) {
     sim_later(sim, machine->stalled_until_ms - sim->now_ms, arrive, call);
   } else if (is_partitioned(sim, zone_of_caller(call), machine->worker->zone)) {
-    sim_later(sim, 1000, arrive, call); /* held back until the cut ends */
+    sim_later(sim, 1000, arrive, call); /* held back until the partition ends */
   } else {
     send_to_worker(sim, call, machine);
   }
@@ -246,7 +248,7 @@
     release_slow(sim, data);
 }
 
-/* The open watches of a node that is refused wait as they do in an outage. */
+/* The open watches of a node that the store refuses wait as they do in an outage. */
 static void
 store_replied(gpointer data, guint status, json_t *body)
 {
--- a/tests/sim/sim-private.h
+++ b/tests/sim/sim-private.h
@@ -1,4 +1,6 @@
-/* What the parts of the simulated world share. */
+/**
+ * What the parts of the simulated cluster share.
+ */
 #pragma once
 
 #include "sim/sim.h"
@@ -15,7 +17,7 @@
 
 typedef enum { TOLD_NOTHING, TOLD_ACCEPTED, TOLD_DONE, TOLD_CANCELLED } Told;
 
-/* What the world knows of a gang's attempt that has started. */
+/* What the simulation knows of a gang's attempt that has started. */
 typedef struct {
   guint64 attempt;    /* 0: none has started */
   gint64 started_ms;  /* when its tasks began to run together */
@@ -37,7 +39,7 @@
   gint64 cancelled_ms;
   gint64 next_ms; /* when its user asks again */
   gint64 answered_ms;
-  gint64 beside_capacity_ms; /* since when a task of it waits beside room; 0: none does */
+  gint64 beside_capacity_ms; /* since when a task of it waits beside free capacity; 0: none does */
   gboolean has_started;
   guint8 *completed;
   Gang gang;
@@ -52,7 +54,7 @@
   gint64 outbound_unreachable_until_ms;
   gint64 inbound_unreachable_until_ms;
   gint64 next_heartbeat_ms;
-  guint node; /* where it reports */
+  guint node; /* where it sends its heartbeats */
 } Machine;
 
 typedef struct {
@@ -81,7 +83,7 @@
   guint64 lives;
   GSequence *events;
   SimStore *store;
-  gint64 faults_ended_ms; /* since when all troubles are over; 0: they aren't */
+  gint64 faults_ended_ms; /* since when all faults are over; 0: they aren't */
   guint lost_tasks;
   guint returned_tasks;
   guint late_starts;
@@ -97,7 +99,7 @@
 
 extern const char *const SIM_ZONES[SIM_NODES];
 
-/* Calls on their way. One of these lives until its answer was taken or given up. */
+/* Calls in flight. A call lives until its answer was taken or has timed out. */
 
 typedef struct {
   Sim *sim;
@@ -111,7 +113,7 @@
   gint64 sent_ms;
   guint64 incarnation;
   Job *job;
-  guint expected; /* of an odd request: the status */
+  guint expected; /* of a malformed request: the status */
   const char *expected_state;
   /* what is asked */
   char *method;
--- a/tests/sim/sim-users.c
+++ b/tests/sim/sim-users.c
@@ -1,10 +1,10 @@
-/* Users: they submit, ask, cancel, and remember what they were told. */
+/**
+ * Simulated users: they submit, query and cancel jobs, and remember what they were told.
+ */
 #include "sim/sim-private.h"
 
 #include <string.h>
 
-/* The rules, whenever a task starts. */
-
 Job *
 sim_find_job(const Sim *sim, const char *id)
 {
--- a/tests/sim/sim.c
+++ b/tests/sim/sim.c
@@ -1,4 +1,6 @@
-/* The simulated world: its nodes, and time. */
+/**
+ * The simulated cluster: its nodes and its clock.
+ */
 #include "sim/sim-private.h"
 
 const char *const SIM_ZONES[SIM_NODES] = { "a", "b", "c" };
--- a/tests/sim/sim.h
+++ b/tests/sim/sim.h
@@ -1,8 +1,10 @@
-/* A small world in memory for whole cores: a state service, a cloud, workers and users that behave
-   as their published protocols say, and a network that loses, delays and repeats. The rules are
-   checked whenever a task starts and whenever a user is answered.
-
-   Everything follows from one seed. */
+/**
+ * A simulated cluster in memory: whole controllers, a store, a cloud, workers and users that follow
+ * their published protocols, and a network that loses, delays and duplicates messages. The
+ * invariants are checked whenever a task starts and whenever a user is answered.
+ *
+ * Everything follows from one seed.
+ */
 #pragma once
 
 #include "core/ws-core.h"
@@ -25,17 +27,17 @@
 /* Faults may be set and ended at any time. */
 typedef struct {
   SimNet net;
-  gboolean store_unavailable; /* the state service answers 503 */
+  gboolean store_unavailable; /* the store answers 503 */
   guint store_refuses_nodes;  /* bit for each node that alone is refused */
-  guint partitioned_zones;    /* bit for each zone that is cut off from the other zones */
+  guint partitioned_zones;    /* bit for each zone that is partitioned from the others */
   guint unreachable_nodes;    /* bit for each node that no worker reaches, nor it them */
   double
       delayed_transactions; /* chance that a transaction gets no answer and is carried out late */
-  gint64 store_delay_ms;    /* by which an answer of the state service may be late */
-  guint isolated_nodes; /* bit for each node that reaches neither state service nor other nodes */
-  double
-      duplicated_heartbeats; /* chance that a copy of a report comes late, up to several leases */
-  guint max_machines;        /* that the cloud has in all; 0: any number */
+  gint64 store_delay_ms;    /* by which an answer of the store may be delayed */
+  guint isolated_nodes;     /* bit for each node that reaches neither the store nor other nodes */
+  double duplicated_heartbeats; /* chance that a copy of a heartbeat arrives late, up to several
+                                   leases */
+  guint max_machines;           /* that the cloud has in all; 0: any number */
   gboolean cloud_unavailable;
   gboolean cloud_is_full;
 } SimFaults;
@@ -55,7 +57,7 @@
 
 Sim *sim_new(guint32 seed);
 void sim_free(Sim *sim);
-/* How often workers report, and how long their lease is; before anything runs. */
+/* The heartbeat interval and the lease of workers; to be set before anything runs. */
 void sim_set_pace(Sim *sim, double report_s, double lease_s);
 SimFaults *sim_faults(Sim *sim);
 GRand *sim_rand(Sim *sim);
@@ -63,7 +65,7 @@
 gint64 sim_now(const Sim *sim);
 void sim_run(Sim *sim, double seconds);
 void sim_crash_node(Sim *sim, guint node, double back_after_s);
-/* The node stands still while its clocks run on. */
+/* The process is paused while its clocks run on. */
 void sim_pause_node(Sim *sim, guint node, double seconds);
 gboolean sim_node_up(const Sim *sim, guint node);
 void sim_submit(Sim *sim, const SimJob *job);
@@ -79,37 +81,37 @@
 guint sim_gang_starts(const Sim *sim, guint job);
 guint sim_gang_losses(const Sim *sim, guint job);
 guint sim_gang_saves(const Sim *sim, guint job);
-/* Breaks a rule on purpose: the task begins on the machine, whatever anybody decided. */
+/* Violates an invariant on purpose: the task starts on the machine, whatever anybody decided. */
 void sim_force_start(Sim *sim, guint machine, guint job, guint task);
 /* A machine with a running task of the job, by its place; G_MAXUINT: there is none. */
 guint sim_machine_running(const Sim *sim, guint job);
 guint sim_draw_machine(Sim *sim); /* that is up; G_MAXUINT: none */
 void sim_stall_machine(Sim *sim, guint machine, double seconds);
-/* Its reports arrive, but neither answers nor commands reach it. */
+/* Its heartbeats arrive, but neither answers nor commands reach it. */
 void sim_block_outbound(Sim *sim, guint machine, double seconds);
-/* Its reports reach no controller, while direct commands reach it. */
+/* Its heartbeats reach no controller, while direct commands reach it. */
 void sim_block_inbound(Sim *sim, guint machine, double seconds);
-/* The settings announce lower limits of the state service: what a node writes from now on. */
+/* The settings announce lower limits of the store, which nodes keep to from now on. */
 void sim_announce_limits(Sim *sim, guint ops, gsize bytes);
-/* The state service has such limits from now on. */
+/* The store has such limits from now on. */
 void sim_lower_limits(Sim *sim, guint ops, gsize bytes);
 /* Transactions that it has refused for their size. */
 guint sim_rejected_for_size(const Sim *sim);
-/* The node that leads, as the state service has it; G_MAXUINT: none. */
+/* The node that leads, as the store has it; G_MAXUINT: none. */
 guint sim_leader(const Sim *sim);
 gboolean sim_is_told_cancelled(const Sim *sim, guint job);
 guint sim_count_running(const Sim *sim, guint job); /* its tasks that run now */
-/* A random machine that is up: it dies, or hangs for a while. */
+/* A random machine that is up dies, or stalls for a while. */
 void sim_kill_any_machine(Sim *sim);
 void sim_stall_any_machine(Sim *sim, double seconds);
 void sim_interrupt_any_machine(Sim *sim, double seconds);
 void sim_interrupt_machine(Sim *sim, guint machine, double seconds); /* if it may be taken back */
-/* Its reports arrive, but neither answers nor commands reach it. */
+/* Its heartbeats arrive, but neither answers nor commands reach it. */
 void sim_block_outbound_of_any(Sim *sim, double seconds);
-/* It's back within a fraction of a second, in a new session. */
+/* A random machine is back within a fraction of a second, as a new incarnation. */
 void sim_restart_any_machine(Sim *sim);
-/* All troubles are over: from now on no accepted job may go unanswered, or wait beside room that
-   fits it, for long. */
+/* All faults end: from now on no accepted job may go unanswered for long, or wait for long while
+   there is free capacity that fits it. */
 void sim_end_faults(Sim *sim);
 
 /* Tasks that started more than a moment after their user was told that they are cancelled. */
@@ -123,5 +125,5 @@
 guint sim_machines(const Sim *sim);                    /* rented and not returned: charged for */
 guint sim_machines_in(const Sim *sim, const char *zone);
 guint sim_task_records(const Sim *sim);
-guint sim_marks(const Sim *sim);      /* in the state service */
+guint sim_marks(const Sim *sim);      /* in the store */
 guint sim_unrecorded(const Sim *sim); /* charged for, without a record or an open rental */
--- a/tests/sim/store.c
+++ b/tests/sim/store.c
@@ -1,3 +1,6 @@
+/**
+ * The key-value store of the simulated cluster: conditional transactions, leases and watches.
+ */
 #include "sim/store.h"
 
 #include <stdlib.h>
--- a/tests/sim/store.h
+++ b/tests/sim/store.h
@@ -1,4 +1,6 @@
-/* The state service of the simulated world. */
+/**
+ * The key-value store of the simulated cluster.
+ */
 #pragma once
 
 #include <glib.h>
--- a/tests/sim/worker.c
+++ b/tests/sim/worker.c
@@ -1,3 +1,6 @@
+/**
+ * A simulated worker: it launches, halts and reaps tasks, and loses them with its lease.
+ */
 #include "sim/worker.h"
 
 #include <stdlib.h>
--- a/tests/sim/worker.h
+++ b/tests/sim/worker.h
@@ -1,4 +1,6 @@
-/* A worker of the simulated world, as the protocol describes it. */
+/**
+ * A worker of the simulated cluster, as the protocol describes it.
+ */
 #pragma once
 
 #include <glib.h>
--- a/tests/test-combined-faults.c
+++ b/tests/test-combined-faults.c
@@ -1,5 +1,6 @@
-/* Where troubles meet: each meeting that users have seen break a rule, brought about in a simulated
-   world that checks the rules from outside, and pairs and triples of troubles drawn by a generator.
+/**
+ * Faults that coincide: each combination that users have seen break an invariant, and pairs and
+ * triples of faults drawn at random, in a simulated cluster whose checker knows the invariants.
  */
 #include "combined-faults/combined-faults.h"
 #include "sim/fault-injection.h"
@@ -7,7 +8,7 @@
 
 #include <glib/gstdio.h>
 
-/* Machines whose reports reach nobody, while calls reach them: what was started there would end
+/* Machines whose heartbeats reach nobody, while calls reach them: what was started there would end
    with their leases again and again, so new work goes elsewhere. */
 static void
 test_no_work_on_inbound_unreachable_machine(void)
@@ -30,8 +31,8 @@
   }
 }
 
-/* The other meetings. Each is a script of troubles over the same load: arrays and services of both
-   teams, more than there is room for, some of them bound to one zone. */
+/* Each combination is a script of faults over the same load: arrays and services of both teams,
+   more than there is capacity for, some of them bound to one zone. */
 
 typedef struct {
   const char *name;
@@ -181,7 +182,7 @@
 {
   sim_faults(sim)->duplicated_heartbeats = 0.5;
   for (guint i = 0; i < 6; i++) {
-    sim_inject_machine_faults(sim, 1, sim_stall_machine, 14.0); /* a new session */
+    sim_inject_machine_faults(sim, 1, sim_stall_machine, 14.0); /* a new incarnation */
     sim_restart_any_machine(sim);
     sim_run(sim, 8.0);
   }
--- a/tests/test-coordination.c
+++ b/tests/test-coordination.c
@@ -1,3 +1,6 @@
+/**
+ * Epochs: owners of machines by rendezvous hashing, and the encoding of epoch records.
+ */
 #include "coordination/ws-epoch.h"
 #include "ws-site.h"
 
--- a/tests/test-core.c
+++ b/tests/test-core.c
@@ -1,5 +1,7 @@
-/* Whole controllers in a simulated world: generated schedules of faults, with the rules checked at
-   every start of a task and every answer to a user. */
+/**
+ * Whole controllers in a simulated cluster: generated schedules of faults, with the invariants
+ * checked at every start of a task and every answer to a user.
+ */
 #include "sim/sim.h"
 #include "ws-suite.h"
 
@@ -21,7 +23,7 @@
 }
 
 /* Without faults everything is done, services run until they are cancelled, and in the end the
-   machines are given back but for the place that is kept. */
+   machines are terminated. */
 static void
 play_without_faults(guint32 seed)
 {
@@ -77,7 +79,7 @@
   g_ptr_array_add(sim_properties(sim)->budgets, budget);
 }
 
-/* Budgets hold give-back back, and no longer than they are set. */
+/* Budgets limit terminations, and no longer than they are set. */
 static void
 test_budget_limits_termination(void)
 {
@@ -98,8 +100,8 @@
   sim_free(sim);
 }
 
-/* While a zone is cut off nothing is given back there, by an owner outside or inside; once it has
-   healed, everything is. Returns how many machines were in it. */
+/* While a zone is partitioned no machine is terminated there, by an owner outside or inside; once
+   it has healed, all are. Returns how many machines were in it. */
 static guint
 play_partition(guint32 seed)
 {
@@ -263,7 +265,7 @@
   play_random_faults(821, 2.0, 12.0);
 }
 
-/* The same where workers report less often, and where they do so more often. */
+/* The same with longer heartbeat intervals and leases, and with shorter ones. */
 static void
 test_rough_paces(void)
 {
@@ -300,7 +302,7 @@
 static const SimJob SPREAD_SERVICE
     = { .tasks = 6, .service = TRUE, .team = "red", .priority = "critical", .scatter = TRUE };
 
-/* A node that reaches neither the state service nor the others, while all workers reach it, sends
+/* A node that reaches neither the store nor the others, while all workers reach it, sends
    them away: the others act without it, and no task is lost with a lease. */
 static void
 test_isolated_node_loses_no_task(void)
@@ -321,10 +323,10 @@
   }
 }
 
-/* Its neighbour case: a whole zone is cut off, from the state service too, for several leases. Its
+/* The neighbouring case: a whole zone is partitioned, from the store too, for several leases. Its
    node is all that its workers have, and its answers keep their tasks alive; the others don't
-   return its machines, neither meanwhile nor in the moments after the cut when workers look for
-   their owner. */
+   return its machines, neither meanwhile nor in the moments after the partition when workers look
+   for their owner. */
 static void
 test_partitioned_zone_keeps_its_tasks(void)
 {
@@ -348,7 +350,7 @@
   }
 }
 
-/* A deaf machine is returned, and its tasks start elsewhere. */
+/* A machine whose outbound direction is blocked is returned, and its tasks start elsewhere. */
 static void
 test_deaf(void)
 {
@@ -386,7 +388,7 @@
   sim_free(sim);
 }
 
-/* Bursts of jobs of every size, priority and team, few machines, and troubles in the middle: within
+/* Bursts of jobs of every size, priority and team, few machines, and faults in the middle: within
    four minutes every job has begun, whatever it is, and in the end each is done. */
 static void
 play_overload(guint32 seed)
--- a/tests/test-evidence.c
+++ b/tests/test-evidence.c
@@ -1,7 +1,10 @@
-/* Conclusions that a task is gone, and what has happened since they were drawn.
-
-   A release is written only while what it rests on still holds: an incident broke ran_twice when a
-   former owner's release was written after the next owner had launched the same attempt. */
+/**
+ * Releases of tasks, and what has happened since they were concluded.
+ *
+ * A release is written only while the evidence that it rests on still holds: an incident broke
+ * ran_twice when a former owner's release was written after the next owner had launched the same
+ * attempt.
+ */
 #include "coordination/ws-epoch.h"
 #include "evidence/evidence.h"
 #include "sim/fixture.h"
@@ -98,7 +101,8 @@
   g_assert_cmpuint(epoch_number(scenario->fixture), ==, before + 1);
 }
 
-/* n1 says what it knew of the task under the token: that it is absent, or its machine returned. */
+/* n1 says what it knew of the task under the fencing token: that it is absent, or its machine
+ * returned. */
 static json_t *
 release_of_n1(const Scenario *scenario, guint64 epoch, const char *kind, guint64 seen_under)
 {
@@ -264,7 +268,7 @@
   change_epoch(&scenario, TRUE);
   Fixture *fixture = scenario.fixture;
   for (guint64 fencing_token = 1; fencing_token <= 2;
-       fencing_token++) { /* only what is said under our token counts */
+       fencing_token++) { /* only what is said under our fencing token counts */
     json_t *tasks = json_pack("[{s:s, s:i, s:s, s:s}]", "kus", "req-1/0", "pokus", 1, "stav",
                               "exited", "duvod", "error");
     json_decref(fixture->status_report);
@@ -300,8 +304,8 @@
   scenario_end(&scenario);
 }
 
-/* The task failed, its release is on its way, and the machine begins a new session without it: the
-   owner launches nothing that it is about to release. */
+/* The task failed, its release is on its way, and the machine begins a new incarnation without it:
+   the owner launches nothing that it is about to release. */
 static void
 test_no_launch_while_release_is_pending(void)
 {
--- a/tests/test-http.c
+++ b/tests/test-http.c
@@ -1,5 +1,7 @@
-/* The real program's runtime on loopback, against stand-ins for the state service and the cloud:
-   answers to good and bad requests, and connections that are used again. */
+/**
+ * The real program's runtime on loopback, against simulated services: answers to good and bad
+ * requests, and connections that are used again.
+ */
 #include "protocol/ws-json.h"
 #include "runtime/ws-runtime.h"
 #include "sim/store.h"
--- a/tests/test-properties.c
+++ b/tests/test-properties.c
@@ -1,3 +1,6 @@
+/**
+ * The operators' properties file: what is accepted, what is rejected, and termination budgets.
+ */
 #include "protocol/ws-properties.h"
 
 #include <string.h>
--- a/tests/test-protocol.c
+++ b/tests/test-protocol.c
@@ -1,3 +1,6 @@
+/**
+ * Messages of the wire, from generated and from damaged ones.
+ */
 #include "protocol/ws-cloud.h"
 #include "protocol/ws-heartbeat.h"
 #include "protocol/ws-settings.h"
--- a/tests/test-size.c
+++ b/tests/test-size.c
@@ -1,6 +1,8 @@
-/* What a controller does for one report, one tick, one gossip, one plan and a takeover, counted at
-   several sizes: it may not grow with the number of machines, or no worse than stated. Steps and
-   messages, not seconds. */
+/**
+ * What a controller does for one heartbeat, tick, gossip, plan and failover, counted at several
+ * cluster sizes: it may not grow with the number of machines, or no faster than stated. Steps and
+ * messages, not seconds.
+ */
 #include "storage/ws-replica.h"
 #include "sim/fixture.h"
 #include "ws-suite.h"
@@ -25,7 +27,7 @@
     report(fixture, m, fencing_token, sequence);
 }
 
-/* All machines have shown the token, and the peers know of them. */
+/* All machines have shown the fencing token, and the peers know of them. */
 static Fixture *
 fixture_with_machines(guint machines)
 {
@@ -48,7 +50,7 @@
   return outputs;
 }
 
-/* A plain report is answered, and nothing else comes of it. */
+/* A plain heartbeat is answered, and nothing else comes of it. */
 static void
 test_report(void)
 {
@@ -57,7 +59,7 @@
   g_assert_cmpuint(outputs_of_report(HUGE), ==, 1);
 }
 
-/* The controller has begun anew, and every worker reports to it for the first time. */
+/* The controller has begun anew, and every worker sends it its first heartbeat. */
 static guint
 outputs_of_takeover(guint machines)
 {
@@ -257,17 +259,17 @@
   }
 }
 
-/* Half-empty machines with services are merged a few at a time, more of them where there are more
-   machines: one at a time, a hundred stood half empty for minutes at the end of a day. A node
-   begins only in its turn, here in the first of every two seconds, so that no two count on one
-   room. */
+/* Half-empty machines with services are consolidated a few at a time, more of them where there are
+   more machines: one at a time, a hundred stood half empty for minutes at the end of a day. A node
+   begins only in its turn, here in the first of every two seconds, so that no two count on the
+   same free capacity. */
 static guint
 max_concurrent_consolidations(guint machines)
 {
   Fixture *fixture = fixture_with_machines(machines);
   guint most = 0;
   gint64 marked_ms = 0;
-  fixture_run(fixture, 0.4); /* else the hold would end in our turn anyway */
+  fixture_run(fixture, 0.4); /* else the idle timeout would end in our turn anyway */
   fixture_lift_quotas(fixture);
   for (guint j = 0; j < machines; j++) {
     json_t *job = fixture_submission();
--- a/tests/test-storage.c
+++ b/tests/test-storage.c
@@ -1,3 +1,7 @@
+/**
+ * The replica: a node's own writes and the watch in any order, rereads, damaged records, and teams'
+ * use.
+ */
 #include "storage/ws-team-use.h"
 #include "ws-gen.h"
 #include "ws-site.h"
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -1,5 +1,7 @@
-/* Two versions of the program on the same records, and limits of the state service that fall. The
-   fixtures were written by the encoders of the version in production, commit ee59907. */
+/**
+ * Two versions of the program on the same records, and limits of the store that are lowered. The
+ * records here were written by the encoders of the version in production, commit ee59907.
+ */
 #include "commit/ws-release-order.h"
 #include "sim/fixture.h"
 #include "sim/fault-injection.h"
@@ -255,7 +257,7 @@
   ws_replica_free(replica);
 }
 
-/* The lower limits come into force at any moment, among troubles: nothing is refused for its size,
+/* The lower limits come into force at any moment, during faults: nothing is rejected for its size,
    which the end of each day checks, and all is served. */
 static void
 test_limits_lowered_at_runtime(void)
--- a/tests/ws-gen.h
+++ b/tests/ws-gen.h
@@ -1,4 +1,6 @@
-/* Generated inputs. Each case has a seed of its own, which is printed when the case fails. */
+/**
+ * Generated inputs. Each case has a seed of its own, which is printed when the case fails.
+ */
 #pragma once
 
 #include "protocol/ws-job-spec.h"
--- a/tests/ws-site.h
+++ b/tests/ws-site.h
@@ -1,4 +1,6 @@
-/* Settings of a made-up deployment, for tests. */
+/**
+ * Settings of a made-up deployment, for tests.
+ */
 #pragma once
 
 #include "protocol/ws-settings.h"
