--- a/tests/combined-faults/cancellation.c
+++ b/tests/combined-faults/cancellation.c
@@ -23,13 +23,13 @@
    others, and the store becomes unavailable for all, for longer than cancel_s. */
 typedef struct {
   const char *name;
-  gboolean crash_confirming; /* every other controller ends right after */
-  gboolean leader_alone;     /* the leader can't reach its peers either */
-  gboolean cloud_out;
-  gboolean restarted; /* one of the others was restarted before, and can't read */
+  gboolean acknowledging_nodes_crash; /* every other controller ends right after */
+  gboolean leader_isolated;           /* the leader can't reach its peers either */
+  gboolean cloud_unavailable;
+  gboolean one_node_restarted; /* one of the others was restarted before, and can't read */
   SimMachineFault inject;
   double fault_s;
-  gboolean begins_late; /* the cancellation comes while launches are on their way */
+  gboolean launch_in_flight; /* the cancellation comes while launches are on their way */
 } CancellationCase;
 
 static void
@@ -41,25 +41,26 @@
   sim_run(sim, 3.0);
   sim_submit(sim, &LONG);
   sim_submit(sim, &BLUE_LONG);
-  sim_run(sim, spec->begins_late ? 1.0 : 40.0);
-  for (guint i = 0; spec->begins_late && i < 400 && sim_count_running(sim, 0) == 0; i++)
+  sim_run(sim, spec->launch_in_flight ? 1.0 : 40.0);
+  for (guint i = 0; spec->launch_in_flight && i < 400 && sim_count_running(sim, 0) == 0; i++)
     sim_run(sim, 0.05);
   guint leader = sim_leader(sim);
   g_assert_cmpuint(leader, <, SIM_NODES);
   g_assert_cmpuint(sim_count_running(sim, 0), >, 0);
   if (spec->inject != NULL)
     spec->inject(sim, sim_machine_running(sim, 0), spec->fault_s);
-  *(spec->leader_alone ? &sim_faults(sim)->isolated_nodes : &sim_faults(sim)->store_refuses_nodes)
+  *(spec->leader_isolated ? &sim_faults(sim)->isolated_nodes
+                          : &sim_faults(sim)->store_refuses_nodes)
       = 1u << leader;
   sim_run(sim, 0.5);
   sim_cancel(sim, 0);
   sim_cancel(sim, 1);
   wait_until_cancelled(sim, 2.0);
   sim_faults(sim)->store_unavailable = TRUE;
-  sim_faults(sim)->cloud_unavailable = spec->cloud_out;
-  if (spec->crash_confirming || spec->restarted)
+  sim_faults(sim)->cloud_unavailable = spec->cloud_unavailable;
+  if (spec->acknowledging_nodes_crash || spec->one_node_restarted)
     sim_crash_node(sim, (leader + 1) % SIM_NODES, 2.0);
-  if (spec->crash_confirming)
+  if (spec->acknowledging_nodes_crash)
     sim_crash_node(sim, (leader + 2) % SIM_NODES, 2.0);
   sim_run(sim, 50.0);
   sim_end_faults(sim);
@@ -84,14 +85,14 @@
 
 static const CancellationCase CANCELLATION_CASES[] = {
   { .name = "leader-refused" },
-  { .name = "acknowledging-nodes-crash", .crash_confirming = TRUE },
-  { .name = "leader-isolated", .leader_alone = TRUE },
-  { .name = "cloud-outage", .cloud_out = TRUE },
-  { .name = "one-node-restarted", .restarted = TRUE },
+  { .name = "acknowledging-nodes-crash", .acknowledging_nodes_crash = TRUE },
+  { .name = "leader-isolated", .leader_isolated = TRUE },
+  { .name = "cloud-outage", .cloud_unavailable = TRUE },
+  { .name = "one-node-restarted", .one_node_restarted = TRUE },
   { .name = "machine-outbound-unreachable", .inject = sim_block_outbound, .fault_s = 60.0 },
   { .name = "machine-inbound-unreachable", .inject = sim_block_inbound, .fault_s = 60.0 },
   { .name = "machine-stalled", .inject = sim_stall_machine, .fault_s = 10.0 },
-  { .name = "launch-in-flight", .begins_late = TRUE },
+  { .name = "launch-in-flight", .launch_in_flight = TRUE },
 };
 
 void
