--- a/tests/gangs/simulated.c
+++ b/tests/gangs/simulated.c
@@ -181,7 +181,6 @@
 static void
 play_drawn_faults(guint32 seed)
 {
-  g_test_message("seed %u", seed);
   Sim *sim = sim_new_with_load(seed);
   for (guint i = 0; i < 3; i++)
     sim_submit(sim, i == 1 ? &WIDE_GANG : &GANG);
--- a/tests/sim/fault-injection.c
+++ b/tests/sim/fault-injection.c
@@ -372,15 +372,22 @@
   begin_malformed_requests(sim, 0.0);
 }
 
+static void
+play_seed(guint32 seed, void (*play)(guint32 seed))
+{
+  g_test_message("seed %u", seed);
+  play(seed);
+}
+
 void
 sim_play_seeds(guint32 first, guint usual, void (*play)(guint32 seed))
 {
   const char *only = g_getenv("WS_SEED");
   if (only != NULL) {
-    play((guint32)g_ascii_strtoull(only, NULL, 10));
+    play_seed((guint32)g_ascii_strtoull(only, NULL, 10), play);
     return;
   }
   guint count = sim_seed_count(usual);
   for (guint32 seed = first; seed < first + count; seed++)
-    play(seed);
+    play_seed(seed, play);
 }
