--- a/tests/gangs/one-node.c
+++ b/tests/gangs/one-node.c
@@ -18,15 +18,6 @@
   return submission;
 }
 
-static Fixture *
-fixture_with_machine(void)
-{
-  Fixture *fixture = fixture_new(TRUE);
-  fixture_send_heartbeat(fixture, 0, json_array());
-  fixture_send_heartbeat(fixture, 1, json_array());
-  return fixture;
-}
-
 void
 test_invalid_gangs_are_rejected(void)
 {
@@ -39,14 +30,14 @@
                 { "scatter", TRUE, 2, 201 },   { "druh", FALSE, 2, 400 },
                 { "one_zone", FALSE, 6, 201 }, { "one_zone", FALSE, 200, 422 } };
   for (guint i = 0; i < G_N_ELEMENTS(CASES); i++) {
-    Fixture *fixture = fixture_with_machine();
+    Fixture *fixture = fixture_new_with_machine(TRUE);
     json_t *submission = gang_submission(CASES[i].tasks);
     json_object_set_new(submission, CASES[i].field, json_boolean(CASES[i].value));
     fixture_call(fixture, "POST", "/api/jobs", submission);
     g_assert_cmpuint(fixture->status, ==, CASES[i].status);
     fixture_free(fixture);
   }
-  Fixture *fixture = fixture_with_machine();
+  Fixture *fixture = fixture_new_with_machine(TRUE);
   json_t *torn = gang_submission(2);
   json_object_set_new(torn, "one_zone", json_true());
   json_object_set_new(torn, "scatter", json_true());
@@ -80,7 +71,7 @@
 static Fixture *
 fixture_with_gang(void)
 {
-  Fixture *fixture = fixture_with_machine();
+  Fixture *fixture = fixture_new_with_machine(TRUE);
   fixture_call(fixture, "POST", "/api/jobs", gang_submission(2));
   g_assert_cmpuint(fixture->status, ==, 201);
   fixture_run(fixture, 1.0);
@@ -140,7 +131,7 @@
 test_placed_in_zone_with_capacity(void)
 {
   static const char *const MACHINES[] = { "m-2", "m-3" };
-  Fixture *fixture = fixture_with_machine();
+  Fixture *fixture = fixture_new_with_machine(TRUE);
   fixture->zone = "b";
   for (guint i = 0; i < 2 * G_N_ELEMENTS(MACHINES); i++)
     fixture_call(
@@ -163,8 +154,7 @@
   json_t *tasks = json_array();
   size_t i;
   const json_t *item;
-  json_array_foreach(json_object_get(sim_store_get(fixture->store, "w/task/req-1/0"), "on"), i,
-                     item)
+  json_array_foreach(fixture_assignments(fixture, "req-1"), i, item)
   {
     g_autofree char *name = g_strdup_printf("req-1/%" JSON_INTEGER_FORMAT,
                                             json_integer_value(json_array_get(item, 0)));
@@ -182,11 +172,10 @@
 static guint
 count_machines_of(const Fixture *fixture, const char *job)
 {
-  g_autofree char *key = g_strdup_printf("w/task/%s/0", job);
   g_autoptr(GHashTable) machines = g_hash_table_new(g_str_hash, g_str_equal);
   size_t i;
   const json_t *item;
-  json_array_foreach(json_object_get(sim_store_get(fixture->store, key), "on"), i, item)
+  json_array_foreach(fixture_assignments(fixture, job), i, item)
   {
     g_hash_table_add(machines, (gpointer)json_string_value(json_array_get(item, 1)));
   }
@@ -198,7 +187,7 @@
 void
 test_spread_while_image_is_missing(void)
 {
-  Fixture *fixture = fixture_with_machine();
+  Fixture *fixture = fixture_new_with_machine(TRUE);
   fixture_lift_quotas(fixture);
   for (guint i = 0; i < 2; i++)
     fixture_call(fixture, "POST", "/v1/report",
@@ -222,7 +211,7 @@
 void
 test_no_stop_while_machine_is_unreachable(void)
 {
-  Fixture *fixture = fixture_with_machine();
+  Fixture *fixture = fixture_new_with_machine(TRUE);
   fixture->spot = TRUE;
   fixture_call(fixture, "POST", "/v1/report",
                fixture_heartbeat(fixture, "m-2", 0, ++fixture->sequence, json_array()));
--- a/tests/regressions/failure-detection.c
+++ b/tests/regressions/failure-detection.c
@@ -93,8 +93,7 @@
   fixture->settings->lease_s = 26.0;
   fixture_send_heartbeat(fixture, 0, one_task_in_state("running", ""));
   fixture_run(fixture, 4.5);
-  json_t *second = fixture_submission();
-  json_object_set_new(second, "id", json_string("req-2"));
+  json_t *second = fixture_submission_of("req-2");
   fixture_call(fixture, "POST", "/api/jobs", second);
   fixture_run(fixture, 0.5);
   g_assert_true(sim_store_has(fixture->store, "w/task/req-2/0"));
@@ -165,9 +164,7 @@
   json_object_set_new(job, "vypujcky", json_true());
   fixture_call(fixture, "POST", "/api/jobs", job);
   fixture_run(fixture, 1.0);
-  g_assert_cmpuint(
-      json_array_size(json_object_get(sim_store_get(fixture->store, "w/task/req-1/0"), "on")), ==,
-      6);
+  g_assert_cmpuint(json_array_size(fixture_assignments(fixture, "req-1")), ==, 6);
   fixture->peers_unreachable = peers_silent;
   fixture_restart(fixture);
   return fixture;
--- a/tests/regressions/scheduling.c
+++ b/tests/regressions/scheduling.c
@@ -20,8 +20,7 @@
       continue;
     guint number = (guint)sequence - 3;
     g_autofree char *id = g_strdup_printf("req-1%u", number);
-    json_t *job = fixture_submission();
-    json_object_set_new(job, "id", json_string(id));
+    json_t *job = fixture_submission_of(id);
     json_object_set_new(job, "dilna", json_string(number < 5 ? "red" : "blue"));
     json_object_set_new(job, "cpus", json_real(20.0)); /* one on each machine */
     fixture_call(fixture, "POST", "/api/jobs", job);
@@ -38,8 +37,7 @@
                            json_pack("[{s:s, s:i, s:s, s:s}]", "kus", task, "pokus", 1, "stav",
                                      "exited", "duvod", "done"));
   }
-  json_t *critical = fixture_submission();
-  json_object_set_new(critical, "id", json_string("req-9"));
+  json_t *critical = fixture_submission_of("req-9");
   json_object_set_new(critical, "prednost", json_string("critical"));
   fixture_call(fixture, "POST", "/api/jobs", critical);
   json_t *before = fixture->last_transaction;
@@ -66,7 +64,7 @@
   }
   fixture_call(fixture, "POST", "/api/jobs", fixture_submission());
   fixture_run(fixture, 1.0);
-  const json_t *on = json_object_get(sim_store_get(fixture->store, "w/task/req-1/0"), "on");
+  const json_t *on = fixture_assignments(fixture, "req-1");
   g_assert_cmpstr(json_string_value(json_array_get(json_array_get(on, 0), 1)), ==, "m-2");
   fixture_free(fixture);
 }
@@ -76,9 +74,7 @@
 static gboolean
 is_preempted_after(double run_s)
 {
-  Fixture *fixture = fixture_new(TRUE);
-  fixture_send_heartbeat(fixture, 0, json_array());
-  fixture_send_heartbeat(fixture, 1, json_array());
+  Fixture *fixture = fixture_new_with_machine(TRUE);
   json_t *large = fixture_submission();
   json_object_set_new(large, "cpus", json_real(32.0));
   fixture_call(fixture, "POST", "/api/jobs", large);
@@ -87,8 +83,7 @@
     fixture_send_heartbeat(fixture, 1, one_task_in_state("running", ""));
     fixture_run(fixture, 0.7);
   }
-  json_t *urgent = fixture_submission();
-  json_object_set_new(urgent, "id", json_string("req-2"));
+  json_t *urgent = fixture_submission_of("req-2");
   json_object_set_new(urgent, "prednost", json_string("urgent"));
   json_object_set_new(urgent, "odhad_s", json_real(10.0));
   fixture_call(fixture, "POST", "/api/jobs", urgent);
@@ -124,8 +119,7 @@
   const json_t *record = sim_store_get(fixture->store, "w/task/req-1/0");
   g_assert_cmpuint(json_array_size(json_object_get(record, "on")), ==, 6);
   guint commands = fixture->direct_commands;
-  json_t *urgent = fixture_submission();
-  json_object_set_new(urgent, "id", json_string("req-2"));
+  json_t *urgent = fixture_submission_of("req-2");
   json_object_set_new(urgent, "prednost", json_string("urgent"));
   json_object_set_new(urgent, "hala", json_string(zone));
   fixture_call(fixture, "POST", "/api/jobs", urgent);
@@ -150,11 +144,8 @@
 void
 test_reservation_holds_until_declined(void)
 {
-  Fixture *fixture = fixture_new(TRUE);
-  fixture_send_heartbeat(fixture, 0, json_array());
-  fixture_send_heartbeat(fixture, 1, json_array());
-  json_t *urgent = fixture_submission();
-  json_object_set_new(urgent, "id", json_string("req-2"));
+  Fixture *fixture = fixture_new_with_machine(TRUE);
+  json_t *urgent = fixture_submission_of("req-2");
   json_object_set_new(urgent, "prednost", json_string("urgent"));
   json_object_set_new(urgent, "kusy", json_integer(4));
   json_object_set_new(urgent, "hala", json_string("b"));
@@ -181,8 +172,8 @@
 static const json_t *
 only_assignment(const Fixture *fixture, guint i)
 {
-  g_autofree char *key = g_strdup_printf("w/task/req-%u/0", i);
-  return json_array_get(json_object_get(sim_store_get(fixture->store, key), "on"), 0);
+  g_autofree char *job = g_strdup_printf("req-%u", i);
+  return json_array_get(fixture_assignments(fixture, job), 0);
 }
 
 static guint
@@ -201,8 +192,7 @@
 submit_number(Fixture *fixture, guint i)
 {
   g_autofree char *id = g_strdup_printf("req-%u", i);
-  json_t *job = fixture_submission();
-  json_object_set_new(job, "id", json_string(id));
+  json_t *job = fixture_submission_of(id);
   fixture_post(fixture, "/api/jobs", job);
 }
 
--- a/tests/regressions/writes.c
+++ b/tests/regressions/writes.c
@@ -135,8 +135,7 @@
                fixture_heartbeat(fixture, "m-2", 0, 1, json_array()));
   fixture_call(fixture, "POST", "/v1/report",
                fixture_heartbeat(fixture, "m-2", 1, 2, json_array()));
-  json_t *second = fixture_submission();
-  json_object_set_new(second, "id", json_string("req-2"));
+  json_t *second = fixture_submission_of("req-2");
   fixture->hold_assignment = TRUE;
   fixture_call(fixture, "POST", "/api/jobs", second);
   g_assert_cmpuint(fixture->held_call, !=, 0);
@@ -156,13 +155,12 @@
 test_gang_shares_attempt_and_halts_together(void)
 {
   Fixture *fixture = fixture_new_with_job(TRUE);
-  json_t *gang = fixture_submission();
-  json_object_set_new(gang, "id", json_string("req-2"));
+  json_t *gang = fixture_submission_of("req-2");
   json_object_set_new(gang, "druh", json_string("group"));
   json_object_set_new(gang, "kusy", json_integer(2));
   fixture_call(fixture, "POST", "/api/jobs", gang);
   fixture_run(fixture, 1.0);
-  const json_t *on = json_object_get(sim_store_get(fixture->store, "w/task/req-2/0"), "on");
+  const json_t *on = fixture_assignments(fixture, "req-2");
   g_assert_cmpuint(json_array_size(on), ==, 2);
   for (guint i = 0; i < 2; i++)
     g_assert_cmpint(json_integer_value(json_array_get(json_array_get(on, i), 2)), ==, 1);
@@ -198,9 +196,7 @@
   fixture_run(fixture, 10.0);
   g_assert_true(fixture_task_is_assigned(fixture));
   fixture_run(fixture, 6.0);
-  g_assert_cmpuint(
-      json_array_size(json_object_get(sim_store_get(fixture->store, "w/task/req-1/0"), "on")), ==,
-      0);
+  g_assert_cmpuint(json_array_size(fixture_assignments(fixture, "req-1")), ==, 0);
   fixture_free(fixture);
 }
 
@@ -209,9 +205,7 @@
 void
 test_new_leader_reads_before_assignment(void)
 {
-  Fixture *fixture = fixture_new(TRUE);
-  fixture_send_heartbeat(fixture, 0, json_array());
-  fixture_send_heartbeat(fixture, 1, json_array());
+  Fixture *fixture = fixture_new_with_machine(TRUE);
   fixture->hold_watch = TRUE;
   fixture_restart(fixture);
   fixture_send_heartbeat(fixture, 2, json_array());
--- a/tests/sim/fixture.c
+++ b/tests/sim/fixture.c
@@ -298,6 +298,21 @@
       0.0);
 }
 
+json_t *
+fixture_submission_of(const char *id)
+{
+  json_t *submission = fixture_submission();
+  json_object_set_new(submission, "id", json_string(id));
+  return submission;
+}
+
+const json_t *
+fixture_assignments(const Fixture *fixture, const char *job)
+{
+  g_autofree char *key = g_strdup_printf("w/task/%s/0", job);
+  return json_object_get(sim_store_get(fixture->store, key), "on");
+}
+
 static Fixture *
 new_fixture(gboolean workers_answer, gboolean small_type)
 {
@@ -320,6 +335,15 @@
   return new_fixture(workers_answer, FALSE);
 }
 
+Fixture *
+fixture_new_with_machine(gboolean workers_answer)
+{
+  Fixture *fixture = fixture_new(workers_answer);
+  fixture_send_heartbeat(fixture, 0, json_array());
+  fixture_send_heartbeat(fixture, 1, json_array());
+  return fixture;
+}
+
 Fixture *
 fixture_new_with_two_types(void)
 {
@@ -329,9 +353,7 @@
 Fixture *
 fixture_new_with_job(gboolean workers_answer)
 {
-  Fixture *fixture = fixture_new(workers_answer);
-  fixture_send_heartbeat(fixture, 0, json_array());
-  fixture_send_heartbeat(fixture, 1, json_array());
+  Fixture *fixture = fixture_new_with_machine(workers_answer);
   fixture_call(fixture, "POST", "/api/jobs", fixture_submission());
   fixture_run(fixture, 1.0);
   g_assert_true(fixture_task_is_assigned(fixture));
--- a/tests/sim/fixture.h
+++ b/tests/sim/fixture.h
@@ -49,11 +49,13 @@
   guint run;
 } StoreCall;
 
-/* A machine that has shown the fencing token, a job and its task on the machine. */
-Fixture *fixture_new_with_job(gboolean workers_answer);
-/* The same without machine and job. */
+/* A controller in its first epoch, without machines. */
 Fixture *fixture_new(gboolean workers_answer);
-/* The same where the cloud has a small type beside the large one. */
+/* The same with the machine m-1, which has shown the fencing token. */
+Fixture *fixture_new_with_machine(gboolean workers_answer);
+/* The same with the job req-1, whose task is assigned to the machine. */
+Fixture *fixture_new_with_job(gboolean workers_answer);
+/* A controller without machines, where the cloud has a small type beside the large one. */
 Fixture *fixture_new_with_two_types(void);
 void fixture_free(Fixture *fixture);
 /* The controller ends and begins anew, with the same store. */
@@ -78,7 +80,11 @@
 void fixture_post_heartbeat(Fixture *fixture, const char *machine, guint64 fencing_token,
                             guint64 sequence, json_t *tasks /* taken */);
 void fixture_send_heartbeat(Fixture *fixture, guint64 fencing_token, json_t *tasks);
+/* The submission of a job of one task, req-1 or the one named. */
 json_t *fixture_submission(void);
+json_t *fixture_submission_of(const char *id);
+/* What is recorded as assigned of the first tasks of the job; NULL: no record. */
+const json_t *fixture_assignments(const Fixture *fixture, const char *job);
 gboolean fixture_task_is_assigned(const Fixture *fixture);
 /* Whether the last answer to a heartbeat has the command. */
 gboolean fixture_has_command(const Fixture *fixture, const char *op);
--- a/tests/test-evidence.c
+++ b/tests/test-evidence.c
@@ -122,8 +122,7 @@
 static gboolean
 is_first_attempt_on_record(const Scenario *scenario)
 {
-  const json_t *on
-      = json_object_get(sim_store_get(scenario->fixture->store, "w/task/req-1/0"), "on");
+  const json_t *on = fixture_assignments(scenario->fixture, "req-1");
   return json_integer_value(json_array_get(json_array_get(on, 0), 2)) == 1;
 }
 
@@ -251,11 +250,9 @@
   fixture_request(fixture, WS_DOOR_MESH, "POST", "/ask",
                   json_pack("{s:i, s:[[s, i, i, b]]}", "epoch", 2, "releases", "req-1", 0, 2, 0));
   fixture_run(fixture, 0.4);
-  g_assert_cmpstr(
-      json_string_value(json_array_get(
-          json_array_get(json_object_get(sim_store_get(fixture->store, "w/task/req-1/0"), "on"), 0),
-          1)),
-      !=, scenario.machine);
+  g_assert_cmpstr(json_string_value(
+                      json_array_get(json_array_get(fixture_assignments(fixture, "req-1"), 0), 1)),
+                  !=, scenario.machine);
   scenario_end(&scenario);
 }
 
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -323,9 +323,7 @@
 static void
 test_accepted_job_is_never_rejected(void)
 {
-  Fixture *fixture = fixture_new(TRUE);
-  fixture_send_heartbeat(fixture, 0, json_array());
-  fixture_send_heartbeat(fixture, 1, json_array());
+  Fixture *fixture = fixture_new_with_machine(TRUE);
   fixture->settings->state_record_bytes = 300;
   fixture_call(fixture, "POST", "/api/jobs", fixture_submission());
   g_assert_cmpuint(fixture->status, ==, 422);
