--- a/tests/combined-faults/cancellation.c
+++ b/tests/combined-faults/cancellation.c
@@ -64,10 +64,7 @@
     sim_crash_node(sim, (leader + 2) % SIM_NODES, 2.0);
   sim_run(sim, 50.0);
   sim_end_faults(sim);
-  for (guint i = 0; i < 200 && sim_open_jobs(sim) > 0; i++) {
-    sim_cancel_any(sim);
-    sim_run(sim, 1.0);
-  }
+  sim_cancel_until_closed(sim, 200, 1.0);
   g_assert_cmpuint(sim_open_jobs(sim), ==, 0);
   g_assert_cmpuint(sim_late_starts(sim), ==, 0);
   sim_run(sim, 200.0);
--- a/tests/sim/fault-injection.c
+++ b/tests/sim/fault-injection.c
@@ -47,12 +47,27 @@
   }
 }
 
+void
+sim_run_until_closed(Sim *sim, guint max_seconds)
+{
+  for (guint i = 0; i < max_seconds && sim_open_jobs(sim) > 0; i++)
+    sim_run(sim, 1.0);
+}
+
+void
+sim_cancel_until_closed(Sim *sim, guint max_rounds, double pause_s)
+{
+  for (guint i = 0; i < max_rounds && sim_open_jobs(sim) > 0; i++) {
+    sim_cancel_any(sim);
+    sim_run(sim, pause_s);
+  }
+}
+
 void
 sim_expect_recovery(Sim *sim)
 {
   sim_end_faults(sim);
-  for (guint i = 0; i < 400 && sim_open_jobs(sim) > 0; i++)
-    sim_run(sim, 1.0);
+  sim_run_until_closed(sim, 400);
   if (sim_open_jobs(sim) > 0)
     g_error("%u jobs are not served", sim_open_jobs(sim));
   if (sim_rejected_for_size(sim) > 0)
--- a/tests/sim/fault-injection.h
+++ b/tests/sim/fault-injection.h
@@ -25,6 +25,12 @@
 /** Injects two or three faults drawn at random, with overlapping times, for a minute. */
 void sim_inject_random_faults(Sim *sim);
 
+/** Runs until no job is open, or for so many seconds. */
+void sim_run_until_closed(Sim *sim, guint max_seconds);
+
+/** Cancels a random job at a time until none is open, or so many times, with a pause after each. */
+void sim_cancel_until_closed(Sim *sim, guint max_rounds, double pause_s);
+
 /** Ends all faults; fails unless then every job completes, and no machine leaks. */
 void sim_expect_recovery(Sim *sim);
 
--- a/tests/test-core.c
+++ b/tests/test-core.c
@@ -2,7 +2,7 @@
  * Whole controllers in a simulated cluster: generated schedules of faults, with the invariants
  * checked at every start of a task and every answer to a user.
  */
-#include "sim/sim.h"
+#include "sim/fault-injection.h"
 #include "ws-suite.h"
 
 static void
@@ -61,10 +61,7 @@
   sim_submit(sim, &RED);
   sim_submit(sim, &BLUE);
   sim_run(sim, 30.0);
-  for (guint i = 0; i < 60 && sim_open_jobs(sim) > 0; i++) {
-    sim_cancel_any(sim);
-    sim_run(sim, 0.5);
-  }
+  sim_cancel_until_closed(sim, 60, 0.5);
   g_assert_cmpuint(sim_open_jobs(sim), ==, 0);
   sim_run(sim, 5.0);
   g_assert_cmpuint(sim_task_records(sim), ==, 0);
@@ -232,10 +229,7 @@
   }
   /* All faults end: what was accepted is done or can be cancelled, and no machine leaks. */
   sim_end_faults(sim);
-  for (guint i = 0; i < 400 && sim_open_jobs(sim) > 0; i++) {
-    sim_cancel_any(sim);
-    sim_run(sim, 1.0);
-  }
+  sim_cancel_until_closed(sim, 400, 1.0);
   if (sim_open_jobs(sim) > 0)
     g_error("seed %u: %u jobs are still open", seed, sim_open_jobs(sim));
   sim_run(sim, 150.0);
@@ -290,10 +284,7 @@
         sim_crash_node(sim, n, 0.2);
       sim_run(sim, 0.5);
     }
-    for (guint i = 0; i < 300 && sim_open_jobs(sim) > 0; i++) {
-      sim_cancel_any(sim);
-      sim_run(sim, 1.0);
-    }
+    sim_cancel_until_closed(sim, 300, 1.0);
     g_assert_cmpuint(sim_open_jobs(sim), ==, 0);
     sim_free(sim);
   }
@@ -417,8 +408,7 @@
   for (guint i = 0; i < jobs; i++)
     if (!sim_has_started(sim, i))
       g_error("seed %u: job %u has not begun", seed, i);
-  for (guint i = 0; i < 400 && sim_open_jobs(sim) > 0; i++)
-    sim_run(sim, 1.0);
+  sim_run_until_closed(sim, 400);
   if (sim_open_jobs(sim) > 0)
     g_error("seed %u: %u jobs are not served", seed, sim_open_jobs(sim));
   sim_free(sim);
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -347,8 +347,7 @@
   Sim *sim = sim_new_with_load(930);
   sim_lower_limits(sim, 2, NEXT_BYTES); /* one job and its team's use */
   sim_add_load(sim, 1);
-  for (guint i = 0; i < 300 && sim_open_jobs(sim) > 0; i++)
-    sim_run(sim, 1.0);
+  sim_run_until_closed(sim, 300);
   g_assert_cmpuint(sim_open_jobs(sim), ==, 0);
   g_assert_cmpuint(sim_rejected_for_size(sim), >, 0);
   g_assert_cmpuint(sim_rejected_for_size(sim), <, 200);
