--- a/tests/test-core.c
+++ b/tests/test-core.c
@@ -2,26 +2,10 @@
  * Whole controllers in a simulated cluster: generated schedules of faults, with the invariants
  * checked at every start of a task and every answer to a user.
  */
+#include "core/random-faults.h"
 #include "sim/fault-injection.h"
 #include "ws-suite.h"
 
-static void
-submit_some(Sim *sim, guint count)
-{
-  static const char *const PRIORITIES[] = { "critical", "standard", "best_effort" };
-  GRand *rand = sim_rand(sim);
-  for (guint i = 0; i < count; i++) {
-    SimJob job = { .tasks = (guint)g_rand_int_range(rand, 1, 6),
-                   .service = g_rand_int_range(rand, 0, 4) == 0,
-                   .team = g_rand_boolean(rand) ? "red" : "blue",
-                   .spot = g_rand_boolean(rand),
-                   .run_s = g_rand_int_range(rand, 2, 15) };
-    job.scatter = job.service;
-    job.priority = PRIORITIES[job.service ? 0 : g_rand_int_range(rand, 1, 3)];
-    sim_submit(sim, &job);
-  }
-}
-
 /* Without faults everything is done, services run until they are cancelled, and in the end the
    machines are terminated. */
 static void
@@ -142,79 +126,6 @@
   sim_free(sim);
 }
 
-/* The cases stay in one switch, since their numbers decide what a seed plays. */
-static void /* NOLINTNEXTLINE(readability-function-size) */
-inject_random_fault(Sim *sim)
-{
-  GRand *rand = sim_rand(sim);
-  SimFaults *faults = sim_faults(sim);
-  switch (g_rand_int_range(rand, 0, 19)) {
-  case 0:
-    sim_crash_node(sim, (guint)g_rand_int_range(rand, 0, SIM_NODES),
-                   g_rand_double_range(rand, 0.1, 8.0));
-    break;
-  case 1:
-    for (guint n = 0; n < SIM_NODES; n++)
-      sim_crash_node(sim, n, g_rand_double_range(rand, 0.1, 8.0));
-    break;
-  case 2:
-    faults->store_unavailable = !faults->store_unavailable;
-    break;
-  case 3:
-    faults->store_refuses_nodes
-        = faults->store_refuses_nodes ? 0 : 1u << g_rand_int_range(rand, 0, SIM_NODES);
-    break;
-  case 4:
-    faults->partitioned_zones = faults->partitioned_zones ? 0 : 1u << g_rand_int_range(rand, 0, 3);
-    break;
-  case 5:
-    faults->cloud_unavailable = !faults->cloud_unavailable;
-    break;
-  case 6:
-    faults->cloud_is_full = !faults->cloud_is_full;
-    break;
-  case 7:
-    sim_kill_any_machine(sim);
-    break;
-  case 8:
-    sim_stall_any_machine(sim, g_rand_double_range(rand, 1.0, 20.0));
-    break;
-  case 9:
-    sim_interrupt_any_machine(sim, g_rand_double_range(rand, 1.0, 10.0));
-    break;
-  case 10:
-    faults->net = faults->net.lose > 0.0 ? (SimNet){ 0 } : (SimNet){ 0.05, 0.05, 0.03 };
-    break;
-  case 11:
-    faults->isolated_nodes
-        = faults->isolated_nodes ? 0 : 1u << g_rand_int_range(rand, 0, SIM_NODES);
-    break;
-  case 12:
-    faults->duplicated_heartbeats = faults->duplicated_heartbeats > 0.0 ? 0.0 : 0.3;
-    break;
-  case 13:
-    sim_block_outbound_of_any(sim, g_rand_double_range(rand, 2.0, 40.0));
-    break;
-  case 14:
-    sim_restart_any_machine(sim);
-    break;
-  case 15:
-    sim_pause_node(sim, (guint)g_rand_int_range(rand, 0, SIM_NODES),
-                   g_rand_double_range(rand, 0.2, 30.0));
-    break;
-  case 16:
-    faults->unreachable_nodes
-        = faults->unreachable_nodes ? 0 : 1u << g_rand_int_range(rand, 0, SIM_NODES);
-    break;
-  case 17:
-    for (guint i = 0; i < 4; i++)
-      sim_stall_any_machine(sim, g_rand_double_range(rand, 6.0, 18.0));
-    break;
-  default:
-    sim_cancel_any(sim);
-  }
-}
-
 static void
 play_random_faults(guint32 seed, double report_s, double lease_s)
 {
@@ -223,7 +134,7 @@
   sim_set_pace(sim, report_s, lease_s);
   sim_run(sim, 2.0);
   for (guint i = 0; i < 30; i++) {
-    submit_some(sim, (guint)g_rand_int_range(rand, 0, 3));
+    submit_random_jobs(sim, (guint)g_rand_int_range(rand, 0, 3));
     inject_random_fault(sim);
     sim_run(sim, g_rand_double_range(rand, 0.05, 6.0));
   }
@@ -277,7 +188,7 @@
   for (guint32 seed = 100; seed < 106; seed++) {
     Sim *sim = sim_new(seed);
     sim_run(sim, 2.0);
-    submit_some(sim, 6);
+    submit_random_jobs(sim, 6);
     sim_run(sim, 20.0);
     for (guint round = 0; round < 2; round++) {
       for (guint n = 0; n < SIM_NODES; n++)
