--- a/tests/sim/sim-checker.c
+++ b/tests/sim/sim-checker.c
@@ -1,4 +1,6 @@
-/* The rules, checked from outside by what workers run and users were told, and counts for tests. */
+/**
+ * The invariants, checked by what workers run and what users were told; and counts for tests.
+ */
 #include "sim/sim-private.h"
 
 #include <string.h>
@@ -11,6 +13,19 @@
   return job != NULL && task < job->spec.tasks;
 }
 
+/* Counts one task that occupies a slot, as a neighbour of task @number of the job. */
+static void
+count_task(const Sim *sim, const Machine *machine, const SimTask *task, const Machine *where,
+           const Job *job, guint number, Running *count)
+{
+  const Job *other = sim_find_job(sim, task->job);
+  count->same_task += other == job && task->task == number ? 1 : 0;
+  count->same_job += other == job ? 1 : 0;
+  count->team += strcmp(other->spec.team, job->spec.team) == 0 ? 1 : 0;
+  count->in_zone += other == job && machine->worker->zone == where->worker->zone ? 1 : 0;
+  count->on_machine += machine == where ? 1 : 0;
+}
+
 static void
 count_running(const Sim *sim, const Machine *where, const Job *job, guint number, Running *count)
 {
@@ -18,19 +33,13 @@
     const Machine *machine = g_ptr_array_index(sim->machines, i);
     for (guint k = 0; k < machine->worker->tasks->len; k++) {
       const SimTask *task = &g_array_index(machine->worker->tasks, SimTask, k);
-      if (!sim_task_is_on(task))
-        continue;
-      const Job *other = sim_find_job(sim, task->job);
-      count->same_task += other == job && task->task == number ? 1 : 0;
-      count->same_job += other == job ? 1 : 0;
-      count->team += strcmp(other->spec.team, job->spec.team) == 0 ? 1 : 0;
-      count->in_zone += other == job && machine->worker->zone == where->worker->zone ? 1 : 0;
-      count->on_machine += machine == where ? 1 : 0;
+      if (sim_task_occupies_slot(task))
+        count_task(sim, machine, task, where, job, number, count);
     }
   }
 }
 
-/* What was on its way when the user was told. */
+/* How long a launch may have been in flight when the user was told. */
 #define ON_ITS_WAY_MS 1500
 
 static void
@@ -50,14 +59,14 @@
       || (job->spec.one_zone && count.in_zone < count.same_job)
       || (job->spec.scatter && count.in_zone + 1 > (job->spec.tasks + 1) / 2))
     g_error("seed %u, %.1f s: wrong_place: %s/%u", sim->seed, sim_now_s(sim), job->id, task->task);
-  g_assert_cmpuint(count.on_machine, <, SIM_PLACES);
+  g_assert_cmpuint(count.on_machine, <, SIM_SLOTS);
 }
 
 static void
 check_cancelled(Sim *sim, const SimTask *task)
 {
   const Job *job = sim_find_job(sim, task->job);
-  if (job->told == TOLD_CANCELLED && sim_task_is_on(task)
+  if (job->told == TOLD_CANCELLED && sim_task_occupies_slot(task)
       && sim->now_ms > job->cancelled_ms + CANCEL_MS)
     g_error("seed %u, %.1f s: ran_cancelled: %s/%u", sim->seed, sim_now_s(sim), job->id,
             task->task);
@@ -79,18 +88,18 @@
       sim_gang_task_is_ready(sim, machine, task);
       return;
     }
-    sim_find_job(sim, task->job)->begun = TRUE;
+    sim_find_job(sim, task->job)->has_started = TRUE;
     task->state = "running";
     task->next_ms = run_s < 0.0 ? G_MAXINT64 : sim->now_ms + (gint64)(run_s * 1000.0);
-    machine->report_ms = MIN(machine->report_ms, sim->now_ms + 500);
+    machine->next_heartbeat_ms = MIN(machine->next_heartbeat_ms, sim->now_ms + 500);
   } else if (strcmp(task->state, "running") == 0 && !sim_find_job(sim, task->job)->spec.gang) {
     task->state = "exited";
     task->why = "done";
     Job *job = sim_find_job(sim, task->job);
     job->completed[task->task] = 1;
-    if (sim_chance(sim, sim->cancel_at_end))
+    if (sim_chance(sim, sim->cancel_at_completion))
       sim_user_cancels(sim, job);
-    machine->report_ms = MIN(machine->report_ms, sim->now_ms + 500);
+    machine->next_heartbeat_ms = MIN(machine->next_heartbeat_ms, sim->now_ms + 500);
   }
 }
 
@@ -106,7 +115,7 @@
 }
 
 guint
-sim_running(const Sim *sim, guint job)
+sim_count_running(const Sim *sim, guint job)
 {
   guint count = 0;
   for (guint i = 0; i < sim->machines->len; i++)
@@ -116,7 +125,7 @@
 }
 
 guint
-sim_machine_of(const Sim *sim, guint job)
+sim_machine_running(const Sim *sim, guint job)
 {
   for (guint i = 0; i < sim->machines->len; i++)
     if (running_on(sim, g_ptr_array_index(sim->machines, i), g_ptr_array_index(sim->jobs, job)) > 0)
@@ -131,10 +140,11 @@
 }
 
 void
-sim_check_known(const Sim *sim, const Job *job)
+sim_check_answered(const Sim *sim, const Job *job)
 {
-  gint64 since_ms = MAX(job->answered_ms, sim->calm_ms);
-  if (sim->calm_ms > 0 && job->told == TOLD_ACCEPTED && sim->now_ms - since_ms > KNOWN_MS)
+  gint64 since_ms = MAX(job->answered_ms, sim->faults_ended_ms);
+  if (sim->faults_ended_ms > 0 && job->told == TOLD_ACCEPTED
+      && sim->now_ms - since_ms > UNHEARD_JOB_LIMIT_MS)
     g_error("seed %u, %.1f s: forgotten: nothing is heard of %s", sim->seed, sim_now_s(sim),
             job->id);
 }
@@ -161,42 +171,43 @@
 }
 
 static gboolean
-has_room_for(const Sim *sim, const Job *job, const Machine *machine)
+has_free_capacity(const Sim *sim, const Job *job, const Machine *machine)
 {
   guint taken = 0;
   for (guint k = 0; k < machine->worker->tasks->len; k++)
     taken += strcmp(g_array_index(machine->worker->tasks, SimTask, k).state, "exited") != 0;
-  return sim_is_up(sim, machine) && !sim_hangs(sim, machine)
-         && machine->worker->interruption_ms == 0 && sim->now_ms >= machine->deaf_until_ms
-         && sim->now_ms >= machine->mute_until_ms && (job->spec.spot || !machine->worker->spot)
-         && taken < SIM_PLACES;
+  return sim_is_up(sim, machine) && !sim_is_stalled(sim, machine)
+         && machine->worker->interruption_ms == 0
+         && sim->now_ms >= machine->outbound_unreachable_until_ms
+         && sim->now_ms >= machine->inbound_unreachable_until_ms
+         && (job->spec.spot || !machine->worker->spot) && taken < SIM_SLOTS;
 }
 
-/* Once the troubles are over no job waits for long while a machine that fits has room and its team
-   is under its limit. Jobs bound to zones are left out: where they fit hangs on their other tasks.
- */
+/* Once the faults are over no job waits for long while a machine that fits has free capacity and
+   its team is under its limit. Jobs bound to zones are left out: where they fit depends on their
+   other tasks. */
 void
 sim_check_waiting(const Sim *sim, Job *job)
 {
   gboolean any = FALSE;
   guint team = 0;
-  if (sim->calm_ms == 0 || job->told != TOLD_ACCEPTED || job->cancelling || job->spec.scatter
-      || job->spec.one_zone || job->spec.zone != NULL)
+  if (sim->faults_ended_ms == 0 || job->told != TOLD_ACCEPTED || job->cancelling
+      || job->spec.scatter || job->spec.one_zone || job->spec.zone != NULL)
     return;
   for (guint i = 0; i < sim->machines->len && !any; i++)
-    any = has_room_for(sim, job, g_ptr_array_index(sim->machines, i));
+    any = has_free_capacity(sim, job, g_ptr_array_index(sim->machines, i));
   any = any && count_placed(sim, job, &team) < job->spec.tasks
         && team < (strcmp(job->spec.team, "red") == 0 ? 6u : 8u);
   if (!any)
-    job->beside_ms = 0;
-  else if (job->beside_ms == 0)
-    job->beside_ms = sim->now_ms;
-  else if (sim->now_ms - job->beside_ms > WAIT_MS)
+    job->beside_capacity_ms = 0;
+  else if (job->beside_capacity_ms == 0)
+    job->beside_capacity_ms = sim->now_ms;
+  else if (sim->now_ms - job->beside_capacity_ms > IDLE_CAPACITY_LIMIT_MS)
     g_error("seed %u, %.1f s: %s waits beside room", sim->seed, sim_now_s(sim), job->id);
 }
 
 void
-sim_start_by_hand(Sim *sim, guint machine, guint job, guint task)
+sim_force_start(Sim *sim, guint machine, guint job, guint task)
 {
   const Job *started = g_ptr_array_index(sim->jobs, job);
   SimTask begun = { .job = g_strdup(started->id),
@@ -247,10 +258,10 @@
 }
 
 gboolean
-sim_begun(const Sim *sim, guint index)
+sim_has_started(const Sim *sim, guint index)
 {
   const Job *job = g_ptr_array_index(sim->jobs, index);
-  return job->begun || job->cancelling;
+  return job->has_started || job->cancelling;
 }
 
 guint
@@ -276,13 +287,13 @@
 guint
 sim_marks(const Sim *sim)
 {
-  return sim_state_count(sim->state, "w/mark/");
+  return sim_store_count(sim->store, "w/mark/");
 }
 
 guint
 sim_task_records(const Sim *sim)
 {
-  return sim_state_count(sim->state, "w/task/");
+  return sim_store_count(sim->store, "w/task/");
 }
 
 guint
@@ -291,7 +302,8 @@
   guint count = 0;
   for (guint i = 0; i < sim->machines->len; i++) {
     const Machine *machine = g_ptr_array_index(sim->machines, i);
-    count += !machine->returned && !sim_state_names(sim->state, "w/lot/", machine->worker->name);
+    count
+        += !machine->returned && !sim_store_lists_name(sim->store, "w/lot/", machine->worker->name);
   }
   return count;
 }
--- a/tests/sim/sim-cloud.c
+++ b/tests/sim/sim-cloud.c
@@ -1,4 +1,6 @@
-/* The cloud and its machines. */
+/**
+ * The simulated cloud and its machines.
+ */
 #include "sim/sim-private.h"
 
 #include <string.h>
@@ -31,7 +33,7 @@
   if (names == NULL) {
     names = json_array();
     for (json_int_t i = json_integer_value(json_object_get(body, "how_many"));
-         i > 0 && (sim->faults.most_machines == 0 || sim_machines(sim) < sim->faults.most_machines);
+         i > 0 && (sim->faults.max_machines == 0 || sim_machines(sim) < sim->faults.max_machines);
          i--) {
       g_autofree char *name = g_strdup_printf("m-%06u", sim->machines->len);
       Machine *machine = g_new0(Machine, 1);
@@ -41,7 +43,7 @@
       machine->worker
           = sim_worker_new(name, "g4", zone_named(json_string_value(json_object_get(body, "hala"))),
                            json_is_true(json_object_get(body, "vypujcky")), sim->now_ms);
-      machine->report_ms = machine->up_ms;
+      machine->next_heartbeat_ms = machine->up_ms;
       machine->node = (guint)g_rand_int_range(sim->rand, 0, SIM_NODES);
       g_ptr_array_add(sim->machines, machine);
       json_array_append_new(names, json_string(name));
@@ -69,7 +71,7 @@
 }
 
 static void
-take_back(Sim *sim, const json_t *body)
+return_machines(Sim *sim, const json_t *body)
 {
   size_t i;
   const json_t *name;
@@ -85,21 +87,21 @@
 }
 
 void
-sim_ask_cloud(Sim *sim, Call *call)
+sim_send_to_cloud(Sim *sim, Call *call)
 {
-  if (sim->faults.cloud_out) {
+  if (sim->faults.cloud_unavailable) {
     sim_reply_to(call, 503, json_pack("{s:s}", "error", "trouble"));
   } else if (g_str_has_prefix(call->path, "/catalog")) {
     sim_reply_to(call, 200,
                  json_pack("{s:[{s:s, s:f, s:f, s:f, s:f, s:f, s:f, s:f, s:f, s:[s,s,s]}]}", "typy",
-                           "sku", "g4", "cpus", 32.0, "accelerators", (double)SIM_PLACES, "mem_gb",
+                           "sku", "g4", "cpus", 32.0, "accelerators", (double)SIM_SLOTS, "mem_gb",
                            64.0, "local_gb", 100.0, "pull_gb_per_s", 1.0, "price", 8.0, "low_price",
                            3.0, "boot_s", 8.0, "haly", "a", "b", "c"));
   } else if (strcmp(call->path, "/machines/return") == 0) {
-    take_back(sim, call->body);
+    return_machines(sim, call->body);
     sim_reply_to(call, 200, json_object());
   } else if (strcmp(call->path, "/machines") == 0) {
-    if (sim->faults.rent_nothing)
+    if (sim->faults.cloud_is_full)
       sim_reply_to(call, 503, json_pack("{s:s}", "error", "no capacity"));
     else
       sim_reply_to(call, 200, rent(sim, call->body));
@@ -115,22 +117,22 @@
 }
 
 gboolean
-sim_hangs(const Sim *sim, const Machine *machine)
+sim_is_stalled(const Sim *sim, const Machine *machine)
 {
-  return sim->now_ms < machine->hangs_until_ms;
+  return sim->now_ms < machine->stalled_until_ms;
 }
 
 static void
-send_report(Sim *sim, Machine *machine)
+send_heartbeat(Sim *sim, Machine *machine)
 {
   Call *call = g_new0(Call, 1);
   call->machine = machine;
-  call->session = machine->worker->session;
+  call->incarnation = machine->worker->incarnation;
   call->method = g_strdup("POST");
   call->address = g_strdup_printf("api-%u:1", machine->node);
   call->path = g_strdup("/v1/report");
-  call->body = sim_worker_report(machine->worker, sim->now_ms);
-  machine->report_ms = G_MAXINT64;
+  call->body = sim_worker_heartbeat(machine->worker, sim->now_ms);
+  machine->next_heartbeat_ms = G_MAXINT64;
   sim_send_call(sim, call, 4000);
 }
 
@@ -139,12 +141,12 @@
 {
   if (!sim_is_up(sim, machine))
     return;
-  if (machine->worker->seq == 0)
+  if (machine->worker->sequence == 0)
     machine->worker->renewed_ms = MAX(machine->worker->renewed_ms, machine->up_ms);
   guint tasks = machine->worker->tasks->len;
-  sim_worker_lease(machine->worker, sim->now_ms, sim->lease_ms);
+  sim_worker_check_lease(machine->worker, sim->now_ms, sim->lease_ms);
   sim->lost_tasks += tasks - machine->worker->tasks->len;
-  if (sim_hangs(sim, machine))
+  if (sim_is_stalled(sim, machine))
     return;
   if (machine->worker->interruption_ms > 0 && sim->now_ms >= machine->worker->interruption_ms) {
     machine->returned = TRUE;
@@ -153,6 +155,6 @@
   }
   for (guint i = 0; i < machine->worker->tasks->len; i++)
     sim_step_task(sim, machine, &g_array_index(machine->worker->tasks, SimTask, i));
-  if (sim->now_ms >= machine->report_ms)
-    send_report(sim, machine);
+  if (sim->now_ms >= machine->next_heartbeat_ms)
+    send_heartbeat(sim, machine);
 }
--- a/tests/sim/sim-private.h
+++ b/tests/sim/sim-private.h
@@ -1,21 +1,23 @@
-/* What the parts of the simulated world share. */
+/**
+ * What the parts of the simulated cluster share.
+ */
 #pragma once
 
 #include "sim/sim.h"
 #include "protocol/ws-json.h"
-#include "sim/state.h"
+#include "sim/store.h"
 #include "sim/worker.h"
 #include "ws-site.h"
 
 #define TICK_MS 50
 #define CANCEL_MS 30000
 #define BOOT_MS 8000
-#define KNOWN_MS 75000
-#define WAIT_MS 90000
+#define UNHEARD_JOB_LIMIT_MS 75000
+#define IDLE_CAPACITY_LIMIT_MS 90000
 
 typedef enum { TOLD_NOTHING, TOLD_ACCEPTED, TOLD_DONE, TOLD_CANCELLED } Told;
 
-/* What the world knows of a gang's attempt that has started. */
+/* What the simulation knows of a gang's attempt that has started. */
 typedef struct {
   guint64 attempt;    /* 0: none has started */
   gint64 started_ms;  /* when its tasks began to run together */
@@ -37,8 +39,8 @@
   gint64 cancelled_ms;
   gint64 next_ms; /* when its user asks again */
   gint64 answered_ms;
-  gint64 beside_ms; /* since when a task of it waits beside room; 0: none does */
-  gboolean begun;
+  gint64 beside_capacity_ms; /* since when a task of it waits beside free capacity; 0: none does */
+  gboolean has_started;
   guint8 *completed;
   Gang gang;
 } Job;
@@ -48,18 +50,18 @@
   gint64 up_ms;
   gboolean returned;
   gboolean dead;
-  gint64 hangs_until_ms;
-  gint64 deaf_until_ms;
-  gint64 mute_until_ms;
-  gint64 report_ms;
-  guint node; /* where it reports */
+  gint64 stalled_until_ms;
+  gint64 outbound_unreachable_until_ms;
+  gint64 inbound_unreachable_until_ms;
+  gint64 next_heartbeat_ms;
+  guint node; /* where it sends its heartbeats */
 } Machine;
 
 typedef struct {
   WsCore *core;
   guint run; /* counts its lives */
   gint64 back_ms;
-  gint64 frozen_until_ms;
+  gint64 paused_until_ms;
 } Node;
 
 typedef void (*Run)(Sim *sim, gpointer data);
@@ -73,19 +75,19 @@
 
 struct _Sim {
   guint32 seed;
-  gint64 report_ms;
+  gint64 heartbeat_interval_ms;
   gint64 lease_ms;
   GRand *rand;
   gint64 now_ms;
   guint64 order;
   guint64 lives;
   GSequence *events;
-  SimState *state;
-  gint64 calm_ms; /* since when all troubles are over; 0: they aren't */
+  SimStore *store;
+  gint64 faults_ended_ms; /* since when all faults are over; 0: they aren't */
   guint lost_tasks;
   guint returned_tasks;
   guint late_starts;
-  double cancel_at_end;
+  double cancel_at_completion;
   SimFaults faults;
   Node nodes[SIM_NODES];
   WsSettings *settings[SIM_NODES];
@@ -97,7 +99,7 @@
 
 extern const char *const SIM_ZONES[SIM_NODES];
 
-/* Calls on their way. One of these lives until its answer was taken or given up. */
+/* Calls in flight. A call lives until its answer was taken or has timed out. */
 
 typedef struct {
   Sim *sim;
@@ -109,9 +111,9 @@
   guint64 call;
   Machine *machine;
   gint64 sent_ms;
-  guint64 session;
+  guint64 incarnation;
   Job *job;
-  guint expected; /* of an odd request: the status */
+  guint expected; /* of a malformed request: the status */
   const char *expected_state;
   /* what is asked */
   char *method;
@@ -131,19 +133,19 @@
   guint on_machine;
 } Running;
 
-void sim_ask_cloud(Sim *sim, Call *call);
+void sim_send_to_cloud(Sim *sim, Call *call);
 void sim_call_unref(Call *call);
 void sim_user_cancels(Sim *sim, Job *job);
 gboolean sim_chance(Sim *sim, double part);
 void sim_check_one_attempt(const Sim *sim, const SimTask *task);
 void sim_gang_task_is_ready(const Sim *sim, Machine *machine, SimTask *task);
 void sim_step_gang(Sim *sim, Job *job);
-void sim_check_known(const Sim *sim, const Job *job);
+void sim_check_answered(const Sim *sim, const Job *job);
 void sim_check_waiting(const Sim *sim, Job *job);
 gboolean sim_describe(gpointer world, const char *id, guint task, double *run_s);
 Job *sim_find_job(const Sim *sim, const char *id);
 Machine *sim_find_machine(const Sim *sim, const char *name);
-gboolean sim_hangs(const Sim *sim, const Machine *machine);
+gboolean sim_is_stalled(const Sim *sim, const Machine *machine);
 gboolean sim_is_up(const Sim *sim, const Machine *machine);
 void sim_later(Sim *sim, gint64 after_ms, Run run, gpointer data);
 double sim_now_s(const Sim *sim);
--- a/tests/sim/sim.c
+++ b/tests/sim/sim.c
@@ -1,4 +1,6 @@
-/* The simulated world: its nodes, and time. */
+/**
+ * The simulated cluster: its nodes and its clock.
+ */
 #include "sim/sim-private.h"
 
 const char *const SIM_ZONES[SIM_NODES] = { "a", "b", "c" };
@@ -7,7 +9,7 @@
 sim_leader(const Sim *sim)
 {
   const char *name
-      = json_string_value(json_object_get(sim_state_get(sim->state, "w/leader"), "node"));
+      = json_string_value(json_object_get(sim_store_get(sim->store, "w/leader"), "node"));
   return name != NULL ? (guint)(name[1] - '0') : G_MAXUINT;
 }
 
@@ -24,7 +26,7 @@
 {
   if (sim->nodes[node].core == NULL && sim->now_ms >= sim->nodes[node].back_ms)
     start_node(sim, node);
-  if (sim->nodes[node].core == NULL || sim->now_ms < sim->nodes[node].frozen_until_ms)
+  if (sim->nodes[node].core == NULL || sim->now_ms < sim->nodes[node].paused_until_ms)
     return;
   ws_core_tick(sim->nodes[node].core, sim->now_ms, sim_wall(sim));
   sim_pump(sim, node);
@@ -40,7 +42,7 @@
 tick(Sim *sim, gpointer data)
 {
   (void)data;
-  sim_state_tick(sim->state, sim->now_ms, sim->faults.state_out);
+  sim_store_tick(sim->store, sim->now_ms, sim->faults.store_unavailable);
   for (guint n = 0; n < SIM_NODES; n++)
     step_node(sim, n);
   for (guint i = 0; i < sim->machines->len; i++)
@@ -48,7 +50,7 @@
   for (guint i = 0; i < sim->jobs->len; i++) {
     sim_step_user(sim, g_ptr_array_index(sim->jobs, i));
     sim_step_gang(sim, g_ptr_array_index(sim->jobs, i));
-    sim_check_known(sim, g_ptr_array_index(sim->jobs, i));
+    sim_check_answered(sim, g_ptr_array_index(sim->jobs, i));
     if (sim->now_ms % 1000 == 0)
       sim_check_waiting(sim, g_ptr_array_index(sim->jobs, i));
   }
@@ -85,7 +87,7 @@
   sim->now_ms = 1000;
   sim->rand = g_rand_new_with_seed(seed);
   sim->events = g_sequence_new(g_free);
-  sim->state = sim_state_new();
+  sim->store = sim_store_new();
   sim->properties = ws_properties_new();
   sim->properties->idle_timeout_s = 5.0;
   sim->machines = g_ptr_array_new();
@@ -93,15 +95,15 @@
   sim->rentals = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, names_free);
   for (guint n = 0; n < SIM_NODES; n++)
     sim->settings[n] = ws_test_settings(n);
-  sim_pace(sim, sim->settings[0]->report_s, sim->settings[0]->lease_s);
+  sim_set_pace(sim, sim->settings[0]->report_s, sim->settings[0]->lease_s);
   sim_later(sim, 0, tick, NULL);
   return sim;
 }
 
 void
-sim_pace(Sim *sim, double report_s, double lease_s)
+sim_set_pace(Sim *sim, double report_s, double lease_s)
 {
-  sim->report_ms = (gint64)(report_s * 1000.0);
+  sim->heartbeat_interval_ms = (gint64)(report_s * 1000.0);
   sim->lease_ms = (gint64)(lease_s * 1000.0);
   for (guint n = 0; n < SIM_NODES; n++) {
     sim->settings[n]->report_s = report_s;
@@ -114,8 +116,8 @@
 drain(Sim *sim)
 {
   for (guint n = 0; n < SIM_NODES; n++)
-    sim_crash(sim, n, 1e9);
-  sim_state_free(sim->state);
+    sim_crash_node(sim, n, 1e9);
+  sim_store_free(sim->store);
   while (g_sequence_get_length(sim->events) > 0) {
     GSequenceIter *first = g_sequence_get_begin_iter(sim->events);
     Event event = *(Event *)g_sequence_get(first);
--- a/tests/test-core.c
+++ b/tests/test-core.c
@@ -1,28 +1,15 @@
-/* Whole controllers in a simulated world: generated schedules of faults, with the rules checked at
-   every start of a task and every answer to a user. */
-#include "sim/sim.h"
-
-static void
-submit_some(Sim *sim, guint count)
-{
-  static const char *const PRIORITIES[] = { "critical", "standard", "best_effort" };
-  GRand *rand = sim_rand(sim);
-  for (guint i = 0; i < count; i++) {
-    SimJob job = { .tasks = (guint)g_rand_int_range(rand, 1, 6),
-                   .service = g_rand_int_range(rand, 0, 4) == 0,
-                   .team = g_rand_boolean(rand) ? "red" : "blue",
-                   .spot = g_rand_boolean(rand),
-                   .run_s = g_rand_int_range(rand, 2, 15) };
-    job.scatter = job.service;
-    job.priority = PRIORITIES[job.service ? 0 : g_rand_int_range(rand, 1, 3)];
-    sim_submit(sim, &job);
-  }
-}
+/**
+ * Whole controllers in a simulated cluster: generated schedules of faults, with the invariants
+ * checked at every start of a task and every answer to a user.
+ */
+#include "core/random-faults.h"
+#include "sim/fault-injection.h"
+#include "ws-suite.h"
 
 /* Without faults everything is done, services run until they are cancelled, and in the end the
-   machines are given back but for the place that is kept. */
+   machines are terminated. */
 static void
-quiet_day(guint32 seed)
+play_without_faults(guint32 seed)
 {
   Sim *sim = sim_new(seed);
   static const SimJob ARRAY = { .tasks = 5, .team = "red", .priority = "standard", .run_s = 5.0 };
@@ -42,12 +29,12 @@
 test_quiet(void)
 {
   for (guint32 seed = 1; seed <= 3; seed++)
-    quiet_day(seed);
+    play_without_faults(seed);
 }
 
 /* Two services that need machines in several zones ran, and are cancelled. */
 static Sim *
-busy_then_idle(guint32 seed)
+sim_with_idle_machines(guint32 seed)
 {
   static const SimJob RED = { .tasks = 6, .service = TRUE, .team = "red", .priority = "standard" };
   static const SimJob BLUE
@@ -58,10 +45,7 @@
   sim_submit(sim, &RED);
   sim_submit(sim, &BLUE);
   sim_run(sim, 30.0);
-  for (guint i = 0; i < 60 && sim_open_jobs(sim) > 0; i++) {
-    sim_cancel_any(sim);
-    sim_run(sim, 0.5);
-  }
+  sim_cancel_until_closed(sim, 60, 0.5);
   g_assert_cmpuint(sim_open_jobs(sim), ==, 0);
   sim_run(sim, 5.0);
   g_assert_cmpuint(sim_task_records(sim), ==, 0);
@@ -76,11 +60,11 @@
   g_ptr_array_add(sim_properties(sim)->budgets, budget);
 }
 
-/* Budgets hold give-back back, and no longer than they are set. */
+/* Budgets limit terminations, and no longer than they are set. */
 static void
-test_budget(void)
+test_budget_limits_termination(void)
 {
-  Sim *sim = busy_then_idle(21);
+  Sim *sim = sim_with_idle_machines(21);
   guint in_a = sim_machines_in(sim, "a"), in_b = sim_machines_in(sim, "b");
   g_assert_cmpuint(in_a, >, 0);
   g_assert_cmpuint(in_b, >, 0);
@@ -97,19 +81,19 @@
   sim_free(sim);
 }
 
-/* While a zone is cut off nothing is given back there, by an owner outside or inside; once it has
-   healed, everything is. Returns how many machines were in it. */
+/* While a zone is partitioned no machine is terminated there, by an owner outside or inside; once
+   it has healed, all are. Returns how many machines were in it. */
 static guint
-cut_zone(guint32 seed)
+play_partition(guint32 seed)
 {
-  Sim *sim = busy_then_idle(seed);
+  Sim *sim = sim_with_idle_machines(seed);
   guint in_a = sim_machines_in(sim, "a");
-  sim_faults(sim)->cut = 1;
+  sim_faults(sim)->partitioned_zones = 1;
   sim_run(sim, 3.0);
   sim_properties(sim)->idle_timeout_s = 5.0;
   sim_run(sim, 6.0); /* with the pause before it, less than the lease less one report */
   g_assert_cmpuint(sim_machines_in(sim, "a"), ==, in_a);
-  sim_faults(sim)->cut = 0;
+  sim_faults(sim)->partitioned_zones = 0;
   sim_run(sim, 60.0);
   g_assert_cmpuint(sim_machines(sim), ==, 0);
   sim_free(sim);
@@ -117,11 +101,11 @@
 }
 
 static void
-test_cut_zone(void)
+test_no_termination_in_partitioned_zone(void)
 {
   guint in_a = 0;
   for (guint32 seed = 21; seed < 29; seed++)
-    in_a += cut_zone(seed);
+    in_a += play_partition(seed);
   g_assert_cmpuint(in_a, >, 4);
 }
 
@@ -142,94 +126,21 @@
   sim_free(sim);
 }
 
-/* The cases stay in one switch, since their numbers decide what a seed plays. */
-static void /* NOLINTNEXTLINE(readability-function-size) */
-any_fault(Sim *sim)
-{
-  GRand *rand = sim_rand(sim);
-  SimFaults *faults = sim_faults(sim);
-  switch (g_rand_int_range(rand, 0, 19)) {
-  case 0:
-    sim_crash(sim, (guint)g_rand_int_range(rand, 0, SIM_NODES),
-              g_rand_double_range(rand, 0.1, 8.0));
-    break;
-  case 1:
-    for (guint n = 0; n < SIM_NODES; n++)
-      sim_crash(sim, n, g_rand_double_range(rand, 0.1, 8.0));
-    break;
-  case 2:
-    faults->state_out = !faults->state_out;
-    break;
-  case 3:
-    faults->state_refuses = faults->state_refuses ? 0 : 1u << g_rand_int_range(rand, 0, SIM_NODES);
-    break;
-  case 4:
-    faults->cut = faults->cut ? 0 : 1u << g_rand_int_range(rand, 0, 3);
-    break;
-  case 5:
-    faults->cloud_out = !faults->cloud_out;
-    break;
-  case 6:
-    faults->rent_nothing = !faults->rent_nothing;
-    break;
-  case 7:
-    sim_kill_machine(sim);
-    break;
-  case 8:
-    sim_hang_machine(sim, g_rand_double_range(rand, 1.0, 20.0));
-    break;
-  case 9:
-    sim_notice_machine(sim, g_rand_double_range(rand, 1.0, 10.0));
-    break;
-  case 10:
-    faults->net = faults->net.lose > 0.0 ? (SimNet){ 0 } : (SimNet){ 0.05, 0.05, 0.03 };
-    break;
-  case 11:
-    faults->alone = faults->alone ? 0 : 1u << g_rand_int_range(rand, 0, SIM_NODES);
-    break;
-  case 12:
-    faults->copies = faults->copies > 0.0 ? 0.0 : 0.3;
-    break;
-  case 13:
-    sim_deafen_machine(sim, g_rand_double_range(rand, 2.0, 40.0));
-    break;
-  case 14:
-    sim_restart_machine(sim);
-    break;
-  case 15:
-    sim_freeze(sim, (guint)g_rand_int_range(rand, 0, SIM_NODES),
-               g_rand_double_range(rand, 0.2, 30.0));
-    break;
-  case 16:
-    faults->unheard = faults->unheard ? 0 : 1u << g_rand_int_range(rand, 0, SIM_NODES);
-    break;
-  case 17:
-    for (guint i = 0; i < 4; i++)
-      sim_hang_machine(sim, g_rand_double_range(rand, 6.0, 18.0));
-    break;
-  default:
-    sim_cancel_any(sim);
-  }
-}
-
 static void
-rough_day(guint32 seed, double report_s, double lease_s)
+play_random_faults(guint32 seed, double report_s, double lease_s)
 {
   Sim *sim = sim_new(seed);
   GRand *rand = sim_rand(sim);
-  sim_pace(sim, report_s, lease_s);
+  sim_set_pace(sim, report_s, lease_s);
   sim_run(sim, 2.0);
   for (guint i = 0; i < 30; i++) {
-    submit_some(sim, (guint)g_rand_int_range(rand, 0, 3));
-    any_fault(sim);
+    submit_random_jobs(sim, (guint)g_rand_int_range(rand, 0, 3));
+    inject_random_fault(sim);
     sim_run(sim, g_rand_double_range(rand, 0.05, 6.0));
   }
   /* All faults end: what was accepted is done or can be cancelled, and no machine leaks. */
-  sim_calm(sim);
-  for (guint i = 0; i < 400 && sim_open_jobs(sim) > 0; i++) {
-    sim_cancel_any(sim);
-    sim_run(sim, 1.0);
-  }
+  sim_end_faults(sim);
+  sim_cancel_until_closed(sim, 400, 1.0);
   if (sim_open_jobs(sim) > 0)
     g_error("seed %u: %u jobs are still open", seed, sim_open_jobs(sim));
   sim_run(sim, 150.0);
@@ -247,47 +158,44 @@
   guint32 last = only != NULL ? first : 20;
   for (guint32 seed = first; seed <= last; seed++) {
     g_test_message("seed %u", seed);
-    rough_day(seed, 2.0, 12.0);
+    play_random_faults(seed, 2.0, 12.0);
   }
 }
 
 /* A node asked for a machine's mark, lost the machine to another node, and led: it refused what the
    new owner asked for, and the machine, which had died, was never returned. */
 static void
-test_unfinished_mark(void)
+test_mark_survives_change_of_owner(void)
 {
-  rough_day(821, 2.0, 12.0);
+  play_random_faults(821, 2.0, 12.0);
 }
 
-/* The same where workers report less often, and where they do so more often. */
+/* The same with longer heartbeat intervals and leases, and with shorter ones. */
 static void
 test_rough_paces(void)
 {
   for (guint32 seed = 300; seed < 306; seed++) {
     g_test_message("seed %u", seed);
-    rough_day(seed, 6.0, 31.0);
-    rough_day(seed, 1.0, 8.0);
+    play_random_faults(seed, 6.0, 31.0);
+    play_random_faults(seed, 1.0, 8.0);
   }
 }
 
 /* Two crashes of every controller within a second, in the middle of an election too. */
 static void
-test_crash_twice(void)
+test_jobs_survive_repeated_crashes(void)
 {
   for (guint32 seed = 100; seed < 106; seed++) {
     Sim *sim = sim_new(seed);
     sim_run(sim, 2.0);
-    submit_some(sim, 6);
+    submit_random_jobs(sim, 6);
     sim_run(sim, 20.0);
     for (guint round = 0; round < 2; round++) {
       for (guint n = 0; n < SIM_NODES; n++)
-        sim_crash(sim, n, 0.2);
+        sim_crash_node(sim, n, 0.2);
       sim_run(sim, 0.5);
     }
-    for (guint i = 0; i < 300 && sim_open_jobs(sim) > 0; i++) {
-      sim_cancel_any(sim);
-      sim_run(sim, 1.0);
-    }
+    sim_cancel_until_closed(sim, 300, 1.0);
     g_assert_cmpuint(sim_open_jobs(sim), ==, 0);
     sim_free(sim);
   }
@@ -296,10 +204,10 @@
 static const SimJob SPREAD_SERVICE
     = { .tasks = 6, .service = TRUE, .team = "red", .priority = "critical", .scatter = TRUE };
 
-/* A node that reaches neither the state service nor the others, while all workers reach it, sends
+/* A node that reaches neither the store nor the others, while all workers reach it, sends
    them away: the others act without it, and no task is lost with a lease. */
 static void
-test_alone(void)
+test_isolated_node_loses_no_task(void)
 {
   static const SimJob ARRAY = { .tasks = 4, .team = "blue", .priority = "standard", .run_s = 3.0 };
   for (guint32 seed = 40; seed < 46; seed++) {
@@ -307,7 +215,7 @@
     sim_run(sim, 3.0);
     sim_submit(sim, &SPREAD_SERVICE);
     sim_run(sim, 40.0);
-    sim_faults(sim)->alone = 1u << (seed % SIM_NODES);
+    sim_faults(sim)->isolated_nodes = 1u << (seed % SIM_NODES);
     sim_run(sim, 10.0);
     sim_submit(sim, &ARRAY);
     sim_run(sim, 60.0);
@@ -317,26 +225,26 @@
   }
 }
 
-/* Its neighbour case: a whole zone is cut off, from the state service too, for several leases. Its
+/* The neighbouring case: a whole zone is partitioned, from the store too, for several leases. Its
    node is all that its workers have, and its answers keep their tasks alive; the others don't
-   return its machines, neither meanwhile nor in the moments after the cut when workers look for
-   their owner. */
+   return its machines, neither meanwhile nor in the moments after the partition when workers look
+   for their owner. */
 static void
-test_zone_alone(void)
+test_partitioned_zone_keeps_its_tasks(void)
 {
   for (guint32 seed = 50; seed < 56; seed++) {
     Sim *sim = sim_new(seed);
     sim_run(sim, 3.0);
     sim_submit(sim, &SPREAD_SERVICE);
     sim_run(sim, 40.0);
-    sim_faults(sim)->alone = 1u << (seed % SIM_NODES);
-    sim_faults(sim)->cut = 1u << (seed % SIM_NODES);
+    sim_faults(sim)->isolated_nodes = 1u << (seed % SIM_NODES);
+    sim_faults(sim)->partitioned_zones = 1u << (seed % SIM_NODES);
     sim_run(sim, 14.0);
     /* Whoever waited for two nodes outside, one after the other, has lost its lease by now. */
     guint lost = sim_lost_tasks(sim);
     sim_run(sim, 31.0);
     g_assert_cmpuint(sim_lost_tasks(sim), ==, lost);
-    sim_calm(sim);
+    sim_end_faults(sim);
     sim_run(sim, 30.0);
     g_assert_cmpuint(sim_lost_tasks(sim), ==, lost);
     g_assert_cmpuint(sim_returned_tasks(sim), ==, 0);
@@ -344,7 +252,7 @@
   }
 }
 
-/* A deaf machine is returned, and its tasks start elsewhere. */
+/* A machine whose outbound direction is blocked is returned, and its tasks start elsewhere. */
 static void
 test_deaf(void)
 {
@@ -354,7 +262,7 @@
     sim_run(sim, 3.0);
     sim_submit(sim, &ARRAY);
     sim_run(sim, 16.0);
-    sim_deafen_machine(sim, 1e6);
+    sim_block_outbound_of_any(sim, 1e6);
     for (guint i = 0; i < 90 && sim_done_jobs(sim) == 0; i++)
       sim_run(sim, 1.0);
     g_assert_cmpuint(sim_done_jobs(sim), ==, 1);
@@ -364,13 +272,13 @@
 
 /* Small jobs never stop coming, and there are too few machines: a large one begins all the same. */
 static void
-test_begun(void)
+test_large_job_starts_among_small_jobs(void)
 {
   static const SimJob SMALL = { .tasks = 2, .team = "blue", .priority = "standard", .run_s = 12.0 };
   static const SimJob LARGE
       = { .tasks = 40, .team = "blue", .priority = "best_effort", .run_s = 60.0 };
   Sim *sim = sim_new(70);
-  sim_faults(sim)->most_machines = 1;
+  sim_faults(sim)->max_machines = 1;
   sim_run(sim, 3.0);
   sim_submit(sim, &LARGE);
   for (guint i = 0; i < 60; i++) {
@@ -378,14 +286,14 @@
     sim_submit(sim, &SMALL);
     sim_run(sim, 4.0);
   }
-  g_assert_true(sim_begun(sim, 0));
+  g_assert_true(sim_has_started(sim, 0));
   sim_free(sim);
 }
 
-/* Bursts of jobs of every size, priority and team, few machines, and troubles in the middle: within
+/* Bursts of jobs of every size, priority and team, few machines, and faults in the middle: within
    four minutes every job has begun, whatever it is, and in the end each is done. */
 static void
-served_day(guint32 seed)
+play_overload(guint32 seed)
 {
   static const SimJob LARGE[]
       = { { .tasks = 40, .team = "red", .priority = "best_effort", .spot = TRUE, .run_s = 8.0 },
@@ -401,49 +309,51 @@
     small.priority = i % 3 ? "standard" : "best_effort";
     sim_submit(sim, &small);
     jobs++;
-    any_fault(sim);
-    sim_faults(sim)->most_machines = 3;
+    inject_random_fault(sim);
+    sim_faults(sim)->max_machines = 3;
     sim_run(sim, 3.0);
   }
-  sim_calm(sim);
-  sim_faults(sim)->most_machines = 3;
+  sim_end_faults(sim);
+  sim_faults(sim)->max_machines = 3;
   sim_run(sim, 210.0);
   for (guint i = 0; i < jobs; i++)
-    if (!sim_begun(sim, i))
+    if (!sim_has_started(sim, i))
       g_error("seed %u: job %u has not begun", seed, i);
-  for (guint i = 0; i < 400 && sim_open_jobs(sim) > 0; i++)
-    sim_run(sim, 1.0);
+  sim_run_until_closed(sim, 400);
   if (sim_open_jobs(sim) > 0)
     g_error("seed %u: %u jobs are not served", seed, sim_open_jobs(sim));
   sim_free(sim);
 }
 
 static void
-test_served(void)
+test_every_job_starts_and_completes(void)
 {
   for (guint32 seed = 200; seed < 206; seed++) {
     g_test_message("seed %u", seed);
-    served_day(seed);
+    play_overload(seed);
   }
 }
 
+static const WsTest TESTS[] = {
+  { "/core/quiet", test_quiet },
+  { "/core/budget-limits-termination", test_budget_limits_termination },
+  { "/core/no-termination-in-partitioned-zone", test_no_termination_in_partitioned_zone },
+  { "/core/large", test_large },
+  { "/core/rough", test_rough },
+  { "/core/mark-survives-change-of-owner", test_mark_survives_change_of_owner },
+  { "/core/rough-paces", test_rough_paces },
+  { "/core/jobs-survive-repeated-crashes", test_jobs_survive_repeated_crashes },
+  { "/core/isolated-node-loses-no-task", test_isolated_node_loses_no_task },
+  { "/core/partitioned-zone-keeps-its-tasks", test_partitioned_zone_keeps_its_tasks },
+  { "/core/deaf", test_deaf },
+  { "/core/large-job-starts-among-small-jobs", test_large_job_starts_among_small_jobs },
+  { "/core/every-job-starts-and-completes", test_every_job_starts_and_completes },
+};
+
 int
 main(int argc, char **argv)
 {
-  g_test_init(&argc, &argv, NULL);
-  g_log_set_always_fatal(G_LOG_LEVEL_ERROR);
-  g_test_add_func("/core/quiet", test_quiet);
-  g_test_add_func("/core/budget", test_budget);
-  g_test_add_func("/core/cut-zone", test_cut_zone);
-  g_test_add_func("/core/large", test_large);
-  g_test_add_func("/core/rough", test_rough);
-  g_test_add_func("/core/unfinished-mark", test_unfinished_mark);
-  g_test_add_func("/core/rough-paces", test_rough_paces);
-  g_test_add_func("/core/crash-twice", test_crash_twice);
-  g_test_add_func("/core/alone", test_alone);
-  g_test_add_func("/core/zone-alone", test_zone_alone);
-  g_test_add_func("/core/deaf", test_deaf);
-  g_test_add_func("/core/begun", test_begun);
-  g_test_add_func("/core/served", test_served);
+  ws_suite_init(&argc, &argv);
+  ws_suite_add(TESTS, G_N_ELEMENTS(TESTS));
   return g_test_run();
 }
--- a/tests/test-http.c
+++ b/tests/test-http.c
@@ -1,21 +1,24 @@
-/* The real program's runtime on loopback, against stand-ins for the state service and the cloud:
-   answers to good and bad requests, and connections that are used again. */
+/**
+ * The real program's runtime on loopback, against simulated services: answers to good and bad
+ * requests, and connections that are used again.
+ */
 #include "protocol/ws-json.h"
 #include "runtime/ws-runtime.h"
-#include "sim/state.h"
+#include "sim/store.h"
 #include "ws-gen.h"
+#include "ws-suite.h"
 
 #include <libsoup/soup.h>
 #include <string.h>
 
 typedef struct {
-  SimState *state;
+  SimStore *store;
   SoupServer *server; /* both services */
   GHashTable *connections;
   WsSettings *settings;
   WsProperties *properties;
   WsRuntime *runtime;
-  SoupSession *incarnation;
+  SoupSession *session;
   char *api;
 } Stand;
 
@@ -73,7 +76,7 @@
   Held *held = g_new0(Held, 1);
   held->message = g_object_ref(message);
   soup_server_message_pause(message);
-  sim_state_request(stand->state, g_get_monotonic_time() / 1000,
+  sim_store_request(stand->store, g_get_monotonic_time() / 1000,
                     soup_server_message_get_method(message), full, body, on_state, held);
 }
 
@@ -81,7 +84,7 @@
 on_tick(gpointer data)
 {
   Stand *stand = data;
-  sim_state_tick(stand->state, g_get_monotonic_time() / 1000, FALSE);
+  sim_store_tick(stand->store, g_get_monotonic_time() / 1000, FALSE);
   return G_SOURCE_CONTINUE;
 }
 
@@ -120,7 +123,7 @@
   Stand *stand = g_new0(Stand, 1);
   guint services = free_port(), api = free_port(), mesh = free_port();
   g_autoptr(GError) error = NULL;
-  stand->state = sim_state_new();
+  stand->store = sim_store_new();
   stand->connections = g_hash_table_new(NULL, NULL);
   stand->server = soup_server_new(NULL, NULL);
   soup_server_add_handler(stand->server, NULL, on_request, stand, NULL);
@@ -132,7 +135,7 @@
   stand->properties = ws_properties_new();
   stand->runtime = ws_runtime_new(stand->settings, stand->properties, &error);
   g_assert_no_error(error);
-  stand->incarnation = soup_session_new();
+  stand->session = soup_session_new();
   stand->api = g_strdup_printf("http://127.0.0.1:%u", api);
   g_timeout_add(50, on_tick, stand);
   return stand;
@@ -164,7 +167,7 @@
     soup_message_set_request_body_from_bytes(message, "application/json", bytes);
   }
   Wait wait = { g_main_loop_new(NULL, FALSE), NULL };
-  soup_session_send_and_read_async(stand->incarnation, message, G_PRIORITY_DEFAULT, NULL, on_answer,
+  soup_session_send_and_read_async(stand->session, message, G_PRIORITY_DEFAULT, NULL, on_answer,
                                    &wait);
   g_main_loop_run(wait.loop);
   g_main_loop_unref(wait.loop);
@@ -283,11 +286,14 @@
   g_assert_error(error, G_IO_ERROR, G_IO_ERROR_ADDRESS_IN_USE);
 }
 
+static const WsTest TESTS[] = {
+  { "/http/all", test_all },
+};
+
 int
 main(int argc, char **argv)
 {
-  g_test_init(&argc, &argv, NULL);
-  g_log_set_always_fatal(G_LOG_LEVEL_ERROR);
-  g_test_add_func("/http/all", test_all);
+  ws_suite_init(&argc, &argv);
+  ws_suite_add(TESTS, G_N_ELEMENTS(TESTS));
   return g_test_run();
 }
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -1,10 +1,13 @@
-/* Two versions of the program on the same records, and limits of the state service that fall. The
-   fixtures were written by the encoders of the version in production, commit ee59907. */
+/**
+ * Two versions of the program on the same records, and limits of the store that are lowered. The
+ * records here were written by the encoders of the version in production, commit ee59907.
+ */
 #include "commit/ws-release-order.h"
-#include "sim/rig.h"
-#include "sim/troubles.h"
+#include "sim/fixture.h"
+#include "sim/fault-injection.h"
 #include "storage/ws-team-use.h"
 #include "ws-site.h"
+#include "ws-suite.h"
 
 #include <string.h>
 
@@ -68,7 +71,7 @@
 
 /* All that production has acknowledged is known to the new version. */
 static void
-test_reads(void)
+test_reads_stored_records(void)
 {
   g_autoptr(WsSettings) settings = ws_test_settings(1);
   WsReplica *replica = read_records(settings);
@@ -100,7 +103,7 @@
 /* What the new version writes while production may read it is, byte for byte, what production would
    have written. */
 static void
-test_writes(void)
+test_writes_records_byte_for_byte(void)
 {
   g_autoptr(WsSettings) settings = ws_test_settings(1);
   WsReplica *replica = read_records(settings);
@@ -123,7 +126,7 @@
 
 /* Both versions count a team's use in the same record, whatever the limits to come are. */
 static void
-test_same_team_record(void)
+test_team_record_is_independent_of_limits(void)
 {
   g_autoptr(json_t) message = ws_test_message(0);
   json_t *state = json_object_get(json_object_get(message, "params"), "state");
@@ -139,7 +142,7 @@
 
 /* Peer messages of production: taken as they are. */
 static void
-test_messages(void)
+test_accepts_peer_messages(void)
 {
   static const struct {
     const char *path;
@@ -153,41 +156,42 @@
     { "/ask", "{\"marks\":[[\"m-1\",\"notice\",false]],\"epoch\":1}" },
     { "/cancelled", "{\"node\":\"n2\",\"jobs\":[[\"req-000003\",7]]}" },
   };
-  Rig *rig = rig_new(TRUE);
+  Fixture *fixture = fixture_new_with_job(TRUE);
   for (guint i = 0; i < G_N_ELEMENTS(MESSAGES); i++) {
-    rig_mesh(rig, MESSAGES[i].path, ws_json_parse(MESSAGES[i].body, strlen(MESSAGES[i].body)));
-    g_assert_cmpuint(rig->status, ==, 200);
+    fixture_send_peer_message(fixture, MESSAGES[i].path,
+                              ws_json_parse(MESSAGES[i].body, strlen(MESSAGES[i].body)));
+    g_assert_cmpuint(fixture->status, ==, 200);
   }
-  rig_run(rig, 1.0);
-  g_assert_true(sim_state_has(rig->state, "w/mark/m-1"));
-  rig_ask(rig, "GET", "/api/jobs/req-1", NULL);
-  g_assert_cmpstr(json_string_value(json_object_get(rig->answer, "stav")), ==, "done");
-  rig_free(rig);
+  fixture_run(fixture, 1.0);
+  g_assert_true(sim_store_has(fixture->store, "w/mark/m-1"));
+  fixture_call(fixture, "GET", "/api/jobs/req-1", NULL);
+  g_assert_cmpstr(json_string_value(json_object_get(fixture->answer, "stav")), ==, "done");
+  fixture_free(fixture);
 }
 
 /* The new version's gossip has each field of production's, of the same type, and one more, which
    production doesn't read. */
 static void
-test_gossip(void)
+test_gossip_is_compatible(void)
 {
   static const char PRODUCTION[]
       = "{\"node\":\"n1\",\"epoch\":1,\"store\":true,\"reaches\":7,\"wants_epoch\":false,"
         "\"unheard\":false,\"base\":1,\"rev\":2,\"ack\":2,\"incarnation\":1000002,\"loaded\":true,"
         "\"untold\":0,\"machines\":[]}";
-  Rig *rig = rig_new(TRUE);
+  Fixture *fixture = fixture_new_with_job(TRUE);
   g_autoptr(json_t) production = ws_json_parse(PRODUCTION, strlen(PRODUCTION));
-  rig_mesh(rig, "/gossip", json_incref(production));
+  fixture_send_peer_message(fixture, "/gossip", json_incref(production));
   const char *name;
   json_t *value;
   json_object_foreach(production, name, value)
   {
-    const json_t *ours = json_object_get(rig->answer, name);
+    const json_t *ours = json_object_get(fixture->answer, name);
     g_assert_nonnull(ours);
     g_assert_true(json_is_boolean(value) ? json_is_boolean(ours)
                                          : json_typeof(ours) == json_typeof(value));
   }
-  g_assert_cmpuint(json_object_size(rig->answer), ==, json_object_size(production) + 1);
-  rig_free(rig);
+  g_assert_cmpuint(json_object_size(fixture->answer), ==, json_object_size(production) + 1);
+  fixture_free(fixture);
 }
 
 /* Limits to come. */
@@ -208,7 +212,7 @@
 
 /* Whatever a record says to fit fits, and what places it has left can be filled. */
 static void
-test_chunk_sizes(void)
+test_chunks_fit_record_limit(void)
 {
   g_autoptr(WsSettings) settings = ws_test_settings(0);
   settings->state_record_bytes = NEXT_BYTES;
@@ -232,7 +236,7 @@
 
 /* A rental whose machines have long names has several records. */
 static void
-test_lot_sizes(void)
+test_rental_batches_fit_record_limit(void)
 {
   g_autoptr(WsSettings) settings = ws_test_settings(0);
   settings->state_record_bytes = NEXT_BYTES;
@@ -256,10 +260,10 @@
   ws_replica_free(replica);
 }
 
-/* The lower limits come into force at any moment, among troubles: nothing is refused for its size,
+/* The lower limits come into force at any moment, during faults: nothing is rejected for its size,
    which the end of each day checks, and all is served. */
 static void
-test_limits_fall(void)
+test_limits_lowered_at_runtime(void)
 {
   for (guint32 seed = 900; seed < 900 + sim_seed_count(12); seed++) {
     g_test_message("seed %u", seed);
@@ -270,8 +274,8 @@
     sim_run(sim, g_rand_double_range(sim_rand(sim), 0.0, 20.0));
     sim_lower_limits(sim, NEXT_OPS, NEXT_BYTES);
     sim_add_load(sim, 1);
-    sim_play_drawn_troubles(sim);
-    sim_serve_all(sim);
+    sim_inject_random_faults(sim);
+    sim_expect_recovery(sim);
     sim_free(sim);
   }
 }
@@ -287,7 +291,7 @@
 /* A record that production left larger than may be written now: its ends wait until what is left
    fits, and are then written together. */
 static void
-test_larger_records(void)
+test_oversized_records_are_reduced_at_once(void)
 {
   g_autoptr(GRand) rand = g_rand_new_with_seed(920);
   g_autoptr(WsSettings) settings = ws_test_settings(0);
@@ -320,57 +324,58 @@
 
 /* A job that production has accepted is known, whatever this version would have said of it. */
 static void
-test_accepted_elsewhere(void)
+test_accepted_job_is_never_rejected(void)
 {
-  Rig *rig = rig_bare(TRUE);
-  rig_send_report(rig, 0, json_array());
-  rig_send_report(rig, 1, json_array());
-  rig->settings->state_record_bytes = 300;
-  rig_ask(rig, "POST", "/api/jobs", rig_submission());
-  g_assert_cmpuint(rig->status, ==, 422);
-  rig->hold_watch = TRUE; /* this node doesn't hear of it by itself */
-  rig_run(rig, 10.0);
-  g_autoptr(json_t) submission = rig_submission();
-  rig_write_key(
-      rig, "w/job/req-1",
+  Fixture *fixture = fixture_new_with_machine(TRUE);
+  fixture->settings->state_record_bytes = 300;
+  fixture_call(fixture, "POST", "/api/jobs", fixture_submission());
+  g_assert_cmpuint(fixture->status, ==, 422);
+  fixture->hold_watch = TRUE; /* this node doesn't hear of it by itself */
+  fixture_run(fixture, 10.0);
+  g_autoptr(json_t) submission = fixture_submission();
+  fixture_write_key(
+      fixture, "w/job/req-1",
       json_pack("{s:s, s:i, s:s, s:O}", "s", "active", "at", 1, "home", "", "spec", submission));
-  rig_request(rig, WS_DOOR_API, "POST", "/api/jobs", json_incref(submission));
-  rig_release_watch(rig);
-  rig_run(rig, 1.5);
-  g_assert_cmpuint(rig->status, !=, 422);
-  rig_free(rig);
+  fixture_request(fixture, WS_DOOR_API, "POST", "/api/jobs", json_incref(submission));
+  fixture_release_watch(fixture);
+  fixture_run(fixture, 1.5);
+  g_assert_cmpuint(fixture->status, !=, 422);
+  fixture_free(fixture);
 }
 
 /* A refusal for size that nobody announced holds up only what is refused. */
 static void
-test_unannounced(void)
+test_unannounced_limits_delay_only_what_is_refused(void)
 {
-  Sim *sim = sim_loaded_world(930);
+  Sim *sim = sim_new_with_load(930);
   sim_lower_limits(sim, 2, NEXT_BYTES); /* one job and its team's use */
   sim_add_load(sim, 1);
-  for (guint i = 0; i < 300 && sim_open_jobs(sim) > 0; i++)
-    sim_run(sim, 1.0);
+  sim_run_until_closed(sim, 300);
   g_assert_cmpuint(sim_open_jobs(sim), ==, 0);
-  g_assert_cmpuint(sim_refused_for_size(sim), >, 0);
-  g_assert_cmpuint(sim_refused_for_size(sim), <, 200);
+  g_assert_cmpuint(sim_rejected_for_size(sim), >, 0);
+  g_assert_cmpuint(sim_rejected_for_size(sim), <, 200);
   sim_free(sim);
 }
 
+static const WsTest TESTS[] = {
+  { "/upgrade/reads-stored-records", test_reads_stored_records },
+  { "/upgrade/writes-records-byte-for-byte", test_writes_records_byte_for_byte },
+  { "/upgrade/team-record-is-independent-of-limits", test_team_record_is_independent_of_limits },
+  { "/upgrade/accepts-peer-messages", test_accepts_peer_messages },
+  { "/upgrade/gossip-is-compatible", test_gossip_is_compatible },
+  { "/upgrade/chunks-fit-record-limit", test_chunks_fit_record_limit },
+  { "/upgrade/rental-batches-fit-record-limit", test_rental_batches_fit_record_limit },
+  { "/upgrade/limits-lowered-at-runtime", test_limits_lowered_at_runtime },
+  { "/upgrade/oversized-records-are-reduced-at-once", test_oversized_records_are_reduced_at_once },
+  { "/upgrade/accepted-job-is-never-rejected", test_accepted_job_is_never_rejected },
+  { "/upgrade/unannounced-limits-delay-only-what-is-refused",
+    test_unannounced_limits_delay_only_what_is_refused },
+};
+
 int
 main(int argc, char **argv)
 {
-  g_test_init(&argc, &argv, NULL);
-  g_log_set_always_fatal(G_LOG_LEVEL_ERROR);
-  g_test_add_func("/upgrade/reads", test_reads);
-  g_test_add_func("/upgrade/writes", test_writes);
-  g_test_add_func("/upgrade/same-team-record", test_same_team_record);
-  g_test_add_func("/upgrade/messages", test_messages);
-  g_test_add_func("/upgrade/gossip", test_gossip);
-  g_test_add_func("/upgrade/chunk-sizes", test_chunk_sizes);
-  g_test_add_func("/upgrade/lot-sizes", test_lot_sizes);
-  g_test_add_func("/upgrade/limits-fall", test_limits_fall);
-  g_test_add_func("/upgrade/larger-records", test_larger_records);
-  g_test_add_func("/upgrade/accepted-elsewhere", test_accepted_elsewhere);
-  g_test_add_func("/upgrade/unannounced", test_unannounced);
+  ws_suite_init(&argc, &argv);
+  ws_suite_add(TESTS, G_N_ELEMENTS(TESTS));
   return g_test_run();
 }
