--- a/src/api/ws-admission.c
+++ b/src/api/ws-admission.c
@@ -24,7 +24,7 @@
     return TRUE;
   gboolean is_contradictory = spec->one_zone && spec->spread && spec->tasks > 1;
   guint tasks_in_chunk = MIN(spec->tasks, WS_CHUNK_TASKS);
-  return !is_contradictory && tasks_in_chunk <= ws_chunk_free_places(NULL, core->replica);
+  return !is_contradictory && tasks_in_chunk <= ws_chunk_free_slots(NULL, core->replica);
 }
 
 static const WsTeamSettings *
--- a/src/api/ws-job-api.c
+++ b/src/api/ws-job-api.c
@@ -140,7 +140,7 @@
 accept(WsCore *core, UserRequest *user_request)
 {
   WsJob job = { .id = user_request->id, .spec = user_request->spec, .accepted_ms = core->wall };
-  WsNodeIndex coordinator = ws_plan_choose_coordinator(core, user_request->spec);
+  WsNodeIndex coordinator = ws_coordinator_choose(core, user_request->spec);
   const char *name
       = coordinator == WS_NO_NODE ? "" : ws_settings_node(core->settings, coordinator)->name;
   g_autofree char *key = ws_key_job(user_request->id);
--- a/src/commit/ws-batch-check.c
+++ b/src/commit/ws-batch-check.c
@@ -67,7 +67,7 @@
 task_is_unassigned(const WsBatch *batch, const WsJob *job, guint task)
 {
   const WsChunk *chunk = ws_batch_chunk(batch, job, task / WS_CHUNK_TASKS);
-  return !ws_job_task_done(job, task) && ws_chunk_find(chunk, task) == NULL
+  return !ws_job_is_task_completed(job, task) && ws_chunk_find(chunk, task) == NULL
          && ws_job_assignment(job, task) == NULL;
 }
 
@@ -75,7 +75,7 @@
 record_has_place(const WsBatch *batch, const WsJob *job, guint task)
 {
   const WsChunk *chunk = ws_batch_chunk(batch, job, task / WS_CHUNK_TASKS);
-  return ws_chunk_free_places(chunk, batch->core->replica) > 0;
+  return ws_chunk_free_slots(chunk, batch->core->replica) > 0;
 }
 
 static gboolean
@@ -101,8 +101,8 @@
   return job_needs_task(batch, job, proposal->task) && machine_takes_tasks(machine)
          && ws_constraints_allow_machine(core->replica, job->spec, job->zone, machine)
          && machine_has_capacity(batch, machine, job)
-         && ws_team_has_room(core->settings, job->team, &batch->team_use[job->team],
-                             &job->spec->need)
+         && ws_team_has_capacity(core->settings, job->team, &batch->team_use[job->team],
+                                 &job->spec->need)
          && zone_is_allowed(batch, job, machine->zone)
          && leaves_reserved_capacity(batch, machine, job);
 }
--- a/src/commit/ws-batch.c
+++ b/src/commit/ws-batch.c
@@ -284,7 +284,7 @@
     const WsAssignment *assignment = ws_chunk_find(chunk, task);
     if (assignment != NULL)
       release_task(batch, job, chunk, task, assignment->machine);
-    ws_chunk_set_done(chunk, task);
+    ws_chunk_set_completed(chunk, task);
   }
 }
 
@@ -300,7 +300,7 @@
 ws_batch_release(WsBatch *batch, const WsRelease *release)
 {
   const WsJob *job = ws_replica_job(batch->core->replica, release->job);
-  if (!ws_release_holds(batch->core->replica, release))
+  if (!ws_release_is_valid(batch->core->replica, release))
     return WS_BATCH_REJECTED; /* written already, of another attempt, or its evidence is void */
   const WsAssignment *assignment = ws_job_assignment(job, release->task);
   if (ws_chunk_find(ws_batch_chunk(batch, job, release->task / WS_CHUNK_TASKS), release->task)
@@ -318,7 +318,7 @@
   if (ws_job_is_gang(job))
     chunk->last_attempt = last_attempt(batch, job) + 1;
   if (release->done)
-    ws_chunk_set_done(chunk, release->task);
+    ws_chunk_set_completed(chunk, release->task);
   return WS_BATCH_ADDED;
 }
 
--- a/src/commit/ws-commit.h
+++ b/src/commit/ws-commit.h
@@ -67,7 +67,8 @@
 void ws_releases_refute(WsCore *core, const WsJob *job, const WsAssignment *assignment);
 
 /** Whether the attempt's release waits to be written: until then nobody may launch it. */
-gboolean ws_releases_has(const WsCore *core, const WsJob *job, const WsAssignment *assignment);
+gboolean ws_releases_is_pending(const WsCore *core, const WsJob *job,
+                                const WsAssignment *assignment);
 
 /** For how long, in milliseconds, the oldest release has waited to be written; 0: none does. */
 gint64 ws_releases_oldest_age_ms(const WsCore *core);
--- a/src/commit/ws-estimator.c
+++ b/src/commit/ws-estimator.c
@@ -52,7 +52,7 @@
   double elapsed_s = (double)(core->wall - assignment->assigned_ms) / 1000.0;
   run_times->tasks++;
   run_times->ran_s
-      += MAX(elapsed_s - LAUNCH_DELAY_S - 0.5 * ws_job_fetch_s(core->replica, job), 0.0);
+      += MAX(elapsed_s - LAUNCH_DELAY_S - 0.5 * ws_job_image_fetch_s(core->replica, job), 0.0);
   run_times->estimated_s += job->spec->estimate_s;
 }
 
--- a/src/commit/ws-garbage.c
+++ b/src/commit/ws-garbage.c
@@ -34,9 +34,9 @@
 static gboolean
 is_garbage(const WsReplica *replica, const char *key)
 {
-  if (!g_str_has_prefix(key, WS_KEYS_TASKS))
+  if (!g_str_has_prefix(key, WS_KEYS_CHUNK))
     return FALSE;
-  const char *name = key + strlen(WS_KEYS_TASKS);
+  const char *name = key + strlen(WS_KEYS_CHUNK);
   g_autofree char *id = g_strndup(name, strcspn(name, "/"));
   const WsJob *job = ws_replica_find_job(replica, id);
   return job != NULL && job->spec == NULL;
--- a/src/commit/ws-releases.c
+++ b/src/commit/ws-releases.c
@@ -128,11 +128,11 @@
 }
 
 gboolean
-ws_releases_has(const WsCore *core, const WsJob *job, const WsAssignment *assignment)
+ws_releases_is_pending(const WsCore *core, const WsJob *job, const WsAssignment *assignment)
 {
   const WsPendingRelease *pending
       = g_hash_table_lookup(core->releases->pending, ws_task_key(job->index, assignment->task));
-  return pending != NULL && ws_release_holds(core->replica, &pending->release);
+  return pending != NULL && ws_release_is_valid(core->replica, &pending->release);
 }
 
 /* Drops releases whose machine has had another owner since: that owner may have launched the
@@ -145,7 +145,7 @@
   g_hash_table_iter_init(&iter, core->releases->pending);
   while (g_hash_table_iter_next(&iter, NULL, &value)) {
     const WsRelease *release = &((const WsPendingRelease *)value)->release;
-    if (ws_release_holds(core->replica, release))
+    if (ws_release_is_valid(core->replica, release))
       continue;
     if (ws_release_assignment(core->replica, release) != NULL) {
       g_autofree char *text = ws_release_describe(core->replica, release);
@@ -172,7 +172,7 @@
   g_hash_table_iter_init(&iter, core->releases->pending);
   while (g_hash_table_iter_next(&iter, NULL, &value)) {
     WsPendingRelease *pending = value;
-    if (!ws_release_holds(core->replica, &pending->release)) {
+    if (!ws_release_is_valid(core->replica, &pending->release)) {
       g_hash_table_iter_remove(&iter);
     } else if (pending->forwarded_ms == 0
                || core->now - pending->forwarded_ms >= FORWARD_RETRY_MS) {
--- a/src/context/ws-context.c
+++ b/src/context/ws-context.c
@@ -39,7 +39,7 @@
 }
 
 gboolean
-ws_context_take_reply(WsCore *core, guint64 id, guint status, const char *body, gsize length)
+ws_context_handle_reply(WsCore *core, guint64 id, guint status, const char *body, gsize length)
 {
   gpointer value;
   if (!g_hash_table_steal_extended(core->calls, &id, NULL, &value))
--- a/src/context/ws-context.h
+++ b/src/context/ws-context.h
@@ -131,8 +131,8 @@
  * Hands the response to whoever made the call. @status 0: no response came, and @body is ignored.
  * FALSE: there is no such call (any more).
  */
-gboolean ws_context_take_reply(WsCore *core, guint64 id, guint status, const char *body,
-                               gsize length);
+gboolean ws_context_handle_reply(WsCore *core, guint64 id, guint status, const char *body,
+                                 gsize length);
 
 /**
  * Calls another process. @reply is called exactly once, unless the core is freed first: with the
--- a/src/core/ws-core.c
+++ b/src/core/ws-core.c
@@ -26,7 +26,7 @@
   .note_worker_status = ws_workers_note_status,
   .raise_fencing_token = ws_worker_rpc_raise_fencing_token,
   .halt_task = ws_worker_rpc_halt,
-  .handle_relay = ws_relay_handle,
+  .handle_relay = ws_relay_handle_request,
   .handle_release = ws_releases_add,
   .handle_legacy_release = ws_legacy_releases_add,
   .handle_assignment = ws_assignments_propose,
@@ -102,13 +102,13 @@
 }
 
 guint64
-ws_core_plan_steps(const WsCore *core)
+ws_core_machines_examined(const WsCore *core)
 {
   return ws_plan_machines_examined(core);
 }
 
 guint64
-ws_core_plans(const WsCore *core)
+ws_core_plan_count(const WsCore *core)
 {
   return ws_plan_count(core);
 }
@@ -244,14 +244,15 @@
 }
 
 void
-ws_core_request(WsCore *core, gint64 now_ms, gint64 wall_ms, WsDoor listener, const char *method,
-                const char *path, const char *body, gsize length, gpointer request)
+ws_core_request(WsCore *core, gint64 now_ms, gint64 wall_ms, WsListener listener,
+                const char *method, const char *path, const char *body, gsize length,
+                gpointer request)
 {
   set_time(core, now_ms, wall_ms);
-  if (listener == WS_DOOR_API)
+  if (listener == WS_LISTENER_API)
     handle_api_request(core, method, path, body, length, request);
   else
-    ws_mesh_handle_request(core, path, body, length, request);
+    ws_peers_handle_request(core, path, body, length, request);
   process_consequences(core);
 }
 
@@ -260,6 +261,6 @@
               const char *body, gsize length)
 {
   set_time(core, now_ms, wall_ms);
-  if (ws_context_take_reply(core, call, status, body, length))
+  if (ws_context_handle_reply(core, call, status, body, length))
     process_consequences(core);
 }
--- a/src/core/ws-core.h
+++ b/src/core/ws-core.h
@@ -13,9 +13,9 @@
 
 /** The listener on which a request came in. */
 typedef enum {
-  WS_DOOR_API, /**< of users and workers */
-  WS_DOOR_MESH /**< of the other controllers */
-} WsDoor;
+  WS_LISTENER_API, /**< of users and workers */
+  WS_LISTENER_MESH /**< of the other controllers */
+} WsListener;
 
 /**
  * Creates the core of one node; to be freed with ws_core_free().
@@ -47,7 +47,7 @@
  * @body: as received, of @length bytes; not kept
  * @request: the caller's name for the request; must be valid until the answer was popped
  */
-void ws_core_request(WsCore *core, gint64 now_ms, gint64 wall_ms, WsDoor listener,
+void ws_core_request(WsCore *core, gint64 now_ms, gint64 wall_ms, WsListener listener,
                      const char *method, const char *path, const char *body, gsize length,
                      gpointer request);
 
@@ -63,10 +63,10 @@
                    const char *body, gsize length);
 
 /** How many machines all plans so far have examined: the cost of planning. */
-guint64 ws_core_plan_steps(const WsCore *core);
+guint64 ws_core_machines_examined(const WsCore *core);
 
 /** How many plans were made so far. */
-guint64 ws_core_plans(const WsCore *core);
+guint64 ws_core_plan_count(const WsCore *core);
 
 /** Takes the oldest output, to be freed with ws_output_free(); NULL: there is none. */
 WsOutput *ws_core_pop(WsCore *core);
--- a/src/fleet/ws-cloud-list.c
+++ b/src/fleet/ws-cloud-list.c
@@ -53,7 +53,7 @@
 }
 
 void
-ws_cloud_list_reconcile(WsCore *core, WsMachine *machine, gint64 at_ms)
+ws_cloud_list_note_unrecorded(WsCore *core, WsMachine *machine, gint64 at_ms)
 {
   if (machine->fleet.mark_is_pending || machine->type_name == NULL || machine->zone == WS_NO_ZONE
       || ws_returns_is_confirmed(core, machine->name) || !ws_is_active_member(core))
@@ -94,7 +94,7 @@
     if (!machine->fleet.needs_record || machine->zone != first->zone
         || !is_of_kind(rental_batch, machine)
         || rental_batch->machines->len >= ws_rental_batch_max_machines(core->settings)
-        || !ws_rental_batch_has_place(rental_batch, core->replica, machine->name))
+        || !ws_rental_batch_has_space(rental_batch, core->replica, machine->name))
       continue;
     machine->fleet.needs_record = FALSE;
     machine->fleet.mark_is_pending = TRUE;
@@ -152,7 +152,7 @@
     if (core->now - machine->fleet.listed_ms < first_listing_ms(core))
       return;
     ws_replica_describe_machine(core->replica, machine, listed->type, listed->zone, listed->spot);
-    ws_cloud_list_reconcile(core, machine, core->wall - (gint64)(listed->age_s * 1000.0));
+    ws_cloud_list_note_unrecorded(core, machine, core->wall - (gint64)(listed->age_s * 1000.0));
     return;
   }
   if (machine->worker.endpoint == NULL && listed->endpoint != NULL)
--- a/src/fleet/ws-consolidation.c
+++ b/src/fleet/ws-consolidation.c
@@ -34,8 +34,8 @@
 static gboolean
 is_settled(const WsCore *core)
 {
-  for (guint i = 0; i < core->replica->active->len; i++) {
-    const WsJob *job = g_ptr_array_index(core->replica->active, i);
+  for (guint i = 0; i < core->replica->active_jobs->len; i++) {
+    const WsJob *job = g_ptr_array_index(core->replica->active_jobs, i);
     if (job->state == WS_JOB_ACTIVE && job->assigned_count + job->completed_count < job->tasks)
       return FALSE;
   }
--- a/src/fleet/ws-fleet.h
+++ b/src/fleet/ws-fleet.h
@@ -91,8 +91,8 @@
 void ws_rentals_record_intents(WsCore *core);
 
 /** Whether the kind is in back-off, since the cloud had none of it. */
-gboolean ws_rentals_no_capacity(const WsCore *core, WsTypeIndex type, WsZoneIndex zone,
-                                gboolean spot);
+gboolean ws_rentals_is_backing_off(const WsCore *core, WsTypeIndex type, WsZoneIndex zone,
+                                   gboolean spot);
 
 /*
  * Returns.
@@ -115,7 +115,7 @@
  */
 
 /** Notes that the machine is there without a record. @at_ms: wall clock of its rental */
-void ws_cloud_list_reconcile(WsCore *core, WsMachine *machine, gint64 at_ms);
+void ws_cloud_list_note_unrecorded(WsCore *core, WsMachine *machine, gint64 at_ms);
 
 /** Writes records for what was noted; on every node. */
 void ws_cloud_list_reconcile_tick(WsCore *core);
--- a/src/fleet/ws-headroom.c
+++ b/src/fleet/ws-headroom.c
@@ -22,8 +22,8 @@
 ws_headroom_job(const WsReplica *replica)
 {
   const WsJob *largest = NULL;
-  for (guint i = 0; i < replica->active->len; i++) {
-    const WsJob *job = g_ptr_array_index(replica->active, i);
+  for (guint i = 0; i < replica->active_jobs->len; i++) {
+    const WsJob *job = g_ptr_array_index(replica->active_jobs, i);
     if (job->spec->priority == WS_CRITICAL && job->state == WS_JOB_ACTIVE
         && (largest == NULL || job->spec->need.gpus > largest->spec->need.gpus))
       largest = job;
--- a/src/fleet/ws-rentals.c
+++ b/src/fleet/ws-rentals.c
@@ -61,7 +61,7 @@
 }
 
 gboolean
-ws_rentals_no_capacity(const WsCore *core, WsTypeIndex type, WsZoneIndex zone, gboolean spot)
+ws_rentals_is_backing_off(const WsCore *core, WsTypeIndex type, WsZoneIndex zone, gboolean spot)
 {
   const CapacityBackoff *backoff
       = g_hash_table_lookup(core->fleet->rentals->backoffs, kind_key(type, zone, spot));
@@ -113,8 +113,8 @@
 static gboolean
 has_unsent_intent(const WsCore *core)
 {
-  for (guint i = 0; i < core->replica->rents->len; i++) {
-    const WsRentalIntent *intent = g_ptr_array_index(core->replica->rents, i);
+  for (guint i = 0; i < core->replica->rental_intents->len; i++) {
+    const WsRentalIntent *intent = g_ptr_array_index(core->replica->rental_intents, i);
     if (!g_hash_table_contains(core->fleet->rentals->in_flight, intent->request))
       return TRUE;
   }
@@ -169,8 +169,8 @@
 static WsRentalIntent *
 find_intent(const WsCore *core, const char *request)
 {
-  for (guint i = 0; i < core->replica->rents->len; i++) {
-    WsRentalIntent *intent = g_ptr_array_index(core->replica->rents, i);
+  for (guint i = 0; i < core->replica->rental_intents->len; i++) {
+    WsRentalIntent *intent = g_ptr_array_index(core->replica->rental_intents, i);
     if (strcmp(intent->request, request) == 0)
       return intent;
   }
@@ -217,7 +217,7 @@
     WsMachineIndex index = ws_replica_get_machine(core->replica, machine)->index;
     if (ws_returns_is_confirmed(core, machine))
       continue;
-    if (!ws_rental_batch_has_place(&rental_batch, core->replica, machine))
+    if (!ws_rental_batch_has_space(&rental_batch, core->replica, machine))
       break;
     g_array_append_val(machines, index);
   }
@@ -286,6 +286,6 @@
 void
 ws_rentals_tick(WsCore *core)
 {
-  for (guint i = 0; i < core->replica->rents->len; i++)
-    send_rental(core, g_ptr_array_index(core->replica->rents, i));
+  for (guint i = 0; i < core->replica->rental_intents->len; i++)
+    send_rental(core, g_ptr_array_index(core->replica->rental_intents, i));
 }
--- a/src/membership/ws-cancellations.c
+++ b/src/membership/ws-cancellations.c
@@ -251,7 +251,7 @@
 ws_cancellations_pump(WsCore *core)
 {
   WsCancellations *cancellations = core->cancellations;
-  GArray *fresh = core->replica->cancelled;
+  GArray *fresh = core->replica->cancelled_jobs;
   for (guint i = 0; i < fresh->len; i++) {
     const WsJob *job = ws_replica_job(core->replica, g_array_index(fresh, guint, i));
     gint64 age_ms = CLAMP(core->wall - job->cancelled_ms, 0, core->now);
--- a/src/membership/ws-election.c
+++ b/src/membership/ws-election.c
@@ -19,14 +19,14 @@
 struct _WsElection {
   guint64 lease;      /* 0: none */
   gboolean is_listed; /* the member key is written under this lease */
-  gboolean asking;
+  gboolean call_is_in_flight;
   gint64 next_ms; /* when the lease is acquired, listed or renewed next */
   gboolean electing;
   gboolean writing_epoch;
   gint64 epoch_next_ms;      /* when the next epoch may be written */
   gint64 requested_epoch_ms; /* when one may be written with the same members */
   /* After a process pause: */
-  gboolean asked_before; /* the call on its way was sent before it */
+  gboolean call_predates_pause; /* the call on its way was sent before it */
   gboolean is_renewed;
   gboolean reading;
   guint pauses; /* a read counts only if there was no other pause since it was requested */
@@ -76,8 +76,8 @@
 static void
 note_renewed(WsElection *election, gboolean is_renewed)
 {
-  election->is_renewed = is_renewed && !election->asked_before;
-  election->asked_before = FALSE;
+  election->is_renewed = is_renewed && !election->call_predates_pause;
+  election->call_predates_pause = FALSE;
 }
 
 void
@@ -86,7 +86,7 @@
   WsElection *election = core->election;
   election->pauses++;
   election->next_ms = now_ms;
-  election->asked_before = election->asking;
+  election->call_predates_pause = election->call_is_in_flight;
   election->is_renewed = FALSE;
 }
 
@@ -95,8 +95,8 @@
 {
   (void)data;
   WsElection *election = core->election;
-  election->asking = FALSE;
-  election->asked_before = FALSE;
+  election->call_is_in_flight = FALSE;
+  election->call_predates_pause = FALSE;
   election->next_ms = core->now + 200;
   if (status == 200 && ws_kv_lease_parse(body, &election->lease))
     election->next_ms = core->now;
@@ -107,7 +107,7 @@
 {
   (void)data;
   WsElection *election = core->election;
-  election->asking = FALSE;
+  election->call_is_in_flight = FALSE;
   election->is_listed = result == WS_TXN_COMMITTED;
   note_renewed(election, election->is_listed);
   election->next_ms = core->now + (election->is_listed ? RENEW_INTERVAL_MS : LISTING_RETRY_MS);
@@ -121,7 +121,7 @@
   (void)body;
   (void)data;
   WsElection *election = core->election;
-  election->asking = FALSE;
+  election->call_is_in_flight = FALSE;
   election->next_ms = core->now + (status == 200 ? RENEW_INTERVAL_MS : RENEW_RETRY_MS);
   note_renewed(election, status == 200);
   if (status == 404)
@@ -147,12 +147,12 @@
 keep_lease(WsCore *core)
 {
   WsElection *election = core->election;
-  if (election->asking || core->now < election->next_ms)
+  if (election->call_is_in_flight || core->now < election->next_ms)
     return;
   check_listed(core);
   if (election->lease != 0 && !election->is_listed && !ws_store_is_loaded(core))
     return;
-  election->asking = TRUE;
+  election->call_is_in_flight = TRUE;
   if (election->lease == 0) {
     ws_store_post(core, WS_REQUEST_LEASE, WS_KV_LEASES_PATH, ws_kv_lease_request_encode(LEASE_MS),
                   0, 1000, on_lease, NULL);
--- a/src/membership/ws-gossip.c
+++ b/src/membership/ws-gossip.c
@@ -287,8 +287,8 @@
 }
 
 void
-ws_mesh_handle_request(WsCore *core, const char *path, const char *body, gsize length,
-                       gpointer request)
+ws_peers_handle_request(WsCore *core, const char *path, const char *body, gsize length,
+                        gpointer request)
 {
   g_autoptr(json_t) message = ws_json_parse(body, length);
   if (strcmp(path, MESH_PATH_GOSSIP) == 0) {
--- a/src/membership/ws-membership.h
+++ b/src/membership/ws-membership.h
@@ -171,8 +171,8 @@
 void ws_gossip_tick(WsCore *core);
 
 /** Handles a request of another node and answers it. @body may be NULL. */
-void ws_mesh_handle_request(WsCore *core, const char *path, const char *body, gsize length,
-                            gpointer request);
+void ws_peers_handle_request(WsCore *core, const char *path, const char *body, gsize length,
+                             gpointer request);
 
 /*
  * Peer requests: what nodes request of the leader, or of the owner of a machine.
--- a/src/membership/ws-peer-requests.c
+++ b/src/membership/ws-peer-requests.c
@@ -156,7 +156,7 @@
   release.task = (guint)request->task;
   if (!request->has_evidence)
     core->handlers->handle_legacy_release(core, &release);
-  else if (ws_release_holds(core->replica, &release))
+  else if (ws_release_is_valid(core->replica, &release))
     core->handlers->handle_release(core, &release);
   else
     log_refused(core, &release);
--- a/src/protocol/ws-cloud.c
+++ b/src/protocol/ws-cloud.c
@@ -80,7 +80,8 @@
       || !ws_json_string_or_null(item, WS_FIELD_ENDPOINT, &endpoint)
       || !ws_json_string(item, WS_FIELD_MACHINE_TYPE, &type)
       || !ws_json_string(item, WS_FIELD_ZONE, &zone)
-      || !ws_json_bool(item, WS_FIELD_SPOT, &listed->spot) || !ws_json_string(item, W_STATE, &state)
+      || !ws_json_bool(item, WS_FIELD_SPOT, &listed->spot)
+      || !ws_json_string(item, WS_FIELD_STATE, &state)
       || !ws_json_number(item, WS_FIELD_AGE_S, &listed->age_s))
     return FALSE;
   listed->id = g_strdup(id);
@@ -111,7 +112,7 @@
 }
 
 GPtrArray *
-ws_names_parse(const json_t *message)
+ws_rental_machines_parse(const json_t *message)
 {
   g_auto(GStrv) names = ws_json_string_list(json_object_get(message, WS_FIELD_MACHINES));
   if (names == NULL)
@@ -132,7 +133,7 @@
 WsRentalResult
 ws_rental_reply_parse(guint status, const json_t *body, GPtrArray **names)
 {
-  *names = status == STATUS_OK ? ws_names_parse(body) : NULL;
+  *names = status == STATUS_OK ? ws_rental_machines_parse(body) : NULL;
   if (*names != NULL)
     return WS_RENTAL_RENTED;
   if (status == STATUS_BAD_REQUEST)
--- a/src/protocol/ws-cloud.h
+++ b/src/protocol/ws-cloud.h
@@ -37,7 +37,7 @@
 GPtrArray *ws_listing_parse(const json_t *message, gboolean *more);
 
 /** Of char *: the machines of a rental, by name. */
-GPtrArray *ws_names_parse(const json_t *message);
+GPtrArray *ws_rental_machines_parse(const json_t *message);
 
 /** What came of a request for machines. */
 typedef enum {
--- a/src/protocol/ws-field-names.h
+++ b/src/protocol/ws-field-names.h
@@ -17,7 +17,7 @@
 #define WS_FIELD_MEMORY_GB "mem_gb"  /* memory needed, or of a machine */
 #define WS_FIELD_MACHINES "stroje"   /* list of machines */
 #define WS_FIELD_TASKS "kusy"        /* of a job: their number; of a heartbeat: their list */
-#define W_STATE "stav"               /* state of a job, a task or a machine */
+#define WS_FIELD_STATE "stav"        /* state of a job, a task or a machine */
 
 /* A job's submission. */
 #define WS_FIELD_CLASS "trida"           /* class, for objectives and estimates */
@@ -65,6 +65,6 @@
 #define WS_FIELD_COUNT "how_many"           /* how many machines to rent */
 
 /* The state service. */
-#define W_REVISION "zmena" /* revision of the store */
-#define W_VERSION "verze"  /* version of a key */
-#define W_LEASE "najem"    /* lease */
+#define WS_FIELD_REVISION "zmena" /* revision of the store */
+#define WS_FIELD_VERSION "verze"  /* version of a key */
+#define WS_FIELD_LEASE "najem"    /* lease */
--- a/src/protocol/ws-heartbeat.c
+++ b/src/protocol/ws-heartbeat.c
@@ -47,12 +47,12 @@
 }
 
 /* A reason that this version doesn't know is taken for an error. */
-static WsExit
+static WsExitReason
 parse_exit_reason(const char *name)
 {
   static const struct {
     const char *name;
-    WsExit why;
+    WsExitReason why;
   } REASONS[] = { { "done", WS_EXIT_DONE },
                   { "stopped", WS_EXIT_STOPPED },
                   { "full", WS_EXIT_REFUSED },
@@ -72,7 +72,7 @@
   const char *name, *state, *why = NULL;
   if (!ws_json_string(item, WS_FIELD_TASK, &name)
       || !ws_json_count(item, WS_FIELD_ATTEMPT, &task->attempt)
-      || !ws_json_string(item, W_STATE, &state)
+      || !ws_json_string(item, WS_FIELD_STATE, &state)
       || !ws_json_string_or_null(item, WS_FIELD_EXIT_REASON, &why)
       || !parse_task_state(state, &task->state) || !parse_task_name(name, &task->job, &task->task))
     return FALSE;
--- a/src/protocol/ws-heartbeat.h
+++ b/src/protocol/ws-heartbeat.h
@@ -25,7 +25,7 @@
   WS_EXIT_REFUSED,   /**< the machine didn't take it */
   WS_EXIT_PEERS,     /**< of a gang: another of its tasks is gone */
   WS_EXIT_INCOMPLETE /**< of a gang: the others didn't come in time */
-} WsExit;
+} WsExitReason;
 
 /** A task's attempt as its worker reports it. */
 typedef struct {
@@ -33,7 +33,7 @@
   guint task;
   guint64 attempt;
   WsTaskState state;
-  WsExit why;
+  WsExitReason why;
   gboolean saved; /**< of a task that was stopped: its progress is in its checkpoint */
 } WsTaskStatus;
 
--- a/src/protocol/ws-kv.c
+++ b/src/protocol/ws-kv.c
@@ -40,7 +40,7 @@
 gboolean
 ws_kv_revision_parse(const json_t *message, guint64 *revision)
 {
-  return ws_json_count(message, W_REVISION, revision);
+  return ws_json_count(message, WS_FIELD_REVISION, revision);
 }
 
 static WsKvPage *
@@ -77,7 +77,7 @@
   {
     WsKvItem item = { .value = json_object_get(entry, FIELD_VALUE) };
     if (ws_json_string(entry, FIELD_ITEM_KEY, &item.key)
-        && ws_json_count(entry, W_VERSION, &item.version))
+        && ws_json_count(entry, WS_FIELD_VERSION, &item.version))
       g_array_append_val(page->items, item);
   }
   return page;
@@ -86,7 +86,7 @@
 static gboolean
 event_parse(const json_t *event, WsKvItem *item)
 {
-  if (!ws_json_count(event, W_VERSION, &item->version))
+  if (!ws_json_count(event, WS_FIELD_VERSION, &item->version))
     return FALSE;
   if (ws_json_string(event, FIELD_PUT, &item->key))
     item->value = json_object_get(event, FIELD_VALUE);
@@ -122,13 +122,13 @@
 gboolean
 ws_kv_lease_parse(const json_t *message, guint64 *lease)
 {
-  return ws_json_count(message, W_LEASE, lease);
+  return ws_json_count(message, WS_FIELD_LEASE, lease);
 }
 
 static json_t *
 condition_encode(const WsKvCondition *condition)
 {
-  return json_pack("{s:s, s:I}", FIELD_CONDITION_KEY, condition->key, W_VERSION,
+  return json_pack("{s:s, s:I}", FIELD_CONDITION_KEY, condition->key, WS_FIELD_VERSION,
                    (json_int_t)condition->version);
 }
 
@@ -139,7 +139,7 @@
     return json_pack("{s:s}", FIELD_DELETE, operation->key);
   json_t *put = json_pack("{s:s, s:O}", FIELD_PUT, operation->key, FIELD_VALUE, operation->value);
   if (operation->lease != 0)
-    json_object_set_new(put, W_LEASE, json_integer((json_int_t)operation->lease));
+    json_object_set_new(put, WS_FIELD_LEASE, json_integer((json_int_t)operation->lease));
   return put;
 }
 
--- a/src/protocol/ws-settings.c
+++ b/src/protocol/ws-settings.c
@@ -306,8 +306,8 @@
 }
 
 gboolean
-ws_team_has_room(const WsSettings *settings, WsTeamIndex team, const WsResources *use,
-                 const WsResources *need)
+ws_team_has_capacity(const WsSettings *settings, WsTeamIndex team, const WsResources *use,
+                     const WsResources *need)
 {
   WsResources more = *use;
   ws_resources_add(&more, need, 1);
--- a/src/protocol/ws-settings.h
+++ b/src/protocol/ws-settings.h
@@ -74,8 +74,8 @@
 void ws_settings_free(WsSettings *settings);
 
 /** Whether one more such need is within the team's limit. @use: what the team uses. */
-gboolean ws_team_has_room(const WsSettings *settings, WsTeamIndex team, const WsResources *use,
-                          const WsResources *need);
+gboolean ws_team_has_capacity(const WsSettings *settings, WsTeamIndex team, const WsResources *use,
+                              const WsResources *need);
 
 /** Whether the use is within the team's limit. */
 gboolean ws_team_allows(const WsTeamSettings *team, const WsResources *use);
--- a/src/runtime/ws-runtime.c
+++ b/src/runtime/ws-runtime.c
@@ -71,8 +71,8 @@
 on_api_request(WsHttpRequest *request, gpointer data)
 {
   WsRuntime *runtime = data;
-  ws_core_request(runtime->core, now_ms(), wall_ms(), WS_DOOR_API, request->method, request->path,
-                  request->body, request->length, request);
+  ws_core_request(runtime->core, now_ms(), wall_ms(), WS_LISTENER_API, request->method,
+                  request->path, request->body, request->length, request);
   send_outputs(runtime);
 }
 
@@ -80,8 +80,8 @@
 on_mesh_request(WsHttpRequest *request, gpointer data)
 {
   WsRuntime *runtime = data;
-  ws_core_request(runtime->core, now_ms(), wall_ms(), WS_DOOR_MESH, request->method, request->path,
-                  request->body, request->length, request);
+  ws_core_request(runtime->core, now_ms(), wall_ms(), WS_LISTENER_MESH, request->method,
+                  request->path, request->body, request->length, request);
   send_outputs(runtime);
 }
 
--- a/src/scheduling/ws-candidates.c
+++ b/src/scheduling/ws-candidates.c
@@ -98,8 +98,8 @@
     WsZoneIndex zone = ws_replica_find_zone(replica, *name);
     if (zone == WS_NO_ZONE || (job->spec->zone != NULL && job->zone != zone))
       continue;
-    if (!ws_rentals_no_capacity(core, type, zone, FALSE)
-        || (job->spec->spot && !ws_rentals_no_capacity(core, type, zone, TRUE)))
+    if (!ws_rentals_is_backing_off(core, type, zone, FALSE)
+        || (job->spec->spot && !ws_rentals_is_backing_off(core, type, zone, TRUE)))
       return TRUE;
   }
   return FALSE;
@@ -111,9 +111,9 @@
 can_wait_for_boot(const WsCore *core, const WsJob *job)
 {
   const WsReplica *replica = core->replica;
-  double allowed_s = ws_job_allowed_s(replica, job);
+  double allowed_s = ws_job_time_limit_s(replica, job);
   double left_s = allowed_s - (double)(core->wall - job->accepted_ms) / 1000.0
-                  - ws_estimator_run_s(core, job) - ws_job_fetch_s(replica, job);
+                  - ws_estimator_run_s(core, job) - ws_job_image_fetch_s(replica, job);
   if (allowed_s < 0.0)
     return FALSE;
   for (WsTypeIndex t = 0; t < replica->catalog->len; t++) {
--- a/src/scheduling/ws-capacity-map.c
+++ b/src/scheduling/ws-capacity-map.c
@@ -79,8 +79,8 @@
 summarize_array_jobs(WsCapacityMap *map)
 {
   const WsReplica *replica = map->core->replica;
-  for (guint i = 0; i < replica->active->len; i++) {
-    const WsJob *job = g_ptr_array_index(replica->active, i);
+  for (guint i = 0; i < replica->active_jobs->len; i++) {
+    const WsJob *job = g_ptr_array_index(replica->active_jobs, i);
     if (job->assigned_count == 0 || job->spec->kind != WS_KIND_ARRAY)
       continue;
     map->lowest_priority = MAX(map->lowest_priority, (guint)job->spec->priority);
--- a/src/scheduling/ws-coordinator.c
+++ b/src/scheduling/ws-coordinator.c
@@ -50,7 +50,7 @@
 }
 
 WsNodeIndex
-ws_plan_choose_coordinator(WsCore *core, const WsJobSpec *spec)
+ws_coordinator_choose(WsCore *core, const WsJobSpec *spec)
 {
   if (!ws_is_active_member(core) || core->replica->catalog == NULL || needs_leader(spec))
     return WS_NO_NODE;
@@ -92,7 +92,7 @@
 void
 ws_coordinator_escalate(WsCore *core)
 {
-  const GPtrArray *active = core->replica->active;
+  const GPtrArray *active = core->replica->active_jobs;
   if (core->plan->escalation_is_in_flight)
     return;
   WsTxn *txn = ws_txn_new();
--- a/src/scheduling/ws-coordinator.h
+++ b/src/scheduling/ws-coordinator.h
@@ -3,7 +3,7 @@
  *
  * A job is given to the node whose shard of the machines fits the whole of it. Jobs without a
  * coordinating node, and those whose node has left, are planned by the leader, who may place them
- * on any machine. Private to scheduling, but for ws_plan_choose_coordinator (ws-scheduling.h).
+ * on any machine. Private to scheduling, but for ws_coordinator_choose (ws-scheduling.h).
  */
 #pragma once
 
--- a/src/scheduling/ws-demand-choice.c
+++ b/src/scheduling/ws-demand-choice.c
@@ -22,7 +22,8 @@
   for (char **name = ws_replica_type(core->replica, type)->zones; *name != NULL; name++) {
     WsZoneIndex zone = ws_replica_find_zone(core->replica, *name);
     if (zone == WS_NO_ZONE || !ws_demand_allows_zone(demand, job, zone)
-        || ws_zone_is_partitioned(core, zone) || ws_rentals_no_capacity(core, type, zone, is_spot))
+        || ws_zone_is_partitioned(core, zone)
+        || ws_rentals_is_backing_off(core, type, zone, is_spot))
       continue;
     if (best == WS_NO_ZONE || demand->machines_by_zone[zone] < demand->machines_by_zone[best])
       best = zone;
--- a/src/scheduling/ws-demand-sizing.c
+++ b/src/scheduling/ws-demand-sizing.c
@@ -31,12 +31,12 @@
 slack_s(const WsDemand *demand, const WsJob *job)
 {
   const WsCore *core = demand->core;
-  double allowed_s = ws_job_allowed_s(core->replica, job);
+  double allowed_s = ws_job_time_limit_s(core->replica, job);
   double begin_s = ws_settings_begin_within(core->settings, job->spec->class_name);
   double used_s = (double)(core->wall - job->accepted_ms) / 1000.0
                   + ws_replica_type(core->replica, 0)->boot_s;
   double end_s
-      = RUN_TIME_MARGIN * ws_estimator_run_s(core, job) + ws_job_fetch_s(core->replica, job);
+      = RUN_TIME_MARGIN * ws_estimator_run_s(core, job) + ws_job_image_fetch_s(core->replica, job);
   double part = job->spec->deadline_s >= 0.0 ? USED_JOB_SLACK : USED_CLASS_SLACK;
   double slack_s = allowed_s >= 0.0 ? part * (allowed_s - used_s - end_s) : DEFAULT_SLACK_S;
   if (begin_s >= 0.0)
--- a/src/scheduling/ws-demand.c
+++ b/src/scheduling/ws-demand.c
@@ -38,8 +38,8 @@
 add_ordered(WsDemand *demand)
 {
   const WsReplica *replica = demand->core->replica;
-  for (guint i = 0; i < replica->rents->len; i++) {
-    const WsRentalIntent *rental = g_ptr_array_index(replica->rents, i);
+  for (guint i = 0; i < replica->rental_intents->len; i++) {
+    const WsRentalIntent *rental = g_ptr_array_index(replica->rental_intents, i);
     WsTypeIndex type = ws_replica_find_type(replica, rental->type);
     WsZoneIndex zone = ws_replica_find_zone(replica, rental->zone);
     if (type == WS_NO_TYPE || zone == WS_NO_ZONE)
--- a/src/scheduling/ws-placement-score.c
+++ b/src/scheduling/ws-placement-score.c
@@ -34,8 +34,8 @@
 collect_gang_images(const WsReplica *replica)
 {
   GHashTable *images = g_hash_table_new(NULL, NULL);
-  for (guint i = 0; i < replica->active->len; i++) {
-    const WsJob *job = g_ptr_array_index(replica->active, i);
+  for (guint i = 0; i < replica->active_jobs->len; i++) {
+    const WsJob *job = g_ptr_array_index(replica->active_jobs, i);
     if (job->spec->kind == WS_KIND_GANG)
       g_hash_table_add(images, GUINT_TO_POINTER(job->image));
   }
--- a/src/scheduling/ws-placement.c
+++ b/src/scheduling/ws-placement.c
@@ -31,8 +31,8 @@
 {
   WsResources need = { 0 };
   ws_resources_add(&need, &job->spec->need, tasks);
-  return ws_team_has_room(placement->core->settings, job->team, &placement->team_use[job->team],
-                          &need);
+  return ws_team_has_capacity(placement->core->settings, job->team, &placement->team_use[job->team],
+                              &need);
 }
 
 void
@@ -53,7 +53,7 @@
 static gboolean
 is_waiting(const WsCore *core, const WsJob *job, guint task)
 {
-  return !ws_job_task_done(job, task) && ws_job_assignment(job, task) == NULL
+  return !ws_job_is_task_completed(job, task) && ws_job_assignment(job, task) == NULL
          && !ws_assignments_is_pending(core, job->index, task);
 }
 
@@ -65,7 +65,7 @@
   guint first = index * WS_CHUNK_TASKS;
   guint end = MIN(first + WS_CHUNK_TASKS, job->tasks);
   const WsChunk *chunk = ws_job_chunk(job, first);
-  guint free_entries = ws_chunk_free_places(chunk, core->replica);
+  guint free_entries = ws_chunk_free_slots(chunk, core->replica);
   if (chunk != NULL && chunk->completed_count + chunk->assignments->len == WS_CHUNK_TASKS)
     return;
   for (guint task = first; task < end && free_entries > 0 && tasks->len < max_tasks; task++) {
--- a/src/scheduling/ws-plan.c
+++ b/src/scheduling/ws-plan.c
@@ -58,8 +58,8 @@
 static gboolean
 has_work(const WsCore *core)
 {
-  for (guint i = 0; i < core->replica->active->len; i++) {
-    const WsJob *job = g_ptr_array_index(core->replica->active, i);
+  for (guint i = 0; i < core->replica->active_jobs->len; i++) {
+    const WsJob *job = g_ptr_array_index(core->replica->active_jobs, i);
     if (job->state == WS_JOB_ACTIVE && has_unassigned_tasks(job)
         && ws_coordinator_acting(core->replica, job) == core->settings->self)
       return TRUE;
--- a/src/scheduling/ws-preempt.c
+++ b/src/scheduling/ws-preempt.c
@@ -208,7 +208,7 @@
   for (guint i = 0; i < victims->len; i++) {
     const TeamVictim *victim = &g_array_index(victims, TeamVictim, i);
     ws_resources_add(&use_left, &victim->job->spec->need, -1);
-    if (ws_team_has_room(core->settings, job->team, &use_left, &job->spec->need))
+    if (ws_team_has_capacity(core->settings, job->team, &use_left, &job->spec->need))
       return i + 1;
   }
   return 0;
@@ -232,13 +232,13 @@
 {
   g_autoptr(GArray) victims = g_array_new(FALSE, FALSE, sizeof(TeamVictim));
   WsResources freeing = { 0 }, use_left = *team_use;
-  for (guint i = 0; i < core->replica->active->len; i++) {
-    WsJob *candidate = g_ptr_array_index(core->replica->active, i);
+  for (guint i = 0; i < core->replica->active_jobs->len; i++) {
+    WsJob *candidate = g_ptr_array_index(core->replica->active_jobs, i);
     if (candidate->team == job->team && candidate->spec != NULL)
       add_team_victims(core, job, candidate, victims, &freeing);
   }
   ws_resources_add(&use_left, &freeing, -1);
-  if (ws_team_has_room(core->settings, job->team, &use_left, &job->spec->need))
+  if (ws_team_has_capacity(core->settings, job->team, &use_left, &job->spec->need))
     return WS_TEAM_CAPACITY_FREEING;
   g_array_sort(victims, compare_youngest_first);
   if (count_victims_needed(core, job, &use_left, victims) == 0)
--- a/src/scheduling/ws-queue.c
+++ b/src/scheduling/ws-queue.c
@@ -71,7 +71,7 @@
 static WsLateness
 predict_lateness(const WsCore *core, const WsJob *job)
 {
-  double allowed_s = ws_job_allowed_s(core->replica, job);
+  double allowed_s = ws_job_time_limit_s(core->replica, job);
   guint tasks_left = job->tasks - job->completed_count;
   double end_s
       = waited_s(core, job) + OPTIMISTIC_RUN_TIME_SHARE * min_duration_s(core, job, tasks_left);
@@ -116,8 +116,8 @@
 {
   const WsReplica *replica = core->replica;
   GArray *entries = g_array_new(FALSE, FALSE, sizeof(WsQueueEntry));
-  for (guint i = 0; i < replica->active->len; i++) {
-    WsJob *job = g_ptr_array_index(replica->active, i);
+  for (guint i = 0; i < replica->active_jobs->len; i++) {
+    WsJob *job = g_ptr_array_index(replica->active_jobs, i);
     if (job->state != WS_JOB_ACTIVE || ws_cancellations_has(core, job) || job->team == WS_NO_TEAM)
       continue;
     WsQueueEntry entry = make_entry(core, job);
--- a/src/scheduling/ws-reservation.c
+++ b/src/scheduling/ws-reservation.c
@@ -159,5 +159,5 @@
       ws_resources_add(&use, &urgent->spec->need, tasks);
   }
   return ws_resources_fit(&reserved_on_machine, machine_free)
-         && ws_team_has_room(core->settings, job->team, &use, &nothing);
+         && ws_team_has_capacity(core->settings, job->team, &use, &nothing);
 }
--- a/src/scheduling/ws-scheduling.h
+++ b/src/scheduling/ws-scheduling.h
@@ -34,7 +34,7 @@
  *
  * Returns WS_NO_NODE if the leader has to plan the job.
  */
-WsNodeIndex ws_plan_choose_coordinator(WsCore *core, const WsJobSpec *spec);
+WsNodeIndex ws_coordinator_choose(WsCore *core, const WsJobSpec *spec);
 
 /** How many plans this node has made. */
 guint64 ws_plan_count(const WsCore *core);
--- a/src/scheduling/ws-task-placement.c
+++ b/src/scheduling/ws-task-placement.c
@@ -104,7 +104,7 @@
 prefers_cached_image(const WsPlacement *placement, const WsJob *job)
 {
   return job->spec->priority == WS_CRITICAL
-         && ws_job_fetch_s(placement->core->replica, job) >= LONG_FETCH_S;
+         && ws_job_image_fetch_s(placement->core->replica, job) >= LONG_FETCH_S;
 }
 
 /* Takes a slot that is being freed, or else has one freed by preemption; FALSE: there is neither.
--- a/src/storage/ws-chunk-record.c
+++ b/src/storage/ws-chunk-record.c
@@ -67,7 +67,7 @@
 }
 
 guint
-ws_chunk_free_places(const WsChunk *chunk, const WsReplica *replica)
+ws_chunk_free_slots(const WsChunk *chunk, const WsReplica *replica)
 {
   gsize max_bytes = replica->settings->state_record_bytes;
   if (max_bytes_without_times(replica) <= max_bytes)
--- a/src/storage/ws-chunk-record.h
+++ b/src/storage/ws-chunk-record.h
@@ -24,4 +24,4 @@
  * How many more tasks may be assigned in the chunk before its record is too large, whatever their
  * machines are called. @chunk: NULL for an empty one.
  */
-guint ws_chunk_free_places(const WsChunk *chunk, const WsReplica *replica);
+guint ws_chunk_free_slots(const WsChunk *chunk, const WsReplica *replica);
--- a/src/storage/ws-chunk.c
+++ b/src/storage/ws-chunk.c
@@ -46,17 +46,17 @@
 }
 
 void
-ws_chunk_set_done(WsChunk *chunk, guint task)
+ws_chunk_set_completed(WsChunk *chunk, guint task)
 {
   guint bit = task % WS_CHUNK_TASKS;
-  if (ws_chunk_is_done(chunk, task))
+  if (ws_chunk_is_completed(chunk, task))
     return;
   chunk->completed[bit / 8] |= (guint8)(1u << (bit % 8));
   chunk->completed_count++;
 }
 
 gboolean
-ws_chunk_is_done(const WsChunk *chunk, guint task)
+ws_chunk_is_completed(const WsChunk *chunk, guint task)
 {
   guint bit = task % WS_CHUNK_TASKS;
   return chunk != NULL && (chunk->completed[bit / 8] >> (bit % 8) & 1) != 0;
--- a/src/storage/ws-chunk.h
+++ b/src/storage/ws-chunk.h
@@ -24,7 +24,7 @@
   WsTaskState state;          /**< as its worker last reported it */
   gboolean is_confirmed_gone; /**< of a cancelled task: its worker has shown that it isn't there */
   gint64 stop_forwarded_ms;   /**< when another owner was last asked to stop it; 0: never */
-  gboolean launch_sent;       /**< its launch was in an answer to a heartbeat */
+  gboolean is_launch_sent;    /**< its launch was in an answer to a heartbeat */
   gboolean is_stop_requested; /**< to free its capacity or its machine for something else */
 } WsAssignment;
 
@@ -53,10 +53,10 @@
 WsAssignment *ws_chunk_find(const WsChunk *chunk, guint task);
 
 /** Marks the task as completed. */
-void ws_chunk_set_done(WsChunk *chunk, guint task);
+void ws_chunk_set_completed(WsChunk *chunk, guint task);
 
 /** Whether the task is completed. @chunk may be NULL. */
-gboolean ws_chunk_is_done(const WsChunk *chunk, guint task);
+gboolean ws_chunk_is_completed(const WsChunk *chunk, guint task);
 
 /** @chunk may be NULL. */
 void ws_chunk_free(WsChunk *chunk);
--- a/src/storage/ws-evidence.c
+++ b/src/storage/ws-evidence.c
@@ -31,7 +31,7 @@
 }
 
 gboolean
-ws_release_holds(const WsReplica *replica, const WsRelease *release)
+ws_release_is_valid(const WsReplica *replica, const WsRelease *release)
 {
   const WsEvidence *evidence = &release->evidence;
   const WsAssignment *assignment = ws_release_assignment(replica, release);
--- a/src/storage/ws-evidence.h
+++ b/src/storage/ws-evidence.h
@@ -6,7 +6,7 @@
  * launch it by the machine's next owner under a later one, so a task's absence proves nothing once
  * the machine has had another owner. That the cloud took a machine back holds for ever.
  *
- * Whoever acts on a release, the leader's transaction included, asks ws_release_holds first. The
+ * Whoever acts on a release, the leader's transaction included, asks ws_release_is_valid first. The
  * machine's owner, in turn, launches nothing for whose release it has evidence.
  */
 #pragma once
@@ -50,7 +50,7 @@
  * since. The result of a completed task is kept wherever it is started again, so a completed one
  * stays so.
  */
-gboolean ws_release_holds(const WsReplica *replica, const WsRelease *release);
+gboolean ws_release_is_valid(const WsReplica *replica, const WsRelease *release);
 
 /** One line for the log. The caller frees it. */
 char *ws_release_describe(const WsReplica *replica, const WsRelease *release);
--- a/src/storage/ws-job.c
+++ b/src/storage/ws-job.c
@@ -50,7 +50,7 @@
 }
 
 gboolean
-ws_job_task_done(const WsJob *job, guint task)
+ws_job_is_task_completed(const WsJob *job, guint task)
 {
-  return ws_chunk_is_done(ws_job_chunk(job, task), task);
+  return ws_chunk_is_completed(ws_job_chunk(job, task), task);
 }
--- a/src/storage/ws-job.h
+++ b/src/storage/ws-job.h
@@ -48,7 +48,7 @@
 WsAssignment *ws_job_assignment(const WsJob *job, guint task);
 
 /** Whether the task is completed. */
-gboolean ws_job_task_done(const WsJob *job, guint task);
+gboolean ws_job_is_task_completed(const WsJob *job, guint task);
 
 /** The highest attempt number that was given out in any of the job's chunks. */
 guint64 ws_job_last_attempt(const WsJob *job);
--- a/src/storage/ws-keys.c
+++ b/src/storage/ws-keys.c
@@ -16,5 +16,5 @@
 char *
 ws_key_chunk(const char *id, guint chunk)
 {
-  return g_strdup_printf(WS_KEYS_TASKS "%s/%u", id, chunk);
+  return g_strdup_printf(WS_KEYS_CHUNK "%s/%u", id, chunk);
 }
--- a/src/storage/ws-keys.h
+++ b/src/storage/ws-keys.h
@@ -18,7 +18,7 @@
 /* Prefixes of records, each with what follows it. */
 #define WS_KEYS_MEMBER WS_PREFIX "member/"      /**< node: a member, under its lease */
 #define WS_KEYS_JOB WS_PREFIX "job/"            /**< job */
-#define WS_KEYS_TASKS WS_PREFIX "task/"         /**< job, "/", number of a chunk */
+#define WS_KEYS_CHUNK WS_PREFIX "task/"         /**< job, "/", number of a chunk */
 #define WS_KEYS_TEAM_USE WS_PREFIX "team-use/"  /**< number of a group of teams */
 #define WS_KEYS_TEAM WS_PREFIX "team/"          /**< team; versions before 0.2 wrote these */
 #define WS_KEYS_RENTAL_BATCH WS_PREFIX "lot/"   /**< rental batch */
--- a/src/storage/ws-machine-records.c
+++ b/src/storage/ws-machine-records.c
@@ -28,7 +28,7 @@
 }
 
 gboolean
-ws_rental_batch_has_place(const WsRentalBatch *rental_batch, const WsReplica *replica,
+ws_rental_batch_has_space(const WsRentalBatch *rental_batch, const WsReplica *replica,
                           const char *machine)
 {
   gsize bytes = BYTES_AROUND_BATCH + strlen(rental_batch->type) + strlen(rental_batch->zone)
--- a/src/storage/ws-machine-records.h
+++ b/src/storage/ws-machine-records.h
@@ -15,7 +15,7 @@
 WsRentalBatch *ws_rental_batch_parse(WsReplica *replica, const char *name, const json_t *value);
 
 /** Whether the rental batch's record takes one more machine of the name. */
-gboolean ws_rental_batch_has_place(const WsRentalBatch *rental_batch, const WsReplica *replica,
+gboolean ws_rental_batch_has_space(const WsRentalBatch *rental_batch, const WsReplica *replica,
                                    const char *machine);
 
 /**
--- a/src/storage/ws-replica-apply.c
+++ b/src/storage/ws-replica-apply.c
@@ -11,7 +11,7 @@
     const char *prefix;
     void (*apply)(WsReplica *, const char *, const json_t *);
   } KINDS[] = { { WS_KEYS_JOB, ws_replica_apply_job },
-                { WS_KEYS_TASKS, ws_replica_apply_chunk },
+                { WS_KEYS_CHUNK, ws_replica_apply_chunk },
                 { WS_KEYS_TEAM, ws_team_use_apply_single },
                 { WS_KEYS_TEAM_USE, ws_team_use_apply },
                 { WS_KEYS_RENTAL_BATCH, ws_replica_apply_rental_batch },
--- a/src/storage/ws-replica-jobs.c
+++ b/src/storage/ws-replica-jobs.c
@@ -67,7 +67,7 @@
     }
     assignment->since_version = replica->is_loading ? 0 : replica->applying_version;
     WsTaskRef ref = { job->index, assignment->task };
-    g_array_append_val(replica->fresh, ref);
+    g_array_append_val(replica->new_assignments, ref);
     /* The machine's idle timeout begins anew. */
     ws_replica_machine(replica, assignment->machine)->fleet.underused_ms = 0;
   }
@@ -110,7 +110,7 @@
   for (guint i = 0; i < job->chunks->len; i++)
     ws_replica_replace_chunk(replica, job, i, NULL);
   g_ptr_array_set_size(job->chunks, 0);
-  g_ptr_array_remove(replica->active, job);
+  g_ptr_array_remove(replica->active_jobs, job);
   ws_job_spec_free(job->spec);
   job->spec = NULL;
 }
@@ -124,7 +124,7 @@
   job->team = ws_replica_find_team(replica, spec->team);
   job->image = ws_names_intern(&replica->images, spec->image);
   job->zone = ws_replica_find_zone(replica, spec->zone);
-  g_ptr_array_add(replica->active, job);
+  g_ptr_array_add(replica->active_jobs, job);
 }
 
 static void
@@ -167,7 +167,7 @@
   job->accepted_ms = record.accepted_ms;
   job->cancelled_ms = record.cancelled_ms;
   if (is_newly_cancelled)
-    g_array_append_val(replica->cancelled, job->index);
+    g_array_append_val(replica->cancelled_jobs, job->index);
   job->coordinator = ws_settings_find_node(replica->settings, record.coordinator);
   if (job->spec == NULL)
     parse_spec(replica, job, record.spec);
--- a/src/storage/ws-replica-machines.c
+++ b/src/storage/ws-replica-machines.c
@@ -141,10 +141,10 @@
 static void
 remove_rental_intent(WsReplica *replica, const char *request)
 {
-  for (guint i = 0; i < replica->rents->len; i++) {
-    const WsRentalIntent *intent = g_ptr_array_index(replica->rents, i);
+  for (guint i = 0; i < replica->rental_intents->len; i++) {
+    const WsRentalIntent *intent = g_ptr_array_index(replica->rental_intents, i);
     if (strcmp(intent->request, request) == 0) {
-      g_ptr_array_remove_index(replica->rents, i);
+      g_ptr_array_remove_index(replica->rental_intents, i);
       return;
     }
   }
@@ -158,7 +158,7 @@
     return;
   WsRentalIntent *intent = ws_rental_intent_parse(request, value);
   if (intent != NULL)
-    g_ptr_array_add(replica->rents, intent);
+    g_ptr_array_add(replica->rental_intents, intent);
   else
     g_warning("record of rental %s is damaged", request);
 }
--- a/src/storage/ws-replica.c
+++ b/src/storage/ws-replica.c
@@ -30,14 +30,14 @@
   replica->members = g_array_new(FALSE, FALSE, sizeof(WsMember));
   replica->jobs = g_ptr_array_new_with_free_func((GDestroyNotify)ws_job_free);
   replica->job_index = g_hash_table_new(g_str_hash, g_str_equal);
-  replica->active = g_ptr_array_new();
+  replica->active_jobs = g_ptr_array_new();
   replica->machines = g_ptr_array_new_with_free_func((GDestroyNotify)ws_machine_free);
   replica->machine_index = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-  replica->rents = g_ptr_array_new_with_free_func((GDestroyNotify)ws_rental_intent_free);
+  replica->rental_intents = g_ptr_array_new_with_free_func((GDestroyNotify)ws_rental_intent_free);
   replica->rental_batches = g_ptr_array_new_with_free_func((GDestroyNotify)ws_rental_batch_free);
   g_queue_init(&replica->mailbox);
-  replica->fresh = g_array_new(FALSE, FALSE, sizeof(WsTaskRef));
-  replica->cancelled = g_array_new(FALSE, FALSE, sizeof(WsJobIndex));
+  replica->new_assignments = g_array_new(FALSE, FALSE, sizeof(WsTaskRef));
+  replica->cancelled_jobs = g_array_new(FALSE, FALSE, sizeof(WsJobIndex));
   g_queue_init(&replica->removed);
   replica->team_use = g_new0(WsResources, MAX(settings->teams->len, 1u));
   replica->team_is_recorded = g_new0(gboolean, MAX(settings->teams->len, 1u));
@@ -50,16 +50,16 @@
 {
   g_hash_table_unref(replica->versions);
   g_queue_clear_full(&replica->removed, removed_free);
-  g_array_unref(replica->fresh);
-  g_array_unref(replica->cancelled);
+  g_array_unref(replica->new_assignments);
+  g_array_unref(replica->cancelled_jobs);
   ws_epoch_clear(&replica->epoch);
   g_array_unref(replica->members);
-  g_ptr_array_unref(replica->active);
+  g_ptr_array_unref(replica->active_jobs);
   g_hash_table_unref(replica->job_index);
   g_ptr_array_unref(replica->jobs);
   g_ptr_array_unref(replica->machines);
   g_hash_table_unref(replica->machine_index);
-  g_ptr_array_unref(replica->rents);
+  g_ptr_array_unref(replica->rental_intents);
   g_ptr_array_unref(replica->rental_batches);
   g_queue_clear_full(&replica->mailbox, message_free);
   g_free(replica->team_use);
@@ -166,7 +166,7 @@
 }
 
 double
-ws_job_allowed_s(const WsReplica *replica, const WsJob *job)
+ws_job_time_limit_s(const WsReplica *replica, const WsJob *job)
 {
   return job->spec->deadline_s >= 0.0
              ? job->spec->deadline_s
@@ -174,7 +174,7 @@
 }
 
 double
-ws_job_fetch_s(const WsReplica *replica, const WsJob *job)
+ws_job_image_fetch_s(const WsReplica *replica, const WsJob *job)
 {
   return job->spec->image_gb / MAX(ws_replica_type(replica, 0)->fetch_gb_per_s, MIN_FETCH_GB_PER_S);
 }
--- a/src/storage/ws-replica.h
+++ b/src/storage/ws-replica.h
@@ -41,9 +41,9 @@
   guint64 applying_version; /**< the version that is being applied */
 
   /* What has changed, for those who act on it; they empty the arrays. */
-  GArray *fresh;     /**< of WsTaskRef: new assignments */
-  GArray *cancelled; /**< of WsJobIndex: jobs that were cancelled */
-  GQueue mailbox;    /**< of json_t: what nodes left in the store for each other */
+  GArray *new_assignments; /**< of WsTaskRef: new assignments */
+  GArray *cancelled_jobs;  /**< of WsJobIndex: jobs that were cancelled */
+  GQueue mailbox;          /**< of json_t: what nodes left in the store for each other */
 
   /* The cluster. */
   WsEpoch epoch;
@@ -52,9 +52,9 @@
   GArray *members;            /**< of WsMember, ordered by node: who holds a lease now */
 
   /* Jobs. */
-  GPtrArray *jobs;       /**< of WsJob, by index */
-  GHashTable *job_index; /**< id -> WsJob */
-  GPtrArray *active;     /**< of WsJob, borrowed: those not in final form */
+  GPtrArray *jobs;        /**< of WsJob, by index */
+  GHashTable *job_index;  /**< id -> WsJob */
+  GPtrArray *active_jobs; /**< of WsJob, borrowed: those not in final form */
   WsNames images;
   WsResources *team_use;      /**< by team: what its assigned tasks use */
   gboolean *team_is_recorded; /**< by team: its use comes from the record that it belongs to */
@@ -63,7 +63,7 @@
   GPtrArray *machines;       /**< of WsMachine, by index */
   GHashTable *machine_index; /**< name -> WsMachine */
   gsize longest_name_bytes;  /**< of a machine, in bytes */
-  GPtrArray *rents;          /**< of WsRentalIntent */
+  GPtrArray *rental_intents; /**< of WsRentalIntent */
   GPtrArray *rental_batches; /**< of WsRentalBatch */
   GPtrArray *catalog;        /**< of WsType; NULL: not known yet */
 } WsReplica;
@@ -133,9 +133,9 @@
 void ws_job_count_zones(const WsReplica *replica, const WsJob *job, guint *counts);
 
 /** Seconds that the job may take in all, by its deadline or class; negative: no limit is known. */
-double ws_job_allowed_s(const WsReplica *replica, const WsJob *job);
+double ws_job_time_limit_s(const WsReplica *replica, const WsJob *job);
 
 /** Seconds that its image takes to fetch; the catalog must be known. */
-double ws_job_fetch_s(const WsReplica *replica, const WsJob *job);
+double ws_job_image_fetch_s(const WsReplica *replica, const WsJob *job);
 
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsReplica, ws_replica_free)
--- a/src/storage/ws-status.h
+++ b/src/storage/ws-status.h
@@ -27,7 +27,7 @@
   WsNodeIndex handled_owner; /**< the owner when an epoch was last handled */
   gint64 owned_ms;           /**< since when it has been that one */
   gint64 redirected_ms;      /**< when the worker was last sent to its owner */
-  gint64 sent_away_ms;       /**< when it was last sent away by this node, while that was cut off */
+  gint64 turned_away_ms;     /**< when it was last sent away by this node, while that was cut off */
 
   /* Launches by RPC without an answer, which may be carried out later. */
   guint indeterminate_launches;
--- a/src/store/ws-store-load.c
+++ b/src/store/ws-store-load.c
@@ -34,7 +34,7 @@
   core->replica->is_loading = FALSE;
   core->replan_is_needed = TRUE;
   g_info("replica loaded: revision %" G_GUINT64_FORMAT ", %u jobs open, %u machines",
-         load->revision, core->replica->active->len, core->replica->machines->len);
+         load->revision, core->replica->active_jobs->len, core->replica->machines->len);
 }
 
 static void
--- a/src/store/ws-write-stats.c
+++ b/src/store/ws-write-stats.c
@@ -10,7 +10,7 @@
   const char *purpose;
 } PURPOSES[] = {
   { WS_KEYS_JOB, "jobs" },
-  { WS_KEYS_TASKS, "tasks" },
+  { WS_KEYS_CHUNK, "tasks" },
   { WS_KEYS_TEAM_USE, "team use" },
   { WS_KEYS_RENTAL_BATCH, "rental batches" },
   { WS_KEYS_MARK, "termination marks" },
--- a/src/workers/ws-launch.c
+++ b/src/workers/ws-launch.c
@@ -19,7 +19,7 @@
 static GArray *
 take_launches(WsCore *core)
 {
-  GArray *assigned = core->replica->fresh;
+  GArray *assigned = core->replica->new_assignments;
   GArray *launches = g_array_new(FALSE, FALSE, sizeof(Launch));
   for (guint i = 0; i < assigned->len; i++) {
     const WsTaskRef *ref = &g_array_index(assigned, WsTaskRef, i);
@@ -57,7 +57,7 @@
 void
 ws_workers_launch_assigned(WsCore *core)
 {
-  if (core->replica->fresh->len == 0)
+  if (core->replica->new_assignments->len == 0)
     return;
   g_autoptr(GArray) launches = take_launches(core);
   g_array_sort(launches, compare_machines);
--- a/src/workers/ws-reconciliation.c
+++ b/src/workers/ws-reconciliation.c
@@ -96,7 +96,7 @@
 {
   return ws_cancellations_has(run->core, job) || assignment->is_stop_requested
          || run->machine->is_marked || ws_gang_is_ending(job)
-         || ws_releases_has(run->core, job, assignment);
+         || ws_releases_is_pending(run->core, job, assignment);
 }
 
 /* An assigned task that the heartbeat doesn't show is launched, again if need be, or released. It
@@ -112,8 +112,8 @@
   if (ws_authority_check_launch(run->core) != WS_REFUSAL_NONE)
     return;
   add_command(run, WS_OP_LAUNCH, job->id, assignment->task, assignment->attempt, 0.0);
-  run->repeats_launch = run->repeats_launch || assignment->launch_sent;
-  assignment->launch_sent = TRUE;
+  run->repeats_launch = run->repeats_launch || assignment->is_launch_sent;
+  assignment->is_launch_sent = TRUE;
 }
 
 static void
@@ -165,7 +165,7 @@
   if (!run->has_present_token)
     return;
   if (!run->machine->is_recorded)
-    ws_cloud_list_reconcile(core, run->machine, core->wall);
+    ws_cloud_list_note_unrecorded(core, run->machine, core->wall);
   ws_worker_status_note_tasks(core, run->machine, run->heartbeat);
 }
 
--- a/src/workers/ws-relay.c
+++ b/src/workers/ws-relay.c
@@ -148,7 +148,7 @@
 }
 
 void
-ws_relay_handle(WsCore *core, const json_t *message, gpointer request)
+ws_relay_handle_request(WsCore *core, const json_t *message, gpointer request)
 {
   WsRelayMessage relayed;
   if (!ws_relay_message_parse(message, &relayed)) {
--- a/src/workers/ws-worker-status.c
+++ b/src/workers/ws-worker-status.c
@@ -61,7 +61,7 @@
 }
 
 static void
-note_exit(WsCore *core, WsMachine *machine, WsJob *job, WsAssignment *assignment, WsExit why)
+note_exit(WsCore *core, WsMachine *machine, WsJob *job, WsAssignment *assignment, WsExitReason why)
 {
   if (assignment->state == WS_TASK_EXITED)
     return;
@@ -137,7 +137,7 @@
     if (assignment == NULL)
       continue;
     assignment->state = WS_TASK_ASSIGNED;
-    assignment->launch_sent = FALSE;
+    assignment->is_launch_sent = FALSE;
   }
 }
 
--- a/src/workers/ws-workers.c
+++ b/src/workers/ws-workers.c
@@ -105,12 +105,12 @@
     return FALSE;
   if (machine->zone != ws_replica_find_zone(core->replica, self->zone))
     ws_authority_note_heartbeat_from_other_zone(core);
-  gint64 since_ms = core->now - machine->worker.sent_away_ms;
+  gint64 since_ms = core->now - machine->worker.turned_away_ms;
   if (!ws_authority_is_reached_from_other_zones(core)
-      || (machine->worker.sent_away_ms > 0
+      || (machine->worker.turned_away_ms > 0
           && (double)since_ms < KEPT_LEASE_SHARE * core->settings->lease_s * 1000.0))
     return FALSE;
-  machine->worker.sent_away_ms = core->now;
+  machine->worker.turned_away_ms = core->now;
   return TRUE;
 }
 
--- a/src/workers/ws-workers.h
+++ b/src/workers/ws-workers.h
@@ -35,7 +35,7 @@
 void ws_workers_launch_assigned(WsCore *core);
 
 /** Handles another node's request to pass a heartbeat on, see ws-relay-message.h. */
-void ws_relay_handle(WsCore *core, const json_t *message, gpointer request);
+void ws_relay_handle_request(WsCore *core, const json_t *message, gpointer request);
 
 /** Halts what is left of cancelled jobs, and has machines returned that don't confirm in time. */
 void ws_cancelled_tasks_enforce(WsCore *core);
--- a/tests/evidence/validity.c
+++ b/tests/evidence/validity.c
@@ -126,15 +126,15 @@
     for (guint m = 0; m < MACHINES; m++) {
       g_autofree char *name = g_strdup_printf("m-%u", m);
       for (guint then = 0; then <= now; then++) {
-        g_assert_true(ws_release_holds(replica, &returned[then][m]));
-        gboolean holds = ws_release_holds(replica, &absent[then][m]);
+        g_assert_true(ws_release_is_valid(replica, &returned[then][m]));
+        gboolean holds = ws_release_is_valid(replica, &absent[then][m]);
         g_assert_true(holds == is_of_one_owner(history, then, now, name, settings));
         WsRelease done = absent[then][m];
         done.done = TRUE;
-        g_assert_true(ws_release_holds(replica, &done));
+        g_assert_true(ws_release_is_valid(replica, &done));
         WsRelease elsewhere = returned[then][m];
         elsewhere.evidence.machine = returned[0][(m + 1) % MACHINES].evidence.machine;
-        g_assert_false(ws_release_holds(replica, &elsewhere));
+        g_assert_false(ws_release_is_valid(replica, &elsewhere));
       }
     }
   }
--- a/tests/sim/fixture.c
+++ b/tests/sim/fixture.c
@@ -190,7 +190,8 @@
 }
 
 void
-fixture_request(Fixture *fixture, WsDoor door, const char *method, const char *path, json_t *body)
+fixture_request(Fixture *fixture, WsListener door, const char *method, const char *path,
+                json_t *body)
 {
   g_autofree char *text = ws_json_text(body);
   ws_core_request(fixture->core, fixture->now_ms, fixture->now_ms, door, method, path, text,
@@ -202,20 +203,20 @@
 void
 fixture_post(Fixture *fixture, const char *path, json_t *body)
 {
-  fixture_request(fixture, WS_DOOR_API, "POST", path, body);
+  fixture_request(fixture, WS_LISTENER_API, "POST", path, body);
 }
 
 void
 fixture_send_peer_message(Fixture *fixture, const char *path, json_t *body)
 {
-  fixture_request(fixture, WS_DOOR_MESH, "POST", path, body);
+  fixture_request(fixture, WS_LISTENER_MESH, "POST", path, body);
   fixture_run(fixture, 0.3);
 }
 
 void
 fixture_call(Fixture *fixture, const char *method, const char *path, json_t *body)
 {
-  fixture_request(fixture, WS_DOOR_API, method, path, body);
+  fixture_request(fixture, WS_LISTENER_API, method, path, body);
   fixture_run(fixture, 0.3);
 }
 
--- a/tests/sim/fixture.h
+++ b/tests/sim/fixture.h
@@ -64,7 +64,7 @@
 void fixture_pump(Fixture *fixture);
 void fixture_run(Fixture *fixture, double seconds);
 /* A request, and no pause after it. */
-void fixture_request(Fixture *fixture, WsDoor door, const char *method, const char *path,
+void fixture_request(Fixture *fixture, WsListener door, const char *method, const char *path,
                      json_t *body /* taken, may be NULL */);
 /* The teams have no limits. */
 void fixture_lift_quotas(Fixture *fixture);
--- a/tests/sim/sim-network.c
+++ b/tests/sim/sim-network.c
@@ -140,7 +140,7 @@
 /* Requests to nodes: the core answers by the handle, which is the call. */
 
 static void
-send_to_node(Sim *sim, Call *call, guint node, WsDoor door)
+send_to_node(Sim *sim, Call *call, guint node, WsListener door)
 {
   g_autofree char *text = ws_json_text(call->body);
   if (sim->nodes[node].core == NULL) {
@@ -222,7 +222,7 @@
   else if (sim->now_ms < sim->nodes[node].paused_until_ms)
     sim_later(sim, sim->nodes[node].paused_until_ms - sim->now_ms, arrive, call);
   else
-    send_to_node(sim, call, node, call->address[0] == 'm' ? WS_DOOR_MESH : WS_DOOR_API);
+    send_to_node(sim, call, node, call->address[0] == 'm' ? WS_LISTENER_MESH : WS_LISTENER_API);
 }
 
 static gboolean
--- a/tests/test-evidence.c
+++ b/tests/test-evidence.c
@@ -163,7 +163,7 @@
   scenario_begin(&scenario);
   change_epoch(&scenario, TRUE);
   scenario.fixture->hold_assignment = TRUE;
-  fixture_request(scenario.fixture, WS_DOOR_MESH, "POST", "/ask",
+  fixture_request(scenario.fixture, WS_LISTENER_MESH, "POST", "/ask",
                   has_evidence ? release_of_n1(&scenario, 2, "absent", 2)
                                : legacy_release_of_n1(2));
   wait_for_held_call(scenario.fixture);
@@ -199,7 +199,7 @@
   change_epoch(&scenario, FALSE);
   launch_as_n0(&scenario);
   change_epoch(&scenario, TRUE);
-  fixture_request(scenario.fixture, WS_DOOR_MESH, "POST", "/ask",
+  fixture_request(scenario.fixture, WS_LISTENER_MESH, "POST", "/ask",
                   has_evidence ? release_of_n1(&scenario, 4, "absent", 2)
                                : legacy_release_of_n1(4));
   fixture_run(scenario.fixture, WRITE_S);
@@ -228,7 +228,7 @@
   change_epoch(&scenario, TRUE);
   change_epoch(&scenario, FALSE);
   change_epoch(&scenario, TRUE);
-  fixture_request(scenario.fixture, WS_DOOR_MESH, "POST", "/ask",
+  fixture_request(scenario.fixture, WS_LISTENER_MESH, "POST", "/ask",
                   release_of_n1(&scenario, 4, "returned", 1));
   fixture_run(scenario.fixture, WRITE_S);
   g_assert_false(is_first_attempt_on_record(&scenario));
@@ -247,7 +247,7 @@
   Fixture *fixture = scenario.fixture;
   assign_second_attempt(fixture, scenario.machine);
   fixture_run(fixture, 1.0);
-  fixture_request(fixture, WS_DOOR_MESH, "POST", "/ask",
+  fixture_request(fixture, WS_LISTENER_MESH, "POST", "/ask",
                   json_pack("{s:i, s:[[s, i, i, b]]}", "epoch", 2, "releases", "req-1", 0, 2, 0));
   fixture_run(fixture, 0.4);
   g_assert_cmpstr(json_string_value(
@@ -272,7 +272,7 @@
     fixture->status_report
         = fixture_heartbeat(fixture, scenario.machine, fencing_token, 100 + fencing_token, tasks);
     fixture_run(fixture, WRITE_S);
-    fixture_request(fixture, WS_DOOR_MESH, "POST", "/ask", legacy_release_of_n1(2));
+    fixture_request(fixture, WS_LISTENER_MESH, "POST", "/ask", legacy_release_of_n1(2));
     fixture_run(fixture, 0.4);
     g_assert_true(is_first_attempt_on_record(&scenario) == (fencing_token == 1));
   }
@@ -291,10 +291,10 @@
   guint repeats = (guint)(fixture->settings->lease_s / REPEATED_EVERY_S) + 1;
   for (guint i = 0; i < repeats; i++) {
     g_assert_false(sim_store_has(fixture->store, mark));
-    fixture_request(fixture, WS_DOOR_MESH, "POST", "/ask", legacy_release_of_n1(2));
+    fixture_request(fixture, WS_LISTENER_MESH, "POST", "/ask", legacy_release_of_n1(2));
     fixture_run(fixture, REPEATED_EVERY_S);
   }
-  fixture_request(fixture, WS_DOOR_MESH, "POST", "/ask", legacy_release_of_n1(2));
+  fixture_request(fixture, WS_LISTENER_MESH, "POST", "/ask", legacy_release_of_n1(2));
   fixture_run(fixture, 1.0);
   g_assert_true(sim_store_has(fixture->store, mark));
   g_assert_true(is_first_attempt_on_record(&scenario));
@@ -336,7 +336,7 @@
   fixture_write_key(scenario.fixture, "w/member/n2", json_pack("{s:i}", "incarnation", 1));
   fixture_run(scenario.fixture, NEW_EPOCH_S);
   g_assert_cmpuint(epoch_number(scenario.fixture), ==, 3);
-  fixture_request(scenario.fixture, WS_DOOR_MESH, "POST", "/ask",
+  fixture_request(scenario.fixture, WS_LISTENER_MESH, "POST", "/ask",
                   release_of_n1(&scenario, 3, "absent", 2));
   fixture_run(scenario.fixture, WRITE_S);
   g_assert_false(is_first_attempt_on_record(&scenario));
--- a/tests/test-protocol.c
+++ b/tests/test-protocol.c
@@ -235,7 +235,7 @@
   g_assert_null(ws_catalog_parse(damaged));
   gboolean more;
   g_assert_null(ws_listing_parse(damaged, &more));
-  g_assert_null(ws_names_parse(damaged));
+  g_assert_null(ws_rental_machines_parse(damaged));
 }
 
 /* Limits to come, and the gangs' times: lower ones count at once, bad ones are named. */
@@ -291,7 +291,7 @@
     const char *state;
     const char *why;
     WsTaskState parsed;
-    WsExit exit;
+    WsExitReason exit;
   } CASES[] = { { "gathering", NULL, WS_TASK_GATHERING, WS_EXIT_NONE },
                 { "exited", "peers", WS_TASK_EXITED, WS_EXIT_PEERS },
                 { "exited", "incomplete", WS_TASK_EXITED, WS_EXIT_INCOMPLETE },
--- a/tests/test-size.c
+++ b/tests/test-size.c
@@ -132,9 +132,9 @@
   Fixture *fixture = fixture_with_machines(machines);
   json_t *job = fixture_submission();
   json_object_set_new(job, "kusy", json_integer(tasks));
-  guint64 before = ws_core_plan_steps(fixture->core);
+  guint64 before = ws_core_machines_examined(fixture->core);
   fixture_call(fixture, "POST", "/api/jobs", job);
-  guint64 steps = ws_core_plan_steps(fixture->core) - before;
+  guint64 steps = ws_core_machines_examined(fixture->core) - before;
   fixture_free(fixture);
   return steps;
 }
@@ -202,10 +202,11 @@
   for (guint j = 0; j < jobs; j++)
     submit(fixture, 100 + j, 25, 16.0);
   report_for_a_while(fixture, machines, 16);
-  guint64 steps = ws_core_plan_steps(fixture->core), plans = ws_core_plans(fixture->core);
+  guint64 steps = ws_core_machines_examined(fixture->core),
+          plans = ws_core_plan_count(fixture->core);
   report_for_a_while(fixture, machines, 21);
-  steps = ws_core_plan_steps(fixture->core) - steps;
-  plans = ws_core_plans(fixture->core) - plans;
+  steps = ws_core_machines_examined(fixture->core) - steps;
+  plans = ws_core_plan_count(fixture->core) - plans;
   fixture_free(fixture);
   return steps / MAX(plans, 1u);
 }
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -85,7 +85,7 @@
   g_assert_cmpuint(machine->tasks->len, ==, 4);
   g_assert_true(machine->is_recorded && machine->is_marked && !machine->mark_is_immediate);
   g_assert_cmpint(replica->team_use[0].gpus, ==, 5000);
-  g_assert_cmpuint(replica->rents->len, ==, 1);
+  g_assert_cmpuint(replica->rental_intents->len, ==, 1);
   g_assert_cmpuint(replica->members->len, ==, 2);
   g_assert_cmpuint(replica->leader_node, ==, 0);
   g_assert_cmpuint(replica->epoch.members->len, ==, 3);
@@ -116,7 +116,8 @@
   assert_written_as(ws_epoch_encode(&replica->epoch, settings), "w/epoch");
   assert_written_as(ws_rental_batch_encode(g_ptr_array_index(replica->rental_batches, 0), replica),
                     "w/lot/r-1-1");
-  assert_written_as(ws_rental_intent_encode(g_ptr_array_index(replica->rents, 0)), "w/rent/r-1-4");
+  assert_written_as(ws_rental_intent_encode(g_ptr_array_index(replica->rental_intents, 0)),
+                    "w/rent/r-1-4");
   assert_written_as(ws_mark_encode("notice", FALSE), "w/mark/m-000000");
   assert_written_as(ws_leader_encode(replica->leader_incarnation, "n0"), "w/leader");
   const WsMember *member = &g_array_index(replica->members, WsMember, 1);
@@ -226,9 +227,8 @@
     gboolean fits = ws_chunk_fits_record(chunk, replica);
     g_assert_true(!fits || strlen(text) <= NEXT_BYTES);
     g_assert_true(fits || strlen(text) + 1 > NEXT_BYTES); /* the count is one comma too high */
-    g_assert_true(ws_chunk_free_places(chunk, replica) == 0
-                  || ws_chunk_fits_record(chunk, replica));
-    g_assert_cmpuint(ws_chunk_free_places(chunk, replica), <=, NEXT_BYTES / 20);
+    g_assert_true(ws_chunk_free_slots(chunk, replica) == 0 || ws_chunk_fits_record(chunk, replica));
+    g_assert_cmpuint(ws_chunk_free_slots(chunk, replica), <=, NEXT_BYTES / 20);
     ws_chunk_free(chunk);
     ws_replica_free(replica);
   }
@@ -247,7 +247,7 @@
   };
   for (guint i = 0;; i++) {
     g_autofree char *name = g_strdup_printf("machine-with-a-long-name-%060u", i);
-    if (!ws_rental_batch_has_place(&rental_batch, replica, name))
+    if (!ws_rental_batch_has_space(&rental_batch, replica, name))
       break;
     guint index = ws_replica_get_machine(replica, name)->index;
     g_array_append_val(machines, index);
@@ -336,7 +336,7 @@
   fixture_write_key(
       fixture, "w/job/req-1",
       json_pack("{s:s, s:i, s:s, s:O}", "s", "active", "at", 1, "home", "", "spec", submission));
-  fixture_request(fixture, WS_DOOR_API, "POST", "/api/jobs", json_incref(submission));
+  fixture_request(fixture, WS_LISTENER_API, "POST", "/api/jobs", json_incref(submission));
   fixture_release_watch(fixture);
   fixture_run(fixture, 1.5);
   g_assert_cmpuint(fixture->status, !=, 422);
