--- a/src/api/ws-admission.c
+++ b/src/api/ws-admission.c
@@ -22,7 +22,7 @@
 {
   if (spec->kind != WS_KIND_GANG)
     return TRUE;
-  gboolean is_contradictory = spec->one_zone && spec->spread && spec->tasks > 1;
+  gboolean is_contradictory = spec->needs_one_zone && spec->must_spread && spec->tasks > 1;
   guint tasks_in_chunk = MIN(spec->tasks, WS_CHUNK_TASKS);
   return !is_contradictory && tasks_in_chunk <= ws_chunk_free_slots(NULL, core->replica);
 }
--- a/src/commit/ws-batch.c
+++ b/src/commit/ws-batch.c
@@ -123,7 +123,7 @@
 gboolean
 ws_batch_depends_on_all_chunks(const WsJob *job)
 {
-  return job->spec->one_zone || job->spec->spread;
+  return job->spec->needs_one_zone || job->spec->must_spread;
 }
 
 WsResources *
@@ -306,10 +306,10 @@
   if (ws_chunk_find(ws_batch_chunk(batch, job, release->task / WS_CHUNK_TASKS), release->task)
       == NULL)
     return WS_BATCH_ADDED; /* by this very batch: its use is subtracted once */
-  if (!reserve(batch, job, release->task, NULL, ends_job(batch, job, release->done)))
+  if (!reserve(batch, job, release->task, NULL, ends_job(batch, job, release->is_completed)))
     return WS_BATCH_FULL;
   log_release(batch->core, release);
-  if (ws_job_is_gang(job) && release->done && job->state == WS_JOB_ACTIVE) {
+  if (ws_job_is_gang(job) && release->is_completed && job->state == WS_JOB_ACTIVE) {
     finish_gang(batch, job);
     return WS_BATCH_ADDED;
   }
@@ -317,7 +317,7 @@
   release_task(batch, job, chunk, release->task, assignment->machine);
   if (ws_job_is_gang(job))
     chunk->last_attempt = last_attempt(batch, job) + 1;
-  if (release->done)
+  if (release->is_completed)
     ws_chunk_set_completed(chunk, release->task);
   return WS_BATCH_ADDED;
 }
--- a/src/commit/ws-garbage.c
+++ b/src/commit/ws-garbage.c
@@ -58,7 +58,7 @@
   gpointer key, value;
   g_hash_table_iter_init(&iter, core->replica->versions);
   while (g_hash_table_iter_next(&iter, &key, &value)) {
-    if (!((const WsKeyVersion *)value)->present || !is_garbage(core->replica, key))
+    if (!((const WsKeyVersion *)value)->is_present || !is_garbage(core->replica, key))
       continue;
     count++;
     if (ws_txn_operation_count(txn) < core->settings->state_txn_ops)
--- a/src/commit/ws-legacy-releases.c
+++ b/src/commit/ws-legacy-releases.c
@@ -103,9 +103,9 @@
   if (assignment == NULL)
     return;
   WsMachine *machine = ws_replica_machine(core->replica, assignment->machine);
-  if (release->done || assignment->since_version > machine->owner_since_version) {
+  if (release->is_completed || assignment->since_version > machine->owner_since_version) {
     add_with_evidence(core, release, machine,
-                      release->done ? WS_EVIDENCE_EXITED : WS_EVIDENCE_ABSENT);
+                      release->is_completed ? WS_EVIDENCE_EXITED : WS_EVIDENCE_ABSENT);
     return;
   }
   if (machine->owner == core->settings->self)
--- a/src/commit/ws-release-order.c
+++ b/src/commit/ws-release-order.c
@@ -59,7 +59,7 @@
   gint64 weight = MIN_WEIGHT_MS + core->now - pending->added_ms;
   gpointer job_key = GUINT_TO_POINTER(job->index);
   add_to_sum(sums->pending_count, job_key, 1);
-  add_to_sum(sums->done_count, job_key, pending->release.done ? 1 : 0);
+  add_to_sum(sums->done_count, job_key, pending->release.is_completed ? 1 : 0);
   add_to_sum(sums->chunk_weight, chunk_key(&pending->release), weight);
   if (job->team != WS_NO_TEAM)
     sums->team_use_weight[ws_team_use_group(core->settings, job->team)] += weight;
--- a/src/commit/ws-releases.c
+++ b/src/commit/ws-releases.c
@@ -71,7 +71,7 @@
 note_run_time(WsCore *core, const WsRelease *release)
 {
   const WsAssignment *assignment = ws_release_assignment(core->replica, release);
-  if (release->done && assignment != NULL && ws_is_leader(core))
+  if (release->is_completed && assignment != NULL && ws_is_leader(core))
     ws_estimator_add(core, ws_replica_job(core->replica, release->job), assignment);
 }
 
@@ -80,7 +80,7 @@
 static void
 strengthen(WsRelease *pending, const WsRelease *release)
 {
-  pending->done = pending->done || release->done;
+  pending->is_completed = pending->is_completed || release->is_completed;
   if (pending->evidence.kind != WS_EVIDENCE_RETURNED
       && (release->evidence.kind == WS_EVIDENCE_RETURNED
           || release->evidence.epoch >= pending->evidence.epoch))
--- a/src/fleet/ws-cloud-list.c
+++ b/src/fleet/ws-cloud-list.c
@@ -65,7 +65,8 @@
 static gboolean
 is_of_kind(const WsRentalBatch *rental_batch, const WsMachine *machine)
 {
-  return strcmp(rental_batch->type, machine->type_name) == 0 && rental_batch->spot == machine->spot;
+  return strcmp(rental_batch->type, machine->type_name) == 0
+         && rental_batch->is_spot == machine->is_spot;
 }
 
 static WsRentalBatch *
@@ -77,7 +78,7 @@
                                        ++core->fleet->cloud_list->last_batch);
   rental_batch->type = g_strdup(first->type_name);
   rental_batch->zone = g_strdup(g_ptr_array_index(core->settings->zones, first->zone));
-  rental_batch->spot = first->spot;
+  rental_batch->is_spot = first->is_spot;
   rental_batch->rented_ms = first->rented_ms;
   rental_batch->machines = g_array_new(FALSE, FALSE, sizeof(WsMachineIndex));
   return rental_batch;
@@ -151,13 +152,14 @@
       machine->fleet.listed_ms = core->now;
     if (core->now - machine->fleet.listed_ms < first_listing_ms(core))
       return;
-    ws_replica_describe_machine(core->replica, machine, listed->type, listed->zone, listed->spot);
+    ws_replica_describe_machine(core->replica, machine, listed->type, listed->zone,
+                                listed->is_spot);
     ws_cloud_list_note_unrecorded(core, machine, core->wall - (gint64)(listed->age_s * 1000.0));
     return;
   }
   if (machine->worker.endpoint == NULL && listed->endpoint != NULL)
     machine->worker.endpoint = g_strdup(listed->endpoint);
-  if (listed->failed && !ws_machine_is_up(core, machine))
+  if (listed->has_failed && !ws_machine_is_up(core, machine))
     ws_termination_request_mark(core, machine, WS_MARK_REASON_FAILED, TRUE);
 }
 
--- a/src/fleet/ws-consolidation.c
+++ b/src/fleet/ws-consolidation.c
@@ -136,7 +136,7 @@
 {
   const WsResources *capacity = &ws_replica_type(core->replica, machine->type)->capacity;
   return machine->is_recorded && machine->type != WS_NO_TYPE && !machine->is_marked
-         && !machine->spot && ws_machine_is_up(core, machine)
+         && !machine->is_spot && ws_machine_is_up(core, machine)
          && 2 * machine->used.cpus <= capacity->cpus && 2 * machine->used.gpus <= capacity->gpus;
 }
 
--- a/src/fleet/ws-headroom.c
+++ b/src/fleet/ws-headroom.c
@@ -34,7 +34,7 @@
 static gboolean
 is_eligible(const WsCore *core, const WsMachine *machine)
 {
-  return machine->is_recorded && !machine->is_marked && !machine->spot
+  return machine->is_recorded && !machine->is_marked && !machine->is_spot
          && machine->type != WS_NO_TYPE && machine->zone != WS_NO_ZONE
          && (ws_machine_is_booting(core, machine) || ws_machine_is_up(core, machine));
 }
--- a/src/fleet/ws-rentals.c
+++ b/src/fleet/ws-rentals.c
@@ -130,7 +130,7 @@
   g_autofree char *key = ws_key(WS_KEYS_RENTAL_INTENT, request);
   WsRentalIntent intent = { .type = ws_replica_type(core->replica, type)->name,
                             .zone = g_ptr_array_index(core->settings->zones, zone),
-                            .spot = spot,
+                            .is_spot = spot,
                             .count = machines };
   g_info("scale out: requesting %u %s machines of type %s in %s", intent.count,
          spot ? "spot" : "ordinary", intent.type, intent.zone);
@@ -208,7 +208,7 @@
   g_autoptr(GArray) machines = g_array_new(FALSE, FALSE, sizeof(WsMachineIndex));
   WsRentalBatch rental_batch = { .type = intent->type,
                                  .zone = intent->zone,
-                                 .spot = intent->spot,
+                                 .is_spot = intent->is_spot,
                                  .rented_ms = core->wall,
                                  .machines = machines };
   guint next = first;
@@ -262,9 +262,9 @@
   WsZoneIndex zone = ws_replica_find_zone(core->replica, intent->zone);
   guint count = names != NULL ? names->len : 0;
   ws_rentals_note_capacity(core, ws_replica_find_type(core->replica, intent->type), zone,
-                           intent->spot, count >= intent->count);
+                           intent->is_spot, count >= intent->count);
   g_info("scale out: the cloud rented %u of %u %s machines in %s", count, intent->count,
-         intent->spot ? "spot" : "ordinary", intent->zone);
+         intent->is_spot ? "spot" : "ordinary", intent->zone);
   close_intent(core, intent, names);
 }
 
@@ -279,7 +279,7 @@
   g_hash_table_add(rentals->in_flight, g_strdup(intent->request));
   ws_call(
       core, "POST", core->settings->cloud_addr, "/machines",
-      ws_rental_encode(intent->request, intent->type, intent->zone, intent->spot, intent->count),
+      ws_rental_encode(intent->request, intent->type, intent->zone, intent->is_spot, intent->count),
       RENTAL_TIMEOUT_MS, on_rented, g_strdup(intent->request));
 }
 
--- a/src/fleet/ws-termination.c
+++ b/src/fleet/ws-termination.c
@@ -126,7 +126,7 @@
                          ? g_ptr_array_index(core->settings->zones, machine->zone)
                          : "no zone";
   g_info("machine %s (%s, %s, %u tasks) is marked: %s", machine->name,
-         machine->spot ? "spot" : "ordinary", zone, machine->tasks->len, reason);
+         machine->is_spot ? "spot" : "ordinary", zone, machine->tasks->len, reason);
 }
 
 static void
@@ -242,7 +242,7 @@
 ws_termination_is_allowed(const WsCore *core, const WsMachine *machine)
 {
   return zone_is_connected(core, machine->zone) && budget_allows(core, machine)
-         && (machine->spot || ws_headroom_remains_without(core, machine));
+         && (machine->is_spot || ws_headroom_remains_without(core, machine));
 }
 
 /* While the store is unavailable nothing is placed: a machine that is empty then isn't idle. Dozens
--- a/src/membership/ws-partitions.c
+++ b/src/membership/ws-partitions.c
@@ -135,7 +135,7 @@
   Count count = { 0 };
   for (guint i = 0; i < core->replica->machines->len; i++) {
     const WsMachine *machine = ws_replica_machine(core->replica, i);
-    if (machine->spot || !machine->is_recorded || ws_liveness_suspected_since_ms(machine) == 0
+    if (machine->is_spot || !machine->is_recorded || ws_liveness_suspected_since_ms(machine) == 0
         || (machine->is_marked && g_strcmp0(machine->mark_reason, WS_MARK_REASON_SILENT) != 0)
         || ws_zone_is_or_was_partitioned(core, machine->zone))
       continue;
--- a/src/membership/ws-peer-request-message.c
+++ b/src/membership/ws-peer-request-message.c
@@ -129,7 +129,7 @@
 parse_release(const WsReplica *replica, const json_t *item, WsPeerRequest *request)
 {
   request->release.attempt = request->attempt;
-  request->release.done = json_is_true(json_array_get(item, 3));
+  request->release.is_completed = json_is_true(json_array_get(item, 3));
   request->has_evidence = ws_evidence_parse(replica, item, &request->release.evidence);
 }
 
--- a/src/protocol/ws-cloud.c
+++ b/src/protocol/ws-cloud.c
@@ -80,7 +80,7 @@
       || !ws_json_string_or_null(item, WS_FIELD_ENDPOINT, &endpoint)
       || !ws_json_string(item, WS_FIELD_MACHINE_TYPE, &type)
       || !ws_json_string(item, WS_FIELD_ZONE, &zone)
-      || !ws_json_bool(item, WS_FIELD_SPOT, &listed->spot)
+      || !ws_json_bool(item, WS_FIELD_SPOT, &listed->is_spot)
       || !ws_json_string(item, WS_FIELD_STATE, &state)
       || !ws_json_number(item, WS_FIELD_AGE_S, &listed->age_s))
     return FALSE;
@@ -88,7 +88,7 @@
   listed->endpoint = g_strdup(endpoint);
   listed->type = g_strdup(type);
   listed->zone = g_strdup(zone);
-  listed->failed = g_strcmp0(state, STATE_FAILED) == 0;
+  listed->has_failed = g_strcmp0(state, STATE_FAILED) == 0;
   return TRUE;
 }
 
--- a/src/protocol/ws-cloud.h
+++ b/src/protocol/ws-cloud.h
@@ -25,9 +25,9 @@
   char *endpoint; /**< NULL: the cloud doesn't say */
   char *type;
   char *zone;
-  gboolean spot;
-  gboolean failed; /**< it will never be up */
-  double age_s;    /**< since it was rented */
+  gboolean is_spot;
+  gboolean has_failed; /**< it will never be up */
+  double age_s;        /**< since it was rented */
 } WsListedMachine;
 
 /** Of WsType, in the catalog's order. */
--- a/src/protocol/ws-heartbeat.c
+++ b/src/protocol/ws-heartbeat.c
@@ -77,8 +77,8 @@
       || !parse_task_state(state, &task->state) || !parse_task_name(name, &task->job, &task->task))
     return FALSE;
   if (task->state == WS_TASK_EXITED)
-    task->why = parse_exit_reason(why);
-  task->saved = json_is_true(json_object_get(item, WS_FIELD_IS_SAVED));
+    task->exit_reason = parse_exit_reason(why);
+  task->is_saved = json_is_true(json_object_get(item, WS_FIELD_IS_SAVED));
   return TRUE;
 }
 
@@ -119,7 +119,7 @@
     return WS_FIELD_MACHINE_TYPE;
   if (!ws_json_string(m, WS_FIELD_ZONE, &zone))
     return WS_FIELD_ZONE;
-  if (!ws_json_bool(m, WS_FIELD_SPOT, &heartbeat->spot))
+  if (!ws_json_bool(m, WS_FIELD_SPOT, &heartbeat->is_spot))
     return WS_FIELD_SPOT;
   if (!ws_json_count(m, WS_FIELD_INCARNATION, &heartbeat->incarnation))
     return WS_FIELD_INCARNATION;
--- a/src/protocol/ws-heartbeat.h
+++ b/src/protocol/ws-heartbeat.h
@@ -33,8 +33,8 @@
   guint task;
   guint64 attempt;
   WsTaskState state;
-  WsExitReason why;
-  gboolean saved; /**< of a task that was stopped: its progress is in its checkpoint */
+  WsExitReason exit_reason;
+  gboolean is_saved; /**< of a task that was stopped: its progress is in its checkpoint */
 } WsTaskStatus;
 
 /** A heartbeat with the status of all tasks. All strings are owned. */
@@ -43,7 +43,7 @@
   char *endpoint; /**< where the worker takes commands */
   char *type;
   char *zone;
-  gboolean spot;
+  gboolean is_spot;
   guint64 incarnation;
   guint64 sequence;      /**< grows with each message of the incarnation */
   guint64 fencing_token; /**< the highest that the worker has seen */
--- a/src/protocol/ws-job-spec.c
+++ b/src/protocol/ws-job-spec.c
@@ -147,11 +147,11 @@
     return WS_FIELD_MACHINE_TYPES;
   if (!parse_zone(message, &spec->zone))
     return WS_FIELD_ZONE;
-  if (!ws_json_bool(message, WS_FIELD_ONE_ZONE, &spec->one_zone))
+  if (!ws_json_bool(message, WS_FIELD_ONE_ZONE, &spec->needs_one_zone))
     return WS_FIELD_ONE_ZONE;
-  if (!ws_json_bool(message, WS_FIELD_SPREAD, &spec->spread))
+  if (!ws_json_bool(message, WS_FIELD_SPREAD, &spec->must_spread))
     return WS_FIELD_SPREAD;
-  if (!ws_json_bool(message, WS_FIELD_SPOT, &spec->spot))
+  if (!ws_json_bool(message, WS_FIELD_SPOT, &spec->allows_spot))
     return WS_FIELD_SPOT;
   return NULL;
 }
@@ -227,9 +227,9 @@
   json_object_set_new(message, WS_FIELD_MACHINE_TYPES, encode_types(spec->types));
   json_object_set_new(message, WS_FIELD_ZONE,
                       spec->zone != NULL ? json_string(spec->zone) : json_null());
-  json_object_set_new(message, WS_FIELD_ONE_ZONE, json_boolean(spec->one_zone));
-  json_object_set_new(message, WS_FIELD_SPREAD, json_boolean(spec->spread));
-  json_object_set_new(message, WS_FIELD_SPOT, json_boolean(spec->spot));
+  json_object_set_new(message, WS_FIELD_ONE_ZONE, json_boolean(spec->needs_one_zone));
+  json_object_set_new(message, WS_FIELD_SPREAD, json_boolean(spec->must_spread));
+  json_object_set_new(message, WS_FIELD_SPOT, json_boolean(spec->allows_spot));
   json_object_set_new(message, WS_FIELD_ESTIMATE_S, json_real(spec->estimate_s));
   json_object_set_new(message, WS_FIELD_CHECKPOINT_S, json_real(spec->checkpoint_s));
   json_object_set_new(message, WS_FIELD_SAVE_S, json_real(spec->save_s));
--- a/src/protocol/ws-job-spec.h
+++ b/src/protocol/ws-job-spec.h
@@ -26,13 +26,13 @@
   char *team;
   WsKind kind;
   WsPriority priority;
-  guint tasks;       /**< how many it has */
-  WsResources need;  /**< of each task */
-  char **types;      /**< allowed machine types; NULL: any */
-  char *zone;        /**< NULL: any */
-  gboolean one_zone; /**< all tasks in the same zone */
-  gboolean spread;   /**< no more than half of the tasks, rounded up, in one zone */
-  gboolean spot;     /**< may run on spot machines */
+  guint tasks;             /**< how many it has */
+  WsResources need;        /**< of each task */
+  char **types;            /**< allowed machine types; NULL: any */
+  char *zone;              /**< NULL: any */
+  gboolean needs_one_zone; /**< all tasks in the same zone */
+  gboolean must_spread;    /**< no more than half of the tasks, rounded up, in one zone */
+  gboolean allows_spot;    /**< may run on spot machines */
   char *image;
   double image_gb;
   double estimate_s;   /**< run time of a task */
--- a/src/scheduling/ws-candidates.c
+++ b/src/scheduling/ws-candidates.c
@@ -99,7 +99,7 @@
     if (zone == WS_NO_ZONE || (job->spec->zone != NULL && job->zone != zone))
       continue;
     if (!ws_rentals_is_backing_off(core, type, zone, FALSE)
-        || (job->spec->spot && !ws_rentals_is_backing_off(core, type, zone, TRUE)))
+        || (job->spec->allows_spot && !ws_rentals_is_backing_off(core, type, zone, TRUE)))
       return TRUE;
   }
   return FALSE;
--- a/src/scheduling/ws-coordinator.c
+++ b/src/scheduling/ws-coordinator.c
@@ -46,7 +46,7 @@
 static gboolean
 needs_leader(const WsJobSpec *spec)
 {
-  return spec->spread || spec->one_zone || spec->kind == WS_KIND_GANG;
+  return spec->must_spread || spec->needs_one_zone || spec->kind == WS_KIND_GANG;
 }
 
 WsNodeIndex
--- a/src/scheduling/ws-demand-choice.c
+++ b/src/scheduling/ws-demand-choice.c
@@ -76,7 +76,8 @@
     const WsVirtualMachine *machine = ws_demand_machine(demand, i);
     const WsType *type = ws_replica_type(demand->core->replica, machine->type);
     if (machine->source == WS_VIRTUAL_RUNNING || machine->zone != zone
-        || (machine->is_spot && !job->spec->spot) || !ws_constraints_allow_type(job->spec, type))
+        || (machine->is_spot && !job->spec->allows_spot)
+        || !ws_constraints_allow_type(job->spec, type))
       continue;
     for (WsResources free = machine->free; ws_resources_fit(&job->spec->need, &free); count++)
       ws_resources_add(&free, &job->spec->need, -1);
@@ -104,7 +105,7 @@
     if (!ws_type_fits(ws_replica_type(replica, t), job->spec))
       continue;
     zone = choose_zone(demand, job, t, FALSE);
-    if (zone == WS_NO_ZONE && job->spec->spot)
+    if (zone == WS_NO_ZONE && job->spec->allows_spot)
       zone = choose_zone(demand, job, t, TRUE);
   }
   return zone;
--- a/src/scheduling/ws-demand.c
+++ b/src/scheduling/ws-demand.c
@@ -31,7 +31,7 @@
   soon.gpus /= 2;
   soon.memory /= 2;
   if (soon.cpus != 0)
-    add_virtual(demand, WS_VIRTUAL_RUNNING, machine->type, machine->zone, machine->spot, &soon);
+    add_virtual(demand, WS_VIRTUAL_RUNNING, machine->type, machine->zone, machine->is_spot, &soon);
 }
 
 static void
@@ -45,7 +45,7 @@
     if (type == WS_NO_TYPE || zone == WS_NO_ZONE)
       continue;
     for (guint n = 0; n < rental->count; n++)
-      add_virtual(demand, WS_VIRTUAL_ORDERED, type, zone, rental->spot,
+      add_virtual(demand, WS_VIRTUAL_ORDERED, type, zone, rental->is_spot,
                   &ws_replica_type(replica, type)->capacity);
   }
 }
@@ -59,7 +59,7 @@
   if (machine->is_marked || ws_zone_is_partitioned(core, machine->zone))
     return;
   if (ws_machine_is_booting(core, machine))
-    add_virtual(demand, WS_VIRTUAL_BOOTING, machine->type, machine->zone, machine->spot,
+    add_virtual(demand, WS_VIRTUAL_BOOTING, machine->type, machine->zone, machine->is_spot,
                 &ws_replica_type(core->replica, machine->type)->capacity);
   else if (ws_machine_is_up(core, machine))
     add_running(demand, machine);
@@ -90,7 +90,8 @@
            gboolean can_wait, gint64 smallest_fitting_cpus)
 {
   const WsType *type = ws_replica_type(demand->core->replica, machine->type);
-  if ((machine->is_spot && !job->spec->spot) || !ws_demand_allows_zone(demand, job, machine->zone)
+  if ((machine->is_spot && !job->spec->allows_spot)
+      || !ws_demand_allows_zone(demand, job, machine->zone)
       || !ws_constraints_allow_type(job->spec, type))
     return FALSE;
   return machine->source != WS_VIRTUAL_RUNNING
@@ -131,7 +132,7 @@
   guint left = wanted - fill_machines(demand, job, &need, wanted);
   while (left > 0) {
     guint added = demand->machines->len;
-    if (!(job->spec->spot && ws_demand_add_new_machine(demand, job, TRUE, &need))
+    if (!(job->spec->allows_spot && ws_demand_add_new_machine(demand, job, TRUE, &need))
         && !ws_demand_add_new_machine(demand, job, FALSE, &need))
       return;
     left--;
@@ -143,7 +144,7 @@
 void
 ws_demand_add_gang(WsDemand *demand, const WsJob *job, guint tasks)
 {
-  if (job->spec->one_zone) {
+  if (job->spec->needs_one_zone) {
     demand->only_zone = ws_demand_choose_gang_zone(demand, job, tasks);
     if (demand->only_zone == WS_NO_ZONE)
       return;
--- a/src/scheduling/ws-gang-placement.c
+++ b/src/scheduling/ws-gang-placement.c
@@ -117,7 +117,7 @@
 find_machines(WsCapacityMap *map, const WsJob *job, guint tasks, const guint *tasks_by_zone)
 {
   WsZoneIndex zone = WS_NO_ZONE;
-  if (job->spec->one_zone) {
+  if (job->spec->needs_one_zone) {
     zone = find_cheapest_zone(map, job, tasks, tasks_by_zone);
     if (zone == WS_NO_ZONE)
       return NULL;
--- a/src/scheduling/ws-gang-reservation.c
+++ b/src/scheduling/ws-gang-reservation.c
@@ -91,7 +91,7 @@
 static GArray *
 choose_machines(WsCapacityMap *map, const WsJob *job, guint tasks, guint *tasks_by_zone)
 {
-  if (!job->spec->one_zone)
+  if (!job->spec->needs_one_zone)
     return choose_in_zone(map, job, tasks, tasks_by_zone, WS_NO_ZONE);
   g_autoptr(GArray) best = NULL;
   for (WsZoneIndex zone = 0; zone < map->core->settings->zones->len; zone++) {
--- a/src/scheduling/ws-placement-score.c
+++ b/src/scheduling/ws-placement-score.c
@@ -140,7 +140,7 @@
   const WsType *type = ws_replica_type(scorer->map->core->replica, machine->type);
   const WsMachineCapacity *here = ws_capacity_map_at(scorer->map, machine->index);
   double score = ws_machine_has_image(machine, job->image) ? CACHED_IMAGE_WEIGHT : 0.0;
-  if (job->spec->spot && machine->spot)
+  if (job->spec->allows_spot && machine->is_spot)
     score += SPOT_WEIGHT;
   if (type->capacity.cpus > scorer->smallest_fitting_cpus)
     score -= OVERSIZED_TYPE_PENALTY;
--- a/src/storage/ws-constraints.c
+++ b/src/storage/ws-constraints.c
@@ -13,15 +13,16 @@
 {
   return machine->type != WS_NO_TYPE && machine->zone != WS_NO_ZONE
          && ws_constraints_allow_type(spec, ws_replica_type(replica, machine->type))
-         && (spec->zone == NULL || zone == machine->zone) && (spec->spot || !machine->spot);
+         && (spec->zone == NULL || zone == machine->zone)
+         && (spec->allows_spot || !machine->is_spot);
 }
 
 gboolean
 ws_constraints_allow_zone(const WsJob *job, const guint *counts, guint zones, WsZoneIndex zone)
 {
-  if (job->spec->one_zone)
+  if (job->spec->needs_one_zone)
     for (WsZoneIndex z = 0; z < zones; z++)
       if (z != zone && counts[z] > 0)
         return FALSE;
-  return !job->spec->spread || counts[zone] + 1 <= (job->tasks + 1) / 2;
+  return !job->spec->must_spread || counts[zone] + 1 <= (job->tasks + 1) / 2;
 }
--- a/src/storage/ws-evidence.c
+++ b/src/storage/ws-evidence.c
@@ -37,7 +37,7 @@
   const WsAssignment *assignment = ws_release_assignment(replica, release);
   if (assignment == NULL || assignment->machine != evidence->machine)
     return FALSE;
-  if (release->done || evidence->kind == WS_EVIDENCE_RETURNED)
+  if (release->is_completed || evidence->kind == WS_EVIDENCE_RETURNED)
     return TRUE;
   return evidence->epoch >= ws_replica_machine(replica, evidence->machine)->owner_since;
 }
@@ -49,7 +49,7 @@
   return g_strdup_printf("%s/%u attempt %" G_GUINT64_FORMAT " %s %s (epoch %" G_GUINT64_FORMAT
                          ", session %" G_GUINT64_FORMAT ", report %" G_GUINT64_FORMAT ")",
                          ws_replica_job(replica, release->job)->id, release->task, release->attempt,
-                         release->done ? "done:" : KIND_NAMES[evidence->kind],
+                         release->is_completed ? "done:" : KIND_NAMES[evidence->kind],
                          ws_replica_machine(replica, evidence->machine)->name, evidence->epoch,
                          evidence->incarnation, evidence->sequence);
 }
@@ -59,7 +59,7 @@
 {
   const WsEvidence *evidence = &release->evidence;
   return json_pack("[s, i, I, b, s, s, I, I]", ws_replica_job(replica, release->job)->id,
-                   (int)release->task, (json_int_t)release->attempt, release->done,
+                   (int)release->task, (json_int_t)release->attempt, release->is_completed,
                    ws_replica_machine(replica, evidence->machine)->name, KIND_NAMES[evidence->kind],
                    (json_int_t)evidence->epoch, (json_int_t)evidence->incarnation);
 }
--- a/src/storage/ws-evidence.h
+++ b/src/storage/ws-evidence.h
@@ -34,7 +34,7 @@
   WsJobIndex job;
   guint task;
   guint64 attempt;
-  gboolean done; /**< whether the task is completed, else it is to run again */
+  gboolean is_completed; /**< whether the task is completed, else it is to run again */
   WsEvidence evidence;
 } WsRelease;
 
--- a/src/storage/ws-machine-records.c
+++ b/src/storage/ws-machine-records.c
@@ -52,7 +52,7 @@
   for (guint i = 0; i < rental_batch->machines->len; i++)
     json_array_append_new(names, json_string(machine_name(rental_batch, replica, i)));
   return json_pack("{s:s, s:s, s:b, s:I, s:o}", FIELD_TYPE, rental_batch->type, FIELD_ZONE,
-                   rental_batch->zone, FIELD_SPOT, rental_batch->spot, FIELD_RENTED,
+                   rental_batch->zone, FIELD_SPOT, rental_batch->is_spot, FIELD_RENTED,
                    (json_int_t)rental_batch->rented_ms, FIELD_MACHINES, names);
 }
 
@@ -69,7 +69,7 @@
   rental_batch->name = g_strdup(name);
   rental_batch->type = g_strdup(type);
   rental_batch->zone = g_strdup(zone);
-  rental_batch->spot = spot;
+  rental_batch->is_spot = spot;
   rental_batch->rented_ms = (gint64)rented_ms;
   rental_batch->machines = g_array_new(FALSE, FALSE, sizeof(WsMachineIndex));
   size_t i;
@@ -88,7 +88,7 @@
 ws_rental_intent_encode(const WsRentalIntent *intent)
 {
   return json_pack("{s:s, s:s, s:b, s:i}", FIELD_TYPE, intent->type, FIELD_ZONE, intent->zone,
-                   FIELD_SPOT, intent->spot, FIELD_COUNT, (int)intent->count);
+                   FIELD_SPOT, intent->is_spot, FIELD_COUNT, (int)intent->count);
 }
 
 WsRentalIntent *
@@ -104,7 +104,7 @@
   intent->request = g_strdup(request);
   intent->type = g_strdup(type);
   intent->zone = g_strdup(zone);
-  intent->spot = spot;
+  intent->is_spot = spot;
   intent->count = (guint)count;
   return intent;
 }
--- a/src/storage/ws-machine.h
+++ b/src/storage/ws-machine.h
@@ -25,7 +25,7 @@
   WsTypeIndex type;         /**< WS_NO_TYPE: the catalog isn't known, or lacks its type */
   char *type_name;          /**< owned; NULL: not known */
   WsZoneIndex zone;         /**< WS_NO_ZONE: not known */
-  gboolean spot;            /**< whether it is a spot machine, which the cloud may take back */
+  gboolean is_spot;         /**< whether it is a spot machine, which the cloud may take back */
   gint64 rented_ms;         /**< wall clock */
   gboolean is_marked;       /**< it has a termination mark */
   char *mark_reason;        /**< owned; NULL: it has no mark */
@@ -44,7 +44,7 @@
   char *request; /**< the idempotency key of the call */
   char *type;
   char *zone;
-  gboolean spot;
+  gboolean is_spot;
   guint count;
 } WsRentalIntent;
 
@@ -61,7 +61,7 @@
   char *name;
   char *type;
   char *zone;
-  gboolean spot;
+  gboolean is_spot;
   gint64 rented_ms; /**< wall clock */
   GArray *machines; /**< of WsMachineIndex */
 } WsRentalBatch;
--- a/src/storage/ws-replica-apply.c
+++ b/src/storage/ws-replica-apply.c
@@ -59,7 +59,7 @@
   if (value == NULL)
     note_removed(replica, key, version);
   newest->version = version;
-  newest->present = value != NULL;
+  newest->is_present = value != NULL;
   replica->applying_version = version;
   apply_value(replica, key, value);
   return TRUE;
@@ -74,13 +74,13 @@
   g_hash_table_iter_init(&iter, replica->versions);
   while (g_hash_table_iter_next(&iter, &key, &value)) {
     const WsKeyVersion *newest = value;
-    if (newest->present && newest->version <= revision && !g_hash_table_contains(read, key))
+    if (newest->is_present && newest->version <= revision && !g_hash_table_contains(read, key))
       g_ptr_array_add(missing, g_strdup(key));
   }
   for (guint i = 0; i < missing->len; i++) {
     const char *name = g_ptr_array_index(missing, i);
     WsKeyVersion *newest = g_hash_table_lookup(replica->versions, name);
-    newest->present = FALSE;
+    newest->is_present = FALSE;
     note_removed(replica, name, newest->version);
     apply_value(replica, name, NULL);
   }
@@ -97,7 +97,7 @@
   WsRemovedKey *removed;
   while ((removed = g_queue_peek_head(&replica->removed)) != NULL && removed->version <= revision) {
     const WsKeyVersion *newest = g_hash_table_lookup(replica->versions, removed->key);
-    if (newest != NULL && !newest->present && newest->version <= revision)
+    if (newest != NULL && !newest->is_present && newest->version <= revision)
       g_hash_table_remove(replica->versions, removed->key);
     g_free(removed->key);
     g_free(g_queue_pop_head(&replica->removed));
--- a/src/storage/ws-replica-machines.c
+++ b/src/storage/ws-replica-machines.c
@@ -60,7 +60,7 @@
   }
   machine->type = ws_replica_find_type(replica, type);
   machine->zone = ws_replica_find_zone(replica, zone);
-  machine->spot = spot;
+  machine->is_spot = spot;
 }
 
 static void
@@ -70,7 +70,7 @@
     WsMachineIndex index = g_array_index(rental_batch->machines, WsMachineIndex, i);
     WsMachine *machine = ws_replica_machine(replica, index);
     ws_replica_describe_machine(replica, machine, rental_batch->type, rental_batch->zone,
-                                rental_batch->spot);
+                                rental_batch->is_spot);
     machine->is_recorded = TRUE;
     machine->rental_batches++;
     machine->rental_batch = g_intern_string(rental_batch->name);
--- a/src/storage/ws-replica.c
+++ b/src/storage/ws-replica.c
@@ -149,7 +149,7 @@
 ws_replica_version(const WsReplica *replica, const char *key)
 {
   const WsKeyVersion *newest = g_hash_table_lookup(replica->versions, key);
-  return newest != NULL && newest->present ? newest->version : 0;
+  return newest != NULL && newest->is_present ? newest->version : 0;
 }
 
 void
--- a/src/storage/ws-replica.h
+++ b/src/storage/ws-replica.h
@@ -20,7 +20,7 @@
 /** The newest version of a key that was applied. */
 typedef struct {
   guint64 version;
-  gboolean present; /**< FALSE: that version is its removal */
+  gboolean is_present; /**< FALSE: that version is its removal */
 } WsKeyVersion;
 
 /** A removed key whose version is still remembered. */
--- a/src/workers/ws-reconciliation.c
+++ b/src/workers/ws-reconciliation.c
@@ -185,7 +185,7 @@
   guint64 fencing_token = core->replica->epoch.number;
   WsMachine *machine = ws_replica_get_machine(core->replica, heartbeat->machine);
   ws_replica_describe_machine(core->replica, machine, heartbeat->type, heartbeat->zone,
-                              heartbeat->spot);
+                              heartbeat->is_spot);
   Reconciliation run = { .core = core,
                          .machine = machine,
                          .heartbeat = heartbeat,
--- a/src/workers/ws-worker-status.c
+++ b/src/workers/ws-worker-status.c
@@ -101,8 +101,9 @@
   if (assignment == NULL)
     return;
   if (task->state == WS_TASK_EXITED) {
-    note_exit(core, machine, job, assignment, task->why);
-    ws_releases_add_reported(core, job, assignment, WS_EVIDENCE_EXITED, task->why == WS_EXIT_DONE);
+    note_exit(core, machine, job, assignment, task->exit_reason);
+    ws_releases_add_reported(core, job, assignment, WS_EVIDENCE_EXITED,
+                             task->exit_reason == WS_EXIT_DONE);
     return;
   }
   ws_releases_refute(core, job, assignment);
--- a/src/workers/ws-workers.c
+++ b/src/workers/ws-workers.c
@@ -132,7 +132,7 @@
   }
   WsMachine *machine = ws_replica_get_machine(core->replica, heartbeat->machine);
   ws_replica_describe_machine(core->replica, machine, heartbeat->type, heartbeat->zone,
-                              heartbeat->spot);
+                              heartbeat->is_spot);
   if (turns_away(core, machine))
     ws_answer_later(core, request, 1);
   else if (machine->owner != core->settings->self)
--- a/tests/evidence/validity.c
+++ b/tests/evidence/validity.c
@@ -130,7 +130,7 @@
         gboolean holds = ws_release_is_valid(replica, &absent[then][m]);
         g_assert_true(holds == is_of_one_owner(history, then, now, name, settings));
         WsRelease done = absent[then][m];
-        done.done = TRUE;
+        done.is_completed = TRUE;
         g_assert_true(ws_release_is_valid(replica, &done));
         WsRelease elsewhere = returned[then][m];
         elsewhere.evidence.machine = returned[0][(m + 1) % MACHINES].evidence.machine;
--- a/tests/test-peer-messages.c
+++ b/tests/test-peer-messages.c
@@ -218,7 +218,7 @@
   request->release.job = add_job(replica, "j1");
   request->release.task = 3;
   request->release.attempt = 2;
-  request->release.done = TRUE;
+  request->release.is_completed = TRUE;
   request->release.evidence.kind = WS_EVIDENCE_EXITED;
   request->release.evidence.machine = ws_replica_get_machine(replica, "m1")->index;
   request->release.evidence.epoch = 7;
@@ -266,10 +266,10 @@
   g_assert_cmpstr(request->machine, ==, "");
   g_assert_cmpint(request->tasks, ==, 6);
   request = g_ptr_array_index(batch->requests[WS_PEER_REQUEST_RELEASE], 0);
-  g_assert_true(request->has_evidence && request->release.done);
+  g_assert_true(request->has_evidence && request->release.is_completed);
   g_assert_cmpuint(request->release.evidence.incarnation, ==, 4);
   request = g_ptr_array_index(batch->requests[WS_PEER_REQUEST_RELEASE], 1);
-  g_assert_false(request->has_evidence || request->release.done);
+  g_assert_false(request->has_evidence || request->release.is_completed);
   request = g_ptr_array_index(batch->requests[WS_PEER_REQUEST_STOP], 0);
   g_assert_null(request->job);
   g_assert_null(batch->requests[WS_PEER_REQUEST_MARK]);
--- a/tests/test-protocol.c
+++ b/tests/test-protocol.c
@@ -119,7 +119,7 @@
   g_assert_cmpstr(first->job, ==, "req-000412");
   g_assert_cmpuint(first->task, ==, 3);
   g_assert_cmpint(first->state, ==, WS_TASK_RUNNING);
-  g_assert_cmpint(g_array_index(report->tasks, WsTaskStatus, 1).why, ==, WS_EXIT_DONE);
+  g_assert_cmpint(g_array_index(report->tasks, WsTaskStatus, 1).exit_reason, ==, WS_EXIT_DONE);
 }
 
 /* Which answers of a worker count as its status: a refusal does only as the answer to commands. */
@@ -308,8 +308,8 @@
     g_assert_nonnull(report);
     const WsTaskStatus *first = &g_array_index(report->tasks, WsTaskStatus, 0);
     g_assert_cmpint(first->state, ==, CASES[i].parsed);
-    g_assert_cmpint(first->why, ==, CASES[i].exit);
-    g_assert_true(first->saved == (i == 1));
+    g_assert_cmpint(first->exit_reason, ==, CASES[i].exit);
+    g_assert_true(first->is_saved == (i == 1));
   }
 }
 
