--- a/tests/sim/fault-injection.h
+++ b/tests/sim/fault-injection.h
@@ -12,11 +12,13 @@
 /** A simulated cluster in which such a load has begun to run. */
 Sim *sim_new_with_load(guint32 seed);
 
+/** Cancels as many random jobs. */
 void sim_cancel_many(Sim *sim, guint count);
 
 /** The node that leads, or node 0 while none does. */
 guint sim_leader_or_first(const Sim *sim);
 
+/** The node after this one. */
 guint sim_other_node(guint node);
 
 /** Injects the fault into random machines that are up. */
@@ -34,6 +36,7 @@
 /** Ends all faults; fails unless then every job completes, and no machine leaks. */
 void sim_expect_recovery(Sim *sim);
 
+/** Sends malformed requests five times within a few seconds. */
 void sim_repeat_malformed_requests(Sim *sim);
 
 /** How many seeds a test plays: as usual, or WS_SEEDS. */
--- a/tests/sim/fixture.h
+++ b/tests/sim/fixture.h
@@ -8,6 +8,7 @@
 #include "core/ws-core.h"
 #include "sim/store.h"
 
+/** A controller, what it talks to, and what a test sets or looks at. */
 typedef struct Fixture {
   WsSettings *settings;
   WsProperties *properties;
@@ -43,52 +44,63 @@
   json_t *member_transaction;     /* the last one that wrote the member's own record */
 } Fixture;
 
+/** A call of the controller that the store answers, by the run that made it. */
 typedef struct {
   Fixture *fixture;
   guint64 call;
   guint run;
 } StoreCall;
 
-/* A controller in its first epoch, without machines. */
+/** A controller in its first epoch, without machines. */
 Fixture *fixture_new(gboolean workers_answer);
-/* The same with the machine m-1, which has shown the fencing token. */
+/** The same with the machine m-1, which has shown the fencing token. */
 Fixture *fixture_new_with_machine(gboolean workers_answer);
-/* The same with the job req-1, whose task is assigned to the machine. */
+/** The same with the job req-1, whose task is assigned to the machine. */
 Fixture *fixture_new_with_job(gboolean workers_answer);
-/* A controller without machines, where the cloud has a small type beside the large one. */
+/** A controller without machines, where the cloud has a small type beside the large one. */
 Fixture *fixture_new_with_two_types(void);
+/** Ends the controller and what it talks to. */
 void fixture_free(Fixture *fixture);
-/* The controller ends and begins anew, with the same store. */
+/** The controller ends and begins anew, with the same store. */
 void fixture_restart(Fixture *fixture);
+/** Ends the hold on watches, and gives the one that is held back an empty answer. */
 void fixture_release_watch(Fixture *fixture);
+/** Takes the answers and calls that the controller has put out. */
 void fixture_pump(Fixture *fixture);
+/** Lets time pass, in ticks of 50 ms. */
 void fixture_run(Fixture *fixture, double seconds);
-/* A request, and no pause after it. */
+/** A request, and no pause after it. */
 void fixture_request(Fixture *fixture, WsDoor door, const char *method, const char *path,
                      json_t *body /* taken, may be NULL */);
-/* The teams have no limits. */
+/** The teams have no limits. */
 void fixture_lift_quotas(Fixture *fixture);
-/* A POST, and no pause after it. */
+/** A POST, and no pause after it. */
 void fixture_post(Fixture *fixture, const char *path, json_t *body /* taken */);
-/* A request, and a moment for its answer. */
+/** A request, and a moment for its answer. */
 void fixture_call(Fixture *fixture, const char *method, const char *path, json_t *body /* taken */);
+/** The body of a heartbeat; @tasks is taken. */
 json_t *fixture_heartbeat(const Fixture *fixture, const char *machine, guint64 fencing_token,
                           guint64 sequence, json_t *tasks);
-/* What another controller says, and a moment for the answer. */
+/** What another controller says, and a moment for the answer. */
 void fixture_send_peer_message(Fixture *fixture, const char *path, json_t *body /* taken */);
-/* A heartbeat of any machine, and no pause after it. */
+/** A heartbeat of any machine, and no pause after it. */
 void fixture_post_heartbeat(Fixture *fixture, const char *machine, guint64 fencing_token,
                             guint64 sequence, json_t *tasks /* taken */);
+/** A heartbeat of the machine m-1, and a moment for its answer. */
 void fixture_send_heartbeat(Fixture *fixture, guint64 fencing_token, json_t *tasks);
-/* The submission of a job of one task, req-1 or the one named. */
+/** The submission of a job of one task, req-1 or the one named. */
 json_t *fixture_submission(void);
+/** The same for the job named. */
 json_t *fixture_submission_of(const char *id);
-/* What is recorded as assigned of the first tasks of the job; NULL: no record. */
+/** What is recorded as assigned of the first tasks of the job; NULL: no record. */
 const json_t *fixture_assignments(const Fixture *fixture, const char *job);
+/** Whether the task of the job req-1 is assigned. */
 gboolean fixture_task_is_assigned(const Fixture *fixture);
-/* Whether the last answer to a heartbeat has the command. */
+/** Whether the last answer to a heartbeat has the command. */
 gboolean fixture_has_command(const Fixture *fixture, const char *op);
-/* What somebody else writes to the store; value NULL: removes the key, which is there. */
+/** What somebody else writes to the store; value NULL: removes the key, which is there. */
 void fixture_write_key(Fixture *fixture, const char *key, json_t *value /* taken */);
+/** Gives a call of the controller its reply; status 0: it has timed out. */
 void fixture_reply(Fixture *fixture, guint64 call, guint status, const json_t *body);
+/** The store's reply to a StoreCall. */
 void fixture_on_store_reply(gpointer data, guint status, json_t *body);
--- a/tests/sim/sim-private.h
+++ b/tests/sim/sim-private.h
@@ -9,15 +9,17 @@
 #include "sim/worker.h"
 #include "ws-site.h"
 
+/** The tick of the simulation, the protocol's limits and the checker's, in milliseconds. */
 #define TICK_MS 50
 #define CANCEL_MS 30000
 #define BOOT_MS 8000
 #define UNHEARD_JOB_LIMIT_MS 75000
 #define IDLE_CAPACITY_LIMIT_MS 90000
 
+/** What its user was last told of a job. */
 typedef enum { TOLD_NOTHING, TOLD_ACCEPTED, TOLD_DONE, TOLD_CANCELLED } Told;
 
-/* What the simulation knows of a gang's attempt that has started. */
+/** What the simulation knows of a gang's attempt that has started. */
 typedef struct {
   guint64 attempt;    /* 0: none has started */
   gint64 started_ms;  /* when its tasks began to run together */
@@ -30,6 +32,7 @@
   guint saves;
 } Gang;
 
+/** A job, as its user and the checker know it. */
 typedef struct {
   char *id;
   SimJob spec;
@@ -45,6 +48,7 @@
   Gang gang;
 } Job;
 
+/** A rented machine, and the faults that it suffers. */
 typedef struct {
   SimWorker *worker;
   gint64 up_ms;
@@ -57,6 +61,7 @@
   guint node; /* where it sends its heartbeats */
 } Machine;
 
+/** A node; its controller is NULL while it is down. */
 typedef struct {
   WsCore *core;
   guint run; /* counts its lives */
@@ -64,8 +69,10 @@
   gint64 paused_until_ms;
 } Node;
 
+/** What an event does. */
 typedef void (*Run)(Sim *sim, gpointer data);
 
+/** An event; those of the same time happen in the order in which they were added. */
 typedef struct {
   gint64 at_ms;
   guint64 order;
@@ -73,6 +80,7 @@
   gpointer data;
 } Event;
 
+/** The simulated cluster. */
 struct _Sim {
   guint32 seed;
   gint64 heartbeat_interval_ms;
@@ -97,10 +105,12 @@
   GHashTable *rentals; /* request -> names */
 };
 
+/** The names of the zones; a node in each. */
 extern const char *const SIM_ZONES[SIM_NODES];
 
 /* Calls in flight. A call lives until its answer was taken or has timed out. */
 
+/** A call in flight, with its caller, request and answer. */
 typedef struct {
   Sim *sim;
   guint refs;
@@ -125,6 +135,7 @@
   json_t *answer;
   json_t *held; /* an answer that hasn't set off yet */
 } Call;
+/** The tasks that occupy slots beside one that starts. */
 typedef struct {
   guint same_task;
   guint same_job;
@@ -133,27 +144,51 @@
   guint on_machine;
 } Running;
 
+/** Delivers the call to the cloud, which answers. */
 void sim_send_to_cloud(Sim *sim, Call *call);
+/** Gives up a reference; the last one frees the call. */
 void sim_call_unref(Call *call);
+/** The user cancels an accepted job, at once. */
 void sim_user_cancels(Sim *sim, Job *job);
+/** Whether something of this probability happens. */
 gboolean sim_chance(Sim *sim, double part);
+/** Fails if another attempt of the task's gang occupies slots. */
 void sim_check_one_attempt(const Sim *sim, const SimTask *task);
+/** The task has its image, and waits for the others of its gang. */
 void sim_gang_task_is_ready(const Sim *sim, Machine *machine, SimTask *task);
+/** Starts, stops or completes the gang as far as its tasks allow. */
 void sim_step_gang(Sim *sim, Job *job);
+/** Fails if an accepted job has gone unanswered for too long without faults. */
 void sim_check_answered(const Sim *sim, const Job *job);
+/** Fails if the job waits for too long beside free capacity without faults. */
 void sim_check_waiting(const Sim *sim, Job *job);
+/** A SimDescribe for the jobs of the simulation. */
 gboolean sim_describe(gpointer world, const char *id, guint task, double *run_s);
+/** The job of the id, or NULL. */
 Job *sim_find_job(const Sim *sim, const char *id);
+/** The machine of the name, or NULL. */
 Machine *sim_find_machine(const Sim *sim, const char *name);
+/** Whether the machine is stalled now. */
 gboolean sim_is_stalled(const Sim *sim, const Machine *machine);
+/** Whether the machine has booted, and neither died nor was returned. */
 gboolean sim_is_up(const Sim *sim, const Machine *machine);
+/** Adds an event. */
 void sim_later(Sim *sim, gint64 after_ms, Run run, gpointer data);
+/** The simulated time in seconds. */
 double sim_now_s(const Sim *sim);
+/** Takes the answers and calls that the node's controller has put out. */
 void sim_pump(Sim *sim, guint node);
+/** The callee's answer to the call, whose reference is taken. */
 void sim_reply_to(gpointer data, guint status, json_t *body);
+/** Sends a call, which may be lost, delayed or duplicated, and times out. */
 void sim_send_call(Sim *sim, Call *call, guint timeout_ms);
+/** Ends expired leases, lets tasks go on and sends a heartbeat that is due. */
 void sim_step_machine(Sim *sim, Machine *machine);
+/** Starts the task once it has its image, or completes it. */
 void sim_step_task(Sim *sim, Machine *machine, SimTask *task);
+/** The job's user submits, queries or cancels it when the next request is due. */
 void sim_step_user(Sim *sim, Job *job);
+/** The user takes the reply; fails if it contradicts what was said before. */
 void sim_user_replied(Sim *sim, Call *call);
+/** The wall clock in milliseconds. */
 gint64 sim_wall(const Sim *sim);
--- a/tests/sim/store.c
+++ b/tests/sim/store.c
@@ -24,7 +24,7 @@
   gpointer data;
 } Watch;
 
-struct _SimState {
+struct _SimStore {
   GTree *entries;
   GHashTable *leases;
   GPtrArray *log; /* of json_t events */
--- a/tests/sim/worker.h
+++ b/tests/sim/worker.h
@@ -6,8 +6,10 @@
 #include <glib.h>
 #include <jansson.h>
 
-#define SIM_SLOTS 4 /* tasks on a machine; each takes one GPU */
+/** Tasks that a machine has slots for; each takes one GPU. */
+#define SIM_SLOTS 4
 
+/** A task on a worker. */
 typedef struct {
   char *job;
   guint task;
@@ -20,9 +22,10 @@
   gboolean saved;     /* exited, and its progress is safe */
 } SimTask;
 
-/* Whether the task occupies its slot and counts for the invariants: it has its image. */
+/** Whether the task occupies its slot and counts for the invariants: it has its image. */
 gboolean sim_task_occupies_slot(const SimTask *task);
 
+/** A worker, in its present incarnation. */
 typedef struct {
   char *name;
   const char *type;
@@ -36,19 +39,23 @@
   GArray *tasks;          /* of SimTask */
 } SimWorker;
 
-/* What a start needs to know of a job; negative run_s: a service. */
+/** What a start needs to know of a job; negative run_s: a service. */
 typedef gboolean (*SimDescribe)(gpointer world, const char *job, guint task, double *run_s);
 
+/** A worker without tasks. */
 SimWorker *sim_worker_new(const char *name, const char *type, const char *zone, gboolean spot,
                           gint64 now_ms);
+/** Frees the worker and its tasks. */
 void sim_worker_free(SimWorker *worker);
+/** The body of its next heartbeat. */
 json_t *sim_worker_heartbeat(SimWorker *worker, gint64 now_ms);
-/* Takes the answer to a heartbeat that was sent at the time given, by the incarnation given. */
+/** Takes the answer to a heartbeat that was sent at the time given, by the incarnation given. */
 void sim_worker_handle_answer(SimWorker *worker, gint64 now_ms, gint64 sent_ms, guint64 incarnation,
                               const json_t *answer, SimDescribe describe, gpointer world);
-/* Direct commands: returns the status, and the body is the worker's heartbeat. */
+/** Direct commands: returns the status, and the body is the worker's heartbeat. */
 guint sim_worker_handle_commands(SimWorker *worker, gint64 now_ms, const json_t *message,
                                  json_t **report, SimDescribe describe, gpointer world);
-/* Begins a new incarnation without tasks when the lease has expired. */
+/** Begins a new incarnation without tasks when the lease has expired. */
 void sim_worker_check_lease(SimWorker *worker, gint64 now_ms, gint64 lease_ms);
+/** The task on the worker, or NULL. */
 SimTask *sim_worker_find(SimWorker *worker, const char *job, guint task);
--- a/tests/ws-gen.h
+++ b/tests/ws-gen.h
@@ -5,8 +5,10 @@
 
 #include "protocol/ws-job-spec.h"
 
+/** Checks one generated case. */
 typedef void (*WsCase)(GRand *rand);
 
+/** Checks so many cases, of seeds from the first on. */
 static inline void
 ws_cases(guint count, guint32 first, WsCase check)
 {
@@ -17,12 +19,14 @@
   }
 }
 
+/** A number below @most of at most three decimals. */
 static inline double
 ws_gen_decimal(GRand *rand, double most)
 {
   return g_rand_int_range(rand, 0, (gint32)(most * 1000)) / 1000.0;
 }
 
+/** A valid submission. */
 static inline json_t *
 ws_gen_submission(GRand *rand)
 {
--- a/tests/ws-site.h
+++ b/tests/ws-site.h
@@ -5,6 +5,7 @@
 
 #include "protocol/ws-settings.h"
 
+/** The settings message of node number @self of three. */
 static inline json_t *
 ws_test_message(guint self)
 {
@@ -31,6 +32,7 @@
                    "services", "cloud", "cloud:1", "state", "state:1", "params", params);
 }
 
+/** The same, parsed. */
 static inline WsSettings *
 ws_test_settings(guint self)
 {
