--- /dev/null
+++ b/tests/sim/drawn-faults.c
@@ -0,0 +1,293 @@
+/**
+ * Pairs and triples of faults that overlap, drawn at random.
+ */
+#include "sim/fault-injection.h"
+
+typedef struct {
+  const char *name;
+  void (*begin)(Sim *sim, double seconds);
+  void (*end)(Sim *sim);
+} FaultType;
+
+static void
+begin_store_refusal(Sim *sim, double seconds)
+{
+  (void)seconds;
+  sim_faults(sim)->store_refuses_nodes
+      = 1u << (g_rand_boolean(sim_rand(sim)) ? sim_leader_or_first(sim)
+                                             : sim_other_node(sim_leader_or_first(sim)));
+}
+
+static void
+end_store_refusal(Sim *sim)
+{
+  sim_faults(sim)->store_refuses_nodes = 0;
+}
+
+static void
+begin_store_outage(Sim *sim, double seconds)
+{
+  (void)seconds;
+  sim_faults(sim)->store_unavailable = TRUE;
+}
+
+static void
+end_store_outage(Sim *sim)
+{
+  sim_faults(sim)->store_unavailable = FALSE;
+}
+
+static void
+begin_slow_store(Sim *sim, double seconds)
+{
+  (void)seconds;
+  sim_faults(sim)->store_delay_ms = 1200;
+}
+
+static void
+end_slow_store(Sim *sim)
+{
+  sim_faults(sim)->store_delay_ms = 0;
+}
+
+static void
+begin_delayed_transactions(Sim *sim, double seconds)
+{
+  (void)seconds;
+  sim_faults(sim)->delayed_transactions = 0.2;
+}
+
+static void
+end_delayed_transactions(Sim *sim)
+{
+  sim_faults(sim)->delayed_transactions = 0.0;
+}
+
+static void
+begin_duplicated_heartbeats(Sim *sim, double seconds)
+{
+  (void)seconds;
+  sim_faults(sim)->duplicated_heartbeats = 0.4;
+}
+
+static void
+end_duplicated_heartbeats(Sim *sim)
+{
+  sim_faults(sim)->duplicated_heartbeats = 0.0;
+}
+
+static void
+begin_lossy_network(Sim *sim, double seconds)
+{
+  (void)seconds;
+  sim_faults(sim)->net = (SimNet){ 0.05, 0.05, 0.1 };
+}
+
+static void
+end_lossy_network(Sim *sim)
+{
+  sim_faults(sim)->net = (SimNet){ 0 };
+}
+
+static void
+begin_partition(Sim *sim, double seconds)
+{
+  (void)seconds;
+  sim_faults(sim)->partitioned_zones = 1u << g_rand_int_range(sim_rand(sim), 0, SIM_NODES);
+}
+
+static void
+end_partition(Sim *sim)
+{
+  sim_faults(sim)->partitioned_zones = 0;
+}
+
+static void
+begin_isolation(Sim *sim, double seconds)
+{
+  (void)seconds;
+  sim_faults(sim)->isolated_nodes = 1u << sim_leader_or_first(sim);
+}
+
+static void
+end_isolation(Sim *sim)
+{
+  sim_faults(sim)->isolated_nodes = 0;
+}
+
+static void
+begin_unreachable_node(Sim *sim, double seconds)
+{
+  (void)seconds;
+  sim_faults(sim)->unreachable_nodes = 1u << g_rand_int_range(sim_rand(sim), 0, SIM_NODES);
+}
+
+static void
+end_unreachable_node(Sim *sim)
+{
+  sim_faults(sim)->unreachable_nodes = 0;
+}
+
+static void
+begin_cloud_outage(Sim *sim, double seconds)
+{
+  (void)seconds;
+  sim_faults(sim)->cloud_unavailable = TRUE;
+}
+
+static void
+end_cloud_outage(Sim *sim)
+{
+  sim_faults(sim)->cloud_unavailable = FALSE;
+}
+
+static void
+begin_cancellation_at_completion(Sim *sim, double seconds)
+{
+  (void)seconds;
+  sim_cancel_at_completion(sim, 0.5);
+}
+
+static void
+end_cancellation_at_completion(Sim *sim)
+{
+  sim_cancel_at_completion(sim, 0.0);
+}
+
+static void
+begin_bulk_cancellation(Sim *sim, double seconds)
+{
+  (void)seconds;
+  sim_inject_machine_faults(sim, 2, sim_stall_machine, 8.0);
+  sim_cancel_many(sim, 5);
+}
+
+static void
+begin_outbound_unreachable(Sim *sim, double seconds)
+{
+  sim_inject_machine_faults(sim, 2, sim_block_outbound, seconds);
+}
+
+static void
+begin_inbound_unreachable(Sim *sim, double seconds)
+{
+  sim_inject_machine_faults(sim, 2, sim_block_inbound, seconds);
+}
+
+static void
+begin_machine_stall(Sim *sim, double seconds)
+{
+  sim_inject_machine_faults(sim, 3, sim_stall_machine, MIN(seconds, 20.0));
+}
+
+static void
+begin_leader_crash(Sim *sim, double seconds)
+{
+  sim_crash_node(sim, sim_leader_or_first(sim), MIN(seconds, 8.0));
+}
+
+static void
+begin_crash_of_all(Sim *sim, double seconds)
+{
+  for (guint n = 0; n < SIM_NODES; n++)
+    sim_crash_node(sim, n, g_rand_double_range(sim_rand(sim), 0.1, MIN(seconds, 14.0)));
+}
+
+static void
+begin_node_pause(Sim *sim, double seconds)
+{
+  sim_pause_node(sim, (guint)g_rand_int_range(sim_rand(sim), 0, SIM_NODES), seconds);
+}
+
+static void
+begin_machine_loss(Sim *sim, double seconds)
+{
+  (void)seconds;
+  for (guint i = 0; i < 2; i++)
+    sim_kill_any_machine(sim);
+  sim_restart_any_machine(sim);
+}
+
+static void
+begin_malformed_requests(Sim *sim, double seconds)
+{
+  (void)seconds;
+  for (guint i = 0; i < 5; i++) {
+    sim_send_malformed_requests(sim);
+    sim_run(sim, 0.7);
+  }
+}
+
+static const FaultType FAULTS[] = {
+  { "malformed-requests", begin_malformed_requests, NULL },
+  { "store-refusal", begin_store_refusal, end_store_refusal },
+  { "store-outage", begin_store_outage, end_store_outage },
+  { "slow-store", begin_slow_store, end_slow_store },
+  { "delayed-transactions", begin_delayed_transactions, end_delayed_transactions },
+  { "duplicated-heartbeats", begin_duplicated_heartbeats, end_duplicated_heartbeats },
+  { "lossy-network", begin_lossy_network, end_lossy_network },
+  { "partition", begin_partition, end_partition },
+  { "isolated-leader", begin_isolation, end_isolation },
+  { "unreachable-node", begin_unreachable_node, end_unreachable_node },
+  { "cloud-outage", begin_cloud_outage, end_cloud_outage },
+  { "cancellation-at-completion", begin_cancellation_at_completion,
+    end_cancellation_at_completion },
+  { "bulk-cancellation", begin_bulk_cancellation, NULL },
+  { "outbound-unreachable", begin_outbound_unreachable, NULL },
+  { "inbound-unreachable", begin_inbound_unreachable, NULL },
+  { "machine-stall", begin_machine_stall, NULL },
+  { "leader-crash", begin_leader_crash, NULL },
+  { "crash-of-all", begin_crash_of_all, NULL },
+  { "node-pause", begin_node_pause, NULL },
+  { "machine-loss", begin_machine_loss, NULL },
+};
+
+typedef struct {
+  const FaultType *type;
+  double at_s;
+  double for_s;
+  gboolean is_begun;
+  gboolean is_over;
+} ScheduledFault;
+
+static void
+step_scheduled_fault(Sim *sim, ScheduledFault *drawn, double now_s)
+{
+  if (!drawn->is_begun && now_s >= drawn->at_s) {
+    drawn->is_begun = TRUE;
+    drawn->type->begin(sim, drawn->for_s);
+  }
+  if (drawn->is_begun && !drawn->is_over && now_s >= drawn->at_s + drawn->for_s) {
+    drawn->is_over = TRUE;
+    if (drawn->type->end != NULL)
+      drawn->type->end(sim);
+  }
+}
+
+void
+sim_inject_random_faults(Sim *sim)
+{
+  GRand *rand = sim_rand(sim);
+  ScheduledFault drawn[3];
+  guint count = 2 + (guint)g_rand_int_range(rand, 0, 2);
+  for (guint i = 0; i < count; i++) {
+    guint which = (guint)g_rand_int_range(rand, 0, G_N_ELEMENTS(FAULTS));
+    drawn[i] = (ScheduledFault){ &FAULTS[which], g_rand_double_range(rand, 0.0, 8.0),
+                                 g_rand_double_range(rand, 2.0, 50.0), FALSE, FALSE };
+    g_test_message("%s at %.1f s for %.1f s", drawn[i].type->name, drawn[i].at_s, drawn[i].for_s);
+  }
+  for (guint step = 0; step < 120; step++) {
+    double now_s = 0.5 * step;
+    for (guint i = 0; i < count; i++)
+      step_scheduled_fault(sim, &drawn[i], now_s);
+    if (g_rand_int_range(rand, 0, 16) == 0)
+      sim_cancel_many(sim, 1);
+    sim_run(sim, 0.5);
+  }
+}
+
+void
+sim_repeat_malformed_requests(Sim *sim)
+{
+  begin_malformed_requests(sim, 0.0);
+}
