--- a/tests/sim/store.c
+++ b/tests/sim/store.c
@@ -203,34 +203,40 @@
   return NULL;
 }
 
-static json_t *
-transact(SimStore *store, const json_t *body, guint *status)
+/* The key of the first condition that doesn't hold, or NULL. */
+static const char *
+find_failed_condition(const SimStore *store, const json_t *body)
 {
   size_t i;
   const json_t *item;
   json_array_foreach(json_object_get(body, "if"), i, item)
   {
     const char *key = json_string_value(json_object_get(item, "k"));
-    if (version_of(store, key) != (guint64)json_integer_value(json_object_get(item, "verze"))) {
-      *status = 409;
-      return json_pack("{s:[s], s:I}", "failed", key, "zmena", (json_int_t)store->revision);
-    }
+    if (version_of(store, key) != (guint64)json_integer_value(json_object_get(item, "verze")))
+      return key;
   }
-  const json_t *changes = json_object_get(body, "apply");
+  return NULL;
+}
+
+static gboolean
+has_unknown_lease(const SimStore *store, const json_t *changes)
+{
+  size_t i;
+  const json_t *item;
   json_array_foreach(changes, i, item)
   {
     guint64 lease = (guint64)json_integer_value(json_object_get(item, "najem"));
-    if (lease != 0 && !g_hash_table_contains(store->leases, &lease)) {
-      *status = 400;
-      return json_pack("{s:s}", "error", "no such lease");
-    }
-  }
-  const char *oversize = find_oversize(store, body);
-  if (oversize != NULL) {
-    store->rejected_for_size++;
-    *status = 400;
-    return json_pack("{s:s}", "error", oversize);
+    if (lease != 0 && !g_hash_table_contains(store->leases, &lease))
+      return TRUE;
   }
+  return FALSE;
+}
+
+static void
+apply_changes(SimStore *store, const json_t *changes)
+{
+  size_t i;
+  const json_t *item;
   store->revision += json_array_size(changes) > 0 ? 1 : 0;
   json_array_foreach(changes, i, item)
   {
@@ -241,6 +247,28 @@
     else
       drop(store, json_string_value(json_object_get(item, "remove")));
   }
+}
+
+static json_t *
+transact(SimStore *store, const json_t *body, guint *status)
+{
+  const json_t *changes = json_object_get(body, "apply");
+  const char *failed = find_failed_condition(store, body);
+  if (failed != NULL) {
+    *status = 409;
+    return json_pack("{s:[s], s:I}", "failed", failed, "zmena", (json_int_t)store->revision);
+  }
+  if (has_unknown_lease(store, changes)) {
+    *status = 400;
+    return json_pack("{s:s}", "error", "no such lease");
+  }
+  const char *oversize = find_oversize(store, body);
+  if (oversize != NULL) {
+    store->rejected_for_size++;
+    *status = 400;
+    return json_pack("{s:s}", "error", oversize);
+  }
+  apply_changes(store, changes);
   *status = 200;
   return json_pack("{s:I}", "zmena", (json_int_t)store->revision);
 }
