--- a/tests/combined-faults/cancellation.c
+++ b/tests/combined-faults/cancellation.c
@@ -32,21 +32,42 @@
   gboolean launch_in_flight; /* the cancellation comes while launches are on their way */
 } CancellationCase;
 
-static void
-play_cancellation_before_outage(guint32 seed, const CancellationCase *spec)
+/* A simulated cluster in which both jobs run or, if launches are to be in flight, one begins to. */
+static Sim *
+sim_with_two_jobs(guint32 seed, gboolean launch_in_flight)
 {
   Sim *sim = sim_new(seed);
-  g_test_message("%s, seed %u", spec->name, seed);
   sim_properties(sim)->idle_timeout_s = 60.0;
   sim_run(sim, 3.0);
   sim_submit(sim, &LONG);
   sim_submit(sim, &BLUE_LONG);
-  sim_run(sim, spec->launch_in_flight ? 1.0 : 40.0);
-  for (guint i = 0; spec->launch_in_flight && i < 400 && sim_count_running(sim, 0) == 0; i++)
+  sim_run(sim, launch_in_flight ? 1.0 : 40.0);
+  for (guint i = 0; launch_in_flight && i < 400 && sim_count_running(sim, 0) == 0; i++)
     sim_run(sim, 0.05);
+  g_assert_cmpuint(sim_count_running(sim, 0), >, 0);
+  return sim;
+}
+
+/* Both jobs end as cancelled, none of their tasks starts late, and no machine leaks. */
+static void
+expect_cancelled(Sim *sim)
+{
+  sim_end_faults(sim);
+  sim_cancel_until_closed(sim, 200, 1.0);
+  g_assert_cmpuint(sim_open_jobs(sim), ==, 0);
+  g_assert_cmpuint(sim_late_starts(sim), ==, 0);
+  sim_run(sim, 200.0);
+  g_assert_cmpuint(sim_machines(sim), ==, 0);
+  g_assert_cmpuint(sim_marks(sim), ==, 0);
+}
+
+static void
+play_cancellation_before_outage(guint32 seed, const CancellationCase *spec)
+{
+  g_test_message("%s, seed %u", spec->name, seed);
+  Sim *sim = sim_with_two_jobs(seed, spec->launch_in_flight);
   guint leader = sim_leader(sim);
   g_assert_cmpuint(leader, <, SIM_NODES);
-  g_assert_cmpuint(sim_count_running(sim, 0), >, 0);
   if (spec->inject != NULL)
     spec->inject(sim, sim_machine_running(sim, 0), spec->fault_s);
   *(spec->leader_isolated ? &sim_faults(sim)->isolated_nodes
@@ -63,13 +84,7 @@
   if (spec->acknowledging_nodes_crash)
     sim_crash_node(sim, (leader + 2) % SIM_NODES, 2.0);
   sim_run(sim, 50.0);
-  sim_end_faults(sim);
-  sim_cancel_until_closed(sim, 200, 1.0);
-  g_assert_cmpuint(sim_open_jobs(sim), ==, 0);
-  g_assert_cmpuint(sim_late_starts(sim), ==, 0);
-  sim_run(sim, 200.0);
-  g_assert_cmpuint(sim_machines(sim), ==, 0);
-  g_assert_cmpuint(sim_marks(sim), ==, 0);
+  expect_cancelled(sim);
   sim_free(sim);
 }
 
