--- a/tests/regressions/scheduling.c
+++ b/tests/regressions/scheduling.c
@@ -3,15 +3,14 @@
  */
 #include "regressions/regressions.h"
 
-/* When the ends of many tasks come at once, as after a partition, the assignment of a critical task
-   isn't written after all of them. */
-void
-test_critical_assignment_precedes_releases(void)
+#define JOBS_AT_ONCE 12
+
+/* Twelve machines, and twelve jobs of which each has one to itself. */
+static void
+fill_machines(Fixture *fixture)
 {
-  enum { JOBS = 12 };
-  Fixture *fixture = fixture_new(TRUE);
-  for (guint64 sequence = 1; sequence <= 2 + JOBS; sequence++) {
-    for (guint m = 0; m < JOBS; m++) {
+  for (guint64 sequence = 1; sequence <= 2 + JOBS_AT_ONCE; sequence++) {
+    for (guint m = 0; m < JOBS_AT_ONCE; m++) {
       g_autofree char *machine = g_strdup_printf("m-1%u", m);
       fixture_post_heartbeat(fixture, machine, sequence == 1 ? 0 : 1, sequence, json_array());
     }
@@ -25,12 +24,21 @@
     json_object_set_new(job, "cpus", json_real(20.0)); /* one on each machine */
     fixture_call(fixture, "POST", "/api/jobs", job);
   }
+}
+
+/* When the ends of many tasks come at once, as after a partition, the assignment of a critical task
+   isn't written after all of them. */
+void
+test_critical_assignment_precedes_releases(void)
+{
+  Fixture *fixture = fixture_new(TRUE);
+  fill_machines(fixture);
   fixture_run(fixture, 1.0);
   fixture->hold_assignment = TRUE;
-  for (guint number = 0; number < JOBS; number++) {
-    g_autofree char *key = g_strdup_printf("w/task/req-1%u/0", number);
-    g_autofree char *task = g_strdup_printf("req-1%u/0", number);
-    const json_t *on = json_object_get(sim_store_get(fixture->store, key), "on");
+  for (guint number = 0; number < JOBS_AT_ONCE; number++) {
+    g_autofree char *job = g_strdup_printf("req-1%u", number);
+    g_autofree char *task = g_strdup_printf("%s/0", job);
+    const json_t *on = fixture_assignments(fixture, job);
     g_assert_cmpuint(json_array_size(on), ==, 1);
     fixture_post_heartbeat(fixture, json_string_value(json_array_get(json_array_get(on, 0), 1)), 1,
                            100,
