--- a/tests/evidence/validity.c
+++ b/tests/evidence/validity.c
@@ -104,6 +104,22 @@
                       ws_evidence_new(replica, machine, kind) };
 }
 
+/* What was concluded of the machine under one epoch, checked under a later one. */
+static void
+check_releases(const WsReplica *replica, const WsRelease *absent, const WsRelease *returned,
+               WsMachineIndex other_machine, gboolean is_of_same_owner)
+{
+  g_assert_true(ws_release_holds(replica, returned));
+  gboolean holds = ws_release_holds(replica, absent);
+  g_assert_true(holds == is_of_same_owner);
+  WsRelease done = *absent;
+  done.done = TRUE;
+  g_assert_true(ws_release_holds(replica, &done));
+  WsRelease elsewhere = *returned;
+  elsewhere.evidence.machine = other_machine;
+  g_assert_false(ws_release_holds(replica, &elsewhere));
+}
+
 static void
 check_history(guint32 seed)
 {
@@ -125,17 +141,10 @@
     }
     for (guint m = 0; m < MACHINES; m++) {
       g_autofree char *name = g_strdup_printf("m-%u", m);
-      for (guint then = 0; then <= now; then++) {
-        g_assert_true(ws_release_holds(replica, &returned[then][m]));
-        gboolean holds = ws_release_holds(replica, &absent[then][m]);
-        g_assert_true(holds == is_of_one_owner(history, then, now, name, settings));
-        WsRelease done = absent[then][m];
-        done.done = TRUE;
-        g_assert_true(ws_release_holds(replica, &done));
-        WsRelease elsewhere = returned[then][m];
-        elsewhere.evidence.machine = returned[0][(m + 1) % MACHINES].evidence.machine;
-        g_assert_false(ws_release_holds(replica, &elsewhere));
-      }
+      WsMachineIndex other_machine = returned[0][(m + 1) % MACHINES].evidence.machine;
+      for (guint then = 0; then <= now; then++)
+        check_releases(replica, &absent[then][m], &returned[then][m], other_machine,
+                       is_of_one_owner(history, then, now, name, settings));
     }
   }
   ws_replica_free(replica);
