--- a/src/context/ws-context.h
+++ b/src/context/ws-context.h
@@ -18,23 +18,41 @@
 /** Handles the reply to a call; status 0: none came. @body is borrowed, NULL if it isn't JSON. */
 typedef void (*WsReplyFunc)(WsCore *core, guint status, const json_t *body, gpointer data);
 
+/** The client of the key-value store; ws-store.h. */
 typedef struct _WsStore WsStore;
+/** Whether this node may act; ws-membership.h. */
 typedef struct _WsAuthority WsAuthority;
+/** This node's lease and the election of a leader; ws-membership.h. */
 typedef struct _WsElection WsElection;
+/** What is known of the other nodes; ws-membership.h. */
 typedef struct _WsPeers WsPeers;
+/** The present epoch, as this node has dealt with it; ws-membership.h. */
 typedef struct _WsEpochTracker WsEpochTracker;
+/** Liveness of machines and partitions of zones; ws-membership.h. */
 typedef struct _WsFailureDetector WsFailureDetector;
+/** Assignments on their way into the store; ws-commit.h. */
 typedef struct _WsAssignments WsAssignments;
+/** Rentals, returns and terminations of machines; ws-fleet.h. */
 typedef struct _WsFleet WsFleet;
+/** The state of planning between two plans; ws-scheduling.h. */
 typedef struct _WsPlan WsPlan;
+/** Requests to other nodes that wait to be sent; ws-membership.h. */
 typedef struct _WsPeerRequests WsPeerRequests;
+/** Cancellations that were confirmed to users; ws-membership.h. */
 typedef struct _WsCancellations WsCancellations;
+/** Commands to workers that are in flight or due; ws-workers.h. */
 typedef struct _WsWorkers WsWorkers;
+/** Capacity that is reserved for jobs; ws-scheduling.h. */
 typedef struct _WsReservations WsReservations;
+/** Counts of committed operations, by purpose; ws-store.h. */
 typedef struct _WsWriteStats WsWriteStats;
+/** Releases by versions before 0.4, without evidence; ws-commit.h. */
 typedef struct _WsLegacyReleases WsLegacyReleases;
+/** Releases on their way into the store; ws-commit.h. */
 typedef struct _WsReleases WsReleases;
+/** Run times learned by class; ws-commit.h. */
 typedef struct _WsEstimator WsEstimator;
+/** The garbage collection of finished jobs' records; ws-commit.h. */
 typedef struct _WsGarbage WsGarbage;
 
 /**
@@ -135,17 +153,28 @@
                                  gsize length);
 
 /**
- * Calls another process. @reply is called exactly once, unless the core is freed first: with the
- * status and the body, which is NULL if it isn't JSON, or with status 0 if no response came within
- * the timeout. @method is a literal; @address is HOST:PORT; @path begins with a slash.
+ * Calls another process.
+ *
+ * The reply function is called exactly once, unless the core is freed first: with the status and
+ * the body, which is NULL if it isn't JSON, or with status 0 if no response came within the
+ * timeout.
+ *
+ * The method is a string literal, and is kept as it is; the other strings are copied.
+ *
+ * @address: HOST:PORT
+ * @path: begins with a slash
+ * @body: taken; NULL: there is none
  */
-void ws_call(WsCore *core, const char *method, const char *address, const char *path,
-             json_t *body /* taken, may be NULL */, guint timeout_ms, WsReplyFunc reply,
-             gpointer data);
+void ws_call(WsCore *core, const char *method, const char *address, const char *path, json_t *body,
+             guint timeout_ms, WsReplyFunc reply, gpointer data);
 
-/** Answers a request, which must not be answered again. @retry_after_s 0: no such header. */
-void ws_answer(WsCore *core, gpointer request, guint status, json_t *body /* taken */,
-               guint retry_after_s);
+/**
+ * Answers a request, which must not be answered again.
+ *
+ * @body: taken
+ * @retry_after_s: in seconds; 0: no such header
+ */
+void ws_answer(WsCore *core, gpointer request, guint status, json_t *body, guint retry_after_s);
 
 /** Answers with an error and its reason in words. */
 void ws_answer_reason(WsCore *core, gpointer request, guint status, const char *reason);
--- a/src/context/ws-output.h
+++ b/src/context/ws-output.h
@@ -27,4 +27,5 @@
   char *body; /**< JSON, NULL: none */
 } WsOutput;
 
+/** Frees the output with its URL and body, but not its request. @output: not NULL */
 void ws_output_free(WsOutput *output);
