--- a/src/commit/ws-batch-private.h
+++ b/src/commit/ws-batch-private.h
@@ -13,6 +13,7 @@
   WsChunk *chunk;
 } WsChunkEdit;
 
+/** A batch, with the records as its transaction will leave them. */
 struct _WsBatch {
   WsCore *core;
   GPtrArray *edits;             /**< of WsChunkEdit */
@@ -41,6 +42,7 @@
 /** The chunk as the batch leaves it; NULL: there is none. */
 const WsChunk *ws_batch_chunk(const WsBatch *batch, const WsJob *job, guint index);
 
+/** Counts the tasks of all chunks of the job, as the batch leaves them. */
 WsBatchJobCounts ws_batch_count_tasks(const WsBatch *batch, const WsJob *job);
 
 /** What the batch adds to the use of the machine; the batch owns it. */
--- a/src/commit/ws-commit.h
+++ b/src/commit/ws-commit.h
@@ -16,7 +16,10 @@
 /** Calls back with a job that has a task on its way to the machine. */
 typedef void (*WsProposalFunc)(const WsJob *job, WsMachineIndex machine, gpointer data);
 
+/** Creates the state of assignments, with none proposed. The caller frees it. */
 WsAssignments *ws_assignments_new(void);
+
+/** Frees the proposals too; they are not written. @assignments: not NULL */
 void ws_assignments_free(WsAssignments *assignments);
 
 /** Proposes to assign the task to the machine; nothing, if it's proposed already. */
@@ -49,7 +52,10 @@
    worker's heartbeats, the leader for a machine that the cloud has taken back and for what other
    nodes forward. Each is kept only while its evidence holds, see ws-evidence.h. */
 
+/** Creates the state of releases, with none pending. The caller frees it. */
 WsReleases *ws_releases_new(void);
+
+/** Frees the pending releases too; they are not written. @releases: not NULL */
 void ws_releases_free(WsReleases *releases);
 
 /** Adds the release, or its evidence to a pending release of the same attempt. */
@@ -81,7 +87,10 @@
    hint is repeated for during a whole lease is returned, which is proof. An owner of the present
    version finds out by itself and needs no hint. */
 
+/** Creates the state of releases without evidence, with no hints. The caller frees it. */
 WsLegacyReleases *ws_legacy_releases_new(void);
+
+/** Frees the hints too. @legacy_releases: not NULL */
 void ws_legacy_releases_free(WsLegacyReleases *legacy_releases);
 
 /** Takes a release without evidence; its evidence isn't read. For the leader. */
@@ -92,7 +101,10 @@
 
 /* Run times. */
 
+/** Creates an estimator that has seen no run times. The caller frees it. */
 WsEstimator *ws_estimator_new(void);
+
+/** Frees the estimator, and with it what it has learned. @estimator: not NULL */
 void ws_estimator_free(WsEstimator *estimator);
 
 /** The job's estimated run time in seconds, corrected by what tasks of its class have taken. */
@@ -100,7 +112,10 @@
 
 /* Garbage collection. */
 
+/** Creates the state of the garbage collection. The caller frees it. */
 WsGarbage *ws_garbage_new(void);
+
+/** Frees the state of the garbage collection; NULL is allowed. */
 void ws_garbage_free(WsGarbage *garbage);
 
 /** Deletes some records of finished jobs, if it's time for that. For the leader. */
--- a/src/commit/ws-job-quarantine.h
+++ b/src/commit/ws-job-quarantine.h
@@ -9,9 +9,13 @@
 
 #include "protocol/ws-index.h"
 
+/** The jobs that are left out for now, and until when. Its times are in ms of one clock. */
 typedef struct _WsJobQuarantine WsJobQuarantine;
 
+/** Creates a quarantine without jobs. The caller frees it. */
 WsJobQuarantine *ws_job_quarantine_new(void);
+
+/** Frees the quarantine. @quarantine: not NULL */
 void ws_job_quarantine_free(WsJobQuarantine *quarantine);
 
 /** Notes that a transaction was rejected. @jobs: of guint, the indices of its jobs */
--- a/src/commit/ws-releases-private.h
+++ b/src/commit/ws-releases-private.h
@@ -8,6 +8,7 @@
 /** Drops what is pending for the task. */
 void ws_releases_remove(WsCore *core, const WsRelease *release);
 
+/** How many releases are pending. */
 guint ws_releases_count(const WsCore *core);
 
 /** The releases (of WsOrderedRelease) in the order in which to write them. The caller frees it. */
--- a/src/fleet/ws-fleet-private.h
+++ b/src/fleet/ws-fleet-private.h
@@ -5,11 +5,19 @@
 
 #include "fleet/ws-fleet.h"
 
+/** Intents, requests in flight and capacity back-offs of rentals; ws-rentals.c. */
 typedef struct _WsRentals WsRentals;
+
+/** Machines that are being returned, or whose return is confirmed; ws-returns.c. */
 typedef struct _WsReturns WsReturns;
+
+/** The progress through the cloud's list of machines; ws-cloud-list.c. */
 typedef struct _WsCloudList WsCloudList;
+
+/** Termination marks that were requested or are being written; ws-termination.c. */
 typedef struct _WsTermination WsTermination;
 
+/** The state of this package. Owns the state of each module. */
 struct _WsFleet {
   WsRate calls; /* to the cloud */
   gint64 next_catalog_ms;
@@ -21,13 +29,31 @@
   gboolean is_clearing_marks; /* a transaction that does is in flight */
 };
 
+/** Creates the state of rentals, with no request in flight. The caller frees it. */
 WsRentals *ws_rentals_new(void);
+
+/**
+ * Frees the state of rentals. Not to be called between ws_rentals_request() and
+ * ws_rentals_record_intents(). @rentals: not NULL
+ */
 void ws_rentals_free(WsRentals *rentals);
+
+/** Creates the state of returns, with none confirmed. The caller frees it. */
 WsReturns *ws_returns_new(void);
+
+/** Frees the state of returns, which must not be NULL. */
 void ws_returns_free(WsReturns *returns);
+
+/** Creates the state of the listing, which begins with the first page. The caller frees it. */
 WsCloudList *ws_cloud_list_new(void);
+
+/** Frees the state of the listing. @list: not NULL */
 void ws_cloud_list_free(WsCloudList *list);
+
+/** Creates the state of termination, with no mark requested. The caller frees it. */
 WsTermination *ws_termination_new(void);
+
+/** Frees the requests for marks too; they are not written. @termination: not NULL */
 void ws_termination_free(WsTermination *termination);
 
 /** Takes one call to the cloud from its rate limit; FALSE: none is left now. */
--- a/src/fleet/ws-fleet.h
+++ b/src/fleet/ws-fleet.h
@@ -12,6 +12,8 @@
 
 /** Creates the state of this package. */
 WsFleet *ws_fleet_new(const WsSettings *settings);
+
+/** Frees the state of this package. @fleet: not NULL */
 void ws_fleet_free(WsFleet *fleet);
 
 /** Does what is due at the cloud; what only the leader may do is left out on other nodes. */
--- a/src/membership/ws-cancellation-message.h
+++ b/src/membership/ws-cancellation-message.h
@@ -5,6 +5,7 @@
 
 #include "protocol/ws-json.h"
 
+/** One confirmed cancellation. */
 typedef struct {
   const char *job; /**< its id */
   gint64 age_ms;   /**< how long ago the cancellation was confirmed: clocks differ */
@@ -18,6 +19,8 @@
 
 /** An empty message; to be cleared. */
 void ws_cancellation_message_init(WsCancellationMessage *message);
+
+/** Frees what the message holds, not the message itself. */
 void ws_cancellation_message_clear(WsCancellationMessage *message);
 G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC(WsCancellationMessage, ws_cancellation_message_clear)
 
--- a/src/membership/ws-failure-detection.h
+++ b/src/membership/ws-failure-detection.h
@@ -6,6 +6,7 @@
 
 #include "membership/ws-membership-private.h"
 
+/** The state of the failure detector, by the module that keeps it. Times are in ms. */
 struct _WsFailureDetector {
   /* ws-liveness.c */
   gint64 heartbeat_ms;              /* when a worker last reached this node itself */
--- a/src/membership/ws-gossip-message.h
+++ b/src/membership/ws-gossip-message.h
@@ -40,6 +40,8 @@
 
 /** An empty message; to be cleared. */
 void ws_gossip_message_init(WsGossipMessage *message);
+
+/** Frees what the message holds, not the message itself. */
 void ws_gossip_message_clear(WsGossipMessage *message);
 G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC(WsGossipMessage, ws_gossip_message_clear)
 
--- a/src/membership/ws-membership.h
+++ b/src/membership/ws-membership.h
@@ -35,7 +35,10 @@
 /** The refusal in words, for the log. Static. */
 const char *ws_refusal_describe(WsRefusal refusal);
 
+/** Creates the state of a node that is not stalled and has not known all cancellations yet. */
 WsAuthority *ws_authority_new(void);
+
+/** Frees the state; NULL is allowed. */
 void ws_authority_free(WsAuthority *authority);
 
 /** Forgets what was heard from other zones, unless this node is isolated. For each tick. */
@@ -100,6 +103,11 @@
 
 /** Whether a machine of another zone has reached this node while it is isolated. */
 gboolean ws_authority_is_reached_from_other_zones(const WsCore *core);
+
+/**
+ * Notes that a machine of another zone has reached this node, until the next tick without
+ * isolation.
+ */
 void ws_authority_note_heartbeat_from_other_zone(WsCore *core);
 
 /** Whether a process pause is not over yet: lease and replica have not been confirmed since. */
@@ -115,7 +123,10 @@
 
 /* Election: this node's lease, the leader, and the epochs that the leader writes. */
 
+/** Creates the state of a node without a lease. */
 WsElection *ws_election_new(void);
+
+/** Frees the state, but lets the lease run out by itself; NULL is allowed. */
 void ws_election_free(WsElection *election);
 
 /** Keeps the lease, stands for leader and, as leader, keeps the epoch. For each tick. */
@@ -123,7 +134,10 @@
 
 /* The present epoch, as this node has dealt with it. */
 
+/** Creates the state of a node that has begun no epoch. */
 WsEpochTracker *ws_epoch_tracker_new(void);
+
+/** Frees the state; NULL is allowed. */
 void ws_epoch_tracker_free(WsEpochTracker *tracker);
 
 /** Since when the present epoch is known, or since the last process pause, in ms; 0: never. */
@@ -137,7 +151,10 @@
 
 /* Peers: as of their last gossip message. */
 
+/** Creates a peer for each node of the settings, none of which was heard. */
 WsPeers *ws_peers_new(const WsSettings *settings);
+
+/** Frees all peers. @peers: not NULL */
 void ws_peers_free(WsPeers *peers);
 
 /** Whether the node was heard lately, or is this one. */
@@ -158,11 +175,17 @@
 
 /** When a worker was last redirected to the peer, in ms; 0: never. */
 gint64 ws_peer_last_redirect_ms(const WsCore *core, WsNodeIndex node);
+
+/** Notes that a worker is redirected to the peer now. */
 void ws_peer_note_redirect(WsCore *core, WsNodeIndex node);
 
 /** How many heartbeats of its machines are on their way to the peer. */
 guint ws_peer_relays_in_flight(const WsCore *core, WsNodeIndex node);
+
+/** Counts a heartbeat that is passed on to the peer, be it through a third node. */
 void ws_peer_begin_relay(WsCore *core, WsNodeIndex node);
+
+/** Ends what ws_peer_begin_relay() began: it was answered, or has failed. */
 void ws_peer_end_relay(WsCore *core, WsNodeIndex node);
 
 /* Gossip and other messages between nodes. */
@@ -181,7 +204,10 @@
  * caller notices that nothing came of it, and requests it again.
  */
 
+/** Creates an empty queue for each node of the settings. */
 WsPeerRequests *ws_peer_requests_new(const WsSettings *settings);
+
+/** Frees the queues with their requests, unsent. @settings: as they were created with */
 void ws_peer_requests_free(WsPeerRequests *peer_requests, const WsSettings *settings);
 
 /** Requests that the leader writes the release. */
@@ -207,7 +233,10 @@
 
 /* The failure detector: liveness of machines, partitions of zones. */
 
+/** Creates a detector that suspects no zone of the settings. */
 WsFailureDetector *ws_failure_detector_new(const WsSettings *settings);
+
+/** Frees the detector. @detector: not NULL */
 void ws_failure_detector_free(WsFailureDetector *detector);
 
 /** Probes suspected machines and requests the termination of dead ones. For each reconciliation. */
@@ -236,7 +265,10 @@
 
 /* Confirmed cancellations. */
 
+/** Creates an empty registry, for notices between the nodes of the settings. */
 WsCancellations *ws_cancellations_new(const WsSettings *settings);
+
+/** Frees the registry with its cancellations. @cancellations: not NULL */
 void ws_cancellations_free(WsCancellations *cancellations);
 
 /** Whether the job's cancellation was confirmed to its user, by the records or by a peer. */
--- a/src/membership/ws-mesh-names.h
+++ b/src/membership/ws-mesh-names.h
@@ -6,16 +6,17 @@
  */
 #pragma once
 
+/** Paths to which the messages are posted. */
 #define MESH_PATH_GOSSIP "/gossip"
 #define MESH_PATH_CANCELLATIONS "/cancelled"
 #define MESH_PATH_PEER_REQUESTS "/ask"
 /* That of relayed heartbeats is WS_RELAY_PATH, in ws-relay-message.h. */
 
-/* In several messages. */
+/** In several messages. */
 #define MESH_NODE "node"
 #define MESH_EPOCH "epoch"
 
-/* Gossip. */
+/** Gossip. */
 #define MESH_VERSION "version"
 #define MESH_INCARNATION "incarnation"
 #define MESH_STORE_IS_AVAILABLE "store"
@@ -29,23 +30,23 @@
 #define MESH_ACKNOWLEDGED_REVISION "ack"
 #define MESH_MACHINES "machines"
 
-/* A machine in a gossip message. */
+/** A machine in a gossip message. */
 #define MESH_MACHINE_NAME "name"
 #define MESH_MACHINE_IS_UP "up"
 #define MESH_MACHINE_ENDPOINT "endpoint"
 #define MESH_MACHINE_INTERRUPTION "notice"
 #define MESH_MACHINE_IMAGES "images"
 
-/* Cancellations. */
+/** Cancellations. */
 #define MESH_CANCELLED_JOBS "jobs"
 
-/* Peer requests: one list for each kind. */
+/** Peer requests: one list for each kind. */
 #define MESH_STOPS "stops"
 #define MESH_RELEASES "releases"
 #define MESH_RESERVATIONS "reservations"
 #define MESH_ASSIGNMENTS "picks"
 #define MESH_MARKS "marks"
 
-/* Relay. */
+/** Relay. */
 #define MESH_RELAY_OWNER "owner"
 #define MESH_RELAY_HEARTBEAT "report"
--- a/src/membership/ws-peer-request-message.h
+++ b/src/membership/ws-peer-request-message.h
@@ -30,6 +30,7 @@
   gboolean has_evidence; /**< versions before 0.4 send releases without it */
 } WsPeerRequest;
 
+/** Frees the request with its strings. @request: not NULL */
 void ws_peer_request_free(WsPeerRequest *request);
 
 /** What a node requests of another one. */
@@ -40,14 +41,19 @@
   guint kinds;
 } WsPeerRequestBatch;
 
+/** Creates an empty batch, of epoch 0. The caller frees it. */
 WsPeerRequestBatch *ws_peer_request_batch_new(void);
 
-/** @batch may be NULL. */
+/** Frees the batch with its requests; NULL is allowed. */
 void ws_peer_request_batch_free(WsPeerRequestBatch *batch);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsPeerRequestBatch, ws_peer_request_batch_free)
 
-/** Adds the request, or frees it if the batch has as many of its kind as a message takes. */
-void ws_peer_request_batch_add(WsPeerRequestBatch *batch, WsPeerRequest *request /* taken */);
+/**
+ * Adds the request, or frees it if the batch has as many of its kind as a message takes.
+ *
+ * @request: taken
+ */
+void ws_peer_request_batch_add(WsPeerRequestBatch *batch, WsPeerRequest *request);
 
 /** The batch as JSON. The caller owns it. */
 json_t *ws_peer_request_batch_encode(const WsPeerRequestBatch *batch, const WsReplica *replica);
@@ -61,11 +67,20 @@
   GPtrArray *batches; /* of WsPeerRequestBatch */
 } WsMailbox;
 
+/** Creates an empty mailbox. The caller frees it. */
 WsMailbox *ws_mailbox_new(void);
+
+/** Frees the mailbox with its batches. @mailbox: not NULL */
 void ws_mailbox_free(WsMailbox *mailbox);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsMailbox, ws_mailbox_free)
 
-void ws_mailbox_add(WsMailbox *mailbox, const char *node, WsPeerRequestBatch *batch /* taken */);
+/**
+ * Adds the batch for a node that has none in the mailbox yet.
+ *
+ * @node: its name; borrowed, and must outlive the mailbox
+ * @batch: taken; not NULL
+ */
+void ws_mailbox_add(WsMailbox *mailbox, const char *node, WsPeerRequestBatch *batch);
 
 /**
  * The mailbox as JSON, in as many bytes at the most, if that can be had by leaving out the later
--- a/src/membership/ws-peers.h
+++ b/src/membership/ws-peers.h
@@ -32,6 +32,7 @@
   guint64 received_revision;     /**< of its announcements, what this node has in this epoch */
 } WsPeer;
 
+/** All peers of this node, and the revision of what it announces to them. */
 struct _WsPeers {
   WsPeer *by_node;            /* by node; that of this node itself stays empty */
   guint64 announced_revision; /* counts the changes of this node's machines that are announced */
--- a/src/membership/ws-relay-message.h
+++ b/src/membership/ws-relay-message.h
@@ -6,6 +6,7 @@
 
 #include "protocol/ws-json.h"
 
+/** The path to which an envelope is posted. */
 #define WS_RELAY_PATH "/relay"
 
 /** Strings are borrowed: from the caller, or from the parsed JSON. */
--- a/src/protocol/ws-field-names.h
+++ b/src/protocol/ws-field-names.h
@@ -6,7 +6,7 @@
  */
 #pragma once
 
-/* Shared by several messages. */
+/** Shared by several messages. */
 #define WS_FIELD_ID "id"             /* id of a job or of a listed machine */
 #define WS_FIELD_ENDPOINT "endpoint" /* address where a machine's worker takes commands */
 #define WS_FIELD_MACHINE_TYPE "typ"  /* type of a machine, of the catalog */
@@ -19,7 +19,7 @@
 #define WS_FIELD_TASKS "kusy"        /* of a job: their number; of a heartbeat: their list */
 #define WS_FIELD_STATE "stav"        /* state of a job, a task or a machine */
 
-/* A job's submission. */
+/** A job's submission. */
 #define WS_FIELD_CLASS "trida"           /* class, for objectives and estimates */
 #define WS_FIELD_TEAM "dilna"            /* team, whose quota it counts towards */
 #define WS_FIELD_KIND "druh"             /* kind: array, service or gang */
@@ -34,7 +34,7 @@
 #define WS_FIELD_SAVE_S "ulozeni_s"      /* time that a checkpoint at a stop takes */
 #define WS_FIELD_DEADLINE_S "termin_s"   /* deadline, from acceptance on */
 
-/* A worker's heartbeat, and its answer to a command. */
+/** A worker's heartbeat, and its answer to a command. */
 #define WS_FIELD_MACHINE "stroj"            /* name of the machine */
 #define WS_FIELD_INCARNATION "smena"        /* incarnation of the worker */
 #define WS_FIELD_SEQUENCE "poradi"          /* sequence number within the incarnation */
@@ -45,13 +45,13 @@
 #define WS_FIELD_EXIT_REASON "duvod"        /* why a task has exited */
 #define WS_FIELD_IS_SAVED "stored"          /* a stopped task's progress is in its checkpoint */
 
-/* What a worker is told. */
+/** What a worker is told. */
 #define WS_FIELD_COMMANDS "prikazy"     /* list of commands */
 #define WS_FIELD_OPERATION "ukon"       /* operation of a command */
 #define WS_FIELD_GRACE_S "lhuta_s"      /* grace period of a stop */
 #define WS_FIELD_REDIRECT "hlasit_komu" /* controller that owns the machine */
 
-/* The cloud: catalog, list of machines, rental, return. */
+/** The cloud: catalog, list of machines, rental, return. */
 #define WS_FIELD_TYPE_NAME "sku"            /* name of a machine type */
 #define WS_FIELD_CACHE_GB "local_gb"        /* size of a machine's image cache */
 #define WS_FIELD_FETCH_RATE "pull_gb_per_s" /* rate at which images are fetched, GB/s */
@@ -64,7 +64,7 @@
 #define WS_FIELD_REQUEST "objednavka"       /* idempotency key of a rental */
 #define WS_FIELD_COUNT "how_many"           /* how many machines to rent */
 
-/* The state service. */
+/** The state service. */
 #define WS_FIELD_REVISION "zmena" /* revision of the store */
 #define WS_FIELD_VERSION "verze"  /* version of a key */
 #define WS_FIELD_LEASE "najem"    /* lease */
--- a/src/protocol/ws-index.h
+++ b/src/protocol/ws-index.h
@@ -12,28 +12,35 @@
 
 /** A controller: its place among WsSettings.nodes. */
 typedef guint WsNodeIndex;
+/** No node, or one that is not known. */
 #define WS_NO_NODE ((WsNodeIndex)WS_NONE)
 
 /** A zone: its place among WsSettings.zones. */
 typedef guint WsZoneIndex;
+/** No zone, or one that is not known. */
 #define WS_NO_ZONE ((WsZoneIndex)WS_NONE)
 
 /** A team: its place among WsSettings.teams. */
 typedef guint WsTeamIndex;
+/** No team, or one that is not known. */
 #define WS_NO_TEAM ((WsTeamIndex)WS_NONE)
 
 /** A type of machine: its place in the cloud's catalog. */
 typedef guint WsTypeIndex;
+/** No type, or one that is not known. */
 #define WS_NO_TYPE ((WsTypeIndex)WS_NONE)
 
 /** A job: its place in the replica. */
 typedef guint WsJobIndex;
+/** No job, or one that is not known. */
 #define WS_NO_JOB ((WsJobIndex)WS_NONE)
 
 /** A machine: its place in the replica. */
 typedef guint WsMachineIndex;
+/** No machine, or one that is not known. */
 #define WS_NO_MACHINE ((WsMachineIndex)WS_NONE)
 
 /** An image: its place among the names that the replica has met. */
 typedef guint WsImageIndex;
+/** No image, or one that is not known. */
 #define WS_NO_IMAGE ((WsImageIndex)WS_NONE)
--- a/src/protocol/ws-job-summary.h
+++ b/src/protocol/ws-job-summary.h
@@ -6,6 +6,7 @@
 #include <jansson.h>
 #include <glib.h>
 
+/** The state of a job, as its user is told. */
 typedef enum {
   WS_USER_STATE_QUEUED, /**< no task has a machine */
   WS_USER_STATE_RUNNING,
@@ -13,6 +14,7 @@
   WS_USER_STATE_CANCELLED
 } WsUserState;
 
+/** What a user is told of a job. */
 typedef struct {
   const char *job_id; /**< borrowed */
   WsUserState state;
--- a/src/protocol/ws-kv.h
+++ b/src/protocol/ws-kv.h
@@ -80,6 +80,7 @@
 /** Reads the events of a watch, the oldest first. The caller frees it; NULL: it's malformed. */
 WsKvPage *ws_kv_watch_parse(const json_t *message);
 
+/** Frees the page with its items, but not the message that they borrow from. @page: not NULL */
 void ws_kv_page_free(WsKvPage *page);
 
 /** Encodes the request for a lease that ends unless it's renewed within @ttl_ms. */
@@ -102,7 +103,10 @@
 /** Whether a transaction was rejected because the lease that it names has ended. */
 gboolean ws_kv_error_is_lease_ended(const json_t *message);
 
+/** Frees what the condition holds, not the condition itself. */
 void ws_kv_condition_clear(WsKvCondition *condition);
+
+/** Frees what the operation holds, not the operation itself, and unrefs its value. */
 void ws_kv_operation_clear(WsKvOperation *operation);
 
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsKvPage, ws_kv_page_free)
--- a/src/scheduling/ws-candidates.h
+++ b/src/scheduling/ws-candidates.h
@@ -18,6 +18,7 @@
   WS_SLOT_KINDS
 } WsSlotKind;
 
+/** The search for machines for the tasks of one job. */
 typedef struct _WsCandidates WsCandidates;
 
 /**
@@ -26,6 +27,8 @@
  * @tasks_by_zone: how many tasks of the job have a machine, by zone; kept up to date.
  */
 WsCandidates *ws_candidates_new(WsCapacityMap *map, const WsJob *job, guint *tasks_by_zone);
+
+/** Frees the search, but not the map and the numbers by zone. @candidates: not NULL */
 void ws_candidates_free(WsCandidates *candidates);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsCandidates, ws_candidates_free)
 
--- a/src/scheduling/ws-capacity-map.h
+++ b/src/scheduling/ws-capacity-map.h
@@ -16,6 +16,7 @@
   gboolean has_service;
 } WsMachineCapacity;
 
+/** The capacity of all machines, and the lists by which a plan finds those that matter. */
 typedef struct {
   WsCore *core;
   WsMachineCapacity *machines; /* by index of the machine */
@@ -38,6 +39,7 @@
 /** Removes machines from the open ones that have less than min_need left. */
 void ws_capacity_map_prune_open(WsCapacityMap *map);
 
+/** The capacity of the machine, owned by the map; the plan may change it. */
 static inline WsMachineCapacity *
 ws_capacity_map_at(const WsCapacityMap *map, WsMachineIndex machine)
 {
--- a/src/scheduling/ws-demand-private.h
+++ b/src/scheduling/ws-demand-private.h
@@ -22,6 +22,7 @@
   WsResources free; /* what the demand hasn't used of it */
 } WsVirtualMachine;
 
+/** The demand of one plan. */
 struct _WsDemand {
   WsCore *core;
   GArray *machines;        /* of WsVirtualMachine */
@@ -29,6 +30,7 @@
   WsZoneIndex only_zone;   /* that the job at hand must be in; WS_NO_ZONE: any */
 };
 
+/** The virtual machine by its place from 0 on; valid until the next one is added. */
 static inline WsVirtualMachine *
 ws_demand_machine(const WsDemand *demand, guint i)
 {
--- a/src/scheduling/ws-placement-score.h
+++ b/src/scheduling/ws-placement-score.h
@@ -19,6 +19,8 @@
 /** Prepares the scorer; @map and @job must outlive it. */
 void ws_placement_scorer_init(WsPlacementScorer *scorer, const WsCapacityMap *map,
                               const WsJob *job);
+
+/** Frees what the scorer holds, not the scorer itself. */
 void ws_placement_scorer_clear(WsPlacementScorer *scorer);
 
 /** The score of a machine where the task fits without preemption. */
--- a/src/scheduling/ws-plan.h
+++ b/src/scheduling/ws-plan.h
@@ -5,6 +5,7 @@
 
 #include "scheduling/ws-scheduling.h"
 
+/** What one plan leaves for the next. Times are in ms of the clock of core->now. */
 struct _WsPlan {
   gint64 next_ms; /* no plan before this time */
   gboolean escalation_is_in_flight;
--- a/src/storage/ws-keys.h
+++ b/src/storage/ws-keys.h
@@ -10,12 +10,12 @@
 /** What all keys begin with. */
 #define WS_PREFIX "w/"
 
-/* Single records. */
+/** Single records. */
 #define WS_KEY_EPOCH WS_PREFIX "epoch"     /**< the present epoch */
 #define WS_KEY_CATALOG WS_PREFIX "catalog" /**< the cloud's catalog */
 #define WS_KEY_LEADER WS_PREFIX "leader"   /**< the leader, under its lease */
 
-/* Prefixes of records, each with what follows it. */
+/** Prefixes of records, each with what follows it. */
 #define WS_KEYS_MEMBER WS_PREFIX "member/"      /**< node: a member, under its lease */
 #define WS_KEYS_JOB WS_PREFIX "job/"            /**< job */
 #define WS_KEYS_CHUNK WS_PREFIX "task/"         /**< job, "/", number of a chunk */
--- a/src/store/ws-store-private.h
+++ b/src/store/ws-store-private.h
@@ -43,6 +43,7 @@
   gboolean is_open;
 } WsStoreWatch;
 
+/** The state of the client. Owns that of each part. */
 struct _WsStore {
   WsStoreRequests requests;
   WsStoreReads reads;
@@ -52,7 +53,9 @@
   gboolean is_catching_up;
 };
 
+/** Makes empty queues and full budgets, whose rates ws_store_requests_set_shares() sets. */
 void ws_store_requests_init(WsStoreRequests *requests, const WsSettings *settings);
+/** Frees the queued requests without calling back. */
 void ws_store_requests_clear(WsStoreRequests *requests);
 /** Queues a read, of class WS_REQUEST_READ; otherwise like ws_store_post. */
 void ws_store_get(WsCore *core, const char *path, guint timeout_ms, WsReplyFunc reply,
@@ -64,7 +67,9 @@
 /** Ends all queued requests as if no response had come. Returns whether there was any. */
 gboolean ws_store_requests_stop(WsCore *core);
 
+/** Makes empty lists of reads. */
 void ws_store_reads_init(WsStoreReads *reads);
+/** Frees the lists of reads without calling back. */
 void ws_store_reads_clear(WsStoreReads *reads);
 /** Asks the store for its revision, if a read waits for that. */
 void ws_store_reads_send(WsCore *core);
@@ -73,6 +78,7 @@
 /** Ends all reads without success. Returns whether there was any. */
 gboolean ws_store_reads_stop(WsCore *core);
 
+/** Frees the keys of a load that was not finished. Its state is to be zero at first. */
 void ws_store_load_clear(WsStoreLoad *load);
 /** Starts to load the replica, unless it's loaded or being loaded. */
 void ws_store_load_tick(WsCore *core);
--- a/src/store/ws-store.h
+++ b/src/store/ws-store.h
@@ -33,12 +33,16 @@
 /** A transaction while it's put together, and until it's answered. */
 typedef struct _WsTxn WsTxn;
 
+/** Called back with the outcome of a transaction. @data: as handed to ws_txn_commit() */
 typedef void (*WsTxnFunc)(WsCore *core, WsTxnResult result, gpointer data);
 
 /** @is_current: whether the replica is up to date; FALSE: the read failed or took too long */
 typedef void (*WsReadFunc)(WsCore *core, gboolean is_current, gpointer data);
 
+/** Creates a client that has loaded nothing. The caller frees it. @settings: read, not kept */
 WsStore *ws_store_new(const WsSettings *settings);
+
+/** Frees the client; what it has queued is not called back. @store: not NULL */
 void ws_store_free(WsStore *store);
 
 /**
@@ -89,6 +93,7 @@
 /** Calls back once the replica is as new as the store was when this was called. */
 void ws_store_linearizable_read(WsCore *core, WsReadFunc done, gpointer data);
 
+/** Creates an empty transaction, which ws_txn_commit() takes or ws_txn_free() frees. */
 WsTxn *ws_txn_new(void);
 
 /** Frees a transaction that isn't committed. */
@@ -109,6 +114,7 @@
 /** Adds an operation that deletes the key. */
 void ws_txn_delete(WsTxn *txn, const char *key);
 
+/** How many operations the transaction has; its conditions are not counted. */
 guint ws_txn_operation_count(const WsTxn *txn);
 
 /**
@@ -120,7 +126,10 @@
 void ws_txn_commit(WsCore *core, WsTxn *txn, WsRequestClass request_class, WsTxnFunc done,
                    gpointer data);
 
+/** Creates statistics without operations. The caller frees them. */
 WsWriteStats *ws_write_stats_new(void);
+
+/** Frees the statistics, without a log line; NULL is allowed. */
 void ws_write_stats_free(WsWriteStats *stats);
 
 /** Whether the periodic log line on the operations of this node is due. */
--- a/src/workers/ws-workers-private.h
+++ b/src/workers/ws-workers-private.h
@@ -5,14 +5,19 @@
 
 #include "workers/ws-workers.h"
 
+/** Halts of cancelled tasks that are in flight, and when the next ones are due. */
 typedef struct _WsCancelledTasks WsCancelledTasks;
 
+/** The state of this package. */
 struct _WsWorkers {
   guint rpcs_in_flight; /* commands of ws-worker-rpc.c */
   WsCancelledTasks *cancelled_tasks;
 };
 
+/** Creates the state of halts, with none in flight. The caller frees it. */
 WsCancelledTasks *ws_cancelled_tasks_new(void);
+
+/** Frees the state of halts. @cancelled_tasks: not NULL */
 void ws_cancelled_tasks_free(WsCancelledTasks *cancelled_tasks);
 
 /**
--- a/src/workers/ws-workers.h
+++ b/src/workers/ws-workers.h
@@ -12,6 +12,8 @@
 
 /** Creates the state of this package, with no calls in flight. */
 WsWorkers *ws_workers_new(void);
+
+/** Frees the state of this package. @workers: not NULL */
 void ws_workers_free(WsWorkers *workers);
 
 /**
