--- a/src/fleet/ws-fleet-private.h
+++ b/src/fleet/ws-fleet-private.h
@@ -19,14 +19,14 @@
 
 /** The state of this package. Owns the state of each module. */
 struct _WsFleet {
-  WsRate calls; /* to the cloud */
+  WsRate calls; /**< to the cloud */
   gint64 next_catalog_ms;
   gboolean catalog_in_flight;
   WsRentals *rentals;
   WsReturns *returns;
   WsCloudList *cloud_list;
   WsTermination *termination;
-  gboolean is_clearing_marks; /* a transaction that does is in flight */
+  gboolean is_clearing_marks; /**< a transaction that does is in flight */
 };
 
 /** Creates the state of rentals, with no request in flight. The caller frees it. */
--- a/src/membership/ws-failure-detection.h
+++ b/src/membership/ws-failure-detection.h
@@ -9,16 +9,16 @@
 /** The state of the failure detector, by the module that keeps it. Times are in ms. */
 struct _WsFailureDetector {
   /* ws-liveness.c */
-  gint64 heartbeat_ms;              /* when a worker last reached this node itself */
-  gboolean is_unreached_by_workers; /* none does, although there are some for it */
+  gint64 heartbeat_ms;              /**< when a worker last reached this node itself */
+  gboolean is_unreached_by_workers; /**< none does, although there are some for it */
 
   /* ws-partitions.c, both by zone */
-  gint64 *partition_ms;           /* when it last seemed to be partitioned; 0: never */
-  gint64 *confirmed_partition_ms; /* when that was last sure; 0: never */
+  gint64 *partition_ms;           /**< when it last seemed to be partitioned; 0: never */
+  gint64 *confirmed_partition_ms; /**< when that was last sure; 0: never */
 
   /* ws-failure-detector.c */
   guint probes_in_flight;
-  guint next_probe; /* the machine at which the next round of probes begins */
+  guint next_probe; /**< the machine at which the next round of probes begins */
 };
 
 /**
--- a/src/membership/ws-peer-request-message.h
+++ b/src/membership/ws-peer-request-message.h
@@ -36,8 +36,8 @@
 /** What a node requests of another one. */
 typedef struct {
   guint64 epoch;
-  GPtrArray *requests[WS_PEER_REQUEST_KINDS];     /* of WsPeerRequest; NULL: there never was one */
-  WsPeerRequestKind order[WS_PEER_REQUEST_KINDS]; /* of the kinds, as they were first added */
+  GPtrArray *requests[WS_PEER_REQUEST_KINDS]; /**< of WsPeerRequest; NULL: there never was one */
+  WsPeerRequestKind order[WS_PEER_REQUEST_KINDS]; /**< of the kinds, as they were first added */
   guint kinds;
 } WsPeerRequestBatch;
 
@@ -63,8 +63,8 @@
 
 /** Batches by the name of their node. */
 typedef struct {
-  GPtrArray *nodes;   /* of const char *, borrowed from the settings */
-  GPtrArray *batches; /* of WsPeerRequestBatch */
+  GPtrArray *nodes;   /**< of const char *, borrowed from the settings */
+  GPtrArray *batches; /**< of WsPeerRequestBatch */
 } WsMailbox;
 
 /** Creates an empty mailbox. The caller frees it. */
--- a/src/membership/ws-peers.h
+++ b/src/membership/ws-peers.h
@@ -34,8 +34,8 @@
 
 /** All peers of this node, and the revision of what it announces to them. */
 struct _WsPeers {
-  WsPeer *by_node;            /* by node; that of this node itself stays empty */
-  guint64 announced_revision; /* counts the changes of this node's machines that are announced */
+  WsPeer *by_node;            /**< by node; that of this node itself stays empty */
+  guint64 announced_revision; /**< counts the changes of this node's machines that are announced */
 };
 
 /** The peer; for this node itself an empty one. */
--- a/src/scheduling/ws-candidates.h
+++ b/src/scheduling/ws-candidates.h
@@ -10,11 +10,11 @@
 
 /** When and how a machine has capacity for the task. */
 typedef enum {
-  WS_SLOT_FREE,                     /* now */
-  WS_SLOT_FREEING,                  /* now, or once the tasks that are being stopped there end */
-  WS_SLOT_WITH_IMAGE,               /* the same, and the image is in the machine's cache */
-  WS_SLOT_BY_PREEMPTION,            /* once less urgent tasks are stopped */
-  WS_SLOT_BY_PREEMPTION_WITH_IMAGE, /* the same, and the image is in the machine's cache */
+  WS_SLOT_FREE,                     /**< now */
+  WS_SLOT_FREEING,                  /**< now, or once the tasks that are being stopped there end */
+  WS_SLOT_WITH_IMAGE,               /**< the same, and the image is in the machine's cache */
+  WS_SLOT_BY_PREEMPTION,            /**< once less urgent tasks are stopped */
+  WS_SLOT_BY_PREEMPTION_WITH_IMAGE, /**< the same, and the image is in the machine's cache */
   WS_SLOT_KINDS
 } WsSlotKind;
 
--- a/src/scheduling/ws-demand-private.h
+++ b/src/scheduling/ws-demand-private.h
@@ -7,10 +7,10 @@
 
 /** Why a virtual machine will have capacity. */
 typedef enum {
-  WS_VIRTUAL_BOOTING, /* it boots */
-  WS_VIRTUAL_ORDERED, /* it is on order: a rental was intended */
-  WS_VIRTUAL_RUNNING, /* its array tasks will end some time soon */
-  WS_VIRTUAL_NEW      /* it is to be rented */
+  WS_VIRTUAL_BOOTING, /**< it boots */
+  WS_VIRTUAL_ORDERED, /**< it is on order: a rental was intended */
+  WS_VIRTUAL_RUNNING, /**< its array tasks will end some time soon */
+  WS_VIRTUAL_NEW      /**< it is to be rented */
 } WsVirtualSource;
 
 /** Capacity that isn't there yet, on one machine. */
@@ -19,15 +19,15 @@
   WsZoneIndex zone;
   gboolean is_spot;
   WsVirtualSource source;
-  WsResources free; /* what the demand hasn't used of it */
+  WsResources free; /**< what the demand hasn't used of it */
 } WsVirtualMachine;
 
 /** The demand of one plan. */
 struct _WsDemand {
   WsCore *core;
-  GArray *machines;        /* of WsVirtualMachine */
-  guint *machines_by_zone; /* that there are or will be, by zone */
-  WsZoneIndex only_zone;   /* that the job at hand must be in; WS_NO_ZONE: any */
+  GArray *machines;        /**< of WsVirtualMachine */
+  guint *machines_by_zone; /**< that there are or will be, by zone */
+  WsZoneIndex only_zone;   /**< that the job at hand must be in; WS_NO_ZONE: any */
 };
 
 /** The virtual machine by its place from 0 on; valid until the next one is added. */
--- a/src/scheduling/ws-placement-score.h
+++ b/src/scheduling/ws-placement-score.h
@@ -12,8 +12,8 @@
 typedef struct {
   const WsCapacityMap *map;
   const WsJob *job;
-  gint64 smallest_fitting_cpus; /* of the smallest type that fits a task */
-  GHashTable *gang_images; /* set of WsImageIndex, of all active gangs; NULL: the job is none */
+  gint64 smallest_fitting_cpus; /**< of the smallest type that fits a task */
+  GHashTable *gang_images; /**< set of WsImageIndex, of all active gangs; NULL: the job is none */
 } WsPlacementScorer;
 
 /** Prepares the scorer; @map and @job must outlive it. */
--- a/src/scheduling/ws-placement.h
+++ b/src/scheduling/ws-placement.h
@@ -11,9 +11,9 @@
 typedef struct {
   WsCore *core;
   WsCapacityMap map;
-  WsResources *team_use; /* by team: what it uses, with what this plan has placed */
-  WsDemand *demand;      /* NULL: this node isn't the leader, who alone rents machines */
-  /* Machine -> for how many tasks of the job at hand capacity is being freed there. */
+  WsResources *team_use; /**< by team: what it uses, with what this plan has placed */
+  WsDemand *demand;      /**< NULL: this node isn't the leader, who alone rents machines */
+  /** Machine -> for how many tasks of the job at hand capacity is being freed there. */
   GHashTable *freeing_slots;
 } WsPlacement;
 
--- a/src/scheduling/ws-preempt.h
+++ b/src/scheduling/ws-preempt.h
@@ -32,9 +32,9 @@
 
 /** What preemption within a team came to. */
 typedef enum {
-  WS_TEAM_FULL,    /* the team's limit is used up by tasks that may not be stopped for the job */
-  WS_TEAM_NO_SLOT, /* stops would free enough of the limit, but no machine has a slot for the job */
-  WS_TEAM_CAPACITY_FREEING /* tasks are being stopped */
+  WS_TEAM_FULL,    /**< the team's limit is used up by tasks that may not be stopped for the job */
+  WS_TEAM_NO_SLOT, /**< stops would free enough of the limit, but no machine has a slot */
+  WS_TEAM_CAPACITY_FREEING /**< tasks are being stopped */
 } WsTeamCapacity;
 
 /**
--- a/src/scheduling/ws-queue.h
+++ b/src/scheduling/ws-queue.h
@@ -13,8 +13,8 @@
 
 /** Whether a job can still meet its objective. */
 typedef enum {
-  WS_ON_TIME,       /* it can, or it has none */
-  WS_SLIGHTLY_LATE, /* within half as long again */
+  WS_ON_TIME,       /**< it can, or it has none */
+  WS_SLIGHTLY_LATE, /**< within half as long again */
   WS_LATE
 } WsLateness;
 
@@ -22,8 +22,8 @@
 typedef struct {
   WsJob *job;
   WsLateness lateness;
-  gboolean is_overdue;     /* see WS_QUEUE_MAX_START_DELAY_S */
-  double remaining_work_s; /* of tasks not yet assigned, less a credit for the time waited */
+  gboolean is_overdue;     /**< see WS_QUEUE_MAX_START_DELAY_S */
+  double remaining_work_s; /**< of tasks not yet assigned, less a credit for the time waited */
 } WsQueueEntry;
 
 /**
--- a/src/workers/ws-workers-private.h
+++ b/src/workers/ws-workers-private.h
@@ -10,7 +10,7 @@
 
 /** The state of this package. */
 struct _WsWorkers {
-  guint rpcs_in_flight; /* commands of ws-worker-rpc.c */
+  guint rpcs_in_flight; /**< commands of ws-worker-rpc.c */
   WsCancelledTasks *cancelled_tasks;
 };
 
