--- a/src/commit/ws-task-key.h
+++ b/src/commit/ws-task-key.h
@@ -7,7 +7,7 @@
 
 #include <glib.h>
 
-/** Never NULL. */
+/** The key of the task, by its number within the job. Never NULL. */
 static inline gpointer
 ws_task_key(WsJobIndex job, guint task)
 {
--- a/src/context/ws-context.h
+++ b/src/context/ws-context.h
@@ -15,7 +15,13 @@
 #include "storage/ws-evidence.h"
 #include "transport/ws-rate.h"
 
-/** Handles the reply to a call; status 0: none came. @body is borrowed, NULL if it isn't JSON. */
+/**
+ * Handles the reply to a call.
+ *
+ * @status: of HTTP; 0: no response came
+ * @body: borrowed; NULL: there is none, or it isn't JSON
+ * @data: as handed over with the call
+ */
 typedef void (*WsReplyFunc)(WsCore *core, guint status, const json_t *body, gpointer data);
 
 /** The client of the key-value store; ws-store.h. */
@@ -146,8 +152,10 @@
 gboolean ws_context_stop_calls(WsCore *core);
 
 /**
- * Hands the response to whoever made the call. @status 0: no response came, and @body is ignored.
- * FALSE: there is no such call (any more).
+ * Hands the response to whoever made the call. FALSE: there is no such call (any more).
+ *
+ * @status: of HTTP; 0: no response came, and the body is ignored
+ * @body: @length bytes, not kept
  */
 gboolean ws_context_handle_reply(WsCore *core, guint64 id, guint status, const char *body,
                                  gsize length);
--- a/src/coordination/ws-epoch.h
+++ b/src/coordination/ws-epoch.h
@@ -30,7 +30,7 @@
 /** Reads the stored record into an initialised epoch. FALSE: it is damaged; @epoch is undefined. */
 gboolean ws_epoch_parse(WsEpoch *epoch, const json_t *value, const WsSettings *settings);
 
-/** The stored record. */
+/** The stored record, a new JSON object. */
 json_t *ws_epoch_encode(const WsEpoch *epoch, const WsSettings *settings);
 
 /** Whether this run of the node is a member. */
--- a/src/membership/ws-cancellation-message.h
+++ b/src/membership/ws-cancellation-message.h
@@ -17,7 +17,7 @@
   GArray *notices;  /**< of WsCancellationNotice */
 } WsCancellationMessage;
 
-/** An empty message; to be cleared. */
+/** Makes an empty message, to be cleared with ws_cancellation_message_clear(). */
 void ws_cancellation_message_init(WsCancellationMessage *message);
 
 /** Frees what the message holds, not the message itself. */
--- a/src/membership/ws-gossip-message.h
+++ b/src/membership/ws-gossip-message.h
@@ -38,7 +38,7 @@
   GArray *machines;              /**< of WsGossipMachine */
 } WsGossipMessage;
 
-/** An empty message; to be cleared. */
+/** Makes an empty message, to be cleared with ws_gossip_message_clear(). */
 void ws_gossip_message_init(WsGossipMessage *message);
 
 /** Frees what the message holds, not the message itself. */
--- a/src/membership/ws-membership.h
+++ b/src/membership/ws-membership.h
@@ -193,7 +193,7 @@
 /** Sends gossip to the peers that are due. For each tick. */
 void ws_gossip_tick(WsCore *core);
 
-/** Handles a request of another node and answers it. @body may be NULL. */
+/** Handles a request of another node and answers it. @body: @length bytes, not kept; may be NULL */
 void ws_peers_handle_request(WsCore *core, const char *path, const char *body, gsize length,
                              gpointer request);
 
@@ -217,10 +217,10 @@
 void ws_peer_request_assignment(WsCore *core, const WsJob *job, guint task,
                                 const WsMachine *machine);
 
-/** Requests that the leader marks the machine for termination. @now: without drain. */
+/** Requests that the leader marks the machine for termination. @now: without drain */
 void ws_peer_request_mark(WsCore *core, const WsMachine *machine, const char *why, gboolean now);
 
-/** Requests that the leader reserves capacity. @machine: WS_NO_MACHINE for any. */
+/** Requests that the leader reserves capacity. @machine: WS_NO_MACHINE: any */
 void ws_peer_request_reservation(WsCore *core, const WsJob *job, WsMachineIndex machine,
                                  guint tasks);
 
--- a/src/protocol/ws-cloud.h
+++ b/src/protocol/ws-cloud.h
@@ -1,7 +1,8 @@
 /**
  * The cloud's messages: its catalog, the list of machines, rentals and returns.
  *
- * Parsers return an array that the caller unrefs, or NULL if the message is malformed.
+ * Parsers return an array that the caller unrefs, or NULL if the message is malformed. Encoders
+ * return a new JSON object. Called by src/fleet, and by the replica for the catalog's record.
  */
 #pragma once
 
@@ -30,13 +31,17 @@
   double age_s;        /**< since it was rented */
 } WsListedMachine;
 
-/** Of WsType, in the catalog's order. */
+/** Reads the catalog: an array of WsType, in its order. */
 GPtrArray *ws_catalog_parse(const json_t *message);
 
-/** Of WsListedMachine. @more: set to whether the list goes on on another page. */
+/**
+ * Reads a page of the list: an array of WsListedMachine.
+ *
+ * @more: set to whether the list goes on on another page
+ */
 GPtrArray *ws_listing_parse(const json_t *message, gboolean *more);
 
-/** Of char *: the machines of a rental, by name. */
+/** Reads the machines of a rental: an array of char *, their names. */
 GPtrArray *ws_rental_machines_parse(const json_t *message);
 
 /** What came of a request for machines. */
@@ -55,9 +60,9 @@
  */
 WsRentalResult ws_rental_reply_parse(guint status, const json_t *body, GPtrArray **names);
 
-/** A rental. @request: its idempotency key. */
+/** Encodes a rental. @request: its idempotency key */
 json_t *ws_rental_encode(const char *request, const char *type, const char *zone, gboolean spot,
                          guint count);
 
-/** The return of machines. @machines: of char *, their names. */
+/** Encodes the return of machines. @machines: of char *, their names */
 json_t *ws_return_encode(const GPtrArray *machines);
--- a/src/protocol/ws-heartbeat.h
+++ b/src/protocol/ws-heartbeat.h
@@ -1,5 +1,8 @@
 /**
  * What a worker reports, and what it is told.
+ *
+ * Encoders return a new JSON object. Called by src/workers, the failure detector and the
+ * check of releases without evidence (ws-legacy-releases.c).
  */
 #pragma once
 
@@ -54,7 +57,7 @@
 /** Reads a heartbeat, which the caller frees. NULL with @error set: it is invalid. */
 WsHeartbeat *ws_heartbeat_parse(const json_t *message, GError **error);
 
-/** @heartbeat may be NULL. */
+/** Frees the heartbeat with its tasks; NULL is allowed. */
 void ws_heartbeat_free(WsHeartbeat *heartbeat);
 
 /** The attempt's status, owned by the heartbeat; NULL: the heartbeat doesn't have it. */
@@ -83,19 +86,19 @@
   WS_OP_REAP  /**< forget an exited task */
 } WsOp;
 
-/** A command. @grace_s: of WS_OP_HALT alone. */
+/** Encodes a command. @grace_s: in seconds, of WS_OP_HALT alone */
 json_t *ws_command_encode(WsOp op, const char *job, guint task, guint64 attempt, double grace_s);
 
-/** The answer to a heartbeat. Takes @commands. */
+/** Encodes the answer to a heartbeat. @commands: taken */
 json_t *ws_heartbeat_answer_encode(guint64 fencing_token, json_t *commands);
 
 /** The commands of an answer to a heartbeat, borrowed; NULL: it has none. */
 json_t *ws_heartbeat_answer_commands(const json_t *answer);
 
-/** A call to the worker, which only the named incarnation carries out. Takes @commands. */
+/** Encodes a call to the worker, which only this incarnation carries out. @commands: taken */
 json_t *ws_commands_encode(guint64 fencing_token, guint64 incarnation, json_t *commands);
 
-/** The redirection of a worker to the controller. @node: its name; NULL: none is known. */
+/** Encodes the redirection of a worker to a controller. @node: its name; NULL: none is known */
 json_t *ws_redirect_encode(const char *node);
 
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsHeartbeat, ws_heartbeat_free)
--- a/src/protocol/ws-job-spec.h
+++ b/src/protocol/ws-job-spec.h
@@ -1,5 +1,5 @@
 /**
- * A job as its user describes it.
+ * A job as its user describes it: its submission, which the stored record of the job contains.
  */
 #pragma once
 
@@ -44,10 +44,10 @@
 /** Reads a submission, which the caller frees. NULL with @error set: it is invalid. */
 WsJobSpec *ws_job_spec_parse(const json_t *message, GError **error);
 
-/** The submission as ws_job_spec_parse reads it. */
+/** The submission as ws_job_spec_parse() reads it, a new JSON object. */
 json_t *ws_job_spec_encode(const WsJobSpec *spec);
 
-/** @spec may be NULL. */
+/** Frees the specification; NULL is allowed. */
 void ws_job_spec_free(WsJobSpec *spec);
 
 /** Whether the text, which may be NULL, is of the form of a job's id. */
--- a/src/protocol/ws-json.h
+++ b/src/protocol/ws-json.h
@@ -10,8 +10,10 @@
 #include <jansson.h>
 
 /**
- * Parses a text of @length bytes, which may be NULL. The caller owns the value. NULL: the text is
- * no JSON, or an object has a member twice.
+ * Parses a text. The caller owns the value. NULL: the text is no JSON, or an object has a member
+ * twice.
+ *
+ * @body: @length bytes; may be NULL
  */
 json_t *ws_json_parse(const char *body, gsize length);
 
--- a/src/protocol/ws-kv.h
+++ b/src/protocol/ws-kv.h
@@ -3,7 +3,7 @@
  *
  * Values are JSON documents that the store doesn't look into; src/storage encodes and decodes them.
  * What a parser returns borrows its strings and values from the message, and is valid as long as
- * that.
+ * that. Encoders return a new JSON object.
  */
 #pragma once
 
--- a/src/protocol/ws-properties.h
+++ b/src/protocol/ws-properties.h
@@ -27,15 +27,15 @@
 WsProperties *ws_properties_new(void);
 
 /**
- * Sets what the text says.
+ * Sets what the text says. FALSE with @error set: the text is invalid; the properties are then
+ * undefined, but can be freed.
  *
- * @zones: of char *, the zones that budgets may name. FALSE with @error set: the text is invalid;
- * the properties are then undefined, but can be freed.
+ * @zones: of char *, the zones that budgets may name; not kept
  */
 gboolean ws_properties_parse(WsProperties *properties, const char *text, GPtrArray *zones,
                              GError **error);
 
-/** @properties may be NULL. */
+/** Frees the properties; NULL is allowed. */
 void ws_properties_free(WsProperties *properties);
 
 /** How many of @total machines may be unavailable at once. */
--- a/src/protocol/ws-settings.h
+++ b/src/protocol/ws-settings.h
@@ -1,5 +1,5 @@
 /**
- * The settings file that the platform hands over.
+ * The settings file that the platform hands over. It is read once, at the start.
  */
 #pragma once
 
@@ -70,10 +70,10 @@
 /** Reads the settings, which the caller frees. NULL with @error set: they are invalid. */
 WsSettings *ws_settings_parse(const json_t *message, GError **error);
 
-/** @settings may be NULL. */
+/** Frees the settings; NULL is allowed. */
 void ws_settings_free(WsSettings *settings);
 
-/** Whether one more such need is within the team's limit. @use: what the team uses. */
+/** Whether one more such need is within the team's limit. @use: what the team uses */
 gboolean ws_team_has_capacity(const WsSettings *settings, WsTeamIndex team, const WsResources *use,
                               const WsResources *need);
 
@@ -83,7 +83,7 @@
 /** The controller, owned by the settings. */
 const WsNode *ws_settings_node(const WsSettings *settings, WsNodeIndex node);
 
-/** WS_NO_NODE: there is none of the name. @name may be NULL. */
+/** The controller of the name; WS_NO_NODE: there is none. @name: may be NULL */
 WsNodeIndex ws_settings_find_node(const WsSettings *settings, const char *name);
 
 /** Seconds within which the class's tasks should begin; negative: nothing is said. */
--- a/src/runtime/ws-runtime.h
+++ b/src/runtime/ws-runtime.h
@@ -1,5 +1,6 @@
 /**
- * Ties the core to the clock and the network.
+ * Ties the core to the clock and the network: hands it the time, requests and responses, and sends
+ * what it puts out. Owns the core, the HTTP servers and the HTTP client; called by main.
  */
 #pragma once
 
@@ -9,8 +10,11 @@
 typedef struct _WsRuntime WsRuntime;
 
 /**
- * Starts a node in the default main loop. @settings and @properties must outlive it. NULL with
- * @error set: an address can't be listened on.
+ * Starts a node in the default main loop. The caller frees it. NULL with @error set: an address
+ * can't be listened on.
+ *
+ * @settings: must outlive the node
+ * @properties: must outlive the node
  */
 WsRuntime *ws_runtime_new(const WsSettings *settings, const WsProperties *properties,
                           GError **error);
--- a/src/scheduling/ws-candidates.h
+++ b/src/scheduling/ws-candidates.h
@@ -22,9 +22,9 @@
 typedef struct _WsCandidates WsCandidates;
 
 /**
- * Prepares the search; @map, @job and @tasks_by_zone must outlive it.
+ * Prepares the search, which the caller frees. All that it is handed must outlive it.
  *
- * @tasks_by_zone: how many tasks of the job have a machine, by zone; kept up to date.
+ * @tasks_by_zone: how many tasks of the job have a machine, by zone; kept up to date
  */
 WsCandidates *ws_candidates_new(WsCapacityMap *map, const WsJob *job, guint *tasks_by_zone);
 
--- a/src/scheduling/ws-capacity-map.h
+++ b/src/scheduling/ws-capacity-map.h
@@ -30,7 +30,7 @@
   guint victim_searches_left;  /**< for so many more jobs victims are searched for */
 } WsCapacityMap;
 
-/** Builds the map; @min_need: the least that any task to be placed needs of each resource. */
+/** Builds the map. @min_need: the least that any task to be placed needs of each resource */
 void ws_capacity_map_init(WsCapacityMap *map, WsCore *core, const WsResources *min_need);
 
 /** Frees what the map holds, not the map itself. */
--- a/src/scheduling/ws-demand.h
+++ b/src/scheduling/ws-demand.h
@@ -7,9 +7,13 @@
 
 #include "scheduling/ws-scheduling.h"
 
+/** The demand of one plan. */
 typedef struct _WsDemand WsDemand;
 
-/** Begins with the machines that boot or are on order, and what running tasks will leave. */
+/**
+ * Begins with the machines that boot or are on order, and what running tasks will leave. The caller
+ * frees it with ws_demand_finish().
+ */
 WsDemand *ws_demand_new(WsCore *core);
 
 /** Adds machines for so many tasks of the job that find no slot. */
--- a/src/scheduling/ws-gang-reservation.h
+++ b/src/scheduling/ws-gang-reservation.h
@@ -10,8 +10,9 @@
  *
  * Small tasks would take each slot as it becomes free, and the gang would never find all of its
  * slots at once. The machines are those with most free slots now, in one zone if the gang must be,
- * and as many as fit all its tasks once the arrays' tasks there have ended. @tasks_by_zone: the
- * tasks of the gang that have machines, by zone.
+ * and as many as fit all its tasks once the arrays' tasks there have ended.
+ *
+ * @tasks_by_zone: the tasks of the gang that have machines, by zone
  */
 void ws_gang_reservation_renew(WsCapacityMap *map, const WsJob *job, guint tasks,
                                guint *tasks_by_zone);
--- a/src/scheduling/ws-placement.h
+++ b/src/scheduling/ws-placement.h
@@ -17,15 +17,16 @@
   GHashTable *freeing_slots;
 } WsPlacement;
 
-/** Begins a plan; @min_need: the least that any task to be placed needs of each resource. */
+/** Begins a plan. @min_need: the least that any task to be placed needs of each resource */
 void ws_placement_init(WsPlacement *placement, WsCore *core, const WsResources *min_need);
 
 /** Ends the plan: passes the demand on, and frees what the plan holds. */
 void ws_placement_finish(WsPlacement *placement);
 
 /**
- * Places waiting tasks of the job, @max_tasks at most, or all of a gang. Returns how many tasks
- * were considered, @max_tasks at most.
+ * Places waiting tasks of the job, or all of a gang. Returns how many tasks were considered.
+ *
+ * @max_tasks: the most that are placed, except of a gang, and the most that is returned
  */
 guint ws_placement_place_job(WsPlacement *placement, WsJob *job, guint max_tasks);
 
--- a/src/scheduling/ws-preempt.h
+++ b/src/scheduling/ws-preempt.h
@@ -41,9 +41,13 @@
  * Stops less urgent tasks of the job's own team, the youngest first, until the team's limit allows
  * one more task of the job.
  *
- * Nothing is stopped unless that task can then start: either @has_slot, or @fits says that the end
- * of one of the stopped tasks leaves it a slot. @team_use: what the team uses, as planned. The
- * machines of the stopped tasks are appended to @machines (of WsMachineIndex).
+ * Nothing is stopped unless that task can then start: it has a slot, or the end of one of the
+ * stopped tasks leaves it one.
+ *
+ * @team_use: what the team uses, as planned
+ * @has_slot: whether the task has a slot without any stop
+ * @fits: says whether the end of a stopped task leaves the task a slot; called with @data
+ * @machines: of WsMachineIndex; the machines of the stopped tasks are appended
  */
 WsTeamCapacity ws_preempt_in_team(WsCore *core, const WsJob *job, const WsResources *team_use,
                                   gboolean has_slot, WsPreemptFitFunc fits, gpointer data,
--- a/src/storage/ws-chunk-record.h
+++ b/src/storage/ws-chunk-record.h
@@ -6,8 +6,8 @@
 #include "storage/ws-replica.h"
 
 /**
- * The record. Where it would be larger than the state service takes, the times of the assignments
- * are left out.
+ * The record, a new JSON object. Where it would be larger than the state service takes, the times
+ * of the assignments are left out.
  */
 json_t *ws_chunk_encode(const WsChunk *chunk, const WsReplica *replica);
 
@@ -22,6 +22,8 @@
 
 /**
  * How many more tasks may be assigned in the chunk before its record is too large, whatever their
- * machines are called. @chunk: NULL for an empty one.
+ * machines are called.
+ *
+ * @chunk: NULL: an empty one
  */
 guint ws_chunk_free_slots(const WsChunk *chunk, const WsReplica *replica);
--- a/src/storage/ws-chunk.h
+++ b/src/storage/ws-chunk.h
@@ -37,7 +37,7 @@
   guint completed_count;
 } WsChunk;
 
-/** A copy that the caller frees. @chunk: NULL: an empty chunk. */
+/** A copy that the caller frees. @chunk: NULL: the copy is an empty chunk */
 WsChunk *ws_chunk_copy(const WsChunk *chunk);
 
 /** Adds a copy of the assignment, in place of one that the task may have. */
@@ -48,17 +48,19 @@
 
 /**
  * The task's assignment, or NULL. It is owned by the chunk, and good until assignments are added
- * or removed. @chunk may be NULL.
+ * or removed.
+ *
+ * @chunk: may be NULL
  */
 WsAssignment *ws_chunk_find(const WsChunk *chunk, guint task);
 
 /** Marks the task as completed. */
 void ws_chunk_set_completed(WsChunk *chunk, guint task);
 
-/** Whether the task is completed. @chunk may be NULL. */
+/** Whether the task is completed. @chunk: may be NULL */
 gboolean ws_chunk_is_completed(const WsChunk *chunk, guint task);
 
-/** @chunk may be NULL. */
+/** Frees the chunk with its assignments; NULL is allowed. */
 void ws_chunk_free(WsChunk *chunk);
 
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsChunk, ws_chunk_free)
--- a/src/storage/ws-constraints.h
+++ b/src/storage/ws-constraints.h
@@ -15,8 +15,10 @@
 gboolean ws_constraints_allow_type(const WsJobSpec *spec, const WsType *type);
 
 /**
- * Whether the rules on zones let one more task of the job be in the zone. @counts: the job's
- * assigned tasks by zone; @zones: how many zones there are.
+ * Whether the rules on zones let one more task of the job be in the zone.
+ *
+ * @counts: the job's assigned tasks, by zone
+ * @zones: how many zones there are
  */
 gboolean ws_constraints_allow_zone(const WsJob *job, const guint *counts, guint zones,
                                    WsZoneIndex zone);
--- a/src/storage/ws-evidence.h
+++ b/src/storage/ws-evidence.h
@@ -55,7 +55,7 @@
 /** One line for the log. The caller frees it. */
 char *ws_release_describe(const WsReplica *replica, const WsRelease *release);
 
-/** The release as an item of a message between controllers. */
+/** The release as an item of a message between controllers, a new JSON array. */
 json_t *ws_release_encode(const WsReplica *replica, const WsRelease *release);
 
 /**
--- a/src/storage/ws-job-record.h
+++ b/src/storage/ws-job-record.h
@@ -16,11 +16,15 @@
   const char *coordinator; /**< borrowed: name of the coordinating node; "": the leader */
 } WsJobRecord;
 
-/** The record of a job that isn't in final form. @coordinator: see WsJobRecord. */
+/**
+ * The record of a job that isn't in final form, a new JSON object.
+ *
+ * @coordinator: see WsJobRecord
+ */
 json_t *ws_job_encode(const WsJob *job, WsJobState state, const char *coordinator);
 
-/** The final form: what is kept of an ended job until garbage collection. */
+/** The final form, a new JSON object: what is kept of an ended job until garbage collection. */
 json_t *ws_job_encode_final(const WsJob *job, WsJobState state);
 
-/** FALSE: the record is damaged. @value must outlive @record. */
+/** Reads a job's record. FALSE: it is damaged. @value: must outlive the result, which borrows */
 gboolean ws_job_record_parse(const json_t *value, WsJobRecord *record);
--- a/src/storage/ws-keys.h
+++ b/src/storage/ws-keys.h
@@ -34,5 +34,5 @@
 /** The key of a chunk's record. */
 char *ws_key_chunk(const char *id, guint chunk);
 
-/** The key of any record. @prefix: one of WS_KEYS_.... */
+/** The key of any record. @prefix: one of WS_KEYS_... */
 char *ws_key(const char *prefix, const char *name);
--- a/src/storage/ws-machine-records.h
+++ b/src/storage/ws-machine-records.h
@@ -1,5 +1,7 @@
 /**
  * The records of machines: rental batches, rental intents and termination marks.
+ *
+ * Encoders return a new JSON object. Called by the replica, and by fleet for what it writes.
  */
 #pragma once
 
@@ -29,11 +31,12 @@
 /** Reads the record of a rental intent; the caller frees it. NULL: the record is damaged. */
 WsRentalIntent *ws_rental_intent_parse(const char *request, const json_t *value);
 
-/** The record of a termination mark. @is_immediate: without drain. */
+/** The record of a termination mark. @is_immediate: without drain */
 json_t *ws_mark_encode(const char *reason, gboolean is_immediate);
 
 /**
- * Reads the record of a termination mark. What it doesn't say is left as it is. @reason is
- * borrowed from @value.
+ * Reads the record of a termination mark. What it doesn't say is left as it is.
+ *
+ * @reason: set to a string that is borrowed from the value
  */
 void ws_mark_parse(const json_t *value, const char **reason, gboolean *is_immediate);
--- a/src/storage/ws-machine.h
+++ b/src/storage/ws-machine.h
@@ -48,7 +48,7 @@
   guint count;
 } WsRentalIntent;
 
-/** Frees the intent and its strings. */
+/** Frees the intent and its strings. @intent: not NULL */
 void ws_rental_intent_free(WsRentalIntent *intent);
 
 /**
@@ -66,7 +66,7 @@
   GArray *machines; /**< of WsMachineIndex */
 } WsRentalBatch;
 
-/** Frees the rental batch, but not the machines. */
+/** Frees the rental batch, but not the machines. @rental_batch: not NULL */
 void ws_rental_batch_free(WsRentalBatch *rental_batch);
 
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsRentalIntent, ws_rental_intent_free)
--- a/src/storage/ws-replica-internal.h
+++ b/src/storage/ws-replica-internal.h
@@ -46,8 +46,9 @@
 void ws_replica_apply_mark(WsReplica *replica, const char *machine, const json_t *value);
 
 /**
- * Sets the machine's owner under the present epoch. @last: the epoch before; NULL: the machine is
- * new to the replica.
+ * Sets the machine's owner under the present epoch.
+ *
+ * @last: the epoch before; NULL: the machine is new to the replica
  */
 void ws_replica_find_owner(WsReplica *replica, WsMachine *machine, const WsEpoch *last);
 
--- a/src/storage/ws-replica.h
+++ b/src/storage/ws-replica.h
@@ -68,43 +68,49 @@
   GPtrArray *catalog;        /**< of WsType; NULL: not known yet */
 } WsReplica;
 
-/** An empty replica. @settings must outlive it. */
+/** An empty replica, which the caller frees. @settings: must outlive it */
 WsReplica *ws_replica_new(const WsSettings *settings);
 
 /** Frees the replica with its jobs and machines. */
 void ws_replica_free(WsReplica *replica);
 
 /**
- * Applies one version of a key. @value: borrowed; NULL: the key was removed.
+ * Applies one version of a key.
  *
  * Returns FALSE if this version or a newer one was applied before. A damaged value is logged and
  * leaves the rest of the replica as it was.
+ *
+ * @value: borrowed; NULL: the key was removed
  */
 gboolean ws_replica_apply(WsReplica *replica, const char *key, const json_t *value,
                           guint64 version);
 
-/** Removes what isn't in @read, the set of keys that were read as of @revision. */
+/**
+ * Removes the keys that a load as of the revision has not found; newer ones stay.
+ *
+ * @read: the set of the keys that it has found
+ */
 void ws_replica_forget_missing(WsReplica *replica, GHashTable *read, guint64 revision);
 
 /** The key's version, for a condition of a transaction: 0 if the key doesn't exist. */
 guint64 ws_replica_version(const WsReplica *replica, const char *key);
 
-/** Notes that everything up to @revision has been applied. */
+/** Notes that everything up to the revision has been applied. */
 void ws_replica_advance(WsReplica *replica, guint64 revision);
 
-/** Takes the catalog, an array of WsType. */
+/** Sets the catalog, an array of WsType. @catalog: taken */
 void ws_replica_set_catalog(WsReplica *replica, GPtrArray *catalog);
 
 /** The type; the catalog must be known. */
 const WsType *ws_replica_type(const WsReplica *replica, WsTypeIndex type);
 
-/** WS_NO_TYPE: the catalog isn't known or lacks the type. @name may be NULL. */
+/** The type of the name; WS_NO_TYPE: no catalog is known, or it lacks it. @name: may be NULL */
 WsTypeIndex ws_replica_find_type(const WsReplica *replica, const char *name);
 
-/** WS_NO_TEAM: the settings don't name the team. */
+/** The team of the name; WS_NO_TEAM: the settings don't have it. @name: not NULL */
 WsTeamIndex ws_replica_find_team(const WsReplica *replica, const char *name);
 
-/** WS_NO_ZONE: the settings don't name the zone. @name may be NULL. */
+/** The zone of the name; WS_NO_ZONE: the settings don't have it. @name: may be NULL */
 WsZoneIndex ws_replica_find_zone(const WsReplica *replica, const char *name);
 
 /** The machine with the index, owned by the replica. */
@@ -126,10 +132,10 @@
 /** The job of the id; NULL: there is none. */
 WsJob *ws_replica_find_job(const WsReplica *replica, const char *id);
 
-/** Puts @chunk, which is taken, in the place of the job's chunk @index. NULL: it was removed. */
+/** Replaces a chunk of the job, by its number. @chunk: taken; NULL: it was removed */
 void ws_replica_replace_chunk(WsReplica *replica, WsJob *job, guint index, WsChunk *chunk);
 
-/** Adds the job's assigned tasks to @counts, which is by zone. */
+/** Counts the job's assigned tasks. @counts: by zone; they are added to it */
 void ws_job_count_zones(const WsReplica *replica, const WsJob *job, guint *counts);
 
 /** Seconds that the job may take in all, by its deadline or class; negative: no limit is known. */
--- a/src/storage/ws-team-use.h
+++ b/src/storage/ws-team-use.h
@@ -18,7 +18,7 @@
 /** The record's key; the caller frees it. */
 char *ws_team_use_key(guint group);
 
-/** The record's value. @use: of each team. */
+/** The record's value, a new JSON object. @use: by team */
 json_t *ws_team_use_encode(const WsSettings *settings, guint group, const WsResources *use);
 
 /**
--- a/src/transport/ws-http-client.h
+++ b/src/transport/ws-http-client.h
@@ -9,20 +9,24 @@
 typedef struct _WsHttpClient WsHttpClient;
 
 /**
- * The end of a call. @status: 0: no usable response came in time. @body: @length bytes, borrowed
- * for the time of the callback; never NULL.
+ * Called back at the end of a call.
+ *
+ * @status: of HTTP; 0: no usable response came in time
+ * @body: @length bytes, borrowed for the time of the callback; never NULL
  */
 typedef void (*WsHttpDone)(guint status, const char *body, gsize length, gpointer data);
 
-/** A client with at most so many connections in all. */
+/** Creates a client with at most so many connections in all. The caller frees it. */
 WsHttpClient *ws_http_client_new(guint max_connections);
 
 /** Frees the client. Calls that are under way are aborted. */
 void ws_http_client_free(WsHttpClient *client);
 
 /**
- * Sends a request. @body: JSON, NULL: none. @done is called from the main loop, or at once if the
- * URL can't be used.
+ * Sends a request. The callback comes from the main loop, or at once if the URL can't be used.
+ *
+ * @body: JSON, copied; NULL: there is none
+ * @timeout_ms: from now until the whole response is there
  */
 void ws_http_client_send(WsHttpClient *client, const char *method, const char *url,
                          const char *body, guint timeout_ms, WsHttpDone done, gpointer data);
--- a/src/transport/ws-http-server.h
+++ b/src/transport/ws-http-server.h
@@ -21,8 +21,10 @@
 typedef void (*WsHttpHandler)(WsHttpRequest *request, gpointer data);
 
 /**
- * Listens on @address, IP:PORT, for at most @max_connections at once. NULL with @error set: that
- * isn't possible.
+ * Listens for requests. The caller frees the server. NULL with @error set: that isn't possible.
+ *
+ * @address: IP:PORT
+ * @max_connections: at once
  */
 WsHttpServer *ws_http_server_new(const char *address, guint max_connections, WsHttpHandler handler,
                                  gpointer data, GError **error);
@@ -31,8 +33,10 @@
 void ws_http_server_free(WsHttpServer *server);
 
 /**
- * Answers a request, which is not to be used any more. @body: JSON; NULL: none. @retry_after_s: 0:
- * no such header.
+ * Answers a request, which is not to be used any more.
+ *
+ * @body: JSON, copied; NULL: none
+ * @retry_after_s: in seconds; 0: no such header
  */
 void ws_http_request_answer(WsHttpRequest *request, guint status, const char *body,
                             guint retry_after_s);
