--- a/src/api/ws-admission.h
+++ b/src/api/ws-admission.h
@@ -1,5 +1,6 @@
 /**
- * Admission of jobs: whether a job could ever run on this fleet, within its team's limit.
+ * Admission of jobs: whether a job could ever run on this fleet, within its team's limit. Called by
+ * the job API for each submission.
  */
 #pragma once
 
--- a/src/commit/ws-releases-private.h
+++ b/src/commit/ws-releases-private.h
@@ -1,5 +1,6 @@
 /**
- * What only the writing of releases needs of them, for the files of this directory.
+ * What the writing of transactions (ws-assignments.c) needs of pending releases and of the
+ * estimator. Private to this directory.
  */
 #pragma once
 
--- a/src/commit/ws-task-key.h
+++ b/src/commit/ws-task-key.h
@@ -1,5 +1,5 @@
 /**
- * The key of a task in hash tables.
+ * The key of a task in hash tables, for pending assignments and releases.
  */
 #pragma once
 
--- a/src/fleet/ws-fleet-private.h
+++ b/src/fleet/ws-fleet-private.h
@@ -1,5 +1,6 @@
 /**
- * What the modules of src/fleet share.
+ * What the modules of src/fleet share: the state of the package, the budget of calls to the cloud,
+ * and what the package's tick calls. Private to fleet.
  */
 #pragma once
 
--- a/src/membership/ws-cancellation-message.h
+++ b/src/membership/ws-cancellation-message.h
@@ -1,5 +1,6 @@
 /**
  * The message with which a node notifies another one of confirmed cancellations.
+ * Called by ws-cancellations.c, private to membership.
  */
 #pragma once
 
--- a/src/membership/ws-gossip-message.h
+++ b/src/membership/ws-gossip-message.h
@@ -1,5 +1,6 @@
 /**
- * The gossip message: what a node announces of itself and of its machines.
+ * The gossip message: what a node announces of itself and of its machines. Called by
+ * ws-gossip.c, private to membership.
  */
 #pragma once
 
--- a/src/membership/ws-membership-private.h
+++ b/src/membership/ws-membership-private.h
@@ -1,5 +1,5 @@
 /**
- * What the modules of membership call of each other.
+ * What the modules of membership call of each other. Private to membership.
  */
 #pragma once
 
--- a/src/membership/ws-peers.h
+++ b/src/membership/ws-peers.h
@@ -1,5 +1,6 @@
 /**
- * What this node knows of its peers. Private to membership.
+ * What this node knows of its peers, by their gossip and by what it has sent them. ws-gossip.c and
+ * ws-peers.c write it. Private to membership.
  */
 #pragma once
 
--- a/src/protocol/ws-job-summary.h
+++ b/src/protocol/ws-job-summary.h
@@ -1,5 +1,6 @@
 /**
  * The answer to a job's user: its state, and for a poll how many tasks are done and running.
+ * Called by the job API.
  */
 #pragma once
 
--- a/src/protocol/ws-names.h
+++ b/src/protocol/ws-names.h
@@ -1,5 +1,7 @@
 /**
  * Names and their dense indices, where names come in from outside. Names are never removed.
+ *
+ * The replica has such a table of the images.
  */
 #pragma once
 
--- a/src/scheduling/ws-plan.h
+++ b/src/scheduling/ws-plan.h
@@ -1,5 +1,6 @@
 /**
- * The state of planning between two plans. Private to scheduling.
+ * The state of planning between two plans, for ws-plan.c and ws-coordinator.c. Private to
+ * scheduling.
  */
 #pragma once
 
--- a/src/storage/ws-gang-phase.h
+++ b/src/storage/ws-gang-phase.h
@@ -1,5 +1,7 @@
 /**
  * The phase of a gang's present attempt, derived from the records and from what workers said.
+ *
+ * Scheduling, the transactions and the commands to workers share it, so that they agree.
  */
 #pragma once
 
--- a/src/transport/ws-http-client.h
+++ b/src/transport/ws-http-client.h
@@ -1,5 +1,7 @@
 /**
  * Outgoing HTTP: every call has a deadline of its own and ends in exactly one callback.
+ *
+ * Called by the runtime, from the thread of the default main loop.
  */
 #pragma once
 
--- a/src/transport/ws-http-server.h
+++ b/src/transport/ws-http-server.h
@@ -1,5 +1,7 @@
 /**
  * Incoming HTTP on one address. A request is a handle that is answered once, at once or later.
+ *
+ * Called by the runtime, from the thread of the default main loop.
  */
 #pragma once
 
--- a/src/workers/ws-workers-private.h
+++ b/src/workers/ws-workers-private.h
@@ -1,5 +1,6 @@
 /**
- * What the modules of src/workers share.
+ * What the modules of src/workers share: the state of the package, the status of workers, relays
+ * and launches. Private to workers.
  */
 #pragma once
 
