--- a/src/commit/ws-releases-private.h
+++ b/src/commit/ws-releases-private.h
@@ -1,6 +1,6 @@
 /**
- * What the writing of transactions (ws-assignments.c) needs of pending releases and of the
- * estimator. Private to this directory.
+ * What the modules of commit call of each other: pending releases for the transactions, and
+ * completed run times for the estimator. Private to commit.
  */
 #pragma once
 
