--- a/src/commit/ws-releases-private.h
+++ b/src/commit/ws-releases-private.h
@@ -1,5 +1,6 @@
 /**
- * What only the writing of releases needs of them, for the files of this directory.
+ * What the modules of commit call of each other: pending releases for the transactions, and
+ * completed run times for the estimator. Private to commit.
  */
 #pragma once
 
@@ -8,6 +9,7 @@
 /** Drops what is pending for the task. */
 void ws_releases_remove(WsCore *core, const WsRelease *release);
 
+/** How many releases are pending. */
 guint ws_releases_count(const WsCore *core);
 
 /** The releases (of WsOrderedRelease) in the order in which to write them. The caller frees it. */
--- a/src/context/ws-output.h
+++ b/src/context/ws-output.h
@@ -1,5 +1,7 @@
 /**
  * What the core puts out: answers to requests, and calls to other processes.
+ *
+ * Made by ws_call() and ws_answer(), taken with ws_core_pop() by whoever runs the core.
  */
 #pragma once
 
@@ -27,4 +29,5 @@
   char *body; /**< JSON, NULL: none */
 } WsOutput;
 
+/** Frees the output with its URL and body, but not its request. @output: not NULL */
 void ws_output_free(WsOutput *output);
--- a/src/membership/ws-cancellation-message.h
+++ b/src/membership/ws-cancellation-message.h
@@ -1,10 +1,12 @@
 /**
  * The message with which a node notifies another one of confirmed cancellations.
+ * Called by ws-cancellations.c, private to membership.
  */
 #pragma once
 
 #include "protocol/ws-json.h"
 
+/** One confirmed cancellation. */
 typedef struct {
   const char *job; /**< its id */
   gint64 age_ms;   /**< how long ago the cancellation was confirmed: clocks differ */
@@ -16,8 +18,10 @@
   GArray *notices;  /**< of WsCancellationNotice */
 } WsCancellationMessage;
 
-/** An empty message; to be cleared. */
+/** Makes an empty message, to be cleared with ws_cancellation_message_clear(). */
 void ws_cancellation_message_init(WsCancellationMessage *message);
+
+/** Frees what the message holds, not the message itself. */
 void ws_cancellation_message_clear(WsCancellationMessage *message);
 G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC(WsCancellationMessage, ws_cancellation_message_clear)
 
--- a/src/membership/ws-gossip-message.h
+++ b/src/membership/ws-gossip-message.h
@@ -1,5 +1,6 @@
 /**
- * The gossip message: what a node announces of itself and of its machines.
+ * The gossip message: what a node announces of itself and of its machines. Called by
+ * ws-gossip.c, private to membership.
  */
 #pragma once
 
@@ -38,8 +39,10 @@
   GArray *machines;              /**< of WsGossipMachine */
 } WsGossipMessage;
 
-/** An empty message; to be cleared. */
+/** Makes an empty message, to be cleared with ws_gossip_message_clear(). */
 void ws_gossip_message_init(WsGossipMessage *message);
+
+/** Frees what the message holds, not the message itself. */
 void ws_gossip_message_clear(WsGossipMessage *message);
 G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC(WsGossipMessage, ws_gossip_message_clear)
 
--- a/src/membership/ws-peers.h
+++ b/src/membership/ws-peers.h
@@ -1,5 +1,6 @@
 /**
- * What this node knows of its peers. Private to membership.
+ * What this node knows of its peers, by their gossip and by what it has sent them. ws-gossip.c and
+ * ws-peers.c write it. Private to membership.
  */
 #pragma once
 
@@ -32,9 +33,10 @@
   guint64 received_revision;     /**< of its announcements, what this node has in this epoch */
 } WsPeer;
 
+/** All peers of this node, and the revision of what it announces to them. */
 struct _WsPeers {
-  WsPeer *by_node;            /* by node; that of this node itself stays empty */
-  guint64 announced_revision; /* counts the changes of this node's machines that are announced */
+  WsPeer *by_node;            /**< by node; that of this node itself stays empty */
+  guint64 announced_revision; /**< counts the changes of this node's machines that are announced */
 };
 
 /** The peer; for this node itself an empty one. */
--- a/src/protocol/ws-job-summary.h
+++ b/src/protocol/ws-job-summary.h
@@ -1,11 +1,13 @@
 /**
  * The answer to a job's user: its state, and for a poll how many tasks are done and running.
+ * Called by the job API.
  */
 #pragma once
 
 #include <jansson.h>
 #include <glib.h>
 
+/** The state of a job, as its user is told. */
 typedef enum {
   WS_USER_STATE_QUEUED, /**< no task has a machine */
   WS_USER_STATE_RUNNING,
@@ -13,6 +15,7 @@
   WS_USER_STATE_CANCELLED
 } WsUserState;
 
+/** What a user is told of a job. */
 typedef struct {
   const char *job_id; /**< borrowed */
   WsUserState state;
--- a/src/scheduling/ws-candidates.h
+++ b/src/scheduling/ws-candidates.h
@@ -10,22 +10,25 @@
 
 /** When and how a machine has capacity for the task. */
 typedef enum {
-  WS_SLOT_FREE,                     /* now */
-  WS_SLOT_FREEING,                  /* now, or once the tasks that are being stopped there end */
-  WS_SLOT_WITH_IMAGE,               /* the same, and the image is in the machine's cache */
-  WS_SLOT_BY_PREEMPTION,            /* once less urgent tasks are stopped */
-  WS_SLOT_BY_PREEMPTION_WITH_IMAGE, /* the same, and the image is in the machine's cache */
+  WS_SLOT_FREE,                     /**< now */
+  WS_SLOT_FREEING,                  /**< now, or once the tasks that are being stopped there end */
+  WS_SLOT_WITH_IMAGE,               /**< the same, and the image is in the machine's cache */
+  WS_SLOT_BY_PREEMPTION,            /**< once less urgent tasks are stopped */
+  WS_SLOT_BY_PREEMPTION_WITH_IMAGE, /**< the same, and the image is in the machine's cache */
   WS_SLOT_KINDS
 } WsSlotKind;
 
+/** The search for machines for the tasks of one job. */
 typedef struct _WsCandidates WsCandidates;
 
 /**
- * Prepares the search; @map, @job and @tasks_by_zone must outlive it.
+ * Prepares the search, which the caller frees. All that it is handed must outlive it.
  *
- * @tasks_by_zone: how many tasks of the job have a machine, by zone; kept up to date.
+ * @tasks_by_zone: how many tasks of the job have a machine, by zone; kept up to date
  */
 WsCandidates *ws_candidates_new(WsCapacityMap *map, const WsJob *job, guint *tasks_by_zone);
+
+/** Frees the search, but not the map and the numbers by zone. @candidates: not NULL */
 void ws_candidates_free(WsCandidates *candidates);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsCandidates, ws_candidates_free)
 
--- a/src/scheduling/ws-placement-score.h
+++ b/src/scheduling/ws-placement-score.h
@@ -12,13 +12,15 @@
 typedef struct {
   const WsCapacityMap *map;
   const WsJob *job;
-  gint64 smallest_fitting_cpus; /* of the smallest type that fits a task */
-  GHashTable *gang_images; /* set of WsImageIndex, of all active gangs; NULL: the job is none */
+  gint64 smallest_fitting_cpus; /**< of the smallest type that fits a task */
+  GHashTable *gang_images; /**< set of WsImageIndex, of all active gangs; NULL: the job is none */
 } WsPlacementScorer;
 
 /** Prepares the scorer; @map and @job must outlive it. */
 void ws_placement_scorer_init(WsPlacementScorer *scorer, const WsCapacityMap *map,
                               const WsJob *job);
+
+/** Frees what the scorer holds, not the scorer itself. */
 void ws_placement_scorer_clear(WsPlacementScorer *scorer);
 
 /** The score of a machine where the task fits without preemption. */
