--- a/src/commit/ws-assignments.c
+++ b/src/commit/ws-assignments.c
@@ -262,19 +262,23 @@
   }
 }
 
-/* Somebody waits for a critical task; when a partition heals, the releases of hundreds of others
-   would fill one transaction after another before it. */
+/* Critical assignments come first: when a partition heals, the releases of hundreds of other tasks
+   would otherwise fill one transaction after another before them. Releases that end jobs may fill
+   the transaction up to a half, and other assignments up to five sixths, so that each kind makes
+   progress in every transaction. */
 static void
 fill_batch(WsCore *core, WsBatch *batch)
 {
   guint max_operations = core->settings->state_txn_ops;
+  guint max_with_ending_releases = max_operations / 2;
+  guint max_with_proposals = max_operations * 5 / 6;
   g_autoptr(GArray) releases = ws_releases_in_order(core);
   if (ws_job_quarantine_is_isolating(core->assignments->quarantine, core->now))
     ws_batch_restrict_to_one_job(batch);
   batch_proposals(core, batch, CRITICAL_PROPOSALS);
-  ws_batch_set_max_operations(batch, max_operations / 2);
+  ws_batch_set_max_operations(batch, max_with_ending_releases);
   batch_releases(core, batch, releases, RELEASES_ENDING_JOBS);
-  ws_batch_set_max_operations(batch, max_operations * 5 / 6);
+  ws_batch_set_max_operations(batch, max_with_proposals);
   batch_proposals(core, batch, ALL_PROPOSALS);
   ws_batch_set_max_operations(batch, max_operations);
   batch_releases(core, batch, releases, ALL_RELEASES);
--- a/src/commit/ws-estimator.c
+++ b/src/commit/ws-estimator.c
@@ -10,6 +10,8 @@
 #define MAX_FACTOR 2.0
 /* The time between an assignment and its launch on the machine. */
 #define LAUNCH_DELAY_S 2.0
+/* Only some of the tasks have waited for their image: so much of its fetch is subtracted. */
+#define IMAGE_FETCH_SHARE 0.5
 
 typedef struct {
   guint tasks;
@@ -36,7 +38,6 @@
   g_free(estimator);
 }
 
-/* Some of the tasks have waited for their image, so half of its fetch is taken off. */
 void
 ws_estimator_add(WsCore *core, const WsJob *job, const WsAssignment *assignment)
 {
@@ -51,8 +52,8 @@
   }
   double elapsed_s = (double)(core->wall - assignment->assigned_ms) / 1000.0;
   run_times->tasks++;
-  run_times->ran_s
-      += MAX(elapsed_s - LAUNCH_DELAY_S - 0.5 * ws_job_image_fetch_s(core->replica, job), 0.0);
+  double fetch_s = IMAGE_FETCH_SHARE * ws_job_image_fetch_s(core->replica, job);
+  run_times->ran_s += MAX(elapsed_s - LAUNCH_DELAY_S - fetch_s, 0.0);
   run_times->estimated_s += job->spec->estimate_s;
 }
 
--- a/src/commit/ws-garbage.c
+++ b/src/commit/ws-garbage.c
@@ -67,6 +67,14 @@
   return count;
 }
 
+/* Whether nothing else waits for the write budget, and half a transaction fits into it. */
+static gboolean
+writing_is_idle(WsCore *core)
+{
+  return !ws_assignments_have_backlog(core)
+         && ws_store_has_write_budget(core, core->settings->state_txn_ops / 2);
+}
+
 void
 ws_garbage_tick(WsCore *core)
 {
@@ -75,9 +83,7 @@
   g_autoptr(WsTxn) txn = ws_txn_new();
   ws_txn_compare(txn, core->replica, WS_KEY_EPOCH);
   guint count = delete_garbage(core, txn);
-  gboolean may_write = count > MAX_GARBAGE_RECORDS
-                       || (!ws_assignments_have_backlog(core)
-                           && ws_store_has_write_budget(core, core->settings->state_txn_ops / 2));
+  gboolean may_write = count > MAX_GARBAGE_RECORDS || writing_is_idle(core);
   core->garbage->next_ms = core->now + (count > 0 ? BUSY_PAUSE_MS : IDLE_PAUSE_MS);
   if (count > 0 && may_write)
     ws_txn_commit(core, g_steal_pointer(&txn), WS_REQUEST_OTHER, on_collected, NULL);
--- a/src/context/ws-context.c
+++ b/src/context/ws-context.c
@@ -3,6 +3,9 @@
  */
 #include "context/ws-context.h"
 
+#define STATUS_NO_RESPONSE 0
+#define STATUS_UNAVAILABLE 503
+
 /* A call without a reply. */
 typedef struct {
   guint64 id; /* the key under which it is kept */
@@ -32,7 +35,7 @@
   g_hash_table_steal_all(core->calls);
   for (GList *at = calls; at != NULL; at = at->next) {
     Call *call = at->data;
-    call->reply(core, 0, NULL, call->data);
+    call->reply(core, STATUS_NO_RESPONSE, NULL, call->data);
     g_free(call);
   }
   return calls != NULL;
@@ -45,7 +48,7 @@
   if (!g_hash_table_steal_extended(core->calls, &id, NULL, &value))
     return FALSE;
   Call *call = value;
-  g_autoptr(json_t) message = status != 0 ? ws_json_parse(body, length) : NULL;
+  g_autoptr(json_t) message = status != STATUS_NO_RESPONSE ? ws_json_parse(body, length) : NULL;
   call->reply(core, status, message, call->data);
   g_free(call);
   return TRUE;
@@ -98,6 +101,6 @@
 void
 ws_answer_later(WsCore *core, gpointer request, guint retry_after_s)
 {
-  ws_answer(core, request, 503, json_pack("{s:s}", "error", "not now, please come back"),
-            retry_after_s);
+  ws_answer(core, request, STATUS_UNAVAILABLE,
+            json_pack("{s:s}", "error", "not now, please come back"), retry_after_s);
 }
--- a/src/coordination/ws-epoch.c
+++ b/src/coordination/ws-epoch.c
@@ -12,8 +12,11 @@
 #define FNV_OFFSET_BASIS G_GUINT64_CONSTANT(14695981039346656037)
 #define FNV_PRIME G_GUINT64_CONSTANT(1099511628211)
 /* The finalizer of SplitMix64. */
+#define MIX_SHIFT_1 30
 #define MIX_FACTOR_1 G_GUINT64_CONSTANT(0xbf58476d1ce4e5b9)
+#define MIX_SHIFT_2 27
 #define MIX_FACTOR_2 G_GUINT64_CONSTANT(0x94d049bb133111eb)
+#define MIX_SHIFT_3 31
 
 void
 ws_epoch_init(WsEpoch *epoch)
@@ -130,9 +133,9 @@
   for (guint i = 0; i < G_N_ELEMENTS(parts); i++)
     for (const char *byte = parts[i]; *byte != '\0'; byte++)
       hash = (hash ^ (guint8)*byte) * FNV_PRIME;
-  hash = (hash ^ (hash >> 30)) * MIX_FACTOR_1;
-  hash = (hash ^ (hash >> 27)) * MIX_FACTOR_2;
-  return hash ^ (hash >> 31);
+  hash = (hash ^ (hash >> MIX_SHIFT_1)) * MIX_FACTOR_1;
+  hash = (hash ^ (hash >> MIX_SHIFT_2)) * MIX_FACTOR_2;
+  return hash ^ (hash >> MIX_SHIFT_3);
 }
 
 WsNodeIndex
--- a/src/membership/ws-cancellation-message.c
+++ b/src/membership/ws-cancellation-message.c
@@ -5,6 +5,10 @@
 
 #include "membership/ws-mesh-names.h"
 
+/* Positions in the array that is a notice. */
+#define ITEM_JOB 0
+#define ITEM_AGE_MS 1
+
 void
 ws_cancellation_message_init(WsCancellationMessage *message)
 {
@@ -32,8 +36,8 @@
 static gboolean
 parse_notice(const json_t *item, WsCancellationNotice *notice)
 {
-  const json_t *job = json_array_get(item, 0);
-  const json_t *age_ms = json_array_get(item, 1);
+  const json_t *job = json_array_get(item, ITEM_JOB);
+  const json_t *age_ms = json_array_get(item, ITEM_AGE_MS);
   if (!json_is_string(job) || !json_is_integer(age_ms) || json_integer_value(age_ms) < 0)
     return FALSE;
   notice->job = json_string_value(job);
--- a/src/membership/ws-election.c
+++ b/src/membership/ws-election.c
@@ -7,7 +7,10 @@
 #include "protocol/ws-kv.h"
 
 #define LEASE_MS 4000
+#define LEASE_TIMEOUT_MS 1000
+#define LEASE_RETRY_MS 200
 #define RENEW_INTERVAL_MS 900
+#define RENEW_TIMEOUT_MS 800
 #define RENEW_RETRY_MS 300
 /* Before the member key is written once more. */
 #define LISTING_RETRY_MS 200
@@ -97,8 +100,8 @@
   WsElection *election = core->election;
   election->call_is_in_flight = FALSE;
   election->call_predates_pause = FALSE;
-  election->next_ms = core->now + 200;
-  if (status == 200 && ws_kv_lease_parse(body, &election->lease))
+  election->next_ms = core->now + LEASE_RETRY_MS;
+  if (status == WS_KV_OK && ws_kv_lease_parse(body, &election->lease))
     election->next_ms = core->now;
 }
 
@@ -122,9 +125,9 @@
   (void)data;
   WsElection *election = core->election;
   election->call_is_in_flight = FALSE;
-  election->next_ms = core->now + (status == 200 ? RENEW_INTERVAL_MS : RENEW_RETRY_MS);
-  note_renewed(election, status == 200);
-  if (status == 404)
+  election->next_ms = core->now + (status == WS_KV_OK ? RENEW_INTERVAL_MS : RENEW_RETRY_MS);
+  note_renewed(election, status == WS_KV_OK);
+  if (status == WS_KV_NOT_FOUND)
     lose_lease(core);
 }
 
@@ -155,7 +158,7 @@
   election->call_is_in_flight = TRUE;
   if (election->lease == 0) {
     ws_store_post(core, WS_REQUEST_LEASE, WS_KV_LEASES_PATH, ws_kv_lease_request_encode(LEASE_MS),
-                  0, 1000, on_lease, NULL);
+                  0, LEASE_TIMEOUT_MS, on_lease, NULL);
   } else if (!election->is_listed) {
     WsTxn *txn = ws_txn_new();
     g_autofree char *key = ws_key(WS_KEYS_MEMBER, own_name(core));
@@ -164,7 +167,7 @@
     ws_txn_commit(core, txn, WS_REQUEST_LEASE, on_listed, NULL);
   } else {
     g_autofree char *path = ws_kv_lease_renewal_path(election->lease);
-    ws_store_post(core, WS_REQUEST_LEASE, path, NULL, 0, 800, on_renewed, NULL);
+    ws_store_post(core, WS_REQUEST_LEASE, path, NULL, 0, RENEW_TIMEOUT_MS, on_renewed, NULL);
   }
 }
 
--- a/src/membership/ws-failure-detector.c
+++ b/src/membership/ws-failure-detector.c
@@ -27,6 +27,10 @@
 /* A machine isn't used when it should have acknowledged commands by now, and is returned after this
    share of its lease. */
 #define OUTBOUND_LEASE_SHARE 0.7
+/* So many outbound unreachable machines, and one in so many of all, mean that it is rather this
+   node whose messages are lost. */
+#define MIN_UNREACHABLE_TOGETHER 3
+#define MACHINES_PER_UNREACHABLE 5
 
 WsFailureDetector *
 ws_failure_detector_new(const WsSettings *settings)
@@ -185,8 +189,8 @@
   }
   if (unreachable == 0)
     return;
-  /* Then it's rather this node that isn't heard. */
-  gboolean many = unreachable >= 3 && 5 * unreachable >= all;
+  gboolean many
+      = unreachable >= MIN_UNREACHABLE_TOGETHER && MACHINES_PER_UNREACHABLE * unreachable >= all;
   double timeout_ms = (many ? 1.0 : OUTBOUND_LEASE_SHARE) * core->settings->lease_s * 1000.0;
   for (guint i = 0; i < core->replica->machines->len; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, i);
--- a/src/membership/ws-gossip.c
+++ b/src/membership/ws-gossip.c
@@ -15,6 +15,10 @@
 
 #include <string.h>
 
+#define STATUS_OK 200
+#define STATUS_BAD_REQUEST 400
+#define STATUS_NOT_FOUND 404
+
 #define GOSSIP_INTERVAL_MS 700
 #define GOSSIP_TIMEOUT_MS 1000
 /* What is logged of a peer that doesn't name its version. */
@@ -242,7 +246,7 @@
 on_gossip_answered(WsCore *core, guint status, const json_t *body, gpointer data)
 {
   ws_peer(core, GPOINTER_TO_UINT(data))->gossip_is_in_flight = FALSE;
-  if (status == 200)
+  if (status == STATUS_OK)
     handle_gossip(core, body);
 }
 
@@ -279,11 +283,11 @@
 {
   WsNodeIndex node = ws_settings_find_node(core->settings, ws_gossip_message_sender(body));
   if (node == WS_NO_NODE || node == core->settings->self) {
-    ws_answer_reason(core, request, 400, "node is missing or unknown");
+    ws_answer_reason(core, request, STATUS_BAD_REQUEST, "node is missing or unknown");
     return;
   }
   handle_gossip(core, body);
-  ws_answer(core, request, 200, encode_gossip(core, node), 0);
+  ws_answer(core, request, STATUS_OK, encode_gossip(core, node), 0);
 }
 
 void
@@ -300,6 +304,6 @@
   } else if (strcmp(path, WS_RELAY_PATH) == 0) {
     core->handlers->handle_relay(core, message, request);
   } else {
-    ws_answer_reason(core, request, 404, "no such path");
+    ws_answer_reason(core, request, STATUS_NOT_FOUND, "no such path");
   }
 }
--- a/src/membership/ws-liveness.c
+++ b/src/membership/ws-liveness.c
@@ -6,6 +6,9 @@
 
 /* A worker whose node doesn't answer gives up after 4 s and tries the next one a second later. */
 #define OWNER_DISCOVERY_MS 5000
+/* A heartbeat is late after its interval and a quarter of it, and a margin for the way. */
+#define PATIENCE_MS_PER_INTERVAL_S 1250.0
+#define PATIENCE_MARGIN_MS 900
 /* No worker reaches this node, if none did for as long as this many heartbeats should have taken.
  */
 #define UNREACHED_HEARTBEATS 8.0
@@ -14,7 +17,7 @@
 gint64
 ws_liveness_patience_ms(const WsCore *core)
 {
-  return (gint64)(core->settings->report_s * 1250.0) + 900;
+  return (gint64)(core->settings->report_s * PATIENCE_MS_PER_INTERVAL_S) + PATIENCE_MARGIN_MS;
 }
 
 gboolean
--- a/src/membership/ws-partitions.c
+++ b/src/membership/ws-partitions.c
@@ -14,8 +14,10 @@
 #define RESTART_LEASE_SHARE 0.8
 /* Partitions are looked for at every tick; this is longer than the pause between two. */
 #define PARTITION_VALID_MS 600
-/* So many machines that are suspected together are no coincidence. */
+/* From so many machines on that are suspected together, a common cause is assumed; outside a
+   partitioned zone one in so many of all must be suspected too. */
 #define MIN_SUSPECTED_TOGETHER 3
+#define MACHINES_PER_SUSPECTED 5
 
 /* How many machines are expected to be heard, and how many of them are not. */
 typedef struct {
@@ -141,7 +143,8 @@
       continue;
     count_machine(core, machine, &count);
   }
-  return count.suspected >= MIN_SUSPECTED_TOGETHER && 5 * count.suspected >= count.all;
+  return count.suspected >= MIN_SUSPECTED_TOGETHER
+         && MACHINES_PER_SUSPECTED * count.suspected >= count.all;
 }
 
 /* The machines whose silence shows a partition of the zone: this node's own, or those of all owners
--- a/src/membership/ws-peer-request-message.c
+++ b/src/membership/ws-peer-request-message.c
@@ -11,6 +11,17 @@
 /* Of each kind in one message. */
 #define MAX_REQUESTS_PER_KIND 48
 
+/* Positions in the array that is a request; what follows in a release is its evidence
+   (storage/ws-evidence.c). */
+#define MARK_MACHINE 0
+#define MARK_REASON 1
+#define MARK_IS_IMMEDIATE 2
+#define ITEM_JOB 0
+#define ITEM_TASK 1    /* of a reservation: how many tasks */
+#define ITEM_ATTEMPT 2 /* of stops and releases */
+#define ITEM_MACHINE 2 /* of assignments and reservations */
+#define ITEM_IS_COMPLETED 3
+
 static const char *const LIST_NAMES[] = {
   [WS_PEER_REQUEST_STOP] = MESH_STOPS,
   [WS_PEER_REQUEST_RELEASE] = MESH_RELEASES,
@@ -114,22 +125,22 @@
 /* Parsing. */
 
 static char *
-parse_string(const json_t *item, size_t at)
+parse_string(const json_t *item, size_t position)
 {
-  return g_strdup(json_string_value(json_array_get(item, at)));
+  return g_strdup(json_string_value(json_array_get(item, position)));
 }
 
 static gint64
-parse_integer(const json_t *item, size_t at)
+parse_integer(const json_t *item, size_t position)
 {
-  return json_integer_value(json_array_get(item, at));
+  return json_integer_value(json_array_get(item, position));
 }
 
 static void
 parse_release(const WsReplica *replica, const json_t *item, WsPeerRequest *request)
 {
   request->release.attempt = request->attempt;
-  request->release.is_completed = json_is_true(json_array_get(item, 3));
+  request->release.is_completed = json_is_true(json_array_get(item, ITEM_IS_COMPLETED));
   request->has_evidence = ws_evidence_parse(replica, item, &request->release.evidence);
 }
 
@@ -139,20 +150,20 @@
   WsPeerRequest *request = g_new0(WsPeerRequest, 1);
   request->kind = kind;
   if (kind == WS_PEER_REQUEST_MARK) {
-    request->machine = parse_string(item, 0);
-    request->reason = parse_string(item, 1);
-    request->is_immediate = json_is_true(json_array_get(item, 2));
+    request->machine = parse_string(item, MARK_MACHINE);
+    request->reason = parse_string(item, MARK_REASON);
+    request->is_immediate = json_is_true(json_array_get(item, MARK_IS_IMMEDIATE));
     return request;
   }
-  request->job = parse_string(item, 0);
+  request->job = parse_string(item, ITEM_JOB);
   if (kind == WS_PEER_REQUEST_RESERVATION)
-    request->tasks = parse_integer(item, 1);
+    request->tasks = parse_integer(item, ITEM_TASK);
   else
-    request->task = parse_integer(item, 1);
+    request->task = parse_integer(item, ITEM_TASK);
   if (kind == WS_PEER_REQUEST_STOP || kind == WS_PEER_REQUEST_RELEASE)
-    request->attempt = (guint64)parse_integer(item, 2);
+    request->attempt = (guint64)parse_integer(item, ITEM_ATTEMPT);
   else
-    request->machine = parse_string(item, 2);
+    request->machine = parse_string(item, ITEM_MACHINE);
   if (kind == WS_PEER_REQUEST_RELEASE)
     parse_release(replica, item, request);
   return request;
--- a/src/membership/ws-peer-requests.c
+++ b/src/membership/ws-peer-requests.c
@@ -17,9 +17,13 @@
 #include "membership/ws-peer-request-message.h"
 #include "store/ws-store.h"
 
+#define STATUS_OK 200
+
 #define BATCHING_MS 60
 #define MAILBOX_INTERVAL_MS 1000
 #define REQUEST_TIMEOUT_MS 1500
+/* When a node that took no requests may be called again. */
+#define RETRY_AFTER_S 1
 
 struct _WsPeerRequests {
   WsPeerRequestBatch **queued; /* by node; NULL: nothing */
@@ -239,9 +243,9 @@
 {
   g_autoptr(WsPeerRequestBatch) batch = ws_peer_request_batch_parse(core->replica, message);
   if (handle_batch(core, batch))
-    ws_answer(core, request, 200, json_object(), 0);
+    ws_answer(core, request, STATUS_OK, json_object(), 0);
   else
-    ws_answer_later(core, request, 1);
+    ws_answer_later(core, request, RETRY_AFTER_S);
 }
 
 static void
@@ -262,7 +266,7 @@
 on_batch_answered(WsCore *core, guint status, const json_t *body, gpointer data)
 {
   (void)body;
-  if (status != 200)
+  if (status != STATUS_OK)
     g_debug("%s took no peer requests (status %u)",
             ws_settings_node(core->settings, GPOINTER_TO_UINT(data))->name, status);
 }
--- a/src/runtime/ws-runtime.c
+++ b/src/runtime/ws-runtime.c
@@ -29,13 +29,13 @@
 static gint64
 now_ms(void)
 {
-  return g_get_monotonic_time() / 1000;
+  return g_get_monotonic_time() / G_TIME_SPAN_MILLISECOND;
 }
 
 static gint64
 wall_ms(void)
 {
-  return g_get_real_time() / 1000;
+  return g_get_real_time() / G_TIME_SPAN_MILLISECOND;
 }
 
 static void send_outputs(WsRuntime *runtime);
--- a/src/storage/ws-chunk.c
+++ b/src/storage/ws-chunk.c
@@ -1,6 +1,8 @@
 /* A chunk in memory: its assignments and completed tasks. */
 #include "storage/ws-chunk.h"
 
+#define BITS_PER_BYTE 8
+
 WsChunk *
 ws_chunk_copy(const WsChunk *chunk)
 {
@@ -51,7 +53,7 @@
   guint bit = task % WS_CHUNK_TASKS;
   if (ws_chunk_is_completed(chunk, task))
     return;
-  chunk->completed[bit / 8] |= (guint8)(1u << (bit % 8));
+  chunk->completed[bit / BITS_PER_BYTE] |= (guint8)(1u << (bit % BITS_PER_BYTE));
   chunk->completed_count++;
 }
 
@@ -59,7 +61,7 @@
 ws_chunk_is_completed(const WsChunk *chunk, guint task)
 {
   guint bit = task % WS_CHUNK_TASKS;
-  return chunk != NULL && (chunk->completed[bit / 8] >> (bit % 8) & 1) != 0;
+  return chunk != NULL && (chunk->completed[bit / BITS_PER_BYTE] >> (bit % BITS_PER_BYTE) & 1) != 0;
 }
 
 void
--- a/src/storage/ws-replica-jobs.c
+++ b/src/storage/ws-replica-jobs.c
@@ -5,6 +5,8 @@
 
 #include <string.h>
 
+#define DECIMAL_BASE 10
+
 void
 ws_job_free(WsJob *job)
 {
@@ -183,7 +185,8 @@
   WsJob *job = ws_replica_find_job(replica, id);
   guint64 index;
   if (job == NULL || job->spec == NULL
-      || !g_ascii_string_to_unsigned(slash + 1, 10, 0, ws_job_chunk_count(job) - 1, &index, NULL))
+      || !g_ascii_string_to_unsigned(slash + 1, DECIMAL_BASE, 0, ws_job_chunk_count(job) - 1,
+                                     &index, NULL))
     return;
   WsChunk *chunk = value != NULL ? ws_chunk_parse(replica, value) : NULL;
   if (value != NULL && chunk == NULL) {
--- a/src/storage/ws-team-use.c
+++ b/src/storage/ws-team-use.c
@@ -7,6 +7,7 @@
 #define BYTES_PER_TEAM 48
 /* How full a record may be on average, as names spread unevenly. */
 #define FILL_RATIO 0.5
+#define BYTES_PER_KB 1024.0
 
 /* Stored field names; amounts are in thousandths. */
 #define FIELD_CPUS "c"
@@ -20,7 +21,7 @@
     const WsTeamSettings *team = g_ptr_array_index(settings->teams, t);
     bytes += (double)strlen(team->name) + BYTES_PER_TEAM;
   }
-  return 1 + (guint)(bytes / (FILL_RATIO * settings->state_value_kb * 1024.0));
+  return 1 + (guint)(bytes / (FILL_RATIO * settings->state_value_kb * BYTES_PER_KB));
 }
 
 guint
--- a/src/store/ws-store-reads.c
+++ b/src/store/ws-store-reads.c
@@ -8,6 +8,7 @@
 #define REVISION_TIMEOUT_MS 800
 /* No key begins like this: a page of it has the store's revision and nothing else. */
 #define NO_KEYS_PREFIX WS_PREFIX "~"
+#define MIN_PAGE_SIZE 1
 
 typedef struct {
   WsReadFunc done;
@@ -113,7 +114,7 @@
   reads->is_reading = TRUE;
   g_array_append_vals(reads->sent, reads->unsent->data, reads->unsent->len);
   g_array_set_size(reads->unsent, 0);
-  g_autofree char *path = ws_kv_page_path(NO_KEYS_PREFIX, NULL, 1);
+  g_autofree char *path = ws_kv_page_path(NO_KEYS_PREFIX, NULL, MIN_PAGE_SIZE);
   ws_store_get(core, path, REVISION_TIMEOUT_MS, on_revision, NULL);
 }
 
--- a/src/store/ws-store-requests.c
+++ b/src/store/ws-store-requests.c
@@ -19,6 +19,7 @@
 #define MAX_RATE_LIMITED_TRIES 5
 /* Failures for so long mean that the store is unavailable. */
 #define UNAVAILABLE_AFTER_MS 700
+#define STATUS_NO_RESPONSE 0
 
 typedef struct {
   const char *method; /* a literal */
@@ -200,7 +201,7 @@
   for (guint i = 0; i < WS_REQUEST_CLASSES; i++) {
     StoreRequest *request;
     while ((request = g_queue_pop_head(&core->store->requests.queues[i])) != NULL) {
-      request->reply(core, 0, NULL, request->data);
+      request->reply(core, STATUS_NO_RESPONSE, NULL, request->data);
       store_request_free(request);
       any = TRUE;
     }
--- a/src/store/ws-store-watch.c
+++ b/src/store/ws-store-watch.c
@@ -4,7 +4,8 @@
 #include "protocol/ws-kv.h"
 
 #define WATCH_WAIT_MS 8000
-#define WATCH_TIMEOUT_MS (WATCH_WAIT_MS + 2000)
+#define WATCH_MARGIN_MS 2000
+#define WATCH_TIMEOUT_MS (WATCH_WAIT_MS + WATCH_MARGIN_MS)
 #define RETRY_PAUSE_MS 300
 /* Changes gather while the watch is closed: it takes at most a third of the requests. */
 #define REQUESTS_PER_WATCH 3.0
--- a/src/transport/ws-http-client.c
+++ b/src/transport/ws-http-client.c
@@ -10,6 +10,7 @@
 #define IDLE_CONNECTION_TIMEOUT_S 30
 /* Each call has a timer of its own. */
 #define NO_SOCKET_TIMEOUT 0
+#define STATUS_NO_RESPONSE 0
 
 struct _WsHttpClient {
   SoupSession *session;
@@ -63,7 +64,7 @@
     g_source_remove(pending->timer);
   gsize length = 0;
   const char *body = bytes != NULL ? g_bytes_get_data(bytes, &length) : NULL;
-  guint status = bytes != NULL ? soup_message_get_status(pending->message) : 0;
+  guint status = bytes != NULL ? soup_message_get_status(pending->message) : STATUS_NO_RESPONSE;
   pending->done(status, body != NULL ? body : "", length, pending->data);
   g_object_unref(pending->message);
   g_object_unref(pending->cancellable);
@@ -77,7 +78,7 @@
   g_autoptr(SoupMessage) message = soup_message_new(method, url);
   if (message == NULL) {
     g_warning("unusable address %s", url);
-    done(0, "", 0, data);
+    done(STATUS_NO_RESPONSE, "", 0, data);
     return;
   }
   /* Without the second flag libsoup opens a connection for every POST. Every request of ours may
