--- a/src/context/ws-context.c
+++ b/src/context/ws-context.c
@@ -11,7 +11,7 @@
   guint64 id; /* the key under which it is kept */
   WsReplyFunc reply;
   gpointer data;
-} Call;
+} PendingCall;
 
 void
 ws_context_init_calls(WsCore *core)
@@ -34,7 +34,7 @@
   g_autoptr(GList) calls = g_hash_table_get_values(core->calls);
   g_hash_table_steal_all(core->calls);
   for (GList *at = calls; at != NULL; at = at->next) {
-    Call *call = at->data;
+    PendingCall *call = at->data;
     call->reply(core, STATUS_NO_RESPONSE, NULL, call->data);
     g_free(call);
   }
@@ -47,7 +47,7 @@
   gpointer value;
   if (!g_hash_table_steal_extended(core->calls, &id, NULL, &value))
     return FALSE;
-  Call *call = value;
+  PendingCall *call = value;
   g_autoptr(json_t) message = status != STATUS_NO_RESPONSE ? ws_json_parse(body, length) : NULL;
   call->reply(core, status, message, call->data);
   g_free(call);
@@ -66,8 +66,8 @@
 ws_call(WsCore *core, const char *method, const char *address, const char *path, json_t *body,
         guint timeout_ms, WsReplyFunc reply, gpointer data)
 {
-  Call *call = g_new0(Call, 1);
-  *call = (Call){ ++core->next_call, reply, data };
+  PendingCall *call = g_new0(PendingCall, 1);
+  *call = (PendingCall){ ++core->next_call, reply, data };
   g_hash_table_insert(core->calls, &call->id, call);
   WsOutput *output = g_new0(WsOutput, 1);
   output->call = call->id;
--- a/src/membership/ws-authority.c
+++ b/src/membership/ws-authority.c
@@ -196,17 +196,13 @@
          && peer->cancellations_complete_ms >= ws_store_unavailable_since_ms(core);
 }
 
-/* Whether no cancellation that was confirmed to its user is missed. A node knows while its replica
-   is current. Without the store it knows while all peers that it reaches are without it too, and
-   have notified it of what they knew: nothing new can be confirmed then. */
+/* Whether a node whose replica is not current still knows all confirmed cancellations: the
+   store is unavailable to all peers that it reaches, so that nothing new can be confirmed, and one
+   of them has notified it of all that it knew. */
 static gboolean
-has_all_cancellations(const WsCore *core)
+peers_have_notified_all(const WsCore *core)
 {
   gboolean is_reached = FALSE, is_notified = FALSE;
-  if (!ws_store_is_loaded(core))
-    return FALSE;
-  if (ws_store_is_current(core) || core->settings->nodes->len == 1)
-    return TRUE;
   for (guint n = 0; n < core->settings->nodes->len; n++) {
     const WsPeer *peer = ws_peer(core, n);
     if (n == core->settings->self)
@@ -220,6 +216,16 @@
   return is_reached && is_notified;
 }
 
+/* Whether this node misses no cancellation that was confirmed to its user. */
+static gboolean
+has_all_cancellations(const WsCore *core)
+{
+  if (!ws_store_is_loaded(core))
+    return FALSE;
+  return ws_store_is_current(core) || core->settings->nodes->len == 1
+         || peers_have_notified_all(core);
+}
+
 /* Whether a lease that is renewed now ends in time for whatever is missed: it may last for all of
    its time, and what was confirmed since this node last knew everything has to be gone within
    cancel_s. Inside a partitioned zone its node goes on: those outside return the machines there in
--- a/src/membership/ws-cancellations.c
+++ b/src/membership/ws-cancellations.c
@@ -64,7 +64,7 @@
 }
 
 static Cancellation *
-find(const WsCore *core, const char *id)
+find_cancellation(const WsCore *core, const char *id)
 {
   return g_hash_table_lookup(core->cancellations->by_id, id);
 }
@@ -74,24 +74,24 @@
 {
   return job->state == WS_JOB_CANCELLED
          || (core->cancellations->list->len > 0 && job->state == WS_JOB_ACTIVE
-             && find(core, job->id) != NULL);
+             && find_cancellation(core, job->id) != NULL);
 }
 
-/* Nothing of the job is left anywhere, as far as the records say. */
+/* Whether the records show the job as finished, with no task left. */
 static gboolean
-is_over(const WsCore *core, const char *id)
+is_finished(const WsCore *core, const char *id)
 {
   const WsJob *job = ws_replica_find_job(core->replica, id);
   return job != NULL && job->spec == NULL && job->state != WS_JOB_ACTIVE;
 }
 
 static void
-add(WsCore *core, const char *id, gint64 at_ms, WsNodeIndex from)
+add_cancellation(WsCore *core, const char *id, gint64 at_ms, WsNodeIndex from)
 {
   WsCancellations *cancellations = core->cancellations;
-  Cancellation *cancellation = find(core, id);
+  Cancellation *cancellation = find_cancellation(core, id);
   if (cancellation == NULL) {
-    if (is_over(core, id))
+    if (is_finished(core, id))
       return;
     cancellation = g_new0(Cancellation, 1);
     *cancellation = (Cancellation){ g_strdup(id), at_ms, 1u << core->settings->self };
@@ -159,7 +159,7 @@
   cancellations->notify_ms[notification->node]
       = core->now + (status == STATUS_OK ? NOTIFY_INTERVAL_MS : NOTIFY_RETRY_MS);
   for (guint i = 0; status == STATUS_OK && i < notification->ids->len; i++) {
-    Cancellation *cancellation = find(core, g_ptr_array_index(notification->ids, i));
+    Cancellation *cancellation = find_cancellation(core, g_ptr_array_index(notification->ids, i));
     if (cancellation != NULL)
       cancellation->acknowledged_by |= 1u << notification->node;
   }
@@ -207,7 +207,7 @@
   }
   for (guint i = 0; i < message.notices->len; i++) {
     const WsCancellationNotice *notice = &g_array_index(message.notices, WsCancellationNotice, i);
-    add(core, notice->job, core->now - notice->age_ms, node);
+    add_cancellation(core, notice->job, core->now - notice->age_ms, node);
   }
   ws_answer(core, request, STATUS_OK, json_object(), 0);
 }
@@ -227,48 +227,64 @@
 gint64
 ws_cancellations_confirmed_ms(const WsCore *core, const char *job_id)
 {
-  const Cancellation *cancellation = find(core, job_id);
+  const Cancellation *cancellation = find_cancellation(core, job_id);
   return cancellation != NULL ? cancellation->confirmed_ms : core->now;
 }
 
 gboolean
 ws_cancellations_has_id(const WsCore *core, const char *job_id)
 {
-  return find(core, job_id) != NULL;
+  return find_cancellation(core, job_id) != NULL;
 }
 
 static void
-remove_over(WsCore *core)
+remove_finished(WsCore *core)
 {
   WsCancellations *cancellations = core->cancellations;
   for (guint i = cancellations->list->len; i-- > 0;) {
     const Cancellation *cancellation = g_ptr_array_index(cancellations->list, i);
-    if (!is_over(core, cancellation->id))
+    if (!is_finished(core, cancellation->id))
       continue;
     g_hash_table_remove(cancellations->by_id, cancellation->id);
     g_ptr_array_remove_index_fast(cancellations->list, i);
   }
 }
 
-gboolean
-ws_cancellations_pump(WsCore *core)
+/* Adds the cancellations that the replica has shown since the last call. FALSE: there were none. */
+static gboolean
+add_replicated(WsCore *core)
 {
-  WsCancellations *cancellations = core->cancellations;
-  GArray *fresh = core->replica->cancelled_jobs;
-  for (guint i = 0; i < fresh->len; i++) {
-    const WsJob *job = ws_replica_job(core->replica, g_array_index(fresh, guint, i));
+  GArray *new_jobs = core->replica->cancelled_jobs;
+  gboolean has_new = new_jobs->len > 0;
+  for (guint i = 0; i < new_jobs->len; i++) {
+    const WsJob *job = ws_replica_job(core->replica, g_array_index(new_jobs, guint, i));
     gint64 age_ms = CLAMP(core->wall - job->cancelled_ms, 0, core->now);
-    add(core, job->id, core->now - age_ms, core->settings->self);
+    add_cancellation(core, job->id, core->now - age_ms, core->settings->self);
   }
-  gboolean is_due = core->now >= cancellations->next_round_ms || fresh->len > 0;
-  g_array_set_size(fresh, 0);
-  if (cancellations->list->len == 0 || !is_due)
-    return FALSE;
-  cancellations->next_round_ms = core->now + ROUND_INTERVAL_MS;
-  remove_over(core);
+  g_array_set_size(new_jobs, 0);
+  return has_new;
+}
+
+static void
+notify_peers(WsCore *core)
+{
+  const WsCancellations *cancellations = core->cancellations;
   for (guint n = 0; n < core->settings->nodes->len; n++)
     if (!cancellations->is_notifying[n] && core->now >= cancellations->notify_ms[n]
         && ws_cancellations_count_unacknowledged(core, n) > 0)
       notify(core, n);
+}
+
+gboolean
+ws_cancellations_pump(WsCore *core)
+{
+  WsCancellations *cancellations = core->cancellations;
+  gboolean has_new = add_replicated(core);
+  gboolean is_due = core->now >= cancellations->next_round_ms || has_new;
+  if (cancellations->list->len == 0 || !is_due)
+    return FALSE;
+  cancellations->next_round_ms = core->now + ROUND_INTERVAL_MS;
+  remove_finished(core);
+  notify_peers(core);
   return TRUE;
 }
--- a/src/membership/ws-election.c
+++ b/src/membership/ws-election.c
@@ -24,14 +24,14 @@
   gboolean is_listed; /* the member key is written under this lease */
   gboolean call_is_in_flight;
   gint64 next_ms; /* when the lease is acquired, listed or renewed next */
-  gboolean electing;
-  gboolean writing_epoch;
+  gboolean is_electing;
+  gboolean is_writing_epoch;
   gint64 epoch_next_ms;      /* when the next epoch may be written */
   gint64 requested_epoch_ms; /* when one may be written with the same members */
   /* After a process pause: */
   gboolean call_predates_pause; /* the call on its way was sent before it */
   gboolean is_renewed;
-  gboolean reading;
+  gboolean is_reading;
   guint pauses; /* a read counts only if there was no other pause since it was requested */
 };
 
@@ -66,11 +66,11 @@
 /* What this node knew before a process pause counts again once the store has confirmed
    its lease, and everything up to then was read. */
 static void
-on_resumption_read(WsCore *core, gboolean current, gpointer data)
+on_resumption_read(WsCore *core, gboolean is_current, gpointer data)
 {
   WsElection *election = core->election;
-  election->reading = FALSE;
-  if (!current || !election->is_renewed || election->pauses != GPOINTER_TO_UINT(data))
+  election->is_reading = FALSE;
+  if (!is_current || !election->is_renewed || election->pauses != GPOINTER_TO_UINT(data))
     return;
   ws_authority_end_stall(core);
   core->replan_is_needed = TRUE;
@@ -134,7 +134,7 @@
 /* A late transaction of an earlier run of this node may have replaced the key, and taken it along
    when that run's lease ended. */
 static void
-check_listed(WsCore *core)
+check_member_key(WsCore *core)
 {
   if (!ws_store_is_loaded(core))
     return;
@@ -147,28 +147,47 @@
 }
 
 static void
-keep_lease(WsCore *core)
+acquire_lease(WsCore *core)
+{
+  ws_store_post(core, WS_REQUEST_LEASE, WS_KV_LEASES_PATH, ws_kv_lease_request_encode(LEASE_MS), 0,
+                LEASE_TIMEOUT_MS, on_lease, NULL);
+}
+
+static void
+write_member_key(WsCore *core)
+{
+  WsTxn *txn = ws_txn_new();
+  g_autofree char *key = ws_key(WS_KEYS_MEMBER, own_name(core));
+  ws_txn_compare(txn, core->replica, key);
+  ws_txn_put_leased(txn, key, ws_member_encode(core->incarnation), core->election->lease);
+  ws_txn_commit(core, txn, WS_REQUEST_LEASE, on_listed, NULL);
+}
+
+static void
+renew_lease(WsCore *core)
+{
+  g_autofree char *path = ws_kv_lease_renewal_path(core->election->lease);
+  ws_store_post(core, WS_REQUEST_LEASE, path, NULL, 0, RENEW_TIMEOUT_MS, on_renewed, NULL);
+}
+
+/* Makes the next call for the lease, one at a time: acquires it, writes the member key under it,
+   then renews it. */
+static void
+maintain_lease(WsCore *core)
 {
   WsElection *election = core->election;
   if (election->call_is_in_flight || core->now < election->next_ms)
     return;
-  check_listed(core);
+  check_member_key(core);
   if (election->lease != 0 && !election->is_listed && !ws_store_is_loaded(core))
     return;
   election->call_is_in_flight = TRUE;
-  if (election->lease == 0) {
-    ws_store_post(core, WS_REQUEST_LEASE, WS_KV_LEASES_PATH, ws_kv_lease_request_encode(LEASE_MS),
-                  0, LEASE_TIMEOUT_MS, on_lease, NULL);
-  } else if (!election->is_listed) {
-    WsTxn *txn = ws_txn_new();
-    g_autofree char *key = ws_key(WS_KEYS_MEMBER, own_name(core));
-    ws_txn_compare(txn, core->replica, key);
-    ws_txn_put_leased(txn, key, ws_member_encode(core->incarnation), election->lease);
-    ws_txn_commit(core, txn, WS_REQUEST_LEASE, on_listed, NULL);
-  } else {
-    g_autofree char *path = ws_kv_lease_renewal_path(election->lease);
-    ws_store_post(core, WS_REQUEST_LEASE, path, NULL, 0, RENEW_TIMEOUT_MS, on_renewed, NULL);
-  }
+  if (election->lease == 0)
+    acquire_lease(core);
+  else if (!election->is_listed)
+    write_member_key(core);
+  else
+    renew_lease(core);
 }
 
 static gboolean
@@ -182,7 +201,7 @@
 on_elected(WsCore *core, WsTxnResult result, gpointer data)
 {
   (void)data;
-  core->election->electing = FALSE;
+  core->election->is_electing = FALSE;
   if (result == WS_TXN_COMMITTED)
     g_info("elected leader");
   else if (result == WS_TXN_UNAVAILABLE)
@@ -192,15 +211,15 @@
 /* An old incarnation of this node may still hold the key until its lease runs out: its place is
    taken at once, since one name never runs twice. */
 static void
-stand_for_leader(WsCore *core)
+campaign_for_leader(WsCore *core)
 {
   WsElection *election = core->election;
-  if (!election->is_listed || election->electing || holds_leader_key(core))
+  if (!election->is_listed || election->is_electing || holds_leader_key(core))
     return;
   if (core->replica->leader_node != WS_NO_NODE
       && core->replica->leader_node != core->settings->self)
     return;
-  election->electing = TRUE;
+  election->is_electing = TRUE;
   WsTxn *txn = ws_txn_new();
   ws_txn_compare(txn, core->replica, WS_KEY_LEADER);
   ws_txn_put_leased(txn, WS_KEY_LEADER, ws_leader_encode(core->incarnation, own_name(core)),
@@ -212,7 +231,7 @@
 on_epoch(WsCore *core, WsTxnResult result, gpointer data)
 {
   (void)data;
-  core->election->writing_epoch = FALSE;
+  core->election->is_writing_epoch = FALSE;
   core->election->epoch_next_ms
       = core->now + (result == WS_TXN_COMMITTED ? EPOCH_INTERVAL_MS : EPOCH_RETRY_MS);
 }
@@ -228,19 +247,20 @@
   return TRUE;
 }
 
-static void
-keep_epoch(WsCore *core)
+/* Whether the present epoch names this node as leader, and the members that there are. */
+static gboolean
+epoch_is_current(const WsCore *core)
 {
-  WsElection *election = core->election;
   const WsEpoch *epoch = &core->replica->epoch;
-  if (!holds_leader_key(core) || election->writing_epoch || core->now < election->epoch_next_ms
-      || core->replica->members->len == 0)
-    return;
-  if (epoch->number > 0 && epoch->leader == core->settings->self
-      && ws_epoch_same_members(epoch, core->replica->members) && !new_epoch_is_due(core))
-    return;
-  election->writing_epoch = TRUE;
-  WsEpoch next = { epoch->number + 1, core->settings->self, core->replica->members };
+  return epoch->number > 0 && epoch->leader == core->settings->self
+         && ws_epoch_same_members(epoch, core->replica->members);
+}
+
+static void
+write_next_epoch(WsCore *core)
+{
+  core->election->is_writing_epoch = TRUE;
+  WsEpoch next = { core->replica->epoch.number + 1, core->settings->self, core->replica->members };
   WsTxn *txn = ws_txn_new();
   ws_txn_compare(txn, core->replica, WS_KEY_EPOCH);
   ws_txn_compare(txn, core->replica, WS_KEY_LEADER);
@@ -248,20 +268,38 @@
   ws_txn_commit(core, txn, WS_REQUEST_LEASE, on_epoch, NULL);
 }
 
+static void
+maintain_epoch(WsCore *core)
+{
+  const WsElection *election = core->election;
+  if (!holds_leader_key(core) || election->is_writing_epoch || core->now < election->epoch_next_ms
+      || core->replica->members->len == 0)
+    return;
+  if (!epoch_is_current(core) || new_epoch_is_due(core))
+    write_next_epoch(core);
+}
+
+/* Reads once after a process pause, when the lease has been renewed. */
+static void
+read_for_resumption(WsCore *core)
+{
+  WsElection *election = core->election;
+  if (!election->is_renewed || election->is_reading)
+    return;
+  election->is_reading = TRUE;
+  ws_store_linearizable_read(core, on_resumption_read, GUINT_TO_POINTER(election->pauses));
+}
+
 void
 ws_election_tick(WsCore *core)
 {
-  keep_lease(core);
+  maintain_lease(core);
   if (!ws_store_is_loaded(core))
     return;
   if (ws_authority_is_stalled(core)) {
-    if (core->election->is_renewed && !core->election->reading) {
-      core->election->reading = TRUE;
-      ws_store_linearizable_read(core, on_resumption_read,
-                                 GUINT_TO_POINTER(core->election->pauses));
-    }
+    read_for_resumption(core);
     return;
   }
-  stand_for_leader(core);
-  keep_epoch(core);
+  campaign_for_leader(core);
+  maintain_epoch(core);
 }
--- a/src/membership/ws-failure-detector.c
+++ b/src/membership/ws-failure-detector.c
@@ -176,8 +176,10 @@
     core->handlers->request_termination(core, machine, WS_MARK_REASON_OUTBOUND_UNREACHABLE, TRUE);
 }
 
-static void
-check_all_outbound(WsCore *core)
+/* The time without an acknowledgement after which a machine is terminated; 0: none is outbound
+   unreachable. */
+static double
+outbound_timeout_ms(const WsCore *core)
 {
   guint unreachable = 0, all = 0;
   for (guint i = 0; i < core->replica->machines->len; i++) {
@@ -188,10 +190,18 @@
     unreachable += ws_machine_is_outbound_unreachable(core, machine) ? 1 : 0;
   }
   if (unreachable == 0)
-    return;
+    return 0.0;
   gboolean many
       = unreachable >= MIN_UNREACHABLE_TOGETHER && MACHINES_PER_UNREACHABLE * unreachable >= all;
-  double timeout_ms = (many ? 1.0 : OUTBOUND_LEASE_SHARE) * core->settings->lease_s * 1000.0;
+  return (many ? 1.0 : OUTBOUND_LEASE_SHARE) * core->settings->lease_s * 1000.0;
+}
+
+static void
+check_all_outbound(WsCore *core)
+{
+  double timeout_ms = outbound_timeout_ms(core);
+  if (timeout_ms <= 0.0)
+    return;
   for (guint i = 0; i < core->replica->machines->len; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, i);
     if (machine->is_recorded && ws_owns_machine(core, machine) && !machine->mark_is_immediate)
