--- a/src/commit/ws-batch-check.c
+++ b/src/commit/ws-batch-check.c
@@ -72,7 +72,7 @@
 }
 
 static gboolean
-record_has_place(const WsBatch *batch, const WsJob *job, guint task)
+record_has_free_slot(const WsBatch *batch, const WsJob *job, guint task)
 {
   const WsChunk *chunk = ws_batch_chunk(batch, job, task / WS_CHUNK_TASKS);
   return ws_chunk_free_slots(chunk, batch->core->replica) > 0;
@@ -83,7 +83,7 @@
 {
   return job->state == WS_JOB_ACTIVE && job->spec != NULL && job->team != WS_NO_TEAM
          && task < job->tasks && task_is_unassigned(batch, job, task) && !ws_gang_is_ending(job)
-         && record_has_place(batch, job, task);
+         && record_has_free_slot(batch, job, task);
 }
 
 static gboolean
--- a/src/commit/ws-batch.c
+++ b/src/commit/ws-batch.c
@@ -247,12 +247,13 @@
 
 /* Whether the release of one of the job's assigned tasks ends the job. */
 static gboolean
-ends_job(const WsBatch *batch, const WsJob *job, gboolean done)
+ends_job(const WsBatch *batch, const WsJob *job, gboolean is_completed)
 {
   WsBatchJobCounts counts = ws_batch_count_tasks(batch, job);
-  WsJobProgress progress = { .completed_count = (gint64)counts.completed_count + (done ? 1 : 0),
-                             .assigned_count = (gint64)counts.assigned_count - 1,
-                             .has_completed = done };
+  WsJobProgress progress
+      = { .completed_count = (gint64)counts.completed_count + (is_completed ? 1 : 0),
+          .assigned_count = (gint64)counts.assigned_count - 1,
+          .has_completed = is_completed };
   return ws_job_is_complete_after(job, &progress);
 }
 
--- a/src/commit/ws-release-order.c
+++ b/src/commit/ws-release-order.c
@@ -97,7 +97,7 @@
 }
 
 static gboolean
-is_same_chunk(const WsRelease *first, const WsRelease *second)
+share_chunk(const WsRelease *first, const WsRelease *second)
 {
   return first->job == second->job && first->task / WS_CHUNK_TASKS == second->task / WS_CHUNK_TASKS;
 }
@@ -112,26 +112,25 @@
   const WsChunk *chunk = job->spec != NULL ? ws_job_chunk(job, ordered->release.task) : NULL;
   if (ordered->ends_job || chunk == NULL || ws_chunk_fits_record(chunk, core->replica))
     return TRUE;
-  WsChunk *rest = ws_chunk_copy(chunk);
+  g_autoptr(WsChunk) rest = ws_chunk_copy(chunk);
   for (guint i = 0; i < releases->len; i++) {
     const WsRelease *other = &g_array_index(releases, WsOrderedRelease, i).release;
-    if (is_same_chunk(other, &ordered->release))
+    if (share_chunk(other, &ordered->release))
       ws_chunk_remove(rest, other->task);
   }
-  gboolean fits = ws_chunk_fits_record(rest, core->replica);
-  ws_chunk_free(rest);
-  return fits;
+  return ws_chunk_fits_record(rest, core->replica);
 }
 
 /* Leaves out the releases that can't be written yet. */
 static void
-hold_back(const WsCore *core, GArray *releases)
+remove_unwritable(const WsCore *core, GArray *releases)
 {
-  g_autofree gboolean *is_held = g_new0(gboolean, MAX(releases->len, 1u));
+  g_autofree gboolean *is_unwritable = g_new0(gboolean, MAX(releases->len, 1u));
   for (guint i = 0; i < releases->len; i++)
-    is_held[i] = !can_be_written(core, releases, &g_array_index(releases, WsOrderedRelease, i));
+    is_unwritable[i]
+        = !can_be_written(core, releases, &g_array_index(releases, WsOrderedRelease, i));
   for (guint i = releases->len; i-- > 0;)
-    if (is_held[i])
+    if (is_unwritable[i])
       g_array_remove_index(releases, i);
 }
 
@@ -152,7 +151,7 @@
 }
 
 static void
-weigh(const WsCore *core, const Sums *sums, WsOrderedRelease *ordered)
+set_weights(const WsCore *core, const Sums *sums, WsOrderedRelease *ordered)
 {
   const WsJob *job = ws_replica_job(core->replica, ordered->release.job);
   ordered->ends_job = ends_job(sums, job);
@@ -169,9 +168,9 @@
   sums_init(&sums, core->settings);
   append_pending(core, pending, releases, &sums);
   for (guint i = 0; i < releases->len; i++)
-    weigh(core, &sums, &g_array_index(releases, WsOrderedRelease, i));
+    set_weights(core, &sums, &g_array_index(releases, WsOrderedRelease, i));
   sums_clear(&sums);
-  hold_back(core, releases);
+  remove_unwritable(core, releases);
   g_array_sort(releases, by_weight);
   return releases;
 }
--- a/src/commit/ws-releases.c
+++ b/src/commit/ws-releases.c
@@ -78,7 +78,7 @@
 /* Evidence of an attempt is never replaced by weaker: a completed task remains so, and the cloud's
    confirmation is better than any heartbeat. */
 static void
-strengthen(WsRelease *pending, const WsRelease *release)
+merge_evidence(WsRelease *pending, const WsRelease *release)
 {
   pending->is_completed = pending->is_completed || release->is_completed;
   if (pending->evidence.kind != WS_EVIDENCE_RETURNED
@@ -95,7 +95,7 @@
   if (pending != NULL && pending->release.attempt > release->attempt)
     return;
   if (pending != NULL && pending->release.attempt == release->attempt) {
-    strengthen(&pending->release, release);
+    merge_evidence(&pending->release, release);
     return;
   }
   note_run_time(core, release);
@@ -158,7 +158,7 @@
 
 /* The owner restates, under the present epoch, what it has concluded and not refuted since. */
 static void
-restate(const WsCore *core, WsRelease *release)
+renew_evidence(const WsCore *core, WsRelease *release)
 {
   if (ws_owns_machine(core, ws_replica_machine(core->replica, release->evidence.machine)))
     release->evidence.epoch = core->replica->epoch.number;
@@ -177,7 +177,7 @@
     } else if (pending->forwarded_ms == 0
                || core->now - pending->forwarded_ms >= FORWARD_RETRY_MS) {
       pending->forwarded_ms = core->now;
-      restate(core, &pending->release);
+      renew_evidence(core, &pending->release);
       ws_peer_request_release(core, &pending->release);
     }
   }
--- a/src/storage/ws-chunk-record.c
+++ b/src/storage/ws-chunk-record.c
@@ -76,6 +76,14 @@
   return used_bytes < max_bytes ? (guint)((max_bytes - used_bytes) / BYTES_OF_LONG_ASSIGNMENT) : 0;
 }
 
+/* A bit for each task, in hexadecimal digits; @hex has space for them and a terminating zero. */
+static void
+encode_completed(const WsChunk *chunk, char *hex)
+{
+  for (guint i = 0; i < sizeof chunk->completed; i++)
+    g_snprintf(hex + (gsize)2 * i, 3, "%02x", chunk->completed[i]);
+}
+
 json_t *
 ws_chunk_encode(const WsChunk *chunk, const WsReplica *replica)
 {
@@ -93,8 +101,7 @@
     json_array_append_new(assignments, item);
   }
   char hex[2 * sizeof chunk->completed + 1];
-  for (guint i = 0; i < sizeof chunk->completed; i++)
-    g_snprintf(hex + (gsize)2 * i, 3, "%02x", chunk->completed[i]);
+  encode_completed(chunk, hex);
   return json_pack("{s:I, s:o, s:s}", FIELD_LAST_ATTEMPT, (json_int_t)chunk->last_attempt,
                    FIELD_ASSIGNMENTS, assignments, FIELD_COMPLETED, hex);
 }
--- a/src/storage/ws-chunk.c
+++ b/src/storage/ws-chunk.c
@@ -27,12 +27,12 @@
 void
 ws_chunk_remove(WsChunk *chunk, guint task)
 {
-  guint8 *place = &chunk->places[task % WS_CHUNK_TASKS];
-  if (*place == 0)
+  guint8 *position = &chunk->places[task % WS_CHUNK_TASKS];
+  if (*position == 0)
     return;
-  guint index = *place - 1u;
-  *place = 0;
-  /* The last assignment takes the place of the removed one. */
+  guint index = *position - 1u;
+  *position = 0;
+  /* The last assignment replaces the removed one. */
   g_array_remove_index_fast(chunk->assignments, index);
   if (index == chunk->assignments->len)
     return;
@@ -43,8 +43,8 @@
 WsAssignment *
 ws_chunk_find(const WsChunk *chunk, guint task)
 {
-  guint place = chunk != NULL ? chunk->places[task % WS_CHUNK_TASKS] : 0;
-  return place != 0 ? &g_array_index(chunk->assignments, WsAssignment, place - 1) : NULL;
+  guint position = chunk != NULL ? chunk->places[task % WS_CHUNK_TASKS] : 0;
+  return position != 0 ? &g_array_index(chunk->assignments, WsAssignment, position - 1) : NULL;
 }
 
 void
--- a/src/storage/ws-machine-records.c
+++ b/src/storage/ws-machine-records.c
@@ -21,9 +21,9 @@
 #define MAX_MACHINES_PER_BATCH 50
 
 static const char *
-machine_name(const WsRentalBatch *rental_batch, const WsReplica *replica, guint place)
+machine_name(const WsRentalBatch *rental_batch, const WsReplica *replica, guint position)
 {
-  WsMachineIndex machine = g_array_index(rental_batch->machines, WsMachineIndex, place);
+  WsMachineIndex machine = g_array_index(rental_batch->machines, WsMachineIndex, position);
   return ws_replica_machine(replica, machine)->name;
 }
 
--- a/src/storage/ws-replica-apply.c
+++ b/src/storage/ws-replica-apply.c
@@ -4,6 +4,33 @@
 
 #include <string.h>
 
+static void
+apply_catalog(WsReplica *replica, const json_t *value)
+{
+  GPtrArray *catalog = ws_catalog_parse(value);
+  if (catalog != NULL)
+    ws_replica_set_catalog(replica, catalog);
+}
+
+/* Applies one of the records of which there is one for the cluster. FALSE: the key is of another
+   record. */
+static gboolean
+apply_single(WsReplica *replica, const char *key, const json_t *value)
+{
+  static const struct {
+    const char *key;
+    void (*apply)(WsReplica *, const json_t *);
+  } RECORDS[] = { { WS_KEY_EPOCH, ws_replica_apply_epoch },
+                  { WS_KEY_LEADER, ws_replica_apply_leader },
+                  { WS_KEY_CATALOG, apply_catalog } };
+  for (gsize i = 0; i < G_N_ELEMENTS(RECORDS); i++)
+    if (strcmp(key, RECORDS[i].key) == 0) {
+      RECORDS[i].apply(replica, value);
+      return TRUE;
+    }
+  return FALSE;
+}
+
 static void
 apply_value(WsReplica *replica, const char *key, const json_t *value)
 {
@@ -19,20 +46,8 @@
                 { WS_KEYS_RENTAL_INTENT, ws_replica_apply_rental_intent },
                 { WS_KEYS_MEMBER, ws_replica_apply_member },
                 { WS_KEYS_MAILBOX, ws_replica_apply_mailbox } };
-  if (strcmp(key, WS_KEY_EPOCH) == 0) {
-    ws_replica_apply_epoch(replica, value);
-    return;
-  }
-  if (strcmp(key, WS_KEY_LEADER) == 0) {
-    ws_replica_apply_leader(replica, value);
+  if (apply_single(replica, key, value))
     return;
-  }
-  if (strcmp(key, WS_KEY_CATALOG) == 0) {
-    GPtrArray *catalog = ws_catalog_parse(value);
-    if (catalog != NULL)
-      ws_replica_set_catalog(replica, catalog);
-    return;
-  }
   for (gsize i = 0; i < G_N_ELEMENTS(KINDS); i++)
     if (g_str_has_prefix(key, KINDS[i].prefix))
       KINDS[i].apply(replica, key + strlen(KINDS[i].prefix), value);
--- a/src/storage/ws-replica-cluster.c
+++ b/src/storage/ws-replica-cluster.c
@@ -34,13 +34,13 @@
 {
   GArray *members = replica->members;
   WsMember member = { .node = ws_settings_find_node(replica->settings, name) };
-  guint place = 0;
-  while (place < members->len && g_array_index(members, WsMember, place).node < member.node)
-    place++;
-  if (place < members->len && g_array_index(members, WsMember, place).node == member.node)
-    g_array_remove_index(members, place);
+  guint position = 0;
+  while (position < members->len && g_array_index(members, WsMember, position).node < member.node)
+    position++;
+  if (position < members->len && g_array_index(members, WsMember, position).node == member.node)
+    g_array_remove_index(members, position);
   if (member.node != WS_NO_NODE && value != NULL && ws_member_parse(value, &member.incarnation))
-    g_array_insert_val(members, place, member);
+    g_array_insert_val(members, position, member);
 }
 
 /* Whoever it is for reads it; see membership/ws-peer-requests.c. */
--- a/src/storage/ws-replica-jobs.c
+++ b/src/storage/ws-replica-jobs.c
@@ -107,7 +107,7 @@
 }
 
 static void
-shrink_job(WsReplica *replica, WsJob *job)
+discard_spec(WsReplica *replica, WsJob *job)
 {
   for (guint i = 0; i < job->chunks->len; i++)
     ws_replica_replace_chunk(replica, job, i, NULL);
@@ -119,7 +119,7 @@
 
 /* Takes the specification. */
 static void
-describe_job(WsReplica *replica, WsJob *job, WsJobSpec *spec)
+set_spec(WsReplica *replica, WsJob *job, WsJobSpec *spec)
 {
   job->spec = spec;
   job->tasks = spec->tasks;
@@ -133,7 +133,7 @@
 finish_job(WsReplica *replica, WsJob *job, const WsJobRecord *record)
 {
   if (job->spec != NULL)
-    shrink_job(replica, job);
+    discard_spec(replica, job);
   if (record->has_task_count)
     job->tasks = record->tasks;
 }
@@ -144,7 +144,7 @@
   g_autoptr(GError) error = NULL;
   WsJobSpec *spec = ws_job_spec_parse(message, &error);
   if (spec != NULL)
-    describe_job(replica, job, spec);
+    set_spec(replica, job, spec);
   else
     g_warning("record of job %s: %s", job->id, error->message);
 }
--- a/src/store/ws-store-reads.c
+++ b/src/store/ws-store-reads.c
@@ -58,11 +58,10 @@
   }
 }
 
-void
-ws_store_reads_finish(WsCore *core)
+/* Moves the reads whose revision is reached, and those that have timed out, to the lists. */
+static void
+take_finished(WsCore *core, GArray *reached, GArray *timed_out)
 {
-  GArray *reached = pending_reads_new();
-  GArray *late = pending_reads_new();
   GArray *waiting = core->store->reads.waiting;
   for (guint i = waiting->len; i-- > 0;) {
     PendingRead read = g_array_index(waiting, PendingRead, i);
@@ -72,13 +71,21 @@
     if (is_reached)
       g_array_append_val(reached, read);
     else
-      g_array_append_val(late, read);
+      g_array_append_val(timed_out, read);
     g_array_remove_index(waiting, i);
   }
+}
+
+void
+ws_store_reads_finish(WsCore *core)
+{
+  GArray *reached = pending_reads_new();
+  GArray *timed_out = pending_reads_new();
+  take_finished(core, reached, timed_out);
   finish_all(core, &reached, TRUE);
-  finish_all(core, &late, FALSE);
+  finish_all(core, &timed_out, FALSE);
   g_array_unref(reached);
-  g_array_unref(late);
+  g_array_unref(timed_out);
 }
 
 static void
@@ -122,9 +129,9 @@
 ws_store_reads_stop(WsCore *core)
 {
   WsStoreReads *reads = &core->store->reads;
-  gboolean any = reads->unsent->len + reads->sent->len + reads->waiting->len > 0;
+  gboolean had_reads = reads->unsent->len + reads->sent->len + reads->waiting->len > 0;
   finish_all(core, &reads->unsent, FALSE);
   finish_all(core, &reads->sent, FALSE);
   finish_all(core, &reads->waiting, FALSE);
-  return any;
+  return had_reads;
 }
--- a/src/store/ws-store-requests.c
+++ b/src/store/ws-store-requests.c
@@ -80,9 +80,10 @@
 ws_store_requests_set_shares(WsCore *core, gboolean leads)
 {
   WsStoreRequests *requests = &core->store->requests;
-  guint others = MAX(core->settings->nodes->len - 1, 1u);
-  double read_share = leads ? LEADER_READ_SHARE : (TOTAL_READ_SHARE - LEADER_READ_SHARE) / others;
-  double write_share = leads ? LEADER_WRITE_SHARE : FOLLOWERS_WRITE_SHARE / others;
+  guint followers = MAX(core->settings->nodes->len - 1, 1u);
+  double read_share
+      = leads ? LEADER_READ_SHARE : (TOTAL_READ_SHARE - LEADER_READ_SHARE) / followers;
+  double write_share = leads ? LEADER_WRITE_SHARE : FOLLOWERS_WRITE_SHARE / followers;
   requests->request_rate.per_second = core->settings->state_rps * read_share;
   requests->write_rate.per_second = core->settings->state_write_rps * write_share;
   requests->write_rate.burst = MAX(requests->write_rate.per_second * BURST_S, MIN_WRITE_BURST);
@@ -197,14 +198,14 @@
 gboolean
 ws_store_requests_stop(WsCore *core)
 {
-  gboolean any = FALSE;
+  gboolean had_requests = FALSE;
   for (guint i = 0; i < WS_REQUEST_CLASSES; i++) {
     StoreRequest *request;
     while ((request = g_queue_pop_head(&core->store->requests.queues[i])) != NULL) {
       request->reply(core, STATUS_NO_RESPONSE, NULL, request->data);
       store_request_free(request);
-      any = TRUE;
+      had_requests = TRUE;
     }
   }
-  return any;
+  return had_requests;
 }
--- a/src/store/ws-txn.c
+++ b/src/store/ws-txn.c
@@ -83,7 +83,7 @@
 
 /* Names what the store rejects for its size: a fault of this program. */
 static void
-warn_of_size(const WsCore *core, const WsTxn *txn)
+log_exceeded_limits(const WsCore *core, const WsTxn *txn)
 {
   if (ws_txn_operation_count(txn) > core->settings->state_txn_ops)
     g_warning("a transaction has %u operations", ws_txn_operation_count(txn));
@@ -105,14 +105,14 @@
   const char *error = ws_kv_error_parse(body);
   g_warning("the state service rejected a transaction: %s",
             error != NULL ? error : "no reason given");
-  warn_of_size(core, txn);
+  log_exceeded_limits(core, txn);
   return WS_TXN_INVALID;
 }
 
 static void
 on_reply(WsCore *core, guint status, const json_t *body, gpointer data)
 {
-  WsTxn *txn = data;
+  g_autoptr(WsTxn) txn = data;
   guint64 revision;
   WsTxnResult result = WS_TXN_INDETERMINATE;
   if (status == WS_KV_OK && ws_kv_revision_parse(body, &revision)) {
@@ -126,7 +126,6 @@
     result = explain_rejection(core, txn, body);
   }
   txn->done(core, result, txn->data);
-  ws_txn_free(txn);
 }
 
 void
