--- a/src/main.c
+++ b/src/main.c
@@ -91,7 +91,7 @@
 
 /* Libraries log every connection; details are of this program alone. */
 static gboolean
-is_ours(const GLogField *fields, gsize count)
+is_from_this_program(const GLogField *fields, gsize count)
 {
   for (gsize i = 0; i < count; i++)
     if (strcmp(fields[i].key, "GLIB_DOMAIN") == 0)
@@ -104,7 +104,7 @@
 {
   GLogLevelFlags max_level = GPOINTER_TO_UINT(data);
   gboolean is_detail = (level & G_LOG_LEVEL_MASK) > G_LOG_LEVEL_MESSAGE;
-  if ((level & G_LOG_LEVEL_MASK) > max_level || (is_detail && !is_ours(fields, count)))
+  if ((level & G_LOG_LEVEL_MASK) > max_level || (is_detail && !is_from_this_program(fields, count)))
     return G_LOG_WRITER_HANDLED;
   g_autofree char *line = g_log_writer_format_fields(level, fields, count, FALSE);
   fprintf(stderr, "%s\n", line);
--- a/src/runtime/ws-runtime.c
+++ b/src/runtime/ws-runtime.c
@@ -50,39 +50,46 @@
   send_outputs(runtime);
 }
 
+static void
+send_call(WsRuntime *runtime, const WsOutput *output)
+{
+  PendingCall *pending = g_new0(PendingCall, 1);
+  *pending = (PendingCall){ runtime, output->call };
+  ws_http_client_send(runtime->client, output->method, output->url, output->body,
+                      output->timeout_ms, on_reply, pending);
+}
+
 static void
 send_outputs(WsRuntime *runtime)
 {
   WsOutput *output;
   while ((output = ws_core_pop(runtime->core)) != NULL) {
-    if (output->is_answer) {
+    if (output->is_answer)
       ws_http_request_answer(output->request, output->status, output->body, output->retry_after_s);
-    } else {
-      PendingCall *pending = g_new0(PendingCall, 1);
-      *pending = (PendingCall){ runtime, output->call };
-      ws_http_client_send(runtime->client, output->method, output->url, output->body,
-                          output->timeout_ms, on_reply, pending);
-    }
+    else
+      send_call(runtime, output);
     ws_output_free(output);
   }
 }
 
 static void
-on_api_request(WsHttpRequest *request, gpointer data)
+handle_request(WsRuntime *runtime, WsListener listener, WsHttpRequest *request)
 {
-  WsRuntime *runtime = data;
-  ws_core_request(runtime->core, now_ms(), wall_ms(), WS_LISTENER_API, request->method,
-                  request->path, request->body, request->length, request);
+  ws_core_request(runtime->core, now_ms(), wall_ms(), listener, request->method, request->path,
+                  request->body, request->length, request);
   send_outputs(runtime);
 }
 
+static void
+on_api_request(WsHttpRequest *request, gpointer data)
+{
+  handle_request(data, WS_LISTENER_API, request);
+}
+
 static void
 on_mesh_request(WsHttpRequest *request, gpointer data)
 {
-  WsRuntime *runtime = data;
-  ws_core_request(runtime->core, now_ms(), wall_ms(), WS_LISTENER_MESH, request->method,
-                  request->path, request->body, request->length, request);
-  send_outputs(runtime);
+  handle_request(data, WS_LISTENER_MESH, request);
 }
 
 static gboolean
--- a/src/transport/ws-http-client.c
+++ b/src/transport/ws-http-client.c
@@ -45,6 +45,14 @@
   g_free(client);
 }
 
+static void
+pending_call_free(PendingCall *pending)
+{
+  g_object_unref(pending->message);
+  g_object_unref(pending->cancellable);
+  g_free(pending);
+}
+
 static gboolean
 on_timeout(gpointer data)
 {
@@ -66,9 +74,7 @@
   const char *body = bytes != NULL ? g_bytes_get_data(bytes, &length) : NULL;
   guint status = bytes != NULL ? soup_message_get_status(pending->message) : STATUS_NO_RESPONSE;
   pending->done(status, body != NULL ? body : "", length, pending->data);
-  g_object_unref(pending->message);
-  g_object_unref(pending->cancellable);
-  g_free(pending);
+  pending_call_free(pending);
 }
 
 void
--- a/src/transport/ws-http-server.c
+++ b/src/transport/ws-http-server.c
@@ -47,21 +47,25 @@
 }
 
 static void
-on_completed(void *data, struct MHD_Connection *connection, void **state,
-             enum MHD_RequestTerminationCode why)
+request_free(Request *request)
 {
-  (void)data;
-  (void)connection;
-  (void)why;
-  Request *request = *state;
-  if (request == NULL)
-    return;
   if (request->response != NULL)
     MHD_destroy_response(request->response);
   g_byte_array_unref(request->bytes);
   g_free((char *)request->base.method);
   g_free((char *)request->base.path);
   g_free(request);
+}
+
+static void
+on_completed(void *data, struct MHD_Connection *connection, void **state,
+             enum MHD_RequestTerminationCode why)
+{
+  (void)data;
+  (void)connection;
+  (void)why;
+  if (*state != NULL)
+    request_free(*state);
   *state = NULL;
 }
 
@@ -157,20 +161,28 @@
   return daemon;
 }
 
-WsHttpServer *
-ws_http_server_new(const char *address, guint max_connections, WsHttpHandler handler, gpointer data,
-                   GError **error)
+/* NULL: the address is not HOST:PORT, or its host is a name. */
+static GSocketAddress *
+parse_address(const char *address, GError **error)
 {
   g_autoptr(GSocketConnectable) parsed = g_network_address_parse(address, 0, error);
   if (parsed == NULL)
     return NULL;
   GNetworkAddress *network = G_NETWORK_ADDRESS(parsed);
-  g_autoptr(GSocketAddress) socket = g_inet_socket_address_new_from_string(
+  GSocketAddress *socket = g_inet_socket_address_new_from_string(
       g_network_address_get_hostname(network), g_network_address_get_port(network));
-  if (socket == NULL) {
+  if (socket == NULL)
     g_set_error(error, G_IO_ERROR, G_IO_ERROR_INVALID_ARGUMENT, "%s is not an IP address", address);
+  return socket;
+}
+
+WsHttpServer *
+ws_http_server_new(const char *address, guint max_connections, WsHttpHandler handler, gpointer data,
+                   GError **error)
+{
+  g_autoptr(GSocketAddress) socket = parse_address(address, error);
+  if (socket == NULL)
     return NULL;
-  }
   WsHttpServer *server = g_new0(WsHttpServer, 1);
   server->handler = handler;
   server->data = data;
