--- a/src/membership/ws-authority.c
+++ b/src/membership/ws-authority.c
@@ -1,18 +1,18 @@
 /**
  * Whether this node may act, and if not why.
  *
- * A node acts under its membership lease and the present epoch. Whatever may go wrong when it acts
- * without knowing enough (a process pause, a lost lease, a partition, a replica that lags, a
- * cancellation that was confirmed elsewhere) is checked here, and nowhere else.
+ * A node acts under its membership lease and the present epoch. All conditions under which it must
+ * not act are checked here and nowhere else: a process pause, a lost lease, a partition, a replica
+ * that lags behind, a cancellation that was confirmed elsewhere.
  */
 #include "membership/ws-membership-private.h"
 
 #include "membership/ws-peers.h"
 #include "store/ws-store.h"
 
-/* For the moments until a refusal shows, for drift and for what is on its way. */
+/* Allows for the time until a refusal takes effect, for clock drift and for messages in flight. */
 #define LEASE_RENEWAL_MARGIN_MS 4000.0
-/* A pause between two inputs after which this node's lease may have ended. */
+/* A pause between two inputs after which this node's lease may have expired. */
 #define STALL_MS 3000
 
 struct _WsAuthority {
@@ -54,7 +54,7 @@
   return TEXTS[refusal];
 }
 
-/* What the node is. */
+/* Membership and ownership. */
 
 static WsRefusal
 check_awake(const WsCore *core)
@@ -122,8 +122,8 @@
   core->authority->is_stalled = FALSE;
 }
 
-/* Everything that this node would find out by silence, its own lease's end included, looks as if it
-   had happened during the pause, while its clocks ran on. */
+/* Every timeout of this node, that of its own lease included, may seem to have expired during the
+   pause: the clock went on while no message was read. The timeouts start again. */
 gboolean
 ws_authority_detect_stall(WsCore *core, gint64 now_ms)
 {
@@ -142,7 +142,7 @@
   return TRUE;
 }
 
-/* What it reaches. */
+/* Reachability. */
 
 static gboolean
 is_reached_peer(const WsCore *core, WsNodeIndex node)
@@ -150,8 +150,8 @@
   return node != core->settings->self && ws_peer_is_reachable(core, node);
 }
 
-/* An outage that everybody has is waited out; one that only this node has means that the others
-   act without it. */
+/* In an outage for all nodes this node waits until it is over. In one for this node alone the
+   others go on without it. */
 static gboolean
 is_refused_by_store_alone(const WsCore *core)
 {
@@ -186,9 +186,9 @@
   core->authority->is_reached_from_other_zones = TRUE;
 }
 
-/* What it knows. */
+/* Knowledge of confirmed cancellations and of newer epochs. */
 
-/* Whether the peer has ended its notifications since the store became unavailable. */
+/* Whether the peer has delivered all its notifications since the store became unavailable. */
 static gboolean
 has_notified_all(const WsCore *core, const WsPeer *peer)
 {
@@ -226,10 +226,10 @@
          || peers_have_notified_all(core);
 }
 
-/* Whether a lease that is renewed now ends in time for whatever is missed: it may last for all of
-   its time, and what was confirmed since this node last knew everything has to be gone within
-   cancel_s. Inside a partitioned zone its node goes on: those outside return the machines there in
-   time. */
+/* Whether a lease that is renewed now expires in time for any cancellation that this node misses:
+   it may last for its whole duration, and the tasks of a cancellation confirmed since this node
+   last knew all of them must be gone within cancel_s. A node inside a partitioned zone goes on
+   renewing: the nodes outside return the machines there in time. */
 static gboolean
 lease_would_end_in_time(const WsCore *core)
 {
@@ -264,7 +264,7 @@
     core->authority->is_reached_from_other_zones = FALSE;
 }
 
-/* What it may do. */
+/* Permissions. */
 
 WsRefusal
 ws_authority_check_readiness(const WsCore *core)
--- a/src/membership/ws-cancellations.c
+++ b/src/membership/ws-cancellations.c
@@ -1,8 +1,9 @@
 /**
- * Confirmed cancellations, which are facts whatever the store, an epoch or a replica says.
+ * Confirmed cancellations, which hold in every epoch, and also while the store or this node's
+ * replica doesn't show them.
  *
  * A node that learns of one, by its own commit or through its replica, notifies every peer until
- * each has acknowledged it. What is done about the tasks is in workers/ws-cancelled-tasks.c.
+ * each has acknowledged it. The tasks are halted by workers/ws-cancelled-tasks.c.
  */
 #include "membership/ws-membership-private.h"
 
@@ -13,7 +14,7 @@
 #define STATUS_BAD_REQUEST 400
 
 #define NOTIFY_TIMEOUT_MS 1000
-/* Between two messages to one peer, so that what is cancelled in bulk shares a few. */
+/* Between two messages to one peer, so that jobs cancelled in bulk share a message. */
 #define NOTIFY_INTERVAL_MS 100
 #define NOTIFY_RETRY_MS 500
 /* Between two rounds of notifications and halts. */
@@ -166,7 +167,7 @@
   notification_free(notification);
 }
 
-/* Adds what the node has not acknowledged, as much as a message takes. */
+/* Adds the cancellations that the node has not acknowledged, up to the limit of a message. */
 static void
 add_notices(const WsCore *core, Notification *notification, GArray *notices)
 {
--- a/src/membership/ws-election.c
+++ b/src/membership/ws-election.c
@@ -12,11 +12,11 @@
 #define RENEW_INTERVAL_MS 900
 #define RENEW_TIMEOUT_MS 800
 #define RENEW_RETRY_MS 300
-/* Before the member key is written once more. */
+/* Before the member key is written again. */
 #define LISTING_RETRY_MS 200
 #define EPOCH_INTERVAL_MS 400
 #define EPOCH_RETRY_MS 200
-/* Between two epochs that are written only for a higher fencing token. */
+/* Between two epochs that are written only to raise the fencing token. */
 #define REQUESTED_EPOCH_INTERVAL_MS 10000
 
 struct _WsElection {
@@ -29,7 +29,7 @@
   gint64 epoch_next_ms;      /* when the next epoch may be written */
   gint64 requested_epoch_ms; /* when one may be written with the same members */
   /* After a process pause: */
-  gboolean call_predates_pause; /* the call on its way was sent before it */
+  gboolean call_predates_pause; /* the call in flight was sent before it */
   gboolean is_renewed;
   gboolean is_reading;
   guint pauses; /* a read counts only if there was no other pause since it was requested */
@@ -63,8 +63,8 @@
   election->is_listed = FALSE;
 }
 
-/* What this node knew before a process pause counts again once the store has confirmed
-   its lease, and everything up to then was read. */
+/* After a process pause this node acts again once the store has confirmed its lease, and the
+   replica has read everything up to then. */
 static void
 on_resumption_read(WsCore *core, gboolean is_current, gpointer data)
 {
@@ -131,8 +131,8 @@
     lose_lease(core);
 }
 
-/* A late transaction of an earlier run of this node may have replaced the key, and taken it along
-   when that run's lease ended. */
+/* A late transaction of an earlier run of this node may have replaced the key, which then was
+   deleted when that run's lease expired. */
 static void
 check_member_key(WsCore *core)
 {
@@ -208,8 +208,8 @@
     core->election->next_ms = core->now;
 }
 
-/* An old incarnation of this node may still hold the key until its lease runs out: its place is
-   taken at once, since one name never runs twice. */
+/* The key may still belong to an earlier incarnation of this node, until the lease of that one
+   expires. It is replaced at once, since two processes never run under the same node name. */
 static void
 campaign_for_leader(WsCore *core)
 {
--- a/src/membership/ws-epoch-tracker.c
+++ b/src/membership/ws-epoch-tracker.c
@@ -1,11 +1,11 @@
 /**
- * The present epoch as this node has dealt with it: since when it is known, and whether a new one
- * is needed.
+ * This node's handling of the present epoch: since when it is known, and whether a new one is
+ * needed.
  */
 #include "membership/ws-membership-private.h"
 
 struct _WsEpochTracker {
-  guint64 epoch;          /* the number of the epoch that was last begun */
+  guint64 epoch;          /* the number of the epoch that this node began last */
   gint64 known_since_ms;  /* since when it is known, without a process pause */
   gboolean needs_new_one; /* an indeterminate outcome needs a higher fencing token */
 };
--- a/src/membership/ws-failure-detector.c
+++ b/src/membership/ws-failure-detector.c
@@ -1,6 +1,6 @@
 /**
- * The failure detector: which suspected machines are probed, which are waited for, and which are
- * declared dead. A machine that is declared dead is terminated, without drain.
+ * The failure detector: probes suspected machines, waits for them, and declares them dead. A
+ * machine that is declared dead is terminated without drain.
  */
 #include "membership/ws-failure-detection.h"
 
@@ -9,26 +9,26 @@
 #define PROBE_INTERVAL_MS 600
 #define PROBE_TIMEOUT_MS 500
 #define MAX_PROBES_IN_FLIGHT 32
-/* So many probes in a row without an answer of the machine that was known. */
+/* A machine may be declared dead after so many probes in a row that it has not answered. */
 #define MIN_FAILED_PROBES 2
-/* An indeterminate launch that stays so for so long needs a higher fencing token. */
+/* A launch whose outcome is indeterminate for longer than this needs a higher fencing token. */
 #define INDETERMINATE_TIMEOUT_MS 8000
 /* How much longer than a late heartbeat a suspected machine is waited for. */
 #define SUSPICION_MARGIN_MS 1500
-/* The same, after its lease, where the way to it may be interrupted. */
+/* How much longer than its lease, where the link to it may be interrupted. */
 #define LEASE_MARGIN_MS 500
-/* Leases for which the machines of a partitioned zone are waited for. */
+/* For how many leases the machines of a partitioned zone are waited for. */
 #define PARTITION_LEASES 10.0
-/* The same where the zone has no node that could keep its tasks alive: they have ended with their
-   leases, and what is waited for is the machines. */
+/* The same where the zone has no node that could renew its workers' leases: the tasks have ended
+   with them, and only the machines may come back. */
 #define PARTITION_LEASES_WITHOUT_NODE 3.0
-/* Per second of cancel_s: after how long a machine with a cancelled task isn't waited for. */
+/* Per second of cancel_s: for how long a machine with a cancelled task is waited for at most. */
 #define CANCELLED_TIMEOUT_MS_PER_S 400.0
-/* A machine isn't used when it should have acknowledged commands by now, and is returned after this
+/* A machine with overdue acknowledgements of commands gets no tasks, and is terminated after this
    share of its lease. */
 #define OUTBOUND_LEASE_SHARE 0.7
-/* So many outbound unreachable machines, and one in so many of all, mean that it is rather this
-   node whose messages are lost. */
+/* With so many outbound unreachable machines, and one in so many of all, it is more likely that
+   this node's own messages are lost. */
 #define MIN_UNREACHABLE_TOGETHER 3
 #define MACHINES_PER_UNREACHABLE 5
 
@@ -57,8 +57,7 @@
   WsMachine *machine = ws_replica_machine(core->replica, GPOINTER_TO_UINT(data));
   g_autoptr(WsHeartbeat) heartbeat = ws_heartbeat_parse_status_reply(status, body, machine->name);
   core->failure_detector->probes_in_flight--;
-  /* An answer older than what is known is not from the machine that was known: it has begun anew.
-   */
+  /* An answer older than the last known status comes from a worker that was restarted. */
   if (heartbeat == NULL || !ws_owns_machine(core, machine)
       || !core->handlers->note_worker_status(core, machine, heartbeat)) {
     machine->worker.failed_probes++;
@@ -89,8 +88,8 @@
 
 /* Suspected machines. */
 
-/* What is the same for all machines of a tick: found once, when the first suspected one needs it.
- */
+/* Interruptions of links, the same for all machines of a tick: computed once, for the first
+   suspected machine. */
 typedef struct {
   gboolean is_known;
   gboolean machines_are_suspected_together;
@@ -159,8 +158,9 @@
 
 /* Machines that are reached in one direction only. */
 
-/* The tasks that it held are gone, and those that were assigned since wait there in vain: they
-   begin elsewhere once it's returned. An empty one goes when its idle timeout is over. */
+/* Its tasks are gone, and those assigned to it since will not be launched: they are assigned to
+   other machines once it is returned. One without tasks is terminated at the end of its idle
+   timeout. */
 static void
 check_inbound(WsCore *core, WsMachine *machine)
 {
@@ -209,7 +209,7 @@
   }
 }
 
-/* A machine that isn't heard doesn't learn a higher token either. */
+/* Only for machines that are up: the others would not receive a higher fencing token either. */
 static void
 check_indeterminate_launches(WsCore *core, const WsMachine *machine)
 {
@@ -219,8 +219,8 @@
     ws_epoch_request_new_one(core);
 }
 
-/* Each round of probes begins after the last one of the round before, so that a bound on them
-   leaves nobody out. */
+/* Each round of probes begins after the last machine of the previous round, so that the limit on
+   probes in flight leaves no machine out. */
 void
 ws_failure_detector_tick(WsCore *core)
 {
--- a/src/membership/ws-gossip.c
+++ b/src/membership/ws-gossip.c
@@ -1,9 +1,9 @@
 /**
  * Gossip: what the nodes announce to each other.
  *
- * A node announces to each peer what has changed about its machines since what the peer has
- * acknowledged; all of it at first, after a restart and in a new epoch, when machines have other
- * owners. A delta that was lost shows in the next acknowledgement.
+ * A node sends each peer the changes of its machines since the revision that the peer has
+ * acknowledged; the full state at first, after a restart, and in a new epoch, in which machines
+ * have other owners. A lost delta shows in the next acknowledgement, and is sent again.
  */
 #include "membership/ws-membership-private.h"
 
@@ -21,10 +21,10 @@
 
 #define GOSSIP_INTERVAL_MS 700
 #define GOSSIP_TIMEOUT_MS 1000
-/* What is logged of a peer that doesn't name its version. */
+/* The version that is logged for a peer whose messages don't contain one. */
 #define UNNAMED_VERSION "before 0.3"
 
-/* What is announced of a machine (announced_state). */
+/* Bits of announced_state: what is announced of a machine. */
 #define ANNOUNCED_UP 1u
 #define ANNOUNCED_INTERRUPTION 2u
 
@@ -134,7 +134,7 @@
   }
 }
 
-/* Of its own machines this node knows more than a peer. */
+/* Announcements of this node's own machines are ignored: its own state of them is newer. */
 static void
 apply_machine(WsCore *core, const WsGossipMachine *announced)
 {
@@ -162,7 +162,7 @@
   }
 }
 
-/* Machines that their owner announced as up are up for as long as it announces nothing else. */
+/* A machine that its owner has announced as up stays up until the owner announces otherwise. */
 static void
 note_machines_heard(WsCore *core, WsNodeIndex node)
 {
@@ -250,8 +250,9 @@
     handle_gossip(core, body);
 }
 
-/* Of each pair of nodes the one with the smaller index calls, and the answer informs the other
-   side: unless nothing came for a while, since connections may be refused in one direction only. */
+/* Of each pair of nodes the one with the smaller index calls, and gets the other's gossip with the
+   answer. The other one calls too if it has heard nothing for a while, since connections may fail
+   in one direction only. */
 static gboolean
 gossip_is_due(const WsCore *core, WsNodeIndex node)
 {
--- a/src/membership/ws-liveness.c
+++ b/src/membership/ws-liveness.c
@@ -4,13 +4,14 @@
  */
 #include "membership/ws-failure-detection.h"
 
-/* A worker whose node doesn't answer gives up after 4 s and tries the next one a second later. */
+/* The time for a worker to find a new owner: its call to a node that doesn't answer times out after
+   4 s, and a second later it calls the next node. */
 #define OWNER_DISCOVERY_MS 5000
-/* A heartbeat is late after its interval and a quarter of it, and a margin for the way. */
+/* A heartbeat is late after 1.25 intervals and a margin for the network. */
 #define PATIENCE_MS_PER_INTERVAL_S 1250.0
 #define PATIENCE_MARGIN_MS 900
-/* No worker reaches this node, if none did for as long as this many heartbeats should have taken.
- */
+/* This node counts as unreached by workers if none has reached it for the time in which so many
+   heartbeats were due. */
 #define UNREACHED_HEARTBEATS 8.0
 #define MIN_UNREACHED_MS 1500
 
@@ -27,9 +28,9 @@
          && core->now - machine->worker.heard_ms <= ws_liveness_patience_ms(core);
 }
 
-/* When its owner changes, its worker may first wait for the old one in vain: taking that for
-   silence had machines returned whose tasks ran. One that was never heard by this run of the
-   program is there if tasks are on it. */
+/* When the owner of a machine changes, its worker may first wait for an answer of the old one.
+   Suspecting it for that once led to the return of machines with running tasks. A machine that this
+   run of the program has never heard is expected to exist if tasks are assigned to it. */
 gint64
 ws_liveness_suspected_since_ms(const WsMachine *machine)
 {
@@ -53,7 +54,7 @@
   return machine->worker.unacknowledged_ms > 0 ? core->now - machine->worker.unacknowledged_ms : 0;
 }
 
-/* One that isn't heard is suspected, whatever it has not acknowledged. */
+/* A machine that is not up is suspected instead, whatever it has not acknowledged. */
 gboolean
 ws_machine_is_outbound_unreachable(const WsCore *core, const WsMachine *machine)
 {
@@ -61,9 +62,9 @@
          && ws_liveness_unacknowledged_for_ms(core, machine) > ws_liveness_patience_ms(core);
 }
 
-/* A call showed that its lease has ended, and it has sent no heartbeat since. Whatever is started
-   there ends with the next lease. A machine whose heartbeats are only answered elsewhere keeps its
-   incarnation. */
+/* A call to the worker has shown that its lease expired, and no heartbeat has arrived since. Tasks
+   that are launched there end when the next lease expires. A machine whose heartbeats are answered
+   by other nodes keeps its incarnation. */
 gboolean
 ws_machine_is_inbound_unreachable(const WsCore *core, const WsMachine *machine)
 {
@@ -96,8 +97,8 @@
   return count;
 }
 
-/* Whether it is this node that the workers don't reach, not they that have failed. Their heartbeats
-   come through the others then. */
+/* Detects whether workers fail to reach this node, rather than having failed themselves. Their
+   heartbeats are relayed by other nodes then. */
 void
 ws_liveness_tick(WsCore *core)
 {
--- a/src/membership/ws-partitions.c
+++ b/src/membership/ws-partitions.c
@@ -1,9 +1,9 @@
 /**
- * Partitions of zones: whether a zone's machines are suspected because the way to them is
+ * Partitions of zones: whether a zone's machines are suspected because the links to them are
  * interrupted.
  *
- * Machines behind a partition go on working, so declaring them dead would throw work away; they
- * are waited for longer than a machine that is suspected on its own.
+ * Machines behind a partition go on working, and declaring them dead would lose that work; they are
+ * waited for longer than a machine that is suspected on its own.
  */
 #include "membership/ws-failure-detection.h"
 
@@ -12,10 +12,11 @@
 
 /* A restart of a node takes less than this share of a lease. */
 #define RESTART_LEASE_SHARE 0.8
-/* Partitions are looked for at every tick; this is longer than the pause between two. */
+/* How long a detected partition is valid: longer than the interval between two ticks, each of which
+   detects it again. */
 #define PARTITION_VALID_MS 600
-/* From so many machines on that are suspected together, a common cause is assumed; outside a
-   partitioned zone one in so many of all must be suspected too. */
+/* A common cause is assumed when at least so many machines are suspected together, and, where they
+   are counted over all zones, one in so many of all. */
 #define MIN_SUSPECTED_TOGETHER 3
 #define MACHINES_PER_SUSPECTED 5
 
@@ -86,8 +87,8 @@
          && core->now - partition_ms[zone] < PARTITION_VALID_MS;
 }
 
-/* When a partition has healed, workers still have to find their owner: they aren't declared dead
-   for a lease. */
+/* When a partition has healed, workers still have to find their owners: for the time of a lease
+   they aren't declared dead. */
 gboolean
 ws_zone_is_or_was_partitioned(const WsCore *core, WsZoneIndex zone)
 {
@@ -108,13 +109,13 @@
   return FALSE;
 }
 
-/* A node of the zone is out of reach, or many of its machines are suspected together. Such machines
-   go on working, and their heartbeats come through another node after a while. */
+/* Whether a node of the zone is unreachable, or many of its machines are suspected together. Such
+   machines go on working, and their heartbeats are relayed by another node after a while. */
 gboolean
 ws_zone_links_are_suspected(const WsCore *core, WsZoneIndex zone)
 {
   gint64 unreachable_ms = unreachable_for_ms(core, zone);
-  /* Its nodes' leases may have ended already, while its machines' silence doesn't show yet. */
+  /* The leases of its nodes may have expired already, while its machines aren't suspected yet. */
   if (unreachable_ms > 0 && (double)unreachable_ms < core->settings->lease_s * 1000.0)
     return TRUE;
   if (member_is_unreachable(core, zone))
@@ -128,9 +129,9 @@
   return most_are_suspected(&count);
 }
 
-/* Spot machines are taken in waves; when ordinary ones are suspected together, something between
-   them and this node is interrupted, and their tasks go on until the lease runs out. Those behind a
-   partition are no evidence for the others. */
+/* Many spot machines may be interrupted at once. When other machines are suspected together, the
+   links between them and this node are likely interrupted, and their tasks go on until their leases
+   expire. Machines behind a partition are not counted: they are no evidence about the others. */
 gboolean
 ws_machines_are_suspected_together(const WsCore *core)
 {
@@ -147,8 +148,8 @@
          && MACHINES_PER_SUSPECTED * count.suspected >= count.all;
 }
 
-/* The machines whose silence shows a partition of the zone: this node's own, or those of all owners
-   where no node could be missed. */
+/* Counts the machines by which a partition of the zone is detected: this node's own, or, in a zone
+   without a node, those of all owners. */
 static Count
 count_zone(const WsCore *core, WsZoneIndex zone, gboolean has_node)
 {
@@ -161,11 +162,11 @@
   return count;
 }
 
-/* Whether a zone is partitioned: none of its nodes is reached, nor most of this node's machines
-   there. Inside, its nodes go on answering its workers, so that nothing there ends with a lease. A
-   node that has ended and a machine or two that died look the same for as long as a restart takes.
-   Nobody inside a zone without a node can be missed: there it is inferred from the silence of most
-   of its machines, whoever owns them. */
+/* Detects whether a zone is partitioned: none of its nodes is reachable, and most of this node's
+   machines there are suspected. Inside the partition its nodes go on renewing the leases of its
+   workers. A node that has stopped, together with a machine or two that failed, looks the same for
+   as long as a restart takes: such a partition is confirmed only after that time. In a zone without
+   a node, a partition is inferred if most of its machines are suspected, whoever owns them. */
 static void
 detect_partition(WsCore *core, WsZoneIndex zone)
 {
--- a/src/membership/ws-peer-request-message.c
+++ b/src/membership/ws-peer-request-message.c
@@ -8,7 +8,7 @@
 
 #include <string.h>
 
-/* Of each kind in one message. */
+/* Requests of each kind in one message. */
 #define MAX_REQUESTS_PER_KIND 48
 
 /* Positions in the array that is a request; what follows in a release is its evidence
--- a/src/membership/ws-peer-requests.c
+++ b/src/membership/ws-peer-requests.c
@@ -1,15 +1,15 @@
 /**
  * What nodes request of each other.
  *
- * The leader writes assignments, releases and marks for everybody: owners of machines and
+ * The leader writes assignments, releases and marks for all nodes: owners of machines and
  * coordinating nodes of jobs forward theirs to it. Each of these shares keys with many others (a
- * job's tasks, a team's use), so that nodes which wrote them side by side would mostly conflict,
- * and conflicts count against the store's budget too. Owners of machines are requested to stop
- * tasks.
+ * job's tasks, a team's use), so that concurrent writes by several nodes would mostly conflict, and
+ * conflicts count against the store's rate limit too. Requests to stop tasks go to the owners of
+ * their machines.
  *
- * A request goes directly or, where the other node can't be reached, through a key of this node in
- * the store, its mailbox. It may be lost: whoever made it notices that nothing came of it and makes
- * it again. It counts only in the epoch in which it was made.
+ * A request is sent directly or, if the other node is unreachable, through the mailbox, a key of
+ * this node in the store. It may be lost: its sender repeats it when it sees no effect. It is valid
+ * only in the epoch in which it was made.
  */
 #include "membership/ws-membership-private.h"
 
@@ -223,8 +223,8 @@
     HANDLERS[kind](core, g_ptr_array_index(requests, i));
 }
 
-/* Anybody who owns a machine stops tasks there; all else is the leader's. FALSE: this node may not
-   handle requests, or not those of the batch's epoch. */
+/* Every owner of machines handles requests to stop tasks; all others are for the leader. FALSE:
+   this node may not handle requests, or the batch is of another epoch. */
 static gboolean
 handle_batch(WsCore *core, const WsPeerRequestBatch *batch)
 {
@@ -282,6 +282,7 @@
 static void
 on_mailbox_written(WsCore *core, WsTxnResult result, gpointer data)
 {
+  /* A lost mailbox is like any lost request: it is repeated by its sender. */
   (void)core;
   (void)result;
   (void)data;
@@ -301,8 +302,8 @@
   ws_txn_commit(core, txn, WS_REQUEST_TASK, on_mailbox_written, NULL);
 }
 
-/* The mailbox that is written replaces the one before, so what is for nodes out of reach waits for
-   its turn. */
+/* Each mailbox replaces the previous one, so requests to unreachable nodes wait until the next may
+   be written. */
 static void
 send_all(WsCore *core)
 {
--- a/src/membership/ws-peers.c
+++ b/src/membership/ws-peers.c
@@ -1,11 +1,11 @@
 /**
- * Peers: which of them are reached, which reach each other, and what they announce.
+ * Peers: which are reachable, which reach each other, and what they announce.
  */
 #include "membership/ws-peers.h"
 
 #include "membership/ws-membership.h"
 
-/* A peer that was not heard for so long isn't reached: three rounds of gossip and a late one. */
+/* A peer is unreachable if nothing was heard of it for three rounds of gossip and a late one. */
 #define REACHABLE_MS 2600
 
 WsPeers *
