--- a/src/commit/ws-assignments.c
+++ b/src/commit/ws-assignments.c
@@ -10,9 +10,9 @@
 #define BATCHING_MS 50
 #define CONFLICT_PAUSE_MS 60
 #define FAILURE_PAUSE_MS 400
-/* What was forwarded and has not been written for so long may be proposed again. */
+/* An assignment that was forwarded and is not written after this time may be proposed again. */
 #define FORWARDED_TIMEOUT_MS 1500
-/* The write budget that a batch waits for; meanwhile others gather. */
+/* A batch waits until the write budget allows so many operations; meanwhile it grows. */
 #define MIN_TXN_BUDGET 4
 
 typedef struct {
@@ -29,7 +29,7 @@
 struct _WsAssignments {
   GArray *proposals;   /* of WsProposal, the most urgent first */
   GHashTable *pending; /* set of tasks: proposed, in the transaction, or forwarded */
-  GArray *writing;     /* of WsProposal: in the transaction on its way */
+  GArray *writing;     /* of WsProposal: in the transaction in flight */
   GArray *forwarded;   /* of ForwardedProposal */
   GArray *ended_jobs;  /* of guint: jobs that the transaction ends */
   GArray *jobs;        /* of guint: all jobs in the transaction */
@@ -177,8 +177,9 @@
   }
 }
 
-/* What is still wanted when the watch has shown who was first is written again. After no answer the
-   transaction may yet be carried out: its conditions make that harmless. */
+/* Proposes the assignments of the failed transaction again: after a conflict, those that are still
+   valid when the watch has shown the other write are written. A transaction whose outcome is
+   indeterminate may still be carried out; its conditions make that harmless. */
 static void
 propose_again(WsCore *core, WsTxnResult result)
 {
--- a/src/commit/ws-batch-check.c
+++ b/src/commit/ws-batch-check.c
@@ -1,5 +1,5 @@
-/* Whether a batch may take an assignment: everything that planning went by is checked again,
-   against the records as the batch leaves them. */
+/* Whether a batch may take an assignment: all conditions of planning are checked again, against the
+   records as the batch leaves them. */
 #include "commit/ws-batch-private.h"
 
 #include "storage/ws-constraints.h"
@@ -36,7 +36,7 @@
   return ws_resources_fit(&job->spec->need, &capacity);
 }
 
-/* What was freed for a more urgent job isn't given away. */
+/* Whether the assignment leaves the capacity that was freed for more urgent jobs. */
 static gboolean
 leaves_reserved_capacity(WsBatch *batch, const WsMachine *machine, const WsJob *job)
 {
--- a/src/commit/ws-batch-txn.c
+++ b/src/commit/ws-batch-txn.c
@@ -19,7 +19,7 @@
 }
 
 /* If the transaction is carried out late, after a machine was marked and returned, its mark is
-   absent once more: but its rental batch has another version. */
+   absent again, but its rental batch has another version. */
 static void
 compare_rental_batches(const WsBatch *batch, WsTxn *txn)
 {
@@ -43,8 +43,9 @@
   }
 }
 
-/* Ends a job with its last task, in the same transaction. Its chunks' records mean nothing any more
-   and are removed when there is time (ws-garbage.c): each would be one more operation. */
+/* Puts the final record of a job whose last task the transaction releases. The records of its
+   chunks are garbage from then on, and are deleted later (ws-garbage.c): here each would cost an
+   operation. FALSE: the job goes on. */
 static gboolean
 put_final_record(const WsBatch *batch, WsTxn *txn, const WsJob *job, GArray *ended_jobs)
 {
@@ -71,8 +72,8 @@
   }
 }
 
-/* Compared and set in every transaction, also where the use comes out the same: that is what fences
-   a late transaction of this very leader. */
+/* Compared and set in every transaction, even if the use is unchanged: this fences a late
+   transaction of the same leader. */
 static void
 put_team_use(const WsBatch *batch, WsTxn *txn)
 {
--- a/src/commit/ws-batch.c
+++ b/src/commit/ws-batch.c
@@ -1,4 +1,5 @@
-/* Which releases and assignments a batch takes, and how they change the records. */
+/* A batch of releases and assignments for one transaction: which of them it takes, and how they
+   change the records. */
 #include "commit/ws-batch.h"
 
 #include "commit/ws-batch-private.h"
@@ -6,7 +7,7 @@
 #include "storage/ws-gang-phase.h"
 #include "storage/ws-team-use.h"
 
-/* The store takes 64 KiB; the rest is for the job's own records and for conditions. */
+/* The store accepts 64 KiB; the rest is left for the final records of jobs and for conditions. */
 #define MAX_TXN_BYTES 40000
 #define BYTES_PER_TEAM 64
 #define BYTES_PER_TASK 60
@@ -182,7 +183,7 @@
   return count;
 }
 
-/* A job that the change ends has its own record written, and none of its chunks. */
+/* If the change ends the job, its final record is written and none of its chunks. */
 static Cost
 change_cost(const WsBatch *batch, const WsJob *job, guint task, const WsMachine *machine,
             gboolean ends_job)
@@ -197,10 +198,11 @@
 }
 
 /**
- * Takes what one more change of the task's chunk costs from the limits. FALSE: they don't allow it.
+ * Reserves the cost of a change of the task's chunk within the limits of the transaction. FALSE:
+ * they don't allow it.
  *
- * @machine: that gets the task; NULL: the change is a release
- * @ends_job: whether the job ends with it
+ * @machine: to which the task is assigned; NULL: the change is a release
+ * @ends_job: whether the change ends the job
  */
 static gboolean
 reserve(WsBatch *batch, const WsJob *job, guint task, const WsMachine *machine, gboolean ends_job)
@@ -302,11 +304,11 @@
 {
   const WsJob *job = ws_replica_job(batch->core->replica, release->job);
   if (!ws_release_is_valid(batch->core->replica, release))
-    return WS_BATCH_REJECTED; /* written already, of another attempt, or its evidence is void */
+    return WS_BATCH_REJECTED; /* written, of another attempt, or void */
   const WsAssignment *assignment = ws_job_assignment(job, release->task);
   if (ws_chunk_find(ws_batch_chunk(batch, job, release->task / WS_CHUNK_TASKS), release->task)
       == NULL)
-    return WS_BATCH_ADDED; /* by this very batch: its use is subtracted once */
+    return WS_BATCH_ADDED; /* released by this batch: its use is subtracted once */
   if (!reserve(batch, job, release->task, NULL, ends_job(batch, job, release->is_completed)))
     return WS_BATCH_FULL;
   log_release(batch->core, release);
--- a/src/commit/ws-estimator.c
+++ b/src/commit/ws-estimator.c
@@ -1,6 +1,6 @@
-/* The estimator of run times: how long tasks of a class run, against what their owners estimate. On
-   some days most estimates are too high, on others too low. Only the leader, which writes all
-   releases, has the figures. */
+/* The run-time estimator: compares the run times of a class's tasks with the estimates of their
+   owners. On some days most estimates are too high, on others too low. Only the leader, which
+   writes all releases, has the run times. */
 #include "commit/ws-commit.h"
 
 #include "commit/ws-releases-private.h"
--- a/src/commit/ws-garbage.c
+++ b/src/commit/ws-garbage.c
@@ -1,8 +1,8 @@
 /* Garbage collection of finished jobs' chunks.
 
-   A job ends with one operation, on its own record; the records of its chunks stay behind and mean
-   nothing any more. The leader deletes them, a transaction at a time, when no assignment and no
-   release waits for the write budget, or when too many have gathered. */
+   The end of a job is written with one operation, on its own record; the records of its chunks stay
+   behind as garbage. The leader deletes them, a transaction at a time, when no assignment and no
+   release waits for the write budget, or when too many have accumulated. */
 #include "commit/ws-commit.h"
 
 #include "store/ws-store.h"
@@ -11,7 +11,7 @@
 
 #define IDLE_PAUSE_MS 3000
 #define BUSY_PAUSE_MS 500
-/* Only so many wait for an idle moment, for they are read at every start. */
+/* Beyond this, garbage is deleted even when the leader is not idle, since every start reads it. */
 #define MAX_GARBAGE_RECORDS 2000
 
 struct _WsGarbage {
@@ -49,7 +49,7 @@
   core->garbage->next_ms = core->now + (result == WS_TXN_COMMITTED ? BUSY_PAUSE_MS : IDLE_PAUSE_MS);
 }
 
-/* Adds as many deletions as the transaction takes. Returns how many records there are to delete. */
+/* Adds deletions up to the limit of a transaction. Returns the number of all garbage records. */
 static guint
 delete_garbage(const WsCore *core, WsTxn *txn)
 {
--- a/src/commit/ws-legacy-releases.c
+++ b/src/commit/ws-legacy-releases.c
@@ -1,11 +1,12 @@
-/* Hints of versions before 0.4 that an attempt is gone, and how they are confirmed. */
+/* Releases from versions before 0.4, which come without evidence: each is a hint that an attempt is
+   gone, and is confirmed by its worker's status or by terminating the machine. */
 #include "commit/ws-commit.h"
 
 #include "storage/ws-mark-reasons.h"
 
 #define STATUS_TIMEOUT_MS 1000
 #define STATUS_RETRY_MS 1500
-/* Those versions repeat a release every 2 s; after such a pause the hint is a new one. */
+/* Those versions repeat a release every 2 s; after a longer pause than this it is a new hint. */
 #define HINT_REPEAT_MS 5000
 
 typedef struct {
@@ -66,7 +67,8 @@
   return task != NULL && task->state == WS_TASK_EXITED;
 }
 
-/* An exit that the worker shows under the present fencing token stays with it until the release. */
+/* An exit in a status under the present fencing token is evidence: the worker keeps it until the
+   attempt is released. */
 static void
 on_status(WsCore *core, guint status, const json_t *body, gpointer data)
 {
--- a/src/commit/ws-release-order.c
+++ b/src/commit/ws-release-order.c
@@ -1,4 +1,5 @@
-/* The order of releases: by what they end, and by the weight of those that share a record. */
+/* The order of releases: those that end jobs first, then by the total weight of the releases that
+   share a record. */
 #include "commit/ws-release-order.h"
 
 #include "commit/ws-job-completion.h"
@@ -65,7 +66,7 @@
     sums->team_use_weight[ws_team_use_group(core->settings, job->team)] += weight;
 }
 
-/* Whether the pending releases of the job leave it with nothing to do. */
+/* Whether the pending releases of the job end it. */
 static gboolean
 ends_job(const Sums *sums, const WsJob *job)
 {
@@ -102,9 +103,9 @@
   return first->job == second->job && first->task / WS_CHUNK_TASKS == second->task / WS_CHUNK_TASKS;
 }
 
-/* Whether the store takes the chunk's record once the pending releases are off it. An older version
-   of the program may have left it larger than may be written now: then its releases wait until
-   there are enough of them. */
+/* Whether the store accepts the chunk's record without its pending releases. An older version of
+   the program may have written a record that is larger than the present limit: then its releases
+   wait until there are enough of them. */
 static gboolean
 can_be_written(const WsCore *core, const GArray *releases, const WsOrderedRelease *ordered)
 {
--- a/src/commit/ws-releases.c
+++ b/src/commit/ws-releases.c
@@ -1,11 +1,10 @@
-/* Releases that are pending: attempts that are gone from their machines and still on the records.
- */
+/* Pending releases: attempts that are gone from their machines but still recorded as assigned. */
 #include "commit/ws-releases-private.h"
 
 #include "commit/ws-release-order.h"
 #include "commit/ws-task-key.h"
 
-/* What was forwarded and has not been written for so long is forwarded again. */
+/* A release that was forwarded and is not written after this time is forwarded again. */
 #define FORWARD_RETRY_MS 2000
 
 struct _WsReleases {
@@ -75,8 +74,8 @@
     ws_estimator_add(core, ws_replica_job(core->replica, release->job), assignment);
 }
 
-/* Evidence of an attempt is never replaced by weaker: a completed task remains so, and the cloud's
-   confirmation is better than any heartbeat. */
+/* Evidence is never replaced by weaker evidence of the same attempt: a completed task stays
+   completed, and the cloud's confirmation of a return is stronger than any heartbeat. */
 static void
 merge_evidence(WsRelease *pending, const WsRelease *release)
 {
@@ -135,8 +134,8 @@
   return pending != NULL && ws_release_is_valid(core->replica, &pending->release);
 }
 
-/* Drops releases whose machine has had another owner since: that owner may have launched the
-   attempt again, and concludes afresh. Without this a task once ran twice. */
+/* Drops releases whose machine has another owner since: that owner may have launched the attempt
+   again, and has to find its own evidence. Without this a task once ran twice. */
 static void
 drop_void_releases(WsCore *core)
 {
@@ -156,7 +155,8 @@
   }
 }
 
-/* The owner restates, under the present epoch, what it has concluded and not refuted since. */
+/* Evidence of the machine's present owner that was not refuted is valid in the present epoch too.
+ */
 static void
 renew_evidence(const WsCore *core, WsRelease *release)
 {
--- a/src/storage/ws-chunk-record.c
+++ b/src/storage/ws-chunk-record.c
@@ -1,4 +1,4 @@
-/* The record of a chunk: its size, how it is written and read. */
+/* The record of a chunk: its size, encoding and parsing. */
 #include "storage/ws-chunk-record.h"
 
 #include <string.h>
@@ -8,7 +8,7 @@
 #define FIELD_ASSIGNMENTS "on"
 #define FIELD_COMPLETED "d" /* a bit for each task, in hexadecimal digits */
 
-/* Places in the array that is an assignment. */
+/* Positions in the array that is an assignment. */
 #define ITEM_TASK 0
 #define ITEM_MACHINE 1
 #define ITEM_ATTEMPT 2
@@ -19,7 +19,7 @@
 #define BYTES_AROUND_CHUNK 21
 /* Digits of a time of day in milliseconds, and its comma. */
 #define BYTES_OF_TIME 14
-/* An assignment on a machine with a long name, for the count of free places. */
+/* The size of an assignment to a machine with a long name, for the count of free slots. */
 #define BYTES_OF_LONG_ASSIGNMENT 44
 
 static gsize
@@ -46,8 +46,8 @@
   return bytes;
 }
 
-/* An upper bound for any chunk of the replica. It is found without looking at the assignments,
-   since it is needed for each of hundreds of tasks in each transaction. */
+/* An upper bound for any chunk of the replica. It doesn't depend on the assignments, since it is
+   computed for each of hundreds of tasks in each transaction. */
 static gsize
 max_bytes_without_times(const WsReplica *replica)
 {
--- a/src/storage/ws-constraints.c
+++ b/src/storage/ws-constraints.c
@@ -1,4 +1,4 @@
-/* What a job's specification allows. */
+/* The constraints of a job's specification on types, machines and zones. */
 #include "storage/ws-constraints.h"
 
 gboolean
@@ -24,5 +24,6 @@
     for (WsZoneIndex z = 0; z < zones; z++)
       if (z != zone && counts[z] > 0)
         return FALSE;
-  return !job->spec->must_spread || counts[zone] + 1 <= (job->tasks + 1) / 2;
+  guint max_per_zone = (job->tasks + 1) / 2;
+  return !job->spec->must_spread || counts[zone] + 1 <= max_per_zone;
 }
--- a/src/storage/ws-job.c
+++ b/src/storage/ws-job.c
@@ -1,4 +1,4 @@
-/* Questions about a job's chunks and assignments. */
+/* Access to a job's chunks and assignments. */
 #include "storage/ws-job.h"
 
 guint
--- a/src/storage/ws-machine-records.c
+++ b/src/storage/ws-machine-records.c
@@ -13,7 +13,7 @@
 #define FIELD_REASON "why"
 #define FIELD_IS_IMMEDIATE "now"
 
-/* A rental batch's record but for its type, its zone and the names of its machines. */
+/* The size of a rental batch's record without its type, its zone and the names of its machines. */
 #define BYTES_AROUND_BATCH 90
 /* Quotation marks and comma around a name, and an ordinary name. */
 #define BYTES_AROUND_NAME 3
--- a/src/storage/ws-machine.c
+++ b/src/storage/ws-machine.c
@@ -1,4 +1,4 @@
-/* Machines and rentals: images and memory. */
+/* Machines, rental intents and rental batches: images of a machine, and freeing. */
 #include "storage/ws-machine.h"
 
 gboolean
--- a/src/storage/ws-replica-apply.c
+++ b/src/storage/ws-replica-apply.c
@@ -1,4 +1,4 @@
-/* Versions of keys, and which record each key is. */
+/* Versions of keys, and the dispatch of changed keys to their kind of record. */
 #include "storage/ws-replica-internal.h"
 #include "storage/ws-team-use.h"
 
@@ -12,8 +12,7 @@
     ws_replica_set_catalog(replica, catalog);
 }
 
-/* Applies one of the records of which there is one for the cluster. FALSE: the key is of another
-   record. */
+/* Applies a record that exists once per cluster. FALSE: the key is of another kind. */
 static gboolean
 apply_single(WsReplica *replica, const char *key, const json_t *value)
 {
@@ -101,8 +100,8 @@
   }
 }
 
-/* A removed key is remembered only until the watch has passed its removal: from then on no older
-   value of it can come. */
+/* The version of a removed key is kept until the watch has passed its removal: after that no older
+   value of it can arrive. */
 void
 ws_replica_advance(WsReplica *replica, guint64 revision)
 {
--- a/src/storage/ws-replica-cluster.c
+++ b/src/storage/ws-replica-cluster.c
@@ -43,7 +43,7 @@
     g_array_insert_val(members, position, member);
 }
 
-/* Whoever it is for reads it; see membership/ws-peer-requests.c. */
+/* Queued for the nodes' requests to each other; see membership/ws-peer-requests.c. */
 void
 ws_replica_apply_mailbox(WsReplica *replica, const char *node, const json_t *value)
 {
--- a/src/storage/ws-replica-jobs.c
+++ b/src/storage/ws-replica-jobs.c
@@ -1,4 +1,4 @@
-/* The replica's jobs and their chunks: what their records change. */
+/* The replica's jobs and chunks: how their records are applied. */
 #include "storage/ws-chunk-record.h"
 #include "storage/ws-job-record.h"
 #include "storage/ws-replica-internal.h"
@@ -54,8 +54,8 @@
   job->completed_count -= old->completed_count;
 }
 
-/* What isn't stored survives a new version of the record; new assignments are noted for whoever
-   launches. */
+/* Keeps the status of assignments, which isn't stored, in a new version of the record. Assignments
+   that are new are noted for launching. */
 static void
 keep_status(WsReplica *replica, const WsJob *job, WsChunk *chunk, const WsChunk *old)
 {
--- a/src/storage/ws-replica-machines.c
+++ b/src/storage/ws-replica-machines.c
@@ -1,4 +1,4 @@
-/* The replica's machines: how they are found and created, and what their records change. */
+/* The replica's machines: how they are found and created, and how their records are applied. */
 #include "storage/ws-machine-records.h"
 #include "storage/ws-replica-internal.h"
 
@@ -115,7 +115,7 @@
       g_warning("record of rental batch %s is damaged", name);
       return;
     }
-    /* Before the old one ends, so that a machine that both name isn't returned meanwhile. */
+    /* Before the old batch ends, so that a machine in both is never taken for returned. */
     begin_rental_batch(replica, rental_batch);
   }
   remove_rental_batch(replica, name);
--- a/src/storage/ws-replica.c
+++ b/src/storage/ws-replica.c
@@ -1,9 +1,9 @@
-/* The replica itself, and how its jobs, machines, types, teams and zones are found. */
+/* The replica itself, and the lookup of its jobs, machines, types, teams and zones. */
 #include "storage/ws-replica-internal.h"
 
 #include <string.h>
 
-/* A catalog may say 0. */
+/* A lower bound, since a catalog may contain 0. */
 #define MIN_FETCH_GB_PER_S 0.01
 
 static void
--- a/src/storage/ws-team-use.c
+++ b/src/storage/ws-team-use.c
@@ -1,9 +1,10 @@
-/* Records of teams' use: which record a team belongs to, how it is written and read. */
+/* Records of teams' use: which record a team belongs to, encoding and parsing. */
 #include "storage/ws-team-use.h"
 
 #include <string.h>
 
-/* A team's part of a record, beside its name: two amounts of up to 19 digits, and punctuation. */
+/* The size of a team's part of a record without its name: two amounts of up to 19 digits, and
+   punctuation. */
 #define BYTES_PER_TEAM 48
 /* How full a record may be on average, as names spread unevenly. */
 #define FILL_RATIO 0.5
