--- a/src/context/ws-context.c
+++ b/src/context/ws-context.c
@@ -1,14 +1,14 @@
 /**
- * Calls without a reply, and the queue of what is to be sent and answered.
+ * Calls whose replies are outstanding, and the queue of outputs: calls to send, requests to answer.
  */
 #include "context/ws-context.h"
 
 #define STATUS_NO_RESPONSE 0
 #define STATUS_UNAVAILABLE 503
 
-/* A call without a reply. */
+/* A call whose reply is outstanding. */
 typedef struct {
-  guint64 id; /* the key under which it is kept */
+  guint64 id; /* its key in the table of calls */
   WsReplyFunc reply;
   gpointer data;
 } PendingCall;
@@ -58,7 +58,7 @@
 ws_output_free(WsOutput *output)
 {
   g_free(output->url);
-  free(output->body); /* jansson's */
+  free(output->body); /* allocated by jansson */
   g_free(output);
 }
 
--- a/src/coordination/ws-epoch.c
+++ b/src/coordination/ws-epoch.c
@@ -1,4 +1,5 @@
-/* The record of an epoch, its members, and rendezvous hashing of machines. */
+/* The record of an epoch, its members, and the assignment of machines to owners by rendezvous
+   hashing. */
 #include "coordination/ws-epoch.h"
 
 /* Stored field names. */
@@ -123,8 +124,8 @@
   return TRUE;
 }
 
-/* FNV-1a over both names, finished with a 64-bit mix: names that differ in the last digit only
-   must still fall to different nodes. */
+/* FNV-1a over both names, finalized with a 64-bit mix, so that machines whose names differ in the
+   last digit only are still spread over all nodes. */
 static guint64
 hash_weight(const char *machine, const char *node)
 {
--- a/src/main.c
+++ b/src/main.c
@@ -1,5 +1,5 @@
-/* wrenshore: a cluster scheduler that terminates idle rented machines. This file has the command
-   line, the reading of both files, and the log. */
+/* wrenshore: a cluster scheduler that terminates idle rented machines. This file parses the command
+   line, reads the settings and the properties, and writes the log. */
 #include "runtime/ws-runtime.h"
 
 #include <stdio.h>
@@ -89,7 +89,7 @@
   return g_steal_pointer(&properties);
 }
 
-/* Libraries log every connection; details are of this program alone. */
+/* Libraries log every connection: messages below a warning are shown of this program only. */
 static gboolean
 is_from_this_program(const GLogField *fields, gsize count)
 {
@@ -111,7 +111,7 @@
   return G_LOG_WRITER_HANDLED;
 }
 
-/* Warnings are shown at every level: each is something that an operator should look at. */
+/* Warnings are shown at every level: each needs an operator's attention. */
 static GLogLevelFlags
 log_level(void)
 {
--- a/src/runtime/ws-runtime.c
+++ b/src/runtime/ws-runtime.c
@@ -1,14 +1,14 @@
-/* Feeds the core with requests, replies and ticks, and carries out what it puts out. */
+/* Passes requests, replies and ticks to the core, and carries out its calls and answers. */
 #include "runtime/ws-runtime.h"
 
 #include "transport/ws-http-client.h"
 #include "transport/ws-http-server.h"
 
 #define TICK_INTERVAL_MS 50
-/* Of an incarnation. */
+/* The random low bits of an incarnation. */
 #define RANDOM_BITS 10
-/* How the sockets are shared out, so that neither workers and users nor calls to hundreds of
-   workers can take what the other controllers and the state service need. */
+/* Shares of the sockets, so that neither workers and users nor calls to hundreds of workers can use
+   up the connections to the other controllers and to the key-value store. */
 #define API_SOCKET_SHARE 0.65
 #define CLIENT_SOCKET_SHARE 0.25
 #define MESH_SOCKET_SHARE 0.05
@@ -101,8 +101,8 @@
   return G_SOURCE_CONTINUE;
 }
 
-/* Microseconds of the time of day tell two runs of a node apart; the low bits are random, since a
-   restart may fall into the same tick of a coarse clock. */
+/* The time of day in microseconds distinguishes two runs of a node; the low bits are random, since
+   a restart may fall into the same tick of a coarse clock. */
 static guint64
 new_incarnation(void)
 {
--- a/src/store/ws-store-load.c
+++ b/src/store/ws-store-load.c
@@ -1,5 +1,5 @@
-/* The load of the replica: all keys, page by page. What changes meanwhile comes in by the watch,
-   which starts at the revision of the first page. */
+/* The initial load of the replica: all keys are read page by page. Changes made meanwhile arrive
+   through the watch, which starts at the revision of the first page. */
 #include "store/ws-store-private.h"
 
 #include "protocol/ws-kv.h"
--- a/src/store/ws-store-reads.c
+++ b/src/store/ws-store-reads.c
@@ -1,12 +1,12 @@
-/* Linearizable reads of the replica: the store is asked for its revision, and a read ends once the
-   watch has brought the replica up to it. */
+/* Linearizable reads of the replica: the store's current revision is requested, and a read
+   completes once the watch has brought the replica up to it. */
 #include "store/ws-store-private.h"
 
 #include "protocol/ws-kv.h"
 
 #define READ_TIMEOUT_MS 1500
 #define REVISION_TIMEOUT_MS 800
-/* No key begins like this: a page of it has the store's revision and nothing else. */
+/* No key has this prefix, so a page of it contains the store's revision and no items. */
 #define NO_KEYS_PREFIX WS_PREFIX "~"
 #define MIN_PAGE_SIZE 1
 
@@ -14,7 +14,7 @@
   WsReadFunc done;
   gpointer data;
   gint64 requested_ms;
-  guint64 revision; /* that the replica must reach; 0: not known yet */
+  guint64 revision; /* which the replica must reach; 0: not known yet */
 } PendingRead;
 
 static GArray *
@@ -46,7 +46,7 @@
   g_array_append_val(core->store->reads.unsent, read);
 }
 
-/* Takes the reads out of the list first: a callback may request another one. */
+/* Completes all reads of a list, which is replaced first: a callback may request another read. */
 static void
 finish_all(WsCore *core, GArray **reads, gboolean is_current)
 {
--- a/src/store/ws-store-requests.c
+++ b/src/store/ws-store-requests.c
@@ -4,11 +4,10 @@
 
 #include "protocol/ws-kv.h"
 
-/* The store's budgets are split unevenly, for the leader writes nearly everything: assignments and
-   releases, machines, rentals, termination marks. What is left is for submissions, cancellations,
-   leases and mailboxes, and seldom used: together the write shares are more than the whole. All
-   followers have the same share. A request that is rejected for its rate is retried after a
-   pause. */
+/* Shares of the store's rate limits. The leader writes nearly everything (assignments and releases,
+   machines, rentals, termination marks) and has the largest one. Followers, who all have the same
+   share, write submissions, cancellations, leases and mailboxes, and seldom use all of it: the
+   write shares therefore add up to more than 1. A rate-limited request is retried after a pause. */
 #define LEADER_WRITE_SHARE 0.75
 #define FOLLOWERS_WRITE_SHARE 0.4
 #define LEADER_READ_SHARE 0.34
@@ -17,15 +16,15 @@
 #define MIN_WRITE_BURST 4.0
 #define RATE_LIMITED_PAUSE_MS 120
 #define MAX_RATE_LIMITED_TRIES 5
-/* Failures for so long mean that the store is unavailable. */
+/* The store counts as unavailable when requests have failed for longer than this. */
 #define UNAVAILABLE_AFTER_MS 700
 #define STATUS_NO_RESPONSE 0
 
 typedef struct {
   const char *method; /* a literal */
   char *path;
-  json_t *body;      /* NULL: there is none */
-  guint write_count; /* taken from the write budget; 0: it's a read */
+  json_t *body;      /* NULL: no body */
+  guint write_count; /* operations taken from the write budget; 0: a read */
   guint timeout_ms;
   WsReplyFunc reply;
   gpointer data;
@@ -123,7 +122,7 @@
   enqueue(core, &request);
 }
 
-/* A response that says something about the request, and not about the store's state. */
+/* A response to the request itself, which shows that the store is available. */
 static gboolean
 is_proper_response(guint status)
 {
@@ -164,7 +163,8 @@
           json_incref(request->body), request->timeout_ms, on_reply, request);
 }
 
-/* Leases, reads and users' requests don't wait behind the debt of a large transaction of tasks. */
+/* Leases, reads and users' requests may borrow from the write budget, so that they don't wait until
+   a large transaction of tasks is paid off. */
 static gboolean
 may_send(WsCore *core, WsRequestClass request_class, guint write_count)
 {
@@ -178,7 +178,8 @@
   return has_write_budget && ws_rate_take(&requests->request_rate, 1.0, core->now);
 }
 
-/* Strictly by class: a write that waits for its budget also holds back what is less urgent. */
+/* In strict order of the classes: while a write waits for its budget, so do all less urgent
+   requests. */
 void
 ws_store_requests_send(WsCore *core)
 {
--- a/src/store/ws-store-watch.c
+++ b/src/store/ws-store-watch.c
@@ -1,4 +1,4 @@
-/* The watch: a long poll for what changes after the replica's revision. */
+/* The watch: a long poll for the changes after the replica's revision. */
 #include "store/ws-store-private.h"
 
 #include "protocol/ws-kv.h"
@@ -7,7 +7,7 @@
 #define WATCH_MARGIN_MS 2000
 #define WATCH_TIMEOUT_MS (WATCH_WAIT_MS + WATCH_MARGIN_MS)
 #define RETRY_PAUSE_MS 300
-/* Changes gather while the watch is closed: it takes at most a third of the requests. */
+/* The watch may use one request in so many. While it is closed, changes accumulate in the store. */
 #define REQUESTS_PER_WATCH 3.0
 
 static void
@@ -42,7 +42,7 @@
   ws_store_reads_finish(core);
 }
 
-/* A read that waits for the replica doesn't wait for the pause between two watches. */
+/* The interval between two watches is skipped while a read waits for the replica. */
 static gboolean
 is_due(const WsCore *core)
 {
--- a/src/store/ws-store.c
+++ b/src/store/ws-store.c
@@ -1,4 +1,4 @@
-/* The store's client: drives its parts, and reads once more after an outage. */
+/* The client of the key-value store: drives its parts, and catches up after an outage. */
 #include "store/ws-store.h"
 
 #include "store/ws-store-private.h"
--- a/src/store/ws-txn.c
+++ b/src/store/ws-txn.c
@@ -1,4 +1,4 @@
-/* Transactions of the key-value store: conditions, operations, and what the answer means. */
+/* Transactions of the key-value store: conditions, operations, and the meaning of each response. */
 #include "store/ws-store-private.h"
 
 #include "protocol/ws-kv.h"
@@ -81,7 +81,7 @@
   }
 }
 
-/* Names what the store rejects for its size: a fault of this program. */
+/* Logs the limits that the transaction exceeds. Exceeding one is a defect of this program. */
 static void
 log_exceeded_limits(const WsCore *core, const WsTxn *txn)
 {
--- a/src/store/ws-write-stats.c
+++ b/src/store/ws-write-stats.c
@@ -1,6 +1,7 @@
 /* Statistics of committed operations, by purpose.
 
-   Where the store takes few operations a second, they decide how fast tasks begin and end. */
+   Where the store's write rate is low, it bounds how fast tasks are launched and released; the
+   statistics show what the rate is spent on. */
 #include "store/ws-store-private.h"
 
 #define INTERVAL_MS 30000
--- a/src/transport/ws-http-client.c
+++ b/src/transport/ws-http-client.c
@@ -1,14 +1,14 @@
-/* Outgoing HTTP, by libsoup. */
+/* The HTTP client, built on libsoup. */
 #include "transport/ws-http-client.h"
 
 #include <libsoup/soup.h>
 #include <string.h>
 
 #define MIN_CONNECTIONS 16u
-/* A hung host may only use up its own connections. */
+/* A host that doesn't respond may use up its own connections only. */
 #define MAX_CONNECTIONS_PER_HOST 12
 #define IDLE_CONNECTION_TIMEOUT_S 30
-/* Each call has a timer of its own. */
+/* Timeouts are kept by a timer for each call. */
 #define NO_SOCKET_TIMEOUT 0
 #define STATUS_NO_RESPONSE 0
 
@@ -88,7 +88,7 @@
     return;
   }
   /* Without the second flag libsoup opens a connection for every POST. Every request of ours may
-     be carried out twice: it is conditional, named, or has no lasting effect. */
+     be carried out twice: it is conditional, has an idempotency key, or no lasting effect. */
   soup_message_add_flags(message, SOUP_MESSAGE_NO_REDIRECT | SOUP_MESSAGE_IDEMPOTENT);
   if (body != NULL) {
     g_autoptr(GBytes) bytes = g_bytes_new(body, strlen(body));
--- a/src/transport/ws-http-server.c
+++ b/src/transport/ws-http-server.c
@@ -1,7 +1,7 @@
-/* The server runs in GLib's main loop as one descriptor: libmicrohttpd keeps its connections in an
-   epoll set of its own. libsoup gives each connection a source of the main loop, all of which are
-   looked at whenever anything happens; with a worker on each of hundreds of connections that alone
-   took more than the processor's share (docs/results.md). */
+/* The HTTP server, built on libmicrohttpd, which keeps its connections in an epoll set of its own:
+   GLib's main loop polls a single descriptor. A server of libsoup adds a source to the main loop
+   for each connection, and the loop checks all of them at every event; with hundreds of workers
+   connected that alone exceeded the CPU budget (docs/results.md). */
 #include "transport/ws-http-server.h"
 
 #include <errno.h>
@@ -11,7 +11,7 @@
 #include <string.h>
 
 #define MAX_BODY_BYTES (4u << 20)
-/* Of each connection: its request's headers must fit, bodies pass through. */
+/* For each connection: a request's headers must fit; bodies are passed on in parts. */
 #define CONNECTION_MEMORY_BYTES 4096
 #define RETRY_AFTER_BYTES 16
 
@@ -20,7 +20,7 @@
   WsHttpHandler handler;
   gpointer data;
   guint epoll_source;
-  guint idle_source; /* 0: nothing waits to be sent or read */
+  guint idle_source; /* 0: no input or output is pending */
 };
 
 typedef struct {
@@ -84,7 +84,8 @@
   return MHD_YES;
 }
 
-/* Called with the headers, with each part of the body, at its end, and after a suspension. */
+/* Called with the headers, with each part of the body, at the end of the body, and when a suspended
+   connection is resumed. */
 static enum MHD_Result
 on_request(void *data, struct MHD_Connection *connection, const char *path, const char *method,
            const char *version, const char *part, size_t *length, void **state)
@@ -100,7 +101,7 @@
   if (*length == 0)
     return handle_request(request);
   if (request->bytes->len + *length > MAX_BODY_BYTES)
-    return MHD_NO; /* ends the connection: nobody sends so much */
+    return MHD_NO; /* closes the connection: no valid request is so large */
   g_byte_array_append(request->bytes, (const guint8 *)part, (guint)*length);
   *length = 0;
   return MHD_YES;
@@ -115,7 +116,8 @@
     server->idle_source = g_idle_add_full(G_PRIORITY_DEFAULT, on_wakeup, server, NULL);
 }
 
-/* One round reads a part of what has come; the descriptor doesn't tell of the rest again. */
+/* MHD_run() may leave some of the pending input unread, and the descriptor isn't signalled again
+   for it: another run is scheduled then. */
 static void
 run_once(WsHttpServer *server)
 {
--- a/src/transport/ws-rate.c
+++ b/src/transport/ws-rate.c
@@ -1,4 +1,4 @@
-/* Token bucket. */
+/* A token bucket for rate limiting. */
 #include "transport/ws-rate.h"
 
 #define MIN_BURST 1.0
@@ -10,7 +10,7 @@
   *rate = (WsRate){ .per_second = per_second, .burst = size, .tokens = size };
 }
 
-/* A request larger than the burst is let through on a full bucket, which then goes into debt. */
+/* A request larger than the burst is allowed when the bucket is full, and leaves it in debt. */
 gboolean
 ws_rate_ready(WsRate *rate, double count, gint64 now_ms)
 {
