--- a/src/context/ws-context.c
+++ b/src/context/ws-context.c
@@ -34,9 +34,8 @@
   g_autoptr(GList) calls = g_hash_table_get_values(core->calls);
   g_hash_table_steal_all(core->calls);
   for (GList *at = calls; at != NULL; at = at->next) {
-    PendingCall *call = at->data;
+    g_autofree PendingCall *call = at->data;
     call->reply(core, STATUS_NO_RESPONSE, NULL, call->data);
-    g_free(call);
   }
   return calls != NULL;
 }
@@ -47,10 +46,9 @@
   gpointer value;
   if (!g_hash_table_steal_extended(core->calls, &id, NULL, &value))
     return FALSE;
-  PendingCall *call = value;
+  g_autofree PendingCall *call = value;
   g_autoptr(json_t) message = status != STATUS_NO_RESPONSE ? ws_json_parse(body, length) : NULL;
   call->reply(core, status, message, call->data);
-  g_free(call);
   return TRUE;
 }
 
--- a/src/context/ws-output.h
+++ b/src/context/ws-output.h
@@ -28,3 +28,4 @@
 } WsOutput;
 
 void ws_output_free(WsOutput *output);
+G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsOutput, ws_output_free)
--- a/src/main.c
+++ b/src/main.c
@@ -126,7 +126,7 @@
 {
   g_autoptr(GError) error = NULL;
   g_autoptr(GMainLoop) loop = g_main_loop_new(NULL, FALSE);
-  WsRuntime *runtime = ws_runtime_new(settings, properties, &error);
+  g_autoptr(WsRuntime) runtime = ws_runtime_new(settings, properties, &error);
   if (runtime == NULL) {
     fprintf(stderr, "wrenshore: can't listen: %s\n", error->message);
     return EXIT_FAILURE;
--- a/src/membership/ws-cancellations.c
+++ b/src/membership/ws-cancellations.c
@@ -149,12 +149,13 @@
   g_ptr_array_unref(notification->ids);
   g_free(notification);
 }
+G_DEFINE_AUTOPTR_CLEANUP_FUNC(Notification, notification_free)
 
 static void
 on_notified(WsCore *core, guint status, const json_t *body, gpointer data)
 {
   (void)body;
-  Notification *notification = data;
+  g_autoptr(Notification) notification = data;
   WsCancellations *cancellations = core->cancellations;
   cancellations->is_notifying[notification->node] = FALSE;
   cancellations->notify_ms[notification->node]
@@ -164,7 +165,6 @@
     if (cancellation != NULL)
       cancellation->acknowledged_by |= 1u << notification->node;
   }
-  notification_free(notification);
 }
 
 /* Adds the cancellations that the node has not acknowledged, up to the limit of a message. */
--- a/src/membership/ws-membership.h
+++ b/src/membership/ws-membership.h
@@ -37,6 +37,7 @@
 
 WsAuthority *ws_authority_new(void);
 void ws_authority_free(WsAuthority *authority);
+G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsAuthority, ws_authority_free)
 
 /** Forgets what was heard from other zones, unless this node is isolated. For each tick. */
 void ws_authority_tick(WsCore *core);
@@ -117,6 +118,7 @@
 
 WsElection *ws_election_new(void);
 void ws_election_free(WsElection *election);
+G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsElection, ws_election_free)
 
 /** Keeps the lease, stands for leader and, as leader, keeps the epoch. For each tick. */
 void ws_election_tick(WsCore *core);
@@ -125,6 +127,7 @@
 
 WsEpochTracker *ws_epoch_tracker_new(void);
 void ws_epoch_tracker_free(WsEpochTracker *tracker);
+G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsEpochTracker, ws_epoch_tracker_free)
 
 /** Since when the present epoch is known, or since the last process pause, in ms; 0: never. */
 gint64 ws_epoch_known_since_ms(const WsCore *core);
@@ -139,6 +142,7 @@
 
 WsPeers *ws_peers_new(const WsSettings *settings);
 void ws_peers_free(WsPeers *peers);
+G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsPeers, ws_peers_free)
 
 /** Whether the node was heard lately, or is this one. */
 gboolean ws_peer_is_reachable(const WsCore *core, WsNodeIndex node);
@@ -209,6 +213,7 @@
 
 WsFailureDetector *ws_failure_detector_new(const WsSettings *settings);
 void ws_failure_detector_free(WsFailureDetector *detector);
+G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsFailureDetector, ws_failure_detector_free)
 
 /** Probes suspected machines and requests the termination of dead ones. For each reconciliation. */
 void ws_failure_detector_tick(WsCore *core);
@@ -238,6 +243,7 @@
 
 WsCancellations *ws_cancellations_new(const WsSettings *settings);
 void ws_cancellations_free(WsCancellations *cancellations);
+G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsCancellations, ws_cancellations_free)
 
 /** Whether the job's cancellation was confirmed to its user, by the records or by a peer. */
 gboolean ws_cancellations_has(const WsCore *core, const WsJob *job);
--- a/src/membership/ws-peer-request-message.h
+++ b/src/membership/ws-peer-request-message.h
@@ -31,6 +31,7 @@
 } WsPeerRequest;
 
 void ws_peer_request_free(WsPeerRequest *request);
+G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsPeerRequest, ws_peer_request_free)
 
 /** What a node requests of another one. */
 typedef struct {
--- a/src/runtime/ws-runtime.c
+++ b/src/runtime/ws-runtime.c
@@ -43,10 +43,9 @@
 static void
 on_reply(guint status, const char *body, gsize length, gpointer data)
 {
-  PendingCall *pending = data;
+  g_autofree PendingCall *pending = data;
   WsRuntime *runtime = pending->runtime;
   ws_core_reply(runtime->core, now_ms(), wall_ms(), pending->call, status, body, length);
-  g_free(pending);
   send_outputs(runtime);
 }
 
--- a/src/storage/ws-replica-internal.h
+++ b/src/storage/ws-replica-internal.h
@@ -33,6 +33,7 @@
 
 /** Frees a job with its chunks. */
 void ws_job_free(WsJob *job);
+G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsJob, ws_job_free)
 
 /* ws-replica-machines.c */
 
@@ -53,3 +54,4 @@
 
 /** Frees a machine. */
 void ws_machine_free(WsMachine *machine);
+G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsMachine, ws_machine_free)
