--- a/src/commit/ws-batch.c
+++ b/src/commit/ws-batch.c
@@ -205,7 +205,8 @@
  * @ends_job: whether the change ends the job
  */
 static gboolean
-reserve(WsBatch *batch, const WsJob *job, guint task, const WsMachine *machine, gboolean ends_job)
+reserve_cost(WsBatch *batch, const WsJob *job, guint task, const WsMachine *machine,
+             gboolean ends_job)
 {
   Cost cost = change_cost(batch, job, task, machine, ends_job);
   if (batch->is_of_one_job && batch->edits->len > count_edits(batch, job))
@@ -240,7 +241,7 @@
 
 /* @tasks: how many more of the job's tasks are on the machine; negative: fewer */
 static void
-add_use(WsBatch *batch, const WsJob *job, WsMachineIndex machine, gint64 tasks)
+change_use(WsBatch *batch, const WsJob *job, WsMachineIndex machine, gint64 tasks)
 {
   ws_resources_add(ws_batch_machine_use(batch, machine), &job->spec->need, tasks);
   batch->is_team_use_edited[ws_team_use_group(batch->core->settings, job->team)] = TRUE;
@@ -275,7 +276,7 @@
 release_task(WsBatch *batch, const WsJob *job, WsChunk *chunk, guint task, WsMachineIndex machine)
 {
   ws_chunk_remove(chunk, task);
-  add_use(batch, job, machine, -1);
+  change_use(batch, job, machine, -1);
 }
 
 /* The tasks of a gang complete together: when one is done, all are. */
@@ -309,7 +310,7 @@
   if (ws_chunk_find(ws_batch_chunk(batch, job, release->task / WS_CHUNK_TASKS), release->task)
       == NULL)
     return WS_BATCH_ADDED; /* released by this batch: its use is subtracted once */
-  if (!reserve(batch, job, release->task, NULL, ends_job(batch, job, release->is_completed)))
+  if (!reserve_cost(batch, job, release->task, NULL, ends_job(batch, job, release->is_completed)))
     return WS_BATCH_FULL;
   log_release(batch->core, release);
   if (ws_job_is_gang(job) && release->is_completed && job->state == WS_JOB_ACTIVE) {
@@ -352,7 +353,7 @@
   const WsMachine *machine = ws_replica_machine(core->replica, proposal->machine);
   if (!ws_batch_allows(batch, proposal))
     return WS_BATCH_REJECTED;
-  if (!reserve(batch, job, proposal->task, machine, FALSE))
+  if (!reserve_cost(batch, job, proposal->task, machine, FALSE))
     return WS_BATCH_FULL;
   WsChunk *chunk = edit_chunk(batch, job, proposal->task);
   WsAssignment assignment = { .task = proposal->task,
@@ -361,7 +362,7 @@
                               .assigned_ms = core->wall };
   chunk->last_attempt = assignment.attempt;
   ws_chunk_add(chunk, &assignment);
-  add_use(batch, job, proposal->machine, 1);
+  change_use(batch, job, proposal->machine, 1);
   add_machine(batch, machine);
   core->handlers->note_assignment(core, job, proposal->machine);
   return WS_BATCH_ADDED;
--- a/src/commit/ws-legacy-releases.c
+++ b/src/commit/ws-legacy-releases.c
@@ -36,7 +36,7 @@
 }
 
 static Hint *
-find_hint(WsCore *core, const WsRelease *release)
+find_or_add_hint(WsCore *core, const WsRelease *release)
 {
   GArray *hints = core->legacy_releases->hints;
   for (guint i = 0; i < hints->len; i++) {
@@ -112,7 +112,7 @@
   }
   if (machine->owner == core->settings->self)
     return;
-  Hint *hint = find_hint(core, release);
+  Hint *hint = find_or_add_hint(core, release);
   if (core->now - hint->last_ms > HINT_REPEAT_MS)
     hint->since_ms = core->now;
   hint->last_ms = core->now;
--- a/src/commit/ws-releases.c
+++ b/src/commit/ws-releases.c
@@ -155,8 +155,7 @@
   }
 }
 
-/* Evidence of the machine's present owner that was not refuted is valid in the present epoch too.
- */
+/* Evidence of the machine's present owner that was not refuted is valid in this epoch too. */
 static void
 renew_evidence(const WsCore *core, WsRelease *release)
 {
--- a/src/membership/ws-failure-detector.c
+++ b/src/membership/ws-failure-detector.c
@@ -191,9 +191,9 @@
   }
   if (unreachable == 0)
     return 0.0;
-  gboolean many
+  gboolean this_node_is_unheard
       = unreachable >= MIN_UNREACHABLE_TOGETHER && MACHINES_PER_UNREACHABLE * unreachable >= all;
-  return (many ? 1.0 : OUTBOUND_LEASE_SHARE) * core->settings->lease_s * 1000.0;
+  return (this_node_is_unheard ? 1.0 : OUTBOUND_LEASE_SHARE) * core->settings->lease_s * 1000.0;
 }
 
 static void
--- a/src/membership/ws-partitions.c
+++ b/src/membership/ws-partitions.c
@@ -24,10 +24,10 @@
 typedef struct {
   guint all;
   guint suspected;
-} Count;
+} SuspicionCount;
 
 static void
-count_machine(const WsCore *core, const WsMachine *machine, Count *count)
+count_machine(const WsCore *core, const WsMachine *machine, SuspicionCount *count)
 {
   count->all++;
   if (ws_machine_is_suspected(core, machine))
@@ -35,7 +35,7 @@
 }
 
 static gboolean
-most_are_suspected(const Count *count)
+most_are_suspected(const SuspicionCount *count)
 {
   return count->suspected >= MIN_SUSPECTED_TOGETHER && 2 * count->suspected > count->all;
 }
@@ -120,7 +120,7 @@
     return TRUE;
   if (member_is_unreachable(core, zone))
     return TRUE;
-  Count count = { 0 };
+  SuspicionCount count = { 0 };
   for (guint i = 0; i < core->replica->machines->len; i++) {
     const WsMachine *machine = ws_replica_machine(core->replica, i);
     if (is_expected_in_zone(machine, zone))
@@ -135,7 +135,7 @@
 gboolean
 ws_machines_are_suspected_together(const WsCore *core)
 {
-  Count count = { 0 };
+  SuspicionCount count = { 0 };
   for (guint i = 0; i < core->replica->machines->len; i++) {
     const WsMachine *machine = ws_replica_machine(core->replica, i);
     if (machine->is_spot || !machine->is_recorded || ws_liveness_suspected_since_ms(machine) == 0
@@ -150,10 +150,10 @@
 
 /* Counts the machines by which a partition of the zone is detected: this node's own, or, in a zone
    without a node, those of all owners. */
-static Count
+static SuspicionCount
 count_zone(const WsCore *core, WsZoneIndex zone, gboolean has_node)
 {
-  Count count = { 0 };
+  SuspicionCount count = { 0 };
   for (guint i = 0; i < core->replica->machines->len; i++) {
     const WsMachine *machine = ws_replica_machine(core->replica, i);
     if (is_expected_in_zone(machine, zone) && (!has_node || ws_owns_machine(core, machine)))
@@ -173,16 +173,16 @@
   WsFailureDetector *detector = core->failure_detector;
   gboolean has_node = ws_zone_has_node(core, zone);
   gint64 unreachable_ms = unreachable_for_ms(core, zone);
-  Count count = { 0 };
+  SuspicionCount count = { 0 };
   if (unreachable_ms > 0 || !has_node)
     count = count_zone(core, zone, has_node);
-  gboolean is_long
+  gboolean outlasts_restart
       = (double)unreachable_ms > RESTART_LEASE_SHARE * core->settings->lease_s * 1000.0;
-  gboolean most = most_are_suspected(&count);
-  gboolean everyone = count.all > 0 && count.suspected == count.all;
-  if (most || (has_node && everyone))
+  gboolean most_are = most_are_suspected(&count);
+  gboolean all_are = count.all > 0 && count.suspected == count.all;
+  if (most_are || (has_node && all_are))
     detector->partition_ms[zone] = core->now;
-  if (most || (has_node && everyone && is_long))
+  if (most_are || (has_node && all_are && outlasts_restart))
     detector->confirmed_partition_ms[zone] = core->now;
 }
 
--- a/src/storage/ws-machine-records.c
+++ b/src/storage/ws-machine-records.c
@@ -56,20 +56,33 @@
                    (json_int_t)rental_batch->rented_ms, FIELD_MACHINES, names);
 }
 
+/* What machines are rented: fields that batches and intents share. */
+typedef struct {
+  const char *type;
+  const char *zone;
+  gboolean is_spot;
+} Offer;
+
+static gboolean
+parse_offer(const json_t *value, Offer *offer)
+{
+  return ws_json_string(value, FIELD_TYPE, &offer->type)
+         && ws_json_string(value, FIELD_ZONE, &offer->zone)
+         && ws_json_bool(value, FIELD_SPOT, &offer->is_spot);
+}
+
 WsRentalBatch *
 ws_rental_batch_parse(WsReplica *replica, const char *name, const json_t *value)
 {
-  const char *type, *zone;
-  gboolean spot;
+  Offer offer;
   guint64 rented_ms;
-  if (!ws_json_string(value, FIELD_TYPE, &type) || !ws_json_string(value, FIELD_ZONE, &zone)
-      || !ws_json_bool(value, FIELD_SPOT, &spot) || !ws_json_count(value, FIELD_RENTED, &rented_ms))
+  if (!parse_offer(value, &offer) || !ws_json_count(value, FIELD_RENTED, &rented_ms))
     return NULL;
   WsRentalBatch *rental_batch = g_new0(WsRentalBatch, 1);
   rental_batch->name = g_strdup(name);
-  rental_batch->type = g_strdup(type);
-  rental_batch->zone = g_strdup(zone);
-  rental_batch->is_spot = spot;
+  rental_batch->type = g_strdup(offer.type);
+  rental_batch->zone = g_strdup(offer.zone);
+  rental_batch->is_spot = offer.is_spot;
   rental_batch->rented_ms = (gint64)rented_ms;
   rental_batch->machines = g_array_new(FALSE, FALSE, sizeof(WsMachineIndex));
   size_t i;
@@ -94,17 +107,15 @@
 WsRentalIntent *
 ws_rental_intent_parse(const char *request, const json_t *value)
 {
-  const char *type, *zone;
-  gboolean spot;
+  Offer offer;
   guint64 count;
-  if (!ws_json_string(value, FIELD_TYPE, &type) || !ws_json_string(value, FIELD_ZONE, &zone)
-      || !ws_json_bool(value, FIELD_SPOT, &spot) || !ws_json_count(value, FIELD_COUNT, &count))
+  if (!parse_offer(value, &offer) || !ws_json_count(value, FIELD_COUNT, &count))
     return NULL;
   WsRentalIntent *intent = g_new0(WsRentalIntent, 1);
   intent->request = g_strdup(request);
-  intent->type = g_strdup(type);
-  intent->zone = g_strdup(zone);
-  intent->is_spot = spot;
+  intent->type = g_strdup(offer.type);
+  intent->zone = g_strdup(offer.zone);
+  intent->is_spot = offer.is_spot;
   intent->count = (guint)count;
   return intent;
 }
