--- a/src/commit/ws-batch.c
+++ b/src/commit/ws-batch.c
@@ -70,15 +70,21 @@
   batch->is_of_one_job = TRUE;
 }
 
+static gboolean
+contains_job(const GArray *jobs, WsJobIndex job)
+{
+  for (guint i = 0; i < jobs->len; i++)
+    if (g_array_index(jobs, guint, i) == job)
+      return TRUE;
+  return FALSE;
+}
+
 void
 ws_batch_collect_jobs(const WsBatch *batch, GArray *jobs)
 {
   for (guint i = 0; i < batch->edits->len; i++) {
     const WsChunkEdit *edit = g_ptr_array_index(batch->edits, i);
-    gboolean is_known = FALSE;
-    for (guint k = 0; k < jobs->len; k++)
-      is_known = is_known || g_array_index(jobs, guint, k) == edit->job;
-    if (!is_known)
+    if (!contains_job(jobs, edit->job))
       g_array_append_val(jobs, edit->job);
   }
 }
@@ -250,7 +256,7 @@
 
 /* Whether the release of one of the job's assigned tasks ends the job. */
 static gboolean
-ends_job(const WsBatch *batch, const WsJob *job, gboolean is_completed)
+release_ends_job(const WsBatch *batch, const WsJob *job, gboolean is_completed)
 {
   WsBatchJobCounts counts = ws_batch_count_tasks(batch, job);
   WsJobProgress progress
@@ -310,7 +316,8 @@
   if (ws_chunk_find(ws_batch_chunk(batch, job, release->task / WS_CHUNK_TASKS), release->task)
       == NULL)
     return WS_BATCH_ADDED; /* released by this batch: its use is subtracted once */
-  if (!reserve_cost(batch, job, release->task, NULL, ends_job(batch, job, release->is_completed)))
+  gboolean ends_job = release_ends_job(batch, job, release->is_completed);
+  if (!reserve_cost(batch, job, release->task, NULL, ends_job))
     return WS_BATCH_FULL;
   log_release(batch->core, release);
   if (ws_job_is_gang(job) && release->is_completed && job->state == WS_JOB_ACTIVE) {
--- a/src/commit/ws-job-completion.c
+++ b/src/commit/ws-job-completion.c
@@ -1,3 +1,4 @@
+/* The rule of when a job is complete. */
 #include "commit/ws-job-completion.h"
 
 #include "storage/ws-gang-phase.h"
--- a/src/commit/ws-job-quarantine.c
+++ b/src/commit/ws-job-quarantine.c
@@ -1,3 +1,4 @@
+/* The quarantine of jobs whose records the store rejects. */
 #include "commit/ws-job-quarantine.h"
 
 #include "context/ws-context.h"
--- a/src/commit/ws-legacy-releases.c
+++ b/src/commit/ws-legacy-releases.c
@@ -11,7 +11,7 @@
 
 typedef struct {
   WsRelease release;
-  gint64 since_ms;  /* when it came first */
+  gint64 since_ms;  /* when it first arrived */
   gint64 last_ms;   /* when it was last repeated */
   gint64 probed_ms; /* when its worker was last probed */
 } Hint;
--- a/src/commit/ws-release-order.c
+++ b/src/commit/ws-release-order.c
@@ -10,10 +10,10 @@
 
 /* Sums over all pending releases. */
 typedef struct {
-  GHashTable *chunk_weight;  /* by chunk */
-  GHashTable *pending_count; /* by job */
-  GHashTable *done_count;    /* by job: how many of them are of completed tasks */
-  gint64 *team_use_weight;   /* by record of teams' use */
+  GHashTable *chunk_weight;    /* by chunk */
+  GHashTable *pending_count;   /* by job */
+  GHashTable *completed_count; /* by job: how many of them are of completed tasks */
+  gint64 *team_use_weight;     /* by record of teams' use */
 } Sums;
 
 static gpointer
@@ -41,7 +41,7 @@
 {
   sums->chunk_weight = g_hash_table_new(NULL, NULL);
   sums->pending_count = g_hash_table_new(NULL, NULL);
-  sums->done_count = g_hash_table_new(NULL, NULL);
+  sums->completed_count = g_hash_table_new(NULL, NULL);
   sums->team_use_weight = g_new0(gint64, ws_team_use_groups(settings));
 }
 
@@ -50,9 +50,10 @@
 {
   g_hash_table_unref(sums->chunk_weight);
   g_hash_table_unref(sums->pending_count);
-  g_hash_table_unref(sums->done_count);
+  g_hash_table_unref(sums->completed_count);
   g_free(sums->team_use_weight);
 }
+G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC(Sums, sums_clear)
 
 static void
 sums_add(Sums *sums, const WsCore *core, const WsPendingRelease *pending, const WsJob *job)
@@ -60,7 +61,7 @@
   gint64 weight = MIN_WEIGHT_MS + core->now - pending->added_ms;
   gpointer job_key = GUINT_TO_POINTER(job->index);
   add_to_sum(sums->pending_count, job_key, 1);
-  add_to_sum(sums->done_count, job_key, pending->release.is_completed ? 1 : 0);
+  add_to_sum(sums->completed_count, job_key, pending->release.is_completed ? 1 : 0);
   add_to_sum(sums->chunk_weight, chunk_key(&pending->release), weight);
   if (job->team != WS_NO_TEAM)
     sums->team_use_weight[ws_team_use_group(core->settings, job->team)] += weight;
@@ -71,11 +72,11 @@
 ends_job(const Sums *sums, const WsJob *job)
 {
   gpointer key = GUINT_TO_POINTER(job->index);
-  gint64 done = get_sum(sums->done_count, key);
+  gint64 completed = get_sum(sums->completed_count, key);
   WsJobProgress progress
-      = { .completed_count = job->completed_count + done,
+      = { .completed_count = job->completed_count + completed,
           .assigned_count = job->assigned_count - get_sum(sums->pending_count, key),
-          .has_completed = done > 0 };
+          .has_completed = completed > 0 };
   return job->spec != NULL && ws_job_is_complete_after(job, &progress);
 }
 
@@ -165,12 +166,11 @@
 ws_releases_sort(const WsCore *core, GHashTable *pending)
 {
   GArray *releases = g_array_new(FALSE, FALSE, sizeof(WsOrderedRelease));
-  Sums sums;
+  g_auto(Sums) sums;
   sums_init(&sums, core->settings);
   append_pending(core, pending, releases, &sums);
   for (guint i = 0; i < releases->len; i++)
     set_weights(core, &sums, &g_array_index(releases, WsOrderedRelease, i));
-  sums_clear(&sums);
   remove_unwritable(core, releases);
   g_array_sort(releases, by_weight);
   return releases;
--- a/src/main.c
+++ b/src/main.c
@@ -15,6 +15,21 @@
   gboolean show_version;
 } Options;
 
+/* Checks the command line without the options that were parsed. */
+static gboolean
+check_arguments(int argc, char **argv, const Options *options)
+{
+  if (argc > 1) {
+    fprintf(stderr, "wrenshore: unexpected argument %s\n", argv[1]);
+    return FALSE;
+  }
+  if (!options->show_version && options->config == NULL) {
+    fprintf(stderr, "wrenshore: --config FILE is missing\n");
+    return FALSE;
+  }
+  return TRUE;
+}
+
 static gboolean
 parse_options(int *argc, char ***argv, Options *options)
 {
@@ -37,15 +52,7 @@
     fprintf(stderr, "wrenshore: %s\n", error->message);
     return FALSE;
   }
-  if (*argc > 1) {
-    fprintf(stderr, "wrenshore: unexpected argument %s\n", (*argv)[1]);
-    return FALSE;
-  }
-  if (!options->show_version && options->config == NULL) {
-    fprintf(stderr, "wrenshore: --config FILE is missing\n");
-    return FALSE;
-  }
-  return TRUE;
+  return check_arguments(*argc, *argv, options);
 }
 
 static WsSettings *
@@ -122,7 +129,7 @@
 }
 
 static int
-run(const WsSettings *settings, const WsProperties *properties)
+run_controller(const WsSettings *settings, const WsProperties *properties)
 {
   g_autoptr(GError) error = NULL;
   g_autoptr(GMainLoop) loop = g_main_loop_new(NULL, FALSE);
@@ -135,8 +142,9 @@
   return EXIT_SUCCESS;
 }
 
+/* Carries out the command line. Returns the exit status. */
 static int
-start(int argc, char **argv, Options *options)
+run_command(int argc, char **argv, Options *options)
 {
   if (!parse_options(&argc, &argv, options))
     return EXIT_USAGE;
@@ -155,14 +163,14 @@
     printf("wrenshore: the settings are good\n");
     return EXIT_SUCCESS;
   }
-  return run(settings, properties);
+  return run_controller(settings, properties);
 }
 
 int
 main(int argc, char **argv)
 {
   Options options = { 0 };
-  int status = start(argc, argv, &options);
+  int status = run_command(argc, argv, &options);
   g_free(options.config);
   g_free(options.properties);
   return status;
--- a/src/membership/ws-cancellations.c
+++ b/src/membership/ws-cancellations.c
@@ -183,7 +183,7 @@
 }
 
 static void
-notify(WsCore *core, WsNodeIndex node)
+notify_node(WsCore *core, WsNodeIndex node)
 {
   g_auto(WsCancellationMessage) message;
   Notification *notification = notification_new(node);
@@ -273,7 +273,7 @@
   for (guint n = 0; n < core->settings->nodes->len; n++)
     if (!cancellations->is_notifying[n] && core->now >= cancellations->notify_ms[n]
         && ws_cancellations_count_unacknowledged(core, n) > 0)
-      notify(core, n);
+      notify_node(core, n);
 }
 
 gboolean
--- a/src/membership/ws-failure-detector.c
+++ b/src/membership/ws-failure-detector.c
@@ -75,7 +75,7 @@
 }
 
 static void
-probe(WsCore *core, WsMachine *machine)
+probe_machine(WsCore *core, WsMachine *machine)
 {
   if (machine->worker.endpoint == NULL || core->now - machine->worker.probed_ms < PROBE_INTERVAL_MS
       || !may_probe(core))
@@ -149,7 +149,7 @@
   if (suspected_ms <= ws_liveness_patience_ms(core))
     return;
   find_interruptions(core, interruptions);
-  probe(core, machine);
+  probe_machine(core, machine);
   gboolean probes_fail
       = machine->worker.endpoint == NULL || machine->worker.failed_probes >= MIN_FAILED_PROBES;
   if (probes_fail && suspected_ms > suspicion_timeout_ms(core, machine, interruptions))
@@ -219,6 +219,16 @@
     ws_epoch_request_new_one(core);
 }
 
+static void
+check_machine(WsCore *core, WsMachine *machine, Interruptions *interruptions)
+{
+  check_indeterminate_launches(core, machine);
+  if (machine->is_marked && machine->mark_is_immediate)
+    return;
+  check_suspected(core, machine, interruptions);
+  check_inbound(core, machine);
+}
+
 /* Each round of probes begins after the last machine of the previous round, so that the limit on
    probes in flight leaves no machine out. */
 void
@@ -233,12 +243,8 @@
         = ws_replica_machine(core->replica, (core->failure_detector->next_probe + i) % count);
     if (!machine->is_recorded || !ws_owns_machine(core, machine))
       continue;
-    check_indeterminate_launches(core, machine);
     gboolean could_probe = may_probe(core);
-    if (!machine->is_marked || !machine->mark_is_immediate) {
-      check_suspected(core, machine, &interruptions);
-      check_inbound(core, machine);
-    }
+    check_machine(core, machine, &interruptions);
     if (could_probe && !may_probe(core))
       core->failure_detector->next_probe = machine->index + 1;
   }
--- a/src/membership/ws-partitions.c
+++ b/src/membership/ws-partitions.c
@@ -10,7 +10,7 @@
 #include "membership/ws-peers.h"
 #include "storage/ws-mark-reasons.h"
 
-/* A restart of a node takes less than this share of a lease. */
+/* The time of a restart of a node, as a share of a lease: an upper bound. */
 #define RESTART_LEASE_SHARE 0.8
 /* How long a detected partition is valid: longer than the interval between two ticks, each of which
    detects it again. */
--- a/src/storage/ws-replica-jobs.c
+++ b/src/storage/ws-replica-jobs.c
@@ -117,9 +117,8 @@
   job->spec = NULL;
 }
 
-/* Takes the specification. */
 static void
-set_spec(WsReplica *replica, WsJob *job, WsJobSpec *spec)
+set_spec(WsReplica *replica, WsJob *job, WsJobSpec *spec /* taken */)
 {
   job->spec = spec;
   job->tasks = spec->tasks;
--- a/src/store/ws-store-watch.c
+++ b/src/store/ws-store-watch.c
@@ -44,7 +44,7 @@
 
 /* The interval between two watches is skipped while a read waits for the replica. */
 static gboolean
-is_due(const WsCore *core)
+watch_is_due(const WsCore *core)
 {
   const WsStoreWatch *watch = &core->store->watch;
   double interval_ms = REQUESTS_PER_WATCH * 1000.0 / core->store->requests.request_rate.per_second;
@@ -57,7 +57,7 @@
 ws_store_watch_open(WsCore *core)
 {
   WsStoreWatch *watch = &core->store->watch;
-  if (watch->is_open || !ws_store_is_loaded(core) || !is_due(core))
+  if (watch->is_open || !ws_store_is_loaded(core) || !watch_is_due(core))
     return;
   watch->is_open = TRUE;
   watch->opened_ms = core->now;
--- a/src/transport/ws-http-server.c
+++ b/src/transport/ws-http-server.c
@@ -119,7 +119,7 @@
 /* MHD_run() may leave some of the pending input unread, and the descriptor isn't signalled again
    for it: another run is scheduled then. */
 static void
-run_once(WsHttpServer *server)
+process_events(WsHttpServer *server)
 {
   MHD_UNSIGNED_LONG_LONG timeout_ms;
   MHD_run(server->daemon);
@@ -132,7 +132,7 @@
 {
   (void)fd;
   (void)condition;
-  run_once(data);
+  process_events(data);
   return G_SOURCE_CONTINUE;
 }
 
@@ -141,7 +141,7 @@
 {
   WsHttpServer *server = data;
   server->idle_source = 0;
-  run_once(server);
+  process_events(server);
   return G_SOURCE_REMOVE;
 }
 
