--- a/src/commit/ws-assignments.c
+++ b/src/commit/ws-assignments.c
@@ -10,9 +10,9 @@
 #define BATCHING_MS 50
 #define CONFLICT_PAUSE_MS 60
 #define FAILURE_PAUSE_MS 400
-/* What was forwarded and has not been written for so long may be proposed again. */
+/* An assignment that was forwarded and is not written after this time may be proposed again. */
 #define FORWARDED_TIMEOUT_MS 1500
-/* The write budget that a batch waits for; meanwhile others gather. */
+/* A batch waits until the write budget allows so many operations; meanwhile it grows. */
 #define MIN_TXN_BUDGET 4
 
 typedef struct {
@@ -29,7 +29,7 @@
 struct _WsAssignments {
   GArray *proposals;   /* of WsProposal, the most urgent first */
   GHashTable *pending; /* set of tasks: proposed, in the transaction, or forwarded */
-  GArray *writing;     /* of WsProposal: in the transaction on its way */
+  GArray *writing;     /* of WsProposal: in the transaction in flight */
   GArray *forwarded;   /* of ForwardedProposal */
   GArray *ended_jobs;  /* of guint: jobs that the transaction ends */
   GArray *jobs;        /* of guint: all jobs in the transaction */
@@ -177,8 +177,9 @@
   }
 }
 
-/* What is still wanted when the watch has shown who was first is written again. After no answer the
-   transaction may yet be carried out: its conditions make that harmless. */
+/* Proposes the assignments of the failed transaction again: after a conflict, those that are still
+   valid when the watch has shown the other write are written. A transaction whose outcome is
+   indeterminate may still be carried out; its conditions make that harmless. */
 static void
 propose_again(WsCore *core, WsTxnResult result)
 {
@@ -262,19 +263,23 @@
   }
 }
 
-/* Somebody waits for a critical task; when a partition heals, the releases of hundreds of others
-   would fill one transaction after another before it. */
+/* Critical assignments come first: when a partition heals, the releases of hundreds of other tasks
+   would otherwise fill one transaction after another before them. Releases that end jobs may fill
+   the transaction up to a half, and other assignments up to five sixths, so that each kind makes
+   progress in every transaction. */
 static void
 fill_batch(WsCore *core, WsBatch *batch)
 {
   guint max_operations = core->settings->state_txn_ops;
+  guint max_with_ending_releases = max_operations / 2;
+  guint max_with_proposals = max_operations * 5 / 6;
   g_autoptr(GArray) releases = ws_releases_in_order(core);
   if (ws_job_quarantine_is_isolating(core->assignments->quarantine, core->now))
     ws_batch_restrict_to_one_job(batch);
   batch_proposals(core, batch, CRITICAL_PROPOSALS);
-  ws_batch_set_max_operations(batch, max_operations / 2);
+  ws_batch_set_max_operations(batch, max_with_ending_releases);
   batch_releases(core, batch, releases, RELEASES_ENDING_JOBS);
-  ws_batch_set_max_operations(batch, max_operations * 5 / 6);
+  ws_batch_set_max_operations(batch, max_with_proposals);
   batch_proposals(core, batch, ALL_PROPOSALS);
   ws_batch_set_max_operations(batch, max_operations);
   batch_releases(core, batch, releases, ALL_RELEASES);
--- a/src/commit/ws-batch-check.c
+++ b/src/commit/ws-batch-check.c
@@ -1,5 +1,5 @@
-/* Whether a batch may take an assignment: everything that planning went by is checked again,
-   against the records as the batch leaves them. */
+/* Whether a batch may take an assignment: all conditions of planning are checked again, against the
+   records as the batch leaves them. */
 #include "commit/ws-batch-private.h"
 
 #include "storage/ws-constraints.h"
@@ -36,7 +36,7 @@
   return ws_resources_fit(&job->spec->need, &capacity);
 }
 
-/* What was freed for a more urgent job isn't given away. */
+/* Whether the assignment leaves the capacity that was freed for more urgent jobs. */
 static gboolean
 leaves_reserved_capacity(WsBatch *batch, const WsMachine *machine, const WsJob *job)
 {
@@ -72,7 +72,7 @@
 }
 
 static gboolean
-record_has_place(const WsBatch *batch, const WsJob *job, guint task)
+record_has_free_slot(const WsBatch *batch, const WsJob *job, guint task)
 {
   const WsChunk *chunk = ws_batch_chunk(batch, job, task / WS_CHUNK_TASKS);
   return ws_chunk_free_slots(chunk, batch->core->replica) > 0;
@@ -83,7 +83,7 @@
 {
   return job->state == WS_JOB_ACTIVE && job->spec != NULL && job->team != WS_NO_TEAM
          && task < job->tasks && task_is_unassigned(batch, job, task) && !ws_gang_is_ending(job)
-         && record_has_place(batch, job, task);
+         && record_has_free_slot(batch, job, task);
 }
 
 static gboolean
--- a/src/commit/ws-batch.c
+++ b/src/commit/ws-batch.c
@@ -1,4 +1,5 @@
-/* Which releases and assignments a batch takes, and how they change the records. */
+/* A batch of releases and assignments for one transaction: which of them it takes, and how they
+   change the records. */
 #include "commit/ws-batch.h"
 
 #include "commit/ws-batch-private.h"
@@ -6,7 +7,7 @@
 #include "storage/ws-gang-phase.h"
 #include "storage/ws-team-use.h"
 
-/* The store takes 64 KiB; the rest is for the job's own records and for conditions. */
+/* The store accepts 64 KiB; the rest is left for the final records of jobs and for conditions. */
 #define MAX_TXN_BYTES 40000
 #define BYTES_PER_TEAM 64
 #define BYTES_PER_TASK 60
@@ -69,15 +70,21 @@
   batch->is_of_one_job = TRUE;
 }
 
+static gboolean
+contains_job(const GArray *jobs, WsJobIndex job)
+{
+  for (guint i = 0; i < jobs->len; i++)
+    if (g_array_index(jobs, guint, i) == job)
+      return TRUE;
+  return FALSE;
+}
+
 void
 ws_batch_collect_jobs(const WsBatch *batch, GArray *jobs)
 {
   for (guint i = 0; i < batch->edits->len; i++) {
     const WsChunkEdit *edit = g_ptr_array_index(batch->edits, i);
-    gboolean is_known = FALSE;
-    for (guint k = 0; k < jobs->len; k++)
-      is_known = is_known || g_array_index(jobs, guint, k) == edit->job;
-    if (!is_known)
+    if (!contains_job(jobs, edit->job))
       g_array_append_val(jobs, edit->job);
   }
 }
@@ -182,7 +189,7 @@
   return count;
 }
 
-/* A job that the change ends has its own record written, and none of its chunks. */
+/* If the change ends the job, its final record is written and none of its chunks. */
 static Cost
 change_cost(const WsBatch *batch, const WsJob *job, guint task, const WsMachine *machine,
             gboolean ends_job)
@@ -197,13 +204,15 @@
 }
 
 /**
- * Takes what one more change of the task's chunk costs from the limits. FALSE: they don't allow it.
+ * Reserves the cost of a change of the task's chunk within the limits of the transaction. FALSE:
+ * they don't allow it.
  *
- * @machine: that gets the task; NULL: the change is a release
- * @ends_job: whether the job ends with it
+ * @machine: to which the task is assigned; NULL: the change is a release
+ * @ends_job: whether the change ends the job
  */
 static gboolean
-reserve(WsBatch *batch, const WsJob *job, guint task, const WsMachine *machine, gboolean ends_job)
+reserve_cost(WsBatch *batch, const WsJob *job, guint task, const WsMachine *machine,
+             gboolean ends_job)
 {
   Cost cost = change_cost(batch, job, task, machine, ends_job);
   if (batch->is_of_one_job && batch->edits->len > count_edits(batch, job))
@@ -238,7 +247,7 @@
 
 /* @tasks: how many more of the job's tasks are on the machine; negative: fewer */
 static void
-add_use(WsBatch *batch, const WsJob *job, WsMachineIndex machine, gint64 tasks)
+change_use(WsBatch *batch, const WsJob *job, WsMachineIndex machine, gint64 tasks)
 {
   ws_resources_add(ws_batch_machine_use(batch, machine), &job->spec->need, tasks);
   batch->is_team_use_edited[ws_team_use_group(batch->core->settings, job->team)] = TRUE;
@@ -247,12 +256,13 @@
 
 /* Whether the release of one of the job's assigned tasks ends the job. */
 static gboolean
-ends_job(const WsBatch *batch, const WsJob *job, gboolean done)
+release_ends_job(const WsBatch *batch, const WsJob *job, gboolean is_completed)
 {
   WsBatchJobCounts counts = ws_batch_count_tasks(batch, job);
-  WsJobProgress progress = { .completed_count = (gint64)counts.completed_count + (done ? 1 : 0),
-                             .assigned_count = (gint64)counts.assigned_count - 1,
-                             .has_completed = done };
+  WsJobProgress progress
+      = { .completed_count = (gint64)counts.completed_count + (is_completed ? 1 : 0),
+          .assigned_count = (gint64)counts.assigned_count - 1,
+          .has_completed = is_completed };
   return ws_job_is_complete_after(job, &progress);
 }
 
@@ -272,7 +282,7 @@
 release_task(WsBatch *batch, const WsJob *job, WsChunk *chunk, guint task, WsMachineIndex machine)
 {
   ws_chunk_remove(chunk, task);
-  add_use(batch, job, machine, -1);
+  change_use(batch, job, machine, -1);
 }
 
 /* The tasks of a gang complete together: when one is done, all are. */
@@ -301,12 +311,13 @@
 {
   const WsJob *job = ws_replica_job(batch->core->replica, release->job);
   if (!ws_release_is_valid(batch->core->replica, release))
-    return WS_BATCH_REJECTED; /* written already, of another attempt, or its evidence is void */
+    return WS_BATCH_REJECTED; /* written, of another attempt, or void */
   const WsAssignment *assignment = ws_job_assignment(job, release->task);
   if (ws_chunk_find(ws_batch_chunk(batch, job, release->task / WS_CHUNK_TASKS), release->task)
       == NULL)
-    return WS_BATCH_ADDED; /* by this very batch: its use is subtracted once */
-  if (!reserve(batch, job, release->task, NULL, ends_job(batch, job, release->is_completed)))
+    return WS_BATCH_ADDED; /* released by this batch: its use is subtracted once */
+  gboolean ends_job = release_ends_job(batch, job, release->is_completed);
+  if (!reserve_cost(batch, job, release->task, NULL, ends_job))
     return WS_BATCH_FULL;
   log_release(batch->core, release);
   if (ws_job_is_gang(job) && release->is_completed && job->state == WS_JOB_ACTIVE) {
@@ -349,7 +360,7 @@
   const WsMachine *machine = ws_replica_machine(core->replica, proposal->machine);
   if (!ws_batch_allows(batch, proposal))
     return WS_BATCH_REJECTED;
-  if (!reserve(batch, job, proposal->task, machine, FALSE))
+  if (!reserve_cost(batch, job, proposal->task, machine, FALSE))
     return WS_BATCH_FULL;
   WsChunk *chunk = edit_chunk(batch, job, proposal->task);
   WsAssignment assignment = { .task = proposal->task,
@@ -358,7 +369,7 @@
                               .assigned_ms = core->wall };
   chunk->last_attempt = assignment.attempt;
   ws_chunk_add(chunk, &assignment);
-  add_use(batch, job, proposal->machine, 1);
+  change_use(batch, job, proposal->machine, 1);
   add_machine(batch, machine);
   core->handlers->note_assignment(core, job, proposal->machine);
   return WS_BATCH_ADDED;
--- a/src/commit/ws-garbage.c
+++ b/src/commit/ws-garbage.c
@@ -1,8 +1,8 @@
 /* Garbage collection of finished jobs' chunks.
 
-   A job ends with one operation, on its own record; the records of its chunks stay behind and mean
-   nothing any more. The leader deletes them, a transaction at a time, when no assignment and no
-   release waits for the write budget, or when too many have gathered. */
+   The end of a job is written with one operation, on its own record; the records of its chunks stay
+   behind as garbage. The leader deletes them, a transaction at a time, when no assignment and no
+   release waits for the write budget, or when too many have accumulated. */
 #include "commit/ws-commit.h"
 
 #include "store/ws-store.h"
@@ -11,7 +11,7 @@
 
 #define IDLE_PAUSE_MS 3000
 #define BUSY_PAUSE_MS 500
-/* Only so many wait for an idle moment, for they are read at every start. */
+/* Beyond this, garbage is deleted even when the leader is not idle, since every start reads it. */
 #define MAX_GARBAGE_RECORDS 2000
 
 struct _WsGarbage {
@@ -49,7 +49,7 @@
   core->garbage->next_ms = core->now + (result == WS_TXN_COMMITTED ? BUSY_PAUSE_MS : IDLE_PAUSE_MS);
 }
 
-/* Adds as many deletions as the transaction takes. Returns how many records there are to delete. */
+/* Adds deletions up to the limit of a transaction. Returns the number of all garbage records. */
 static guint
 delete_garbage(const WsCore *core, WsTxn *txn)
 {
@@ -67,6 +67,14 @@
   return count;
 }
 
+/* Whether nothing else waits for the write budget, and half a transaction fits into it. */
+static gboolean
+writing_is_idle(WsCore *core)
+{
+  return !ws_assignments_have_backlog(core)
+         && ws_store_has_write_budget(core, core->settings->state_txn_ops / 2);
+}
+
 void
 ws_garbage_tick(WsCore *core)
 {
@@ -75,9 +83,7 @@
   g_autoptr(WsTxn) txn = ws_txn_new();
   ws_txn_compare(txn, core->replica, WS_KEY_EPOCH);
   guint count = delete_garbage(core, txn);
-  gboolean may_write = count > MAX_GARBAGE_RECORDS
-                       || (!ws_assignments_have_backlog(core)
-                           && ws_store_has_write_budget(core, core->settings->state_txn_ops / 2));
+  gboolean may_write = count > MAX_GARBAGE_RECORDS || writing_is_idle(core);
   core->garbage->next_ms = core->now + (count > 0 ? BUSY_PAUSE_MS : IDLE_PAUSE_MS);
   if (count > 0 && may_write)
     ws_txn_commit(core, g_steal_pointer(&txn), WS_REQUEST_OTHER, on_collected, NULL);
--- a/src/commit/ws-legacy-releases.c
+++ b/src/commit/ws-legacy-releases.c
@@ -1,16 +1,17 @@
-/* Hints of versions before 0.4 that an attempt is gone, and how they are confirmed. */
+/* Releases from versions before 0.4, which come without evidence: each is a hint that an attempt is
+   gone, and is confirmed by its worker's status or by terminating the machine. */
 #include "commit/ws-commit.h"
 
 #include "storage/ws-mark-reasons.h"
 
 #define STATUS_TIMEOUT_MS 1000
 #define STATUS_RETRY_MS 1500
-/* Those versions repeat a release every 2 s; after such a pause the hint is a new one. */
+/* Those versions repeat a release every 2 s; after a longer pause than this it is a new hint. */
 #define HINT_REPEAT_MS 5000
 
 typedef struct {
   WsRelease release;
-  gint64 since_ms;  /* when it came first */
+  gint64 since_ms;  /* when it first arrived */
   gint64 last_ms;   /* when it was last repeated */
   gint64 probed_ms; /* when its worker was last probed */
 } Hint;
@@ -35,7 +36,7 @@
 }
 
 static Hint *
-find_hint(WsCore *core, const WsRelease *release)
+find_or_add_hint(WsCore *core, const WsRelease *release)
 {
   GArray *hints = core->legacy_releases->hints;
   for (guint i = 0; i < hints->len; i++) {
@@ -66,7 +67,8 @@
   return task != NULL && task->state == WS_TASK_EXITED;
 }
 
-/* An exit that the worker shows under the present fencing token stays with it until the release. */
+/* An exit in a status under the present fencing token is evidence: the worker keeps it until the
+   attempt is released. */
 static void
 on_status(WsCore *core, guint status, const json_t *body, gpointer data)
 {
@@ -110,7 +112,7 @@
   }
   if (machine->owner == core->settings->self)
     return;
-  Hint *hint = find_hint(core, release);
+  Hint *hint = find_or_add_hint(core, release);
   if (core->now - hint->last_ms > HINT_REPEAT_MS)
     hint->since_ms = core->now;
   hint->last_ms = core->now;
--- a/src/commit/ws-release-order.c
+++ b/src/commit/ws-release-order.c
@@ -1,4 +1,5 @@
-/* The order of releases: by what they end, and by the weight of those that share a record. */
+/* The order of releases: those that end jobs first, then by the total weight of the releases that
+   share a record. */
 #include "commit/ws-release-order.h"
 
 #include "commit/ws-job-completion.h"
@@ -9,10 +10,10 @@
 
 /* Sums over all pending releases. */
 typedef struct {
-  GHashTable *chunk_weight;  /* by chunk */
-  GHashTable *pending_count; /* by job */
-  GHashTable *done_count;    /* by job: how many of them are of completed tasks */
-  gint64 *team_use_weight;   /* by record of teams' use */
+  GHashTable *chunk_weight;    /* by chunk */
+  GHashTable *pending_count;   /* by job */
+  GHashTable *completed_count; /* by job: how many of them are of completed tasks */
+  gint64 *team_use_weight;     /* by record of teams' use */
 } Sums;
 
 static gpointer
@@ -40,7 +41,7 @@
 {
   sums->chunk_weight = g_hash_table_new(NULL, NULL);
   sums->pending_count = g_hash_table_new(NULL, NULL);
-  sums->done_count = g_hash_table_new(NULL, NULL);
+  sums->completed_count = g_hash_table_new(NULL, NULL);
   sums->team_use_weight = g_new0(gint64, ws_team_use_groups(settings));
 }
 
@@ -49,9 +50,10 @@
 {
   g_hash_table_unref(sums->chunk_weight);
   g_hash_table_unref(sums->pending_count);
-  g_hash_table_unref(sums->done_count);
+  g_hash_table_unref(sums->completed_count);
   g_free(sums->team_use_weight);
 }
+G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC(Sums, sums_clear)
 
 static void
 sums_add(Sums *sums, const WsCore *core, const WsPendingRelease *pending, const WsJob *job)
@@ -59,22 +61,22 @@
   gint64 weight = MIN_WEIGHT_MS + core->now - pending->added_ms;
   gpointer job_key = GUINT_TO_POINTER(job->index);
   add_to_sum(sums->pending_count, job_key, 1);
-  add_to_sum(sums->done_count, job_key, pending->release.is_completed ? 1 : 0);
+  add_to_sum(sums->completed_count, job_key, pending->release.is_completed ? 1 : 0);
   add_to_sum(sums->chunk_weight, chunk_key(&pending->release), weight);
   if (job->team != WS_NO_TEAM)
     sums->team_use_weight[ws_team_use_group(core->settings, job->team)] += weight;
 }
 
-/* Whether the pending releases of the job leave it with nothing to do. */
+/* Whether the pending releases of the job end it. */
 static gboolean
 ends_job(const Sums *sums, const WsJob *job)
 {
   gpointer key = GUINT_TO_POINTER(job->index);
-  gint64 done = get_sum(sums->done_count, key);
+  gint64 completed = get_sum(sums->completed_count, key);
   WsJobProgress progress
-      = { .completed_count = job->completed_count + done,
+      = { .completed_count = job->completed_count + completed,
           .assigned_count = job->assigned_count - get_sum(sums->pending_count, key),
-          .has_completed = done > 0 };
+          .has_completed = completed > 0 };
   return job->spec != NULL && ws_job_is_complete_after(job, &progress);
 }
 
@@ -97,14 +99,14 @@
 }
 
 static gboolean
-is_same_chunk(const WsRelease *first, const WsRelease *second)
+share_chunk(const WsRelease *first, const WsRelease *second)
 {
   return first->job == second->job && first->task / WS_CHUNK_TASKS == second->task / WS_CHUNK_TASKS;
 }
 
-/* Whether the store takes the chunk's record once the pending releases are off it. An older version
-   of the program may have left it larger than may be written now: then its releases wait until
-   there are enough of them. */
+/* Whether the store accepts the chunk's record without its pending releases. An older version of
+   the program may have written a record that is larger than the present limit: then its releases
+   wait until there are enough of them. */
 static gboolean
 can_be_written(const WsCore *core, const GArray *releases, const WsOrderedRelease *ordered)
 {
@@ -112,26 +114,25 @@
   const WsChunk *chunk = job->spec != NULL ? ws_job_chunk(job, ordered->release.task) : NULL;
   if (ordered->ends_job || chunk == NULL || ws_chunk_fits_record(chunk, core->replica))
     return TRUE;
-  WsChunk *rest = ws_chunk_copy(chunk);
+  g_autoptr(WsChunk) rest = ws_chunk_copy(chunk);
   for (guint i = 0; i < releases->len; i++) {
     const WsRelease *other = &g_array_index(releases, WsOrderedRelease, i).release;
-    if (is_same_chunk(other, &ordered->release))
+    if (share_chunk(other, &ordered->release))
       ws_chunk_remove(rest, other->task);
   }
-  gboolean fits = ws_chunk_fits_record(rest, core->replica);
-  ws_chunk_free(rest);
-  return fits;
+  return ws_chunk_fits_record(rest, core->replica);
 }
 
 /* Leaves out the releases that can't be written yet. */
 static void
-hold_back(const WsCore *core, GArray *releases)
+remove_unwritable(const WsCore *core, GArray *releases)
 {
-  g_autofree gboolean *is_held = g_new0(gboolean, MAX(releases->len, 1u));
+  g_autofree gboolean *is_unwritable = g_new0(gboolean, MAX(releases->len, 1u));
   for (guint i = 0; i < releases->len; i++)
-    is_held[i] = !can_be_written(core, releases, &g_array_index(releases, WsOrderedRelease, i));
+    is_unwritable[i]
+        = !can_be_written(core, releases, &g_array_index(releases, WsOrderedRelease, i));
   for (guint i = releases->len; i-- > 0;)
-    if (is_held[i])
+    if (is_unwritable[i])
       g_array_remove_index(releases, i);
 }
 
@@ -152,7 +153,7 @@
 }
 
 static void
-weigh(const WsCore *core, const Sums *sums, WsOrderedRelease *ordered)
+set_weights(const WsCore *core, const Sums *sums, WsOrderedRelease *ordered)
 {
   const WsJob *job = ws_replica_job(core->replica, ordered->release.job);
   ordered->ends_job = ends_job(sums, job);
@@ -165,13 +166,12 @@
 ws_releases_sort(const WsCore *core, GHashTable *pending)
 {
   GArray *releases = g_array_new(FALSE, FALSE, sizeof(WsOrderedRelease));
-  Sums sums;
+  g_auto(Sums) sums;
   sums_init(&sums, core->settings);
   append_pending(core, pending, releases, &sums);
   for (guint i = 0; i < releases->len; i++)
-    weigh(core, &sums, &g_array_index(releases, WsOrderedRelease, i));
-  sums_clear(&sums);
-  hold_back(core, releases);
+    set_weights(core, &sums, &g_array_index(releases, WsOrderedRelease, i));
+  remove_unwritable(core, releases);
   g_array_sort(releases, by_weight);
   return releases;
 }
--- a/src/context/ws-context.c
+++ b/src/context/ws-context.c
@@ -1,14 +1,17 @@
 /**
- * Calls without a reply, and the queue of what is to be sent and answered.
+ * Calls whose replies are outstanding, and the queue of outputs: calls to send, requests to answer.
  */
 #include "context/ws-context.h"
 
-/* A call without a reply. */
+#define STATUS_NO_RESPONSE 0
+#define STATUS_UNAVAILABLE 503
+
+/* A call whose reply is outstanding. */
 typedef struct {
-  guint64 id; /* the key under which it is kept */
+  guint64 id; /* its key in the table of calls */
   WsReplyFunc reply;
   gpointer data;
-} Call;
+} PendingCall;
 
 void
 ws_context_init_calls(WsCore *core)
@@ -31,9 +34,8 @@
   g_autoptr(GList) calls = g_hash_table_get_values(core->calls);
   g_hash_table_steal_all(core->calls);
   for (GList *at = calls; at != NULL; at = at->next) {
-    Call *call = at->data;
-    call->reply(core, 0, NULL, call->data);
-    g_free(call);
+    g_autofree PendingCall *call = at->data;
+    call->reply(core, STATUS_NO_RESPONSE, NULL, call->data);
   }
   return calls != NULL;
 }
@@ -44,10 +46,9 @@
   gpointer value;
   if (!g_hash_table_steal_extended(core->calls, &id, NULL, &value))
     return FALSE;
-  Call *call = value;
-  g_autoptr(json_t) message = status != 0 ? ws_json_parse(body, length) : NULL;
+  g_autofree PendingCall *call = value;
+  g_autoptr(json_t) message = status != STATUS_NO_RESPONSE ? ws_json_parse(body, length) : NULL;
   call->reply(core, status, message, call->data);
-  g_free(call);
   return TRUE;
 }
 
@@ -55,7 +56,7 @@
 ws_output_free(WsOutput *output)
 {
   g_free(output->url);
-  free(output->body); /* jansson's */
+  free(output->body); /* allocated by jansson */
   g_free(output);
 }
 
@@ -63,8 +64,8 @@
 ws_call(WsCore *core, const char *method, const char *address, const char *path, json_t *body,
         guint timeout_ms, WsReplyFunc reply, gpointer data)
 {
-  Call *call = g_new0(Call, 1);
-  *call = (Call){ ++core->next_call, reply, data };
+  PendingCall *call = g_new0(PendingCall, 1);
+  *call = (PendingCall){ ++core->next_call, reply, data };
   g_hash_table_insert(core->calls, &call->id, call);
   WsOutput *output = g_new0(WsOutput, 1);
   output->call = call->id;
@@ -98,6 +99,6 @@
 void
 ws_answer_later(WsCore *core, gpointer request, guint retry_after_s)
 {
-  ws_answer(core, request, 503, json_pack("{s:s}", "error", "not now, please come back"),
-            retry_after_s);
+  ws_answer(core, request, STATUS_UNAVAILABLE,
+            json_pack("{s:s}", "error", "not now, please come back"), retry_after_s);
 }
--- a/src/context/ws-output.h
+++ b/src/context/ws-output.h
@@ -31,3 +31,4 @@
 
 /** Frees the output with its URL and body, but not its request. @output: not NULL */
 void ws_output_free(WsOutput *output);
+G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsOutput, ws_output_free)
--- a/src/coordination/ws-epoch.c
+++ b/src/coordination/ws-epoch.c
@@ -1,4 +1,5 @@
-/* The record of an epoch, its members, and rendezvous hashing of machines. */
+/* The record of an epoch, its members, and the assignment of machines to owners by rendezvous
+   hashing. */
 #include "coordination/ws-epoch.h"
 
 /* Stored field names. */
@@ -12,8 +13,11 @@
 #define FNV_OFFSET_BASIS G_GUINT64_CONSTANT(14695981039346656037)
 #define FNV_PRIME G_GUINT64_CONSTANT(1099511628211)
 /* The finalizer of SplitMix64. */
+#define MIX_SHIFT_1 30
 #define MIX_FACTOR_1 G_GUINT64_CONSTANT(0xbf58476d1ce4e5b9)
+#define MIX_SHIFT_2 27
 #define MIX_FACTOR_2 G_GUINT64_CONSTANT(0x94d049bb133111eb)
+#define MIX_SHIFT_3 31
 
 void
 ws_epoch_init(WsEpoch *epoch)
@@ -120,8 +124,8 @@
   return TRUE;
 }
 
-/* FNV-1a over both names, finished with a 64-bit mix: names that differ in the last digit only
-   must still fall to different nodes. */
+/* FNV-1a over both names, finalized with a 64-bit mix, so that machines whose names differ in the
+   last digit only are still spread over all nodes. */
 static guint64
 hash_weight(const char *machine, const char *node)
 {
@@ -130,9 +134,9 @@
   for (guint i = 0; i < G_N_ELEMENTS(parts); i++)
     for (const char *byte = parts[i]; *byte != '\0'; byte++)
       hash = (hash ^ (guint8)*byte) * FNV_PRIME;
-  hash = (hash ^ (hash >> 30)) * MIX_FACTOR_1;
-  hash = (hash ^ (hash >> 27)) * MIX_FACTOR_2;
-  return hash ^ (hash >> 31);
+  hash = (hash ^ (hash >> MIX_SHIFT_1)) * MIX_FACTOR_1;
+  hash = (hash ^ (hash >> MIX_SHIFT_2)) * MIX_FACTOR_2;
+  return hash ^ (hash >> MIX_SHIFT_3);
 }
 
 WsNodeIndex
--- a/src/main.c
+++ b/src/main.c
@@ -1,5 +1,5 @@
-/* wrenshore: a cluster scheduler that terminates idle rented machines. This file has the command
-   line, the reading of both files, and the log. */
+/* wrenshore: a cluster scheduler that terminates idle rented machines. This file parses the command
+   line, reads the settings and the properties, and writes the log. */
 #include "runtime/ws-runtime.h"
 
 #include <stdio.h>
@@ -15,6 +15,21 @@
   gboolean show_version;
 } Options;
 
+/* Checks the command line without the options that were parsed. */
+static gboolean
+check_arguments(int argc, char **argv, const Options *options)
+{
+  if (argc > 1) {
+    fprintf(stderr, "wrenshore: unexpected argument %s\n", argv[1]);
+    return FALSE;
+  }
+  if (!options->show_version && options->config == NULL) {
+    fprintf(stderr, "wrenshore: --config FILE is missing\n");
+    return FALSE;
+  }
+  return TRUE;
+}
+
 static gboolean
 parse_options(int *argc, char ***argv, Options *options)
 {
@@ -37,15 +52,7 @@
     fprintf(stderr, "wrenshore: %s\n", error->message);
     return FALSE;
   }
-  if (*argc > 1) {
-    fprintf(stderr, "wrenshore: unexpected argument %s\n", (*argv)[1]);
-    return FALSE;
-  }
-  if (!options->show_version && options->config == NULL) {
-    fprintf(stderr, "wrenshore: --config FILE is missing\n");
-    return FALSE;
-  }
-  return TRUE;
+  return check_arguments(*argc, *argv, options);
 }
 
 static WsSettings *
@@ -89,9 +96,9 @@
   return g_steal_pointer(&properties);
 }
 
-/* Libraries log every connection; details are of this program alone. */
+/* Libraries log every connection: messages below a warning are shown of this program only. */
 static gboolean
-is_ours(const GLogField *fields, gsize count)
+is_from_this_program(const GLogField *fields, gsize count)
 {
   for (gsize i = 0; i < count; i++)
     if (strcmp(fields[i].key, "GLIB_DOMAIN") == 0)
@@ -104,14 +111,14 @@
 {
   GLogLevelFlags max_level = GPOINTER_TO_UINT(data);
   gboolean is_detail = (level & G_LOG_LEVEL_MASK) > G_LOG_LEVEL_MESSAGE;
-  if ((level & G_LOG_LEVEL_MASK) > max_level || (is_detail && !is_ours(fields, count)))
+  if ((level & G_LOG_LEVEL_MASK) > max_level || (is_detail && !is_from_this_program(fields, count)))
     return G_LOG_WRITER_HANDLED;
   g_autofree char *line = g_log_writer_format_fields(level, fields, count, FALSE);
   fprintf(stderr, "%s\n", line);
   return G_LOG_WRITER_HANDLED;
 }
 
-/* Warnings are shown at every level: each is something that an operator should look at. */
+/* Warnings are shown at every level: each needs an operator's attention. */
 static GLogLevelFlags
 log_level(void)
 {
@@ -122,11 +129,11 @@
 }
 
 static int
-run(const WsSettings *settings, const WsProperties *properties)
+run_controller(const WsSettings *settings, const WsProperties *properties)
 {
   g_autoptr(GError) error = NULL;
   g_autoptr(GMainLoop) loop = g_main_loop_new(NULL, FALSE);
-  WsRuntime *runtime = ws_runtime_new(settings, properties, &error);
+  g_autoptr(WsRuntime) runtime = ws_runtime_new(settings, properties, &error);
   if (runtime == NULL) {
     fprintf(stderr, "wrenshore: can't listen: %s\n", error->message);
     return EXIT_FAILURE;
@@ -135,8 +142,9 @@
   return EXIT_SUCCESS;
 }
 
+/* Carries out the command line. Returns the exit status. */
 static int
-start(int argc, char **argv, Options *options)
+run_command(int argc, char **argv, Options *options)
 {
   if (!parse_options(&argc, &argv, options))
     return EXIT_USAGE;
@@ -155,14 +163,14 @@
     printf("wrenshore: the settings are good\n");
     return EXIT_SUCCESS;
   }
-  return run(settings, properties);
+  return run_controller(settings, properties);
 }
 
 int
 main(int argc, char **argv)
 {
   Options options = { 0 };
-  int status = start(argc, argv, &options);
+  int status = run_command(argc, argv, &options);
   g_free(options.config);
   g_free(options.properties);
   return status;
--- a/src/membership/ws-failure-detector.c
+++ b/src/membership/ws-failure-detector.c
@@ -1,6 +1,6 @@
 /**
- * The failure detector: which suspected machines are probed, which are waited for, and which are
- * declared dead. A machine that is declared dead is terminated, without drain.
+ * The failure detector: probes suspected machines, waits for them, and declares them dead. A
+ * machine that is declared dead is terminated without drain.
  */
 #include "membership/ws-failure-detection.h"
 
@@ -9,24 +9,28 @@
 #define PROBE_INTERVAL_MS 600
 #define PROBE_TIMEOUT_MS 500
 #define MAX_PROBES_IN_FLIGHT 32
-/* So many probes in a row without an answer of the machine that was known. */
+/* A machine may be declared dead after so many probes in a row that it has not answered. */
 #define MIN_FAILED_PROBES 2
-/* An indeterminate launch that stays so for so long needs a higher fencing token. */
+/* A launch whose outcome is indeterminate for longer than this needs a higher fencing token. */
 #define INDETERMINATE_TIMEOUT_MS 8000
 /* How much longer than a late heartbeat a suspected machine is waited for. */
 #define SUSPICION_MARGIN_MS 1500
-/* The same, after its lease, where the way to it may be interrupted. */
+/* How much longer than its lease, where the link to it may be interrupted. */
 #define LEASE_MARGIN_MS 500
-/* Leases for which the machines of a partitioned zone are waited for. */
+/* For how many leases the machines of a partitioned zone are waited for. */
 #define PARTITION_LEASES 10.0
-/* The same where the zone has no node that could keep its tasks alive: they have ended with their
-   leases, and what is waited for is the machines. */
+/* The same where the zone has no node that could renew its workers' leases: the tasks have ended
+   with them, and only the machines may come back. */
 #define PARTITION_LEASES_WITHOUT_NODE 3.0
-/* Per second of cancel_s: after how long a machine with a cancelled task isn't waited for. */
+/* Per second of cancel_s: for how long a machine with a cancelled task is waited for at most. */
 #define CANCELLED_TIMEOUT_MS_PER_S 400.0
-/* A machine isn't used when it should have acknowledged commands by now, and is returned after this
+/* A machine with overdue acknowledgements of commands gets no tasks, and is terminated after this
    share of its lease. */
 #define OUTBOUND_LEASE_SHARE 0.7
+/* With so many outbound unreachable machines, and one in so many of all, it is more likely that
+   this node's own messages are lost. */
+#define MIN_UNREACHABLE_TOGETHER 3
+#define MACHINES_PER_UNREACHABLE 5
 
 WsFailureDetector *
 ws_failure_detector_new(const WsSettings *settings)
@@ -53,8 +57,7 @@
   WsMachine *machine = ws_replica_machine(core->replica, GPOINTER_TO_UINT(data));
   g_autoptr(WsHeartbeat) heartbeat = ws_heartbeat_parse_status_reply(status, body, machine->name);
   core->failure_detector->probes_in_flight--;
-  /* An answer older than what is known is not from the machine that was known: it has begun anew.
-   */
+  /* An answer older than the last known status comes from a worker that was restarted. */
   if (heartbeat == NULL || !ws_owns_machine(core, machine)
       || !core->handlers->note_worker_status(core, machine, heartbeat)) {
     machine->worker.failed_probes++;
@@ -72,7 +75,7 @@
 }
 
 static void
-probe(WsCore *core, WsMachine *machine)
+probe_machine(WsCore *core, WsMachine *machine)
 {
   if (machine->worker.endpoint == NULL || core->now - machine->worker.probed_ms < PROBE_INTERVAL_MS
       || !may_probe(core))
@@ -85,8 +88,8 @@
 
 /* Suspected machines. */
 
-/* What is the same for all machines of a tick: found once, when the first suspected one needs it.
- */
+/* Interruptions of links, the same for all machines of a tick: computed once, for the first
+   suspected machine. */
 typedef struct {
   gboolean is_known;
   gboolean machines_are_suspected_together;
@@ -146,7 +149,7 @@
   if (suspected_ms <= ws_liveness_patience_ms(core))
     return;
   find_interruptions(core, interruptions);
-  probe(core, machine);
+  probe_machine(core, machine);
   gboolean probes_fail
       = machine->worker.endpoint == NULL || machine->worker.failed_probes >= MIN_FAILED_PROBES;
   if (probes_fail && suspected_ms > suspicion_timeout_ms(core, machine, interruptions))
@@ -155,8 +158,9 @@
 
 /* Machines that are reached in one direction only. */
 
-/* The tasks that it held are gone, and those that were assigned since wait there in vain: they
-   begin elsewhere once it's returned. An empty one goes when its idle timeout is over. */
+/* Its tasks are gone, and those assigned to it since will not be launched: they are assigned to
+   other machines once it is returned. One without tasks is terminated at the end of its idle
+   timeout. */
 static void
 check_inbound(WsCore *core, WsMachine *machine)
 {
@@ -172,8 +176,10 @@
     core->handlers->request_termination(core, machine, WS_MARK_REASON_OUTBOUND_UNREACHABLE, TRUE);
 }
 
-static void
-check_all_outbound(WsCore *core)
+/* The time without an acknowledgement after which a machine is terminated; 0: none is outbound
+   unreachable. */
+static double
+outbound_timeout_ms(const WsCore *core)
 {
   guint unreachable = 0, all = 0;
   for (guint i = 0; i < core->replica->machines->len; i++) {
@@ -184,10 +190,18 @@
     unreachable += ws_machine_is_outbound_unreachable(core, machine) ? 1 : 0;
   }
   if (unreachable == 0)
+    return 0.0;
+  gboolean this_node_is_unheard
+      = unreachable >= MIN_UNREACHABLE_TOGETHER && MACHINES_PER_UNREACHABLE * unreachable >= all;
+  return (this_node_is_unheard ? 1.0 : OUTBOUND_LEASE_SHARE) * core->settings->lease_s * 1000.0;
+}
+
+static void
+check_all_outbound(WsCore *core)
+{
+  double timeout_ms = outbound_timeout_ms(core);
+  if (timeout_ms <= 0.0)
     return;
-  /* Then it's rather this node that isn't heard. */
-  gboolean many = unreachable >= 3 && 5 * unreachable >= all;
-  double timeout_ms = (many ? 1.0 : OUTBOUND_LEASE_SHARE) * core->settings->lease_s * 1000.0;
   for (guint i = 0; i < core->replica->machines->len; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, i);
     if (machine->is_recorded && ws_owns_machine(core, machine) && !machine->mark_is_immediate)
@@ -195,7 +209,7 @@
   }
 }
 
-/* A machine that isn't heard doesn't learn a higher token either. */
+/* Only for machines that are up: the others would not receive a higher fencing token either. */
 static void
 check_indeterminate_launches(WsCore *core, const WsMachine *machine)
 {
@@ -205,8 +219,18 @@
     ws_epoch_request_new_one(core);
 }
 
-/* Each round of probes begins after the last one of the round before, so that a bound on them
-   leaves nobody out. */
+static void
+check_machine(WsCore *core, WsMachine *machine, Interruptions *interruptions)
+{
+  check_indeterminate_launches(core, machine);
+  if (machine->is_marked && machine->mark_is_immediate)
+    return;
+  check_suspected(core, machine, interruptions);
+  check_inbound(core, machine);
+}
+
+/* Each round of probes begins after the last machine of the previous round, so that the limit on
+   probes in flight leaves no machine out. */
 void
 ws_failure_detector_tick(WsCore *core)
 {
@@ -219,12 +243,8 @@
         = ws_replica_machine(core->replica, (core->failure_detector->next_probe + i) % count);
     if (!machine->is_recorded || !ws_owns_machine(core, machine))
       continue;
-    check_indeterminate_launches(core, machine);
     gboolean could_probe = may_probe(core);
-    if (!machine->is_marked || !machine->mark_is_immediate) {
-      check_suspected(core, machine, &interruptions);
-      check_inbound(core, machine);
-    }
+    check_machine(core, machine, &interruptions);
     if (could_probe && !may_probe(core))
       core->failure_detector->next_probe = machine->index + 1;
   }
--- a/src/membership/ws-membership.h
+++ b/src/membership/ws-membership.h
@@ -40,6 +40,7 @@
 
 /** Frees the state; NULL is allowed. */
 void ws_authority_free(WsAuthority *authority);
+G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsAuthority, ws_authority_free)
 
 /** Forgets what was heard from other zones, unless this node is isolated. For each tick. */
 void ws_authority_tick(WsCore *core);
@@ -128,6 +129,7 @@
 
 /** Frees the state, but lets the lease run out by itself; NULL is allowed. */
 void ws_election_free(WsElection *election);
+G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsElection, ws_election_free)
 
 /** Keeps the lease, stands for leader and, as leader, keeps the epoch. For each tick. */
 void ws_election_tick(WsCore *core);
@@ -139,6 +141,7 @@
 
 /** Frees the state; NULL is allowed. */
 void ws_epoch_tracker_free(WsEpochTracker *tracker);
+G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsEpochTracker, ws_epoch_tracker_free)
 
 /** Since when the present epoch is known, or since the last process pause, in ms; 0: never. */
 gint64 ws_epoch_known_since_ms(const WsCore *core);
@@ -156,6 +159,7 @@
 
 /** Frees all peers. @peers: not NULL */
 void ws_peers_free(WsPeers *peers);
+G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsPeers, ws_peers_free)
 
 /** Whether the node was heard lately, or is this one. */
 gboolean ws_peer_is_reachable(const WsCore *core, WsNodeIndex node);
@@ -238,6 +242,7 @@
 
 /** Frees the detector. @detector: not NULL */
 void ws_failure_detector_free(WsFailureDetector *detector);
+G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsFailureDetector, ws_failure_detector_free)
 
 /** Probes suspected machines and requests the termination of dead ones. For each reconciliation. */
 void ws_failure_detector_tick(WsCore *core);
@@ -270,6 +275,7 @@
 
 /** Frees the registry with its cancellations. @cancellations: not NULL */
 void ws_cancellations_free(WsCancellations *cancellations);
+G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsCancellations, ws_cancellations_free)
 
 /** Whether the job's cancellation was confirmed to its user, by the records or by a peer. */
 gboolean ws_cancellations_has(const WsCore *core, const WsJob *job);
--- a/src/membership/ws-peer-request-message.h
+++ b/src/membership/ws-peer-request-message.h
@@ -32,6 +32,7 @@
 
 /** Frees the request with its strings. @request: not NULL */
 void ws_peer_request_free(WsPeerRequest *request);
+G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsPeerRequest, ws_peer_request_free)
 
 /** What a node requests of another one. */
 typedef struct {
--- a/src/membership/ws-peer-requests.c
+++ b/src/membership/ws-peer-requests.c
@@ -1,15 +1,15 @@
 /**
  * What nodes request of each other.
  *
- * The leader writes assignments, releases and marks for everybody: owners of machines and
+ * The leader writes assignments, releases and marks for all nodes: owners of machines and
  * coordinating nodes of jobs forward theirs to it. Each of these shares keys with many others (a
- * job's tasks, a team's use), so that nodes which wrote them side by side would mostly conflict,
- * and conflicts count against the store's budget too. Owners of machines are requested to stop
- * tasks.
+ * job's tasks, a team's use), so that concurrent writes by several nodes would mostly conflict, and
+ * conflicts count against the store's rate limit too. Requests to stop tasks go to the owners of
+ * their machines.
  *
- * A request goes directly or, where the other node can't be reached, through a key of this node in
- * the store, its mailbox. It may be lost: whoever made it notices that nothing came of it and makes
- * it again. It counts only in the epoch in which it was made.
+ * A request is sent directly or, if the other node is unreachable, through the mailbox, a key of
+ * this node in the store. It may be lost: its sender repeats it when it sees no effect. It is valid
+ * only in the epoch in which it was made.
  */
 #include "membership/ws-membership-private.h"
 
@@ -17,9 +17,13 @@
 #include "membership/ws-peer-request-message.h"
 #include "store/ws-store.h"
 
+#define STATUS_OK 200
+
 #define BATCHING_MS 60
 #define MAILBOX_INTERVAL_MS 1000
 #define REQUEST_TIMEOUT_MS 1500
+/* When a node that took no requests may be called again. */
+#define RETRY_AFTER_S 1
 
 struct _WsPeerRequests {
   WsPeerRequestBatch **queued; /* by node; NULL: nothing */
@@ -219,8 +223,8 @@
     HANDLERS[kind](core, g_ptr_array_index(requests, i));
 }
 
-/* Anybody who owns a machine stops tasks there; all else is the leader's. FALSE: this node may not
-   handle requests, or not those of the batch's epoch. */
+/* Every owner of machines handles requests to stop tasks; all others are for the leader. FALSE:
+   this node may not handle requests, or the batch is of another epoch. */
 static gboolean
 handle_batch(WsCore *core, const WsPeerRequestBatch *batch)
 {
@@ -239,9 +243,9 @@
 {
   g_autoptr(WsPeerRequestBatch) batch = ws_peer_request_batch_parse(core->replica, message);
   if (handle_batch(core, batch))
-    ws_answer(core, request, 200, json_object(), 0);
+    ws_answer(core, request, STATUS_OK, json_object(), 0);
   else
-    ws_answer_later(core, request, 1);
+    ws_answer_later(core, request, RETRY_AFTER_S);
 }
 
 static void
@@ -262,7 +266,7 @@
 on_batch_answered(WsCore *core, guint status, const json_t *body, gpointer data)
 {
   (void)body;
-  if (status != 200)
+  if (status != STATUS_OK)
     g_debug("%s took no peer requests (status %u)",
             ws_settings_node(core->settings, GPOINTER_TO_UINT(data))->name, status);
 }
@@ -278,6 +282,7 @@
 static void
 on_mailbox_written(WsCore *core, WsTxnResult result, gpointer data)
 {
+  /* A lost mailbox is like any lost request: it is repeated by its sender. */
   (void)core;
   (void)result;
   (void)data;
@@ -297,8 +302,8 @@
   ws_txn_commit(core, txn, WS_REQUEST_TASK, on_mailbox_written, NULL);
 }
 
-/* The mailbox that is written replaces the one before, so what is for nodes out of reach waits for
-   its turn. */
+/* Each mailbox replaces the previous one, so requests to unreachable nodes wait until the next may
+   be written. */
 static void
 send_all(WsCore *core)
 {
--- a/src/runtime/ws-runtime.c
+++ b/src/runtime/ws-runtime.c
@@ -1,14 +1,14 @@
-/* Feeds the core with requests, replies and ticks, and carries out what it puts out. */
+/* Passes requests, replies and ticks to the core, and carries out its calls and answers. */
 #include "runtime/ws-runtime.h"
 
 #include "transport/ws-http-client.h"
 #include "transport/ws-http-server.h"
 
 #define TICK_INTERVAL_MS 50
-/* Of an incarnation. */
+/* The random low bits of an incarnation. */
 #define RANDOM_BITS 10
-/* How the sockets are shared out, so that neither workers and users nor calls to hundreds of
-   workers can take what the other controllers and the state service need. */
+/* Shares of the sockets, so that neither workers and users nor calls to hundreds of workers can use
+   up the connections to the other controllers and to the key-value store. */
 #define API_SOCKET_SHARE 0.65
 #define CLIENT_SOCKET_SHARE 0.25
 #define MESH_SOCKET_SHARE 0.05
@@ -29,13 +29,13 @@
 static gint64
 now_ms(void)
 {
-  return g_get_monotonic_time() / 1000;
+  return g_get_monotonic_time() / G_TIME_SPAN_MILLISECOND;
 }
 
 static gint64
 wall_ms(void)
 {
-  return g_get_real_time() / 1000;
+  return g_get_real_time() / G_TIME_SPAN_MILLISECOND;
 }
 
 static void send_outputs(WsRuntime *runtime);
@@ -43,46 +43,52 @@
 static void
 on_reply(guint status, const char *body, gsize length, gpointer data)
 {
-  PendingCall *pending = data;
+  g_autofree PendingCall *pending = data;
   WsRuntime *runtime = pending->runtime;
   ws_core_reply(runtime->core, now_ms(), wall_ms(), pending->call, status, body, length);
-  g_free(pending);
   send_outputs(runtime);
 }
 
+static void
+send_call(WsRuntime *runtime, const WsOutput *output)
+{
+  PendingCall *pending = g_new0(PendingCall, 1);
+  *pending = (PendingCall){ runtime, output->call };
+  ws_http_client_send(runtime->client, output->method, output->url, output->body,
+                      output->timeout_ms, on_reply, pending);
+}
+
 static void
 send_outputs(WsRuntime *runtime)
 {
   WsOutput *output;
   while ((output = ws_core_pop(runtime->core)) != NULL) {
-    if (output->is_answer) {
+    if (output->is_answer)
       ws_http_request_answer(output->request, output->status, output->body, output->retry_after_s);
-    } else {
-      PendingCall *pending = g_new0(PendingCall, 1);
-      *pending = (PendingCall){ runtime, output->call };
-      ws_http_client_send(runtime->client, output->method, output->url, output->body,
-                          output->timeout_ms, on_reply, pending);
-    }
+    else
+      send_call(runtime, output);
     ws_output_free(output);
   }
 }
 
 static void
-on_api_request(WsHttpRequest *request, gpointer data)
+handle_request(WsRuntime *runtime, WsListener listener, WsHttpRequest *request)
 {
-  WsRuntime *runtime = data;
-  ws_core_request(runtime->core, now_ms(), wall_ms(), WS_LISTENER_API, request->method,
-                  request->path, request->body, request->length, request);
+  ws_core_request(runtime->core, now_ms(), wall_ms(), listener, request->method, request->path,
+                  request->body, request->length, request);
   send_outputs(runtime);
 }
 
+static void
+on_api_request(WsHttpRequest *request, gpointer data)
+{
+  handle_request(data, WS_LISTENER_API, request);
+}
+
 static void
 on_mesh_request(WsHttpRequest *request, gpointer data)
 {
-  WsRuntime *runtime = data;
-  ws_core_request(runtime->core, now_ms(), wall_ms(), WS_LISTENER_MESH, request->method,
-                  request->path, request->body, request->length, request);
-  send_outputs(runtime);
+  handle_request(data, WS_LISTENER_MESH, request);
 }
 
 static gboolean
@@ -94,8 +100,8 @@
   return G_SOURCE_CONTINUE;
 }
 
-/* Microseconds of the time of day tell two runs of a node apart; the low bits are random, since a
-   restart may fall into the same tick of a coarse clock. */
+/* The time of day in microseconds distinguishes two runs of a node; the low bits are random, since
+   a restart may fall into the same tick of a coarse clock. */
 static guint64
 new_incarnation(void)
 {
--- a/src/storage/ws-chunk-record.c
+++ b/src/storage/ws-chunk-record.c
@@ -1,4 +1,4 @@
-/* The record of a chunk: its size, how it is written and read. */
+/* The record of a chunk: its size, encoding and parsing. */
 #include "storage/ws-chunk-record.h"
 
 #include <string.h>
@@ -8,7 +8,7 @@
 #define FIELD_ASSIGNMENTS "on"
 #define FIELD_COMPLETED "d" /* a bit for each task, in hexadecimal digits */
 
-/* Places in the array that is an assignment. */
+/* Positions in the array that is an assignment. */
 #define ITEM_TASK 0
 #define ITEM_MACHINE 1
 #define ITEM_ATTEMPT 2
@@ -19,7 +19,7 @@
 #define BYTES_AROUND_CHUNK 21
 /* Digits of a time of day in milliseconds, and its comma. */
 #define BYTES_OF_TIME 14
-/* An assignment on a machine with a long name, for the count of free places. */
+/* The size of an assignment to a machine with a long name, for the count of free slots. */
 #define BYTES_OF_LONG_ASSIGNMENT 44
 
 static gsize
@@ -46,8 +46,8 @@
   return bytes;
 }
 
-/* An upper bound for any chunk of the replica. It is found without looking at the assignments,
-   since it is needed for each of hundreds of tasks in each transaction. */
+/* An upper bound for any chunk of the replica. It doesn't depend on the assignments, since it is
+   computed for each of hundreds of tasks in each transaction. */
 static gsize
 max_bytes_without_times(const WsReplica *replica)
 {
@@ -76,6 +76,14 @@
   return used_bytes < max_bytes ? (guint)((max_bytes - used_bytes) / BYTES_OF_LONG_ASSIGNMENT) : 0;
 }
 
+/* A bit for each task, in hexadecimal digits; @hex has space for them and a terminating zero. */
+static void
+encode_completed(const WsChunk *chunk, char *hex)
+{
+  for (guint i = 0; i < sizeof chunk->completed; i++)
+    g_snprintf(hex + (gsize)2 * i, 3, "%02x", chunk->completed[i]);
+}
+
 json_t *
 ws_chunk_encode(const WsChunk *chunk, const WsReplica *replica)
 {
@@ -93,8 +101,7 @@
     json_array_append_new(assignments, item);
   }
   char hex[2 * sizeof chunk->completed + 1];
-  for (guint i = 0; i < sizeof chunk->completed; i++)
-    g_snprintf(hex + (gsize)2 * i, 3, "%02x", chunk->completed[i]);
+  encode_completed(chunk, hex);
   return json_pack("{s:I, s:o, s:s}", FIELD_LAST_ATTEMPT, (json_int_t)chunk->last_attempt,
                    FIELD_ASSIGNMENTS, assignments, FIELD_COMPLETED, hex);
 }
--- a/src/storage/ws-chunk.c
+++ b/src/storage/ws-chunk.c
@@ -1,6 +1,8 @@
 /* A chunk in memory: its assignments and completed tasks. */
 #include "storage/ws-chunk.h"
 
+#define BITS_PER_BYTE 8
+
 WsChunk *
 ws_chunk_copy(const WsChunk *chunk)
 {
@@ -25,12 +27,12 @@
 void
 ws_chunk_remove(WsChunk *chunk, guint task)
 {
-  guint8 *place = &chunk->places[task % WS_CHUNK_TASKS];
-  if (*place == 0)
+  guint8 *position = &chunk->places[task % WS_CHUNK_TASKS];
+  if (*position == 0)
     return;
-  guint index = *place - 1u;
-  *place = 0;
-  /* The last assignment takes the place of the removed one. */
+  guint index = *position - 1u;
+  *position = 0;
+  /* The last assignment replaces the removed one. */
   g_array_remove_index_fast(chunk->assignments, index);
   if (index == chunk->assignments->len)
     return;
@@ -41,8 +43,8 @@
 WsAssignment *
 ws_chunk_find(const WsChunk *chunk, guint task)
 {
-  guint place = chunk != NULL ? chunk->places[task % WS_CHUNK_TASKS] : 0;
-  return place != 0 ? &g_array_index(chunk->assignments, WsAssignment, place - 1) : NULL;
+  guint position = chunk != NULL ? chunk->places[task % WS_CHUNK_TASKS] : 0;
+  return position != 0 ? &g_array_index(chunk->assignments, WsAssignment, position - 1) : NULL;
 }
 
 void
@@ -51,7 +53,7 @@
   guint bit = task % WS_CHUNK_TASKS;
   if (ws_chunk_is_completed(chunk, task))
     return;
-  chunk->completed[bit / 8] |= (guint8)(1u << (bit % 8));
+  chunk->completed[bit / BITS_PER_BYTE] |= (guint8)(1u << (bit % BITS_PER_BYTE));
   chunk->completed_count++;
 }
 
@@ -59,7 +61,7 @@
 ws_chunk_is_completed(const WsChunk *chunk, guint task)
 {
   guint bit = task % WS_CHUNK_TASKS;
-  return chunk != NULL && (chunk->completed[bit / 8] >> (bit % 8) & 1) != 0;
+  return chunk != NULL && (chunk->completed[bit / BITS_PER_BYTE] >> (bit % BITS_PER_BYTE) & 1) != 0;
 }
 
 void
--- a/src/storage/ws-replica-apply.c
+++ b/src/storage/ws-replica-apply.c
@@ -1,9 +1,35 @@
-/* Versions of keys, and which record each key is. */
+/* Versions of keys, and the dispatch of changed keys to their kind of record. */
 #include "storage/ws-replica-internal.h"
 #include "storage/ws-team-use.h"
 
 #include <string.h>
 
+static void
+apply_catalog(WsReplica *replica, const json_t *value)
+{
+  GPtrArray *catalog = ws_catalog_parse(value);
+  if (catalog != NULL)
+    ws_replica_set_catalog(replica, catalog);
+}
+
+/* Applies a record that exists once per cluster. FALSE: the key is of another kind. */
+static gboolean
+apply_single(WsReplica *replica, const char *key, const json_t *value)
+{
+  static const struct {
+    const char *key;
+    void (*apply)(WsReplica *, const json_t *);
+  } RECORDS[] = { { WS_KEY_EPOCH, ws_replica_apply_epoch },
+                  { WS_KEY_LEADER, ws_replica_apply_leader },
+                  { WS_KEY_CATALOG, apply_catalog } };
+  for (gsize i = 0; i < G_N_ELEMENTS(RECORDS); i++)
+    if (strcmp(key, RECORDS[i].key) == 0) {
+      RECORDS[i].apply(replica, value);
+      return TRUE;
+    }
+  return FALSE;
+}
+
 static void
 apply_value(WsReplica *replica, const char *key, const json_t *value)
 {
@@ -19,20 +45,8 @@
                 { WS_KEYS_RENTAL_INTENT, ws_replica_apply_rental_intent },
                 { WS_KEYS_MEMBER, ws_replica_apply_member },
                 { WS_KEYS_MAILBOX, ws_replica_apply_mailbox } };
-  if (strcmp(key, WS_KEY_EPOCH) == 0) {
-    ws_replica_apply_epoch(replica, value);
-    return;
-  }
-  if (strcmp(key, WS_KEY_LEADER) == 0) {
-    ws_replica_apply_leader(replica, value);
+  if (apply_single(replica, key, value))
     return;
-  }
-  if (strcmp(key, WS_KEY_CATALOG) == 0) {
-    GPtrArray *catalog = ws_catalog_parse(value);
-    if (catalog != NULL)
-      ws_replica_set_catalog(replica, catalog);
-    return;
-  }
   for (gsize i = 0; i < G_N_ELEMENTS(KINDS); i++)
     if (g_str_has_prefix(key, KINDS[i].prefix))
       KINDS[i].apply(replica, key + strlen(KINDS[i].prefix), value);
@@ -86,8 +100,8 @@
   }
 }
 
-/* A removed key is remembered only until the watch has passed its removal: from then on no older
-   value of it can come. */
+/* The version of a removed key is kept until the watch has passed its removal: after that no older
+   value of it can arrive. */
 void
 ws_replica_advance(WsReplica *replica, guint64 revision)
 {
--- a/src/storage/ws-replica-jobs.c
+++ b/src/storage/ws-replica-jobs.c
@@ -1,10 +1,12 @@
-/* The replica's jobs and their chunks: what their records change. */
+/* The replica's jobs and chunks: how their records are applied. */
 #include "storage/ws-chunk-record.h"
 #include "storage/ws-job-record.h"
 #include "storage/ws-replica-internal.h"
 
 #include <string.h>
 
+#define DECIMAL_BASE 10
+
 void
 ws_job_free(WsJob *job)
 {
@@ -52,8 +54,8 @@
   job->completed_count -= old->completed_count;
 }
 
-/* What isn't stored survives a new version of the record; new assignments are noted for whoever
-   launches. */
+/* Keeps the status of assignments, which isn't stored, in a new version of the record. Assignments
+   that are new are noted for launching. */
 static void
 keep_status(WsReplica *replica, const WsJob *job, WsChunk *chunk, const WsChunk *old)
 {
@@ -105,7 +107,7 @@
 }
 
 static void
-shrink_job(WsReplica *replica, WsJob *job)
+discard_spec(WsReplica *replica, WsJob *job)
 {
   for (guint i = 0; i < job->chunks->len; i++)
     ws_replica_replace_chunk(replica, job, i, NULL);
@@ -115,9 +117,8 @@
   job->spec = NULL;
 }
 
-/* Takes the specification. */
 static void
-describe_job(WsReplica *replica, WsJob *job, WsJobSpec *spec)
+set_spec(WsReplica *replica, WsJob *job, WsJobSpec *spec /* taken */)
 {
   job->spec = spec;
   job->tasks = spec->tasks;
@@ -131,7 +132,7 @@
 finish_job(WsReplica *replica, WsJob *job, const WsJobRecord *record)
 {
   if (job->spec != NULL)
-    shrink_job(replica, job);
+    discard_spec(replica, job);
   if (record->has_task_count)
     job->tasks = record->tasks;
 }
@@ -142,7 +143,7 @@
   g_autoptr(GError) error = NULL;
   WsJobSpec *spec = ws_job_spec_parse(message, &error);
   if (spec != NULL)
-    describe_job(replica, job, spec);
+    set_spec(replica, job, spec);
   else
     g_warning("record of job %s: %s", job->id, error->message);
 }
@@ -183,7 +184,8 @@
   WsJob *job = ws_replica_find_job(replica, id);
   guint64 index;
   if (job == NULL || job->spec == NULL
-      || !g_ascii_string_to_unsigned(slash + 1, 10, 0, ws_job_chunk_count(job) - 1, &index, NULL))
+      || !g_ascii_string_to_unsigned(slash + 1, DECIMAL_BASE, 0, ws_job_chunk_count(job) - 1,
+                                     &index, NULL))
     return;
   WsChunk *chunk = value != NULL ? ws_chunk_parse(replica, value) : NULL;
   if (value != NULL && chunk == NULL) {
--- a/src/storage/ws-team-use.c
+++ b/src/storage/ws-team-use.c
@@ -1,12 +1,14 @@
-/* Records of teams' use: which record a team belongs to, how it is written and read. */
+/* Records of teams' use: which record a team belongs to, encoding and parsing. */
 #include "storage/ws-team-use.h"
 
 #include <string.h>
 
-/* A team's part of a record, beside its name: two amounts of up to 19 digits, and punctuation. */
+/* The size of a team's part of a record without its name: two amounts of up to 19 digits, and
+   punctuation. */
 #define BYTES_PER_TEAM 48
 /* How full a record may be on average, as names spread unevenly. */
 #define FILL_RATIO 0.5
+#define BYTES_PER_KB 1024.0
 
 /* Stored field names; amounts are in thousandths. */
 #define FIELD_CPUS "c"
@@ -20,7 +22,7 @@
     const WsTeamSettings *team = g_ptr_array_index(settings->teams, t);
     bytes += (double)strlen(team->name) + BYTES_PER_TEAM;
   }
-  return 1 + (guint)(bytes / (FILL_RATIO * settings->state_value_kb * 1024.0));
+  return 1 + (guint)(bytes / (FILL_RATIO * settings->state_value_kb * BYTES_PER_KB));
 }
 
 guint
--- a/src/store/ws-store-reads.c
+++ b/src/store/ws-store-reads.c
@@ -1,19 +1,20 @@
-/* Linearizable reads of the replica: the store is asked for its revision, and a read ends once the
-   watch has brought the replica up to it. */
+/* Linearizable reads of the replica: the store's current revision is requested, and a read
+   completes once the watch has brought the replica up to it. */
 #include "store/ws-store-private.h"
 
 #include "protocol/ws-kv.h"
 
 #define READ_TIMEOUT_MS 1500
 #define REVISION_TIMEOUT_MS 800
-/* No key begins like this: a page of it has the store's revision and nothing else. */
+/* No key has this prefix, so a page of it contains the store's revision and no items. */
 #define NO_KEYS_PREFIX WS_PREFIX "~"
+#define MIN_PAGE_SIZE 1
 
 typedef struct {
   WsReadFunc done;
   gpointer data;
   gint64 requested_ms;
-  guint64 revision; /* that the replica must reach; 0: not known yet */
+  guint64 revision; /* which the replica must reach; 0: not known yet */
 } PendingRead;
 
 static GArray *
@@ -45,7 +46,7 @@
   g_array_append_val(core->store->reads.unsent, read);
 }
 
-/* Takes the reads out of the list first: a callback may request another one. */
+/* Completes all reads of a list, which is replaced first: a callback may request another read. */
 static void
 finish_all(WsCore *core, GArray **reads, gboolean is_current)
 {
@@ -57,11 +58,10 @@
   }
 }
 
-void
-ws_store_reads_finish(WsCore *core)
+/* Moves the reads whose revision is reached, and those that have timed out, to the lists. */
+static void
+take_finished(WsCore *core, GArray *reached, GArray *timed_out)
 {
-  GArray *reached = pending_reads_new();
-  GArray *late = pending_reads_new();
   GArray *waiting = core->store->reads.waiting;
   for (guint i = waiting->len; i-- > 0;) {
     PendingRead read = g_array_index(waiting, PendingRead, i);
@@ -71,13 +71,21 @@
     if (is_reached)
       g_array_append_val(reached, read);
     else
-      g_array_append_val(late, read);
+      g_array_append_val(timed_out, read);
     g_array_remove_index(waiting, i);
   }
+}
+
+void
+ws_store_reads_finish(WsCore *core)
+{
+  GArray *reached = pending_reads_new();
+  GArray *timed_out = pending_reads_new();
+  take_finished(core, reached, timed_out);
   finish_all(core, &reached, TRUE);
-  finish_all(core, &late, FALSE);
+  finish_all(core, &timed_out, FALSE);
   g_array_unref(reached);
-  g_array_unref(late);
+  g_array_unref(timed_out);
 }
 
 static void
@@ -113,7 +121,7 @@
   reads->is_reading = TRUE;
   g_array_append_vals(reads->sent, reads->unsent->data, reads->unsent->len);
   g_array_set_size(reads->unsent, 0);
-  g_autofree char *path = ws_kv_page_path(NO_KEYS_PREFIX, NULL, 1);
+  g_autofree char *path = ws_kv_page_path(NO_KEYS_PREFIX, NULL, MIN_PAGE_SIZE);
   ws_store_get(core, path, REVISION_TIMEOUT_MS, on_revision, NULL);
 }
 
@@ -121,9 +129,9 @@
 ws_store_reads_stop(WsCore *core)
 {
   WsStoreReads *reads = &core->store->reads;
-  gboolean any = reads->unsent->len + reads->sent->len + reads->waiting->len > 0;
+  gboolean had_reads = reads->unsent->len + reads->sent->len + reads->waiting->len > 0;
   finish_all(core, &reads->unsent, FALSE);
   finish_all(core, &reads->sent, FALSE);
   finish_all(core, &reads->waiting, FALSE);
-  return any;
+  return had_reads;
 }
--- a/src/transport/ws-http-client.c
+++ b/src/transport/ws-http-client.c
@@ -1,15 +1,16 @@
-/* Outgoing HTTP, by libsoup. */
+/* The HTTP client, built on libsoup. */
 #include "transport/ws-http-client.h"
 
 #include <libsoup/soup.h>
 #include <string.h>
 
 #define MIN_CONNECTIONS 16u
-/* A hung host may only use up its own connections. */
+/* A host that doesn't respond may use up its own connections only. */
 #define MAX_CONNECTIONS_PER_HOST 12
 #define IDLE_CONNECTION_TIMEOUT_S 30
-/* Each call has a timer of its own. */
+/* Timeouts are kept by a timer for each call. */
 #define NO_SOCKET_TIMEOUT 0
+#define STATUS_NO_RESPONSE 0
 
 struct _WsHttpClient {
   SoupSession *session;
@@ -44,6 +45,14 @@
   g_free(client);
 }
 
+static void
+pending_call_free(PendingCall *pending)
+{
+  g_object_unref(pending->message);
+  g_object_unref(pending->cancellable);
+  g_free(pending);
+}
+
 static gboolean
 on_timeout(gpointer data)
 {
@@ -63,11 +72,9 @@
     g_source_remove(pending->timer);
   gsize length = 0;
   const char *body = bytes != NULL ? g_bytes_get_data(bytes, &length) : NULL;
-  guint status = bytes != NULL ? soup_message_get_status(pending->message) : 0;
+  guint status = bytes != NULL ? soup_message_get_status(pending->message) : STATUS_NO_RESPONSE;
   pending->done(status, body != NULL ? body : "", length, pending->data);
-  g_object_unref(pending->message);
-  g_object_unref(pending->cancellable);
-  g_free(pending);
+  pending_call_free(pending);
 }
 
 void
@@ -77,11 +84,11 @@
   g_autoptr(SoupMessage) message = soup_message_new(method, url);
   if (message == NULL) {
     g_warning("unusable address %s", url);
-    done(0, "", 0, data);
+    done(STATUS_NO_RESPONSE, "", 0, data);
     return;
   }
   /* Without the second flag libsoup opens a connection for every POST. Every request of ours may
-     be carried out twice: it is conditional, named, or has no lasting effect. */
+     be carried out twice: it is conditional, has an idempotency key, or no lasting effect. */
   soup_message_add_flags(message, SOUP_MESSAGE_NO_REDIRECT | SOUP_MESSAGE_IDEMPOTENT);
   if (body != NULL) {
     g_autoptr(GBytes) bytes = g_bytes_new(body, strlen(body));
--- a/src/transport/ws-http-server.c
+++ b/src/transport/ws-http-server.c
@@ -1,7 +1,7 @@
-/* The server runs in GLib's main loop as one descriptor: libmicrohttpd keeps its connections in an
-   epoll set of its own. libsoup gives each connection a source of the main loop, all of which are
-   looked at whenever anything happens; with a worker on each of hundreds of connections that alone
-   took more than the processor's share (docs/results.md). */
+/* The HTTP server, built on libmicrohttpd, which keeps its connections in an epoll set of its own:
+   GLib's main loop polls a single descriptor. A server of libsoup adds a source to the main loop
+   for each connection, and the loop checks all of them at every event; with hundreds of workers
+   connected that alone exceeded the CPU budget (docs/results.md). */
 #include "transport/ws-http-server.h"
 
 #include <errno.h>
@@ -11,7 +11,7 @@
 #include <string.h>
 
 #define MAX_BODY_BYTES (4u << 20)
-/* Of each connection: its request's headers must fit, bodies pass through. */
+/* For each connection: a request's headers must fit; bodies are passed on in parts. */
 #define CONNECTION_MEMORY_BYTES 4096
 #define RETRY_AFTER_BYTES 16
 
@@ -20,7 +20,7 @@
   WsHttpHandler handler;
   gpointer data;
   guint epoll_source;
-  guint idle_source; /* 0: nothing waits to be sent or read */
+  guint idle_source; /* 0: no input or output is pending */
 };
 
 typedef struct {
@@ -47,21 +47,25 @@
 }
 
 static void
-on_completed(void *data, struct MHD_Connection *connection, void **state,
-             enum MHD_RequestTerminationCode why)
+request_free(Request *request)
 {
-  (void)data;
-  (void)connection;
-  (void)why;
-  Request *request = *state;
-  if (request == NULL)
-    return;
   if (request->response != NULL)
     MHD_destroy_response(request->response);
   g_byte_array_unref(request->bytes);
   g_free((char *)request->base.method);
   g_free((char *)request->base.path);
   g_free(request);
+}
+
+static void
+on_completed(void *data, struct MHD_Connection *connection, void **state,
+             enum MHD_RequestTerminationCode why)
+{
+  (void)data;
+  (void)connection;
+  (void)why;
+  if (*state != NULL)
+    request_free(*state);
   *state = NULL;
 }
 
@@ -80,7 +84,8 @@
   return MHD_YES;
 }
 
-/* Called with the headers, with each part of the body, at its end, and after a suspension. */
+/* Called with the headers, with each part of the body, at the end of the body, and when a suspended
+   connection is resumed. */
 static enum MHD_Result
 on_request(void *data, struct MHD_Connection *connection, const char *path, const char *method,
            const char *version, const char *part, size_t *length, void **state)
@@ -96,7 +101,7 @@
   if (*length == 0)
     return handle_request(request);
   if (request->bytes->len + *length > MAX_BODY_BYTES)
-    return MHD_NO; /* ends the connection: nobody sends so much */
+    return MHD_NO; /* closes the connection: no valid request is so large */
   g_byte_array_append(request->bytes, (const guint8 *)part, (guint)*length);
   *length = 0;
   return MHD_YES;
@@ -111,9 +116,10 @@
     server->idle_source = g_idle_add_full(G_PRIORITY_DEFAULT, on_wakeup, server, NULL);
 }
 
-/* One round reads a part of what has come; the descriptor doesn't tell of the rest again. */
+/* MHD_run() may leave some of the pending input unread, and the descriptor isn't signalled again
+   for it: another run is scheduled then. */
 static void
-run_once(WsHttpServer *server)
+process_events(WsHttpServer *server)
 {
   MHD_UNSIGNED_LONG_LONG timeout_ms;
   MHD_run(server->daemon);
@@ -126,7 +132,7 @@
 {
   (void)fd;
   (void)condition;
-  run_once(data);
+  process_events(data);
   return G_SOURCE_CONTINUE;
 }
 
@@ -135,7 +141,7 @@
 {
   WsHttpServer *server = data;
   server->idle_source = 0;
-  run_once(server);
+  process_events(server);
   return G_SOURCE_REMOVE;
 }
 
@@ -157,20 +163,28 @@
   return daemon;
 }
 
-WsHttpServer *
-ws_http_server_new(const char *address, guint max_connections, WsHttpHandler handler, gpointer data,
-                   GError **error)
+/* NULL: the address is not HOST:PORT, or its host is a name. */
+static GSocketAddress *
+parse_address(const char *address, GError **error)
 {
   g_autoptr(GSocketConnectable) parsed = g_network_address_parse(address, 0, error);
   if (parsed == NULL)
     return NULL;
   GNetworkAddress *network = G_NETWORK_ADDRESS(parsed);
-  g_autoptr(GSocketAddress) socket = g_inet_socket_address_new_from_string(
+  GSocketAddress *socket = g_inet_socket_address_new_from_string(
       g_network_address_get_hostname(network), g_network_address_get_port(network));
-  if (socket == NULL) {
+  if (socket == NULL)
     g_set_error(error, G_IO_ERROR, G_IO_ERROR_INVALID_ARGUMENT, "%s is not an IP address", address);
+  return socket;
+}
+
+WsHttpServer *
+ws_http_server_new(const char *address, guint max_connections, WsHttpHandler handler, gpointer data,
+                   GError **error)
+{
+  g_autoptr(GSocketAddress) socket = parse_address(address, error);
+  if (socket == NULL)
     return NULL;
-  }
   WsHttpServer *server = g_new0(WsHttpServer, 1);
   server->handler = handler;
   server->data = data;
