--- a/src/api/ws-job-api.c
+++ b/src/api/ws-job-api.c
@@ -5,14 +5,17 @@
 #include "api/ws-job-api.h"
 #include "api/ws-admission.h"
 
-#include "store/ws-store.h"
-#include "scheduling/ws-scheduling.h"
 #include "protocol/ws-job-summary.h"
+#include "protocol/ws-status-codes.h"
+#include "scheduling/ws-scheduling.h"
+#include "store/ws-store.h"
 
 #include <string.h>
 
 #define JOBS_PATH "/api/jobs"
 #define CANCELLATION "withdraw"
+/* A path with more parts below JOBS_PATH than an id and CANCELLATION is unknown. */
+#define MAX_PATH_PARTS 3
 #define MAX_BODY_BYTES 65536
 /* How often a request is decided before its user is asked to retry. */
 #define MAX_TRIES 4
@@ -130,7 +133,7 @@
            user_request->spec->deadline_s);
     core->replan_is_needed = TRUE;
     WsJobSummary summary = { .job_id = user_request->id, .state = WS_USER_STATE_QUEUED };
-    finish(core, user_request, 201, ws_job_summary_encode(&summary, FALSE));
+    finish(core, user_request, WS_HTTP_CREATED, ws_job_summary_encode(&summary, FALSE));
   } else {
     finish_later(core, user_request);
   }
@@ -155,7 +158,7 @@
 {
   const WsJob *job = ws_replica_find_job(core->replica, user_request->id);
   if (job != NULL) {
-    finish_with_status(core, user_request, 200, job);
+    finish_with_status(core, user_request, WS_HTTP_OK, job);
     return;
   }
   if (core->replica->catalog == NULL) {
@@ -167,7 +170,7 @@
   if (reason != NULL && !user_request->has_read)
     ws_store_linearizable_read(core, on_read, user_request);
   else if (reason != NULL)
-    finish_with_reason(core, user_request, 422, reason);
+    finish_with_reason(core, user_request, WS_HTTP_UNPROCESSABLE_CONTENT, reason);
   else
     accept(core, user_request);
 }
@@ -186,7 +189,7 @@
   }
   WsJob *job = ws_replica_find_job(core->replica, user_request->id);
   g_info("job %s cancelled", user_request->id);
-  finish_with_status(core, user_request, 200, job);
+  finish_with_status(core, user_request, WS_HTTP_OK, job);
 }
 
 /* The record of a job that never had an assignment is final at once. The absence of its chunk is a
@@ -217,11 +220,11 @@
   if (user_request->kind == REQUEST_SUBMIT)
     decide_submission(core, user_request);
   else if (job == NULL)
-    finish_with_reason(core, user_request, 404, "no such job");
+    finish_with_reason(core, user_request, WS_HTTP_NOT_FOUND, "no such job");
   else if (user_request->kind == REQUEST_CANCEL && job->state == WS_JOB_ACTIVE)
     cancel(core, user_request, job);
   else
-    finish_with_status(core, user_request, 200, job);
+    finish_with_status(core, user_request, WS_HTTP_OK, job);
 }
 
 static void
@@ -248,14 +251,14 @@
 submit(WsCore *core, const char *body, gsize length, gpointer request)
 {
   if (length > MAX_BODY_BYTES) {
-    ws_answer_reason(core, request, 400, "longer than 64 KiB");
+    ws_answer_reason(core, request, WS_HTTP_BAD_REQUEST, "longer than 64 KiB");
     return;
   }
   g_autoptr(json_t) message = ws_json_parse(body, length);
   g_autoptr(GError) error = NULL;
   WsJobSpec *spec = ws_job_spec_parse(message, &error);
   if (spec == NULL) {
-    ws_answer_reason(core, request, 400, error->message);
+    ws_answer_reason(core, request, WS_HTTP_BAD_REQUEST, error->message);
     return;
   }
   begin(core, REQUEST_SUBMIT, spec->id, spec, request);
@@ -267,7 +270,7 @@
 {
   if (!g_str_has_prefix(path, JOBS_PATH "/"))
     return NULL;
-  g_auto(GStrv) parts = g_strsplit(path + strlen(JOBS_PATH "/"), "/", 3);
+  g_auto(GStrv) parts = g_strsplit(path + strlen(JOBS_PATH "/"), "/", MAX_PATH_PARTS);
   guint count = g_strv_length(parts);
   *is_cancellation = count == 2 && strcmp(parts[1], CANCELLATION) == 0;
   return count == 1 || *is_cancellation ? g_strdup(parts[0]) : NULL;
@@ -281,13 +284,13 @@
   gboolean is_submission = strcmp(path, JOBS_PATH) == 0;
   g_autofree char *id = job_id_in_path(path, &is_cancellation);
   if (!is_submission && id == NULL)
-    ws_answer_reason(core, request, 404, "no such path");
+    ws_answer_reason(core, request, WS_HTTP_NOT_FOUND, "no such path");
   else if (strcmp(method, is_submission || is_cancellation ? "POST" : "GET") != 0)
-    ws_answer_reason(core, request, 405, "not with this method");
+    ws_answer_reason(core, request, WS_HTTP_METHOD_NOT_ALLOWED, "not with this method");
   else if (is_submission)
     submit(core, body, length, request);
   else if (!ws_job_id_valid(id))
-    ws_answer_reason(core, request, 404, "no such job");
+    ws_answer_reason(core, request, WS_HTTP_NOT_FOUND, "no such job");
   else
     begin(core, is_cancellation ? REQUEST_CANCEL : REQUEST_POLL, id, NULL, request);
 }
--- a/src/core/ws-core.c
+++ b/src/core/ws-core.c
@@ -5,6 +5,7 @@
 #include "commit/ws-commit.h"
 #include "fleet/ws-fleet.h"
 #include "membership/ws-membership.h"
+#include "protocol/ws-status-codes.h"
 #include "scheduling/ws-scheduling.h"
 #include "store/ws-store.h"
 #include "workers/ws-workers.h"
@@ -17,8 +18,8 @@
 
 #define PATH_READY "/ready"
 #define PATH_HEARTBEAT "/v1/report"
-#define HTTP_OK 200
-#define HTTP_METHOD_NOT_ALLOWED 405
+/* Retry-After while the node isn't ready. */
+#define READY_RETRY_AFTER_S 1
 
 /* What lower packages call in higher ones. */
 static const WsHandlers HANDLERS = {
@@ -215,18 +216,18 @@
 answer_readiness(WsCore *core, const char *method, gpointer request)
 {
   if (strcmp(method, "GET") != 0)
-    ws_answer_reason(core, request, HTTP_METHOD_NOT_ALLOWED, "only GET here");
+    ws_answer_reason(core, request, WS_HTTP_METHOD_NOT_ALLOWED, "only GET here");
   else if (ws_authority_check_readiness(core) == WS_REFUSAL_NONE)
-    ws_answer(core, request, HTTP_OK, json_pack("{s:b}", "ready", 1), 0);
+    ws_answer(core, request, WS_HTTP_OK, json_pack("{s:b}", "ready", 1), 0);
   else
-    ws_answer_later(core, request, 1);
+    ws_answer_later(core, request, READY_RETRY_AFTER_S);
 }
 
 static void
 handle_heartbeat(WsCore *core, const char *method, const char *body, gsize length, gpointer request)
 {
   if (strcmp(method, "POST") != 0)
-    ws_answer_reason(core, request, HTTP_METHOD_NOT_ALLOWED, "only POST here");
+    ws_answer_reason(core, request, WS_HTTP_METHOD_NOT_ALLOWED, "only POST here");
   else
     ws_workers_handle_heartbeat(core, body, length, request);
 }
--- a/src/fleet/ws-cloud-list.c
+++ b/src/fleet/ws-cloud-list.c
@@ -5,6 +5,7 @@
 
 #include "store/ws-store.h"
 #include "membership/ws-membership.h"
+#include "protocol/ws-status-codes.h"
 #include "storage/ws-mark-reasons.h"
 
 #include <string.h>
@@ -169,7 +170,7 @@
   (void)data;
   WsCloudList *list = core->fleet->cloud_list;
   gboolean more = FALSE;
-  g_autoptr(GPtrArray) machines = status == 200 ? ws_listing_parse(body, &more) : NULL;
+  g_autoptr(GPtrArray) machines = status == WS_HTTP_OK ? ws_listing_parse(body, &more) : NULL;
   list->call_in_flight = FALSE;
   list->next_call_ms = core->now + (gint64)(core->settings->list_lag_s * 1000.0);
   g_clear_pointer(&list->last_id, g_free);
--- a/src/fleet/ws-fleet.c
+++ b/src/fleet/ws-fleet.c
@@ -5,6 +5,7 @@
 
 #include "store/ws-store.h"
 #include "membership/ws-membership.h"
+#include "protocol/ws-status-codes.h"
 #include "storage/ws-mark-reasons.h"
 
 #define CATALOG_REFRESH_MS 60000
@@ -68,7 +69,7 @@
 {
   (void)data;
   WsFleet *fleet = core->fleet;
-  GPtrArray *catalog = status == 200 ? ws_catalog_parse(body) : NULL;
+  GPtrArray *catalog = status == WS_HTTP_OK ? ws_catalog_parse(body) : NULL;
   fleet->catalog_in_flight = FALSE;
   fleet->next_catalog_ms = core->now + (catalog != NULL ? CATALOG_REFRESH_MS : CATALOG_RETRY_MS);
   if (catalog == NULL) {
--- a/src/fleet/ws-returns.c
+++ b/src/fleet/ws-returns.c
@@ -5,6 +5,7 @@
 
 #include "store/ws-store.h"
 #include "membership/ws-membership.h"
+#include "protocol/ws-status-codes.h"
 #include "storage/ws-mark-reasons.h"
 
 #define MAX_MACHINES_PER_RETURN 100
@@ -62,7 +63,7 @@
   g_autoptr(GPtrArray) names = data;
   WsReturns *returns = core->fleet->returns;
   returns->call_in_flight = FALSE;
-  if (status == 200) {
+  if (status == WS_HTTP_OK) {
     returns->backoff_ms = 0;
     for (guint i = 0; i < names->len; i++)
       note_returned(core, g_ptr_array_index(names, i));
--- a/src/protocol/ws-cloud.c
+++ b/src/protocol/ws-cloud.c
@@ -2,17 +2,16 @@
 #include "protocol/ws-cloud.h"
 
 #include "protocol/ws-field-names.h"
+#include "protocol/ws-status-codes.h"
 
 #include <math.h>
 #include <string.h>
 
 /* The state of a listed machine that will never be up. */
 #define STATE_FAILED "failed"
-
-/* HTTP statuses of the cloud's answers. */
-#define STATUS_OK 200
-#define STATUS_BAD_REQUEST 400
-#define STATUS_UNAVAILABLE 503
+/* The body of an answer that the cloud is out of capacity. */
+#define FIELD_ERROR "error"
+#define ERROR_NO_CAPACITY "no capacity"
 
 static void
 type_free(gpointer data)
@@ -127,18 +126,18 @@
 has_no_capacity(const json_t *body)
 {
   const char *error;
-  return ws_json_string(body, "error", &error) && strcmp(error, "no capacity") == 0;
+  return ws_json_string(body, FIELD_ERROR, &error) && strcmp(error, ERROR_NO_CAPACITY) == 0;
 }
 
 WsRentalResult
 ws_rental_reply_parse(guint status, const json_t *body, GPtrArray **names)
 {
-  *names = status == STATUS_OK ? ws_rental_machines_parse(body) : NULL;
+  *names = status == WS_HTTP_OK ? ws_rental_machines_parse(body) : NULL;
   if (*names != NULL)
     return WS_RENTAL_RENTED;
-  if (status == STATUS_BAD_REQUEST)
+  if (status == WS_HTTP_BAD_REQUEST)
     return WS_RENTAL_REFUSED;
-  if (status == STATUS_UNAVAILABLE && has_no_capacity(body))
+  if (status == WS_HTTP_SERVICE_UNAVAILABLE && has_no_capacity(body))
     return WS_RENTAL_NO_CAPACITY;
   return WS_RENTAL_FAILED;
 }
--- a/src/protocol/ws-heartbeat.c
+++ b/src/protocol/ws-heartbeat.c
@@ -1,8 +1,9 @@
 /* Reading heartbeats, writing commands and answers. */
 #include "protocol/ws-heartbeat.h"
 
-#include "protocol/ws-job-spec.h"
 #include "protocol/ws-field-names.h"
+#include "protocol/ws-job-spec.h"
+#include "protocol/ws-status-codes.h"
 
 #include <string.h>
 
@@ -10,10 +11,6 @@
 /* A name is part of keys and paths. */
 #define NOT_IN_MACHINE_NAMES " /"
 
-/* HTTP statuses of a worker's answer: carried out, and refused as outdated. */
-#define STATUS_OK 200
-#define STATUS_CONFLICT 409
-
 static gboolean
 parse_task_name(const char *name, char **job, guint *task)
 {
@@ -167,13 +164,13 @@
 WsHeartbeat *
 ws_heartbeat_parse_status_reply(guint status, const json_t *body, const char *machine)
 {
-  return status == STATUS_OK ? parse_status_of(body, machine) : NULL;
+  return status == WS_HTTP_OK ? parse_status_of(body, machine) : NULL;
 }
 
 WsHeartbeat *
 ws_heartbeat_parse_command_reply(guint status, const json_t *body, const char *machine)
 {
-  return status == STATUS_OK || status == STATUS_CONFLICT ? parse_status_of(body, machine) : NULL;
+  return status == WS_HTTP_OK || status == WS_HTTP_CONFLICT ? parse_status_of(body, machine) : NULL;
 }
 
 const WsTaskStatus *
--- a/src/protocol/ws-job-summary.c
+++ b/src/protocol/ws-job-summary.c
@@ -2,6 +2,9 @@
 
 #include "protocol/ws-field-names.h"
 
+#define FIELD_DONE_TASKS "done"
+#define FIELD_RUNNING_TASKS "running"
+
 json_t *
 ws_job_summary_encode(const WsJobSummary *summary, gboolean with_tasks)
 {
@@ -9,11 +12,11 @@
                                         [WS_USER_STATE_RUNNING] = "running",
                                         [WS_USER_STATE_DONE] = "done",
                                         [WS_USER_STATE_CANCELLED] = "cancelled" };
-  json_t *message
-      = json_pack("{s:s, s:s}", "id", summary->job_id, WS_FIELD_STATE, STATES[summary->state]);
+  json_t *message = json_pack("{s:s, s:s}", WS_FIELD_ID, summary->job_id, WS_FIELD_STATE,
+                              STATES[summary->state]);
   if (with_tasks) {
-    json_object_set_new(message, "done", json_integer(summary->done_tasks));
-    json_object_set_new(message, "running", json_integer(summary->running_tasks));
+    json_object_set_new(message, FIELD_DONE_TASKS, json_integer(summary->done_tasks));
+    json_object_set_new(message, FIELD_RUNNING_TASKS, json_integer(summary->running_tasks));
   }
   return message;
 }
--- a/src/protocol/ws-json.c
+++ b/src/protocol/ws-json.c
@@ -1,6 +1,9 @@
 /* Typed, checked reading of JSON. */
 #include "protocol/ws-json.h"
 
+/* Significant digits of a written number. */
+#define REAL_DIGITS 12
+
 json_t *
 ws_json_parse(const char *body, gsize length)
 {
@@ -10,7 +13,7 @@
 char *
 ws_json_text(const json_t *value)
 {
-  return value == NULL ? NULL : json_dumps(value, JSON_COMPACT | JSON_REAL_PRECISION(12));
+  return value == NULL ? NULL : json_dumps(value, JSON_COMPACT | JSON_REAL_PRECISION(REAL_DIGITS));
 }
 
 gboolean
--- a/src/protocol/ws-properties.c
+++ b/src/protocol/ws-properties.c
@@ -14,6 +14,12 @@
 #define MAX_SECONDS 3600.0
 #define MAX_HEADROOM_TASKS 1000
 #define MAX_BUDGET_MACHINES 1000000
+#define MAX_PERCENT 100u
+
+/* budget.TYPE.ZONE.LIMIT */
+#define BUDGET_KEY_PARTS 4
+#define LIMIT_MIN_AVAILABLE "minAvailable"
+#define LIMIT_MAX_UNAVAILABLE "maxUnavailable"
 
 static void
 budget_free(gpointer data)
@@ -69,7 +75,8 @@
   gsize length = strlen(text);
   budget->is_percent = length > 1 && text[length - 1] == '%';
   g_autofree char *digits = g_strndup(text, budget->is_percent ? length - 1 : length);
-  return parse_count(digits, budget->is_percent ? 100 : MAX_BUDGET_MACHINES, &budget->value);
+  return parse_count(digits, budget->is_percent ? MAX_PERCENT : MAX_BUDGET_MACHINES,
+                     &budget->value);
 }
 
 static gboolean
@@ -78,15 +85,15 @@
   return g_ptr_array_find_with_equal_func(zones, zone, g_str_equal, NULL);
 }
 
-/* budget.TYPE.ZONE.minAvailable or budget.TYPE.ZONE.maxUnavailable */
+/* Returns what is wrong with the key or its value, as does parse_key(); NULL: nothing. */
 static const char *
 parse_budget(WsProperties *properties, const char *key, const char *value, GPtrArray *zones)
 {
   g_auto(GStrv) parts = g_strsplit(key, ".", -1);
-  if (g_strv_length(parts) != 4)
+  if (g_strv_length(parts) != BUDGET_KEY_PARTS)
     return "unknown key";
-  gboolean is_minimum = strcmp(parts[3], "minAvailable") == 0;
-  if (!is_minimum && strcmp(parts[3], "maxUnavailable") != 0)
+  gboolean is_minimum = strcmp(parts[3], LIMIT_MIN_AVAILABLE) == 0;
+  if (!is_minimum && strcmp(parts[3], LIMIT_MAX_UNAVAILABLE) != 0)
     return "unknown key";
   if (!is_known(zones, parts[2]))
     return "unknown zone";
@@ -162,7 +169,8 @@
 ws_budget_allowed(const WsBudget *budget, guint total)
 {
   if (!budget->is_minimum)
-    return budget->is_percent ? total * budget->value / 100 : budget->value;
-  guint minimum = budget->is_percent ? (total * budget->value + 99) / 100 : budget->value;
+    return budget->is_percent ? total * budget->value / MAX_PERCENT : budget->value;
+  guint minimum = budget->is_percent ? (total * budget->value + MAX_PERCENT - 1) / MAX_PERCENT
+                                     : budget->value;
   return total > minimum ? total - minimum : 0;
 }
--- a/src/workers/ws-cancelled-tasks.c
+++ b/src/workers/ws-cancelled-tasks.c
@@ -8,6 +8,7 @@
 
 #include "fleet/ws-fleet.h"
 #include "membership/ws-membership.h"
+#include "protocol/ws-status-codes.h"
 #include "storage/ws-mark-reasons.h"
 #include "store/ws-store.h"
 
@@ -108,7 +109,7 @@
   g_autofree HaltCall *call = data;
   WsMachine *machine = ws_replica_machine(core->replica, call->machine);
   core->workers->cancelled_tasks->halts_in_flight--;
-  if (status == 0)
+  if (status == WS_HTTP_NO_RESPONSE)
     schedule_halt(core, machine, UNREACHABLE_HALT_RETRY_MS);
   g_autoptr(WsHeartbeat) heartbeat = ws_heartbeat_parse_command_reply(status, body, machine->name);
   if (heartbeat == NULL)
@@ -117,7 +118,7 @@
   if (ws_owns_machine(core, machine))
     (void)ws_workers_note_status(core, machine, heartbeat);
   /* The incarnation and the fencing token that the worker takes are known now. */
-  if (status == 409 || !call->has_halts)
+  if (status == WS_HTTP_CONFLICT || !call->has_halts)
     schedule_halt(core, machine, 0);
 }
 
--- a/src/workers/ws-relay.c
+++ b/src/workers/ws-relay.c
@@ -9,6 +9,7 @@
 
 #include "membership/ws-membership.h"
 #include "membership/ws-relay-message.h"
+#include "protocol/ws-status-codes.h"
 
 #include <string.h>
 
@@ -17,6 +18,8 @@
 /* Heartbeats in flight to one owner. When it has just ended, and nobody knows yet, its workers come
    to this node by the hundred; the others' leases are renewed from here. */
 #define MAX_RELAYS_IN_FLIGHT 12
+/* Retry-After of a heartbeat that neither the owner nor this node answers now. */
+#define RETRY_AFTER_S 1
 
 typedef struct {
   gpointer request;
@@ -59,13 +62,13 @@
 answer_without_owner(WsCore *core, const char *heartbeat, gpointer request)
 {
   if (ws_authority_check_lease_renewal(core, core->replica->epoch.number) != WS_REFUSAL_NONE) {
-    ws_answer_later(core, request, 1);
+    ws_answer_later(core, request, RETRY_AFTER_S);
     return;
   }
   json_t *commands = json_array();
   add_halts(core, heartbeat, commands);
-  ws_answer(core, request, 200, ws_heartbeat_answer_encode(core->replica->epoch.number, commands),
-            0);
+  ws_answer(core, request, WS_HTTP_OK,
+            ws_heartbeat_answer_encode(core->replica->epoch.number, commands), 0);
 }
 
 /* The owner may not know yet of a cancellation that this node knows of. */
@@ -74,7 +77,7 @@
 {
   json_t *answer = json_deep_copy(body);
   add_halts(core, relay->heartbeat, ws_heartbeat_answer_commands(answer));
-  ws_answer(core, relay->request, 200, answer, 0);
+  ws_answer(core, relay->request, WS_HTTP_OK, answer, 0);
 }
 
 static void
@@ -82,7 +85,7 @@
 {
   Relay *relay = data;
   ws_peer_end_relay(core, relay->owner);
-  if (status != 200 && relay->via == relay->owner) {
+  if (status != WS_HTTP_OK && relay->via == relay->owner) {
     WsNodeIndex third = find_third_node(core, relay);
     if (third != WS_NO_NODE) {
       relay->via = third;
@@ -90,7 +93,7 @@
       return;
     }
   }
-  if (status == 200)
+  if (status == WS_HTTP_OK)
     answer_as_owner(core, relay, body);
   else
     answer_without_owner(core, relay->heartbeat, relay->request);
@@ -127,10 +130,10 @@
 static void
 on_forwarded(WsCore *core, guint status, const json_t *body, gpointer data)
 {
-  if (status == 200)
-    ws_answer(core, data, 200, json_incref((json_t *)body), 0);
+  if (status == WS_HTTP_OK)
+    ws_answer(core, data, WS_HTTP_OK, json_incref((json_t *)body), 0);
   else
-    ws_answer_later(core, data, 1);
+    ws_answer_later(core, data, RETRY_AFTER_S);
 }
 
 static void
@@ -140,11 +143,11 @@
   g_autoptr(GError) error = NULL;
   g_autoptr(WsHeartbeat) heartbeat = ws_heartbeat_parse(message, &error);
   if (heartbeat == NULL)
-    ws_answer_reason(core, request, 400, error->message);
+    ws_answer_reason(core, request, WS_HTTP_BAD_REQUEST, error->message);
   else if (ws_authority_check_lease_renewal(core, heartbeat->fencing_token) != WS_REFUSAL_NONE)
-    ws_answer_later(core, request, 1);
+    ws_answer_later(core, request, RETRY_AFTER_S);
   else
-    ws_answer(core, request, 200, ws_workers_answer_heartbeat(core, heartbeat), 0);
+    ws_answer(core, request, WS_HTTP_OK, ws_workers_answer_heartbeat(core, heartbeat), 0);
 }
 
 void
@@ -152,13 +155,13 @@
 {
   WsRelayMessage relayed;
   if (!ws_relay_message_parse(message, &relayed)) {
-    ws_answer_reason(core, request, 400, "malformed");
+    ws_answer_reason(core, request, WS_HTTP_BAD_REQUEST, "malformed");
     return;
   }
   WsNodeIndex owner = ws_settings_find_node(core->settings, relayed.owner);
   if (!ws_is_active_member(core) || relayed.epoch != core->replica->epoch.number
       || owner == WS_NO_NODE)
-    ws_answer_later(core, request, 1);
+    ws_answer_later(core, request, RETRY_AFTER_S);
   else if (owner == core->settings->self)
     answer_relayed_heartbeat(core, relayed.heartbeat, request);
   else
--- a/src/workers/ws-worker-rpc.c
+++ b/src/workers/ws-worker-rpc.c
@@ -8,6 +8,7 @@
 #include "workers/ws-workers-private.h"
 
 #include "membership/ws-membership.h"
+#include "protocol/ws-status-codes.h"
 #include "storage/ws-gang-phase.h"
 
 /* Calls in flight at once. Further launches go with the answers to heartbeats, except those of
@@ -40,7 +41,7 @@
   g_autofree CommandCall *call = data;
   WsMachine *machine = ws_replica_machine(core->replica, call->machine);
   core->workers->rpcs_in_flight--;
-  if (status != 0 && is_counted(call, machine))
+  if (status != WS_HTTP_NO_RESPONSE && is_counted(call, machine))
     machine->worker.indeterminate_launches--;
   g_autoptr(WsHeartbeat) heartbeat = ws_heartbeat_parse_command_reply(status, body, machine->name);
   if (heartbeat != NULL && ws_owns_machine(core, machine))
--- a/src/workers/ws-workers.c
+++ b/src/workers/ws-workers.c
@@ -3,8 +3,9 @@
  */
 #include "workers/ws-workers-private.h"
 
-#include "membership/ws-membership.h"
 #include "fleet/ws-fleet.h"
+#include "membership/ws-membership.h"
+#include "protocol/ws-status-codes.h"
 
 /* A worker that was redirected and comes back can't reach the owner: for so long it isn't
    redirected again, and its heartbeats are relayed. */
@@ -13,6 +14,8 @@
 #define UNREACHED_OWNER_RETRY_MS 2000
 /* The share of its lease for which a worker that came back isn't turned away again. */
 #define KEPT_LEASE_SHARE 0.6
+/* Retry-After of a heartbeat that this node doesn't answer now. */
+#define RETRY_AFTER_S 1
 
 WsWorkers *
 ws_workers_new(void)
@@ -74,8 +77,8 @@
     return;
   }
   machine->worker.redirected_ms = core->now;
-  ws_answer(core, request, 421, ws_redirect_encode(ws_settings_node(core->settings, owner)->name),
-            0);
+  ws_answer(core, request, WS_HTTP_MISDIRECTED_REQUEST,
+            ws_redirect_encode(ws_settings_node(core->settings, owner)->name), 0);
 }
 
 /* Whether this node deals with the heartbeat at all. */
@@ -122,21 +125,21 @@
   g_autoptr(WsHeartbeat) heartbeat = ws_heartbeat_parse(message, &error);
   if (heartbeat == NULL) {
     g_warning("a heartbeat was refused: %s", error->message);
-    ws_answer_reason(core, request, 400, error->message);
+    ws_answer_reason(core, request, WS_HTTP_BAD_REQUEST, error->message);
     return;
   }
   ws_liveness_note_heartbeat(core);
   if (!is_accepted(core, heartbeat)) {
-    ws_answer_later(core, request, 1);
+    ws_answer_later(core, request, RETRY_AFTER_S);
     return;
   }
   WsMachine *machine = ws_replica_get_machine(core->replica, heartbeat->machine);
   ws_replica_describe_machine(core->replica, machine, heartbeat->type, heartbeat->zone,
                               heartbeat->is_spot);
   if (turns_away(core, machine))
-    ws_answer_later(core, request, 1);
+    ws_answer_later(core, request, RETRY_AFTER_S);
   else if (machine->owner != core->settings->self)
     redirect_or_relay(core, machine, body, length, request);
   else
-    ws_answer(core, request, 200, ws_workers_answer_heartbeat(core, heartbeat), 0);
+    ws_answer(core, request, WS_HTTP_OK, ws_workers_answer_heartbeat(core, heartbeat), 0);
 }
