--- a/src/api/ws-admission.c
+++ b/src/api/ws-admission.c
@@ -1,13 +1,15 @@
+/* Admission control: whether a submitted job could ever run here. */
 #include "api/ws-admission.h"
 
 #include "storage/ws-constraints.h"
 
 #include <string.h>
 
-/* What a job's record holds beside its submission. */
+/* What a job's record needs beside its submission. */
 #define JOB_RECORD_OVERHEAD_BYTES 160
 
-/* Whether the store takes the job's record, also with what is added to it later. */
+/* Whether the job's record fits into one value of the store, also with what is added to it later.
+ */
 static gboolean
 fits_record(const WsCore *core, const WsJobSpec *spec)
 {
--- a/src/api/ws-job-api.c
+++ b/src/api/ws-job-api.c
@@ -1,6 +1,6 @@
 /**
- * Decides on users' requests by the replica, brought up to date by a linearizable read where
- * another node may know better.
+ * Decides on users' requests by the replica. Where it may be older than what another node has
+ * written, a linearizable read brings it up to date first.
  */
 #include "api/ws-job-api.h"
 #include "api/ws-admission.h"
@@ -13,11 +13,11 @@
 #include <string.h>
 
 #define JOBS_PATH "/api/jobs"
-#define CANCELLATION "withdraw"
+#define CANCELLATION "withdraw" /* the last part of the path of a cancellation */
 /* A path with more parts below JOBS_PATH than an id and CANCELLATION is unknown. */
 #define MAX_PATH_PARTS 3
 #define MAX_BODY_BYTES 65536
-/* How often a request is decided before its user is asked to retry. */
+/* How often the transaction of a request may conflict before its user has to retry. */
 #define MAX_TRIES 4
 /* Retry-After: after a request that may succeed soon, and while the store is unavailable. */
 #define RETRY_AFTER_S 1
@@ -31,7 +31,7 @@
   WsJobSpec *spec; /* of a submission */
   gpointer handle; /* for ws_answer() */
   guint tries;
-  gboolean has_read; /* a linearizable read has ended since the request came in */
+  gboolean has_read; /* a linearizable read has succeeded since the request came in */
 } UserRequest;
 
 static void decide(WsCore *core, UserRequest *user_request);
@@ -99,8 +99,9 @@
     finish_later(core, user_request);
 }
 
-/* A final state never changes. Everything else, and every refusal, is decided by a replica that was
-   brought up to date after the request came in: another node may know better. */
+/* A final state never changes, so it is answered at once. Everything else, and every refusal, is
+   decided by a replica that was brought up to date after the request came in, since another node
+   may have changed the job. */
 static void
 decide_after_read(WsCore *core, UserRequest *user_request)
 {
@@ -166,7 +167,7 @@
     return;
   }
   const char *reason = ws_admission_refusal(core, user_request->spec);
-  /* Another node, of an older version maybe, may have accepted it by its own rules. */
+  /* Another node, perhaps of an older version with other rules, may have accepted the job. */
   if (reason != NULL && !user_request->has_read)
     ws_store_linearizable_read(core, on_read, user_request);
   else if (reason != NULL)
@@ -192,8 +193,8 @@
   finish_with_status(core, user_request, WS_HTTP_OK, job);
 }
 
-/* The record of a job that never had an assignment is final at once. The absence of its chunk is a
-   condition then, since an assignment doesn't change the job's own key. */
+/* Cancels the job. If it never had an assignment its record is final at once; the transaction then
+   depends on the absence of its chunk, since an assignment doesn't change the job's own key. */
 static void
 cancel(WsCore *core, UserRequest *user_request, const WsJob *job)
 {
@@ -240,7 +241,7 @@
   UserRequest *user_request = g_new0(UserRequest, 1);
   *user_request
       = (UserRequest){ .kind = kind, .id = g_strdup(id), .spec = spec, .handle = request };
-  /* A new id needs no read: the transaction itself finds out whether it is new. */
+  /* A new id needs no read: the transaction fails if another node has accepted the same id. */
   if (kind == REQUEST_SUBMIT && job == NULL)
     decide(core, user_request);
   else
--- a/src/core/ws-core.c
+++ b/src/core/ws-core.c
@@ -1,4 +1,4 @@
-/* The core: connects the packages, and takes each input through them in a fixed order. */
+/* The core: connects the packages, and has them process each input in a fixed order. */
 #include "core/ws-core.h"
 
 #include "api/ws-job-api.h"
@@ -13,7 +13,7 @@
 #include <string.h>
 
 #define RECONCILIATION_PERIOD_MS 250
-/* When the core stops, an ended call may lead to another one, but not for ever. */
+/* When the core stops, the end of one call may lead to another call; so often at most. */
 #define MAX_STOP_ROUNDS 20
 
 #define PATH_READY "/ready"
@@ -21,7 +21,7 @@
 /* Retry-After while the node isn't ready. */
 #define READY_RETRY_AFTER_S 1
 
-/* What lower packages call in higher ones. */
+/* The functions of higher packages that lower ones call. */
 static const WsHandlers HANDLERS = {
   .request_termination = ws_termination_request_mark,
   .note_worker_status = ws_workers_note_status,
@@ -120,7 +120,7 @@
   return g_queue_pop_head(&core->outputs);
 }
 
-/* What is measured since a time before the pause starts afresh. */
+/* Restarts the idle timeouts after a pause of the process. */
 static void
 notice_stall(WsCore *core, gint64 now_ms)
 {
@@ -133,7 +133,7 @@
   }
 }
 
-/* Takes over the time of an input. The monotonic time never goes back. */
+/* Sets the clocks to the time of an input. The monotonic one never goes back. */
 static void
 set_time(WsCore *core, gint64 now_ms, gint64 wall_ms)
 {
@@ -142,7 +142,7 @@
   core->wall = wall_ms;
 }
 
-/* In a new epoch everything that rested on the former shards and leader starts afresh. */
+/* In a new epoch all state that depends on the previous shards and leader is reset. */
 static void
 handle_epoch_change(WsCore *core)
 {
@@ -163,8 +163,8 @@
     ws_cancelled_tasks_enforce(core);
 }
 
-/* Does what follows from an input. Each step may leave work for those after it, and the last one
-   sends what the others have written. */
+/* Processes the consequences of an input. Each step may create work for the following ones, and the
+   last one sends the writes of all others. */
 static void
 process_consequences(WsCore *core)
 {
@@ -185,7 +185,7 @@
     ws_write_stats_log(core, ws_assignments_oldest_age_ms(core), ws_releases_oldest_age_ms(core));
 }
 
-/* The periodic comparison of what is wanted with what is there. */
+/* The periodic reconciliation of the desired state with the observed one. */
 static void
 reconcile(WsCore *core)
 {
--- a/src/fleet/ws-cloud-list.c
+++ b/src/fleet/ws-cloud-list.c
@@ -1,5 +1,6 @@
 /**
- * Reconciliation with the cloud's list of machines, page by page.
+ * Reconciles the records with the cloud's list of machines, page by page. Machines without a record
+ * get one in a rental batch of their own, to be used or returned like all others.
  */
 #include "fleet/ws-fleet-private.h"
 
@@ -12,15 +13,15 @@
 
 #define LIST_TIMEOUT_MS 4000
 #define LIST_PAGE_MACHINES 500u
-/* A machine without a record is taken for one after this multiple of the time by which lists lag
-   behind: a list may be older than the one before, and show a machine that an earlier leader
-   returned. */
+/* A machine without a record gets one only after it has been listed for this multiple of the time
+   by which lists lag behind: a list may be older than the previous one, and show a machine that an
+   earlier leader has returned. */
 #define LIST_LAG_FACTOR 3.0
 
 struct _WsCloudList {
   gint64 next_call_ms;
   gboolean call_in_flight;
-  char *last_id;      /* the last machine of the page before; NULL: the list begins anew */
+  char *last_id;      /* the last machine of the previous page; NULL: the next page is the first */
   guint64 last_batch; /* number of the last rental batch of unexpected machines in this run */
 };
 
@@ -136,8 +137,9 @@
   g_array_unref(machines);
 }
 
+/* How long a machine without a record must have been listed before it gets one. */
 static gint64
-first_listing_ms(const WsCore *core)
+unrecorded_grace_ms(const WsCore *core)
 {
   return (gint64)(core->settings->list_lag_s * (LIST_LAG_FACTOR * 1000.0));
 }
@@ -151,7 +153,7 @@
   if (!machine->is_recorded) {
     if (machine->fleet.listed_ms == 0)
       machine->fleet.listed_ms = core->now;
-    if (core->now - machine->fleet.listed_ms < first_listing_ms(core))
+    if (core->now - machine->fleet.listed_ms < unrecorded_grace_ms(core))
       return;
     ws_replica_describe_machine(core->replica, machine, listed->type, listed->zone,
                                 listed->is_spot);
@@ -169,8 +171,8 @@
 {
   (void)data;
   WsCloudList *list = core->fleet->cloud_list;
-  gboolean more = FALSE;
-  g_autoptr(GPtrArray) machines = status == WS_HTTP_OK ? ws_listing_parse(body, &more) : NULL;
+  gboolean has_more = FALSE;
+  g_autoptr(GPtrArray) machines = status == WS_HTTP_OK ? ws_listing_parse(body, &has_more) : NULL;
   list->call_in_flight = FALSE;
   list->next_call_ms = core->now + (gint64)(core->settings->list_lag_s * 1000.0);
   g_clear_pointer(&list->last_id, g_free);
@@ -178,7 +180,7 @@
     return;
   for (guint i = 0; i < machines->len; i++)
     handle_listed(core, g_ptr_array_index(machines, i));
-  if (more && machines->len > 0) {
+  if (has_more && machines->len > 0) {
     list->last_id
         = g_strdup(((WsListedMachine *)g_ptr_array_index(machines, machines->len - 1))->id);
     list->next_call_ms = core->now;
--- a/src/fleet/ws-consolidation.c
+++ b/src/fleet/ws-consolidation.c
@@ -1,10 +1,10 @@
 /**
- * Consolidation: a machine with only a few tasks of services, which fit on other machines, is
- * terminated in the same way as an empty one.
+ * Consolidation: a machine that is at most half used, by tasks of services that fit on other
+ * machines, is terminated in the same way as an idle one.
  *
- * Each move interrupts a service for a moment. So tasks move only to machines that have the image,
- * when no task waits for capacity, and from few machines at a time, of which no two have tasks of
- * the same service.
+ * Each move interrupts a service for a moment. So tasks move only to machines that have the image
+ * cached, only when no task waits for capacity, and from few machines at a time, of which no two
+ * have tasks of the same service.
  */
 #include "fleet/ws-fleet-private.h"
 
@@ -13,11 +13,11 @@
 #include "storage/ws-constraints.h"
 #include "storage/ws-mark-reasons.h"
 
-/* Machines compared with all others in vain in one tick. */
+/* Candidates per tick that turn out not to fit elsewhere: each is compared with all machines. */
 #define MAX_FAILED_CANDIDATES 4
-/* One in so many machines is consolidated at a time. */
+/* At most one machine, and one more for every so many machines, is consolidated at a time. */
 #define MACHINES_PER_CONSOLIDATION 50
-/* How long each node's turn is; it selects machines in the first half only. */
+/* How long each node's turn is; it selects machines in the first half of it only. */
 #define TURN_MS 2000
 /* How long after the beginning of an epoch machines may be consolidated. */
 #define EPOCH_SETTLING_MS 15000
@@ -76,8 +76,8 @@
          && may_move(core, job, machine->zone, target->zone);
 }
 
-/* Whether all its tasks may move, none of them of a service of which another moves already, and
-   none is planned to move here. */
+/* Whether all tasks of the machine may move: each is of a service of which no other task moves, and
+   no task is planned to move to this machine. */
 static gboolean
 may_be_source(const WsCore *core, const Batch *batch, const WsMachine *machine)
 {
@@ -105,7 +105,8 @@
   return NULL;
 }
 
-/* Plans a target for each task; if one has none, what was planned for the others stays. */
+/* Plans a target for each task; FALSE: one has none. What was planned for the others isn't undone
+   then, so that capacity counts as taken until the next tick. */
 static gboolean
 plan_moves(const WsCore *core, Batch *batch, const WsMachine *machine)
 {
@@ -131,6 +132,7 @@
   ws_termination_request_mark(core, machine, WS_MARK_REASON_CONSOLIDATION, FALSE);
 }
 
+/* Whether the machine is up, may be terminated and is at most half used. */
 static gboolean
 is_underused(const WsCore *core, const WsMachine *machine)
 {
@@ -180,12 +182,13 @@
       continue;
     }
     failed++;
-    machine->fleet.underused_ms = core->now; /* the others are candidates first */
+    machine->fleet.underused_ms = core->now; /* the other candidates come first */
   }
 }
 
-/* Nodes take turns by the wall clock: three that began at the same moment all planned with the same
-   free capacity, and a service's task waited half a minute for a new machine. */
+/* Whether it is this node's turn by the wall clock. When three nodes planned at the same moment,
+   all counted on the same free capacity, and a service's task waited half a minute for a new
+   machine. */
 static gboolean
 is_our_turn(const WsCore *core)
 {
--- a/src/fleet/ws-fleet.c
+++ b/src/fleet/ws-fleet.c
@@ -1,5 +1,6 @@
 /**
- * The leader's calls to the cloud within its rate limit, its catalog, and machines that don't boot.
+ * The leader's calls to the cloud within the cloud's rate limit, the cloud's catalog, and the
+ * termination of machines that don't boot.
  */
 #include "fleet/ws-fleet-private.h"
 
@@ -11,7 +12,7 @@
 #define CATALOG_REFRESH_MS 60000
 #define CATALOG_RETRY_MS 1500
 #define CATALOG_TIMEOUT_MS 3000
-/* A machine hasn't booted after this multiple of its type's boot time, and a margin. */
+/* A machine has failed to boot after this multiple of its type's boot time, and a margin. */
 #define BOOT_TIMEOUT_FACTOR 2.0
 #define BOOT_TIMEOUT_MARGIN_S 5.0
 /* The share of the cloud's rate limit that is used, and the bursts that it allows. */
@@ -95,7 +96,7 @@
           NULL);
 }
 
-/* Whether the machine is empty and was never heard, with no partition as the reason. */
+/* Whether the machine is empty and has never sent a heartbeat, although its zone is reachable. */
 static gboolean
 is_not_up(const WsCore *core, const WsMachine *machine)
 {
@@ -104,8 +105,9 @@
          && !ws_zone_is_partitioned(core, machine->zone);
 }
 
-/* A machine that doesn't boot is charged all the same. After an epoch begins, the workers of those
-   that are up have a lease to find their owner, and the owners to announce them. */
+/* Terminates machines that haven't booted in time, since they are charged all the same. After an
+   epoch begins, workers that are up get the time of one lease to find their owner, and owners to
+   announce them. */
 static void
 terminate_never_up(WsCore *core)
 {
--- a/src/fleet/ws-headroom.c
+++ b/src/fleet/ws-headroom.c
@@ -1,13 +1,14 @@
 /**
- * How much capacity is kept for the next critical job.
+ * Headroom: the placement slots that are kept for the next critical job.
  *
- * Slots are free ones and those of arrays, whose tasks may be preempted for a critical task.
+ * A slot counts if it is free, or in use by a task of an array, which may be preempted for a
+ * critical task.
  */
 #include "fleet/ws-fleet-private.h"
 
 #include "membership/ws-membership.h"
 
-/* A machine is taken for booting for this multiple of its type's boot time. */
+/* A machine counts as booting for this multiple of its type's boot time. */
 #define BOOTING_FACTOR 1.6
 
 gboolean
@@ -39,7 +40,7 @@
          && (ws_machine_is_booting(core, machine) || ws_machine_is_up(core, machine));
 }
 
-/* What tasks of services leave of the machine. */
+/* The machine's capacity less what tasks of services use. */
 static WsResources
 capacity_beside_services(const WsReplica *replica, const WsMachine *machine)
 {
--- a/src/fleet/ws-mark-cleanup.c
+++ b/src/fleet/ws-mark-cleanup.c
@@ -1,6 +1,6 @@
 /**
- * The end of termination marks: what the records have on returned machines is released, then their
- * marks are cleared together with their places in rental batches.
+ * Completes the termination of returned machines: releases the tasks that are still recorded there,
+ * then clears the marks and removes the machines from their rental batches.
  */
 #include "fleet/ws-fleet-private.h"
 
@@ -36,40 +36,45 @@
                     const GArray *removed)
 {
   g_autofree char *key = ws_key(WS_KEYS_RENTAL_BATCH, rental_batch->name);
-  g_autoptr(GArray) left = g_array_new(FALSE, FALSE, sizeof(WsMachineIndex));
+  g_autoptr(GArray) remaining = g_array_new(FALSE, FALSE, sizeof(WsMachineIndex));
   for (guint i = 0; i < rental_batch->machines->len; i++) {
     WsMachineIndex machine = g_array_index(rental_batch->machines, WsMachineIndex, i);
     if (!contains_machine(removed, machine))
-      g_array_append_val(left, machine);
+      g_array_append_val(remaining, machine);
   }
-  if (left->len == rental_batch->machines->len)
+  if (remaining->len == rental_batch->machines->len)
     return;
   WsRentalBatch smaller = *rental_batch;
-  smaller.machines = left;
+  smaller.machines = remaining;
   ws_txn_compare(txn, core->replica, key);
-  if (left->len > 0)
+  if (remaining->len > 0)
     ws_txn_put(txn, key, ws_rental_batch_encode(&smaller, core->replica));
   else
     ws_txn_delete(txn, key);
 }
 
-/* How many rental batches would change. */
+static gboolean
+batch_contains_any(const WsRentalBatch *rental_batch, const GArray *machines)
+{
+  for (guint i = 0; i < rental_batch->machines->len; i++)
+    if (contains_machine(machines, g_array_index(rental_batch->machines, WsMachineIndex, i)))
+      return TRUE;
+  return FALSE;
+}
+
+/* In how many rental batches the machines are. */
 static guint
 count_batches_of(const WsCore *core, const GArray *machines)
 {
   guint count = 0;
-  for (guint i = 0; i < core->replica->rental_batches->len; i++) {
-    const WsRentalBatch *rental_batch = g_ptr_array_index(core->replica->rental_batches, i);
-    gboolean any = FALSE;
-    for (guint k = 0; k < rental_batch->machines->len && !any; k++)
-      any = contains_machine(machines, g_array_index(rental_batch->machines, WsMachineIndex, k));
-    count += any ? 1 : 0;
-  }
+  for (guint i = 0; i < core->replica->rental_batches->len; i++)
+    if (batch_contains_any(g_ptr_array_index(core->replica->rental_batches, i), machines))
+      count++;
   return count;
 }
 
-/* Clears the marks together with the machines' places in their rental batches, as many as fit into
-   one transaction. */
+/* Clears the marks and removes the machines from their rental batches, as many as fit into one
+   transaction. */
 static void
 clear_marks(WsCore *core, GArray *machines /* taken */)
 {
@@ -92,7 +97,7 @@
   ws_txn_commit(core, txn, WS_REQUEST_OTHER, on_marks_cleared, machines);
 }
 
-/* The machine is gone for good, with everything on it. */
+/* Releases all tasks recorded on the machine, which is gone for good. */
 static void
 release_tasks(WsCore *core, WsMachine *machine)
 {
@@ -105,9 +110,9 @@
   }
 }
 
-/* Whether tasks are recorded on a machine that no rental batch names any more and that hasn't been
-   heard for as long as its lease. Only the cloud's confirmed return takes a machine out of
-   its rental batch, and nothing is assigned to one that is in none: so the tasks are gone. */
+/* Whether tasks are recorded on a machine that is in no rental batch any more and that has sent no
+   heartbeat for the duration of a lease. A machine leaves its rental batch only once the cloud has
+   confirmed its return, and nothing is assigned to one that is in none: so the tasks are gone. */
 static gboolean
 is_orphaned(const WsCore *core, const WsMachine *machine)
 {
--- a/src/fleet/ws-rentals.c
+++ b/src/fleet/ws-rentals.c
@@ -1,5 +1,6 @@
 /**
- * Scale out: the intent in the store, the request to the cloud, the rental batch in its place.
+ * Scale out: an intent is written to the store, the request is sent to the cloud, and a rental
+ * batch with the new machines replaces the intent.
  */
 #include "fleet/ws-fleet-private.h"
 
@@ -9,8 +10,9 @@
 
 #define MIN_CAPACITY_BACKOFF_MS 5000
 #define MAX_CAPACITY_BACKOFF_MS 40000
-/* A request in vain costs two writes to the store: the intent, and its end. Requests for all kinds
-   of machines in vain take no more than this share of the store's writes. */
+/* A rental that fails for lack of capacity costs two writes to the store: the intent, and its
+   deletion. Failed rentals of all kinds of machines together take no more than this share of the
+   store's writes. */
 #define FAILED_RENTALS_WRITE_SHARE 0.03
 #define WRITES_PER_RENTAL 2.0
 #define RENTAL_RETRY_MS 1500
@@ -20,7 +22,7 @@
 #define KIND_ZONE_SHIFT 1u
 #define KIND_TYPE_SHIFT 16u
 
-/* Until when a kind of machine isn't requested, since the cloud had none. */
+/* Until when a kind of machine isn't requested, since the cloud had no capacity for it. */
 typedef struct {
   gint64 until_ms;
   guint backoff_ms;
@@ -31,7 +33,7 @@
   guint64 last_request;   /* number of the last request in this run */
   WsTxn *intents;         /* the transaction that is being put together, or NULL */
   gboolean is_writing;    /* a transaction of intents is in flight */
-  GHashTable *in_flight;  /* names of requests that are with the cloud or being closed */
+  GHashTable *in_flight;  /* names of requests sent to the cloud whose intents still exist */
   GHashTable *next_tries; /* name of a request -> when it may be sent again (gint64) */
 };
 
@@ -68,7 +70,8 @@
   return backoff != NULL && core->now < backoff->until_ms;
 }
 
-/* How many times longer than usual the back-off is where writes are few and kinds are many. */
+/* By which factor the back-off is lengthened: above 1 where the store takes few writes and there
+   are many kinds of machines. */
 static double
 backoff_factor(const WsCore *core)
 {
@@ -108,8 +111,8 @@
   core->fleet->rentals->is_writing = FALSE;
 }
 
-/* While a rental waits for the cloud's rate limit, further demand accumulates: fewer and larger
-   requests get the machines sooner than many small ones. */
+/* Whether a rental still waits for the cloud's rate limit. Further demand accumulates meanwhile:
+   few large requests get the machines sooner than many small ones. */
 static gboolean
 has_unsent_intent(const WsCore *core)
 {
@@ -196,8 +199,8 @@
   g_free(request);
 }
 
-/* Adds the first machines of the names to the transaction as one rental batch. Returns how many
-   names were used up. */
+/* Adds one rental batch to the transaction, with the machines from the index @first of the names
+   on. Returns how many names were consumed. */
 static guint
 add_rental_batch(WsCore *core, WsTxn *txn, const WsRentalIntent *intent, guint number,
                  GPtrArray *names, guint first)
@@ -226,23 +229,25 @@
   return next - first;
 }
 
-/* The intent goes and the machines get their rental batch in one transaction; more rental batches
-   than one, where their names are long. What doesn't fit is found in the cloud's list. */
+/* Replaces the intent by the machines' rental batch in one transaction, or by several batches if
+   the machines' names are too long for one record. Machines that don't fit into the transaction are
+   found later in the cloud's list. */
 static void
 close_intent(WsCore *core, const WsRentalIntent *intent, GPtrArray *names)
 {
   g_autofree char *key = ws_key(WS_KEYS_RENTAL_INTENT, intent->request);
   WsTxn *txn = ws_txn_new();
   ws_txn_compare(txn, core->replica, WS_KEY_EPOCH);
-  /* Carried out late, after the rental batch has shrunk, it would bring returned machines back. */
+  /* Committed late, after the rental batch has shrunk, the transaction would record machines again
+     that were returned. */
   ws_txn_compare(txn, core->replica, key);
   ws_txn_delete(txn, key);
-  guint used = 0, step = 1;
-  for (guint number = 0; names != NULL && step > 0 && used < names->len
+  guint consumed = 0, added = 1;
+  for (guint number = 0; names != NULL && added > 0 && consumed < names->len
                          && ws_txn_operation_count(txn) < core->settings->state_txn_ops;
        number++) {
-    step = add_rental_batch(core, txn, intent, number, names, used);
-    used += step;
+    added = add_rental_batch(core, txn, intent, number, names, consumed);
+    consumed += added;
   }
   ws_txn_commit(core, txn, WS_REQUEST_TASK, on_intent_closed, g_strdup(intent->request));
 }
--- a/src/fleet/ws-returns.c
+++ b/src/fleet/ws-returns.c
@@ -1,5 +1,5 @@
 /**
- * Scale in: returns of marked machines to the cloud, and unmarked ones in an outage of the store.
+ * Scale in: returns marked machines to the cloud, and unmarked ones during an outage of the store.
  */
 #include "fleet/ws-fleet-private.h"
 
@@ -36,8 +36,8 @@
   g_free(returns);
 }
 
-/* Late heartbeats and old lists still show machines that were returned; names are never used again.
- */
+/* Delayed heartbeats and old lists may still show machines that were returned. The cloud never
+   reuses a name. */
 gboolean
 ws_returns_is_confirmed(const WsCore *core, const char *name)
 {
@@ -46,7 +46,7 @@
          || g_hash_table_contains(core->fleet->returns->confirmed, name);
 }
 
-/* The cloud has capacity for what was returned. */
+/* Notes the confirmed return, and that the cloud has capacity for machines of that kind again. */
 static void
 note_returned(WsCore *core, const char *name)
 {
@@ -98,9 +98,9 @@
               machine->name);
 }
 
-/* The records are repaired as soon as the store is available: the mark follows the return, and is
-   cleared with the machine's place in its rental batch as always. If this process ends before, the
-   machine is silent with tasks on record, which the failure detector finds. */
+/* Returns machines without a mark. The records are repaired as soon as the store is available: the
+   mark is written after the return, and cleared in the usual way. If this process ends before that,
+   the failure detector finds the machine, which sends no heartbeats but has recorded tasks. */
 void
 ws_returns_tick_unmarked(WsCore *core)
 {
@@ -121,9 +121,10 @@
   send_return(core, names);
 }
 
-/* Whether the replica has all that was assigned to the machine: from its mark on it gets nothing
-   new, and what was assigned before, also by an indeterminate transaction, is known once the watch
-   has passed the mark. A machine was returned as empty whose tasks had just been assigned. */
+/* Whether the replica has every assignment to the marked machine. After the mark nothing is
+   assigned to it, and what was assigned before, also by an indeterminate transaction, is in the
+   replica once the watch has passed the mark's revision. Without this check a machine was once
+   returned as empty whose tasks had just been assigned. */
 gboolean
 ws_returns_knows_assignments(const WsCore *core, const WsMachine *machine)
 {
--- a/src/fleet/ws-termination.c
+++ b/src/fleet/ws-termination.c
@@ -3,8 +3,8 @@
  *
  * The owner selects a machine that was empty for the idle timeout and, if the disruption budget
  * allows it, has the leader write the mark; from then on the machine gets no new tasks. The leader
- * returns what is marked and empty (see ws-returns.c) and clears the mark once the cloud has
- * confirmed. Marks are stored, so whoever leads goes on with them.
+ * returns machines that are marked and empty (see ws-returns.c) and clears the marks once the cloud
+ * has confirmed. Marks are stored, so the next leader continues with them.
  */
 #include "fleet/ws-fleet-private.h"
 
@@ -14,9 +14,9 @@
 
 #include <string.h>
 
-/* After so long without the mark a request for it is taken for lost. */
+/* A request for a mark that hasn't been written after so long counts as lost. */
 #define MARK_REQUEST_TIMEOUT_MS 5000
-/* A machine is faulty once so many jobs have failed there since one last succeeded. */
+/* A machine counts as faulty once so many jobs have failed there since one last succeeded. */
 #define FAULTY_FAILED_JOBS 2
 
 static const WsBudget *
@@ -80,7 +80,7 @@
 typedef struct {
   WsMachineIndex machine;
   char *reason;
-  gboolean immediately; /* without drain */
+  gboolean immediately; /* without draining the machine */
 } MarkRequest;
 
 struct _WsTermination {
@@ -158,7 +158,8 @@
   if (machine->fleet.mark_is_pending || has_mark(machine, immediately)
       || !ws_store_is_available(core))
     return;
-  /* Owners take a returned machine for silent until its mark is cleared. */
+  /* Until the mark of a returned machine is cleared, its owner's failure detector suspects it and
+     requests another mark. */
   if (machine->is_marked && ws_returns_is_confirmed(core, machine->name))
     return;
   machine->fleet.mark_is_pending = TRUE;
@@ -171,8 +172,8 @@
   g_array_append_val(core->fleet->termination->requested, request);
 }
 
-/* Asked again for a request that the leader writes: two owners may have chosen at once what the
-   budget allows only one of. */
+/* Whether the leader may still write the mark: two owners may have requested marks at the same
+   time, of which the budget allows only one. */
 static gboolean
 is_still_allowed(const WsCore *core, const WsMachine *machine, const MarkRequest *request)
 {
@@ -182,7 +183,7 @@
          || budget_allows(core, machine);
 }
 
-/* Moves the first request into the transaction, or drops it. */
+/* Moves the first request into the transaction, or drops it if it isn't allowed any more. */
 static void
 write_first_request(WsCore *core, WsTxn *txn)
 {
@@ -245,8 +246,9 @@
          && (machine->is_spot || ws_headroom_remains_without(core, machine));
 }
 
-/* While the store is unavailable nothing is placed: a machine that is empty then isn't idle. Dozens
-   were returned at the end of an outage, with hundreds of jobs waiting. */
+/* Requests a mark for a machine that has been empty for the idle timeout. The time of an outage of
+   the store doesn't count, since nothing is placed then: dozens of machines were once returned at
+   the end of an outage while hundreds of jobs waited. */
 static void
 mark_if_idle(WsCore *core, WsMachine *machine)
 {
@@ -280,8 +282,8 @@
 {
   for (WsMachineIndex i = 0; i < core->replica->machines->len; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, i);
-    /* Also on machines that this node no longer owns: one that had requested a mark and then led
-       refused all other requests for that machine, and it was never returned. */
+    /* Also on machines that this node no longer owns: a node that had requested a mark and then
+       became leader refused all other requests for that machine, and it was never returned. */
     if (machine->fleet.mark_is_pending
         && core->now - machine->fleet.mark_pending_ms > MARK_REQUEST_TIMEOUT_MS)
       machine->fleet.mark_is_pending = FALSE;
--- a/src/workers/ws-cancelled-tasks.c
+++ b/src/workers/ws-cancelled-tasks.c
@@ -1,8 +1,9 @@
 /**
- * Ends the tasks of cancelled jobs.
+ * Halts the tasks of cancelled jobs.
  *
- * Every node halts them, on whichever machine: a halt does no harm, so the owner's right isn't
- * needed. A machine that hasn't confirmed the end of such a task in time is returned.
+ * Every node does so, whoever owns the machine: the job is cancelled for good, so a halt is safe
+ * from any node. A machine that hasn't confirmed in time that such a task has exited is returned to
+ * the cloud.
  */
 #include "workers/ws-workers-private.h"
 
@@ -14,16 +15,16 @@
 
 #include <string.h>
 
-/* The owner halts at once; the others do if the records don't show the end by then. */
+/* The owner halts at once; the other nodes only after this delay, if the task is still recorded. */
 #define NON_OWNER_HALT_DELAY_MS 1500
 #define HALT_RETRY_MS 1000
 #define HALT_TIMEOUT_MS 2000
-/* After a call without an answer: unreachable machines must not use up the calls. */
+/* After a call without an answer: unreachable machines must not use up MAX_HALTS_IN_FLIGHT. */
 #define UNREACHABLE_HALT_RETRY_MS 4000
 #define MAX_HALTS_IN_FLIGHT 24
 /* Shares of cancel_s: from the first on a machine that hasn't confirmed gets a termination mark,
-   from the second on it is returned without one if the store takes none. The rest is for the cloud.
- */
+   from the second on it is returned without one if the store is unavailable. The remaining time is
+   for the cloud to carry out the return. */
 #define MARK_DEADLINE_SHARE 0.4
 #define RETURN_DEADLINE_SHARE 0.6
 
@@ -49,7 +50,8 @@
 
 /* Halts. */
 
-/* Whether no attempt of the task is left: beside one that was refused as busy another may run. */
+/* Whether no attempt of the task is left on the machine: while one attempt has exited since the
+   machine was busy, another one may be running. */
 static gboolean
 is_halted(const WsHeartbeat *heartbeat, const WsJob *job, const WsAssignment *assignment)
 {
@@ -62,7 +64,8 @@
   return TRUE;
 }
 
-/* The machine's i-th assignment, if its job is cancelled and its end isn't confirmed; or NULL. */
+/* The machine's i-th assignment, if its job is cancelled and the task isn't confirmed to have
+   exited; otherwise NULL. */
 static WsAssignment *
 unhalted_assignment(const WsCore *core, const WsMachine *machine, guint i, WsJob **job)
 {
@@ -74,8 +77,8 @@
              : NULL;
 }
 
-/* Believes the status that a worker gives of itself, unless a launch of this node is indeterminate:
-   it may still be carried out after the status was given. */
+/* Concludes from the worker's own status which tasks have exited; nothing while a launch by this
+   node is indeterminate, since that may still be carried out after the status was sent. */
 static void
 confirm_halted(WsCore *core, WsMachine *machine, const WsHeartbeat *heartbeat)
 {
@@ -122,10 +125,11 @@
     schedule_halt(core, machine, 0);
 }
 
-/* Halts for all that is left of cancelled jobs on the machine.
+/* Halt commands for all tasks of cancelled jobs that remain on the machine.
 
-   The incarnation comes from /status or from the body of a refusal, and a worker takes a fencing
-   token equal to its own from any node: so the halts raise nothing, and fence off no owner. */
+   They carry the incarnation and the fencing token that the worker itself showed, in /status or in
+   the body of a refusal. A worker accepts its own token from any node, so the commands don't raise
+   it and the machine's owner isn't fenced off. */
 static json_t *
 encode_halts(const WsCore *core, const WsMachine *machine)
 {
@@ -142,7 +146,7 @@
                             commands);
 }
 
-/* Halts, or asks for the status where the worker's incarnation isn't known yet. */
+/* Sends halts, or requests the status if the worker's incarnation isn't known yet. */
 static void
 send_halts(WsCore *core, WsMachine *machine)
 {
@@ -171,8 +175,8 @@
 
 /* Returns. */
 
-/* Whether no node that this one reaches can write to the store, and this node is the first of those
-   that reach one another. */
+/* Whether no node that this one reaches can write to the store, and this node is the first among
+   the reachable nodes with a loaded replica: only one of them returns the machine. */
 static gboolean
 may_return_unmarked(const WsCore *core)
 {
@@ -229,7 +233,7 @@
   return_if_late(core, machine, age_ms);
 }
 
-/* @seen: the machines (WsMachineIndex) that were handled before, each of them once. */
+/* @seen: the machines (WsMachineIndex) that were handled already; each is handled once. */
 static void
 enforce_on_job(WsCore *core, const WsJob *job, GHashTable *seen)
 {
--- a/src/workers/ws-launch.c
+++ b/src/workers/ws-launch.c
@@ -1,4 +1,6 @@
-/** Launches what was assigned on this node's machines, by whichever node, as soon as it is known.
+/**
+ * Launches new assignments on this node's machines, whichever node has made them, as soon as the
+ * replica shows them.
  */
 #include "workers/ws-workers-private.h"
 
@@ -15,7 +17,8 @@
   return first->machine < second->machine ? -1 : first->machine > second->machine;
 }
 
-/* The new assignments that are this node's to launch. */
+/* Empties the replica's list of new assignments. Returns those on machines of this node (of
+   Launch). */
 static GArray *
 take_launches(WsCore *core)
 {
@@ -35,7 +38,8 @@
   return launches;
 }
 
-/* Launches those of the first one's machine; returns the place of the next machine's. */
+/* Launches all tasks on the machine of the launch at index @first. Returns the index of the first
+   launch on the next machine. */
 static guint
 launch_on_machine(WsCore *core, const GArray *launches, guint first)
 {
--- a/src/workers/ws-reconciliation.c
+++ b/src/workers/ws-reconciliation.c
@@ -1,9 +1,9 @@
 /**
  * The owner's answer to a heartbeat: the commands that bring a worker to what the records assign.
  *
- * The commands follow from two things only: the records of what is assigned to the machine, and its
- * newest heartbeat. Only the machine's owner works them out, since nobody else may release a task
- * or let the worker forget one.
+ * The commands follow from two inputs only: the recorded assignments of the machine, and its newest
+ * heartbeat. Only the machine's owner computes them, since no other node may release a task or have
+ * the worker reap one.
  */
 #include "workers/ws-workers-private.h"
 
@@ -19,7 +19,7 @@
   gboolean has_present_token; /* the worker has shown the token of the present epoch */
   gboolean is_behind;         /* the replica is older than the epoch */
   gboolean has_halts;
-  gboolean repeats_launch; /* a launch that was answered before doesn't show in the heartbeat */
+  gboolean repeats_launch; /* a launch that was sent earlier doesn't show in the heartbeat */
 } Reconciliation;
 
 static void
@@ -38,8 +38,8 @@
   json_array_append_new(run->commands, ws_command_encode(op, job, task, attempt, grace_s));
 }
 
-/* Whether an absence, or an end, may be acted on: the worker knows the present token, and no launch
-   can arrive late. */
+/* Whether the absence or the exit of a task may be acted on: the worker has the present token, so
+   it refuses older commands, and no indeterminate launch can still arrive. */
 static gboolean
 is_conclusive(const Reconciliation *run)
 {
@@ -56,7 +56,8 @@
   return ws_termination_may_stop(core, machine, job, assignment);
 }
 
-/* A task that the records don't assign here: it ends, and an ended one is forgotten. */
+/* A task that the records don't assign to this machine: it is halted, or reaped if it has exited.
+ */
 static void
 command_unassigned(Reconciliation *run, const WsTaskStatus *task)
 {
@@ -89,8 +90,8 @@
                 ws_halt_grace_s(core, job, assignment));
 }
 
-/* Whether the assignment is to end. One that is about to be released counts: launched again, one
-   that had failed ran on two machines. */
+/* Whether the assignment must not be launched any more. That includes one with a pending release:
+   launched again at that moment, a failed task once ran on two machines. */
 static gboolean
 is_unwanted(const Reconciliation *run, WsJob *job, const WsAssignment *assignment)
 {
@@ -99,8 +100,8 @@
          || ws_releases_is_pending(run->core, job, assignment);
 }
 
-/* An assigned task that the heartbeat doesn't show is launched, again if need be, or released. It
-   isn't launched while a cancellation of it may be unknown here. */
+/* An assigned task that the heartbeat doesn't show is launched (repeatedly, until it shows) or
+   released. It isn't launched while this node may have missed a cancellation of it. */
 static void
 command_absent(Reconciliation *run, WsJob *job, WsAssignment *assignment)
 {
@@ -139,9 +140,9 @@
   }
 }
 
-/* An outbound-unreachable machine, whose heartbeats arrive while answers and commands don't reach
-   it, doesn't show the present token, nor tasks it was to launch, or goes on with what it was to
-   halt. */
+/* Notes since when the heartbeats don't reflect what was sent. If a machine is outbound unreachable
+   (its heartbeats arrive, but answers and commands don't reach it), its heartbeats lack the present
+   token or launched tasks, or still show tasks that were halted. */
 static void
 note_unacknowledged(const Reconciliation *run)
 {
@@ -155,8 +156,8 @@
     machine->worker.unacknowledged_ms = run->core->now;
 }
 
-/* A late copy of a heartbeat may come from a machine that was returned before this node began; only
-   a machine that has had an answer of this epoch is there. */
+/* A delayed copy of a heartbeat may come from a machine that was returned before this node started.
+   Only a machine that has received an answer of this epoch certainly exists. */
 static void
 note_heartbeat(Reconciliation *run)
 {
--- a/src/workers/ws-relay.c
+++ b/src/workers/ws-relay.c
@@ -1,9 +1,9 @@
 /**
- * Heartbeats passed on to the owner of their machine.
+ * Relays heartbeats to the owner of their machine.
  *
- * The owner's answer goes back to the worker as it is. If the owner can't be reached directly, a
- * third node that reaches it is tried. If nobody answers in time, this node answers with its own
- * fencing token and without launches, which renews the lease of the worker's tasks.
+ * The worker gets the owner's answer. If the owner can't be reached directly, a third node that
+ * reaches it is tried. If neither answers in time, this node answers with the present fencing token
+ * and without launches, which renews the lease of the worker's tasks.
  */
 #include "workers/ws-workers-private.h"
 
@@ -15,8 +15,9 @@
 
 #define RELAY_TIMEOUT_MS 1200
 #define FORWARD_TIMEOUT_MS 900
-/* Heartbeats in flight to one owner. When it has just ended, and nobody knows yet, its workers come
-   to this node by the hundred; the others' leases are renewed from here. */
+/* Heartbeats in flight to one owner. After it has crashed, and before that is detected, its workers
+   come to this node by the hundred; for those above the limit this node renews the leases itself.
+ */
 #define MAX_RELAYS_IN_FLIGHT 12
 /* Retry-After of a heartbeat that neither the owner nor this node answers now. */
 #define RETRY_AFTER_S 1
@@ -48,16 +49,17 @@
   return WS_NO_NODE;
 }
 
+/* Adds halts for tasks of cancelled jobs that the heartbeat, in its encoded form, shows. */
 static void
-add_halts(const WsCore *core, const char *text, json_t *commands)
+add_halts(const WsCore *core, const char *encoded, json_t *commands)
 {
-  g_autoptr(json_t) message = ws_json_parse(text, strlen(text));
+  g_autoptr(json_t) message = ws_json_parse(encoded, strlen(encoded));
   g_autoptr(WsHeartbeat) heartbeat = ws_heartbeat_parse(message, NULL);
   if (heartbeat != NULL)
     ws_cancelled_tasks_add_halts(core, heartbeat, commands);
 }
 
-/* Renews the lease without the owner, if this node may. */
+/* Renews the lease without the owner, if this node has the permission. */
 static void
 answer_without_owner(WsCore *core, const char *heartbeat, gpointer request)
 {
@@ -71,7 +73,8 @@
             ws_heartbeat_answer_encode(core->replica->epoch.number, commands), 0);
 }
 
-/* The owner may not know yet of a cancellation that this node knows of. */
+/* Passes on the owner's answer, with halts added: this node may have learned of a cancellation
+   before the owner. */
 static void
 answer_as_owner(WsCore *core, const Relay *relay, const json_t *body)
 {
@@ -137,9 +140,9 @@
 }
 
 static void
-answer_relayed_heartbeat(WsCore *core, const char *text, gpointer request)
+answer_relayed_heartbeat(WsCore *core, const char *encoded, gpointer request)
 {
-  g_autoptr(json_t) message = ws_json_parse(text, strlen(text));
+  g_autoptr(json_t) message = ws_json_parse(encoded, strlen(encoded));
   g_autoptr(GError) error = NULL;
   g_autoptr(WsHeartbeat) heartbeat = ws_heartbeat_parse(message, &error);
   if (heartbeat == NULL)
--- a/src/workers/ws-worker-rpc.c
+++ b/src/workers/ws-worker-rpc.c
@@ -1,9 +1,9 @@
 /**
- * Commands sent to a worker's own address.
+ * Commands sent directly to a worker's address.
  *
- * A command without an answer may be carried out minutes later. A launch is therefore counted with
- * its machine as indeterminate from the moment it is sent until its answer; without an answer it
- * stays so until the worker has shown a higher fencing token or a new incarnation.
+ * A command without an answer may be carried out minutes later. A launch therefore counts as
+ * indeterminate from the moment it is sent until it is answered; if it never is, until the worker
+ * has shown a higher fencing token or a new incarnation.
  */
 #include "workers/ws-workers-private.h"
 
@@ -11,8 +11,8 @@
 #include "protocol/ws-status-codes.h"
 #include "storage/ws-gang-phase.h"
 
-/* Calls in flight at once. Further launches go with the answers to heartbeats, except those of
-   critical tasks and of gangs. */
+/* Calls in flight at once. Further launches wait for the answer to the machine's next heartbeat,
+   except those of critical tasks and of gangs. */
 #define MAX_RPCS_IN_FLIGHT 48
 #define COMMAND_TIMEOUT_MS 2000
 /* What a graceful stop may take beyond the time for saving. */
@@ -26,7 +26,8 @@
   gboolean has_launches;
 } CommandCall;
 
-/* Whether the call's launches are still counted: neither token nor incarnation has ended them. */
+/* Whether the call's launches still count as indeterminate: the worker has shown neither a higher
+   fencing token nor a new incarnation since. */
 static gboolean
 is_counted(const CommandCall *call, const WsMachine *machine)
 {
--- a/src/workers/ws-worker-status.c
+++ b/src/workers/ws-worker-status.c
@@ -1,13 +1,14 @@
 /**
- * What a worker's status changes in what is known of its machine and tasks.
+ * Updates what is known of a machine and its tasks from a status of its worker.
  *
- * Presence is believed of any status newer than the last one. Nothing is concluded from absence
- * here, see ws-reconciliation.c.
+ * Every status newer than the last one proves that the tasks which it shows are present. Nothing is
+ * concluded here from tasks that it doesn't show, see ws-reconciliation.c.
  */
 #include "workers/ws-workers-private.h"
 
 #include "commit/ws-commit.h"
 
+/* Images that are taken to be in a machine's cache: the most recently used ones. */
 #define MAX_KNOWN_IMAGES 10
 /* The pause before a failed job's tasks are placed again doubles with each failure in a row. */
 #define JOB_RETRY_MS 500
@@ -16,8 +17,9 @@
 #define MIN_GANG_BACKOFF_MS 500
 #define MAX_GANG_BACKOFF_DOUBLINGS 6u
 
+/* Makes the image the most recently used one of the machine's cache. */
 static void
-remember_image(WsMachine *machine, WsImageIndex image)
+note_image_used(WsMachine *machine, WsImageIndex image)
 {
   GArray *images = machine->worker.images;
   if (images->len > 0 && g_array_index(images, WsImageIndex, images->len - 1) == image)
@@ -34,8 +36,9 @@
     g_array_remove_index(images, 0);
 }
 
-/* A machine on which several jobs fail is faulty; a job that fails on several machines is wrong
-   and is tried ever more rarely until its user cancels it. */
+/* Counts the failure against the machine and the job: a machine on which several jobs fail counts
+   as faulty, and a job that keeps failing is retried with exponential back-off until its user
+   cancels it. */
 static void
 note_error(WsCore *core, WsMachine *machine, WsJob *job)
 {
@@ -48,8 +51,8 @@
   g_info("a task of job %s failed on %s", job->id, machine->name);
 }
 
-/* Its tasks didn't come together in time: that says nothing against a machine or the job, but the
-   next attempt waits, the longer the more often this has happened. */
+/* The gang's tasks weren't all running in time. Neither a machine nor the job is at fault, but the
+   next attempt backs off, for longer each time in a row. */
 static void
 back_off_gang(WsCore *core, WsJob *job)
 {
@@ -61,18 +64,19 @@
 }
 
 static void
-note_exit(WsCore *core, WsMachine *machine, WsJob *job, WsAssignment *assignment, WsExitReason why)
+note_exit(WsCore *core, WsMachine *machine, WsJob *job, WsAssignment *assignment,
+          WsExitReason reason)
 {
   if (assignment->state == WS_TASK_EXITED)
     return;
   assignment->state = WS_TASK_EXITED;
-  if (why == WS_EXIT_ERROR)
+  if (reason == WS_EXIT_ERROR)
     note_error(core, machine, job);
-  if (why == WS_EXIT_REFUSED)
+  if (reason == WS_EXIT_REFUSED)
     job->status.retry_ms = core->now + JOB_RETRY_MS;
-  if (why == WS_EXIT_INCOMPLETE)
+  if (reason == WS_EXIT_INCOMPLETE)
     back_off_gang(core, job);
-  if (why == WS_EXIT_DONE) {
+  if (reason == WS_EXIT_DONE) {
     machine->fleet.failed_jobs = 0;
     machine->fleet.last_failed_job = WS_NO_JOB;
     job->status.consecutive_errors = 0;
@@ -111,7 +115,7 @@
     g_debug("task %s/%u on %s: state %d", job->id, assignment->task, machine->name, task->state);
   assignment->state = task->state;
   if (assignment->state >= WS_TASK_GATHERING)
-    remember_image(machine, job->image);
+    note_image_used(machine, job->image);
 }
 
 void
@@ -121,8 +125,8 @@
     note_task(core, machine, &g_array_index(heartbeat->tasks, WsTaskStatus, i));
 }
 
-/* All tasks of the incarnation before are gone. A command names its incarnation, so the worker now
-   refuses launches that were sent to an earlier one. */
+/* All tasks of the previous incarnation are gone. A command names the incarnation that it is for,
+   so the worker refuses launches that were sent to an earlier one. */
 static void
 begin_incarnation(WsCore *core, WsMachine *machine, guint64 incarnation)
 {
@@ -142,7 +146,8 @@
   }
 }
 
-/* A worker that has shown a token refuses what was sent under an older one. */
+/* A worker that has shown a fencing token refuses commands under an older one: they are no longer
+   indeterminate. */
 static void
 note_fencing_token(WsMachine *machine, guint64 fencing_token)
 {
@@ -164,7 +169,7 @@
   g_info("machine %s is up", machine->name);
 }
 
-/* @interruption_s: from now on; negative: the cloud has given no notice */
+/* @interruption_s: how soon the cloud takes the machine; negative: it has given no notice */
 static void
 note_interruption(WsCore *core, WsMachine *machine, double interruption_s)
 {
@@ -202,7 +207,7 @@
   return TRUE;
 }
 
-/* A status under an older token may be a late copy: its tasks aren't acted on. */
+/* A status under an older fencing token may be a delayed copy, so its tasks aren't noted. */
 gboolean
 ws_workers_note_status(WsCore *core, WsMachine *machine, const WsHeartbeat *heartbeat)
 {
--- a/src/workers/ws-workers.c
+++ b/src/workers/ws-workers.c
@@ -1,5 +1,6 @@
 /**
- * Heartbeats as they come in: answered here, passed on, or sent to the owner of the machine.
+ * Entry point of heartbeats: each is answered here, relayed to the owner of the machine, or its
+ * worker is redirected there.
  */
 #include "workers/ws-workers-private.h"
 
@@ -7,12 +8,13 @@
 #include "membership/ws-membership.h"
 #include "protocol/ws-status-codes.h"
 
-/* A worker that was redirected and comes back can't reach the owner: for so long it isn't
-   redirected again, and its heartbeats are relayed. */
+/* A worker that was redirected and comes back can't reach the owner. For this long it isn't
+   redirected again; its heartbeats are relayed. */
 #define REDIRECT_INTERVAL_MS 20000
-/* How often a worker is redirected to a node that says that no worker reaches it. */
+/* How often one worker is redirected to a node that no worker reaches, to find out whether one does
+   again. */
 #define UNREACHED_OWNER_RETRY_MS 2000
-/* The share of its lease for which a worker that came back isn't turned away again. */
+/* The share of its lease for which a worker that was turned away and came back is served. */
 #define KEPT_LEASE_SHARE 0.6
 /* Retry-After of a heartbeat that this node doesn't answer now. */
 #define RETRY_AFTER_S 1
@@ -54,8 +56,11 @@
   return ws_peer_is_reachable(core, owner) && zone_reaches(core, machine->zone, owner);
 }
 
-/* Where no worker reaches the owner, a redirect costs a worker the time in which it waits in vain,
-   which is more than a machine may be silent: one now and then finds out when that is over. */
+/* Returns whether a worker may be redirected to the owner now, and notes the redirect.
+
+   While no worker reaches the owner, a redirected worker waits for a timeout that is longer than
+   the failure detector allows between heartbeats. So only one worker at a time probes whether the
+   owner is reached again. */
 static gboolean
 take_redirect(WsCore *core, WsNodeIndex owner)
 {
@@ -81,7 +86,7 @@
             ws_redirect_encode(ws_settings_node(core->settings, owner)->name), 0);
 }
 
-/* Whether this node deals with the heartbeat at all. */
+/* Whether this node may answer the heartbeat now, and the machine hasn't been returned. */
 static gboolean
 is_accepted(const WsCore *core, const WsHeartbeat *heartbeat)
 {
@@ -93,25 +98,31 @@
   return FALSE;
 }
 
-/* Whether an isolated node turns the worker away, so that it looks for another node.
+/* Whether the worker was turned away a short time ago, and has come back. */
+static gboolean
+was_turned_away(const WsCore *core, const WsMachine *machine)
+{
+  gint64 since_ms = core->now - machine->worker.turned_away_ms;
+  return machine->worker.turned_away_ms > 0
+         && (double)since_ms < KEPT_LEASE_SHARE * core->settings->lease_s * 1000.0;
+}
+
+/* Returns whether this node is isolated and turns the worker away, so that it tries another node.
 
-   Isolated from the store and all other nodes, this one can't know whether a later epoch exists. If
-   machines of other zones still reach it, the other nodes are there for them and for those of its
-   own zone, and each is turned away. One that comes back has found nobody, and is kept: its tasks'
-   lease is renewed by our answers. If no machine of another zone reaches this node, it is the zone
-   that is partitioned. */
+   Isolated from the store and all other nodes, this node can't know whether a later epoch exists.
+   If machines of other zones still reach it, only this node is partitioned: workers can reach the
+   other nodes, and each is turned away once. One that comes back has reached none of them, so it is
+   served: the answers renew its tasks' lease. If no machine of another zone reaches this node, the
+   whole zone is partitioned, and its workers have no other node. */
 static gboolean
-turns_away(WsCore *core, WsMachine *machine)
+turn_away_if_isolated(WsCore *core, WsMachine *machine)
 {
   const WsNode *self = ws_settings_node(core->settings, core->settings->self);
   if (!ws_is_isolated(core))
     return FALSE;
   if (machine->zone != ws_replica_find_zone(core->replica, self->zone))
     ws_authority_note_heartbeat_from_other_zone(core);
-  gint64 since_ms = core->now - machine->worker.turned_away_ms;
-  if (!ws_authority_is_reached_from_other_zones(core)
-      || (machine->worker.turned_away_ms > 0
-          && (double)since_ms < KEPT_LEASE_SHARE * core->settings->lease_s * 1000.0))
+  if (!ws_authority_is_reached_from_other_zones(core) || was_turned_away(core, machine))
     return FALSE;
   machine->worker.turned_away_ms = core->now;
   return TRUE;
@@ -136,7 +147,7 @@
   WsMachine *machine = ws_replica_get_machine(core->replica, heartbeat->machine);
   ws_replica_describe_machine(core->replica, machine, heartbeat->type, heartbeat->zone,
                               heartbeat->is_spot);
-  if (turns_away(core, machine))
+  if (turn_away_if_isolated(core, machine))
     ws_answer_later(core, request, RETRY_AFTER_S);
   else if (machine->owner != core->settings->self)
     redirect_or_relay(core, machine, body, length, request);
