--- a/src/api/ws-job-api.c
+++ b/src/api/ws-job-api.c
@@ -121,23 +121,29 @@
     ws_store_linearizable_read(core, on_read, user_request);
 }
 
+static void
+log_accepted(const WsJobSpec *spec)
+{
+  g_info("job %s accepted: %u tasks of %s for team %s, estimated %.0f s, due in %.0f s", spec->id,
+         spec->tasks, spec->class_name, spec->team, spec->estimate_s, spec->deadline_s);
+}
+
 static void
 on_submitted(WsCore *core, WsTxnResult result, gpointer data)
 {
   UserRequest *user_request = data;
   if (result == WS_TXN_CONFLICT) {
     retry(core, user_request);
-  } else if (result == WS_TXN_COMMITTED) {
-    g_info("job %s accepted: %u tasks of %s for team %s, estimated %.0f s, due in %.0f s",
-           user_request->id, user_request->spec->tasks, user_request->spec->class_name,
-           user_request->spec->team, user_request->spec->estimate_s,
-           user_request->spec->deadline_s);
-    core->replan_is_needed = TRUE;
-    WsJobSummary summary = { .job_id = user_request->id, .state = WS_USER_STATE_QUEUED };
-    finish(core, user_request, WS_HTTP_CREATED, ws_job_summary_encode(&summary, FALSE));
-  } else {
+    return;
+  }
+  if (result != WS_TXN_COMMITTED) {
     finish_later(core, user_request);
+    return;
   }
+  log_accepted(user_request->spec);
+  core->replan_is_needed = TRUE;
+  WsJobSummary summary = { .job_id = user_request->id, .state = WS_USER_STATE_QUEUED };
+  finish(core, user_request, WS_HTTP_CREATED, ws_job_summary_encode(&summary, FALSE));
 }
 
 static void
--- a/src/fleet/ws-cloud-list.c
+++ b/src/fleet/ws-cloud-list.c
@@ -108,6 +108,17 @@
   return rental_batch;
 }
 
+/* Adds a new rental batch to the transaction, and its machines to @machines. */
+static void
+record_rental_batch(WsCore *core, WsTxn *txn, const WsMachine *first, GArray *machines)
+{
+  WsRentalBatch *rental_batch = fill_rental_batch(core, first, machines);
+  g_autofree char *key = ws_key(WS_KEYS_RENTAL_BATCH, rental_batch->name);
+  ws_txn_compare_version(txn, key, 0);
+  ws_txn_put(txn, key, ws_rental_batch_encode(rental_batch, core->replica));
+  ws_rental_batch_free(rental_batch);
+}
+
 void
 ws_cloud_list_reconcile_tick(WsCore *core)
 {
@@ -120,14 +131,8 @@
     WsMachine *machine = ws_replica_machine(core->replica, i);
     if (machine->is_recorded || ws_returns_is_confirmed(core, machine->name))
       machine->fleet.needs_record = FALSE;
-    if (!machine->fleet.needs_record
-        || ws_txn_operation_count(txn) >= core->settings->state_txn_ops)
-      continue;
-    WsRentalBatch *rental_batch = fill_rental_batch(core, machine, machines);
-    g_autofree char *key = ws_key(WS_KEYS_RENTAL_BATCH, rental_batch->name);
-    ws_txn_compare_version(txn, key, 0);
-    ws_txn_put(txn, key, ws_rental_batch_encode(rental_batch, core->replica));
-    ws_rental_batch_free(rental_batch);
+    if (machine->fleet.needs_record && ws_txn_operation_count(txn) < core->settings->state_txn_ops)
+      record_rental_batch(core, txn, machine, machines);
   }
   if (machines->len > 0) {
     ws_txn_commit(core, txn, WS_REQUEST_OTHER, on_recorded, machines);
@@ -145,27 +150,37 @@
 }
 
 static void
-handle_listed(WsCore *core, const WsListedMachine *listed)
+handle_unrecorded(WsCore *core, WsMachine *machine, const WsListedMachine *listed)
 {
-  if (ws_returns_is_confirmed(core, listed->id))
-    return;
-  WsMachine *machine = ws_replica_get_machine(core->replica, listed->id);
-  if (!machine->is_recorded) {
-    if (machine->fleet.listed_ms == 0)
-      machine->fleet.listed_ms = core->now;
-    if (core->now - machine->fleet.listed_ms < unrecorded_grace_ms(core))
-      return;
-    ws_replica_describe_machine(core->replica, machine, listed->type, listed->zone,
-                                listed->is_spot);
-    ws_cloud_list_note_unrecorded(core, machine, core->wall - (gint64)(listed->age_s * 1000.0));
+  if (machine->fleet.listed_ms == 0)
+    machine->fleet.listed_ms = core->now;
+  if (core->now - machine->fleet.listed_ms < unrecorded_grace_ms(core))
     return;
-  }
+  ws_replica_describe_machine(core->replica, machine, listed->type, listed->zone, listed->is_spot);
+  ws_cloud_list_note_unrecorded(core, machine, core->wall - (gint64)(listed->age_s * 1000.0));
+}
+
+static void
+handle_recorded(WsCore *core, WsMachine *machine, const WsListedMachine *listed)
+{
   if (machine->worker.endpoint == NULL && listed->endpoint != NULL)
     machine->worker.endpoint = g_strdup(listed->endpoint);
   if (listed->has_failed && !ws_machine_is_up(core, machine))
     ws_termination_request_mark(core, machine, WS_MARK_REASON_FAILED, TRUE);
 }
 
+static void
+handle_listed(WsCore *core, const WsListedMachine *listed)
+{
+  if (ws_returns_is_confirmed(core, listed->id))
+    return;
+  WsMachine *machine = ws_replica_get_machine(core->replica, listed->id);
+  if (machine->is_recorded)
+    handle_recorded(core, machine, listed);
+  else
+    handle_unrecorded(core, machine, listed);
+}
+
 static void
 on_list(WsCore *core, guint status, const json_t *body, gpointer data)
 {
@@ -181,8 +196,8 @@
   for (guint i = 0; i < machines->len; i++)
     handle_listed(core, g_ptr_array_index(machines, i));
   if (has_more && machines->len > 0) {
-    list->last_id
-        = g_strdup(((WsListedMachine *)g_ptr_array_index(machines, machines->len - 1))->id);
+    const WsListedMachine *last = g_ptr_array_index(machines, machines->len - 1);
+    list->last_id = g_strdup(last->id);
     list->next_call_ms = core->now;
   }
 }
--- a/src/fleet/ws-consolidation.c
+++ b/src/fleet/ws-consolidation.c
@@ -24,11 +24,11 @@
 
 /* The moves that are planned in one tick. */
 typedef struct {
-  WsResources *planned; /* by WsMachineIndex: what moves there */
-  gboolean *is_source;  /* by WsMachineIndex */
-  GHashTable *jobs;     /* WsJobIndex of each job with a task that moves */
+  WsResources *incoming; /* by WsMachineIndex: needed by the tasks that move there */
+  gboolean *is_source;   /* by WsMachineIndex */
+  GHashTable *jobs;      /* WsJobIndex of each job with a task that moves */
   guint source_count;
-} Batch;
+} MovePlan;
 
 /* Whether no task waits for a machine and no termination is under way. */
 static gboolean
@@ -60,18 +60,18 @@
 }
 
 static gboolean
-is_target(const WsCore *core, const Batch *batch, const WsMachine *machine, const WsMachine *target,
-          const WsJob *job)
+is_target(const WsCore *core, const MovePlan *plan, const WsMachine *machine,
+          const WsMachine *target, const WsJob *job)
 {
   if (target == machine || !target->is_recorded || target->is_marked
-      || batch->is_source[target->index] || target->worker.interruption_ms != 0
+      || plan->is_source[target->index] || target->worker.interruption_ms != 0
       || target->tasks->len == 0 || !ws_machine_has_image(target, job->image)
       || !ws_machine_is_up(core, target)
       || !ws_constraints_allow_machine(core->replica, job->spec, job->zone, target))
     return FALSE;
   WsResources available = ws_replica_type(core->replica, target->type)->capacity;
   ws_resources_add(&available, &target->used, -1);
-  ws_resources_add(&available, &batch->planned[target->index], -1);
+  ws_resources_add(&available, &plan->incoming[target->index], -1);
   return ws_resources_fit(&job->spec->need, &available)
          && may_move(core, job, machine->zone, target->zone);
 }
@@ -79,27 +79,27 @@
 /* Whether all tasks of the machine may move: each is of a service of which no other task moves, and
    no task is planned to move to this machine. */
 static gboolean
-may_be_source(const WsCore *core, const Batch *batch, const WsMachine *machine)
+may_be_source(const WsCore *core, const MovePlan *plan, const WsMachine *machine)
 {
-  const WsResources *planned = &batch->planned[machine->index];
+  const WsResources *incoming = &plan->incoming[machine->index];
   for (guint i = 0; i < machine->tasks->len; i++) {
     const WsTaskRef *ref = &g_array_index(machine->tasks, WsTaskRef, i);
     const WsJob *job = ws_replica_job(core->replica, ref->job);
     const WsAssignment *assignment = ws_job_assignment(job, ref->task);
     if (job->spec->kind != WS_KIND_SERVICE || assignment == NULL
         || assignment->state != WS_TASK_RUNNING
-        || g_hash_table_contains(batch->jobs, GUINT_TO_POINTER(job->index)))
+        || g_hash_table_contains(plan->jobs, GUINT_TO_POINTER(job->index)))
       return FALSE;
   }
-  return machine->tasks->len > 0 && planned->cpus == 0 && planned->gpus == 0;
+  return machine->tasks->len > 0 && incoming->cpus == 0 && incoming->gpus == 0;
 }
 
 static const WsMachine *
-find_target(const WsCore *core, const Batch *batch, const WsMachine *machine, const WsJob *job)
+find_target(const WsCore *core, const MovePlan *plan, const WsMachine *machine, const WsJob *job)
 {
   for (WsMachineIndex m = 0; m < core->replica->machines->len; m++) {
     const WsMachine *target = ws_replica_machine(core->replica, m);
-    if (is_target(core, batch, machine, target, job))
+    if (is_target(core, plan, machine, target, job))
       return target;
   }
   return NULL;
@@ -108,27 +108,26 @@
 /* Plans a target for each task; FALSE: one has none. What was planned for the others isn't undone
    then, so that capacity counts as taken until the next tick. */
 static gboolean
-plan_moves(const WsCore *core, Batch *batch, const WsMachine *machine)
+plan_moves(const WsCore *core, MovePlan *plan, const WsMachine *machine)
 {
   for (guint i = 0; i < machine->tasks->len; i++) {
     const WsTaskRef *ref = &g_array_index(machine->tasks, WsTaskRef, i);
     const WsJob *job = ws_replica_job(core->replica, ref->job);
-    const WsMachine *target = find_target(core, batch, machine, job);
+    const WsMachine *target = find_target(core, plan, machine, job);
     if (target == NULL)
       return FALSE;
-    ws_resources_add(&batch->planned[target->index], &job->spec->need, 1);
+    ws_resources_add(&plan->incoming[target->index], &job->spec->need, 1);
   }
   return TRUE;
 }
 
 static void
-consolidate(WsCore *core, Batch *batch, WsMachine *machine)
+consolidate(WsCore *core, MovePlan *plan, WsMachine *machine)
 {
-  batch->is_source[machine->index] = TRUE;
-  batch->source_count++;
+  plan->is_source[machine->index] = TRUE;
+  plan->source_count++;
   for (guint i = 0; i < machine->tasks->len; i++)
-    g_hash_table_add(batch->jobs,
-                     GUINT_TO_POINTER(g_array_index(machine->tasks, WsTaskRef, i).job));
+    g_hash_table_add(plan->jobs, GUINT_TO_POINTER(g_array_index(machine->tasks, WsTaskRef, i).job));
   ws_termination_request_mark(core, machine, WS_MARK_REASON_CONSOLIDATION, FALSE);
 }
 
@@ -166,7 +165,7 @@
 }
 
 static void
-consolidate_some(WsCore *core, Batch *batch)
+consolidate_some(WsCore *core, MovePlan *plan)
 {
   guint count = core->replica->machines->len;
   guint max_sources = count_recorded(core) / MACHINES_PER_CONSOLIDATION;
@@ -175,10 +174,10 @@
     WsMachine *machine = ws_replica_machine(core->replica, i);
     if (!machine->is_recorded || machine->type == WS_NO_TYPE || !ws_owns_machine(core, machine)
         || !is_due(core, machine) || failed >= MAX_FAILED_CANDIDATES
-        || !may_be_source(core, batch, machine) || batch->source_count > max_sources)
+        || !may_be_source(core, plan, machine) || plan->source_count > max_sources)
       continue;
-    if (plan_moves(core, batch, machine) && ws_termination_is_allowed(core, machine)) {
-      consolidate(core, batch, machine);
+    if (plan_moves(core, plan, machine) && ws_termination_is_allowed(core, machine)) {
+      consolidate(core, plan, machine);
       continue;
     }
     failed++;
@@ -205,10 +204,10 @@
   if (core->replica->catalog == NULL || !is_our_turn(core) || !is_settled(core))
     return;
   guint count = MAX(core->replica->machines->len, 1u);
-  Batch batch
+  MovePlan plan
       = { g_new0(WsResources, count), g_new0(gboolean, count), g_hash_table_new(NULL, NULL), 0 };
-  consolidate_some(core, &batch);
-  g_free(batch.planned);
-  g_free(batch.is_source);
-  g_hash_table_unref(batch.jobs);
+  consolidate_some(core, &plan);
+  g_free(plan.incoming);
+  g_free(plan.is_source);
+  g_hash_table_unref(plan.jobs);
 }
--- a/src/fleet/ws-fleet.c
+++ b/src/fleet/ws-fleet.c
@@ -70,14 +70,13 @@
 {
   (void)data;
   WsFleet *fleet = core->fleet;
-  GPtrArray *catalog = status == WS_HTTP_OK ? ws_catalog_parse(body) : NULL;
+  g_autoptr(GPtrArray) catalog = status == WS_HTTP_OK ? ws_catalog_parse(body) : NULL;
   fleet->catalog_in_flight = FALSE;
   fleet->next_catalog_ms = core->now + (catalog != NULL ? CATALOG_REFRESH_MS : CATALOG_RETRY_MS);
   if (catalog == NULL) {
     g_info("the cloud gave no catalog (status %u)", status);
     return;
   }
-  g_ptr_array_unref(catalog);
   WsTxn *txn = ws_txn_new();
   ws_txn_compare(txn, core->replica, WS_KEY_EPOCH);
   ws_txn_put(txn, WS_KEY_CATALOG, json_incref((json_t *)body));
--- a/src/fleet/ws-returns.c
+++ b/src/fleet/ws-returns.c
@@ -63,16 +63,16 @@
   g_autoptr(GPtrArray) names = data;
   WsReturns *returns = core->fleet->returns;
   returns->call_in_flight = FALSE;
-  if (status == WS_HTTP_OK) {
-    returns->backoff_ms = 0;
-    for (guint i = 0; i < names->len; i++)
-      note_returned(core, g_ptr_array_index(names, i));
-  } else {
+  if (status != WS_HTTP_OK) {
     returns->backoff_ms = ws_fleet_next_backoff_ms(core, returns->backoff_ms);
     returns->next_call_ms = core->now + returns->backoff_ms;
     g_info("scale in: the cloud refused a return (status %u): retry in %u ms", status,
            returns->backoff_ms);
+    return;
   }
+  returns->backoff_ms = 0;
+  for (guint i = 0; i < names->len; i++)
+    note_returned(core, g_ptr_array_index(names, i));
 }
 
 static void
@@ -110,12 +110,13 @@
   g_hash_table_iter_init(&iter, core->fleet->returns->unmarked);
   while (g_hash_table_iter_next(&iter, &name, NULL)) {
     WsMachine *machine = ws_replica_find_machine(core->replica, name);
+    gboolean is_confirmed = ws_returns_is_confirmed(core, name);
     if (machine == NULL || machine->is_returned)
       g_hash_table_iter_remove(&iter);
-    else if (!ws_returns_is_confirmed(core, name) && names->len < MAX_MACHINES_PER_RETURN)
+    else if (!is_confirmed && names->len < MAX_MACHINES_PER_RETURN)
       g_ptr_array_add(names, g_strdup(name));
-    else if (ws_returns_is_confirmed(core, name) && machine->is_recorded
-             && !machine->mark_is_immediate && ws_is_active_member(core))
+    else if (is_confirmed && machine->is_recorded && !machine->mark_is_immediate
+             && ws_is_active_member(core))
       ws_termination_request_mark(core, machine, WS_MARK_REASON_CANCELLED, TRUE);
   }
   send_return(core, names);
