--- a/src/scheduling/ws-candidates.c
+++ b/src/scheduling/ws-candidates.c
@@ -1,4 +1,4 @@
-/* The machines where the tasks of one job may go, the best first. */
+/* The candidate machines for the tasks of one job, the best first. */
 #include "scheduling/ws-candidates.h"
 
 #include "scheduling/ws-placement-score.h"
@@ -8,13 +8,13 @@
 #include "storage/ws-constraints.h"
 #include "workers/ws-workers.h"
 
-/* Boots take up to half as long again as stated. */
+/* Boots take up to this multiple of the type's stated boot time. */
 #define BOOT_TIME_FACTOR 1.5
 
 typedef struct {
   WsMachineIndex machine;
   double score;
-  gboolean is_spent; /* no longer fits a task, or has a task of this very service already */
+  gboolean is_spent; /* no longer fits a task, or has got a task of this service or gang */
 } Candidate;
 
 struct _WsCandidates {
@@ -76,7 +76,8 @@
          && machine->fleet.last_failed_job != job->index && is_in_shard(replica, job, machine);
 }
 
-/* Whether the machine has capacity of the kind; that of preemption was found by its cost. */
+/* Whether the machine has capacity of the kind for one more task. A candidate for preemption always
+   has: the search has found victims on it. */
 static gboolean
 fits(const WsCandidates *candidates, WsSlotKind kind, WsMachineIndex machine)
 {
@@ -89,7 +90,7 @@
   return ws_resources_fit(&candidates->job->spec->need, &available);
 }
 
-/* Whether the cloud may have a machine of the type in a zone that the job allows. */
+/* Whether a machine of the type can be requested in a zone that the job allows: no back-off. */
 static gboolean
 is_available(const WsCore *core, const WsJob *job, WsTypeIndex type)
 {
@@ -105,8 +106,8 @@
   return FALSE;
 }
 
-/* Whether a machine that is rented now would be up in time for the job: then no task is preempted
-   for it, since the work of victims is lost. */
+/* Whether a machine that is requested now would be up in time for the job. Then no task is
+   preempted for it, since victims lose their work. */
 static gboolean
 can_wait_for_boot(const WsCore *core, const WsJob *job)
 {
@@ -132,7 +133,8 @@
          || (job->status.is_guaranteed && map->has_unguaranteed);
 }
 
-/* Critical jobs always search for victims; of the others the first few that can't wait. */
+/* Whether to search for victims for the job: always for critical ones; of the others for the first
+   few that can't wait for a boot. */
 static gboolean
 may_search_victims(WsCapacityMap *map, const WsJob *job)
 {
@@ -221,8 +223,8 @@
   g_free(candidates);
 }
 
-/* The best candidate that is left. The first one of each zone is compared, since the penalty of a
-   zone depends on how many of the job's tasks are there by now. */
+/* The best candidate that isn't spent. The penalty of a zone depends on how many of the job's tasks
+   are there by now, so the best candidate of each zone is found first, and those are compared. */
 static Candidate *
 find_best_left(WsCandidates *candidates, WsSlotKind kind)
 {
@@ -253,8 +255,8 @@
   return best;
 }
 
-/* A service or gang returns to the machines it has taken when there are no others. Returns whether
-   any of them fits another task. */
+/* Makes machines that already got a task of the service or gang candidates again; used when there
+   are no others. Returns whether any of them fits another task. */
 static gboolean
 reinstate_spent(WsCandidates *candidates, WsSlotKind kind)
 {
--- a/src/scheduling/ws-capacity-map.c
+++ b/src/scheduling/ws-capacity-map.c
@@ -5,11 +5,11 @@
 #include "commit/ws-commit.h"
 #include "workers/ws-workers.h"
 
-/* Jobs of a plan, critical ones aside, for which victims are searched for: each search examines
-   every machine with an array's task, and when hundreds wait the first ones are the most urgent
-   anyway. */
+/* Non-critical jobs per plan for which victims are searched. Each search examines every machine
+   with a task of an array; when hundreds of jobs wait, the first in the queue are the most urgent
+   ones. */
 #define MAX_VICTIM_SEARCHES 4
-/* A machine on which tasks of so many jobs failed gets no more of them. */
+/* A machine on which tasks of so many jobs have failed gets no more tasks. */
 #define MAX_FAILED_JOBS 2
 
 static gboolean
@@ -22,7 +22,7 @@
          && !ws_machine_is_inbound_unreachable(core, machine) && machine->owner != WS_NO_NODE;
 }
 
-/* An assignment that was handed to the leader and that the replica doesn't show yet. */
+/* Subtracts an assignment that was forwarded to the leader and isn't in the replica yet. */
 static void
 subtract_forwarded(const WsJob *job, WsMachineIndex machine, gpointer data)
 {
@@ -62,8 +62,9 @@
     g_array_append_val(map->freeing, machine->index);
 }
 
-/* Machines on which no waiting task fits aren't examined job by job: nearly every machine has some
-   processors left, and when the cluster is full hundreds of jobs wait. */
+/* Lists the machines with enough free capacity for the smallest waiting task. The others aren't
+   examined for each job: in a full cluster hundreds of jobs wait, and nearly every machine has a
+   few CPUs left that are of no use to any of them. */
 static void
 find_open_machines(WsCapacityMap *map)
 {
@@ -74,7 +75,7 @@
   }
 }
 
-/* Which jobs could be preempted at all: without any, no job searches for victims. */
+/* Notes which jobs could be preempted at all. If none, no search for victims is made. */
 static void
 summarize_array_jobs(WsCapacityMap *map)
 {
--- a/src/scheduling/ws-coordinator.c
+++ b/src/scheduling/ws-coordinator.c
@@ -1,4 +1,4 @@
-/* The coordinating node of a job: its choice, and the escalation to the leader. */
+/* The coordinating node of a job: how it is chosen, and the escalation of the job to the leader. */
 #include "scheduling/ws-coordinator.h"
 
 #include "scheduling/ws-capacity-map.h"
@@ -7,7 +7,7 @@
 #include "storage/ws-constraints.h"
 #include "store/ws-store.h"
 
-/* How long a task may go without a slot in the shard before the job is escalated. */
+/* How long a task may remain unplaced in the shard before the job is escalated. */
 #define ESCALATION_DELAY_MS 600
 #define MAX_ESCALATIONS_PER_TRANSACTION 4
 
@@ -41,8 +41,8 @@
   return slots;
 }
 
-/* An attempt of a gang is planned and written by one node, the leader; what must be spread over
-   zones or stay in one needs a view of all machines. */
+/* Whether only the leader may plan the job. An attempt of a gang is planned and written by one
+   node, and jobs that must be spread over zones or stay in one need a view of all machines. */
 static gboolean
 needs_leader(const WsJobSpec *spec)
 {
@@ -79,7 +79,7 @@
          && core->now - job->status.unplaced_ms >= ESCALATION_DELAY_MS;
 }
 
-/* Adds that the job has no coordinating node any more. */
+/* Adds an update of the job's record that leaves it without a coordinating node. */
 static void
 add_escalation(WsCore *core, WsTxn *txn, const WsJob *job)
 {
--- a/src/scheduling/ws-demand-choice.c
+++ b/src/scheduling/ws-demand-choice.c
@@ -1,4 +1,4 @@
-/* Of which type and in which zone machines are rented for a demand. */
+/* Chooses the type and zone of the machines that are rented for a demand. */
 #include "scheduling/ws-demand-private.h"
 
 #include "scheduling/ws-type-fit.h"
@@ -13,7 +13,8 @@
          && (demand->only_zone == WS_NO_ZONE || demand->only_zone == zone);
 }
 
-/* The zone with fewest machines where one more of the type can be had, or WS_NO_ZONE. */
+/* The zone with the fewest machines, of those where one more of the type can be requested; or
+   WS_NO_ZONE. */
 static WsZoneIndex
 choose_zone(const WsDemand *demand, const WsJob *job, WsTypeIndex type, gboolean is_spot)
 {
@@ -31,7 +32,8 @@
   return best;
 }
 
-/* The cheapest type that fits a task and can be had, with its zone in @zone; or WS_NO_TYPE. */
+/* The cheapest type that fits a task and can be requested, with its zone in @zone; or WS_NO_TYPE.
+ */
 static WsTypeIndex
 choose_type(const WsDemand *demand, const WsJob *job, gboolean is_spot, WsZoneIndex *zone)
 {
@@ -67,7 +69,7 @@
   return TRUE;
 }
 
-/* How many tasks of the job fit the machines that boot or are wanted in the zone. */
+/* How many tasks of the job fit the machines in the zone that are booting, ordered or new. */
 static guint
 count_fitting(const WsDemand *demand, const WsJob *job, WsZoneIndex zone)
 {
@@ -85,8 +87,8 @@
   return count;
 }
 
-/* The first zone where enough is coming already: so the same zone is chosen again while the gang's
-   machines boot. */
+/* The first zone where enough machines for the tasks are booting or requested already, so that the
+   same zone is chosen again while the gang's machines boot; or WS_NO_ZONE. */
 static WsZoneIndex
 find_zone_with_machines(const WsDemand *demand, const WsJob *job, guint tasks)
 {
--- a/src/scheduling/ws-demand-sizing.c
+++ b/src/scheduling/ws-demand-sizing.c
@@ -1,32 +1,37 @@
-/* How much a task takes of the capacity that a demand counts on. */
+/* How much of a machine's capacity the demand reckons for each task. */
 #include "scheduling/ws-demand-private.h"
 
 #include "commit/ws-commit.h"
 
-/* Without a deadline or an objective an array's tasks may follow each other for this long. */
+/* The slack of an array without a deadline or an objective: for so long its tasks may run one after
+   another in the same slot. */
 #define DEFAULT_SLACK_S 100.0
-/* The least part of a slot that a task takes, whatever its slack. */
+/* The smallest share of a slot that a task takes, however large its slack is. */
 #define MIN_SHARE 0.2
-/* A task keeps its slot for longer than its run time by this much. */
+/* A task occupies its slot for this much longer than its run time. */
 #define TASK_OVERHEAD_S 5.0
-/* Estimates of the run time are raised by this for what must be over by a deadline. */
+/* Estimated run times are multiplied by this where a deadline must be met. */
 #define RUN_TIME_MARGIN 1.2
-/* Some machines take twice as long to boot as others. A critical task that must wait for one gets
-   the first of several, where boots are long enough to be worth it; arrays use the rest. */
+/* Some machines take twice as long to boot as others. Where boots are long, several machines are
+   rented for a critical task that must wait for one: it gets the first that is up, and arrays use
+   the others. */
 #define SHORT_BOOT_S 30.0
 #define LONG_BOOT_S 60.0
 #define LONG_BOOT_SPARES_PER_TASK 1.0
-/* Estimates are often wrong by half, so only a part of the slack is counted on: less of it where a
-   class has one time for all its jobs, whatever their size, than where each job has its own. */
+/* Estimates are often wrong by half, so only a share of the slack is used: a smaller one where all
+   jobs of a class have the same time limit, whatever their size, than where each job has a deadline
+   of its own. */
 #define USED_JOB_SLACK 0.7
 #define USED_CLASS_SLACK 0.4
-/* How soon tasks should begin isn't an estimate, but many jobs may come at once. */
+/* The same for the time by which tasks should begin. That isn't an estimate, but many jobs may be
+   submitted at once. */
 #define USED_BEGIN_SLACK 0.5
-/* A job without a deadline counts on the slots of running tasks if it can wait for this part of its
-   run time. */
+/* A job without a deadline may wait for slots of running tasks if its slack is at least this share
+   of its run time. */
 #define MIN_WAIT_SHARE 0.5
 
-/* How long a task of the job may still wait for a slot, if a machine had to boot for it. */
+/* How long a task of the job may still wait for a slot and finish in time, even if a machine has to
+   boot for it. */
 static double
 slack_s(const WsDemand *demand, const WsJob *job)
 {
@@ -37,8 +42,8 @@
                   + ws_replica_type(core->replica, 0)->boot_s;
   double end_s
       = RUN_TIME_MARGIN * ws_estimator_run_s(core, job) + ws_job_image_fetch_s(core->replica, job);
-  double part = job->spec->deadline_s >= 0.0 ? USED_JOB_SLACK : USED_CLASS_SLACK;
-  double slack_s = allowed_s >= 0.0 ? part * (allowed_s - used_s - end_s) : DEFAULT_SLACK_S;
+  double used_share = job->spec->deadline_s >= 0.0 ? USED_JOB_SLACK : USED_CLASS_SLACK;
+  double slack_s = allowed_s >= 0.0 ? used_share * (allowed_s - used_s - end_s) : DEFAULT_SLACK_S;
   if (begin_s >= 0.0)
     slack_s = MIN(slack_s, USED_BEGIN_SLACK * (begin_s - used_s));
   return MAX(0.0, slack_s);
--- a/src/scheduling/ws-demand.c
+++ b/src/scheduling/ws-demand.c
@@ -1,4 +1,4 @@
-/* Autoscaling demand: how many machines of which kind the unplaced tasks call for. */
+/* Autoscaling demand: how many machines of which kind are needed for the unplaced tasks. */
 #include "scheduling/ws-demand-private.h"
 
 #include "scheduling/ws-type-fit.h"
@@ -7,6 +7,9 @@
 #include "membership/ws-membership.h"
 #include "storage/ws-constraints.h"
 
+/* The capacity that running tasks will free counts as this part of the capacity of new machines. */
+#define RUNNING_SLOT_DIVISOR 2
+
 static void
 add_virtual(WsDemand *demand, WsVirtualSource source, WsTypeIndex type, WsZoneIndex zone,
             gboolean is_spot, const WsResources *free)
@@ -15,23 +18,23 @@
   g_array_append_val(demand->machines, machine);
 }
 
-/* A slot whose array task ends some time soon counts as half a slot of a new machine, for a task
-   that can wait for it. */
+/* Adds what array tasks on the machine will free. A task that can wait may count on it, but as half
+   the capacity only, since it isn't known when they exit. */
 static void
 add_running(WsDemand *demand, const WsMachine *machine)
 {
   const WsReplica *replica = demand->core->replica;
-  WsResources soon = { 0 };
+  WsResources freed = { 0 };
   for (guint i = 0; i < machine->tasks->len; i++) {
     const WsJob *job = ws_replica_job(replica, g_array_index(machine->tasks, WsTaskRef, i).job);
     if (job->spec->kind == WS_KIND_ARRAY)
-      ws_resources_add(&soon, &job->spec->need, 1);
+      ws_resources_add(&freed, &job->spec->need, 1);
   }
-  soon.cpus /= 2;
-  soon.gpus /= 2;
-  soon.memory /= 2;
-  if (soon.cpus != 0)
-    add_virtual(demand, WS_VIRTUAL_RUNNING, machine->type, machine->zone, machine->is_spot, &soon);
+  freed.cpus /= RUNNING_SLOT_DIVISOR;
+  freed.gpus /= RUNNING_SLOT_DIVISOR;
+  freed.memory /= RUNNING_SLOT_DIVISOR;
+  if (freed.cpus != 0)
+    add_virtual(demand, WS_VIRTUAL_RUNNING, machine->type, machine->zone, machine->is_spot, &freed);
 }
 
 static void
@@ -55,7 +58,7 @@
 {
   const WsCore *core = demand->core;
   demand->machines_by_zone[machine->zone]++;
-  /* Nobody hears of a machine that comes up behind a partition. */
+  /* A machine that boots in a partitioned zone can't be used. */
   if (machine->is_marked || ws_zone_is_partitioned(core, machine->zone))
     return;
   if (ws_machine_is_booting(core, machine))
@@ -83,8 +86,8 @@
   return demand;
 }
 
-/* Whether the job's tasks may be counted on the virtual machine. Slots that running tasks leave
-   count only on machines of the smallest type that fits: larger ones are for larger tasks. */
+/* Whether the demand may place the job's tasks on the virtual machine. What running tasks will free
+   counts only on machines of the smallest type that fits: larger ones are for larger tasks. */
 static gboolean
 is_allowed(const WsDemand *demand, const WsJob *job, const WsVirtualMachine *machine,
            gboolean can_wait, gint64 smallest_fitting_cpus)
@@ -98,7 +101,7 @@
          || (can_wait && type->capacity.cpus <= smallest_fitting_cpus);
 }
 
-/* Subtracts so many tasks that take @need from what is free; returns for how many there was enough.
+/* Subtracts @need from what is free for up to @max_tasks tasks. Returns for how many it was enough.
  */
 static guint
 subtract_tasks(WsResources *free, const WsResources *need, guint max_tasks)
@@ -109,7 +112,7 @@
   return tasks;
 }
 
-/* Puts tasks on the machines that are counted on already. Returns how many found a slot. */
+/* Places tasks on the virtual machines that the demand has already. Returns how many fitted. */
 static guint
 fill_machines(WsDemand *demand, const WsJob *job, const WsResources *need, guint tasks)
 {
@@ -153,7 +156,7 @@
   demand->only_zone = WS_NO_ZONE;
 }
 
-/* Puts a task of the job on an ordinary machine that is to be rented anyway. */
+/* Places a task of the job on an ordinary machine that the demand requests already. */
 static gboolean
 fill_new_machine(WsDemand *demand, const WsJob *job)
 {
@@ -168,7 +171,8 @@
   return FALSE;
 }
 
-/* Critical jobs can't wait for a machine to boot, so some slots for them are always kept. */
+/* Adds machines so that the headroom is complete: critical jobs can't wait for a boot, so some
+   slots are always kept for them. */
 static void
 add_headroom(WsDemand *demand)
 {
@@ -196,7 +200,7 @@
          && first->is_spot == second->is_spot;
 }
 
-/* Requests the new machines of the kind of the i-th one, which is the first. */
+/* Requests all new machines of the kind of the i-th one, which is the first of its kind. */
 static void
 request_kind(WsDemand *demand, guint i)
 {
--- a/src/scheduling/ws-gang-placement.c
+++ b/src/scheduling/ws-gang-placement.c
@@ -7,8 +7,8 @@
 #include "commit/ws-commit.h"
 #include "storage/ws-gang-phase.h"
 
-/* When a gang has to fetch its image anyway, so many machines fetch it at the same time: the start
-   is no later, and the gangs to come find the image in more places. */
+/* When a gang has to fetch its image anyway, so many machines fetch it at the same time: the gang
+   starts no later, and later gangs find the image cached on more machines. */
 #define PARALLEL_FETCHES 6
 
 /* Takes a slot for each task, as many as fit on one machine before the next is chosen; at most
@@ -35,8 +35,8 @@
   return g_steal_pointer(&machines);
 }
 
-/* What a placement costs: the slowest machine sets the pace, and the loss of any one ends the
-   attempt. */
+/* The cost of a placement: a gang starts when the slowest machine is ready, and the loss of any one
+   machine ends the attempt. */
 typedef struct {
   guint fetches;  /* machines that have to fetch the image */
   guint machines; /* different ones */
@@ -79,7 +79,8 @@
   return machines;
 }
 
-/* The same, packed on few machines if none of them has to fetch the image, or else spread. */
+/* Machines for the tasks in the zone, or NULL: as few as possible if none of them has to fetch the
+   image, otherwise spread over PARALLEL_FETCHES of them if possible. */
 static GArray *
 pack_or_spread(WsCapacityMap *map, const WsJob *job, guint tasks, const guint *tasks_by_zone,
                WsZoneIndex zone)
@@ -130,8 +131,8 @@
   return machines;
 }
 
-/* Machines are rented for a gang that doesn't fit; one that is overdue keeps what becomes free, in
-   its team and on machines, from the jobs that are placed after it. */
+/* Adds a gang that doesn't fit to the demand. For one that is overdue, capacity is reserved as it
+   becomes free, on machines and within its team's limit, against the jobs that come after it. */
 static void
 gather_capacity(WsPlacement *placement, const WsJob *job, guint tasks, guint *tasks_by_zone,
                 gboolean team_allows)
--- a/src/scheduling/ws-gang-reservation.c
+++ b/src/scheduling/ws-gang-reservation.c
@@ -7,7 +7,7 @@
 typedef struct {
   WsMachineIndex machine;
   guint free_slots; /* for tasks of the gang, now */
-  guint slots;      /* once the arrays' tasks there have ended */
+  guint slots;      /* once the tasks of arrays there have exited */
 } ReservedMachine;
 
 static guint
@@ -19,7 +19,7 @@
   return slots;
 }
 
-/* What will be free on the machine when the arrays' tasks there have ended. */
+/* What will be free on the machine once the tasks of arrays there have exited. */
 static WsResources
 capacity_without_arrays(const WsCore *core, const WsMachine *machine)
 {
@@ -42,8 +42,8 @@
   return first->machine < second->machine ? -1 : first->machine > second->machine;
 }
 
-/* The machines of the zone (WS_NO_ZONE: of all) with slots for the gang, those with most free slots
-   first. */
+/* The machines of the zone (WS_NO_ZONE: of all zones) with slots for the gang (of ReservedMachine),
+   those with the most free slots first. */
 static GArray *
 list_machines(WsCapacityMap *map, const WsJob *job, guint *tasks_by_zone, WsZoneIndex zone)
 {
@@ -65,7 +65,7 @@
   return listed;
 }
 
-/* The first of these machines, as many as the tasks need; NULL: all together are too few. */
+/* The first of these machines, as many as the tasks need; NULL: all together have too few slots. */
 static GArray *
 choose_in_zone(WsCapacityMap *map, const WsJob *job, guint tasks, guint *tasks_by_zone,
                WsZoneIndex zone)
@@ -87,7 +87,8 @@
   return slots;
 }
 
-/* A gang that must be in one zone gets the one with most free slots. */
+/* The machines to reserve, or NULL. For a gang that must be in one zone they are in the zone with
+   the most free slots. */
 static GArray *
 choose_machines(WsCapacityMap *map, const WsJob *job, guint tasks, guint *tasks_by_zone)
 {
--- a/src/scheduling/ws-gang.c
+++ b/src/scheduling/ws-gang.c
@@ -1,11 +1,12 @@
-/* Gangs that are under way: halts of what must end, and orderly stops before a drain. */
+/* Running gangs: halts the remaining tasks of an attempt that has failed, and stops a gang in an
+   orderly way before one of its machines is drained. */
 #include "scheduling/ws-scheduling.h"
 
 #include "membership/ws-membership.h"
 #include "storage/ws-gang-phase.h"
 #include "workers/ws-workers.h"
 
-/* The tasks of a gang must all receive the halt within a few seconds of the first one. */
+/* Short, since all tasks of a gang must receive the halt within a few seconds of the first one. */
 #define HALT_RETRY_MS 700
 
 /* Whether a halt would reach the machine now, from this node or through its owner. */
@@ -43,9 +44,9 @@
     ws_peer_request_stop(core, machine->owner, job, assignment);
 }
 
-/* Begins an orderly stop: every task is halted with enough time to save its progress, all at once.
-   Does nothing if a machine of the gang can't be reached, since the others would lose their
-   progress for nothing. */
+/* Begins an orderly stop: all tasks are halted at once, with enough time to save their progress.
+   Does nothing while a machine of the gang is unreachable: the tasks on the other machines would
+   lose their progress for nothing. */
 static void
 stop_gang(WsCore *core, WsJob *job)
 {
@@ -80,8 +81,8 @@
   return FALSE;
 }
 
-/* Whether the task is on this node's machine and a halt is due. A task that saves its progress has
-   received the halt. */
+/* Whether the task is on this node's machine and a halt is due. A task that is saving its progress
+   has received one already. */
 static gboolean
 is_halt_due(const WsCore *core, const WsAssignment *assignment)
 {
@@ -90,7 +91,8 @@
          && core->now - assignment->stop_forwarded_ms >= HALT_RETRY_MS;
 }
 
-/* Halts the tasks on this node's machines again: all of them, or those that are to stop. */
+/* Repeats the halts of tasks on this node's machines: of all tasks, or only of those that were
+   requested to stop. */
 static void
 retry_halts(WsCore *core, WsJob *job, gboolean all)
 {
@@ -105,7 +107,7 @@
   }
 }
 
-/* Does what the phase of the present attempt calls for. */
+/* Takes the step that is due in the phase of the present attempt. */
 static void
 advance(WsCore *core, WsJob *job)
 {
--- a/src/scheduling/ws-placement-score.c
+++ b/src/scheduling/ws-placement-score.c
@@ -4,30 +4,31 @@
 #include "scheduling/ws-type-fit.h"
 #include "workers/ws-workers.h"
 
-/* For the image of the task. */
+/* Image locality. */
 #define CACHED_IMAGE_WEIGHT 100.0
-#define FETCHING_SAME_IMAGE_WEIGHT 50.0 /* for each task on the machine that fetches it now */
+#define FETCHING_SAME_IMAGE_WEIGHT 50.0 /* for each task on the machine that is fetching it */
 #define FETCHING_OTHER_IMAGE_PENALTY 20.0
 #define VICTIM_CACHED_IMAGE_WEIGHT 20.0 /* if tasks must be preempted first */
-/* For the price: a service keeps its machine rented, so what runs beside it costs nothing more. */
+/* Price. A service keeps its machine rented anyway, so tasks beside it cost nothing more. */
 #define SPOT_WEIGHT 30.0
 #define BESIDE_SERVICE_WEIGHT 45.0
-/* For bin packing: times the part of the machine that is in use. */
+/* Bin packing: times the share of the machine that is in use. */
 #define PACKED_GPUS_WEIGHT 20.0
 #define PACKED_CPUS_WEIGHT 5.0
-/* Against losing several tasks of a service at once: for each one that is there already. */
+/* Anti-affinity, against losing several tasks of a service at once: for each one that is there
+   already. */
 #define SAME_ZONE_PENALTY 25.0
 #define SAME_MACHINE_PENALTY 25.0
-/* For a gang that has to fetch its image. Its tasks wait for the slowest fetch, and other gangs'
-   images should stay usable where they are. */
+/* For a gang that has to fetch its image. Its tasks wait for the slowest fetch, and machines with
+   the images of other gangs should stay free for those. */
 #define FETCH_HEADROOM_WEIGHT 150.0
 #define CONCURRENT_FETCH_PENALTY 60.0
 #define OTHER_GANG_IMAGE_PENALTY 30.0
-/* Against a machine of a larger type than the task needs, where there is a smaller one: larger
-   tasks have nowhere else to go, and one small task keeps each of them out. */
+/* For a machine of a larger type than the smallest that fits the task: larger tasks fit no other
+   machines, and a small task can keep them out. */
 #define OVERSIZED_TYPE_PENALTY 150.0
-/* Against a machine on which a task without accelerators would take the processors that its free
-   accelerators need. */
+/* For a machine on which a task without accelerators would use up the CPUs or the memory that
+   belong to the free accelerators. */
 #define BLOCKED_ACCELERATORS_PENALTY 80.0
 
 static GHashTable *
@@ -71,8 +72,8 @@
          || (free->memory - need->memory) * capacity->gpus < free->gpus * capacity->memory;
 }
 
-/* The part of the machine's processors that are free beyond the share of its free accelerators: the
-   more, the more gangs to come find the image there and fit. */
+/* The share of the machine's CPUs that are free beyond those that belong to its free accelerators.
+   The larger it is, the more later gangs can use the image there. */
 static double
 fetch_headroom(const WsResources *capacity, const WsResources *free)
 {
@@ -114,7 +115,7 @@
   return score;
 }
 
-/* Adds to the score so far what the tasks say that the machine has already. */
+/* Adds to the score so far the terms for the tasks that are on the machine already. */
 static double
 add_neighbours(double score, const WsPlacementScorer *scorer, const WsMachine *machine)
 {
--- a/src/scheduling/ws-placement.c
+++ b/src/scheduling/ws-placement.c
@@ -1,4 +1,4 @@
-/* Placement: the state of one plan, and the waiting tasks of a job. */
+/* Placement: the state of one plan, and the collection of a job's waiting tasks. */
 #include "scheduling/ws-placement.h"
 
 #include "scheduling/ws-gang-placement.h"
@@ -57,7 +57,7 @@
          && !ws_assignments_is_pending(core, job->index, task);
 }
 
-/* Adds waiting tasks of one chunk, as many as its record can still hold. */
+/* Adds waiting tasks of one chunk, as many as there is space for in its record. */
 static void
 add_waiting_of_chunk(const WsCore *core, const WsJob *job, guint index, guint max_tasks,
                      GArray *tasks)
--- a/src/scheduling/ws-plan.c
+++ b/src/scheduling/ws-plan.c
@@ -1,8 +1,8 @@
-/* The planning turn: when a plan is made, and for which jobs.
+/* Planning: when a plan is made, and for which jobs.
 
    A node plans the jobs that it coordinates, on the machines of its own shard; the leader also
-   plans those that fit no shard, on any machine. Where two nodes would use the same capacity only
-   one of them gets it: the leader checks again when it writes the assignments. */
+   plans the jobs that fit no shard, on any machine. Where two nodes plan with the same capacity
+   only one of them gets it, since the leader checks each assignment before it writes it. */
 #include "scheduling/ws-plan.h"
 
 #include "scheduling/ws-coordinator.h"
@@ -17,11 +17,11 @@
 /* The pause after a plan grows with its cost, so that plans take a small part of the processor
    whatever the size of the cluster. */
 #define MACHINES_EXAMINED_PER_PAUSE_MS 40
-/* A bound for jobs of many thousands; all that waits at a start must be seen, or too few machines
-   are rented. */
+/* Bounds the cost of a plan with jobs of many thousands of tasks. It must not be much lower: if a
+   plan after a start leaves out waiting tasks, too few machines are rented. */
 #define MAX_TASKS_PER_PLAN 4000
-/* Time alone changes what is urgent, but slowly: so long after the pause a plan is made even if
-   nothing has changed. */
+/* The urgency of jobs changes with time alone, but slowly: so long after the pause a plan is made
+   even if nothing else has changed. */
 #define PERIODIC_PLAN_DELAY_MS 900
 
 WsPlan *
@@ -54,7 +54,7 @@
   return job->completed_count + job->assigned_count < job->tasks;
 }
 
-/* Whether this node has anything to place: most plans of most nodes end here. */
+/* Whether this node has anything to place. Most of the time it hasn't, and no plan is made. */
 static gboolean
 has_work(const WsCore *core)
 {
@@ -74,7 +74,7 @@
          && ws_coordinator_acting(core->replica, job) == core->settings->self;
 }
 
-/* The least that any task to be placed needs of each resource. */
+/* Of each resource, the least that any task which is to be placed needs. */
 static WsResources
 find_min_need(const WsCore *core, const GArray *queue)
 {
@@ -96,8 +96,8 @@
   guint left = MAX_TASKS_PER_PLAN;
   for (guint i = 0; i < queue->len && left > 0; i++) {
     const WsQueueEntry *entry = &g_array_index(queue, WsQueueEntry, i);
-    /* An overdue job goes first with its protected tasks only: the others would be preempted for
-       the same more urgent jobs that they had gone before, over and over. */
+    /* An overdue job takes precedence with its protected tasks only: its other tasks would be
+       preempted again and again by the more urgent jobs that come after it in the queue. */
     guint max_tasks = left;
     if (entry->is_overdue)
       max_tasks = MIN(left, ws_queue_protected_tasks(entry->job));
@@ -106,7 +106,7 @@
   }
 }
 
-/* Repeats the requests for stops that haven't come to anything. */
+/* Repeats the requests to stop tasks that are still running. */
 static void
 resend_stop_requests(const WsPlacement *placement)
 {
--- a/src/scheduling/ws-preempt.c
+++ b/src/scheduling/ws-preempt.c
@@ -7,12 +7,12 @@
 #include "commit/ws-commit.h"
 #include "workers/ws-workers.h"
 
-/* A victim may lose at most so many times the work that is done in its place. */
+/* The work that a victim loses may be at most so many times the work that is done instead. */
 #define MAX_LOST_WORK_RATIO 2.0
-/* A guaranteed job may only stop an equally urgent task that has run for at most so many
-   milliseconds of each second of its estimated time. */
+/* A job within its team's guarantee may only stop a task of the same priority that has run for less
+   than so many milliseconds per second of its estimated time. */
 #define MAX_LOST_RUN_MS_PER_S 500.0
-/* What each stop costs beside the lost work. */
+/* The cost of each stop beside the lost work. */
 #define STOP_COST_S 5.0
 
 static gboolean
@@ -26,8 +26,8 @@
          || (team->guarantee.gpus == 0 && team->guarantee.cpus == 0);
 }
 
-/* The first tasks of a job that starts late, after others went before it for long, aren't stopped
-   again: otherwise more urgent work that never ends would keep it from ever starting. */
+/* Whether the victim is protected from starvation: the first tasks of a job that has started late
+   aren't stopped again, or a steady flow of more urgent jobs would keep it from ever starting. */
 static gboolean
 is_protected_start(const WsCore *core, const WsJob *victim, guint victim_tasks)
 {
@@ -42,15 +42,14 @@
     return FALSE;
   if (job->spec->priority != WS_CRITICAL && is_protected_start(core, victim, victim_tasks))
     return FALSE;
-  /* The queue puts guarantees before priorities. A job that stopped what is placed before it would
-     see that take the same slot again, over and over, and neither would run. */
+  /* The queue puts guarantees before priorities. A job that stopped tasks of another one that is
+     ahead of it would see those placed in the freed slot again, and neither job would progress. */
   if (victim->status.is_guaranteed && !job->status.is_guaranteed
       && job->spec->priority != WS_CRITICAL)
     return FALSE;
   if (job->spec->priority < victim->spec->priority)
     return TRUE;
-  /* Never between two that are both guaranteed: they would take the slot from each other in turn.
-   */
+  /* Never between two jobs within their guarantees: they would preempt each other in turn. */
   return job->status.is_guaranteed && !victim->status.is_guaranteed && job->team != victim->team
          && is_beyond_guarantee(core, victim);
 }
@@ -61,8 +60,8 @@
   return ws_preempt_outranks(core, job, victim, victim->assigned_count);
 }
 
-/* Whether the lost work is no more than a few times what would be done in its place: a large task
-   that has run for minutes isn't stopped for small ones of seconds. */
+/* Whether the lost work is no more than a few times the work that would be done instead: a large
+   task that has run for minutes isn't stopped for small ones that take seconds. */
 static gboolean
 is_loss_acceptable(const WsCore *core, const WsJob *job, const WsJob *victim,
                    const WsAssignment *assignment)
@@ -75,8 +74,8 @@
   return lost <= MAX_LOST_WORK_RATIO * gain;
 }
 
-/* Whether the gain outweighs the lost work. Among equally urgent jobs a guarantee doesn't stop a
-   task that is half done: its slot is soon free. */
+/* Whether the gain outweighs the lost work. For a guarantee, a task of the same priority that is
+   half done isn't stopped, since its slot is free soon. */
 static gboolean
 is_worthwhile(const WsCore *core, const WsJob *job, const WsJob *victim,
               const WsAssignment *assignment)
@@ -162,8 +161,8 @@
   return difference_ms < 0 ? -1 : difference_ms > 0;
 }
 
-/* Adds the victims among the candidate's tasks; what its ending tasks will leave is added to
-   freeing. */
+/* Adds the candidate's tasks that may be stopped to @victims, and the resources of its tasks that
+   are being stopped already to @freeing. */
 static void
 add_team_victims(const WsCore *core, const WsJob *job, WsJob *candidate, GArray *victims,
                  WsResources *freeing)
@@ -182,7 +181,8 @@
   }
 }
 
-/* Moves the youngest victim to the front whose end leaves a slot for the job. */
+/* Moves to the front the youngest victim whose stop frees a slot for the job. FALSE: there is none.
+ */
 static gboolean
 move_slot_to_front(const WsCore *core, GArray *victims, WsPreemptFitFunc fits, gpointer data)
 {
@@ -198,8 +198,8 @@
   return FALSE;
 }
 
-/* How many of the victims must stop before the team's limit allows a task of the job; 0: even all
-   are too few. */
+/* How many of the victims must stop before the team's limit allows a task of the job; 0: to stop
+   all of them isn't enough. */
 static guint
 count_victims_needed(const WsCore *core, const WsJob *job, const WsResources *team_use,
                      const GArray *victims)
--- a/src/scheduling/ws-queue.c
+++ b/src/scheduling/ws-queue.c
@@ -4,16 +4,18 @@
 #include "commit/ws-commit.h"
 #include "workers/ws-workers.h"
 
-/* A job counts as late only if it would be late at this part of its estimated time. */
+/* A job counts as late only if it would be late even when it took this share of its estimated time.
+ */
 #define OPTIMISTIC_RUN_TIME_SHARE 0.6
-/* How late a job may be to count as slightly late: times its allowed time. */
+/* A late job counts as slightly late up to this multiple of its time limit. */
 #define SLIGHTLY_LATE_FACTOR 1.5
-/* Seconds of work that a second of waiting outweighs, so that large jobs don't starve. */
+/* Aging: a second of waiting counts as so many seconds less of remaining work, so that large jobs
+   don't starve. */
 #define WORK_CREDIT_PER_WAITED_S 5.0
-/* A job that has waited so long, or so many times its allowed time, no longer counts as late. */
+/* A job that has waited so long, and so many times its time limit, no longer counts as late. */
 #define MAX_LATE_S 150.0
 #define MAX_LATE_FACTOR 2.0
-/* Beside one task of every job, one of so many is protected. */
+/* Of each job one task is protected, and one more for every so many tasks. */
 #define TASKS_PER_PROTECTED_TASK 8
 
 static gint
@@ -95,7 +97,8 @@
   };
 }
 
-/* A job is within its team's guarantee when it fits there with the team's earlier open jobs. */
+/* Notes for each job whether it is within its team's guarantee: all earlier open jobs of the team
+   and itself together need no more than is guaranteed. */
 static void
 note_guarantees(const WsCore *core, const GArray *entries_by_age)
 {
@@ -127,9 +130,10 @@
   return entries;
 }
 
-/* Critical jobs first: people wait for them; then overdue ones, the oldest first; then guarantees
-   and priority. Of the rest, what can still be on time goes before what can't, and less work before
-   more: when there isn't capacity for everything, that makes the fewest jobs late. */
+/* Critical jobs come first, since users wait for them; then overdue ones, the oldest first; then
+   jobs within guarantees, then by priority. Among equals, jobs that can still be on time come
+   before those that can't, and less remaining work before more: when there isn't enough capacity,
+   that makes the fewest jobs late. */
 static gint
 compare_by_urgency(gconstpointer a, gconstpointer b)
 {
--- a/src/scheduling/ws-reservations.c
+++ b/src/scheduling/ws-reservations.c
@@ -7,11 +7,11 @@
 #include "workers/ws-workers.h"
 #include "storage/ws-gang-phase.h"
 
-/* Longer than a stop takes to be requested, carried out, reported and written, also when the
+/* Longer than it takes until a stop is requested, carried out, reported and written, also when the
    request has to be repeated. */
 #define LIFETIME_MS 5000
-/* A reservation is renewed with the leader only at this age, so that a plan isn't a message each
-   time. */
+/* A reservation is renewed with the leader only from this age on, so that not every plan sends a
+   message. */
 #define RENEWAL_AGE_MS 1500
 
 /* Capacity for tasks of one job, on one machine or within its team's limit. */
@@ -113,8 +113,9 @@
   drop_expired(core);
 }
 
-/* Whether the other job's tasks must respect what is reserved for the job. An overdue gang needs
-   many slots at once, and would never find them among tasks that are as urgent as it is. */
+/* Whether the other job's tasks must respect what is reserved for the job. An overdue gang also has
+   precedence over jobs that it may not preempt: it needs many slots at once, and would never get
+   them while equally urgent tasks take each slot that becomes free. */
 static gboolean
 has_precedence(const WsCore *core, const WsJob *job, const WsJob *other, guint other_tasks)
 {
@@ -125,7 +126,7 @@
          && other->spec->priority != WS_CRITICAL && !is_older;
 }
 
-/* For how many tasks the entry still keeps capacity from another job's assignment. */
+/* For how many tasks the entry still reserves capacity against an assignment of another job. */
 static guint
 count_reserved_tasks(const WsCore *core, const Reservation *entry, const WsJob *other,
                      guint other_tasks)
--- a/src/scheduling/ws-stop-requests.c
+++ b/src/scheduling/ws-stop-requests.c
@@ -1,11 +1,11 @@
-/* Requests to other nodes to stop preempted tasks on their machines. */
+/* Requests other nodes to stop preempted tasks on their machines. */
 #include "scheduling/ws-stop-requests.h"
 
 #include "membership/ws-membership.h"
 
 #define STOP_RETRY_MS 3000
 
-/* Whether the task is to be stopped and its owner wasn't asked a moment ago. */
+/* Whether the task is to be stopped and no request was sent recently. */
 static gboolean
 is_due(const WsCore *core, const WsAssignment *assignment)
 {
--- a/src/scheduling/ws-task-placement.c
+++ b/src/scheduling/ws-task-placement.c
@@ -1,4 +1,4 @@
-/* Placement of arrays and services: each task goes where it fits, one by one. */
+/* Placement of arrays and services: their tasks are placed one by one. */
 #include "scheduling/ws-task-placement.h"
 
 #include "scheduling/ws-candidates.h"
@@ -6,13 +6,13 @@
 #include "scheduling/ws-stop-requests.h"
 #include "commit/ws-commit.h"
 
-/* A fetch of the image that takes so long is worth avoiding by preemption, for critical jobs. */
+/* For critical jobs, tasks are preempted to avoid a fetch of the image that takes so long. */
 #define LONG_FETCH_S 3.0
 
 /* What became of a waiting task. */
 typedef enum {
   OUTCOME_PLACED,
-  OUTCOME_FREEING, /* tasks are being stopped whose end leaves it a slot */
+  OUTCOME_FREEING, /* a slot for it is being freed by stopping other tasks */
   OUTCOME_UNPLACED /* no machine has a slot for it */
 } Outcome;
 
@@ -22,7 +22,7 @@
   return ws_replica_machine(placement->core->replica, g_array_index(machines, WsMachineIndex, i));
 }
 
-/* Notes that capacity is being freed on the machine for one more task of the job at hand. */
+/* Notes that a slot for one more task of the job is being freed on the machine. */
 static void
 add_freeing_slot(WsPlacement *placement, WsMachineIndex machine)
 {
@@ -31,7 +31,7 @@
   g_hash_table_insert(placement->freeing_slots, key, GUINT_TO_POINTER(tasks + 1));
 }
 
-/* Reserves what is being freed for the job, and forgets it. */
+/* Reserves the slots that are being freed for the job, and clears the list of them. */
 static void
 reserve_freeing_slots(WsPlacement *placement, const WsJob *job)
 {
@@ -64,7 +64,7 @@
   return ws_candidates_would_fit(candidates, machine, freed);
 }
 
-/* Tells the owners of the machines to stop the tasks of the team that were chosen there. */
+/* Requests the owners of the machines to stop the victims of the team there. */
 static void
 stop_in_team(WsPlacement *placement, const WsJob *job, const GArray *machines)
 {
@@ -75,8 +75,8 @@
   }
 }
 
-/* A team whose own less urgent tasks use up its limit has some of them stopped for the urgent job,
-   if that can start then. Where no machine has a slot for it yet, one is rented first. */
+/* Stops less urgent tasks of the job's own team that use up the team's limit, if the job can start
+   then. If no machine has a slot for it yet, one is rented first. */
 static void
 preempt_in_team(WsPlacement *placement, WsCandidates *candidates, const WsJob *job)
 {
@@ -87,7 +87,7 @@
     slot = ws_candidates_peek(candidates, WS_SLOT_FREEING);
   WsTeamCapacity capacity = ws_preempt_in_team(core, job, &placement->team_use[job->team],
                                                slot != NULL, would_fit, candidates, machines);
-  if (slot == NULL && machines->len > 0) /* the first task that stops leaves the slot */
+  if (slot == NULL && machines->len > 0) /* the first victim is on a machine that fits the job */
     slot = machine_at(placement, machines, 0);
   if (capacity == WS_TEAM_CAPACITY_FREEING)
     ws_reservations_renew(core, job, WS_NO_MACHINE, 1);
@@ -98,8 +98,8 @@
   stop_in_team(placement, job, machines);
 }
 
-/* Someone waits for a critical task, so it isn't sent where it would first fetch its image for long
-   if preemption can free a slot where the image is cached. */
+/* Whether preemption is preferred to a fetch of the image: a user waits for a critical task, so it
+   isn't placed where the fetch takes long if a slot where the image is cached can be freed. */
 static gboolean
 prefers_cached_image(const WsPlacement *placement, const WsJob *job)
 {
@@ -107,8 +107,8 @@
          && ws_job_image_fetch_s(placement->core->replica, job) >= LONG_FETCH_S;
 }
 
-/* Takes a slot that is being freed, or else has one freed by preemption; FALSE: there is neither.
- */
+/* Takes a slot that is being freed, or otherwise frees one by preemption; FALSE: neither is
+   possible. */
 static gboolean
 take_freeing_slot(WsPlacement *placement, WsCandidates *candidates, const WsJob *job,
                   WsSlotKind freeing, WsSlotKind by_preemption)
@@ -155,7 +155,7 @@
       break;
     }
     ws_placement_use_team(placement, job, 1);
-    /* Where one task finds no slot, the next one, which needs the same, finds none either. */
+    /* If there is no slot for one task, there is none for the next one, which needs the same. */
     Outcome outcome = without_slot == 0
                           ? place_task(placement, candidates, job, g_array_index(tasks, guint, i))
                           : OUTCOME_UNPLACED;
