--- a/src/protocol/ws-cloud.c
+++ b/src/protocol/ws-cloud.c
@@ -1,4 +1,4 @@
-/* Reading and writing the cloud's messages. */
+/* Parses the cloud's answers and encodes the requests to it. */
 #include "protocol/ws-cloud.h"
 
 #include "protocol/ws-field-names.h"
@@ -9,7 +9,7 @@
 
 /* The state of a listed machine that will never be up. */
 #define STATE_FAILED "failed"
-/* The body of an answer that the cloud is out of capacity. */
+/* The body of the answer of a cloud that is out of capacity. */
 #define FIELD_ERROR "error"
 #define ERROR_NO_CAPACITY "no capacity"
 
--- a/src/protocol/ws-heartbeat.c
+++ b/src/protocol/ws-heartbeat.c
@@ -1,4 +1,4 @@
-/* Reading heartbeats, writing commands and answers. */
+/* Parses heartbeats and statuses of workers; encodes commands and the answers to heartbeats. */
 #include "protocol/ws-heartbeat.h"
 
 #include "protocol/ws-field-names.h"
@@ -8,9 +8,10 @@
 #include <string.h>
 
 #define MAX_MACHINE_NAME_BYTES 100
-/* A name is part of keys and paths. */
+/* A machine's name is part of keys of the store and of paths. */
 #define NOT_IN_MACHINE_NAMES " /"
 
+/* Splits JOB/NUMBER. */
 static gboolean
 parse_task_name(const char *name, char **job, guint *task)
 {
@@ -43,13 +44,13 @@
   return FALSE;
 }
 
-/* A reason that this version doesn't know is taken for an error. */
+/* A reason that this version doesn't know counts as an error. */
 static WsExitReason
 parse_exit_reason(const char *name)
 {
   static const struct {
     const char *name;
-    WsExitReason why;
+    WsExitReason reason;
   } REASONS[] = { { "done", WS_EXIT_DONE },
                   { "stopped", WS_EXIT_STOPPED },
                   { "full", WS_EXIT_REFUSED },
@@ -59,22 +60,22 @@
                   { "incomplete", WS_EXIT_INCOMPLETE } };
   for (gsize i = 0; i < G_N_ELEMENTS(REASONS); i++)
     if (g_strcmp0(REASONS[i].name, name) == 0)
-      return REASONS[i].why;
+      return REASONS[i].reason;
   return WS_EXIT_ERROR;
 }
 
 static gboolean
 parse_task(const json_t *item, WsTaskStatus *task)
 {
-  const char *name, *state, *why = NULL;
+  const char *name, *state, *reason = NULL;
   if (!ws_json_string(item, WS_FIELD_TASK, &name)
       || !ws_json_count(item, WS_FIELD_ATTEMPT, &task->attempt)
       || !ws_json_string(item, WS_FIELD_STATE, &state)
-      || !ws_json_string_or_null(item, WS_FIELD_EXIT_REASON, &why)
+      || !ws_json_string_or_null(item, WS_FIELD_EXIT_REASON, &reason)
       || !parse_task_state(state, &task->state) || !parse_task_name(name, &task->job, &task->task))
     return FALSE;
   if (task->state == WS_TASK_EXITED)
-    task->exit_reason = parse_exit_reason(why);
+    task->exit_reason = parse_exit_reason(reason);
   task->is_saved = json_is_true(json_object_get(item, WS_FIELD_IS_SAVED));
   return TRUE;
 }
@@ -85,6 +86,8 @@
   g_free(((WsTaskStatus *)data)->job);
 }
 
+/* Returns the name of the first field that is missing or invalid, as does parse_fields(); NULL: all
+   are valid. */
 static const char *
 parse_tasks(const json_t *message, WsHeartbeat *heartbeat)
 {
@@ -104,33 +107,33 @@
 }
 
 static const char *
-parse_fields(const json_t *m, WsHeartbeat *heartbeat)
+parse_fields(const json_t *message, WsHeartbeat *heartbeat)
 {
   const char *machine, *endpoint, *type, *zone;
-  if (!ws_json_string(m, WS_FIELD_MACHINE, &machine) || *machine == '\0'
+  if (!ws_json_string(message, WS_FIELD_MACHINE, &machine) || *machine == '\0'
       || strlen(machine) > MAX_MACHINE_NAME_BYTES || strpbrk(machine, NOT_IN_MACHINE_NAMES) != NULL)
     return WS_FIELD_MACHINE;
-  if (!ws_json_string(m, WS_FIELD_ENDPOINT, &endpoint))
+  if (!ws_json_string(message, WS_FIELD_ENDPOINT, &endpoint))
     return WS_FIELD_ENDPOINT;
-  if (!ws_json_string(m, WS_FIELD_MACHINE_TYPE, &type))
+  if (!ws_json_string(message, WS_FIELD_MACHINE_TYPE, &type))
     return WS_FIELD_MACHINE_TYPE;
-  if (!ws_json_string(m, WS_FIELD_ZONE, &zone))
+  if (!ws_json_string(message, WS_FIELD_ZONE, &zone))
     return WS_FIELD_ZONE;
-  if (!ws_json_bool(m, WS_FIELD_SPOT, &heartbeat->is_spot))
+  if (!ws_json_bool(message, WS_FIELD_SPOT, &heartbeat->is_spot))
     return WS_FIELD_SPOT;
-  if (!ws_json_count(m, WS_FIELD_INCARNATION, &heartbeat->incarnation))
+  if (!ws_json_count(message, WS_FIELD_INCARNATION, &heartbeat->incarnation))
     return WS_FIELD_INCARNATION;
-  if (!ws_json_count(m, WS_FIELD_SEQUENCE, &heartbeat->sequence))
+  if (!ws_json_count(message, WS_FIELD_SEQUENCE, &heartbeat->sequence))
     return WS_FIELD_SEQUENCE;
-  if (!ws_json_count(m, WS_FIELD_FENCING_TOKEN, &heartbeat->fencing_token))
+  if (!ws_json_count(message, WS_FIELD_FENCING_TOKEN, &heartbeat->fencing_token))
     return WS_FIELD_FENCING_TOKEN;
-  if (!ws_json_number_or_null(m, WS_FIELD_INTERRUPTION_S, &heartbeat->interruption_s))
+  if (!ws_json_number_or_null(message, WS_FIELD_INTERRUPTION_S, &heartbeat->interruption_s))
     return WS_FIELD_INTERRUPTION_S;
   heartbeat->machine = g_strdup(machine);
   heartbeat->endpoint = g_strdup(endpoint);
   heartbeat->type = g_strdup(type);
   heartbeat->zone = g_strdup(zone);
-  return parse_tasks(m, heartbeat);
+  return parse_tasks(message, heartbeat);
 }
 
 WsHeartbeat *
@@ -200,7 +203,8 @@
 json_t *
 ws_command_encode(WsOp op, const char *job, guint task, guint64 attempt, double grace_s)
 {
-  static const char *const OPS[] = { "launch", "halt", "reap" };
+  static const char *const OPS[]
+      = { [WS_OP_LAUNCH] = "launch", [WS_OP_HALT] = "halt", [WS_OP_REAP] = "reap" };
   g_autofree char *name = g_strdup_printf("%s/%u", job, task);
   json_t *command = json_pack("{s:s, s:s, s:I}", WS_FIELD_OPERATION, OPS[op], WS_FIELD_TASK, name,
                               WS_FIELD_ATTEMPT, (json_int_t)attempt);
--- a/src/protocol/ws-job-spec.c
+++ b/src/protocol/ws-job-spec.c
@@ -1,4 +1,4 @@
-/* Reading and writing submissions, which are also part of the stored records of jobs. */
+/* Parses and encodes submissions of jobs, which are also part of the stored job records. */
 #include "protocol/ws-job-spec.h"
 
 #include "protocol/ws-field-names.h"
@@ -8,7 +8,8 @@
 static const char *const KINDS[] = { "sweep", "service", "group", NULL };
 static const char *const PRIORITIES[] = { "critical", "urgent", "standard", "best_effort", NULL };
 
-#define MAX_NUMBER 1e9 /* of seconds, and of GB of an image */
+/* The largest number of seconds, or of GB of an image. */
+#define MAX_NUMBER 1e9
 #define MAX_TEXT_BYTES 200
 #define MAX_MACHINE_TYPES 1000
 #define NO_DEADLINE_S (-1.0)
@@ -35,6 +36,7 @@
   return ws_json_number(message, name, value) && *value >= 0.0 && *value <= MAX_NUMBER;
 }
 
+/* Reads a field whose value is one of the names; sets @index to its index among them. */
 static gboolean
 parse_name(const json_t *message, const char *name, const char *const *names, guint *index)
 {
@@ -171,7 +173,7 @@
 }
 
 /* Returns the name of the first field that is missing or invalid, as do the functions that it
-   calls; NULL: all are good. */
+   calls; NULL: all are valid. */
 static const char *
 parse_fields(const json_t *message, WsJobSpec *spec)
 {
--- a/src/protocol/ws-job-summary.c
+++ b/src/protocol/ws-job-summary.c
@@ -1,3 +1,4 @@
+/* Encodes the state of a job as its user gets it. */
 #include "protocol/ws-job-summary.h"
 
 #include "protocol/ws-field-names.h"
--- a/src/protocol/ws-json.c
+++ b/src/protocol/ws-json.c
@@ -1,4 +1,4 @@
-/* Typed, checked reading of JSON. */
+/* Typed access to JSON values. */
 #include "protocol/ws-json.h"
 
 /* Significant digits of a written number. */
--- a/src/protocol/ws-kv.c
+++ b/src/protocol/ws-kv.c
@@ -1,3 +1,4 @@
+/* Parses and encodes the messages of the key-value store. */
 #include "protocol/ws-kv.h"
 
 #include "protocol/ws-field-names.h"
--- a/src/protocol/ws-names.c
+++ b/src/protocol/ws-names.c
@@ -1,4 +1,4 @@
-/* Names and their dense indices. */
+/* Interned names with dense indices. */
 #include "protocol/ws-names.h"
 
 void
--- a/src/protocol/ws-properties.c
+++ b/src/protocol/ws-properties.c
@@ -1,9 +1,9 @@
-/* Reading the properties file, with GKeyFile. */
+/* Parses the properties file, with GKeyFile. */
 #include "protocol/ws-properties.h"
 
 #include <string.h>
 
-/* GKeyFile wants a group; the file has none, so that one is put before it. */
+/* GKeyFile needs a group, and the file has none: this one is put before its text. */
 #define GROUP "wrenshore"
 
 #define DEFAULT_IDLE_TIMEOUT_S 20.0
@@ -164,7 +164,7 @@
   return TRUE;
 }
 
-/* Percentages are rounded so that the budget is never exceeded. */
+/* Percentages are rounded towards fewer unavailable machines. */
 guint
 ws_budget_allowed(const WsBudget *budget, guint total)
 {
--- a/src/protocol/ws-settings.c
+++ b/src/protocol/ws-settings.c
@@ -1,22 +1,30 @@
-/* Reading the settings file, section by section. */
+/* Parses the settings file, section by section. */
 #include "protocol/ws-settings.h"
 
 #include <string.h>
 
 #define MAX_NUMBER 1e9
-/* A set of nodes is kept as bits. */
+/* Sets of nodes are stored as the bits of an integer. */
 #define MAX_NODES 31u
-/* A record of 128 tasks or of 50 machines fits in so much. */
+/* The size of a value that a record of 128 tasks or of 50 machines needs. */
 #define MIN_VALUE_KB 8.0
-/* Under lower limits to come a record holds fewer tasks or machines; a submission, a team's use and
-   a few tasks must fit, and a transaction must take a task, its job, a team's use and one more. */
+/* The least values of the announced lower limits. A record then holds fewer tasks or machines, but
+   a submission, the use of a team and a few tasks must fit; and a transaction must have space for a
+   task, its job, the use of its team and one more operation. */
 #define MIN_NEXT_VALUE_KB 1.0
 #define MIN_TXN_OPERATIONS 4
-/* Kept free in each record, since the state service may count a value's bytes in another form. */
+/* The share of each value that is kept free, since the key-value store may encode a value
+   differently when it counts its bytes. */
 #define RECORD_MARGIN_RATIO 0.03
-/* Where the settings don't say, none of the service's jobs are gangs. */
+/* Used if the settings don't have these times: then the platform's jobs include no gangs. */
 #define DEFAULT_GANG_WAIT_S 30.0
 #define DEFAULT_GANG_PEER_S 5.0
+/* Kinds of objectives. */
+#define OBJECTIVE_BEGIN "wait"
+#define OBJECTIVE_END "finished"
+#define BYTES_PER_KB 1024.0
+/* No objective applies to the class. */
+#define NO_OBJECTIVE_S (-1.0)
 
 static void
 node_free(gpointer data)
@@ -85,7 +93,11 @@
     return "peers";
   size_t i;
   const json_t *peer;
-  json_array_foreach(peers, i, peer) if (!add_node(settings, peer, FALSE)) return "peers";
+  json_array_foreach(peers, i, peer)
+  {
+    if (!add_node(settings, peer, FALSE))
+      return "peers";
+  }
   if (settings->nodes->len > MAX_NODES)
     return "peers (31 nodes are the most)";
   const WsNode *self = g_ptr_array_index(settings->nodes, 0);
@@ -111,8 +123,8 @@
          && ws_amount_parse_capacity(item, "gpus_max", &team->limit.gpus);
 }
 
-/* Only what is said about the beginning of tasks and the end of jobs matters here; the other kinds
-   are for the operators. */
+/* Adds an objective about the beginning of tasks or the end of jobs. Other kinds, and invalid ones,
+   are ignored: they are for the operators. */
 static void
 parse_objective(WsSettings *settings, const json_t *item)
 {
@@ -120,8 +132,8 @@
   WsObjective objective = { 0 };
   if (!ws_json_string(item, "kind", &kind))
     return;
-  objective.is_begin = strcmp(kind, "wait") == 0;
-  if ((!objective.is_begin && strcmp(kind, "finished") != 0)
+  objective.is_begin = strcmp(kind, OBJECTIVE_BEGIN) == 0;
+  if ((!objective.is_begin && strcmp(kind, OBJECTIVE_END) != 0)
       || !parse_positive(item, "within_s", &objective.within_s)
       || !copy_text(item, "class", &objective.class_name))
     return;
@@ -147,11 +159,15 @@
       parse_objective(settings, item);
   if (!json_is_array(teams))
     return "params.teams";
-  json_array_foreach(teams, i, item) if (!parse_team(settings, item)) return "params.teams";
+  json_array_foreach(teams, i, item)
+  {
+    if (!parse_team(settings, item))
+      return "params.teams";
+  }
   return NULL;
 }
 
-/* Lowers the limit to the one that is announced, if one is. */
+/* Lowers the limit to the announced one, if there is one. FALSE: that is invalid. */
 static gboolean
 lower_limit(const json_t *next, const char *name, double min, double *limit)
 {
@@ -164,7 +180,8 @@
   return TRUE;
 }
 
-/* The limits that the state service will have from some later moment, without notice. */
+/* Applies the announced limits at once: the key-value store enforces them from some later moment
+   on, without notice. */
 static const char *
 parse_next_limits(WsSettings *settings, const json_t *next)
 {
@@ -180,7 +197,7 @@
   if (!lower_limit(next, "txn_ops", MIN_TXN_OPERATIONS, &ops))
     return "params.state.next.txn_ops (4 is the least)";
   settings->state_txn_ops = (guint64)ops;
-  settings->state_record_bytes = (guint64)(value_kb * 1024.0 * (1.0 - RECORD_MARGIN_RATIO));
+  settings->state_record_bytes = (guint64)(value_kb * BYTES_PER_KB * (1.0 - RECORD_MARGIN_RATIO));
   return NULL;
 }
 
@@ -258,8 +275,8 @@
   return invalid;
 }
 
-/* Returns the name of the first setting that is missing or invalid, as do the other functions of
-   this form; NULL: all are good. */
+/* Returns the name of the first setting that is missing or invalid, as do the functions that it
+   calls; NULL: all are valid. */
 static const char *
 parse_all(WsSettings *settings, const json_t *message)
 {
@@ -345,10 +362,12 @@
   return WS_NO_NODE;
 }
 
+/* The shortest time of the class's objectives about the beginning, or else the end; or
+   NO_OBJECTIVE_S. */
 static double
-tightest(const WsSettings *settings, const char *class_name, gboolean is_begin)
+shortest_objective_s(const WsSettings *settings, const char *class_name, gboolean is_begin)
 {
-  double within_s = -1.0;
+  double within_s = NO_OBJECTIVE_S;
   for (guint i = 0; i < settings->objectives->len; i++) {
     const WsObjective *objective = g_ptr_array_index(settings->objectives, i);
     if (objective->is_begin == is_begin && strcmp(objective->class_name, class_name) == 0
@@ -361,11 +380,11 @@
 double
 ws_settings_finish_within(const WsSettings *settings, const char *class_name)
 {
-  return tightest(settings, class_name, FALSE);
+  return shortest_objective_s(settings, class_name, FALSE);
 }
 
 double
 ws_settings_begin_within(const WsSettings *settings, const char *class_name)
 {
-  return tightest(settings, class_name, TRUE);
+  return shortest_objective_s(settings, class_name, TRUE);
 }
