--- a/src/core/ws-core.c
+++ b/src/core/ws-core.c
@@ -71,9 +71,12 @@
 void
 ws_core_stop(WsCore *core)
 {
-  gboolean any = TRUE;
-  for (guint round = 0; any && round < MAX_STOP_ROUNDS; round++)
-    any = ws_context_stop_calls(core) | ws_store_stop(core);
+  gboolean has_stopped_any = TRUE;
+  for (guint round = 0; has_stopped_any && round < MAX_STOP_ROUNDS; round++) {
+    gboolean has_stopped_calls = ws_context_stop_calls(core);
+    gboolean has_stopped_store = ws_store_stop(core);
+    has_stopped_any = has_stopped_calls || has_stopped_store;
+  }
 }
 
 void
--- a/src/fleet/ws-rentals.c
+++ b/src/fleet/ws-rentals.c
@@ -15,6 +15,8 @@
    store's writes. */
 #define FAILED_RENTALS_WRITE_SHARE 0.03
 #define WRITES_PER_RENTAL 2.0
+/* Spot and ordinary machines. */
+#define KINDS_PER_TYPE_AND_ZONE 2.0
 #define RENTAL_RETRY_MS 1500
 #define RENTAL_TIMEOUT_MS 4000
 
@@ -77,7 +79,7 @@
 {
   double kinds = 0.0;
   for (WsTypeIndex t = 0; core->replica->catalog != NULL && t < core->replica->catalog->len; t++)
-    kinds += 2.0 * g_strv_length(ws_replica_type(core->replica, t)->zones);
+    kinds += KINDS_PER_TYPE_AND_ZONE * g_strv_length(ws_replica_type(core->replica, t)->zones);
   double per_second = FAILED_RENTALS_WRITE_SHARE * core->settings->state_write_rps;
   double period_ms = 1000.0 * WRITES_PER_RENTAL * kinds / per_second;
   return MAX(1.0, period_ms / MAX_CAPACITY_BACKOFF_MS);
--- a/src/protocol/ws-cloud.c
+++ b/src/protocol/ws-cloud.c
@@ -33,9 +33,31 @@
   g_free(listed);
 }
 
+typedef gboolean (*ParseItemFunc)(const json_t *item, gpointer parsed);
+
+/* Parses each item of the list into a new structure of the size; NULL: one is invalid. */
+static GPtrArray *
+parse_list(const json_t *list, gsize item_size, GDestroyNotify free_item, ParseItemFunc parse_item)
+{
+  if (!json_is_array(list))
+    return NULL;
+  g_autoptr(GPtrArray) parsed = g_ptr_array_new_with_free_func(free_item);
+  size_t i;
+  const json_t *item;
+  json_array_foreach(list, i, item)
+  {
+    gpointer entry = g_malloc0(item_size);
+    g_ptr_array_add(parsed, entry);
+    if (!parse_item(item, entry))
+      return NULL;
+  }
+  return g_steal_pointer(&parsed);
+}
+
 static gboolean
-parse_type(const json_t *item, WsType *type)
+parse_type(const json_t *item, gpointer parsed)
 {
+  WsType *type = parsed;
   const char *name;
   if (!ws_json_string(item, WS_FIELD_TYPE_NAME, &name)
       || !ws_amount_parse_capacity(item, WS_FIELD_CPUS, &type->capacity.cpus)
@@ -55,25 +77,14 @@
 GPtrArray *
 ws_catalog_parse(const json_t *message)
 {
-  const json_t *list = json_object_get(message, WS_FIELD_MACHINE_TYPES);
-  if (!json_is_array(list))
-    return NULL;
-  g_autoptr(GPtrArray) types = g_ptr_array_new_with_free_func(type_free);
-  size_t i;
-  const json_t *item;
-  json_array_foreach(list, i, item)
-  {
-    WsType *type = g_new0(WsType, 1);
-    g_ptr_array_add(types, type);
-    if (!parse_type(item, type))
-      return NULL;
-  }
-  return g_steal_pointer(&types);
+  return parse_list(json_object_get(message, WS_FIELD_MACHINE_TYPES), sizeof(WsType), type_free,
+                    parse_type);
 }
 
 static gboolean
-parse_listed_machine(const json_t *item, WsListedMachine *listed)
+parse_listed_machine(const json_t *item, gpointer parsed)
 {
+  WsListedMachine *listed = parsed;
   const char *id, *endpoint = NULL, *type, *zone, *state;
   if (!ws_json_string(item, WS_FIELD_ID, &id)
       || !ws_json_string_or_null(item, WS_FIELD_ENDPOINT, &endpoint)
@@ -97,17 +108,7 @@
   const json_t *list = json_object_get(message, WS_FIELD_MACHINES);
   if (!json_is_array(list) || !ws_json_bool(message, WS_FIELD_HAS_MORE, more))
     return NULL;
-  g_autoptr(GPtrArray) machines = g_ptr_array_new_with_free_func(listed_machine_free);
-  size_t i;
-  const json_t *item;
-  json_array_foreach(list, i, item)
-  {
-    WsListedMachine *listed = g_new0(WsListedMachine, 1);
-    g_ptr_array_add(machines, listed);
-    if (!parse_listed_machine(item, listed))
-      return NULL;
-  }
-  return g_steal_pointer(&machines);
+  return parse_list(list, sizeof(WsListedMachine), listed_machine_free, parse_listed_machine);
 }
 
 GPtrArray *
--- a/src/protocol/ws-properties.c
+++ b/src/protocol/ws-properties.c
@@ -80,11 +80,22 @@
 }
 
 static gboolean
-is_known(GPtrArray *zones, const char *zone)
+contains_zone(GPtrArray *zones, const char *zone)
 {
   return g_ptr_array_find_with_equal_func(zones, zone, g_str_equal, NULL);
 }
 
+static gboolean
+has_budget(const WsProperties *properties, const char *type, const char *zone)
+{
+  for (guint i = 0; i < properties->budgets->len; i++) {
+    const WsBudget *budget = g_ptr_array_index(properties->budgets, i);
+    if (strcmp(budget->type, type) == 0 && strcmp(budget->zone, zone) == 0)
+      return TRUE;
+  }
+  return FALSE;
+}
+
 /* Returns what is wrong with the key or its value, as does parse_key(); NULL: nothing. */
 static const char *
 parse_budget(WsProperties *properties, const char *key, const char *value, GPtrArray *zones)
@@ -92,19 +103,18 @@
   g_auto(GStrv) parts = g_strsplit(key, ".", -1);
   if (g_strv_length(parts) != BUDGET_KEY_PARTS)
     return "unknown key";
-  gboolean is_minimum = strcmp(parts[3], LIMIT_MIN_AVAILABLE) == 0;
-  if (!is_minimum && strcmp(parts[3], LIMIT_MAX_UNAVAILABLE) != 0)
+  const char *limit = parts[3];
+  gboolean is_minimum = strcmp(limit, LIMIT_MIN_AVAILABLE) == 0;
+  if (!is_minimum && strcmp(limit, LIMIT_MAX_UNAVAILABLE) != 0)
     return "unknown key";
-  if (!is_known(zones, parts[2]))
+  const char *type = parts[1], *zone = parts[2];
+  if (!contains_zone(zones, zone))
     return "unknown zone";
-  for (guint i = 0; i < properties->budgets->len; i++) {
-    const WsBudget *other = g_ptr_array_index(properties->budgets, i);
-    if (strcmp(other->type, parts[1]) == 0 && strcmp(other->zone, parts[2]) == 0)
-      return "minAvailable and maxUnavailable can't both be given for a type and zone";
-  }
+  if (has_budget(properties, type, zone))
+    return "minAvailable and maxUnavailable can't both be given for a type and zone";
   WsBudget *budget = g_new0(WsBudget, 1);
-  budget->type = g_strdup(parts[1]);
-  budget->zone = g_strdup(parts[2]);
+  budget->type = g_strdup(type);
+  budget->zone = g_strdup(zone);
   budget->is_minimum = is_minimum;
   g_ptr_array_add(properties->budgets, budget);
   return parse_amount(value, budget) ? NULL : "not a count or a percentage";
@@ -129,10 +139,10 @@
   return "unknown key";
 }
 
-gboolean
-ws_properties_parse(WsProperties *properties, const char *text, GPtrArray *zones, GError **error)
+/* Loads the text as a file without groups. */
+static gboolean
+load_key_file(GKeyFile *file, const char *text, GError **error)
 {
-  g_autoptr(GKeyFile) file = g_key_file_new();
   g_autoptr(GError) cause = NULL;
   g_autofree char *grouped = g_strconcat("[" GROUP "]\n", text, NULL);
   if (!g_key_file_load_from_data(file, grouped, strlen(grouped), G_KEY_FILE_NONE, &cause)) {
@@ -146,6 +156,15 @@
                 names[groups - 1]);
     return FALSE;
   }
+  return TRUE;
+}
+
+gboolean
+ws_properties_parse(WsProperties *properties, const char *text, GPtrArray *zones, GError **error)
+{
+  g_autoptr(GKeyFile) file = g_key_file_new();
+  if (!load_key_file(file, text, error))
+    return FALSE;
   g_auto(GStrv) keys = g_key_file_get_keys(file, GROUP, NULL, NULL);
   for (char **key = keys; *key != NULL; key++) {
     g_autofree char *value = g_key_file_get_string(file, GROUP, *key, NULL);
--- a/src/scheduling/ws-candidates.c
+++ b/src/scheduling/ws-candidates.c
@@ -223,6 +223,23 @@
   g_free(candidates);
 }
 
+/* Whether the candidate isn't spent. One that no longer fits a task is noted as spent. */
+static gboolean
+is_left(const WsCandidates *candidates, WsSlotKind kind, Candidate *candidate)
+{
+  if (!candidate->is_spent)
+    candidate->is_spent = !fits(candidates, kind, candidate->machine);
+  return !candidate->is_spent;
+}
+
+/* Whether a task may be placed in the zone: by the restriction to one zone, and by the job. */
+static gboolean
+is_zone_possible(const WsCandidates *candidates, WsZoneIndex zone)
+{
+  return (candidates->only_zone == WS_NO_ZONE || zone == candidates->only_zone)
+         && allows_zone(candidates, zone);
+}
+
 /* The best candidate that isn't spent. The penalty of a zone depends on how many of the job's tasks
    are there by now, so the best candidate of each zone is found first, and those are compared. */
 static Candidate *
@@ -236,18 +253,13 @@
   for (guint i = 0; i < of_kind->len && zones_seen < zones; i++) {
     Candidate *candidate = &g_array_index(of_kind, Candidate, i);
     WsZoneIndex zone = machine_at(candidates, candidate->machine)->zone;
-    if (candidate->is_spent || is_zone_seen[zone])
-      continue;
-    candidate->is_spent = !fits(candidates, kind, candidate->machine);
-    if (candidate->is_spent)
+    if (is_zone_seen[zone] || !is_left(candidates, kind, candidate))
       continue;
     is_zone_seen[zone] = TRUE;
     zones_seen++;
-    if (candidates->only_zone != WS_NO_ZONE && zone != candidates->only_zone)
-      continue;
     double score = candidate->score
                    - ws_placement_zone_penalty(candidates->job, candidates->tasks_by_zone[zone]);
-    if (!allows_zone(candidates, zone) || (best != NULL && score <= best_score))
+    if (!is_zone_possible(candidates, zone) || (best != NULL && score <= best_score))
       continue;
     best = candidate;
     best_score = score;
@@ -260,7 +272,7 @@
 static gboolean
 reinstate_spent(WsCandidates *candidates, WsSlotKind kind)
 {
-  gboolean any = FALSE;
+  gboolean has_reinstated = FALSE;
   if (candidates->job->spec->kind == WS_KIND_ARRAY || is_by_preemption(kind))
     return FALSE;
   for (guint i = 0; i < candidates->by_kind[kind]->len; i++) {
@@ -268,9 +280,9 @@
     if (!candidate->is_spent || !fits(candidates, kind, candidate->machine))
       continue;
     candidate->is_spent = FALSE;
-    any = TRUE;
+    has_reinstated = TRUE;
   }
-  return any;
+  return has_reinstated;
 }
 
 static Candidate *
--- a/src/scheduling/ws-gang-placement.c
+++ b/src/scheduling/ws-gang-placement.c
@@ -151,8 +151,9 @@
                         guint *tasks_by_zone)
 {
   WsCore *core = placement->core;
-  gboolean all = tasks->len + job->assigned_count + job->completed_count == job->tasks;
-  if (!all || ws_gang_is_ending(job))
+  /* Otherwise assignments of some tasks are pending, or there is no space for them in records. */
+  gboolean is_complete = tasks->len + job->assigned_count + job->completed_count == job->tasks;
+  if (!is_complete || ws_gang_is_ending(job))
     return;
   g_autoptr(GArray) machines = NULL;
   gboolean team_allows = ws_placement_team_allows(placement, job, tasks->len);
--- a/src/scheduling/ws-gang.c
+++ b/src/scheduling/ws-gang.c
@@ -94,13 +94,13 @@
 /* Repeats the halts of tasks on this node's machines: of all tasks, or only of those that were
    requested to stop. */
 static void
-retry_halts(WsCore *core, WsJob *job, gboolean all)
+retry_halts(WsCore *core, WsJob *job, gboolean of_all_tasks)
 {
   WsAssignmentIter iter;
   ws_assignment_iter_init(&iter, job);
   WsAssignment *assignment;
   while ((assignment = ws_assignment_iter_next(&iter)) != NULL) {
-    if ((!all && !assignment->is_stop_requested) || !is_halt_due(core, assignment))
+    if ((!of_all_tasks && !assignment->is_stop_requested) || !is_halt_due(core, assignment))
       continue;
     assignment->stop_forwarded_ms = core->now;
     ws_worker_rpc_halt(core, job, assignment);
--- a/src/workers/ws-worker-status.c
+++ b/src/workers/ws-worker-status.c
@@ -51,8 +51,8 @@
   g_info("a task of job %s failed on %s", job->id, machine->name);
 }
 
-/* The gang's tasks weren't all ready to run in time. Neither a machine nor the job is at fault, but the
-   next attempt backs off, for longer each time in a row. */
+/* The gang's tasks weren't all ready to run in time. Neither a machine nor the job is at fault, but
+   the next attempt backs off, for longer each time in a row. */
 static void
 back_off_gang(WsCore *core, WsJob *job)
 {
