--- a/src/fleet/ws-cloud-list.c
+++ b/src/fleet/ws-cloud-list.c
@@ -112,11 +112,10 @@
 static void
 record_rental_batch(WsCore *core, WsTxn *txn, const WsMachine *first, GArray *machines)
 {
-  WsRentalBatch *rental_batch = fill_rental_batch(core, first, machines);
+  g_autoptr(WsRentalBatch) rental_batch = fill_rental_batch(core, first, machines);
   g_autofree char *key = ws_key(WS_KEYS_RENTAL_BATCH, rental_batch->name);
   ws_txn_compare_version(txn, key, 0);
   ws_txn_put(txn, key, ws_rental_batch_encode(rental_batch, core->replica));
-  ws_rental_batch_free(rental_batch);
 }
 
 void
@@ -124,8 +123,8 @@
 {
   if (!ws_is_active_member(core) || !ws_store_is_available(core))
     return;
-  WsTxn *txn = ws_txn_new();
-  GArray *machines = g_array_new(FALSE, FALSE, sizeof(WsMachineIndex));
+  g_autoptr(WsTxn) txn = ws_txn_new();
+  g_autoptr(GArray) machines = g_array_new(FALSE, FALSE, sizeof(WsMachineIndex));
   ws_txn_compare(txn, core->replica, WS_KEY_EPOCH);
   for (WsMachineIndex i = 0; i < core->replica->machines->len; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, i);
@@ -134,12 +133,9 @@
     if (machine->fleet.needs_record && ws_txn_operation_count(txn) < core->settings->state_txn_ops)
       record_rental_batch(core, txn, machine, machines);
   }
-  if (machines->len > 0) {
-    ws_txn_commit(core, txn, WS_REQUEST_OTHER, on_recorded, machines);
-    return;
-  }
-  ws_txn_free(txn);
-  g_array_unref(machines);
+  if (machines->len > 0)
+    ws_txn_commit(core, g_steal_pointer(&txn), WS_REQUEST_OTHER, on_recorded,
+                  g_steal_pointer(&machines));
 }
 
 /* How long a machine without a record must have been listed before it gets one. */
--- a/src/fleet/ws-fleet.c
+++ b/src/fleet/ws-fleet.c
@@ -97,7 +97,7 @@
 
 /* Whether the machine is empty and has never sent a heartbeat, although its zone is reachable. */
 static gboolean
-is_not_up(const WsCore *core, const WsMachine *machine)
+has_never_been_up(const WsCore *core, const WsMachine *machine)
 {
   return machine->is_recorded && !machine->is_marked && machine->worker.heard_ms <= 0
          && machine->type != WS_NO_TYPE && machine->tasks->len == 0
@@ -115,7 +115,7 @@
     return;
   for (WsMachineIndex i = 0; i < core->replica->machines->len; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, i);
-    if (!is_not_up(core, machine))
+    if (!has_never_been_up(core, machine))
       continue;
     double boot_s = ws_replica_type(core->replica, machine->type)->boot_s;
     double age_s = (double)(core->wall - machine->rented_ms) / 1000.0;
--- a/src/fleet/ws-rentals.c
+++ b/src/fleet/ws-rentals.c
@@ -193,12 +193,11 @@
 static void
 on_intent_closed(WsCore *core, WsTxnResult result, gpointer data)
 {
-  char *request = data;
+  g_autofree char *request = data;
   if (result != WS_TXN_COMMITTED)
     schedule_retry(core, request);
   g_hash_table_remove(core->fleet->rentals->in_flight, request);
   core->replan_is_needed = TRUE;
-  g_free(request);
 }
 
 /* Adds one rental batch to the transaction, with the machines from the index @first of the names
--- a/src/fleet/ws-termination.c
+++ b/src/fleet/ws-termination.c
@@ -208,15 +208,13 @@
   WsTermination *termination = core->fleet->termination;
   if (termination->requested->len == 0 || termination->writing->len > 0)
     return;
-  WsTxn *txn = ws_txn_new();
+  g_autoptr(WsTxn) txn = ws_txn_new();
   ws_txn_compare(txn, core->replica, WS_KEY_EPOCH);
   while (termination->requested->len > 0
          && ws_txn_operation_count(txn) < core->settings->state_txn_ops)
     write_first_request(core, txn);
   if (termination->writing->len > 0)
-    ws_txn_commit(core, txn, WS_REQUEST_TASK, on_marked, NULL);
-  else
-    ws_txn_free(txn);
+    ws_txn_commit(core, g_steal_pointer(&txn), WS_REQUEST_TASK, on_marked, NULL);
 }
 
 gboolean
--- a/src/scheduling/ws-coordinator.c
+++ b/src/scheduling/ws-coordinator.c
@@ -95,7 +95,7 @@
   const GPtrArray *active = core->replica->active_jobs;
   if (core->plan->escalation_is_in_flight)
     return;
-  WsTxn *txn = ws_txn_new();
+  g_autoptr(WsTxn) txn = ws_txn_new();
   ws_txn_compare(txn, core->replica, WS_KEY_EPOCH);
   for (guint i = 0;
        i < active->len && ws_txn_operation_count(txn) < MAX_ESCALATIONS_PER_TRANSACTION; i++) {
@@ -105,7 +105,5 @@
   }
   core->plan->escalation_is_in_flight = ws_txn_operation_count(txn) > 0;
   if (core->plan->escalation_is_in_flight)
-    ws_txn_commit(core, txn, WS_REQUEST_TASK, on_escalated, NULL);
-  else
-    ws_txn_free(txn);
+    ws_txn_commit(core, g_steal_pointer(&txn), WS_REQUEST_TASK, on_escalated, NULL);
 }
--- a/src/scheduling/ws-demand.c
+++ b/src/scheduling/ws-demand.c
@@ -37,6 +37,7 @@
     add_virtual(demand, WS_VIRTUAL_RUNNING, machine->type, machine->zone, machine->is_spot, &freed);
 }
 
+/* Adds the machines of rental intents that the cloud hasn't confirmed yet. */
 static void
 add_ordered(WsDemand *demand)
 {
--- a/src/scheduling/ws-preempt.c
+++ b/src/scheduling/ws-preempt.c
@@ -89,8 +89,8 @@
 /* The cheapest victim on the machine that isn't being stopped yet: the youngest task. @victim_job
    is set to its job. */
 static WsAssignment *
-find_cheapest(const WsCore *core, const WsJob *job, const WsMachine *machine,
-              gint64 younger_than_ms, WsJob **victim_job)
+find_cheapest_victim(const WsCore *core, const WsJob *job, const WsMachine *machine,
+                     gint64 younger_than_ms, WsJob **victim_job)
 {
   WsAssignment *best = NULL;
   for (guint i = 0; i < machine->tasks->len; i++) {
@@ -119,7 +119,8 @@
   ws_resources_add(&available, &capacity->freeing, 1);
   while (!ws_resources_fit(&job->spec->need, &available)) {
     WsJob *victim = NULL;
-    const WsAssignment *assignment = find_cheapest(core, job, machine, younger_than_ms, &victim);
+    const WsAssignment *assignment
+        = find_cheapest_victim(core, job, machine, younger_than_ms, &victim);
     if (assignment == NULL)
       return -1.0;
     younger_than_ms = assignment->assigned_ms;
@@ -136,7 +137,7 @@
   ws_resources_add(&available, &capacity->freeing, 1);
   while (!ws_resources_fit(&job->spec->need, &available)) {
     WsJob *victim = NULL;
-    WsAssignment *assignment = find_cheapest(core, job, machine, G_MAXINT64, &victim);
+    WsAssignment *assignment = find_cheapest_victim(core, job, machine, G_MAXINT64, &victim);
     if (assignment == NULL)
       return;
     assignment->is_stop_requested = TRUE;
@@ -184,7 +185,8 @@
 /* Moves to the front the youngest victim whose stop frees a slot for the job. FALSE: there is none.
  */
 static gboolean
-move_slot_to_front(const WsCore *core, GArray *victims, WsPreemptFitFunc fits, gpointer data)
+move_fitting_victim_to_front(const WsCore *core, GArray *victims, WsPreemptFitFunc fits,
+                             gpointer data)
 {
   for (guint i = 0; i < victims->len; i++) {
     TeamVictim victim = g_array_index(victims, TeamVictim, i);
@@ -243,7 +245,7 @@
   g_array_sort(victims, compare_youngest_first);
   if (count_victims_needed(core, job, &use_left, victims) == 0)
     return WS_TEAM_FULL;
-  if (!has_slot && !move_slot_to_front(core, victims, fits, data))
+  if (!has_slot && !move_fitting_victim_to_front(core, victims, fits, data))
     return WS_TEAM_NO_SLOT;
   stop_victims(core, victims, count_victims_needed(core, job, &use_left, victims), machines);
   return WS_TEAM_CAPACITY_FREEING;
--- a/src/workers/ws-cancelled-tasks.c
+++ b/src/workers/ws-cancelled-tasks.c
@@ -189,6 +189,8 @@
   return TRUE;
 }
 
+/* Has the machine returned if its tasks haven't been confirmed as exited so long after the
+   cancellation: through a termination mark, or without one if the store is unavailable. */
 static void
 return_if_late(WsCore *core, WsMachine *machine, gint64 age_ms)
 {
@@ -220,6 +222,8 @@
   return since_ms;
 }
 
+/* Halts what is left of cancelled jobs on the machine, and has the machine returned if that takes
+   too long. */
 static void
 enforce_on_machine(WsCore *core, WsMachine *machine)
 {
--- a/src/workers/ws-reconciliation.c
+++ b/src/workers/ws-reconciliation.c
@@ -69,6 +69,7 @@
     add_command(run, WS_OP_REAP, task->job, task->task, task->attempt, 0.0);
 }
 
+/* Adds the command, if any, for a task that the heartbeat shows. */
 static void
 command_present(Reconciliation *run, const WsTaskStatus *task)
 {
--- a/src/workers/ws-relay.c
+++ b/src/workers/ws-relay.c
@@ -36,7 +36,9 @@
   g_free(relay);
 }
 
-static void send_relay(WsCore *core, Relay *relay);
+G_DEFINE_AUTOPTR_CLEANUP_FUNC(Relay, relay_free)
+
+static void send_relay(WsCore *core, Relay *relay /* taken */);
 
 /* A node that reaches the owner and is reached from here; WS_NO_NODE: there is none. */
 static WsNodeIndex
@@ -86,13 +88,13 @@
 static void
 on_relayed(WsCore *core, guint status, const json_t *body, gpointer data)
 {
-  Relay *relay = data;
+  g_autoptr(Relay) relay = data;
   ws_peer_end_relay(core, relay->owner);
   if (status != WS_HTTP_OK && relay->via == relay->owner) {
     WsNodeIndex third = find_third_node(core, relay);
     if (third != WS_NO_NODE) {
       relay->via = third;
-      send_relay(core, relay);
+      send_relay(core, g_steal_pointer(&relay));
       return;
     }
   }
@@ -100,11 +102,10 @@
     answer_as_owner(core, relay, body);
   else
     answer_without_owner(core, relay->heartbeat, relay->request);
-  relay_free(relay);
 }
 
 static void
-send_relay(WsCore *core, Relay *relay)
+send_relay(WsCore *core, Relay *relay /* taken */)
 {
   WsRelayMessage message
       = { core->replica->epoch.number, ws_settings_node(core->settings, relay->owner)->name,
@@ -117,16 +118,14 @@
 void
 ws_relay_heartbeat(WsCore *core, WsNodeIndex owner, const char *heartbeat, gpointer request)
 {
-  Relay *relay = g_new0(Relay, 1);
+  g_autoptr(Relay) relay = g_new0(Relay, 1);
   *relay = (Relay){ request, owner, owner, g_strdup(heartbeat) };
   if (!ws_peer_is_reachable(core, owner))
     relay->via = find_third_node(core, relay);
-  if (relay->via != WS_NO_NODE && ws_peer_relays_in_flight(core, owner) < MAX_RELAYS_IN_FLIGHT) {
-    send_relay(core, relay);
-    return;
-  }
-  answer_without_owner(core, heartbeat, request);
-  relay_free(relay);
+  if (relay->via != WS_NO_NODE && ws_peer_relays_in_flight(core, owner) < MAX_RELAYS_IN_FLIGHT)
+    send_relay(core, g_steal_pointer(&relay));
+  else
+    answer_without_owner(core, heartbeat, request);
 }
 
 /* The owner's answer to a heartbeat that was forwarded for another node. */
