--- a/src/api/ws-job-api.c
+++ b/src/api/ws-job-api.c
@@ -25,6 +25,7 @@
 
 typedef enum { REQUEST_SUBMIT, REQUEST_POLL, REQUEST_CANCEL } RequestKind;
 
+/* A user's request that hasn't been answered yet. */
 typedef struct {
   RequestKind kind;
   char *id;
@@ -112,6 +113,7 @@
     ws_store_linearizable_read(core, on_read, user_request);
 }
 
+/* Decides again after a conflict, or leaves it to the user to do so. */
 static void
 retry(WsCore *core, UserRequest *user_request)
 {
@@ -121,6 +123,18 @@
     ws_store_linearizable_read(core, on_read, user_request);
 }
 
+/* Returns whether the transaction was committed. If not, the request is decided again after a
+   conflict, or else its user is asked to retry. */
+static gboolean
+handle_txn_result(WsCore *core, UserRequest *user_request, WsTxnResult result)
+{
+  if (result == WS_TXN_CONFLICT)
+    retry(core, user_request);
+  else if (result != WS_TXN_COMMITTED)
+    finish_later(core, user_request);
+  return result == WS_TXN_COMMITTED;
+}
+
 static void
 log_accepted(const WsJobSpec *spec)
 {
@@ -132,14 +146,8 @@
 on_submitted(WsCore *core, WsTxnResult result, gpointer data)
 {
   UserRequest *user_request = data;
-  if (result == WS_TXN_CONFLICT) {
-    retry(core, user_request);
-    return;
-  }
-  if (result != WS_TXN_COMMITTED) {
-    finish_later(core, user_request);
+  if (!handle_txn_result(core, user_request, result))
     return;
-  }
   log_accepted(user_request->spec);
   core->replan_is_needed = TRUE;
   WsJobSummary summary = { .job_id = user_request->id, .state = WS_USER_STATE_QUEUED };
@@ -186,15 +194,9 @@
 on_cancelled(WsCore *core, WsTxnResult result, gpointer data)
 {
   UserRequest *user_request = data;
-  if (result == WS_TXN_CONFLICT) {
-    retry(core, user_request);
-    return;
-  }
-  if (result != WS_TXN_COMMITTED) {
-    finish_later(core, user_request);
+  if (!handle_txn_result(core, user_request, result))
     return;
-  }
-  WsJob *job = ws_replica_find_job(core->replica, user_request->id);
+  const WsJob *job = ws_replica_find_job(core->replica, user_request->id);
   g_info("job %s cancelled", user_request->id);
   finish_with_status(core, user_request, WS_HTTP_OK, job);
 }
@@ -220,6 +222,7 @@
   ws_txn_commit(core, txn, WS_REQUEST_USER, on_cancelled, user_request);
 }
 
+/* Answers the request by the replica as it is now, or begins the transaction for it. */
 static void
 decide(WsCore *core, UserRequest *user_request)
 {
@@ -234,8 +237,9 @@
     finish_with_status(core, user_request, WS_HTTP_OK, job);
 }
 
+/* Begins to decide a request, after a linearizable read if that is necessary. */
 static void
-begin(WsCore *core, RequestKind kind, const char *id, WsJobSpec *spec, gpointer request)
+begin(WsCore *core, RequestKind kind, const char *id, WsJobSpec *spec /* taken */, gpointer request)
 {
   const WsJob *job = ws_replica_find_job(core->replica, id);
   gboolean is_final = job != NULL && job->state != WS_JOB_ACTIVE;
--- a/src/fleet/ws-consolidation.c
+++ b/src/fleet/ws-consolidation.c
@@ -13,6 +13,8 @@
 #include "storage/ws-constraints.h"
 #include "storage/ws-mark-reasons.h"
 
+/* A machine is underused while at most this part of its CPUs and accelerators is in use: a half. */
+#define UNDERUSED_DIVISOR 2
 /* Candidates per tick that turn out not to fit elsewhere: each is compared with all machines. */
 #define MAX_FAILED_CANDIDATES 4
 /* At most one machine, and one more for every so many machines, is consolidated at a time. */
@@ -131,14 +133,15 @@
   ws_termination_request_mark(core, machine, WS_MARK_REASON_CONSOLIDATION, FALSE);
 }
 
-/* Whether the machine is up, may be terminated and is at most half used. */
+/* Whether the machine is up, is an ordinary one without a mark, and is underused. */
 static gboolean
 is_underused(const WsCore *core, const WsMachine *machine)
 {
   const WsResources *capacity = &ws_replica_type(core->replica, machine->type)->capacity;
   return machine->is_recorded && machine->type != WS_NO_TYPE && !machine->is_marked
          && !machine->is_spot && ws_machine_is_up(core, machine)
-         && 2 * machine->used.cpus <= capacity->cpus && 2 * machine->used.gpus <= capacity->gpus;
+         && UNDERUSED_DIVISOR * machine->used.cpus <= capacity->cpus
+         && UNDERUSED_DIVISOR * machine->used.gpus <= capacity->gpus;
 }
 
 /* Whether the machine has been underused for the idle timeout. */
--- a/src/protocol/ws-heartbeat.c
+++ b/src/protocol/ws-heartbeat.c
@@ -8,6 +8,8 @@
 #include <string.h>
 
 #define MAX_MACHINE_NAME_BYTES 100
+/* The cloud has given no interruption notice. */
+#define NO_INTERRUPTION_S (-1.0)
 /* A machine's name is part of keys of the store and of paths. */
 #define NOT_IN_MACHINE_NAMES " /"
 
@@ -144,7 +146,7 @@
     return NULL;
   }
   g_autoptr(WsHeartbeat) heartbeat = g_new0(WsHeartbeat, 1);
-  heartbeat->interruption_s = -1.0;
+  heartbeat->interruption_s = NO_INTERRUPTION_S;
   heartbeat->tasks = g_array_new(FALSE, TRUE, sizeof(WsTaskStatus));
   g_array_set_clear_func(heartbeat->tasks, task_status_clear);
   const char *invalid = parse_fields(message, heartbeat);
--- a/src/scheduling/ws-candidates.c
+++ b/src/scheduling/ws-candidates.c
@@ -14,7 +14,8 @@
 typedef struct {
   WsMachineIndex machine;
   double score;
-  gboolean is_spent; /* no longer fits a task, or has got a task of this service or gang */
+  gboolean
+      is_spent; /* no longer fits a task, or was taken by preemption or for a service or gang */
 } Candidate;
 
 struct _WsCandidates {
--- a/src/scheduling/ws-preempt.c
+++ b/src/scheduling/ws-preempt.c
@@ -12,6 +12,8 @@
 /* A job within its team's guarantee may only stop a task of the same priority that has run for less
    than so many milliseconds per second of its estimated time. */
 #define MAX_LOST_RUN_MS_PER_S 500.0
+/* Negative: there are too few victims on the machine. */
+#define IMPOSSIBLE_COST_S (-1.0)
 /* The cost of each stop beside the lost work. */
 #define STOP_COST_S 5.0
 
@@ -122,7 +124,7 @@
     const WsAssignment *assignment
         = find_cheapest_victim(core, job, machine, younger_than_ms, &victim);
     if (assignment == NULL)
-      return -1.0;
+      return IMPOSSIBLE_COST_S;
     younger_than_ms = assignment->assigned_ms;
     ws_resources_add(&available, &victim->spec->need, 1);
     cost += STOP_COST_S + (double)(core->wall - assignment->assigned_ms) / 1000.0;
