--- a/src/api/ws-job-api.c
+++ b/src/api/ws-job-api.c
@@ -1,20 +1,23 @@
 /**
- * Decides on users' requests by the replica, brought up to date by a linearizable read where
- * another node may know better.
+ * Decides on users' requests by the replica. Where it may be older than what another node has
+ * written, a linearizable read brings it up to date first.
  */
 #include "api/ws-job-api.h"
 #include "api/ws-admission.h"
 
-#include "store/ws-store.h"
-#include "scheduling/ws-scheduling.h"
 #include "protocol/ws-job-summary.h"
+#include "protocol/ws-status-codes.h"
+#include "scheduling/ws-scheduling.h"
+#include "store/ws-store.h"
 
 #include <string.h>
 
 #define JOBS_PATH "/api/jobs"
-#define CANCELLATION "withdraw"
+#define CANCELLATION "withdraw" /* the last part of the path of a cancellation */
+/* A path with more parts below JOBS_PATH than an id and CANCELLATION is unknown. */
+#define MAX_PATH_PARTS 3
 #define MAX_BODY_BYTES 65536
-/* How often a request is decided before its user is asked to retry. */
+/* How often the transaction of a request may conflict before its user has to retry. */
 #define MAX_TRIES 4
 /* Retry-After: after a request that may succeed soon, and while the store is unavailable. */
 #define RETRY_AFTER_S 1
@@ -22,13 +25,14 @@
 
 typedef enum { REQUEST_SUBMIT, REQUEST_POLL, REQUEST_CANCEL } RequestKind;
 
+/* A user's request that hasn't been answered yet. */
 typedef struct {
   RequestKind kind;
   char *id;
   WsJobSpec *spec; /* of a submission */
   gpointer handle; /* for ws_answer() */
   guint tries;
-  gboolean has_read; /* a linearizable read has ended since the request came in */
+  gboolean has_read; /* a linearizable read has succeeded since the request came in */
 } UserRequest;
 
 static void decide(WsCore *core, UserRequest *user_request);
@@ -96,8 +100,9 @@
     finish_later(core, user_request);
 }
 
-/* A final state never changes. Everything else, and every refusal, is decided by a replica that was
-   brought up to date after the request came in: another node may know better. */
+/* A final state never changes, so it is answered at once. Everything else, and every refusal, is
+   decided by a replica that was brought up to date after the request came in, since another node
+   may have changed the job. */
 static void
 decide_after_read(WsCore *core, UserRequest *user_request)
 {
@@ -108,6 +113,7 @@
     ws_store_linearizable_read(core, on_read, user_request);
 }
 
+/* Decides again after a conflict, or leaves it to the user to do so. */
 static void
 retry(WsCore *core, UserRequest *user_request)
 {
@@ -117,23 +123,35 @@
     ws_store_linearizable_read(core, on_read, user_request);
 }
 
+/* Returns whether the transaction was committed. If not, the request is decided again after a
+   conflict, or else its user is asked to retry. */
+static gboolean
+handle_txn_result(WsCore *core, UserRequest *user_request, WsTxnResult result)
+{
+  if (result == WS_TXN_CONFLICT)
+    retry(core, user_request);
+  else if (result != WS_TXN_COMMITTED)
+    finish_later(core, user_request);
+  return result == WS_TXN_COMMITTED;
+}
+
+static void
+log_accepted(const WsJobSpec *spec)
+{
+  g_info("job %s accepted: %u tasks of %s for team %s, estimated %.0f s, due in %.0f s", spec->id,
+         spec->tasks, spec->class_name, spec->team, spec->estimate_s, spec->deadline_s);
+}
+
 static void
 on_submitted(WsCore *core, WsTxnResult result, gpointer data)
 {
   UserRequest *user_request = data;
-  if (result == WS_TXN_CONFLICT) {
-    retry(core, user_request);
-  } else if (result == WS_TXN_COMMITTED) {
-    g_info("job %s accepted: %u tasks of %s for team %s, estimated %.0f s, due in %.0f s",
-           user_request->id, user_request->spec->tasks, user_request->spec->class_name,
-           user_request->spec->team, user_request->spec->estimate_s,
-           user_request->spec->deadline_s);
-    core->replan_is_needed = TRUE;
-    WsJobSummary summary = { .job_id = user_request->id, .state = WS_USER_STATE_QUEUED };
-    finish(core, user_request, 201, ws_job_summary_encode(&summary, FALSE));
-  } else {
-    finish_later(core, user_request);
-  }
+  if (!handle_txn_result(core, user_request, result))
+    return;
+  log_accepted(user_request->spec);
+  core->replan_is_needed = TRUE;
+  WsJobSummary summary = { .job_id = user_request->id, .state = WS_USER_STATE_QUEUED };
+  finish(core, user_request, WS_HTTP_CREATED, ws_job_summary_encode(&summary, FALSE));
 }
 
 static void
@@ -155,7 +173,7 @@
 {
   const WsJob *job = ws_replica_find_job(core->replica, user_request->id);
   if (job != NULL) {
-    finish_with_status(core, user_request, 200, job);
+    finish_with_status(core, user_request, WS_HTTP_OK, job);
     return;
   }
   if (core->replica->catalog == NULL) {
@@ -163,11 +181,11 @@
     return;
   }
   const char *reason = ws_admission_refusal(core, user_request->spec);
-  /* Another node, of an older version maybe, may have accepted it by its own rules. */
+  /* Another node, perhaps of an older version with other rules, may have accepted the job. */
   if (reason != NULL && !user_request->has_read)
     ws_store_linearizable_read(core, on_read, user_request);
   else if (reason != NULL)
-    finish_with_reason(core, user_request, 422, reason);
+    finish_with_reason(core, user_request, WS_HTTP_UNPROCESSABLE_CONTENT, reason);
   else
     accept(core, user_request);
 }
@@ -176,21 +194,15 @@
 on_cancelled(WsCore *core, WsTxnResult result, gpointer data)
 {
   UserRequest *user_request = data;
-  if (result == WS_TXN_CONFLICT) {
-    retry(core, user_request);
+  if (!handle_txn_result(core, user_request, result))
     return;
-  }
-  if (result != WS_TXN_COMMITTED) {
-    finish_later(core, user_request);
-    return;
-  }
-  WsJob *job = ws_replica_find_job(core->replica, user_request->id);
+  const WsJob *job = ws_replica_find_job(core->replica, user_request->id);
   g_info("job %s cancelled", user_request->id);
-  finish_with_status(core, user_request, 200, job);
+  finish_with_status(core, user_request, WS_HTTP_OK, job);
 }
 
-/* The record of a job that never had an assignment is final at once. The absence of its chunk is a
-   condition then, since an assignment doesn't change the job's own key. */
+/* Cancels the job. If it never had an assignment its record is final at once; the transaction then
+   depends on the absence of its chunk, since an assignment doesn't change the job's own key. */
 static void
 cancel(WsCore *core, UserRequest *user_request, const WsJob *job)
 {
@@ -210,6 +222,7 @@
   ws_txn_commit(core, txn, WS_REQUEST_USER, on_cancelled, user_request);
 }
 
+/* Answers the request by the replica as it is now, or begins the transaction for it. */
 static void
 decide(WsCore *core, UserRequest *user_request)
 {
@@ -217,15 +230,16 @@
   if (user_request->kind == REQUEST_SUBMIT)
     decide_submission(core, user_request);
   else if (job == NULL)
-    finish_with_reason(core, user_request, 404, "no such job");
+    finish_with_reason(core, user_request, WS_HTTP_NOT_FOUND, "no such job");
   else if (user_request->kind == REQUEST_CANCEL && job->state == WS_JOB_ACTIVE)
     cancel(core, user_request, job);
   else
-    finish_with_status(core, user_request, 200, job);
+    finish_with_status(core, user_request, WS_HTTP_OK, job);
 }
 
+/* Begins to decide a request, after a linearizable read if that is necessary. */
 static void
-begin(WsCore *core, RequestKind kind, const char *id, WsJobSpec *spec, gpointer request)
+begin(WsCore *core, RequestKind kind, const char *id, WsJobSpec *spec /* taken */, gpointer request)
 {
   const WsJob *job = ws_replica_find_job(core->replica, id);
   gboolean is_final = job != NULL && job->state != WS_JOB_ACTIVE;
@@ -237,7 +251,7 @@
   UserRequest *user_request = g_new0(UserRequest, 1);
   *user_request
       = (UserRequest){ .kind = kind, .id = g_strdup(id), .spec = spec, .handle = request };
-  /* A new id needs no read: the transaction itself finds out whether it is new. */
+  /* A new id needs no read: the transaction fails if another node has accepted the same id. */
   if (kind == REQUEST_SUBMIT && job == NULL)
     decide(core, user_request);
   else
@@ -248,14 +262,14 @@
 submit(WsCore *core, const char *body, gsize length, gpointer request)
 {
   if (length > MAX_BODY_BYTES) {
-    ws_answer_reason(core, request, 400, "longer than 64 KiB");
+    ws_answer_reason(core, request, WS_HTTP_BAD_REQUEST, "longer than 64 KiB");
     return;
   }
   g_autoptr(json_t) message = ws_json_parse(body, length);
   g_autoptr(GError) error = NULL;
   WsJobSpec *spec = ws_job_spec_parse(message, &error);
   if (spec == NULL) {
-    ws_answer_reason(core, request, 400, error->message);
+    ws_answer_reason(core, request, WS_HTTP_BAD_REQUEST, error->message);
     return;
   }
   begin(core, REQUEST_SUBMIT, spec->id, spec, request);
@@ -267,7 +281,7 @@
 {
   if (!g_str_has_prefix(path, JOBS_PATH "/"))
     return NULL;
-  g_auto(GStrv) parts = g_strsplit(path + strlen(JOBS_PATH "/"), "/", 3);
+  g_auto(GStrv) parts = g_strsplit(path + strlen(JOBS_PATH "/"), "/", MAX_PATH_PARTS);
   guint count = g_strv_length(parts);
   *is_cancellation = count == 2 && strcmp(parts[1], CANCELLATION) == 0;
   return count == 1 || *is_cancellation ? g_strdup(parts[0]) : NULL;
@@ -281,13 +295,13 @@
   gboolean is_submission = strcmp(path, JOBS_PATH) == 0;
   g_autofree char *id = job_id_in_path(path, &is_cancellation);
   if (!is_submission && id == NULL)
-    ws_answer_reason(core, request, 404, "no such path");
+    ws_answer_reason(core, request, WS_HTTP_NOT_FOUND, "no such path");
   else if (strcmp(method, is_submission || is_cancellation ? "POST" : "GET") != 0)
-    ws_answer_reason(core, request, 405, "not with this method");
+    ws_answer_reason(core, request, WS_HTTP_METHOD_NOT_ALLOWED, "not with this method");
   else if (is_submission)
     submit(core, body, length, request);
   else if (!ws_job_id_valid(id))
-    ws_answer_reason(core, request, 404, "no such job");
+    ws_answer_reason(core, request, WS_HTTP_NOT_FOUND, "no such job");
   else
     begin(core, is_cancellation ? REQUEST_CANCEL : REQUEST_POLL, id, NULL, request);
 }
--- a/src/core/ws-core.c
+++ b/src/core/ws-core.c
@@ -1,10 +1,11 @@
-/* The core: connects the packages, and takes each input through them in a fixed order. */
+/* The core: connects the packages, and has them process each input in a fixed order. */
 #include "core/ws-core.h"
 
 #include "api/ws-job-api.h"
 #include "commit/ws-commit.h"
 #include "fleet/ws-fleet.h"
 #include "membership/ws-membership.h"
+#include "protocol/ws-status-codes.h"
 #include "scheduling/ws-scheduling.h"
 #include "store/ws-store.h"
 #include "workers/ws-workers.h"
@@ -12,15 +13,15 @@
 #include <string.h>
 
 #define RECONCILIATION_PERIOD_MS 250
-/* When the core stops, an ended call may lead to another one, but not for ever. */
+/* When the core stops, the end of one call may lead to another call; so often at most. */
 #define MAX_STOP_ROUNDS 20
 
 #define PATH_READY "/ready"
 #define PATH_HEARTBEAT "/v1/report"
-#define HTTP_OK 200
-#define HTTP_METHOD_NOT_ALLOWED 405
+/* Retry-After while the node isn't ready. */
+#define READY_RETRY_AFTER_S 1
 
-/* What lower packages call in higher ones. */
+/* The functions of higher packages that lower ones call. */
 static const WsHandlers HANDLERS = {
   .request_termination = ws_termination_request_mark,
   .note_worker_status = ws_workers_note_status,
@@ -70,9 +71,12 @@
 void
 ws_core_stop(WsCore *core)
 {
-  gboolean any = TRUE;
-  for (guint round = 0; any && round < MAX_STOP_ROUNDS; round++)
-    any = ws_context_stop_calls(core) | ws_store_stop(core);
+  gboolean has_stopped_any = TRUE;
+  for (guint round = 0; has_stopped_any && round < MAX_STOP_ROUNDS; round++) {
+    gboolean has_stopped_calls = ws_context_stop_calls(core);
+    gboolean has_stopped_store = ws_store_stop(core);
+    has_stopped_any = has_stopped_calls || has_stopped_store;
+  }
 }
 
 void
@@ -119,7 +123,7 @@
   return g_queue_pop_head(&core->outputs);
 }
 
-/* What is measured since a time before the pause starts afresh. */
+/* Restarts the idle timeouts after a pause of the process. */
 static void
 notice_stall(WsCore *core, gint64 now_ms)
 {
@@ -132,7 +136,7 @@
   }
 }
 
-/* Takes over the time of an input. The monotonic time never goes back. */
+/* Sets the clocks to the time of an input. The monotonic one never goes back. */
 static void
 set_time(WsCore *core, gint64 now_ms, gint64 wall_ms)
 {
@@ -141,7 +145,7 @@
   core->wall = wall_ms;
 }
 
-/* In a new epoch everything that rested on the former shards and leader starts afresh. */
+/* In a new epoch all state that depends on the previous shards and leader is reset. */
 static void
 handle_epoch_change(WsCore *core)
 {
@@ -162,8 +166,8 @@
     ws_cancelled_tasks_enforce(core);
 }
 
-/* Does what follows from an input. Each step may leave work for those after it, and the last one
-   sends what the others have written. */
+/* Processes the consequences of an input. Each step may create work for the following ones, and the
+   last one sends the writes of all others. */
 static void
 process_consequences(WsCore *core)
 {
@@ -184,7 +188,7 @@
     ws_write_stats_log(core, ws_assignments_oldest_age_ms(core), ws_releases_oldest_age_ms(core));
 }
 
-/* The periodic comparison of what is wanted with what is there. */
+/* The periodic reconciliation of the desired state with the observed one. */
 static void
 reconcile(WsCore *core)
 {
@@ -215,18 +219,18 @@
 answer_readiness(WsCore *core, const char *method, gpointer request)
 {
   if (strcmp(method, "GET") != 0)
-    ws_answer_reason(core, request, HTTP_METHOD_NOT_ALLOWED, "only GET here");
+    ws_answer_reason(core, request, WS_HTTP_METHOD_NOT_ALLOWED, "only GET here");
   else if (ws_authority_check_readiness(core) == WS_REFUSAL_NONE)
-    ws_answer(core, request, HTTP_OK, json_pack("{s:b}", "ready", 1), 0);
+    ws_answer(core, request, WS_HTTP_OK, json_pack("{s:b}", "ready", 1), 0);
   else
-    ws_answer_later(core, request, 1);
+    ws_answer_later(core, request, READY_RETRY_AFTER_S);
 }
 
 static void
 handle_heartbeat(WsCore *core, const char *method, const char *body, gsize length, gpointer request)
 {
   if (strcmp(method, "POST") != 0)
-    ws_answer_reason(core, request, HTTP_METHOD_NOT_ALLOWED, "only POST here");
+    ws_answer_reason(core, request, WS_HTTP_METHOD_NOT_ALLOWED, "only POST here");
   else
     ws_workers_handle_heartbeat(core, body, length, request);
 }
--- a/src/fleet/ws-cloud-list.c
+++ b/src/fleet/ws-cloud-list.c
@@ -1,25 +1,27 @@
 /**
- * Reconciliation with the cloud's list of machines, page by page.
+ * Reconciles the records with the cloud's list of machines, page by page. Machines without a record
+ * get one in a rental batch of their own, to be used or returned like all others.
  */
 #include "fleet/ws-fleet-private.h"
 
 #include "store/ws-store.h"
 #include "membership/ws-membership.h"
+#include "protocol/ws-status-codes.h"
 #include "storage/ws-mark-reasons.h"
 
 #include <string.h>
 
 #define LIST_TIMEOUT_MS 4000
 #define LIST_PAGE_MACHINES 500u
-/* A machine without a record is taken for one after this multiple of the time by which lists lag
-   behind: a list may be older than the one before, and show a machine that an earlier leader
-   returned. */
+/* A machine without a record gets one only after it has been listed for this multiple of the time
+   by which lists lag behind: a list may be older than the previous one, and show a machine that an
+   earlier leader has returned. */
 #define LIST_LAG_FACTOR 3.0
 
 struct _WsCloudList {
   gint64 next_call_ms;
   gboolean call_in_flight;
-  char *last_id;      /* the last machine of the page before; NULL: the list begins anew */
+  char *last_id;      /* the last machine of the previous page; NULL: the next page is the first */
   guint64 last_batch; /* number of the last rental batch of unexpected machines in this run */
 };
 
@@ -106,70 +108,82 @@
   return rental_batch;
 }
 
+/* Adds a new rental batch to the transaction, and its machines to @machines. */
+static void
+record_rental_batch(WsCore *core, WsTxn *txn, const WsMachine *first, GArray *machines)
+{
+  g_autoptr(WsRentalBatch) rental_batch = fill_rental_batch(core, first, machines);
+  g_autofree char *key = ws_key(WS_KEYS_RENTAL_BATCH, rental_batch->name);
+  ws_txn_compare_version(txn, key, 0);
+  ws_txn_put(txn, key, ws_rental_batch_encode(rental_batch, core->replica));
+}
+
 void
 ws_cloud_list_reconcile_tick(WsCore *core)
 {
   if (!ws_is_active_member(core) || !ws_store_is_available(core))
     return;
-  WsTxn *txn = ws_txn_new();
-  GArray *machines = g_array_new(FALSE, FALSE, sizeof(WsMachineIndex));
+  g_autoptr(WsTxn) txn = ws_txn_new();
+  g_autoptr(GArray) machines = g_array_new(FALSE, FALSE, sizeof(WsMachineIndex));
   ws_txn_compare(txn, core->replica, WS_KEY_EPOCH);
   for (WsMachineIndex i = 0; i < core->replica->machines->len; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, i);
     if (machine->is_recorded || ws_returns_is_confirmed(core, machine->name))
       machine->fleet.needs_record = FALSE;
-    if (!machine->fleet.needs_record
-        || ws_txn_operation_count(txn) >= core->settings->state_txn_ops)
-      continue;
-    WsRentalBatch *rental_batch = fill_rental_batch(core, machine, machines);
-    g_autofree char *key = ws_key(WS_KEYS_RENTAL_BATCH, rental_batch->name);
-    ws_txn_compare_version(txn, key, 0);
-    ws_txn_put(txn, key, ws_rental_batch_encode(rental_batch, core->replica));
-    ws_rental_batch_free(rental_batch);
-  }
-  if (machines->len > 0) {
-    ws_txn_commit(core, txn, WS_REQUEST_OTHER, on_recorded, machines);
-    return;
+    if (machine->fleet.needs_record && ws_txn_operation_count(txn) < core->settings->state_txn_ops)
+      record_rental_batch(core, txn, machine, machines);
   }
-  ws_txn_free(txn);
-  g_array_unref(machines);
+  if (machines->len > 0)
+    ws_txn_commit(core, g_steal_pointer(&txn), WS_REQUEST_OTHER, on_recorded,
+                  g_steal_pointer(&machines));
 }
 
+/* How long a machine without a record must have been listed before it gets one. */
 static gint64
-first_listing_ms(const WsCore *core)
+unrecorded_grace_ms(const WsCore *core)
 {
   return (gint64)(core->settings->list_lag_s * (LIST_LAG_FACTOR * 1000.0));
 }
 
 static void
-handle_listed(WsCore *core, const WsListedMachine *listed)
+handle_unrecorded(WsCore *core, WsMachine *machine, const WsListedMachine *listed)
 {
-  if (ws_returns_is_confirmed(core, listed->id))
+  if (machine->fleet.listed_ms == 0)
+    machine->fleet.listed_ms = core->now;
+  if (core->now - machine->fleet.listed_ms < unrecorded_grace_ms(core))
     return;
-  WsMachine *machine = ws_replica_get_machine(core->replica, listed->id);
-  if (!machine->is_recorded) {
-    if (machine->fleet.listed_ms == 0)
-      machine->fleet.listed_ms = core->now;
-    if (core->now - machine->fleet.listed_ms < first_listing_ms(core))
-      return;
-    ws_replica_describe_machine(core->replica, machine, listed->type, listed->zone,
-                                listed->is_spot);
-    ws_cloud_list_note_unrecorded(core, machine, core->wall - (gint64)(listed->age_s * 1000.0));
-    return;
-  }
+  ws_replica_describe_machine(core->replica, machine, listed->type, listed->zone, listed->is_spot);
+  ws_cloud_list_note_unrecorded(core, machine, core->wall - (gint64)(listed->age_s * 1000.0));
+}
+
+static void
+handle_recorded(WsCore *core, WsMachine *machine, const WsListedMachine *listed)
+{
   if (machine->worker.endpoint == NULL && listed->endpoint != NULL)
     machine->worker.endpoint = g_strdup(listed->endpoint);
   if (listed->has_failed && !ws_machine_is_up(core, machine))
     ws_termination_request_mark(core, machine, WS_MARK_REASON_FAILED, TRUE);
 }
 
+static void
+handle_listed(WsCore *core, const WsListedMachine *listed)
+{
+  if (ws_returns_is_confirmed(core, listed->id))
+    return;
+  WsMachine *machine = ws_replica_get_machine(core->replica, listed->id);
+  if (machine->is_recorded)
+    handle_recorded(core, machine, listed);
+  else
+    handle_unrecorded(core, machine, listed);
+}
+
 static void
 on_list(WsCore *core, guint status, const json_t *body, gpointer data)
 {
   (void)data;
   WsCloudList *list = core->fleet->cloud_list;
-  gboolean more = FALSE;
-  g_autoptr(GPtrArray) machines = status == 200 ? ws_listing_parse(body, &more) : NULL;
+  gboolean has_more = FALSE;
+  g_autoptr(GPtrArray) machines = status == WS_HTTP_OK ? ws_listing_parse(body, &has_more) : NULL;
   list->call_in_flight = FALSE;
   list->next_call_ms = core->now + (gint64)(core->settings->list_lag_s * 1000.0);
   g_clear_pointer(&list->last_id, g_free);
@@ -177,9 +191,9 @@
     return;
   for (guint i = 0; i < machines->len; i++)
     handle_listed(core, g_ptr_array_index(machines, i));
-  if (more && machines->len > 0) {
-    list->last_id
-        = g_strdup(((WsListedMachine *)g_ptr_array_index(machines, machines->len - 1))->id);
+  if (has_more && machines->len > 0) {
+    const WsListedMachine *last = g_ptr_array_index(machines, machines->len - 1);
+    list->last_id = g_strdup(last->id);
     list->next_call_ms = core->now;
   }
 }
--- a/src/fleet/ws-consolidation.c
+++ b/src/fleet/ws-consolidation.c
@@ -1,10 +1,10 @@
 /**
- * Consolidation: a machine with only a few tasks of services, which fit on other machines, is
- * terminated in the same way as an empty one.
+ * Consolidation: a machine that is at most half used, by tasks of services that fit on other
+ * machines, is terminated in the same way as an idle one.
  *
- * Each move interrupts a service for a moment. So tasks move only to machines that have the image,
- * when no task waits for capacity, and from few machines at a time, of which no two have tasks of
- * the same service.
+ * Each move interrupts a service for a moment. So tasks move only to machines that have the image
+ * cached, only when no task waits for capacity, and from few machines at a time, of which no two
+ * have tasks of the same service.
  */
 #include "fleet/ws-fleet-private.h"
 
@@ -13,22 +13,24 @@
 #include "storage/ws-constraints.h"
 #include "storage/ws-mark-reasons.h"
 
-/* Machines compared with all others in vain in one tick. */
+/* A machine is underused while at most this part of its CPUs and accelerators is in use: a half. */
+#define UNDERUSED_DIVISOR 2
+/* Candidates per tick that turn out not to fit elsewhere: each is compared with all machines. */
 #define MAX_FAILED_CANDIDATES 4
-/* One in so many machines is consolidated at a time. */
+/* At most one machine, and one more for every so many machines, is consolidated at a time. */
 #define MACHINES_PER_CONSOLIDATION 50
-/* How long each node's turn is; it selects machines in the first half only. */
+/* How long each node's turn is; it selects machines in the first half of it only. */
 #define TURN_MS 2000
 /* How long after the beginning of an epoch machines may be consolidated. */
 #define EPOCH_SETTLING_MS 15000
 
 /* The moves that are planned in one tick. */
 typedef struct {
-  WsResources *planned; /* by WsMachineIndex: what moves there */
-  gboolean *is_source;  /* by WsMachineIndex */
-  GHashTable *jobs;     /* WsJobIndex of each job with a task that moves */
+  WsResources *incoming; /* by WsMachineIndex: needed by the tasks that move there */
+  gboolean *is_source;   /* by WsMachineIndex */
+  GHashTable *jobs;      /* WsJobIndex of each job with a task that moves */
   guint source_count;
-} Batch;
+} MovePlan;
 
 /* Whether no task waits for a machine and no termination is under way. */
 static gboolean
@@ -60,84 +62,86 @@
 }
 
 static gboolean
-is_target(const WsCore *core, const Batch *batch, const WsMachine *machine, const WsMachine *target,
-          const WsJob *job)
+is_target(const WsCore *core, const MovePlan *plan, const WsMachine *machine,
+          const WsMachine *target, const WsJob *job)
 {
   if (target == machine || !target->is_recorded || target->is_marked
-      || batch->is_source[target->index] || target->worker.interruption_ms != 0
+      || plan->is_source[target->index] || target->worker.interruption_ms != 0
       || target->tasks->len == 0 || !ws_machine_has_image(target, job->image)
       || !ws_machine_is_up(core, target)
       || !ws_constraints_allow_machine(core->replica, job->spec, job->zone, target))
     return FALSE;
   WsResources available = ws_replica_type(core->replica, target->type)->capacity;
   ws_resources_add(&available, &target->used, -1);
-  ws_resources_add(&available, &batch->planned[target->index], -1);
+  ws_resources_add(&available, &plan->incoming[target->index], -1);
   return ws_resources_fit(&job->spec->need, &available)
          && may_move(core, job, machine->zone, target->zone);
 }
 
-/* Whether all its tasks may move, none of them of a service of which another moves already, and
-   none is planned to move here. */
+/* Whether all tasks of the machine may move: each is of a service of which no other task moves, and
+   no task is planned to move to this machine. */
 static gboolean
-may_be_source(const WsCore *core, const Batch *batch, const WsMachine *machine)
+may_be_source(const WsCore *core, const MovePlan *plan, const WsMachine *machine)
 {
-  const WsResources *planned = &batch->planned[machine->index];
+  const WsResources *incoming = &plan->incoming[machine->index];
   for (guint i = 0; i < machine->tasks->len; i++) {
     const WsTaskRef *ref = &g_array_index(machine->tasks, WsTaskRef, i);
     const WsJob *job = ws_replica_job(core->replica, ref->job);
     const WsAssignment *assignment = ws_job_assignment(job, ref->task);
     if (job->spec->kind != WS_KIND_SERVICE || assignment == NULL
         || assignment->state != WS_TASK_RUNNING
-        || g_hash_table_contains(batch->jobs, GUINT_TO_POINTER(job->index)))
+        || g_hash_table_contains(plan->jobs, GUINT_TO_POINTER(job->index)))
       return FALSE;
   }
-  return machine->tasks->len > 0 && planned->cpus == 0 && planned->gpus == 0;
+  return machine->tasks->len > 0 && incoming->cpus == 0 && incoming->gpus == 0;
 }
 
 static const WsMachine *
-find_target(const WsCore *core, const Batch *batch, const WsMachine *machine, const WsJob *job)
+find_target(const WsCore *core, const MovePlan *plan, const WsMachine *machine, const WsJob *job)
 {
   for (WsMachineIndex m = 0; m < core->replica->machines->len; m++) {
     const WsMachine *target = ws_replica_machine(core->replica, m);
-    if (is_target(core, batch, machine, target, job))
+    if (is_target(core, plan, machine, target, job))
       return target;
   }
   return NULL;
 }
 
-/* Plans a target for each task; if one has none, what was planned for the others stays. */
+/* Plans a target for each task; FALSE: one has none. What was planned for the others isn't undone
+   then, so that capacity counts as taken until the next tick. */
 static gboolean
-plan_moves(const WsCore *core, Batch *batch, const WsMachine *machine)
+plan_moves(const WsCore *core, MovePlan *plan, const WsMachine *machine)
 {
   for (guint i = 0; i < machine->tasks->len; i++) {
     const WsTaskRef *ref = &g_array_index(machine->tasks, WsTaskRef, i);
     const WsJob *job = ws_replica_job(core->replica, ref->job);
-    const WsMachine *target = find_target(core, batch, machine, job);
+    const WsMachine *target = find_target(core, plan, machine, job);
     if (target == NULL)
       return FALSE;
-    ws_resources_add(&batch->planned[target->index], &job->spec->need, 1);
+    ws_resources_add(&plan->incoming[target->index], &job->spec->need, 1);
   }
   return TRUE;
 }
 
 static void
-consolidate(WsCore *core, Batch *batch, WsMachine *machine)
+consolidate(WsCore *core, MovePlan *plan, WsMachine *machine)
 {
-  batch->is_source[machine->index] = TRUE;
-  batch->source_count++;
+  plan->is_source[machine->index] = TRUE;
+  plan->source_count++;
   for (guint i = 0; i < machine->tasks->len; i++)
-    g_hash_table_add(batch->jobs,
-                     GUINT_TO_POINTER(g_array_index(machine->tasks, WsTaskRef, i).job));
+    g_hash_table_add(plan->jobs, GUINT_TO_POINTER(g_array_index(machine->tasks, WsTaskRef, i).job));
   ws_termination_request_mark(core, machine, WS_MARK_REASON_CONSOLIDATION, FALSE);
 }
 
+/* Whether the machine is up, is an ordinary one without a mark, and is underused. */
 static gboolean
 is_underused(const WsCore *core, const WsMachine *machine)
 {
   const WsResources *capacity = &ws_replica_type(core->replica, machine->type)->capacity;
   return machine->is_recorded && machine->type != WS_NO_TYPE && !machine->is_marked
          && !machine->is_spot && ws_machine_is_up(core, machine)
-         && 2 * machine->used.cpus <= capacity->cpus && 2 * machine->used.gpus <= capacity->gpus;
+         && UNDERUSED_DIVISOR * machine->used.cpus <= capacity->cpus
+         && UNDERUSED_DIVISOR * machine->used.gpus <= capacity->gpus;
 }
 
 /* Whether the machine has been underused for the idle timeout. */
@@ -164,7 +168,7 @@
 }
 
 static void
-consolidate_some(WsCore *core, Batch *batch)
+consolidate_some(WsCore *core, MovePlan *plan)
 {
   guint count = core->replica->machines->len;
   guint max_sources = count_recorded(core) / MACHINES_PER_CONSOLIDATION;
@@ -173,19 +177,20 @@
     WsMachine *machine = ws_replica_machine(core->replica, i);
     if (!machine->is_recorded || machine->type == WS_NO_TYPE || !ws_owns_machine(core, machine)
         || !is_due(core, machine) || failed >= MAX_FAILED_CANDIDATES
-        || !may_be_source(core, batch, machine) || batch->source_count > max_sources)
+        || !may_be_source(core, plan, machine) || plan->source_count > max_sources)
       continue;
-    if (plan_moves(core, batch, machine) && ws_termination_is_allowed(core, machine)) {
-      consolidate(core, batch, machine);
+    if (plan_moves(core, plan, machine) && ws_termination_is_allowed(core, machine)) {
+      consolidate(core, plan, machine);
       continue;
     }
     failed++;
-    machine->fleet.underused_ms = core->now; /* the others are candidates first */
+    machine->fleet.underused_ms = core->now; /* the other candidates come first */
   }
 }
 
-/* Nodes take turns by the wall clock: three that began at the same moment all planned with the same
-   free capacity, and a service's task waited half a minute for a new machine. */
+/* Whether it is this node's turn by the wall clock. When three nodes planned at the same moment,
+   all counted on the same free capacity, and a service's task waited half a minute for a new
+   machine. */
 static gboolean
 is_our_turn(const WsCore *core)
 {
@@ -202,10 +207,10 @@
   if (core->replica->catalog == NULL || !is_our_turn(core) || !is_settled(core))
     return;
   guint count = MAX(core->replica->machines->len, 1u);
-  Batch batch
+  MovePlan plan
       = { g_new0(WsResources, count), g_new0(gboolean, count), g_hash_table_new(NULL, NULL), 0 };
-  consolidate_some(core, &batch);
-  g_free(batch.planned);
-  g_free(batch.is_source);
-  g_hash_table_unref(batch.jobs);
+  consolidate_some(core, &plan);
+  g_free(plan.incoming);
+  g_free(plan.is_source);
+  g_hash_table_unref(plan.jobs);
 }
--- a/src/fleet/ws-fleet.c
+++ b/src/fleet/ws-fleet.c
@@ -1,16 +1,18 @@
 /**
- * The leader's calls to the cloud within its rate limit, its catalog, and machines that don't boot.
+ * The leader's calls to the cloud within the cloud's rate limit, the cloud's catalog, and the
+ * termination of machines that don't boot.
  */
 #include "fleet/ws-fleet-private.h"
 
 #include "store/ws-store.h"
 #include "membership/ws-membership.h"
+#include "protocol/ws-status-codes.h"
 #include "storage/ws-mark-reasons.h"
 
 #define CATALOG_REFRESH_MS 60000
 #define CATALOG_RETRY_MS 1500
 #define CATALOG_TIMEOUT_MS 3000
-/* A machine hasn't booted after this multiple of its type's boot time, and a margin. */
+/* A machine has failed to boot after this multiple of its type's boot time, and a margin. */
 #define BOOT_TIMEOUT_FACTOR 2.0
 #define BOOT_TIMEOUT_MARGIN_S 5.0
 /* The share of the cloud's rate limit that is used, and the bursts that it allows. */
@@ -68,14 +70,13 @@
 {
   (void)data;
   WsFleet *fleet = core->fleet;
-  GPtrArray *catalog = status == 200 ? ws_catalog_parse(body) : NULL;
+  g_autoptr(GPtrArray) catalog = status == WS_HTTP_OK ? ws_catalog_parse(body) : NULL;
   fleet->catalog_in_flight = FALSE;
   fleet->next_catalog_ms = core->now + (catalog != NULL ? CATALOG_REFRESH_MS : CATALOG_RETRY_MS);
   if (catalog == NULL) {
     g_info("the cloud gave no catalog (status %u)", status);
     return;
   }
-  g_ptr_array_unref(catalog);
   WsTxn *txn = ws_txn_new();
   ws_txn_compare(txn, core->replica, WS_KEY_EPOCH);
   ws_txn_put(txn, WS_KEY_CATALOG, json_incref((json_t *)body));
@@ -94,17 +95,18 @@
           NULL);
 }
 
-/* Whether the machine is empty and was never heard, with no partition as the reason. */
+/* Whether the machine is empty and has never sent a heartbeat, although its zone is reachable. */
 static gboolean
-is_not_up(const WsCore *core, const WsMachine *machine)
+has_never_been_up(const WsCore *core, const WsMachine *machine)
 {
   return machine->is_recorded && !machine->is_marked && machine->worker.heard_ms <= 0
          && machine->type != WS_NO_TYPE && machine->tasks->len == 0
          && !ws_zone_is_partitioned(core, machine->zone);
 }
 
-/* A machine that doesn't boot is charged all the same. After an epoch begins, the workers of those
-   that are up have a lease to find their owner, and the owners to announce them. */
+/* Terminates machines that haven't booted in time, since they are charged all the same. After an
+   epoch begins, workers that are up get the time of one lease to find their owner, and owners to
+   announce them. */
 static void
 terminate_never_up(WsCore *core)
 {
@@ -113,7 +115,7 @@
     return;
   for (WsMachineIndex i = 0; i < core->replica->machines->len; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, i);
-    if (!is_not_up(core, machine))
+    if (!has_never_been_up(core, machine))
       continue;
     double boot_s = ws_replica_type(core->replica, machine->type)->boot_s;
     double age_s = (double)(core->wall - machine->rented_ms) / 1000.0;
--- a/src/fleet/ws-returns.c
+++ b/src/fleet/ws-returns.c
@@ -1,10 +1,11 @@
 /**
- * Scale in: returns of marked machines to the cloud, and unmarked ones in an outage of the store.
+ * Scale in: returns marked machines to the cloud, and unmarked ones during an outage of the store.
  */
 #include "fleet/ws-fleet-private.h"
 
 #include "store/ws-store.h"
 #include "membership/ws-membership.h"
+#include "protocol/ws-status-codes.h"
 #include "storage/ws-mark-reasons.h"
 
 #define MAX_MACHINES_PER_RETURN 100
@@ -35,8 +36,8 @@
   g_free(returns);
 }
 
-/* Late heartbeats and old lists still show machines that were returned; names are never used again.
- */
+/* Delayed heartbeats and old lists may still show machines that were returned. The cloud never
+   reuses a name. */
 gboolean
 ws_returns_is_confirmed(const WsCore *core, const char *name)
 {
@@ -45,7 +46,7 @@
          || g_hash_table_contains(core->fleet->returns->confirmed, name);
 }
 
-/* The cloud has capacity for what was returned. */
+/* Notes the confirmed return, and that the cloud has capacity for machines of that kind again. */
 static void
 note_returned(WsCore *core, const char *name)
 {
@@ -62,16 +63,16 @@
   g_autoptr(GPtrArray) names = data;
   WsReturns *returns = core->fleet->returns;
   returns->call_in_flight = FALSE;
-  if (status == 200) {
-    returns->backoff_ms = 0;
-    for (guint i = 0; i < names->len; i++)
-      note_returned(core, g_ptr_array_index(names, i));
-  } else {
+  if (status != WS_HTTP_OK) {
     returns->backoff_ms = ws_fleet_next_backoff_ms(core, returns->backoff_ms);
     returns->next_call_ms = core->now + returns->backoff_ms;
     g_info("scale in: the cloud refused a return (status %u): retry in %u ms", status,
            returns->backoff_ms);
+    return;
   }
+  returns->backoff_ms = 0;
+  for (guint i = 0; i < names->len; i++)
+    note_returned(core, g_ptr_array_index(names, i));
 }
 
 static void
@@ -97,9 +98,9 @@
               machine->name);
 }
 
-/* The records are repaired as soon as the store is available: the mark follows the return, and is
-   cleared with the machine's place in its rental batch as always. If this process ends before, the
-   machine is silent with tasks on record, which the failure detector finds. */
+/* Returns machines without a mark. The records are repaired as soon as the store is available: the
+   mark is written after the return, and cleared in the usual way. If this process ends before that,
+   the failure detector finds the machine, which sends no heartbeats but has recorded tasks. */
 void
 ws_returns_tick_unmarked(WsCore *core)
 {
@@ -109,20 +110,22 @@
   g_hash_table_iter_init(&iter, core->fleet->returns->unmarked);
   while (g_hash_table_iter_next(&iter, &name, NULL)) {
     WsMachine *machine = ws_replica_find_machine(core->replica, name);
+    gboolean is_confirmed = ws_returns_is_confirmed(core, name);
     if (machine == NULL || machine->is_returned)
       g_hash_table_iter_remove(&iter);
-    else if (!ws_returns_is_confirmed(core, name) && names->len < MAX_MACHINES_PER_RETURN)
+    else if (!is_confirmed && names->len < MAX_MACHINES_PER_RETURN)
       g_ptr_array_add(names, g_strdup(name));
-    else if (ws_returns_is_confirmed(core, name) && machine->is_recorded
-             && !machine->mark_is_immediate && ws_is_active_member(core))
+    else if (is_confirmed && machine->is_recorded && !machine->mark_is_immediate
+             && ws_is_active_member(core))
       ws_termination_request_mark(core, machine, WS_MARK_REASON_CANCELLED, TRUE);
   }
   send_return(core, names);
 }
 
-/* Whether the replica has all that was assigned to the machine: from its mark on it gets nothing
-   new, and what was assigned before, also by an indeterminate transaction, is known once the watch
-   has passed the mark. A machine was returned as empty whose tasks had just been assigned. */
+/* Whether the replica has every assignment to the marked machine. After the mark nothing is
+   assigned to it, and what was assigned before, also by an indeterminate transaction, is in the
+   replica once the watch has passed the mark's revision. Without this check a machine was once
+   returned as empty whose tasks had just been assigned. */
 gboolean
 ws_returns_knows_assignments(const WsCore *core, const WsMachine *machine)
 {
--- a/src/protocol/ws-cloud.c
+++ b/src/protocol/ws-cloud.c
@@ -1,18 +1,17 @@
-/* Reading and writing the cloud's messages. */
+/* Parses the cloud's answers and encodes the requests to it. */
 #include "protocol/ws-cloud.h"
 
 #include "protocol/ws-field-names.h"
+#include "protocol/ws-status-codes.h"
 
 #include <math.h>
 #include <string.h>
 
 /* The state of a listed machine that will never be up. */
 #define STATE_FAILED "failed"
-
-/* HTTP statuses of the cloud's answers. */
-#define STATUS_OK 200
-#define STATUS_BAD_REQUEST 400
-#define STATUS_UNAVAILABLE 503
+/* The body of the answer of a cloud that is out of capacity. */
+#define FIELD_ERROR "error"
+#define ERROR_NO_CAPACITY "no capacity"
 
 static void
 type_free(gpointer data)
@@ -34,9 +33,31 @@
   g_free(listed);
 }
 
+typedef gboolean (*ParseItemFunc)(const json_t *item, gpointer parsed);
+
+/* Parses each item of the list into a new structure of the size; NULL: one is invalid. */
+static GPtrArray *
+parse_list(const json_t *list, gsize item_size, GDestroyNotify free_item, ParseItemFunc parse_item)
+{
+  if (!json_is_array(list))
+    return NULL;
+  g_autoptr(GPtrArray) parsed = g_ptr_array_new_with_free_func(free_item);
+  size_t i;
+  const json_t *item;
+  json_array_foreach(list, i, item)
+  {
+    gpointer entry = g_malloc0(item_size);
+    g_ptr_array_add(parsed, entry);
+    if (!parse_item(item, entry))
+      return NULL;
+  }
+  return g_steal_pointer(&parsed);
+}
+
 static gboolean
-parse_type(const json_t *item, WsType *type)
+parse_type(const json_t *item, gpointer parsed)
 {
+  WsType *type = parsed;
   const char *name;
   if (!ws_json_string(item, WS_FIELD_TYPE_NAME, &name)
       || !ws_amount_parse_capacity(item, WS_FIELD_CPUS, &type->capacity.cpus)
@@ -56,25 +77,14 @@
 GPtrArray *
 ws_catalog_parse(const json_t *message)
 {
-  const json_t *list = json_object_get(message, WS_FIELD_MACHINE_TYPES);
-  if (!json_is_array(list))
-    return NULL;
-  g_autoptr(GPtrArray) types = g_ptr_array_new_with_free_func(type_free);
-  size_t i;
-  const json_t *item;
-  json_array_foreach(list, i, item)
-  {
-    WsType *type = g_new0(WsType, 1);
-    g_ptr_array_add(types, type);
-    if (!parse_type(item, type))
-      return NULL;
-  }
-  return g_steal_pointer(&types);
+  return parse_list(json_object_get(message, WS_FIELD_MACHINE_TYPES), sizeof(WsType), type_free,
+                    parse_type);
 }
 
 static gboolean
-parse_listed_machine(const json_t *item, WsListedMachine *listed)
+parse_listed_machine(const json_t *item, gpointer parsed)
 {
+  WsListedMachine *listed = parsed;
   const char *id, *endpoint = NULL, *type, *zone, *state;
   if (!ws_json_string(item, WS_FIELD_ID, &id)
       || !ws_json_string_or_null(item, WS_FIELD_ENDPOINT, &endpoint)
@@ -98,17 +108,7 @@
   const json_t *list = json_object_get(message, WS_FIELD_MACHINES);
   if (!json_is_array(list) || !ws_json_bool(message, WS_FIELD_HAS_MORE, more))
     return NULL;
-  g_autoptr(GPtrArray) machines = g_ptr_array_new_with_free_func(listed_machine_free);
-  size_t i;
-  const json_t *item;
-  json_array_foreach(list, i, item)
-  {
-    WsListedMachine *listed = g_new0(WsListedMachine, 1);
-    g_ptr_array_add(machines, listed);
-    if (!parse_listed_machine(item, listed))
-      return NULL;
-  }
-  return g_steal_pointer(&machines);
+  return parse_list(list, sizeof(WsListedMachine), listed_machine_free, parse_listed_machine);
 }
 
 GPtrArray *
@@ -127,18 +127,18 @@
 has_no_capacity(const json_t *body)
 {
   const char *error;
-  return ws_json_string(body, "error", &error) && strcmp(error, "no capacity") == 0;
+  return ws_json_string(body, FIELD_ERROR, &error) && strcmp(error, ERROR_NO_CAPACITY) == 0;
 }
 
 WsRentalResult
 ws_rental_reply_parse(guint status, const json_t *body, GPtrArray **names)
 {
-  *names = status == STATUS_OK ? ws_rental_machines_parse(body) : NULL;
+  *names = status == WS_HTTP_OK ? ws_rental_machines_parse(body) : NULL;
   if (*names != NULL)
     return WS_RENTAL_RENTED;
-  if (status == STATUS_BAD_REQUEST)
+  if (status == WS_HTTP_BAD_REQUEST)
     return WS_RENTAL_REFUSED;
-  if (status == STATUS_UNAVAILABLE && has_no_capacity(body))
+  if (status == WS_HTTP_SERVICE_UNAVAILABLE && has_no_capacity(body))
     return WS_RENTAL_NO_CAPACITY;
   return WS_RENTAL_FAILED;
 }
--- a/src/protocol/ws-properties.c
+++ b/src/protocol/ws-properties.c
@@ -1,9 +1,9 @@
-/* Reading the properties file, with GKeyFile. */
+/* Parses the properties file, with GKeyFile. */
 #include "protocol/ws-properties.h"
 
 #include <string.h>
 
-/* GKeyFile wants a group; the file has none, so that one is put before it. */
+/* GKeyFile needs a group, and the file has none: this one is put before its text. */
 #define GROUP "wrenshore"
 
 #define DEFAULT_IDLE_TIMEOUT_S 20.0
@@ -14,6 +14,12 @@
 #define MAX_SECONDS 3600.0
 #define MAX_HEADROOM_TASKS 1000
 #define MAX_BUDGET_MACHINES 1000000
+#define MAX_PERCENT 100u
+
+/* budget.TYPE.ZONE.LIMIT */
+#define BUDGET_KEY_PARTS 4
+#define LIMIT_MIN_AVAILABLE "minAvailable"
+#define LIMIT_MAX_UNAVAILABLE "maxUnavailable"
 
 static void
 budget_free(gpointer data)
@@ -69,35 +75,46 @@
   gsize length = strlen(text);
   budget->is_percent = length > 1 && text[length - 1] == '%';
   g_autofree char *digits = g_strndup(text, budget->is_percent ? length - 1 : length);
-  return parse_count(digits, budget->is_percent ? 100 : MAX_BUDGET_MACHINES, &budget->value);
+  return parse_count(digits, budget->is_percent ? MAX_PERCENT : MAX_BUDGET_MACHINES,
+                     &budget->value);
 }
 
 static gboolean
-is_known(GPtrArray *zones, const char *zone)
+contains_zone(GPtrArray *zones, const char *zone)
 {
   return g_ptr_array_find_with_equal_func(zones, zone, g_str_equal, NULL);
 }
 
-/* budget.TYPE.ZONE.minAvailable or budget.TYPE.ZONE.maxUnavailable */
+static gboolean
+has_budget(const WsProperties *properties, const char *type, const char *zone)
+{
+  for (guint i = 0; i < properties->budgets->len; i++) {
+    const WsBudget *budget = g_ptr_array_index(properties->budgets, i);
+    if (strcmp(budget->type, type) == 0 && strcmp(budget->zone, zone) == 0)
+      return TRUE;
+  }
+  return FALSE;
+}
+
+/* Returns what is wrong with the key or its value, as does parse_key(); NULL: nothing. */
 static const char *
 parse_budget(WsProperties *properties, const char *key, const char *value, GPtrArray *zones)
 {
   g_auto(GStrv) parts = g_strsplit(key, ".", -1);
-  if (g_strv_length(parts) != 4)
+  if (g_strv_length(parts) != BUDGET_KEY_PARTS)
     return "unknown key";
-  gboolean is_minimum = strcmp(parts[3], "minAvailable") == 0;
-  if (!is_minimum && strcmp(parts[3], "maxUnavailable") != 0)
+  const char *limit = parts[3];
+  gboolean is_minimum = strcmp(limit, LIMIT_MIN_AVAILABLE) == 0;
+  if (!is_minimum && strcmp(limit, LIMIT_MAX_UNAVAILABLE) != 0)
     return "unknown key";
-  if (!is_known(zones, parts[2]))
+  const char *type = parts[1], *zone = parts[2];
+  if (!contains_zone(zones, zone))
     return "unknown zone";
-  for (guint i = 0; i < properties->budgets->len; i++) {
-    const WsBudget *other = g_ptr_array_index(properties->budgets, i);
-    if (strcmp(other->type, parts[1]) == 0 && strcmp(other->zone, parts[2]) == 0)
-      return "minAvailable and maxUnavailable can't both be given for a type and zone";
-  }
+  if (has_budget(properties, type, zone))
+    return "minAvailable and maxUnavailable can't both be given for a type and zone";
   WsBudget *budget = g_new0(WsBudget, 1);
-  budget->type = g_strdup(parts[1]);
-  budget->zone = g_strdup(parts[2]);
+  budget->type = g_strdup(type);
+  budget->zone = g_strdup(zone);
   budget->is_minimum = is_minimum;
   g_ptr_array_add(properties->budgets, budget);
   return parse_amount(value, budget) ? NULL : "not a count or a percentage";
@@ -122,10 +139,10 @@
   return "unknown key";
 }
 
-gboolean
-ws_properties_parse(WsProperties *properties, const char *text, GPtrArray *zones, GError **error)
+/* Loads the text as a file without groups. */
+static gboolean
+load_key_file(GKeyFile *file, const char *text, GError **error)
 {
-  g_autoptr(GKeyFile) file = g_key_file_new();
   g_autoptr(GError) cause = NULL;
   g_autofree char *grouped = g_strconcat("[" GROUP "]\n", text, NULL);
   if (!g_key_file_load_from_data(file, grouped, strlen(grouped), G_KEY_FILE_NONE, &cause)) {
@@ -139,6 +156,15 @@
                 names[groups - 1]);
     return FALSE;
   }
+  return TRUE;
+}
+
+gboolean
+ws_properties_parse(WsProperties *properties, const char *text, GPtrArray *zones, GError **error)
+{
+  g_autoptr(GKeyFile) file = g_key_file_new();
+  if (!load_key_file(file, text, error))
+    return FALSE;
   g_auto(GStrv) keys = g_key_file_get_keys(file, GROUP, NULL, NULL);
   for (char **key = keys; *key != NULL; key++) {
     g_autofree char *value = g_key_file_get_string(file, GROUP, *key, NULL);
@@ -157,12 +183,13 @@
   return TRUE;
 }
 
-/* Percentages are rounded so that the budget is never exceeded. */
+/* Percentages are rounded towards fewer unavailable machines. */
 guint
 ws_budget_allowed(const WsBudget *budget, guint total)
 {
   if (!budget->is_minimum)
-    return budget->is_percent ? total * budget->value / 100 : budget->value;
-  guint minimum = budget->is_percent ? (total * budget->value + 99) / 100 : budget->value;
+    return budget->is_percent ? total * budget->value / MAX_PERCENT : budget->value;
+  guint minimum = budget->is_percent ? (total * budget->value + MAX_PERCENT - 1) / MAX_PERCENT
+                                     : budget->value;
   return total > minimum ? total - minimum : 0;
 }
--- a/src/scheduling/ws-candidates.c
+++ b/src/scheduling/ws-candidates.c
@@ -1,4 +1,4 @@
-/* The machines where the tasks of one job may go, the best first. */
+/* The candidate machines for the tasks of one job, the best first. */
 #include "scheduling/ws-candidates.h"
 
 #include "scheduling/ws-placement-score.h"
@@ -8,13 +8,14 @@
 #include "storage/ws-constraints.h"
 #include "workers/ws-workers.h"
 
-/* Boots take up to half as long again as stated. */
+/* Boots take up to this multiple of the type's stated boot time. */
 #define BOOT_TIME_FACTOR 1.5
 
 typedef struct {
   WsMachineIndex machine;
   double score;
-  gboolean is_spent; /* no longer fits a task, or has a task of this very service already */
+  gboolean
+      is_spent; /* no longer fits a task, or was taken by preemption or for a service or gang */
 } Candidate;
 
 struct _WsCandidates {
@@ -76,7 +77,8 @@
          && machine->fleet.last_failed_job != job->index && is_in_shard(replica, job, machine);
 }
 
-/* Whether the machine has capacity of the kind; that of preemption was found by its cost. */
+/* Whether the machine has capacity of the kind for one more task. A candidate for preemption always
+   has: the search has found victims on it. */
 static gboolean
 fits(const WsCandidates *candidates, WsSlotKind kind, WsMachineIndex machine)
 {
@@ -89,7 +91,7 @@
   return ws_resources_fit(&candidates->job->spec->need, &available);
 }
 
-/* Whether the cloud may have a machine of the type in a zone that the job allows. */
+/* Whether a machine of the type can be requested in a zone that the job allows: no back-off. */
 static gboolean
 is_available(const WsCore *core, const WsJob *job, WsTypeIndex type)
 {
@@ -105,8 +107,8 @@
   return FALSE;
 }
 
-/* Whether a machine that is rented now would be up in time for the job: then no task is preempted
-   for it, since the work of victims is lost. */
+/* Whether a machine that is requested now would be up in time for the job. Then no task is
+   preempted for it, since victims lose their work. */
 static gboolean
 can_wait_for_boot(const WsCore *core, const WsJob *job)
 {
@@ -132,7 +134,8 @@
          || (job->status.is_guaranteed && map->has_unguaranteed);
 }
 
-/* Critical jobs always search for victims; of the others the first few that can't wait. */
+/* Whether to search for victims for the job: always for critical ones; of the others for the first
+   few that can't wait for a boot. */
 static gboolean
 may_search_victims(WsCapacityMap *map, const WsJob *job)
 {
@@ -221,8 +224,25 @@
   g_free(candidates);
 }
 
-/* The best candidate that is left. The first one of each zone is compared, since the penalty of a
-   zone depends on how many of the job's tasks are there by now. */
+/* Whether the candidate isn't spent. One that no longer fits a task is noted as spent. */
+static gboolean
+is_left(const WsCandidates *candidates, WsSlotKind kind, Candidate *candidate)
+{
+  if (!candidate->is_spent)
+    candidate->is_spent = !fits(candidates, kind, candidate->machine);
+  return !candidate->is_spent;
+}
+
+/* Whether a task may be placed in the zone: by the restriction to one zone, and by the job. */
+static gboolean
+is_zone_possible(const WsCandidates *candidates, WsZoneIndex zone)
+{
+  return (candidates->only_zone == WS_NO_ZONE || zone == candidates->only_zone)
+         && allows_zone(candidates, zone);
+}
+
+/* The best candidate that isn't spent. The penalty of a zone depends on how many of the job's tasks
+   are there by now, so the best candidate of each zone is found first, and those are compared. */
 static Candidate *
 find_best_left(WsCandidates *candidates, WsSlotKind kind)
 {
@@ -234,18 +254,13 @@
   for (guint i = 0; i < of_kind->len && zones_seen < zones; i++) {
     Candidate *candidate = &g_array_index(of_kind, Candidate, i);
     WsZoneIndex zone = machine_at(candidates, candidate->machine)->zone;
-    if (candidate->is_spent || is_zone_seen[zone])
-      continue;
-    candidate->is_spent = !fits(candidates, kind, candidate->machine);
-    if (candidate->is_spent)
+    if (is_zone_seen[zone] || !is_left(candidates, kind, candidate))
       continue;
     is_zone_seen[zone] = TRUE;
     zones_seen++;
-    if (candidates->only_zone != WS_NO_ZONE && zone != candidates->only_zone)
-      continue;
     double score = candidate->score
                    - ws_placement_zone_penalty(candidates->job, candidates->tasks_by_zone[zone]);
-    if (!allows_zone(candidates, zone) || (best != NULL && score <= best_score))
+    if (!is_zone_possible(candidates, zone) || (best != NULL && score <= best_score))
       continue;
     best = candidate;
     best_score = score;
@@ -253,12 +268,12 @@
   return best;
 }
 
-/* A service or gang returns to the machines it has taken when there are no others. Returns whether
-   any of them fits another task. */
+/* Makes machines that already got a task of the service or gang candidates again; used when there
+   are no others. Returns whether any of them fits another task. */
 static gboolean
 reinstate_spent(WsCandidates *candidates, WsSlotKind kind)
 {
-  gboolean any = FALSE;
+  gboolean has_reinstated = FALSE;
   if (candidates->job->spec->kind == WS_KIND_ARRAY || is_by_preemption(kind))
     return FALSE;
   for (guint i = 0; i < candidates->by_kind[kind]->len; i++) {
@@ -266,9 +281,9 @@
     if (!candidate->is_spent || !fits(candidates, kind, candidate->machine))
       continue;
     candidate->is_spent = FALSE;
-    any = TRUE;
+    has_reinstated = TRUE;
   }
-  return any;
+  return has_reinstated;
 }
 
 static Candidate *
--- a/src/scheduling/ws-preempt.c
+++ b/src/scheduling/ws-preempt.c
@@ -7,12 +7,14 @@
 #include "commit/ws-commit.h"
 #include "workers/ws-workers.h"
 
-/* A victim may lose at most so many times the work that is done in its place. */
+/* The work that a victim loses may be at most so many times the work that is done instead. */
 #define MAX_LOST_WORK_RATIO 2.0
-/* A guaranteed job may only stop an equally urgent task that has run for at most so many
-   milliseconds of each second of its estimated time. */
+/* A job within its team's guarantee may only stop a task of the same priority that has run for less
+   than so many milliseconds per second of its estimated time. */
 #define MAX_LOST_RUN_MS_PER_S 500.0
-/* What each stop costs beside the lost work. */
+/* Negative: there are too few victims on the machine. */
+#define IMPOSSIBLE_COST_S (-1.0)
+/* The cost of each stop beside the lost work. */
 #define STOP_COST_S 5.0
 
 static gboolean
@@ -26,8 +28,8 @@
          || (team->guarantee.gpus == 0 && team->guarantee.cpus == 0);
 }
 
-/* The first tasks of a job that starts late, after others went before it for long, aren't stopped
-   again: otherwise more urgent work that never ends would keep it from ever starting. */
+/* Whether the victim is protected from starvation: the first tasks of a job that has started late
+   aren't stopped again, or a steady flow of more urgent jobs would keep it from ever starting. */
 static gboolean
 is_protected_start(const WsCore *core, const WsJob *victim, guint victim_tasks)
 {
@@ -42,15 +44,14 @@
     return FALSE;
   if (job->spec->priority != WS_CRITICAL && is_protected_start(core, victim, victim_tasks))
     return FALSE;
-  /* The queue puts guarantees before priorities. A job that stopped what is placed before it would
-     see that take the same slot again, over and over, and neither would run. */
+  /* The queue puts guarantees before priorities. A job that stopped tasks of another one that is
+     ahead of it would see those placed in the freed slot again, and neither job would progress. */
   if (victim->status.is_guaranteed && !job->status.is_guaranteed
       && job->spec->priority != WS_CRITICAL)
     return FALSE;
   if (job->spec->priority < victim->spec->priority)
     return TRUE;
-  /* Never between two that are both guaranteed: they would take the slot from each other in turn.
-   */
+  /* Never between two jobs within their guarantees: they would preempt each other in turn. */
   return job->status.is_guaranteed && !victim->status.is_guaranteed && job->team != victim->team
          && is_beyond_guarantee(core, victim);
 }
@@ -61,8 +62,8 @@
   return ws_preempt_outranks(core, job, victim, victim->assigned_count);
 }
 
-/* Whether the lost work is no more than a few times what would be done in its place: a large task
-   that has run for minutes isn't stopped for small ones of seconds. */
+/* Whether the lost work is no more than a few times the work that would be done instead: a large
+   task that has run for minutes isn't stopped for small ones that take seconds. */
 static gboolean
 is_loss_acceptable(const WsCore *core, const WsJob *job, const WsJob *victim,
                    const WsAssignment *assignment)
@@ -75,8 +76,8 @@
   return lost <= MAX_LOST_WORK_RATIO * gain;
 }
 
-/* Whether the gain outweighs the lost work. Among equally urgent jobs a guarantee doesn't stop a
-   task that is half done: its slot is soon free. */
+/* Whether the gain outweighs the lost work. For a guarantee, a task of the same priority that is
+   half done isn't stopped, since its slot is free soon. */
 static gboolean
 is_worthwhile(const WsCore *core, const WsJob *job, const WsJob *victim,
               const WsAssignment *assignment)
@@ -90,8 +91,8 @@
 /* The cheapest victim on the machine that isn't being stopped yet: the youngest task. @victim_job
    is set to its job. */
 static WsAssignment *
-find_cheapest(const WsCore *core, const WsJob *job, const WsMachine *machine,
-              gint64 younger_than_ms, WsJob **victim_job)
+find_cheapest_victim(const WsCore *core, const WsJob *job, const WsMachine *machine,
+                     gint64 younger_than_ms, WsJob **victim_job)
 {
   WsAssignment *best = NULL;
   for (guint i = 0; i < machine->tasks->len; i++) {
@@ -120,9 +121,10 @@
   ws_resources_add(&available, &capacity->freeing, 1);
   while (!ws_resources_fit(&job->spec->need, &available)) {
     WsJob *victim = NULL;
-    const WsAssignment *assignment = find_cheapest(core, job, machine, younger_than_ms, &victim);
+    const WsAssignment *assignment
+        = find_cheapest_victim(core, job, machine, younger_than_ms, &victim);
     if (assignment == NULL)
-      return -1.0;
+      return IMPOSSIBLE_COST_S;
     younger_than_ms = assignment->assigned_ms;
     ws_resources_add(&available, &victim->spec->need, 1);
     cost += STOP_COST_S + (double)(core->wall - assignment->assigned_ms) / 1000.0;
@@ -137,7 +139,7 @@
   ws_resources_add(&available, &capacity->freeing, 1);
   while (!ws_resources_fit(&job->spec->need, &available)) {
     WsJob *victim = NULL;
-    WsAssignment *assignment = find_cheapest(core, job, machine, G_MAXINT64, &victim);
+    WsAssignment *assignment = find_cheapest_victim(core, job, machine, G_MAXINT64, &victim);
     if (assignment == NULL)
       return;
     assignment->is_stop_requested = TRUE;
@@ -162,8 +164,8 @@
   return difference_ms < 0 ? -1 : difference_ms > 0;
 }
 
-/* Adds the victims among the candidate's tasks; what its ending tasks will leave is added to
-   freeing. */
+/* Adds the candidate's tasks that may be stopped to @victims, and the resources of its tasks that
+   are being stopped already to @freeing. */
 static void
 add_team_victims(const WsCore *core, const WsJob *job, WsJob *candidate, GArray *victims,
                  WsResources *freeing)
@@ -182,9 +184,11 @@
   }
 }
 
-/* Moves the youngest victim to the front whose end leaves a slot for the job. */
+/* Moves to the front the youngest victim whose stop frees a slot for the job. FALSE: there is none.
+ */
 static gboolean
-move_slot_to_front(const WsCore *core, GArray *victims, WsPreemptFitFunc fits, gpointer data)
+move_fitting_victim_to_front(const WsCore *core, GArray *victims, WsPreemptFitFunc fits,
+                             gpointer data)
 {
   for (guint i = 0; i < victims->len; i++) {
     TeamVictim victim = g_array_index(victims, TeamVictim, i);
@@ -198,8 +202,8 @@
   return FALSE;
 }
 
-/* How many of the victims must stop before the team's limit allows a task of the job; 0: even all
-   are too few. */
+/* How many of the victims must stop before the team's limit allows a task of the job; 0: to stop
+   all of them isn't enough. */
 static guint
 count_victims_needed(const WsCore *core, const WsJob *job, const WsResources *team_use,
                      const GArray *victims)
@@ -243,7 +247,7 @@
   g_array_sort(victims, compare_youngest_first);
   if (count_victims_needed(core, job, &use_left, victims) == 0)
     return WS_TEAM_FULL;
-  if (!has_slot && !move_slot_to_front(core, victims, fits, data))
+  if (!has_slot && !move_fitting_victim_to_front(core, victims, fits, data))
     return WS_TEAM_NO_SLOT;
   stop_victims(core, victims, count_victims_needed(core, job, &use_left, victims), machines);
   return WS_TEAM_CAPACITY_FREEING;
--- a/src/workers/ws-cancelled-tasks.c
+++ b/src/workers/ws-cancelled-tasks.c
@@ -1,28 +1,30 @@
 /**
- * Ends the tasks of cancelled jobs.
+ * Halts the tasks of cancelled jobs.
  *
- * Every node halts them, on whichever machine: a halt does no harm, so the owner's right isn't
- * needed. A machine that hasn't confirmed the end of such a task in time is returned.
+ * Every node does so, whoever owns the machine: the job is cancelled for good, so a halt is safe
+ * from any node. A machine that hasn't confirmed in time that such a task has exited is returned to
+ * the cloud.
  */
 #include "workers/ws-workers-private.h"
 
 #include "fleet/ws-fleet.h"
 #include "membership/ws-membership.h"
+#include "protocol/ws-status-codes.h"
 #include "storage/ws-mark-reasons.h"
 #include "store/ws-store.h"
 
 #include <string.h>
 
-/* The owner halts at once; the others do if the records don't show the end by then. */
+/* The owner halts at once; the other nodes only after this delay, if the task is still recorded. */
 #define NON_OWNER_HALT_DELAY_MS 1500
 #define HALT_RETRY_MS 1000
 #define HALT_TIMEOUT_MS 2000
-/* After a call without an answer: unreachable machines must not use up the calls. */
+/* After a call without an answer: unreachable machines must not use up MAX_HALTS_IN_FLIGHT. */
 #define UNREACHABLE_HALT_RETRY_MS 4000
 #define MAX_HALTS_IN_FLIGHT 24
 /* Shares of cancel_s: from the first on a machine that hasn't confirmed gets a termination mark,
-   from the second on it is returned without one if the store takes none. The rest is for the cloud.
- */
+   from the second on it is returned without one if the store is unavailable. The remaining time is
+   for the cloud to carry out the return. */
 #define MARK_DEADLINE_SHARE 0.4
 #define RETURN_DEADLINE_SHARE 0.6
 
@@ -48,7 +50,8 @@
 
 /* Halts. */
 
-/* Whether no attempt of the task is left: beside one that was refused as busy another may run. */
+/* Whether no attempt of the task is left on the machine: while one attempt has exited since the
+   machine was busy, another one may be running. */
 static gboolean
 is_halted(const WsHeartbeat *heartbeat, const WsJob *job, const WsAssignment *assignment)
 {
@@ -61,7 +64,8 @@
   return TRUE;
 }
 
-/* The machine's i-th assignment, if its job is cancelled and its end isn't confirmed; or NULL. */
+/* The machine's i-th assignment, if its job is cancelled and the task isn't confirmed to have
+   exited; otherwise NULL. */
 static WsAssignment *
 unhalted_assignment(const WsCore *core, const WsMachine *machine, guint i, WsJob **job)
 {
@@ -73,8 +77,8 @@
              : NULL;
 }
 
-/* Believes the status that a worker gives of itself, unless a launch of this node is indeterminate:
-   it may still be carried out after the status was given. */
+/* Concludes from the worker's own status which tasks have exited; nothing while a launch by this
+   node is indeterminate, since that may still be carried out after the status was sent. */
 static void
 confirm_halted(WsCore *core, WsMachine *machine, const WsHeartbeat *heartbeat)
 {
@@ -108,7 +112,7 @@
   g_autofree HaltCall *call = data;
   WsMachine *machine = ws_replica_machine(core->replica, call->machine);
   core->workers->cancelled_tasks->halts_in_flight--;
-  if (status == 0)
+  if (status == WS_HTTP_NO_RESPONSE)
     schedule_halt(core, machine, UNREACHABLE_HALT_RETRY_MS);
   g_autoptr(WsHeartbeat) heartbeat = ws_heartbeat_parse_command_reply(status, body, machine->name);
   if (heartbeat == NULL)
@@ -117,14 +121,15 @@
   if (ws_owns_machine(core, machine))
     (void)ws_workers_note_status(core, machine, heartbeat);
   /* The incarnation and the fencing token that the worker takes are known now. */
-  if (status == 409 || !call->has_halts)
+  if (status == WS_HTTP_CONFLICT || !call->has_halts)
     schedule_halt(core, machine, 0);
 }
 
-/* Halts for all that is left of cancelled jobs on the machine.
+/* Halt commands for all tasks of cancelled jobs that remain on the machine.
 
-   The incarnation comes from /status or from the body of a refusal, and a worker takes a fencing
-   token equal to its own from any node: so the halts raise nothing, and fence off no owner. */
+   They carry the incarnation and the fencing token that the worker itself showed, in /status or in
+   the body of a refusal. A worker accepts its own token from any node, so the commands don't raise
+   it and the machine's owner isn't fenced off. */
 static json_t *
 encode_halts(const WsCore *core, const WsMachine *machine)
 {
@@ -141,7 +146,7 @@
                             commands);
 }
 
-/* Halts, or asks for the status where the worker's incarnation isn't known yet. */
+/* Sends halts, or requests the status if the worker's incarnation isn't known yet. */
 static void
 send_halts(WsCore *core, WsMachine *machine)
 {
@@ -170,8 +175,8 @@
 
 /* Returns. */
 
-/* Whether no node that this one reaches can write to the store, and this node is the first of those
-   that reach one another. */
+/* Whether no node that this one reaches can write to the store, and this node is the first among
+   the reachable nodes with a loaded replica: only one of them returns the machine. */
 static gboolean
 may_return_unmarked(const WsCore *core)
 {
@@ -184,6 +189,8 @@
   return TRUE;
 }
 
+/* Has the machine returned if its tasks haven't been confirmed as exited so long after the
+   cancellation: through a termination mark, or without one if the store is unavailable. */
 static void
 return_if_late(WsCore *core, WsMachine *machine, gint64 age_ms)
 {
@@ -215,6 +222,8 @@
   return since_ms;
 }
 
+/* Halts what is left of cancelled jobs on the machine, and has the machine returned if that takes
+   too long. */
 static void
 enforce_on_machine(WsCore *core, WsMachine *machine)
 {
@@ -228,7 +237,7 @@
   return_if_late(core, machine, age_ms);
 }
 
-/* @seen: the machines (WsMachineIndex) that were handled before, each of them once. */
+/* @seen: the machines (WsMachineIndex) that were handled already; each is handled once. */
 static void
 enforce_on_job(WsCore *core, const WsJob *job, GHashTable *seen)
 {
--- a/src/workers/ws-relay.c
+++ b/src/workers/ws-relay.c
@@ -1,22 +1,26 @@
 /**
- * Heartbeats passed on to the owner of their machine.
+ * Relays heartbeats to the owner of their machine.
  *
- * The owner's answer goes back to the worker as it is. If the owner can't be reached directly, a
- * third node that reaches it is tried. If nobody answers in time, this node answers with its own
- * fencing token and without launches, which renews the lease of the worker's tasks.
+ * The worker gets the owner's answer. If the owner can't be reached directly, a third node that
+ * reaches it is tried. If neither answers in time, this node answers with the present fencing token
+ * and without launches, which renews the lease of the worker's tasks.
  */
 #include "workers/ws-workers-private.h"
 
 #include "membership/ws-membership.h"
 #include "membership/ws-relay-message.h"
+#include "protocol/ws-status-codes.h"
 
 #include <string.h>
 
 #define RELAY_TIMEOUT_MS 1200
 #define FORWARD_TIMEOUT_MS 900
-/* Heartbeats in flight to one owner. When it has just ended, and nobody knows yet, its workers come
-   to this node by the hundred; the others' leases are renewed from here. */
+/* Heartbeats in flight to one owner. After it has crashed, and before that is detected, its workers
+   come to this node by the hundred; for those above the limit this node renews the leases itself.
+ */
 #define MAX_RELAYS_IN_FLIGHT 12
+/* Retry-After of a heartbeat that neither the owner nor this node answers now. */
+#define RETRY_AFTER_S 1
 
 typedef struct {
   gpointer request;
@@ -32,7 +36,9 @@
   g_free(relay);
 }
 
-static void send_relay(WsCore *core, Relay *relay);
+G_DEFINE_AUTOPTR_CLEANUP_FUNC(Relay, relay_free)
+
+static void send_relay(WsCore *core, Relay *relay /* taken */);
 
 /* A node that reaches the owner and is reached from here; WS_NO_NODE: there is none. */
 static WsNodeIndex
@@ -45,60 +51,61 @@
   return WS_NO_NODE;
 }
 
+/* Adds halts for tasks of cancelled jobs that the heartbeat, in its encoded form, shows. */
 static void
-add_halts(const WsCore *core, const char *text, json_t *commands)
+add_halts(const WsCore *core, const char *encoded, json_t *commands)
 {
-  g_autoptr(json_t) message = ws_json_parse(text, strlen(text));
+  g_autoptr(json_t) message = ws_json_parse(encoded, strlen(encoded));
   g_autoptr(WsHeartbeat) heartbeat = ws_heartbeat_parse(message, NULL);
   if (heartbeat != NULL)
     ws_cancelled_tasks_add_halts(core, heartbeat, commands);
 }
 
-/* Renews the lease without the owner, if this node may. */
+/* Renews the lease without the owner, if this node has the permission. */
 static void
 answer_without_owner(WsCore *core, const char *heartbeat, gpointer request)
 {
   if (ws_authority_check_lease_renewal(core, core->replica->epoch.number) != WS_REFUSAL_NONE) {
-    ws_answer_later(core, request, 1);
+    ws_answer_later(core, request, RETRY_AFTER_S);
     return;
   }
   json_t *commands = json_array();
   add_halts(core, heartbeat, commands);
-  ws_answer(core, request, 200, ws_heartbeat_answer_encode(core->replica->epoch.number, commands),
-            0);
+  ws_answer(core, request, WS_HTTP_OK,
+            ws_heartbeat_answer_encode(core->replica->epoch.number, commands), 0);
 }
 
-/* The owner may not know yet of a cancellation that this node knows of. */
+/* Passes on the owner's answer, with halts added: this node may have learned of a cancellation
+   before the owner. */
 static void
 answer_as_owner(WsCore *core, const Relay *relay, const json_t *body)
 {
   json_t *answer = json_deep_copy(body);
   add_halts(core, relay->heartbeat, ws_heartbeat_answer_commands(answer));
-  ws_answer(core, relay->request, 200, answer, 0);
+  ws_answer(core, relay->request, WS_HTTP_OK, answer, 0);
 }
 
 static void
 on_relayed(WsCore *core, guint status, const json_t *body, gpointer data)
 {
-  Relay *relay = data;
+  g_autoptr(Relay) relay = data;
   ws_peer_end_relay(core, relay->owner);
-  if (status != 200 && relay->via == relay->owner) {
+  if (status != WS_HTTP_OK && relay->via == relay->owner) {
     WsNodeIndex third = find_third_node(core, relay);
     if (third != WS_NO_NODE) {
       relay->via = third;
-      send_relay(core, relay);
+      send_relay(core, g_steal_pointer(&relay));
       return;
     }
   }
-  if (status == 200)
+  if (status == WS_HTTP_OK)
     answer_as_owner(core, relay, body);
   else
     answer_without_owner(core, relay->heartbeat, relay->request);
-  relay_free(relay);
 }
 
 static void
-send_relay(WsCore *core, Relay *relay)
+send_relay(WsCore *core, Relay *relay /* taken */)
 {
   WsRelayMessage message
       = { core->replica->epoch.number, ws_settings_node(core->settings, relay->owner)->name,
@@ -111,40 +118,38 @@
 void
 ws_relay_heartbeat(WsCore *core, WsNodeIndex owner, const char *heartbeat, gpointer request)
 {
-  Relay *relay = g_new0(Relay, 1);
+  g_autoptr(Relay) relay = g_new0(Relay, 1);
   *relay = (Relay){ request, owner, owner, g_strdup(heartbeat) };
   if (!ws_peer_is_reachable(core, owner))
     relay->via = find_third_node(core, relay);
-  if (relay->via != WS_NO_NODE && ws_peer_relays_in_flight(core, owner) < MAX_RELAYS_IN_FLIGHT) {
-    send_relay(core, relay);
-    return;
-  }
-  answer_without_owner(core, heartbeat, request);
-  relay_free(relay);
+  if (relay->via != WS_NO_NODE && ws_peer_relays_in_flight(core, owner) < MAX_RELAYS_IN_FLIGHT)
+    send_relay(core, g_steal_pointer(&relay));
+  else
+    answer_without_owner(core, heartbeat, request);
 }
 
 /* The owner's answer to a heartbeat that was forwarded for another node. */
 static void
 on_forwarded(WsCore *core, guint status, const json_t *body, gpointer data)
 {
-  if (status == 200)
-    ws_answer(core, data, 200, json_incref((json_t *)body), 0);
+  if (status == WS_HTTP_OK)
+    ws_answer(core, data, WS_HTTP_OK, json_incref((json_t *)body), 0);
   else
-    ws_answer_later(core, data, 1);
+    ws_answer_later(core, data, RETRY_AFTER_S);
 }
 
 static void
-answer_relayed_heartbeat(WsCore *core, const char *text, gpointer request)
+answer_relayed_heartbeat(WsCore *core, const char *encoded, gpointer request)
 {
-  g_autoptr(json_t) message = ws_json_parse(text, strlen(text));
+  g_autoptr(json_t) message = ws_json_parse(encoded, strlen(encoded));
   g_autoptr(GError) error = NULL;
   g_autoptr(WsHeartbeat) heartbeat = ws_heartbeat_parse(message, &error);
   if (heartbeat == NULL)
-    ws_answer_reason(core, request, 400, error->message);
+    ws_answer_reason(core, request, WS_HTTP_BAD_REQUEST, error->message);
   else if (ws_authority_check_lease_renewal(core, heartbeat->fencing_token) != WS_REFUSAL_NONE)
-    ws_answer_later(core, request, 1);
+    ws_answer_later(core, request, RETRY_AFTER_S);
   else
-    ws_answer(core, request, 200, ws_workers_answer_heartbeat(core, heartbeat), 0);
+    ws_answer(core, request, WS_HTTP_OK, ws_workers_answer_heartbeat(core, heartbeat), 0);
 }
 
 void
@@ -152,13 +157,13 @@
 {
   WsRelayMessage relayed;
   if (!ws_relay_message_parse(message, &relayed)) {
-    ws_answer_reason(core, request, 400, "malformed");
+    ws_answer_reason(core, request, WS_HTTP_BAD_REQUEST, "malformed");
     return;
   }
   WsNodeIndex owner = ws_settings_find_node(core->settings, relayed.owner);
   if (!ws_is_active_member(core) || relayed.epoch != core->replica->epoch.number
       || owner == WS_NO_NODE)
-    ws_answer_later(core, request, 1);
+    ws_answer_later(core, request, RETRY_AFTER_S);
   else if (owner == core->settings->self)
     answer_relayed_heartbeat(core, relayed.heartbeat, request);
   else
