--- a/src/context/ws-context.c
+++ b/src/context/ws-context.c
@@ -2,9 +2,7 @@
  * Calls whose replies are outstanding, and the queue of outputs: calls to send, requests to answer.
  */
 #include "context/ws-context.h"
-
-#define STATUS_NO_RESPONSE 0
-#define STATUS_UNAVAILABLE 503
+#include "protocol/ws-status-codes.h"
 
 /* A call whose reply is outstanding. */
 typedef struct {
@@ -35,7 +33,7 @@
   g_hash_table_steal_all(core->calls);
   for (GList *at = calls; at != NULL; at = at->next) {
     g_autofree PendingCall *call = at->data;
-    call->reply(core, STATUS_NO_RESPONSE, NULL, call->data);
+    call->reply(core, WS_HTTP_NO_RESPONSE, NULL, call->data);
   }
   return calls != NULL;
 }
@@ -47,7 +45,7 @@
   if (!g_hash_table_steal_extended(core->calls, &id, NULL, &value))
     return FALSE;
   g_autofree PendingCall *call = value;
-  g_autoptr(json_t) message = status != STATUS_NO_RESPONSE ? ws_json_parse(body, length) : NULL;
+  g_autoptr(json_t) message = status != WS_HTTP_NO_RESPONSE ? ws_json_parse(body, length) : NULL;
   call->reply(core, status, message, call->data);
   return TRUE;
 }
@@ -99,6 +97,6 @@
 void
 ws_answer_later(WsCore *core, gpointer request, guint retry_after_s)
 {
-  ws_answer(core, request, STATUS_UNAVAILABLE,
+  ws_answer(core, request, WS_HTTP_SERVICE_UNAVAILABLE,
             json_pack("{s:s}", "error", "not now, please come back"), retry_after_s);
 }
--- a/src/membership/ws-cancellations.c
+++ b/src/membership/ws-cancellations.c
@@ -9,9 +9,7 @@
 
 #include "membership/ws-cancellation-message.h"
 #include "membership/ws-mesh-names.h"
-
-#define STATUS_OK 200
-#define STATUS_BAD_REQUEST 400
+#include "protocol/ws-status-codes.h"
 
 #define NOTIFY_TIMEOUT_MS 1000
 /* Between two messages to one peer, so that jobs cancelled in bulk share a message. */
@@ -159,8 +157,8 @@
   WsCancellations *cancellations = core->cancellations;
   cancellations->is_notifying[notification->node] = FALSE;
   cancellations->notify_ms[notification->node]
-      = core->now + (status == STATUS_OK ? NOTIFY_INTERVAL_MS : NOTIFY_RETRY_MS);
-  for (guint i = 0; status == STATUS_OK && i < notification->ids->len; i++) {
+      = core->now + (status == WS_HTTP_OK ? NOTIFY_INTERVAL_MS : NOTIFY_RETRY_MS);
+  for (guint i = 0; status == WS_HTTP_OK && i < notification->ids->len; i++) {
     Cancellation *cancellation = find_cancellation(core, g_ptr_array_index(notification->ids, i));
     if (cancellation != NULL)
       cancellation->acknowledged_by |= 1u << notification->node;
@@ -203,14 +201,14 @@
   gboolean is_well_formed = ws_cancellation_message_parse(body, &message);
   WsNodeIndex node = ws_settings_find_node(core->settings, message.node);
   if (!is_well_formed || node == WS_NO_NODE || node == core->settings->self) {
-    ws_answer_reason(core, request, STATUS_BAD_REQUEST, "malformed");
+    ws_answer_reason(core, request, WS_HTTP_BAD_REQUEST, "malformed");
     return;
   }
   for (guint i = 0; i < message.notices->len; i++) {
     const WsCancellationNotice *notice = &g_array_index(message.notices, WsCancellationNotice, i);
     add_cancellation(core, notice->job, core->now - notice->age_ms, node);
   }
-  ws_answer(core, request, STATUS_OK, json_object(), 0);
+  ws_answer(core, request, WS_HTTP_OK, json_object(), 0);
 }
 
 guint
--- a/src/membership/ws-gossip.c
+++ b/src/membership/ws-gossip.c
@@ -12,13 +12,10 @@
 #include "membership/ws-peers.h"
 #include "membership/ws-relay-message.h"
 #include "store/ws-store.h"
+#include "protocol/ws-status-codes.h"
 
 #include <string.h>
 
-#define STATUS_OK 200
-#define STATUS_BAD_REQUEST 400
-#define STATUS_NOT_FOUND 404
-
 #define GOSSIP_INTERVAL_MS 700
 #define GOSSIP_TIMEOUT_MS 1000
 /* The version that is logged for a peer whose messages don't contain one. */
@@ -246,7 +243,7 @@
 on_gossip_answered(WsCore *core, guint status, const json_t *body, gpointer data)
 {
   ws_peer(core, GPOINTER_TO_UINT(data))->gossip_is_in_flight = FALSE;
-  if (status == STATUS_OK)
+  if (status == WS_HTTP_OK)
     handle_gossip(core, body);
 }
 
@@ -284,11 +281,11 @@
 {
   WsNodeIndex node = ws_settings_find_node(core->settings, ws_gossip_message_sender(body));
   if (node == WS_NO_NODE || node == core->settings->self) {
-    ws_answer_reason(core, request, STATUS_BAD_REQUEST, "node is missing or unknown");
+    ws_answer_reason(core, request, WS_HTTP_BAD_REQUEST, "node is missing or unknown");
     return;
   }
   handle_gossip(core, body);
-  ws_answer(core, request, STATUS_OK, encode_gossip(core, node), 0);
+  ws_answer(core, request, WS_HTTP_OK, encode_gossip(core, node), 0);
 }
 
 void
@@ -305,6 +302,6 @@
   } else if (strcmp(path, WS_RELAY_PATH) == 0) {
     core->handlers->handle_relay(core, message, request);
   } else {
-    ws_answer_reason(core, request, STATUS_NOT_FOUND, "no such path");
+    ws_answer_reason(core, request, WS_HTTP_NOT_FOUND, "no such path");
   }
 }
--- a/src/membership/ws-peer-requests.c
+++ b/src/membership/ws-peer-requests.c
@@ -16,8 +16,7 @@
 #include "membership/ws-mesh-names.h"
 #include "membership/ws-peer-request-message.h"
 #include "store/ws-store.h"
-
-#define STATUS_OK 200
+#include "protocol/ws-status-codes.h"
 
 #define BATCHING_MS 60
 #define MAILBOX_INTERVAL_MS 1000
@@ -243,7 +242,7 @@
 {
   g_autoptr(WsPeerRequestBatch) batch = ws_peer_request_batch_parse(core->replica, message);
   if (handle_batch(core, batch))
-    ws_answer(core, request, STATUS_OK, json_object(), 0);
+    ws_answer(core, request, WS_HTTP_OK, json_object(), 0);
   else
     ws_answer_later(core, request, RETRY_AFTER_S);
 }
@@ -266,7 +265,7 @@
 on_batch_answered(WsCore *core, guint status, const json_t *body, gpointer data)
 {
   (void)body;
-  if (status != STATUS_OK)
+  if (status != WS_HTTP_OK)
     g_debug("%s took no peer requests (status %u)",
             ws_settings_node(core->settings, GPOINTER_TO_UINT(data))->name, status);
 }
--- a/src/store/ws-store-requests.c
+++ b/src/store/ws-store-requests.c
@@ -3,6 +3,7 @@
 #include "store/ws-store-private.h"
 
 #include "protocol/ws-kv.h"
+#include "protocol/ws-status-codes.h"
 
 /* Shares of the store's rate limits. The leader writes nearly everything (assignments and releases,
    machines, rentals, termination marks) and has the largest one. Followers, who all have the same
@@ -18,7 +19,6 @@
 #define MAX_RATE_LIMITED_TRIES 5
 /* The store counts as unavailable when requests have failed for longer than this. */
 #define UNAVAILABLE_AFTER_MS 700
-#define STATUS_NO_RESPONSE 0
 
 typedef struct {
   const char *method; /* a literal */
@@ -203,7 +203,7 @@
   for (guint i = 0; i < WS_REQUEST_CLASSES; i++) {
     StoreRequest *request;
     while ((request = g_queue_pop_head(&core->store->requests.queues[i])) != NULL) {
-      request->reply(core, STATUS_NO_RESPONSE, NULL, request->data);
+      request->reply(core, WS_HTTP_NO_RESPONSE, NULL, request->data);
       store_request_free(request);
       had_requests = TRUE;
     }
