--- a/src/protocol/ws-settings.c
+++ b/src/protocol/ws-settings.c
@@ -17,7 +17,6 @@
    differently when it counts its bytes. */
 #define RECORD_MARGIN_RATIO 0.03
 /* Used if the settings don't have these times: then the platform's jobs include no gangs. */
-#define DEFAULT_GANG_WAIT_S 30.0
 #define DEFAULT_GANG_PEER_S 5.0
 /* Kinds of objectives. */
 #define OBJECTIVE_BEGIN "wait"
@@ -204,10 +203,10 @@
 static const char *
 parse_gang_times(WsSettings *settings, const json_t *workers)
 {
-  settings->gang_wait_s = DEFAULT_GANG_WAIT_S;
+  double gang_wait_s; /* checked, since the settings have it; no decision depends on it */
   settings->gang_peer_s = DEFAULT_GANG_PEER_S;
   if (!ws_json_is_absent(workers, "gang_wait_s")
-      && !parse_positive(workers, "gang_wait_s", &settings->gang_wait_s))
+      && !parse_positive(workers, "gang_wait_s", &gang_wait_s))
     return "params.workers.gang_wait_s";
   if (!ws_json_is_absent(workers, "gang_peer_s")
       && !parse_positive(workers, "gang_peer_s", &settings->gang_peer_s))
--- a/src/protocol/ws-settings.h
+++ b/src/protocol/ws-settings.h
@@ -47,7 +47,6 @@
   double report_s;    /**< interval of heartbeats */
   double lease_s;     /**< how long a worker runs its tasks without an answer */
   double cancel_s;    /**< within which the tasks of a cancelled job are to be stopped */
-  double gang_wait_s; /**< how long a gang's task waits for the others */
   double gang_peer_s; /**< within which a gang notices a loss, and must hear of an orderly stop */
 
   /* Limits of the state service. Where the settings announce lower ones (state.next), these are the
