--- a/src/protocol/ws-field-names.h
+++ b/src/protocol/ws-field-names.h
@@ -1,5 +1,5 @@
 /**
- * The field names of the messages between users, workers, cloud, state service and controllers.
+ * The field names of the messages between users, workers, cloud, key-value store and controllers.
  *
  * They stay in this directory: everything above uses the standard terms, which stand beside them.
  * Fields that are spelled as in the standard have no name here unless several messages share them.
@@ -64,7 +64,7 @@
 #define WS_FIELD_REQUEST "objednavka"       /**< idempotency key of a rental */
 #define WS_FIELD_COUNT "how_many"           /**< how many machines to rent */
 
-/** The state service. */
+/** The key-value store. */
 #define WS_FIELD_REVISION "zmena" /**< revision of the store */
 #define WS_FIELD_VERSION "verze"  /**< version of a key */
 #define WS_FIELD_LEASE "najem"    /**< lease */
--- a/src/protocol/ws-settings.h
+++ b/src/protocol/ws-settings.h
@@ -37,7 +37,7 @@
   char *api_addr;   /**< on which to listen for users and workers */
   char *mesh_addr;  /**< on which to listen for the other controllers */
   char *cloud_addr; /**< the cloud */
-  char *state_addr; /**< the state service */
+  char *state_addr; /**< the key-value store */
 
   GPtrArray *zones;      /**< of char *; WsZoneIndex is an index into it */
   GPtrArray *teams;      /**< of WsTeamSettings; WsTeamIndex is an index into it */
@@ -49,8 +49,8 @@
   double cancel_s;    /**< within which the tasks of a cancelled job are to be stopped */
   double gang_peer_s; /**< within which a gang notices a loss, and must hear of an orderly stop */
 
-  /* Limits of the state service. Where the settings announce lower ones (state.next), these are the
-     lower ones already: nothing is written that couldn't be rewritten under them. */
+  /* Limits of the key-value store. Where the settings announce lower ones (state.next), these are
+     the lower ones already: nothing is written that couldn't be rewritten under them. */
   double state_rps;           /**< requests per second */
   double state_write_rps;     /**< writes per second */
   guint64 state_txn_ops;      /**< operations per transaction */
--- a/src/storage/ws-chunk-record.h
+++ b/src/storage/ws-chunk-record.h
@@ -1,12 +1,12 @@
 /**
- * The record of a chunk, which must stay below the largest value that the state service takes.
+ * The record of a chunk, which must stay below the largest value that the store takes.
  */
 #pragma once
 
 #include "storage/ws-replica.h"
 
 /**
- * The record, a new JSON object. Where it would be larger than the state service takes, the times
+ * The record, a new JSON object. Where it would be larger than the store takes, the times
  * of the assignments are left out.
  */
 json_t *ws_chunk_encode(const WsChunk *chunk, const WsReplica *replica);
@@ -17,7 +17,7 @@
  */
 WsChunk *ws_chunk_parse(WsReplica *replica, const json_t *value);
 
-/** Whether the chunk's record is one that the state service takes. */
+/** Whether the chunk's record is one that the store takes. */
 gboolean ws_chunk_fits_record(const WsChunk *chunk, const WsReplica *replica);
 
 /**
--- a/src/storage/ws-evidence.c
+++ b/src/storage/ws-evidence.c
@@ -47,7 +47,7 @@
 {
   const WsEvidence *evidence = &release->evidence;
   return g_strdup_printf("%s/%u attempt %" G_GUINT64_FORMAT " %s %s (epoch %" G_GUINT64_FORMAT
-                         ", session %" G_GUINT64_FORMAT ", report %" G_GUINT64_FORMAT ")",
+                         ", incarnation %" G_GUINT64_FORMAT ", heartbeat %" G_GUINT64_FORMAT ")",
                          ws_replica_job(replica, release->job)->id, release->task, release->attempt,
                          release->is_completed ? "done:" : KIND_NAMES[evidence->kind],
                          ws_replica_machine(replica, evidence->machine)->name, evidence->epoch,
--- a/src/storage/ws-machine.h
+++ b/src/storage/ws-machine.h
@@ -54,7 +54,7 @@
 /**
  * Machines that were rented together. All strings are owned.
  *
- * They share one record, since the state service takes few changes and machines come by the
+ * They share one record, since the store takes few changes and machines come by the
  * hundred.
  */
 typedef struct {
--- a/src/storage/ws-mark-reasons.h
+++ b/src/storage/ws-mark-reasons.h
@@ -8,7 +8,7 @@
 
 /** The failure detector has declared the machine dead: no heartbeat, no answer to its probes. */
 #define WS_MARK_REASON_SILENT "silent"
-/** Its heartbeats arrive, and what it is told does not reach it. */
+/** Its heartbeats arrive, and answers and commands do not reach it. */
 #define WS_MARK_REASON_OUTBOUND_UNREACHABLE "deaf"
 /** It answers calls, and its heartbeats reach no node. */
 #define WS_MARK_REASON_INBOUND_UNREACHABLE "mute"
--- a/src/storage/ws-status.h
+++ b/src/storage/ws-status.h
@@ -8,7 +8,8 @@
 
 #include "protocol/ws-index.h"
 
-/** What was heard of a machine's worker, and what it was told. Kept by membership and workers. */
+/** What was heard of a machine's worker, and what was sent to it. Kept by membership and workers.
+ */
 typedef struct {
   char *endpoint;                /**< where it takes commands; NULL: not known yet */
   gint64 heard_ms;               /**< its last heartbeat, here or at a peer */
@@ -27,7 +28,7 @@
   WsNodeIndex handled_owner; /**< the owner when an epoch was last handled */
   gint64 owned_ms;           /**< since when it has been that one */
   gint64 redirected_ms;      /**< when the worker was last sent to its owner */
-  gint64 turned_away_ms;     /**< when it was last sent away by this node, while that was cut off */
+  gint64 turned_away_ms;     /**< when this node, isolated, last turned it away */
 
   /* Launches by RPC without an answer, which may be carried out later. */
   guint indeterminate_launches;
@@ -36,18 +37,19 @@
   guint64 indeterminate_incarnation;
 
   /* Failure detection. */
-  gint64 unacknowledged_ms; /**< since when what it is told has come to nothing */
+  gint64 unacknowledged_ms; /**< since when commands to it have had no effect */
   guint consecutive_halts;
   gint64 probed_ms; /**< when it was last asked for its status */
   guint failed_probes;
 
-  /* The worker's incarnation and token as it last told whoever halts a cancelled task there. */
+  /* The worker's incarnation and token as it last gave them to whoever halts a cancelled task
+   * there. */
   guint64 halt_incarnation;
   guint64 halt_fencing_token;
 
   /* Gossip. */
-  gboolean is_up_at_owner;      /**< its owner says that it is up */
-  guint announced_state;        /**< what the peers are told: bits for up, interruption notice */
+  gboolean is_up_at_owner; /**< its owner says that it is up */
+  guint announced_state;   /**< what is announced to the peers: bits for up, interruption notice */
   guint64 announced_revision;   /**< when that changed last, as a revision of the gossip */
   gboolean announcement_is_due; /**< images or endpoint have changed since */
 } WsWorkerStatus;
--- a/src/storage/ws-team-use.h
+++ b/src/storage/ws-team-use.h
@@ -1,9 +1,9 @@
 /**
  * Stored records of what each team's assigned tasks use.
  *
- * All teams share one record, since a change of the state service costs the same whatever it holds
+ * All teams share one record, since a change of the store costs the same whatever it holds
  * and nearly every transaction touches several teams. Only where the record would come near the
- * largest value that the state service takes are the teams spread over several, by their names.
+ * largest value that the store takes are the teams spread over several, by their names.
  */
 #pragma once
 
--- a/src/store/ws-txn.c
+++ b/src/store/ws-txn.c
@@ -103,7 +103,7 @@
     return WS_TXN_UNAVAILABLE;
   }
   const char *error = ws_kv_error_parse(body);
-  g_warning("the state service rejected a transaction: %s",
+  g_warning("the key-value store rejected a transaction: %s",
             error != NULL ? error : "no reason given");
   log_exceeded_limits(core, txn);
   return WS_TXN_INVALID;
