--- a/src/fleet/ws-fleet-private.h
+++ b/src/fleet/ws-fleet-private.h
@@ -67,6 +67,9 @@
  */
 guint ws_fleet_next_backoff_ms(const WsCore *core, guint backoff_ms);
 
+/** The time since the machine was rented, in seconds. */
+double ws_fleet_machine_age_s(const WsCore *core, const WsMachine *machine);
+
 /** Sends rental intents to the cloud; only the leader calls it. */
 void ws_rentals_tick(WsCore *core);
 
--- a/src/fleet/ws-fleet.c
+++ b/src/fleet/ws-fleet.c
@@ -104,6 +104,12 @@
          && !ws_zone_is_partitioned(core, machine->zone);
 }
 
+double
+ws_fleet_machine_age_s(const WsCore *core, const WsMachine *machine)
+{
+  return (double)(core->wall - machine->rented_ms) / 1000.0;
+}
+
 /* Terminates machines that haven't booted in time, since they are charged all the same. After an
    epoch begins, workers that are up get the time of one lease to find their owner, and owners to
    announce them. */
@@ -118,8 +124,8 @@
     if (!has_never_been_up(core, machine))
       continue;
     double boot_s = ws_replica_type(core->replica, machine->type)->boot_s;
-    double age_s = (double)(core->wall - machine->rented_ms) / 1000.0;
-    if (age_s > BOOT_TIMEOUT_FACTOR * boot_s + BOOT_TIMEOUT_MARGIN_S)
+    if (ws_fleet_machine_age_s(core, machine)
+        > BOOT_TIMEOUT_FACTOR * boot_s + BOOT_TIMEOUT_MARGIN_S)
       ws_termination_request_mark(core, machine, WS_MARK_REASON_NEVER_UP, TRUE);
   }
 }
--- a/src/fleet/ws-headroom.c
+++ b/src/fleet/ws-headroom.c
@@ -14,9 +14,9 @@
 gboolean
 ws_machine_is_booting(const WsCore *core, const WsMachine *machine)
 {
-  double age_s = (double)(core->wall - machine->rented_ms) / 1000.0;
   return machine->worker.heard_ms == 0
-         && age_s < BOOTING_FACTOR * ws_replica_type(core->replica, machine->type)->boot_s;
+         && ws_fleet_machine_age_s(core, machine)
+                < BOOTING_FACTOR * ws_replica_type(core->replica, machine->type)->boot_s;
 }
 
 const WsJob *
--- a/src/fleet/ws-termination.c
+++ b/src/fleet/ws-termination.c
@@ -16,8 +16,6 @@
 
 /* A request for a mark that hasn't been written after so long counts as lost. */
 #define MARK_REQUEST_TIMEOUT_MS 5000
-/* A machine counts as faulty once so many jobs have failed there since one last succeeded. */
-#define FAULTY_FAILED_JOBS 2
 
 static const WsBudget *
 budget_for(const WsCore *core, const WsMachine *machine)
@@ -269,7 +267,7 @@
     return;
   if (machine->worker.interruption_ms > 0)
     ws_termination_request_mark(core, machine, WS_MARK_REASON_INTERRUPTION, FALSE);
-  else if (machine->fleet.failed_jobs >= FAULTY_FAILED_JOBS)
+  else if (ws_machine_is_faulty(machine))
     ws_termination_request_mark(core, machine, WS_MARK_REASON_FAULTY, FALSE);
   else
     mark_if_idle(core, machine);
--- a/src/protocol/ws-heartbeat.c
+++ b/src/protocol/ws-heartbeat.c
@@ -202,14 +202,20 @@
   g_free(heartbeat);
 }
 
+const char *
+ws_op_name(WsOp op)
+{
+  static const char *const NAMES[]
+      = { [WS_OP_LAUNCH] = "launch", [WS_OP_HALT] = "halt", [WS_OP_REAP] = "reap" };
+  return NAMES[op];
+}
+
 json_t *
 ws_command_encode(WsOp op, const char *job, guint task, guint64 attempt, double grace_s)
 {
-  static const char *const OPS[]
-      = { [WS_OP_LAUNCH] = "launch", [WS_OP_HALT] = "halt", [WS_OP_REAP] = "reap" };
   g_autofree char *name = g_strdup_printf("%s/%u", job, task);
-  json_t *command = json_pack("{s:s, s:s, s:I}", WS_FIELD_OPERATION, OPS[op], WS_FIELD_TASK, name,
-                              WS_FIELD_ATTEMPT, (json_int_t)attempt);
+  json_t *command = json_pack("{s:s, s:s, s:I}", WS_FIELD_OPERATION, ws_op_name(op), WS_FIELD_TASK,
+                              name, WS_FIELD_ATTEMPT, (json_int_t)attempt);
   if (op == WS_OP_HALT)
     json_object_set_new(command, WS_FIELD_GRACE_S, json_real(grace_s));
   return command;
--- a/src/protocol/ws-heartbeat.h
+++ b/src/protocol/ws-heartbeat.h
@@ -86,6 +86,9 @@
   WS_OP_REAP  /**< forget an exited task */
 } WsOp;
 
+/** The name of the operation, in commands and in the log; static. */
+const char *ws_op_name(WsOp op);
+
 /** Encodes a command. @grace_s: in seconds, of WS_OP_HALT alone */
 json_t *ws_command_encode(WsOp op, const char *job, guint task, guint64 attempt, double grace_s);
 
--- a/src/scheduling/ws-candidates.c
+++ b/src/scheduling/ws-candidates.c
@@ -3,7 +3,6 @@
 
 #include "scheduling/ws-placement-score.h"
 #include "scheduling/ws-preempt.h"
-#include "scheduling/ws-type-fit.h"
 #include "fleet/ws-fleet.h"
 #include "storage/ws-constraints.h"
 #include "workers/ws-workers.h"
@@ -120,7 +119,7 @@
     return FALSE;
   for (WsTypeIndex t = 0; t < replica->catalog->len; t++) {
     const WsType *type = ws_replica_type(replica, t);
-    if (ws_type_fits(type, job->spec) && left_s >= BOOT_TIME_FACTOR * type->boot_s
+    if (ws_constraints_type_fits(job->spec, type) && left_s >= BOOT_TIME_FACTOR * type->boot_s
         && is_available(core, job, t))
       return TRUE;
   }
--- a/src/scheduling/ws-capacity-map.c
+++ b/src/scheduling/ws-capacity-map.c
@@ -9,15 +9,13 @@
    with a task of an array; when hundreds of jobs wait, the first in the queue are the most urgent
    ones. */
 #define MAX_VICTIM_SEARCHES 4
-/* A machine on which tasks of so many jobs have failed gets no more tasks. */
-#define MAX_FAILED_JOBS 2
 
 static gboolean
 is_usable(const WsCore *core, const WsMachine *machine)
 {
   return machine->is_recorded && machine->type != WS_NO_TYPE && !machine->is_marked
          && !machine->fleet.mark_is_pending && machine->worker.interruption_ms == 0
-         && machine->fleet.failed_jobs < MAX_FAILED_JOBS && ws_machine_is_up(core, machine)
+         && !ws_machine_is_faulty(machine) && ws_machine_is_up(core, machine)
          && !ws_machine_is_outbound_unreachable(core, machine)
          && !ws_machine_is_inbound_unreachable(core, machine) && machine->owner != WS_NO_NODE;
 }
--- a/src/storage/ws-constraints.c
+++ b/src/storage/ws-constraints.c
@@ -7,6 +7,12 @@
   return spec->types == NULL || g_strv_contains((const gchar *const *)spec->types, type->name);
 }
 
+gboolean
+ws_constraints_type_fits(const WsJobSpec *spec, const WsType *type)
+{
+  return ws_constraints_allow_type(spec, type) && ws_resources_fit(&spec->need, &type->capacity);
+}
+
 gboolean
 ws_constraints_allow_machine(const WsReplica *replica, const WsJobSpec *spec, WsZoneIndex zone,
                              const WsMachine *machine)
--- a/src/storage/ws-machine.c
+++ b/src/storage/ws-machine.c
@@ -1,6 +1,15 @@
-/* Machines, rental intents and rental batches: images of a machine, and freeing. */
+/* Machines, rental intents and rental batches: what a machine shows, and freeing. */
 #include "storage/ws-machine.h"
 
+/* A machine is faulty once so many jobs have failed there since one last succeeded. */
+#define FAULTY_FAILED_JOBS 2
+
+gboolean
+ws_machine_is_faulty(const WsMachine *machine)
+{
+  return machine->fleet.failed_jobs >= FAULTY_FAILED_JOBS;
+}
+
 gboolean
 ws_machine_has_image(const WsMachine *machine, WsImageIndex image)
 {
--- a/src/storage/ws-machine.h
+++ b/src/storage/ws-machine.h
@@ -36,6 +36,9 @@
   WsFleetStatus fleet;        /**< not stored */
 } WsMachine;
 
+/** Whether jobs have failed on the machine, one after the other, so that it counts as faulty. */
+gboolean ws_machine_is_faulty(const WsMachine *machine);
+
 /** Whether the machine's worker has said that it holds the image. */
 gboolean ws_machine_has_image(const WsMachine *machine, WsImageIndex image);
 
--- a/src/workers/ws-reconciliation.c
+++ b/src/workers/ws-reconciliation.c
@@ -26,13 +26,11 @@
 add_command(Reconciliation *run, WsOp op, const char *job, guint task, guint64 attempt,
             double grace_s)
 {
-  static const char *const NAMES[]
-      = { [WS_OP_LAUNCH] = "launch", [WS_OP_HALT] = "halt", [WS_OP_REAP] = "reap" };
   const WsHeartbeat *heartbeat = run->heartbeat;
   g_debug("command to %s: %s %s/%u attempt %" G_GUINT64_FORMAT " under token %" G_GUINT64_FORMAT
           ", upon heartbeat %" G_GUINT64_FORMAT " of incarnation %" G_GUINT64_FORMAT
           " with token %" G_GUINT64_FORMAT,
-          heartbeat->machine, NAMES[op], job, task, attempt, run->core->replica->epoch.number,
+          heartbeat->machine, ws_op_name(op), job, task, attempt, run->core->replica->epoch.number,
           heartbeat->sequence, heartbeat->incarnation, heartbeat->fencing_token);
   run->has_halts = run->has_halts || op == WS_OP_HALT;
   json_array_append_new(run->commands, ws_command_encode(op, job, task, attempt, grace_s));
