--- a/src/storage/ws-chunk-record.c
+++ b/src/storage/ws-chunk-record.c
@@ -1,4 +1,4 @@
-/* The record of a chunk: its size, encoding and parsing. */
+/* Size, encoding and parsing of a chunk's record. */
 #include "storage/ws-chunk-record.h"
 
 #include <string.h>
@@ -6,20 +6,20 @@
 /* Stored field names. */
 #define FIELD_LAST_ATTEMPT "a"
 #define FIELD_ASSIGNMENTS "on"
-#define FIELD_COMPLETED "d" /* a bit for each task, in hexadecimal digits */
+#define FIELD_COMPLETED "d" /* bit set, one bit per task, in hexadecimal digits */
 
-/* Positions in the array that is an assignment. */
+/* Positions in the array that encodes an assignment. */
 #define ITEM_TASK 0
 #define ITEM_MACHINE 1
 #define ITEM_ATTEMPT 2
-#define ITEM_ASSIGNED 3 /* left out where the record would be too large */
+#define ITEM_ASSIGNED 3 /* omitted if the record would be too large */
 
-/* Punctuation of an assignment in a chunk's record, and of the record around them. */
+/* Bytes of punctuation and field names: per assignment, and of the record without assignments. */
 #define BYTES_AROUND_ASSIGNMENT 7
 #define BYTES_AROUND_CHUNK 21
-/* Digits of a time of day in milliseconds, and its comma. */
+/* 13 digits of a wall-clock time in milliseconds, and a comma. */
 #define BYTES_OF_TIME 14
-/* The size of an assignment to a machine with a long name, for the count of free slots. */
+/* Size of an assignment to a machine with a long name, for the number of free slots. */
 #define BYTES_OF_LONG_ASSIGNMENT 44
 
 static gsize
@@ -31,7 +31,7 @@
   return digits;
 }
 
-/* Bytes of the chunk's record without the times of its assignments. */
+/* Size of the chunk's record without the times of its assignments. */
 static gsize
 bytes_without_times(const WsChunk *chunk, const WsReplica *replica)
 {
@@ -46,8 +46,8 @@
   return bytes;
 }
 
-/* An upper bound for any chunk of the replica. It doesn't depend on the assignments, since it is
-   computed for each of hundreds of tasks in each transaction. */
+/* Upper bound of bytes_without_times for any chunk of the replica. It does not iterate over the
+   assignments, since it is computed for each of hundreds of tasks per transaction. */
 static gsize
 max_bytes_without_times(const WsReplica *replica)
 {
@@ -76,7 +76,8 @@
   return used_bytes < max_bytes ? (guint)((max_bytes - used_bytes) / BYTES_OF_LONG_ASSIGNMENT) : 0;
 }
 
-/* A bit for each task, in hexadecimal digits; @hex has space for them and a terminating zero. */
+/* Writes the bit set of completed tasks as hexadecimal digits. @hex: has space for the digits and a
+   terminating zero */
 static void
 encode_completed(const WsChunk *chunk, char *hex)
 {
--- a/src/storage/ws-chunk.c
+++ b/src/storage/ws-chunk.c
@@ -32,7 +32,7 @@
     return;
   guint index = *position - 1u;
   *position = 0;
-  /* The last assignment replaces the removed one. */
+  /* Moves the last assignment to the index of the removed one. */
   g_array_remove_index_fast(chunk->assignments, index);
   if (index == chunk->assignments->len)
     return;
--- a/src/storage/ws-chunk.h
+++ b/src/storage/ws-chunk.h
@@ -1,7 +1,7 @@
 /**
- * A chunk: the part of a job's tasks that shares one stored record.
+ * A chunk: a range of a job's tasks that share one stored record.
  *
- * The number of tasks in a chunk is part of the stored format, which all versions of the program
+ * The number of tasks per chunk is part of the stored format, which all versions of the program
  * share.
  */
 #pragma once
@@ -12,43 +12,43 @@
 /** Tasks per chunk. */
 #define WS_CHUNK_TASKS 128
 
-/** That a task is assigned to a machine, and what this node knows of it besides. */
+/** The assignment of a task to a machine, with what this node knows about the task's execution. */
 typedef struct {
-  guint task; /**< its number within the job */
+  guint task; /**< number of the task within the job */
   WsMachineIndex machine;
   guint64 attempt;
-  gint64 assigned_ms; /**< wall clock; 0: not recorded */
+  gint64 assigned_ms; /**< wall clock; 0 if not recorded */
 
-  /* Not stored. Written by workers, and by scheduling for stops. */
-  guint64 since_version;      /**< of the record that first named it; 0: not known */
-  WsTaskState state;          /**< as its worker last reported it */
-  gboolean is_confirmed_gone; /**< of a cancelled task: its worker has shown that it isn't there */
-  gint64 stop_forwarded_ms;   /**< when another owner was last asked to stop it; 0: never */
-  gboolean is_launch_sent;    /**< its launch was in an answer to a heartbeat */
-  gboolean is_stop_requested; /**< to free its capacity or its machine for something else */
+  /* Not stored. Written by src/workers; fields about stops also by src/scheduling. */
+  guint64 since_version;      /**< version of the record that first contained it; 0 if not known */
+  WsTaskState state;          /**< last state that the worker reported */
+  gboolean is_confirmed_gone; /**< cancelled, and its worker's status confirms its exit */
+  gint64 stop_forwarded_ms;   /**< last request to another owner to stop it; 0 if none */
+  gboolean is_launch_sent;    /**< an answer to a heartbeat contained its launch */
+  gboolean is_stop_requested; /**< to free its capacity or its machine for other work */
 } WsAssignment;
 
-/** The assignments and completed tasks of a chunk. */
+/** The assignments and the completed tasks of a chunk. */
 typedef struct {
-  guint64 last_attempt;          /**< the last attempt number given out */
-  GArray *assignments;           /**< of WsAssignment, in no order */
-  guint8 places[WS_CHUNK_TASKS]; /**< by task: 0, or one more than its place in assignments */
-  guint8 completed[WS_CHUNK_TASKS / 8]; /**< a bit for each task */
+  guint64 last_attempt;          /**< the highest attempt number used so far */
+  GArray *assignments;           /**< of WsAssignment, unordered */
+  guint8 places[WS_CHUNK_TASKS]; /**< by task: its index in assignments plus 1; 0 if it has none */
+  guint8 completed[WS_CHUNK_TASKS / 8]; /**< bit set, one bit per task */
   guint completed_count;
 } WsChunk;
 
-/** A copy that the caller frees. @chunk: NULL: the copy is an empty chunk */
+/** Returns a copy that the caller frees. @chunk: NULL for a new empty chunk */
 WsChunk *ws_chunk_copy(const WsChunk *chunk);
 
-/** Adds a copy of the assignment, in place of one that the task may have. */
+/** Adds a copy of the assignment. Replaces the task's existing assignment, if any. */
 void ws_chunk_add(WsChunk *chunk, const WsAssignment *assignment);
 
-/** Removes the task's assignment, if it has one. */
+/** Removes the task's assignment, if any. */
 void ws_chunk_remove(WsChunk *chunk, guint task);
 
 /**
- * The task's assignment, or NULL. It is owned by the chunk, and good until assignments are added
- * or removed.
+ * Returns the task's assignment, or NULL. It is owned by the chunk and valid until an assignment is
+ * added or removed.
  *
  * @chunk: may be NULL
  */
@@ -57,10 +57,10 @@
 /** Marks the task as completed. */
 void ws_chunk_set_completed(WsChunk *chunk, guint task);
 
-/** Whether the task is completed. @chunk: may be NULL */
+/** Returns whether the task is completed. @chunk: may be NULL */
 gboolean ws_chunk_is_completed(const WsChunk *chunk, guint task);
 
-/** Frees the chunk with its assignments; NULL is allowed. */
+/** Frees the chunk and its assignments. @chunk: may be NULL */
 void ws_chunk_free(WsChunk *chunk);
 
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsChunk, ws_chunk_free)
--- a/src/storage/ws-cluster-records.c
+++ b/src/storage/ws-cluster-records.c
@@ -1,4 +1,4 @@
-/* The records of members and of the leader. */
+/* Encoding and parsing of the records of members and of the leader. */
 #include "storage/ws-cluster-records.h"
 
 /* Stored field names. */
--- a/src/storage/ws-cluster-records.h
+++ b/src/storage/ws-cluster-records.h
@@ -1,23 +1,23 @@
 /**
- * The records that a node keeps under its lease: that it is a member, and that it leads.
+ * Records that a node holds under its lease: its membership and, on the leader, its leadership.
  *
- * Encoders return a new JSON object. Called by membership and by the replica.
+ * Encoders return a new JSON object. Used by membership and the replica.
  */
 #pragma once
 
 #include "protocol/ws-json.h"
 
-/** A member's record. @incarnation: of this run of the node */
+/** Encodes a member's record. @incarnation: incarnation of this run of the node */
 json_t *ws_member_encode(guint64 incarnation);
 
-/** Reads a member's record. FALSE: it is damaged. */
+/** Parses a member's record. Returns FALSE if it is damaged. */
 gboolean ws_member_parse(const json_t *value, guint64 *incarnation);
 
-/** The leader's record. @node: its name */
+/** Encodes the leader's record. @node: name of the leader */
 json_t *ws_leader_encode(guint64 incarnation, const char *node);
 
 /**
- * Reads the leader's record. What it doesn't say is left as it is.
+ * Parses the leader's record. Outputs whose fields are absent or damaged keep their values.
  *
  * @value: may be NULL
  * @node: set to a string that is borrowed from the value
--- a/src/storage/ws-constraints.c
+++ b/src/storage/ws-constraints.c
@@ -1,4 +1,4 @@
-/* The constraints of a job's specification on types, machines and zones. */
+/* Placement constraints from a job's specification: machine types, machines and zones. */
 #include "storage/ws-constraints.h"
 
 gboolean
--- a/src/storage/ws-constraints.h
+++ b/src/storage/ws-constraints.h
@@ -1,27 +1,34 @@
 /**
- * What the rules allow a job: types, zones and kinds of machines.
+ * A job's placement constraints: machine types, zones, and spot or on-demand machines.
  *
- * Pure functions of the records, which placement and the transactions that write it down share.
+ * Pure functions of the records. Placement and the transactions that record it share them, so that
+ * both apply the same constraints.
  */
 #pragma once
 
 #include "storage/ws-replica.h"
 
-/** Whether the type, zone and kind of the machine are allowed. */
+/**
+ * Returns whether the job may run on the machine, by its type, its zone and whether it is a spot
+ * machine.
+ *
+ * @zone: index of the zone that the job requires, if it requires one
+ */
 gboolean ws_constraints_allow_machine(const WsReplica *replica, const WsJobSpec *spec,
                                       WsZoneIndex zone, const WsMachine *machine);
 
-/** Whether the job may run on machines of the type. */
+/** Returns whether the job may run on machines of the type. */
 gboolean ws_constraints_allow_type(const WsJobSpec *spec, const WsType *type);
 
-/** Whether the job may run on machines of the type, and one task fits an empty one. */
+/** Returns whether the job may run on machines of the type, and a task fits an empty machine. */
 gboolean ws_constraints_type_fits(const WsJobSpec *spec, const WsType *type);
 
 /**
- * Whether the rules on zones let one more task of the job be in the zone.
+ * Returns whether the job's zone constraints (one zone only, or spread) allow one more of its tasks
+ * in the zone.
  *
- * @counts: the job's assigned tasks, by zone
- * @zones: how many zones there are
+ * @counts: number of the job's assigned tasks, by zone
+ * @zones: number of zones
  */
 gboolean ws_constraints_allow_zone(const WsJob *job, const guint *counts, guint zones,
                                    WsZoneIndex zone);
--- a/src/storage/ws-evidence.c
+++ b/src/storage/ws-evidence.c
@@ -1,10 +1,11 @@
-/* Evidence of releases, and the encoding of releases in messages between controllers. */
+/* Releases and their evidence, and their encoding in messages between controllers. */
 #include "storage/ws-evidence.h"
 
 #include <string.h>
 
-/* Positions in the array that is a release in a message between controllers. Versions before 0.4
-   use only the items before ITEM_MACHINE: job, task, attempt, and whether the task is completed. */
+/* Positions in the array that encodes a release in a message between controllers. Versions before
+   0.4 use only the items before ITEM_MACHINE: job, task, attempt, and whether the task is
+   completed. */
 #define ITEM_MACHINE 4
 #define ITEM_KIND 5
 #define ITEM_EPOCH 6
--- a/src/storage/ws-gang-phase.c
+++ b/src/storage/ws-gang-phase.c
@@ -1,4 +1,4 @@
-/* The phase of a gang's present attempt. */
+/* The phase of a gang's current attempt. */
 #include "storage/ws-gang-phase.h"
 
 gboolean
--- a/src/storage/ws-gang-phase.h
+++ b/src/storage/ws-gang-phase.h
@@ -1,32 +1,34 @@
 /**
- * The phase of a gang's present attempt, derived from the records and from what workers said.
+ * The phase of a gang's current attempt, derived from the records and from the task states that
+ * workers reported.
  *
- * Scheduling, the transactions and the commands to workers share it, so that they agree.
+ * Scheduling, the transactions and the commands to workers share this code, so that they agree.
  */
 #pragma once
 
 #include "storage/ws-replica.h"
 
-/** The phase of a gang's present attempt, as far as this node knows. */
+/** The phase of a gang's current attempt, as far as this node knows. */
 typedef enum {
-  WS_GANG_WAITING,   /**< no task has a machine */
-  WS_GANG_LAUNCHED,  /**< tasks have machines; not all are known to be ready */
-  WS_GANG_GATHERING, /**< all tasks are ready and wait for each other */
-  WS_GANG_RUNNING,   /**< a task was seen running */
-  WS_GANG_STOPPING,  /**< an orderly stop is under way */
-  WS_GANG_ENDING,    /**< a task is gone; the others must end too */
+  WS_GANG_WAITING,   /**< no task is assigned */
+  WS_GANG_LAUNCHED,  /**< tasks are assigned; not all are known to be ready */
+  WS_GANG_GATHERING, /**< all tasks are ready to start together */
+  WS_GANG_RUNNING,   /**< a task was reported as running */
+  WS_GANG_STOPPING,  /**< an orderly stop is in progress */
+  WS_GANG_ENDING,    /**< a task is gone; the remaining ones must be halted */
 } WsGangPhase;
 
-/** Whether the job is a gang; also of jobs that have ended, which are none. */
+/** Returns whether the job is a gang. FALSE for jobs in final form, which have no specification. */
 gboolean ws_job_is_gang(const WsJob *job);
 
 /**
- * Derives the phase from the records and from what workers said.
+ * Derives the phase from the records and the reported task states.
  *
- * A node hears only its own machines, so of a running gang it may know no more than that it was
- * launched. That a task is gone is recorded, and known to all.
+ * A node receives heartbeats only from the machines that it owns, so a gang that runs elsewhere may
+ * appear as WS_GANG_LAUNCHED. WS_GANG_ENDING follows from the records alone, so all nodes agree
+ * on it.
  */
 WsGangPhase ws_gang_phase(const WsJob *job);
 
-/** Whether the present attempt is over while some of its tasks are still on machines. */
+/** Returns whether the current attempt is over while some of its tasks are still assigned. */
 gboolean ws_gang_is_ending(const WsJob *job);
--- a/src/storage/ws-job-record.c
+++ b/src/storage/ws-job-record.c
@@ -1,4 +1,4 @@
-/* The record of a job. */
+/* Encoding and parsing of a job's record. */
 #include "storage/ws-job-record.h"
 
 #include <string.h>
--- a/src/storage/ws-job.h
+++ b/src/storage/ws-job.h
@@ -1,8 +1,8 @@
 /**
- * A job as the replica holds it: its record, its chunks, and what this node knows besides.
+ * A job in the replica: its record, its chunks, and this node's local status of it.
  *
- * The stored part is written by the replica alone, as it applies records; `status` belongs to
- * scheduling. Everybody else reads.
+ * Only the replica writes the stored fields, when it applies records. `status` is written by
+ * scheduling and, as tasks end, by workers. All other code only reads.
  */
 #pragma once
 
@@ -10,7 +10,7 @@
 #include "storage/ws-chunk.h"
 #include "storage/ws-status.h"
 
-/** What has become of a job. */
+/** The state of a job, as stored in its record. */
 typedef enum { WS_JOB_ACTIVE, WS_JOB_DONE, WS_JOB_CANCELLED } WsJobState;
 
 /** A job. Owned by the replica. */
@@ -18,50 +18,50 @@
   WsJobIndex index;
   char *id;
   WsJobState state;
-  WsJobSpec *spec; /**< owned; NULL once the record has its final form */
-  guint tasks;     /**< how many it has */
+  WsJobSpec *spec; /**< owned; NULL once the record is in final form */
+  guint tasks;     /**< number of tasks */
   WsTeamIndex team;
   WsImageIndex image;
-  WsZoneIndex zone;        /**< WS_NO_ZONE: any */
-  WsNodeIndex coordinator; /**< the coordinating node; WS_NO_NODE: the leader */
+  WsZoneIndex zone;        /**< required zone; WS_NO_ZONE for any */
+  WsNodeIndex coordinator; /**< the coordinating node; WS_NO_NODE for the leader */
   gint64 accepted_ms;      /**< wall clock */
-  gint64 cancelled_ms;     /**< wall clock; 0: not cancelled, or the record has no time */
-  GPtrArray *chunks;       /**< of WsChunk, owned, by number; a missing one is NULL */
+  gint64 cancelled_ms;     /**< wall clock; 0 if not cancelled or not recorded */
+  GPtrArray *chunks;       /**< of WsChunk, owned, by number; NULL where a chunk has no record */
   guint completed_count;   /**< tasks completed, over all chunks */
-  guint assigned_count;    /**< tasks with a machine, over all chunks */
+  guint assigned_count;    /**< tasks that are assigned to a machine, over all chunks */
   WsJobStatus status;      /**< not stored */
 } WsJob;
 
-/** A task of a job. */
+/** Identifies a task of a job. */
 typedef struct {
   WsJobIndex job;
   guint task;
 } WsTaskRef;
 
-/** How many chunks the job's tasks need. */
+/** Returns the number of chunks for the job's tasks. */
 guint ws_job_chunk_count(const WsJob *job);
 
-/** The chunk that holds the task, owned by the job; NULL: there is no record of it. */
+/** Returns the chunk of the task, owned by the job, or NULL if the chunk has no record. */
 WsChunk *ws_job_chunk(const WsJob *job, guint task);
 
-/** The task's assignment, owned by the job; NULL: there is none. */
+/** Returns the task's assignment, owned by the job, or NULL if there is none. */
 WsAssignment *ws_job_assignment(const WsJob *job, guint task);
 
-/** Whether the task is completed. */
+/** Returns whether the task is completed. */
 gboolean ws_job_is_task_completed(const WsJob *job, guint task);
 
-/** The highest attempt number that was given out in any of the job's chunks. */
+/** Returns the highest attempt number used so far in any of the job's chunks. */
 guint64 ws_job_last_attempt(const WsJob *job);
 
-/** Goes through the assignments of a job, whose records must not change meanwhile. */
+/** Iterates over the assignments of a job. The job's chunks must not change meanwhile. */
 typedef struct {
   const WsJob *job;
   guint chunk;
   guint place;
 } WsAssignmentIter;
 
-/** Places @iter before the first assignment. */
+/** Initialises the iterator to the start of the job's assignments. */
 void ws_assignment_iter_init(WsAssignmentIter *iter, const WsJob *job);
 
-/** The next assignment, owned by the job; NULL: there are no more. */
+/** Returns the next assignment, owned by the job, or NULL at the end. */
 WsAssignment *ws_assignment_iter_next(WsAssignmentIter *iter);
--- a/src/storage/ws-keys.h
+++ b/src/storage/ws-keys.h
@@ -1,5 +1,5 @@
 /**
- * The keys of the stored state. All share one prefix, so that one watch covers them.
+ * The keys of the stored state. They share one prefix, so that a single watch covers all of them.
  *
  * The spelling of keys is part of the stored format, which all versions of the program share.
  */
@@ -7,32 +7,32 @@
 
 #include <glib.h>
 
-/** What all keys begin with. */
+/** The common prefix of all keys. */
 #define WS_PREFIX "w/"
 
-/** Single records. */
-#define WS_KEY_EPOCH WS_PREFIX "epoch"     /**< the present epoch */
+/** Keys of records that exist once per cluster. */
+#define WS_KEY_EPOCH WS_PREFIX "epoch"     /**< the current epoch */
 #define WS_KEY_CATALOG WS_PREFIX "catalog" /**< the cloud's catalog */
-#define WS_KEY_LEADER WS_PREFIX "leader"   /**< the leader, under its lease */
-
-/** Prefixes of records, each with what follows it. */
-#define WS_KEYS_MEMBER WS_PREFIX "member/"      /**< node: a member, under its lease */
-#define WS_KEYS_JOB WS_PREFIX "job/"            /**< job */
-#define WS_KEYS_CHUNK WS_PREFIX "task/"         /**< job, "/", number of a chunk */
-#define WS_KEYS_TEAM_USE WS_PREFIX "team-use/"  /**< number of a group of teams */
-#define WS_KEYS_TEAM WS_PREFIX "team/"          /**< team; versions before 0.2 wrote these */
-#define WS_KEYS_RENTAL_BATCH WS_PREFIX "lot/"   /**< rental batch */
-#define WS_KEYS_MARK WS_PREFIX "mark/"          /**< machine: its termination mark */
-#define WS_KEYS_RENTAL_INTENT WS_PREFIX "rent/" /**< idempotency key of a rental */
-#define WS_KEYS_MAILBOX WS_PREFIX "mail/"       /**< node: what it left for the others */
-
-/* The caller frees the keys. */
-
-/** The key of a job's record. */
+#define WS_KEY_LEADER WS_PREFIX "leader"   /**< the leader, held under its lease */
+
+/** Key prefixes by kind of record. The comments name the rest of the key, and the record. */
+#define WS_KEYS_MEMBER WS_PREFIX "member/"      /**< node name: a member, under its lease */
+#define WS_KEYS_JOB WS_PREFIX "job/"            /**< job id: a job */
+#define WS_KEYS_CHUNK WS_PREFIX "task/"         /**< job id, "/", chunk number: a chunk */
+#define WS_KEYS_TEAM_USE WS_PREFIX "team-use/"  /**< group: resources used by its teams */
+#define WS_KEYS_TEAM WS_PREFIX "team/"          /**< team name: the same, before 0.2 */
+#define WS_KEYS_RENTAL_BATCH WS_PREFIX "lot/"   /**< batch name: a rental batch */
+#define WS_KEYS_MARK WS_PREFIX "mark/"          /**< machine name: its termination mark */
+#define WS_KEYS_RENTAL_INTENT WS_PREFIX "rent/" /**< idempotency key: a rental intent */
+#define WS_KEYS_MAILBOX WS_PREFIX "mail/"       /**< node name: its messages for other nodes */
+
+/* The caller frees the keys that these functions return. */
+
+/** Returns the key of a job's record. */
 char *ws_key_job(const char *id);
 
-/** The key of a chunk's record. */
+/** Returns the key of a chunk's record. */
 char *ws_key_chunk(const char *id, guint chunk);
 
-/** The key of any record. @prefix: one of WS_KEYS_... */
+/** Returns the key of a record. @prefix: one of the WS_KEYS_... prefixes */
 char *ws_key(const char *prefix, const char *name);
--- a/src/storage/ws-machine-records.c
+++ b/src/storage/ws-machine-records.c
@@ -1,4 +1,4 @@
-/* The records of rental batches, rental intents and termination marks. */
+/* Encoding and parsing of rental batches, rental intents and termination marks. */
 #include "storage/ws-machine-records.h"
 
 #include <string.h>
@@ -13,12 +13,12 @@
 #define FIELD_REASON "why"
 #define FIELD_IS_IMMEDIATE "now"
 
-/* The size of a rental batch's record without its type, its zone and the names of its machines. */
+/* Size of a rental batch's record without its type, its zone and the names of its machines. */
 #define BYTES_AROUND_BATCH 90
-/* Quotation marks and comma around a name, and an ordinary name. */
+/* Quotation marks and comma per machine name, and the usual length of a name. */
 #define BYTES_AROUND_NAME 3
 #define BYTES_OF_ORDINARY_NAME 20
-#define MAX_MACHINES_PER_BATCH 50
+#define MAX_MACHINES_PER_BATCH 50 /* the cloud rents out at most 50 machines per call */
 
 static const char *
 machine_name(const WsRentalBatch *rental_batch, const WsReplica *replica, guint position)
@@ -56,7 +56,7 @@
                    (json_int_t)rental_batch->rented_ms, FIELD_MACHINES, names);
 }
 
-/* What machines are rented: fields that batches and intents share. */
+/* The fields that the records of rental batches and rental intents share. */
 typedef struct {
   const char *type;
   const char *zone;
--- a/src/storage/ws-machine.c
+++ b/src/storage/ws-machine.c
@@ -1,7 +1,7 @@
-/* Machines, rental intents and rental batches: what a machine shows, and freeing. */
+/* Machine queries, and freeing of rental intents and rental batches. */
 #include "storage/ws-machine.h"
 
-/* A machine is faulty once so many jobs have failed there since one last succeeded. */
+/* Number of consecutive failed jobs after which a machine is faulty. */
 #define FAULTY_FAILED_JOBS 2
 
 gboolean
--- a/src/storage/ws-machine.h
+++ b/src/storage/ws-machine.h
@@ -1,8 +1,8 @@
 /**
- * A machine as the replica holds it, and the records of how machines are rented.
+ * A machine in the replica, rental batches and rental intents.
  *
- * The stored part is written by the replica alone, as it applies records; `worker` belongs to
- * membership and workers, `fleet` to fleet. Everybody else reads.
+ * Only the replica writes the stored fields, when it applies records. ws-status.h says which code
+ * writes `worker` and `fleet`. All other code only reads.
  */
 #pragma once
 
@@ -12,39 +12,39 @@
 /** A machine. Owned by the replica. */
 typedef struct {
   WsMachineIndex index;
-  const char *name;    /**< owned by the replica */
-  WsNodeIndex owner;   /**< a member of the present epoch; WS_NO_NODE: there is none */
-  guint64 owner_since; /**< the epoch from which on the same run of the owner has owned it, as far
-                            as this node can tell */
-  guint64 owner_since_version; /**< of that epoch's record */
-  gboolean is_recorded;        /**< a rental batch names it: it is ours, and is charged for */
-  gboolean is_returned; /**< no rental batch names it any more: the cloud has confirmed its return
-                         */
-  const char *rental_batch; /**< interned: the last one that named it */
-  guint rental_batches;     /**< how many name it; two, if two nodes recorded it at the same time */
-  WsTypeIndex type;         /**< WS_NO_TYPE: the catalog isn't known, or lacks its type */
-  char *type_name;          /**< owned; NULL: not known */
-  WsZoneIndex zone;         /**< WS_NO_ZONE: not known */
-  gboolean is_spot;         /**< whether it is a spot machine, which the cloud may take back */
+  const char *name;  /**< owned by the replica */
+  WsNodeIndex owner; /**< a member of the current epoch; WS_NO_NODE if none */
+  /** The epoch since which the same run of the owner has owned the machine without interruption, as
+   * far as this node knows. */
+  guint64 owner_since;
+  guint64 owner_since_version; /**< version of that epoch's record */
+  gboolean is_recorded; /**< in a rental batch: it is rented by this cluster and is charged for */
+  gboolean is_returned; /**< in no rental batch any more: the cloud has confirmed its return */
+  const char *rental_batch; /**< interned name of the last batch that contained it */
+  guint rental_batches;     /**< how many contain it; 2 if two nodes recorded it at the same time */
+  WsTypeIndex type;         /**< WS_NO_TYPE if the catalog is not loaded or lacks its type */
+  char *type_name;          /**< owned; NULL if not known */
+  WsZoneIndex zone;         /**< WS_NO_ZONE if not known */
+  gboolean is_spot;         /**< a spot machine, which the cloud may interrupt */
   gint64 rented_ms;         /**< wall clock */
   gboolean is_marked;       /**< it has a termination mark */
-  char *mark_reason;        /**< owned; NULL: it has no mark */
-  gboolean mark_is_immediate; /**< without drain: nothing on it can be talked to */
-  GArray *tasks;              /**< of WsTaskRef: what is assigned to it */
-  WsResources used;           /**< what those tasks need together */
+  char *mark_reason;        /**< owned; NULL if it has no mark */
+  gboolean mark_is_immediate; /**< terminated without draining, since its worker is unreachable */
+  GArray *tasks;              /**< of WsTaskRef: tasks that are assigned to it */
+  WsResources used;           /**< total resources of those tasks */
   WsWorkerStatus worker;      /**< not stored */
   WsFleetStatus fleet;        /**< not stored */
 } WsMachine;
 
-/** Whether jobs have failed on the machine, one after the other, so that it counts as faulty. */
+/** Returns whether the machine is faulty: several jobs in a row have failed on it. */
 gboolean ws_machine_is_faulty(const WsMachine *machine);
 
-/** Whether the machine's worker has said that it holds the image. */
+/** Returns whether the machine's worker has reported that it has the image. */
 gboolean ws_machine_has_image(const WsMachine *machine, WsImageIndex image);
 
-/** A call to the cloud for machines, recorded before it is made. All strings are owned. */
+/** A request to the cloud for machines, recorded before it is sent. All strings are owned. */
 typedef struct {
-  char *request; /**< the idempotency key of the call */
+  char *request; /**< idempotency key of the request */
   char *type;
   char *zone;
   gboolean is_spot;
@@ -57,8 +57,8 @@
 /**
  * Machines that were rented together. All strings are owned.
  *
- * They share one record, since the store takes few changes and machines come by the
- * hundred.
+ * They share one record, since machines are rented by the hundred and the store's write rate is
+ * limited.
  */
 typedef struct {
   char *name;
--- a/src/storage/ws-records.h
+++ b/src/storage/ws-records.h
@@ -1,9 +1,9 @@
 /**
- * The stored records: for each kind one encoder and one parser, side by side in one file.
+ * All headers of stored records. Each kind has its encoder and its parser in the same file.
  *
- * The epoch's record is in coordination/ws-epoch.h, the catalog's in protocol/ws-cloud.h, what
- * teams use in ws-team-use.h. Spellings of stored fields stay as they are: all versions of the
- * program that share a store read them.
+ * Elsewhere: the epoch's record in coordination/ws-epoch.h, the catalog's in protocol/ws-cloud.h,
+ * the resource use of teams in ws-team-use.h. Stored field names must not change, since all
+ * versions of the program that share a store read them.
  */
 #pragma once
 
--- a/src/storage/ws-replica-apply.c
+++ b/src/storage/ws-replica-apply.c
@@ -1,4 +1,4 @@
-/* Versions of keys, and the dispatch of changed keys to their kind of record. */
+/* Versions of keys, and dispatch of changed keys by kind of record. */
 #include "storage/ws-replica-internal.h"
 #include "storage/ws-team-use.h"
 
@@ -12,7 +12,7 @@
     ws_replica_set_catalog(replica, catalog);
 }
 
-/* Applies a record that exists once per cluster. FALSE: the key is of another kind. */
+/* Applies a record that exists once per cluster. Returns FALSE for the key of any other record. */
 static gboolean
 apply_single(WsReplica *replica, const char *key, const json_t *value)
 {
@@ -100,8 +100,8 @@
   }
 }
 
-/* The version of a removed key is kept until the watch has passed its removal: after that no older
-   value of it can arrive. */
+/* Also drops the versions of removed keys. The version of a removed key is kept until the watch has
+   passed its removal; after that, no older value of the key can arrive. */
 void
 ws_replica_advance(WsReplica *replica, guint64 revision)
 {
--- a/src/storage/ws-replica-cluster.c
+++ b/src/storage/ws-replica-cluster.c
@@ -1,4 +1,4 @@
-/* The replica's records of the cluster itself: epoch, leader, members, mailbox. */
+/* How the replica applies records of the cluster: epoch, leader, members and mailboxes. */
 #include "storage/ws-replica-internal.h"
 
 #include "storage/ws-cluster-records.h"
@@ -10,7 +10,7 @@
   WsEpoch next;
   ws_epoch_init(&next);
   if (value == NULL || !ws_epoch_parse(&next, value, replica->settings)) {
-    g_warning("the epoch's record is missing or damaged");
+    g_warning("epoch record is missing or damaged");
     ws_epoch_clear(&next);
     return;
   }
@@ -43,7 +43,7 @@
     g_array_insert_val(members, position, member);
 }
 
-/* Queued for the nodes' requests to each other; see membership/ws-peer-requests.c. */
+/* The queue is read by membership/ws-peer-requests.c, which handles requests between nodes. */
 void
 ws_replica_apply_mailbox(WsReplica *replica, const char *node, const json_t *value)
 {
--- a/src/storage/ws-replica-internal.h
+++ b/src/storage/ws-replica-internal.h
@@ -1,9 +1,9 @@
 /**
- * How the replica takes each kind of record; for the files of the replica alone.
+ * How the replica applies each kind of record. Included only by the ws-replica*.c files.
  *
- * Each ws_replica_apply_... has the part of the key after the prefix of its kind, if there is one,
- * and the value, which is borrowed, and NULL if the key was removed. A damaged value is logged
- * where nothing else is said.
+ * Each ws_replica_apply_... function takes the part of the key after its kind's prefix, if the kind
+ * has one, and the borrowed value, which is NULL if the key was removed. Unless documented
+ * otherwise, a damaged value is logged and ignored.
  */
 #pragma once
 
@@ -11,45 +11,45 @@
 
 /* ws-replica-cluster.c */
 
-/** Begins the epoch, which may change the owner of each machine. */
+/** Replaces the current epoch and updates the owner of each machine. */
 void ws_replica_apply_epoch(WsReplica *replica, const json_t *value);
 
-/** Sets the leader; a damaged record says that there is none. */
+/** Sets the leader. A removed or damaged record means that there is no leader. */
 void ws_replica_apply_leader(WsReplica *replica, const json_t *value);
 
-/** Sets or removes a member; a damaged record removes it. */
+/** Sets or removes a member. A damaged record removes it. */
 void ws_replica_apply_member(WsReplica *replica, const char *node, const json_t *value);
 
-/** Puts the value into the replica's mailbox. */
+/** Appends the value to the replica's mailbox. */
 void ws_replica_apply_mailbox(WsReplica *replica, const char *node, const json_t *value);
 
 /* ws-replica-jobs.c */
 
-/** Adds or changes a job. A removed record leaves it as it is. */
+/** Adds or updates a job. The removal of a record is logged and leaves the job unchanged. */
 void ws_replica_apply_job(WsReplica *replica, const char *id, const json_t *value);
 
-/** Replaces a chunk of a job that isn't in final form; others are ignored. */
+/** Replaces a chunk of a job. Chunks of unknown jobs and of jobs in final form are ignored. */
 void ws_replica_apply_chunk(WsReplica *replica, const char *job_and_number, const json_t *value);
 
-/** Frees a job with its chunks. */
+/** Frees a job and its chunks. */
 void ws_job_free(WsJob *job);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsJob, ws_job_free)
 
 /* ws-replica-machines.c */
 
-/** Adds, changes or removes a rental batch, and what its machines say about it. */
+/** Adds, replaces or removes a rental batch, and updates the rental data of its machines. */
 void ws_replica_apply_rental_batch(WsReplica *replica, const char *name, const json_t *value);
 
-/** Adds, changes or removes a rental intent. */
+/** Adds, replaces or removes a rental intent. A damaged record removes it and is logged. */
 void ws_replica_apply_rental_intent(WsReplica *replica, const char *request, const json_t *value);
 
-/** Sets or removes a machine's termination mark. */
+/** Sets or removes a machine's termination mark. A damaged record sets it without a reason. */
 void ws_replica_apply_mark(WsReplica *replica, const char *machine, const json_t *value);
 
 /**
- * Sets the machine's owner under the present epoch.
+ * Sets the machine's owner under the current epoch.
  *
- * @last: the epoch before; NULL: the machine is new to the replica
+ * @last: the previous epoch; NULL if the machine is new in the replica
  */
 void ws_replica_find_owner(WsReplica *replica, WsMachine *machine, const WsEpoch *last);
 
--- a/src/storage/ws-replica-jobs.c
+++ b/src/storage/ws-replica-jobs.c
@@ -1,4 +1,4 @@
-/* The replica's jobs and chunks: how their records are applied. */
+/* How the replica applies records of jobs and chunks. */
 #include "storage/ws-chunk-record.h"
 #include "storage/ws-job-record.h"
 #include "storage/ws-replica-internal.h"
@@ -54,8 +54,8 @@
   job->completed_count -= old->completed_count;
 }
 
-/* Keeps the status of assignments, which isn't stored, in a new version of the record. Assignments
-   that are new are noted for launching. */
+/* Carries over the local status of unchanged assignments, which is not stored, to a new version of
+   the chunk. New assignments are added to the replica's list for launching. */
 static void
 keep_status(WsReplica *replica, const WsJob *job, WsChunk *chunk, const WsChunk *old)
 {
@@ -70,7 +70,7 @@
     assignment->since_version = replica->is_loading ? 0 : replica->applying_version;
     WsTaskRef ref = { job->index, assignment->task };
     g_array_append_val(replica->new_assignments, ref);
-    /* The machine's idle timeout begins anew. */
+    /* Restarts the machine's idle timeout. */
     ws_replica_machine(replica, assignment->machine)->fleet.underused_ms = 0;
   }
 }
@@ -118,7 +118,7 @@
 }
 
 static void
-set_spec(WsReplica *replica, WsJob *job, WsJobSpec *spec /* taken */)
+set_spec(WsReplica *replica, WsJob *job, WsJobSpec *spec /* ownership is taken */)
 {
   job->spec = spec;
   job->tasks = spec->tasks;
@@ -145,7 +145,7 @@
   if (spec != NULL)
     set_spec(replica, job, spec);
   else
-    g_warning("record of job %s: %s", job->id, error->message);
+    g_warning("record of job %s has an invalid specification: %s", job->id, error->message);
 }
 
 void
@@ -189,7 +189,7 @@
     return;
   WsChunk *chunk = value != NULL ? ws_chunk_parse(replica, value) : NULL;
   if (value != NULL && chunk == NULL) {
-    g_warning("record of tasks %s is damaged", name);
+    g_warning("record of chunk %s is damaged", name);
     return;
   }
   ws_replica_replace_chunk(replica, job, (guint)index, chunk);
--- a/src/storage/ws-replica-machines.c
+++ b/src/storage/ws-replica-machines.c
@@ -1,4 +1,4 @@
-/* The replica's machines: how they are found and created, and how their records are applied. */
+/* The replica's machines: creation, ownership, and how records of machines are applied. */
 #include "storage/ws-machine-records.h"
 #include "storage/ws-replica-internal.h"
 
@@ -115,7 +115,8 @@
       g_warning("record of rental batch %s is damaged", name);
       return;
     }
-    /* Before the old batch ends, so that a machine in both is never taken for returned. */
+    /* Must precede the removal of the old batch; otherwise a machine in both would be set as
+       returned. */
     begin_rental_batch(replica, rental_batch);
   }
   remove_rental_batch(replica, name);
@@ -160,5 +161,5 @@
   if (intent != NULL)
     g_ptr_array_add(replica->rental_intents, intent);
   else
-    g_warning("record of rental %s is damaged", request);
+    g_warning("record of rental intent %s is damaged", request);
 }
--- a/src/storage/ws-replica.c
+++ b/src/storage/ws-replica.c
@@ -1,9 +1,9 @@
-/* The replica itself, and the lookup of its jobs, machines, types, teams and zones. */
+/* Creation of the replica, and lookup of jobs, machines, types, teams and zones. */
 #include "storage/ws-replica-internal.h"
 
 #include <string.h>
 
-/* A lower bound, since a catalog may contain 0. */
+/* Lower bound that prevents division by 0, since a catalog may contain a rate of 0. */
 #define MIN_FETCH_GB_PER_S 0.01
 
 static void
--- a/src/storage/ws-replica.h
+++ b/src/storage/ws-replica.h
@@ -1,12 +1,12 @@
 /**
  * The local replica of the stored state.
  *
- * Everything durable comes in through ws_replica_apply: one key, one value, one version. An older
- * version of a key never replaces a newer one, so a node's own writes may be applied as soon as
- * they are answered and the watch may repeat them later. Only ws_replica_apply and
- * ws_replica_forget_missing change stored state. What a node knows besides is in ws-status.h.
+ * All stored state enters through ws_replica_apply: one key, one value, one version. An older
+ * version of a key never replaces a newer one. A node can therefore apply its own writes as soon as
+ * the store confirms them, and the watch may deliver them again later. Only ws_replica_apply and
+ * ws_replica_forget_missing change stored state. A node's local status is in ws-status.h.
  *
- * Jobs and machines are never removed from the replica, so their indices and addresses stay good.
+ * Jobs and machines are never removed from the replica, so their indices and addresses stay valid.
  */
 #pragma once
 
@@ -17,131 +17,140 @@
 #include "storage/ws-keys.h"
 #include "storage/ws-machine.h"
 
-/** The newest version of a key that was applied. */
+/** The newest applied version of a key. */
 typedef struct {
   guint64 version;
-  gboolean is_present; /**< FALSE: that version is its removal */
+  gboolean is_present; /**< FALSE if the key was removed */
 } WsKeyVersion;
 
-/** A removed key whose version is still remembered. */
+/** A removed key whose version is still kept. */
 typedef struct {
   char *key;
   guint64 version;
 } WsRemovedKey;
 
-/** The replica. Owns all that it points to but for the settings. */
+/** The replica. Owns everything that it points to, except the settings. */
 typedef struct {
   const WsSettings *settings; /**< borrowed */
 
   /* Versions. */
-  GHashTable *versions;     /**< key -> WsKeyVersion */
-  GQueue removed;           /**< of WsRemovedKey: removed keys still among the versions */
-  guint64 revision;         /**< everything up to here has been applied */
-  gboolean is_loading;      /**< what is applied has been read, and may be of any age */
-  guint64 applying_version; /**< the version that is being applied */
+  GHashTable *versions; /**< key -> WsKeyVersion */
+  GQueue removed;       /**< of WsRemovedKey: removed keys that are still in versions */
+  guint64 revision;     /**< all changes up to this revision have been applied */
+  gboolean is_loading;  /**< records come from a full read, and may have been written at any time */
+  guint64 applying_version; /**< version of the record that is being applied */
 
-  /* What has changed, for those who act on it; they empty the arrays. */
-  GArray *new_assignments; /**< of WsTaskRef: new assignments */
-  GArray *cancelled_jobs;  /**< of WsJobIndex: jobs that were cancelled */
-  GQueue mailbox;          /**< of json_t: what nodes left in the store for each other */
+  /* Changes that other modules have yet to process. They empty the arrays and the queue. */
+  GArray *new_assignments; /**< of WsTaskRef: tasks with a new assignment */
+  GArray *cancelled_jobs;  /**< of WsJobIndex: newly cancelled jobs */
+  GQueue mailbox;          /**< of json_t: messages that nodes left for each other in the store */
 
   /* The cluster. */
   WsEpoch epoch;
-  guint64 leader_incarnation; /**< 0: there is no leader */
-  WsNodeIndex leader_node;    /**< of the leader's record; WS_NO_NODE: there is none */
-  GArray *members;            /**< of WsMember, ordered by node: who holds a lease now */
+  guint64 leader_incarnation; /**< 0 if there is no leader */
+  WsNodeIndex leader_node;    /**< from the leader's record; WS_NO_NODE if there is none */
+  GArray *members;            /**< of WsMember, ordered by node: nodes that hold a lease */
 
   /* Jobs. */
   GPtrArray *jobs;        /**< of WsJob, by index */
   GHashTable *job_index;  /**< id -> WsJob */
-  GPtrArray *active_jobs; /**< of WsJob, borrowed: those not in final form */
+  GPtrArray *active_jobs; /**< of WsJob, borrowed: jobs that are not in final form */
   WsNames images;
-  WsResources *team_use;      /**< by team: what its assigned tasks use */
-  gboolean *team_is_recorded; /**< by team: its use comes from the record that it belongs to */
+  WsResources *team_use;      /**< by team: resources of its assigned tasks */
+  gboolean *team_is_recorded; /**< by team: its use was read from the record of the team's group */
 
   /* Machines. */
   GPtrArray *machines;       /**< of WsMachine, by index */
   GHashTable *machine_index; /**< name -> WsMachine */
-  gsize longest_name_bytes;  /**< of a machine, in bytes */
+  gsize longest_name_bytes;  /**< length of the longest machine name */
   GPtrArray *rental_intents; /**< of WsRentalIntent */
   GPtrArray *rental_batches; /**< of WsRentalBatch */
-  GPtrArray *catalog;        /**< of WsType; NULL: not known yet */
+  GPtrArray *catalog;        /**< of WsType; NULL until it is loaded */
 } WsReplica;
 
-/** An empty replica, which the caller frees. @settings: must outlive it */
+/** Creates an empty replica, which the caller frees. @settings: must outlive the replica */
 WsReplica *ws_replica_new(const WsSettings *settings);
 
-/** Frees the replica with its jobs and machines. */
+/** Frees the replica, its jobs and its machines. */
 void ws_replica_free(WsReplica *replica);
 
 /**
  * Applies one version of a key.
  *
- * Returns FALSE if this version or a newer one was applied before. A damaged value is logged and
- * leaves the rest of the replica as it was.
+ * Returns FALSE if this version or a newer one was applied before. A damaged value does not affect
+ * other records.
  *
- * @value: borrowed; NULL: the key was removed
+ * @value: borrowed; NULL if the key was removed
  */
 gboolean ws_replica_apply(WsReplica *replica, const char *key, const json_t *value,
                           guint64 version);
 
 /**
- * Removes the keys that a load as of the revision has not found; newer ones stay.
+ * Removes all keys that a full read of the store at the revision did not find. Keys with a newer
+ * version stay.
  *
- * @read: the set of the keys that it has found
+ * @read: set of the keys that the read found
  */
 void ws_replica_forget_missing(WsReplica *replica, GHashTable *read, guint64 revision);
 
-/** The key's version, for a condition of a transaction: 0 if the key doesn't exist. */
+/** Returns the key's version for a transaction's condition; 0 if the key does not exist. */
 guint64 ws_replica_version(const WsReplica *replica, const char *key);
 
-/** Notes that everything up to the revision has been applied. */
+/** Records that all changes up to the revision have been applied. */
 void ws_replica_advance(WsReplica *replica, guint64 revision);
 
-/** Sets the catalog, an array of WsType. @catalog: taken */
+/** Sets the catalog. @catalog: array of WsType; ownership is taken */
 void ws_replica_set_catalog(WsReplica *replica, GPtrArray *catalog);
 
-/** The type; the catalog must be known. */
+/** Returns the type. The catalog must be loaded. */
 const WsType *ws_replica_type(const WsReplica *replica, WsTypeIndex type);
 
-/** The type of the name; WS_NO_TYPE: no catalog is known, or it lacks it. @name: may be NULL */
+/** Finds a type; WS_NO_TYPE if the catalog is not loaded or lacks it. @name: may be NULL */
 WsTypeIndex ws_replica_find_type(const WsReplica *replica, const char *name);
 
-/** The team of the name; WS_NO_TEAM: the settings don't have it. @name: not NULL */
+/** Finds a team; WS_NO_TEAM if the settings lack it. @name: not NULL */
 WsTeamIndex ws_replica_find_team(const WsReplica *replica, const char *name);
 
-/** The zone of the name; WS_NO_ZONE: the settings don't have it. @name: may be NULL */
+/** Finds a zone; WS_NO_ZONE if the settings lack it. @name: may be NULL */
 WsZoneIndex ws_replica_find_zone(const WsReplica *replica, const char *name);
 
-/** The machine with the index, owned by the replica. */
+/** Returns the machine with the index, owned by the replica. */
 WsMachine *ws_replica_machine(const WsReplica *replica, WsMachineIndex index);
 
-/** The machine of the name; NULL: there is none. */
+/** Finds a machine by its name. Returns NULL if there is none. */
 WsMachine *ws_replica_find_machine(const WsReplica *replica, const char *name);
 
-/** The machine of the name, which is created if the replica lacks it. */
+/** Finds a machine by its name, and adds it to the replica if there is none. */
 WsMachine *ws_replica_get_machine(WsReplica *replica, const char *name);
 
-/** Sets the machine's type, zone and whether it is a spot machine. */
+/** Sets the machine's type and zone, and whether it is a spot machine. */
 void ws_replica_describe_machine(WsReplica *replica, WsMachine *machine, const char *type,
                                  const char *zone, gboolean spot);
 
-/** The job with the index, owned by the replica. */
+/** Returns the job with the index, owned by the replica. */
 WsJob *ws_replica_job(const WsReplica *replica, WsJobIndex index);
 
-/** The job of the id; NULL: there is none. */
+/** Finds a job by its id. Returns NULL if there is none. */
 WsJob *ws_replica_find_job(const WsReplica *replica, const char *id);
 
-/** Replaces a chunk of the job, by its number. @chunk: taken; NULL: it was removed */
+/**
+ * Replaces a chunk of the job.
+ *
+ * @index: number of the chunk
+ * @chunk: ownership is taken; NULL if the chunk's record was removed
+ */
 void ws_replica_replace_chunk(WsReplica *replica, WsJob *job, guint index, WsChunk *chunk);
 
-/** Counts the job's assigned tasks. @counts: by zone; they are added to it */
+/** Counts the job's assigned tasks by zone. @counts: by zone; the numbers are added to it */
 void ws_job_count_zones(const WsReplica *replica, const WsJob *job, guint *counts);
 
-/** Seconds that the job may take in all, by its deadline or class; negative: no limit is known. */
+/**
+ * Returns the job's total time limit in seconds, from its deadline or its class; negative if there
+ * is none.
+ */
 double ws_job_time_limit_s(const WsReplica *replica, const WsJob *job);
 
-/** Seconds that its image takes to fetch; the catalog must be known. */
+/** Returns the seconds that fetching the job's image takes. The catalog must be loaded. */
 double ws_job_image_fetch_s(const WsReplica *replica, const WsJob *job);
 
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsReplica, ws_replica_free)
--- a/src/storage/ws-status.h
+++ b/src/storage/ws-status.h
@@ -1,78 +1,84 @@
 /**
- * What a node knows of machines and jobs besides the records: it isn't stored, begins empty with
- * each run of the node, and is never proof that something is gone.
+ * A node's local status of machines and jobs. It is not stored, starts empty with each run of the
+ * node, and never proves that a task or a machine is gone.
  *
- * Times are of the steady clock, in milliseconds; 0: it hasn't happened.
+ * Times are in milliseconds of the monotonic clock; 0 means that the event has not happened.
  */
 #pragma once
 
 #include "protocol/ws-index.h"
 
-/** What was heard of a machine's worker, and what was sent to it. Kept by membership and workers.
+/**
+ * What a machine's worker has reported, and what was sent to it. Written by membership and
+ * workers.
  */
 typedef struct {
-  char *endpoint;                /**< where it takes commands; NULL: not known yet */
-  gint64 heard_ms;               /**< its last heartbeat, here or at a peer */
-  gint64 reported_ms;            /**< its last heartbeat that was no answer to a call */
-  gint64 incarnation_changed_ms; /**< when it was seen to begin a new incarnation */
-  gint64 up_ms;                  /**< when it was first heard */
-  GArray *images;         /**< of WsImageIndex: the images that it has, least recently used first */
-  gint64 interruption_ms; /**< when the cloud takes it back; 0: no interruption notice */
+  char *endpoint;                /**< address for commands; NULL until known */
+  gint64 heard_ms;               /**< last sign of life, received here or announced by its owner */
+  gint64 reported_ms;            /**< last heartbeat, not counting replies to calls */
+  gint64 incarnation_changed_ms; /**< when its incarnation was last seen to change */
+  gint64 up_ms;                  /**< first sign of life */
+  GArray *images;         /**< of WsImageIndex: its cached images, least recently used first */
+  gint64 interruption_ms; /**< when the cloud interrupts it; 0 without an interruption notice */
 
-  /* The newest message, by incarnation and sequence number. */
+  /* From the newest message, by incarnation and sequence number. */
   guint64 incarnation;
   guint64 sequence;
   guint64 fencing_token;
 
   /* Ownership. */
-  WsNodeIndex handled_owner; /**< the owner when an epoch was last handled */
-  gint64 owned_ms;           /**< since when it has been that one */
-  gint64 redirected_ms;      /**< when the worker was last sent to its owner */
-  gint64 turned_away_ms;     /**< when this node, isolated, last turned it away */
+  WsNodeIndex handled_owner; /**< the owner when this node last processed an epoch */
+  gint64 owned_ms;       /**< start of that ownership, or the end of a later stall of this node */
+  gint64 redirected_ms;  /**< when the worker was last redirected to its owner */
+  gint64 turned_away_ms; /**< when this node, while isolated, last refused its heartbeat */
 
-  /* Launches by RPC without an answer, which may be carried out later. */
+  /* Launch RPCs without an answer. The worker may still carry them out later. */
   guint indeterminate_launches;
-  gint64 indeterminate_ms; /**< since when there are any */
+  gint64 indeterminate_ms; /**< since when there has been at least one */
   guint64 indeterminate_fencing_token;
   guint64 indeterminate_incarnation;
 
   /* Failure detection. */
-  gint64 unacknowledged_ms; /**< since when commands to it have had no effect */
+  gint64 unacknowledged_ms; /**< since when commands have had no effect */
   guint consecutive_halts;
-  gint64 probed_ms; /**< when it was last asked for its status */
+  gint64 probed_ms; /**< when its status was last requested */
   guint failed_probes;
 
-  /* The worker's incarnation and token as it last gave them to whoever halts a cancelled task
-   * there. */
+  /* The worker's incarnation and fencing token, from the last status that was received while this
+   * node halted cancelled tasks there. */
   guint64 halt_incarnation;
   guint64 halt_fencing_token;
 
   /* Gossip. */
-  gboolean is_up_at_owner; /**< its owner says that it is up */
-  guint announced_state;   /**< what is announced to the peers: bits for up, interruption notice */
-  guint64 announced_revision;   /**< when that changed last, as a revision of the gossip */
-  gboolean announcement_is_due; /**< images or endpoint have changed since */
+  gboolean is_up_at_owner;      /**< its owner has announced that it is up */
+  guint announced_state;        /**< announced to the peers: bits for up and interruption notice */
+  guint64 announced_revision;   /**< gossip revision of the last change of the announcement */
+  gboolean announcement_is_due; /**< its images or its endpoint have changed since */
 } WsWorkerStatus;
 
-/** What the fleet is doing about a machine. Kept by fleet; mark_is_pending by whoever asks. */
+/**
+ * Rental, consolidation and failure status of a machine. Written by fleet, and by workers for
+ * failed jobs. Applied records and new assignments also reset mark_is_pending and the times of low
+ * use.
+ */
 typedef struct {
-  gint64 empty_ms;     /**< since when nothing has been on it */
-  gint64 underused_ms; /**< since when it has held little */
-  guint failed_jobs;   /**< jobs that failed there since one last succeeded */
+  gint64 empty_ms;     /**< since when it has had no tasks */
+  gint64 underused_ms; /**< since when its utilisation has been low */
+  guint failed_jobs;   /**< number since a job last succeeded on it */
   WsJobIndex last_failed_job;
-  gboolean needs_record;    /**< it waits for a rental batch */
-  gint64 listed_ms;         /**< since when the cloud lists it although it has no record */
-  gboolean mark_is_pending; /**< its termination mark or rental batch is being written */
-  gint64 mark_pending_ms;   /**< since when */
-  gint64 stop_after_ms;     /**< when the next task of a service may be stopped there */
+  gboolean needs_record;    /**< it must be added to a rental batch */
+  gint64 listed_ms;         /**< since when the cloud has listed it without a rental batch */
+  gboolean mark_is_pending; /**< a write of its termination mark or rental batch is pending */
+  gint64 mark_pending_ms;   /**< since when that write has been pending */
+  gint64 stop_after_ms;     /**< when the next service task on it may be stopped */
   guint stop_backoff_ms;
 } WsFleetStatus;
 
-/** What scheduling knows of a job. */
+/** Scheduling status of a job. */
 typedef struct {
-  guint consecutive_errors;  /**< failures in a row */
-  guint incomplete_attempts; /**< attempts of a gang that were not complete in time */
-  gboolean is_guaranteed;    /**< within its team's guarantee, with the team's earlier open jobs */
-  gint64 retry_ms;           /**< when it may be placed again */
-  gint64 unplaced_ms;        /**< since when its coordinating node could not place it */
+  guint consecutive_errors;  /**< consecutive failures */
+  guint incomplete_attempts; /**< gang attempts whose tasks were not all ready in time */
+  gboolean is_guaranteed;    /**< its team's guarantee covers it and the team's earlier open jobs */
+  gint64 retry_ms;           /**< earliest time of its next placement */
+  gint64 unplaced_ms;        /**< since when its coordinating node has failed to place it */
 } WsJobStatus;
--- a/src/storage/ws-team-use.c
+++ b/src/storage/ws-team-use.c
@@ -1,12 +1,13 @@
-/* Records of teams' use: which record a team belongs to, encoding and parsing. */
+/* Records of the resources that teams use: groups of teams, encoding and parsing. */
 #include "storage/ws-team-use.h"
 
 #include <string.h>
 
-/* The size of a team's part of a record without its name: two amounts of up to 19 digits, and
+/* Size of a team's entry in a record without its name: two amounts of up to 19 digits, and
    punctuation. */
 #define BYTES_PER_TEAM 48
-/* How full a record may be on average, as names spread unevenly. */
+/* Average fill of a record relative to the store's limit. It leaves space since the hash of the
+   names distributes teams unevenly. */
 #define FILL_RATIO 0.5
 #define BYTES_PER_KB 1024.0
 
--- a/src/storage/ws-team-use.h
+++ b/src/storage/ws-team-use.h
@@ -1,33 +1,34 @@
 /**
- * Stored records of what each team's assigned tasks use.
+ * Stored records of the resources that each team's assigned tasks use.
  *
- * All teams share one record, since a change of the store costs the same whatever it holds
- * and nearly every transaction touches several teams. Only where the record would come near the
- * largest value that the store takes are the teams spread over several, by their names.
+ * Teams share a record: the cost of a write to the store does not depend on its size, and nearly
+ * every transaction affects several teams. If one record would come near the store's value size
+ * limit, the teams are divided into groups by a hash of their names, with one record per group.
  */
 #pragma once
 
 #include "storage/ws-replica.h"
 
-/** How many records there are, numbered from 0. */
+/** Returns the number of groups. Groups are numbered from 0. */
 guint ws_team_use_groups(const WsSettings *settings);
 
-/** The record that holds the team. */
+/** Returns the group of the team. */
 guint ws_team_use_group(const WsSettings *settings, WsTeamIndex team);
 
-/** The record's key; the caller frees it. */
+/** Returns the key of the group's record; the caller frees it. */
 char *ws_team_use_key(guint group);
 
-/** The record's value, a new JSON object. @use: by team */
+/** Encodes the group's record as a new JSON object. @use: resources used, by team */
 json_t *ws_team_use_encode(const WsSettings *settings, guint group, const WsResources *use);
 
 /**
- * Takes a record into the replica.
+ * Applies the record of a group to the replica.
  *
- * A team counts by the record that it belongs to; another one that names it, from before the
- * settings' teams changed, counts only as long as there is no such record.
+ * A change of the teams in the settings can move a team to another group, so several records may
+ * contain it. The record of its current group takes precedence; other records are used only until
+ * that one has been read.
  */
 void ws_team_use_apply(WsReplica *replica, const char *group_name, const json_t *value);
 
-/** Takes a record of one team, as versions before 0.2 wrote them. */
+/** Applies the record of a single team, in the format of versions before 0.2. */
 void ws_team_use_apply_single(WsReplica *replica, const char *team_name, const json_t *value);
