--- a/src/membership/ws-liveness.c
+++ b/src/membership/ws-liveness.c
@@ -36,8 +36,9 @@
 {
   if (machine->worker.heard_ms == 0 && machine->tasks->len == 0)
     return 0;
-  gint64 discovered_ms
-      = machine->worker.owned_ms > 0 ? machine->worker.owned_ms + OWNER_DISCOVERY_MS : 0;
+  gint64 discovered_ms = machine->worker.owned_since_ms > 0
+                             ? machine->worker.owned_since_ms + OWNER_DISCOVERY_MS
+                             : 0;
   return MAX(machine->worker.heard_ms, discovered_ms);
 }
 
@@ -51,7 +52,9 @@
 gint64
 ws_liveness_unacknowledged_for_ms(const WsCore *core, const WsMachine *machine)
 {
-  return machine->worker.unacknowledged_ms > 0 ? core->now - machine->worker.unacknowledged_ms : 0;
+  return machine->worker.unacknowledged_since_ms > 0
+             ? core->now - machine->worker.unacknowledged_since_ms
+             : 0;
 }
 
 /* A machine that is not up is suspected instead, whatever it has not acknowledged. */
@@ -68,7 +71,7 @@
 gboolean
 ws_machine_is_inbound_unreachable(const WsCore *core, const WsMachine *machine)
 {
-  return machine->worker.incarnation_changed_ms > machine->worker.reported_ms
+  return machine->worker.incarnation_changed_ms > machine->worker.last_heartbeat_ms
          && ws_machine_is_up(core, machine)
          && core->now - machine->worker.incarnation_changed_ms > ws_liveness_patience_ms(core);
 }
--- a/src/storage/ws-chunk.h
+++ b/src/storage/ws-chunk.h
@@ -20,7 +20,7 @@
   gint64 assigned_ms; /**< wall clock; 0 if not recorded */
 
   /* Not stored. Written by src/workers; fields about stops also by src/scheduling. */
-  guint64 since_version;      /**< version of the record that first contained it; 0 if not known */
+  guint64 assigned_version;   /**< version of the record that first contained it; 0 if not known */
   WsTaskState state;          /**< last state that the worker reported */
   gboolean is_confirmed_gone; /**< cancelled, and its worker's status confirms its exit */
   gint64 stop_forwarded_ms;   /**< last request to another owner to stop it; 0 if none */
--- a/src/storage/ws-constraints.h
+++ b/src/storage/ws-constraints.h
@@ -21,7 +21,7 @@
 gboolean ws_constraints_allow_type(const WsJobSpec *spec, const WsType *type);
 
 /** Returns whether the job may run on machines of the type, and a task fits an empty machine. */
-gboolean ws_constraints_type_fits(const WsJobSpec *spec, const WsType *type);
+gboolean ws_constraints_task_fits_type(const WsJobSpec *spec, const WsType *type);
 
 /**
  * Returns whether the job's zone constraints (one zone only, or spread) allow one more of its tasks
--- a/src/storage/ws-keys.h
+++ b/src/storage/ws-keys.h
@@ -8,23 +8,23 @@
 #include <glib.h>
 
 /** The common prefix of all keys. */
-#define WS_PREFIX "w/"
+#define WS_KEY_PREFIX "w/"
 
 /** Keys of records that exist once per cluster. */
-#define WS_KEY_EPOCH WS_PREFIX "epoch"     /**< the current epoch */
-#define WS_KEY_CATALOG WS_PREFIX "catalog" /**< the cloud's catalog */
-#define WS_KEY_LEADER WS_PREFIX "leader"   /**< the leader, held under its lease */
+#define WS_KEY_EPOCH WS_KEY_PREFIX "epoch"     /**< the current epoch */
+#define WS_KEY_CATALOG WS_KEY_PREFIX "catalog" /**< the cloud's catalog */
+#define WS_KEY_LEADER WS_KEY_PREFIX "leader"   /**< the leader, held under its lease */
 
 /** Key prefixes by kind of record. The comments name the rest of the key, and the record. */
-#define WS_KEYS_MEMBER WS_PREFIX "member/"      /**< node name: a member, under its lease */
-#define WS_KEYS_JOB WS_PREFIX "job/"            /**< job id: a job */
-#define WS_KEYS_CHUNK WS_PREFIX "task/"         /**< job id, "/", chunk number: a chunk */
-#define WS_KEYS_TEAM_USE WS_PREFIX "team-use/"  /**< group: resources used by its teams */
-#define WS_KEYS_TEAM WS_PREFIX "team/"          /**< team name: the same, before 0.2 */
-#define WS_KEYS_RENTAL_BATCH WS_PREFIX "lot/"   /**< batch name: a rental batch */
-#define WS_KEYS_MARK WS_PREFIX "mark/"          /**< machine name: its termination mark */
-#define WS_KEYS_RENTAL_INTENT WS_PREFIX "rent/" /**< idempotency key: a rental intent */
-#define WS_KEYS_MAILBOX WS_PREFIX "mail/"       /**< node name: its messages for other nodes */
+#define WS_KEYS_MEMBER WS_KEY_PREFIX "member/"      /**< node name: a member, under its lease */
+#define WS_KEYS_JOB WS_KEY_PREFIX "job/"            /**< job id: a job */
+#define WS_KEYS_CHUNK WS_KEY_PREFIX "task/"         /**< job id, "/", chunk number: a chunk */
+#define WS_KEYS_TEAM_USE WS_KEY_PREFIX "team-use/"  /**< group: resources used by its teams */
+#define WS_KEYS_LEGACY_TEAM WS_KEY_PREFIX "team/"   /**< team name: the same, before 0.2 */
+#define WS_KEYS_RENTAL_BATCH WS_KEY_PREFIX "lot/"   /**< batch name: a rental batch */
+#define WS_KEYS_MARK WS_KEY_PREFIX "mark/"          /**< machine name: its termination mark */
+#define WS_KEYS_RENTAL_INTENT WS_KEY_PREFIX "rent/" /**< idempotency key: a rental intent */
+#define WS_KEYS_MAILBOX WS_KEY_PREFIX "mail/"       /**< node name: its messages for other nodes */
 
 /* The caller frees the keys that these functions return. */
 
--- a/src/storage/ws-machine.h
+++ b/src/storage/ws-machine.h
@@ -16,8 +16,8 @@
   WsNodeIndex owner; /**< a member of the current epoch; WS_NO_NODE if none */
   /** The epoch since which the same run of the owner has owned the machine without interruption, as
    * far as this node knows. */
-  guint64 owner_since;
-  guint64 owner_since_version; /**< version of that epoch's record */
+  guint64 owner_since_epoch;
+  guint64 owner_since_epoch_version; /**< version of that epoch's record */
   gboolean is_recorded; /**< in a rental batch: it is rented by this cluster and is charged for */
   gboolean is_returned; /**< in no rental batch any more: the cloud has confirmed its return */
   const char *rental_batch; /**< interned name of the last batch that contained it */
--- a/src/storage/ws-replica.h
+++ b/src/storage/ws-replica.h
@@ -4,7 +4,7 @@
  * All stored state enters through ws_replica_apply: one key, one value, one version. An older
  * version of a key never replaces a newer one. A node can therefore apply its own writes as soon as
  * the store confirms them, and the watch may deliver them again later. Only ws_replica_apply and
- * ws_replica_forget_missing change stored state. A node's local status is in ws-status.h.
+ * ws_replica_remove_missing change stored state. A node's local status is in ws-status.h.
  *
  * Jobs and machines are never removed from the replica, so their indices and addresses stay valid.
  */
@@ -91,7 +91,7 @@
  *
  * @read: set of the keys that the read found
  */
-void ws_replica_forget_missing(WsReplica *replica, GHashTable *read, guint64 revision);
+void ws_replica_remove_missing(WsReplica *replica, GHashTable *read, guint64 revision);
 
 /** Returns the key's version for a transaction's condition; 0 if the key does not exist. */
 guint64 ws_replica_version(const WsReplica *replica, const char *key);
@@ -121,11 +121,11 @@
 WsMachine *ws_replica_find_machine(const WsReplica *replica, const char *name);
 
 /** Finds a machine by its name, and adds it to the replica if there is none. */
-WsMachine *ws_replica_get_machine(WsReplica *replica, const char *name);
+WsMachine *ws_replica_ensure_machine(WsReplica *replica, const char *name);
 
 /** Sets the machine's type and zone, and whether it is a spot machine. */
-void ws_replica_describe_machine(WsReplica *replica, WsMachine *machine, const char *type,
-                                 const char *zone, gboolean spot);
+void ws_replica_set_machine_attributes(WsReplica *replica, WsMachine *machine, const char *type,
+                                       const char *zone, gboolean spot);
 
 /** Returns the job with the index, owned by the replica. */
 WsJob *ws_replica_job(const WsReplica *replica, WsJobIndex index);
@@ -142,7 +142,7 @@
 void ws_replica_replace_chunk(WsReplica *replica, WsJob *job, guint index, WsChunk *chunk);
 
 /** Counts the job's assigned tasks by zone. @counts: by zone; the numbers are added to it */
-void ws_job_count_zones(const WsReplica *replica, const WsJob *job, guint *counts);
+void ws_job_count_tasks_by_zone(const WsReplica *replica, const WsJob *job, guint *counts);
 
 /**
  * Returns the job's total time limit in seconds, from its deadline or its class; negative if there
--- a/src/storage/ws-status.h
+++ b/src/storage/ws-status.h
@@ -15,7 +15,7 @@
 typedef struct {
   char *endpoint;                /**< address for commands; NULL until known */
   gint64 heard_ms;               /**< last sign of life, received here or announced by its owner */
-  gint64 reported_ms;            /**< last heartbeat, not counting replies to calls */
+  gint64 last_heartbeat_ms;      /**< last heartbeat, not counting replies to calls */
   gint64 incarnation_changed_ms; /**< when its incarnation was last seen to change */
   gint64 up_ms;                  /**< first sign of life */
   GArray *images;         /**< of WsImageIndex: its cached images, least recently used first */
@@ -28,18 +28,18 @@
 
   /* Ownership. */
   WsNodeIndex handled_owner; /**< the owner when this node last processed an epoch */
-  gint64 owned_ms;       /**< start of that ownership, or the end of a later stall of this node */
+  gint64 owned_since_ms; /**< start of that ownership, or the end of a later stall of this node */
   gint64 redirected_ms;  /**< when the worker was last redirected to its owner */
   gint64 turned_away_ms; /**< when this node, while isolated, last refused its heartbeat */
 
   /* Launch RPCs without an answer. The worker may still carry them out later. */
   guint indeterminate_launches;
-  gint64 indeterminate_ms; /**< since when there has been at least one */
+  gint64 indeterminate_since_ms; /**< since when there has been at least one */
   guint64 indeterminate_fencing_token;
   guint64 indeterminate_incarnation;
 
   /* Failure detection. */
-  gint64 unacknowledged_ms; /**< since when commands have had no effect */
+  gint64 unacknowledged_since_ms; /**< since when commands have had no effect */
   guint consecutive_halts;
   gint64 probed_ms; /**< when its status was last requested */
   guint failed_probes;
@@ -62,15 +62,15 @@
  * use.
  */
 typedef struct {
-  gint64 empty_ms;     /**< since when it has had no tasks */
-  gint64 underused_ms; /**< since when its utilisation has been low */
-  guint failed_jobs;   /**< number since a job last succeeded on it */
+  gint64 empty_since_ms;         /**< since when it has had no tasks */
+  gint64 underused_since_ms;     /**< since when its utilisation has been low */
+  guint consecutive_failed_jobs; /**< number since a job last succeeded on it */
   WsJobIndex last_failed_job;
-  gboolean needs_record;    /**< it must be added to a rental batch */
-  gint64 listed_ms;         /**< since when the cloud has listed it without a rental batch */
-  gboolean mark_is_pending; /**< a write of its termination mark or rental batch is pending */
-  gint64 mark_pending_ms;   /**< since when that write has been pending */
-  gint64 stop_after_ms;     /**< when the next service task on it may be stopped */
+  gboolean needs_record;        /**< it must be added to a rental batch */
+  gint64 unrecorded_since_ms;   /**< since when the cloud has listed it without a rental batch */
+  gboolean mark_is_pending;     /**< a write of its termination mark or rental batch is pending */
+  gint64 mark_pending_since_ms; /**< since when that write has been pending */
+  gint64 stop_after_ms;         /**< when the next service task on it may be stopped */
   guint stop_backoff_ms;
 } WsFleetStatus;
 
@@ -80,5 +80,5 @@
   guint incomplete_attempts; /**< gang attempts whose tasks were not all ready in time */
   gboolean is_guaranteed;    /**< its team's guarantee covers it and the team's earlier open jobs */
   gint64 retry_ms;           /**< earliest time of its next placement */
-  gint64 unplaced_ms;        /**< since when its coordinating node has failed to place it */
+  gint64 unplaced_since_ms;  /**< since when its coordinating node has failed to place it */
 } WsJobStatus;
--- a/src/storage/ws-team-use.h
+++ b/src/storage/ws-team-use.h
@@ -10,7 +10,7 @@
 #include "storage/ws-replica.h"
 
 /** Returns the number of groups. Groups are numbered from 0. */
-guint ws_team_use_groups(const WsSettings *settings);
+guint ws_team_use_group_count(const WsSettings *settings);
 
 /** Returns the group of the team. */
 guint ws_team_use_group(const WsSettings *settings, WsTeamIndex team);
@@ -31,4 +31,4 @@
 void ws_team_use_apply(WsReplica *replica, const char *group_name, const json_t *value);
 
 /** Applies the record of a single team, in the format of versions before 0.2. */
-void ws_team_use_apply_single(WsReplica *replica, const char *team_name, const json_t *value);
+void ws_team_use_apply_legacy(WsReplica *replica, const char *team_name, const json_t *value);
