--- a/src/storage/ws-chunk-record.c
+++ b/src/storage/ws-chunk-record.c
@@ -12,15 +12,15 @@
 #define ITEM_TASK 0
 #define ITEM_MACHINE 1
 #define ITEM_ATTEMPT 2
-#define ITEM_ASSIGNED 3 /* omitted if the record would be too large */
+#define ITEM_ASSIGNED_MS 3 /* omitted if the record would be too large */
 
 /* Bytes of punctuation and field names: per assignment, and of the record without assignments. */
-#define BYTES_AROUND_ASSIGNMENT 7
-#define BYTES_AROUND_CHUNK 21
+#define ASSIGNMENT_OVERHEAD_BYTES 7
+#define CHUNK_OVERHEAD_BYTES 21
 /* 13 digits of a wall-clock time in milliseconds, and a comma. */
-#define BYTES_OF_TIME 14
+#define ASSIGNED_TIME_BYTES 14
 /* Size of an assignment to a machine with a long name, for the number of free slots. */
-#define BYTES_OF_LONG_ASSIGNMENT 44
+#define LONG_ASSIGNMENT_BYTES 44
 
 static gsize
 count_digits(guint64 number)
@@ -33,47 +33,48 @@
 
 /* Size of the chunk's record without the times of its assignments. */
 static gsize
-bytes_without_times(const WsChunk *chunk, const WsReplica *replica)
+record_bytes_without_times(const WsChunk *chunk, const WsReplica *replica)
 {
   gsize bytes
-      = BYTES_AROUND_CHUNK + count_digits(chunk->last_attempt) + 2 * sizeof chunk->completed;
+      = CHUNK_OVERHEAD_BYTES + count_digits(chunk->last_attempt) + 2 * sizeof chunk->completed;
   for (guint i = 0; i < chunk->assignments->len; i++) {
     const WsAssignment *assignment = &g_array_index(chunk->assignments, WsAssignment, i);
     const char *machine = ws_replica_machine(replica, assignment->machine)->name;
-    bytes += BYTES_AROUND_ASSIGNMENT + count_digits(assignment->task)
+    bytes += ASSIGNMENT_OVERHEAD_BYTES + count_digits(assignment->task)
              + count_digits(assignment->attempt) + strlen(machine);
   }
   return bytes;
 }
 
-/* Upper bound of bytes_without_times for any chunk of the replica. It does not iterate over the
-   assignments, since it is computed for each of hundreds of tasks per transaction. */
+/* Upper bound of record_bytes_without_times for any chunk of the replica. It does not iterate over
+   the assignments, since it is computed for each of hundreds of tasks per transaction. */
 static gsize
-max_bytes_without_times(const WsReplica *replica)
+max_record_bytes_without_times(const WsReplica *replica)
 {
   gsize max_digits = count_digits(G_MAXUINT64);
-  gsize assignment_bytes = BYTES_AROUND_ASSIGNMENT + count_digits(WS_MAX_TASKS) + max_digits
+  gsize assignment_bytes = ASSIGNMENT_OVERHEAD_BYTES + count_digits(WS_MAX_TASKS) + max_digits
                            + replica->longest_name_bytes;
-  return BYTES_AROUND_CHUNK + max_digits + 2 * sizeof(((WsChunk *)NULL)->completed)
-         + WS_CHUNK_TASKS * MAX(assignment_bytes, BYTES_OF_LONG_ASSIGNMENT);
+  return CHUNK_OVERHEAD_BYTES + max_digits + 2 * sizeof(((WsChunk *)NULL)->completed)
+         + WS_CHUNK_TASKS * MAX(assignment_bytes, LONG_ASSIGNMENT_BYTES);
 }
 
 gboolean
 ws_chunk_fits_record(const WsChunk *chunk, const WsReplica *replica)
 {
   gsize max_bytes = replica->settings->state_record_bytes;
-  return max_bytes_without_times(replica) <= max_bytes
-         || bytes_without_times(chunk, replica) <= max_bytes;
+  return max_record_bytes_without_times(replica) <= max_bytes
+         || record_bytes_without_times(chunk, replica) <= max_bytes;
 }
 
 guint
 ws_chunk_free_slots(const WsChunk *chunk, const WsReplica *replica)
 {
   gsize max_bytes = replica->settings->state_record_bytes;
-  if (max_bytes_without_times(replica) <= max_bytes)
+  if (max_record_bytes_without_times(replica) <= max_bytes)
     return WS_CHUNK_TASKS;
-  gsize used_bytes = chunk != NULL ? bytes_without_times(chunk, replica) : BYTES_AROUND_CHUNK;
-  return used_bytes < max_bytes ? (guint)((max_bytes - used_bytes) / BYTES_OF_LONG_ASSIGNMENT) : 0;
+  gsize used_bytes
+      = chunk != NULL ? record_bytes_without_times(chunk, replica) : CHUNK_OVERHEAD_BYTES;
+  return used_bytes < max_bytes ? (guint)((max_bytes - used_bytes) / LONG_ASSIGNMENT_BYTES) : 0;
 }
 
 /* Writes the bit set of completed tasks as hexadecimal digits. @hex: has space for the digits and a
@@ -89,9 +90,9 @@
 ws_chunk_encode(const WsChunk *chunk, const WsReplica *replica)
 {
   json_t *assignments = json_array();
-  gboolean has_times
-      = bytes_without_times(chunk, replica) + (gsize)BYTES_OF_TIME * chunk->assignments->len
-        <= replica->settings->state_record_bytes;
+  gboolean has_times = record_bytes_without_times(chunk, replica)
+                           + (gsize)ASSIGNED_TIME_BYTES * chunk->assignments->len
+                       <= replica->settings->state_record_bytes;
   for (guint i = 0; i < chunk->assignments->len; i++) {
     const WsAssignment *assignment = &g_array_index(chunk->assignments, WsAssignment, i);
     json_t *item = json_pack("[i, s, I]", (int)assignment->task,
@@ -134,7 +135,7 @@
     .task = (guint)json_integer_value(json_array_get(item, ITEM_TASK)),
     .machine = ws_replica_ensure_machine(replica, machine)->index,
     .attempt = (guint64)json_integer_value(json_array_get(item, ITEM_ATTEMPT)),
-    .assigned_ms = json_integer_value(json_array_get(item, ITEM_ASSIGNED)),
+    .assigned_ms = json_integer_value(json_array_get(item, ITEM_ASSIGNED_MS)),
   };
   return TRUE;
 }
--- a/src/storage/ws-chunk.c
+++ b/src/storage/ws-chunk.c
@@ -21,13 +21,13 @@
 {
   ws_chunk_remove(chunk, assignment->task);
   g_array_append_vals(chunk->assignments, assignment, 1);
-  chunk->places[assignment->task % WS_CHUNK_TASKS] = (guint8)chunk->assignments->len;
+  chunk->positions[assignment->task % WS_CHUNK_TASKS] = (guint8)chunk->assignments->len;
 }
 
 void
 ws_chunk_remove(WsChunk *chunk, guint task)
 {
-  guint8 *position = &chunk->places[task % WS_CHUNK_TASKS];
+  guint8 *position = &chunk->positions[task % WS_CHUNK_TASKS];
   if (*position == 0)
     return;
   guint index = *position - 1u;
@@ -37,13 +37,13 @@
   if (index == chunk->assignments->len)
     return;
   guint moved_task = g_array_index(chunk->assignments, WsAssignment, index).task;
-  chunk->places[moved_task % WS_CHUNK_TASKS] = (guint8)(index + 1);
+  chunk->positions[moved_task % WS_CHUNK_TASKS] = (guint8)(index + 1);
 }
 
 WsAssignment *
 ws_chunk_find(const WsChunk *chunk, guint task)
 {
-  guint position = chunk != NULL ? chunk->places[task % WS_CHUNK_TASKS] : 0;
+  guint position = chunk != NULL ? chunk->positions[task % WS_CHUNK_TASKS] : 0;
   return position != 0 ? &g_array_index(chunk->assignments, WsAssignment, position - 1) : NULL;
 }
 
--- a/src/storage/ws-chunk.h
+++ b/src/storage/ws-chunk.h
@@ -30,9 +30,9 @@
 
 /** The assignments and the completed tasks of a chunk. */
 typedef struct {
-  guint64 last_attempt;          /**< the highest attempt number used so far */
-  GArray *assignments;           /**< of WsAssignment, unordered */
-  guint8 places[WS_CHUNK_TASKS]; /**< by task: its index in assignments plus 1; 0 if it has none */
+  guint64 last_attempt;                 /**< the highest attempt number used so far */
+  GArray *assignments;                  /**< of WsAssignment, unordered */
+  guint8 positions[WS_CHUNK_TASKS];     /**< by task: index in assignments plus 1; 0 for none */
   guint8 completed[WS_CHUNK_TASKS / 8]; /**< bit set, one bit per task */
   guint completed_count;
 } WsChunk;
--- a/src/storage/ws-job-record.c
+++ b/src/storage/ws-job-record.c
@@ -11,12 +11,12 @@
 #define FIELD_CANCELLED "cancelled"
 #define FIELD_TASKS "n"
 
-static const char *const JOB_STATES[] = { "active", "done", "cancelled" };
+static const char *const STATE_NAMES[] = { "active", "done", "cancelled" };
 
 json_t *
 ws_job_encode(const WsJob *job, WsJobState state, const char *coordinator)
 {
-  json_t *value = json_pack("{s:s, s:I, s:s, s:o}", FIELD_STATE, JOB_STATES[state], FIELD_ACCEPTED,
+  json_t *value = json_pack("{s:s, s:I, s:s, s:o}", FIELD_STATE, STATE_NAMES[state], FIELD_ACCEPTED,
                             (json_int_t)job->accepted_ms, FIELD_COORDINATOR, coordinator,
                             FIELD_SPEC, ws_job_spec_encode(job->spec));
   if (state == WS_JOB_CANCELLED)
@@ -27,7 +27,7 @@
 json_t *
 ws_job_encode_final(const WsJob *job, WsJobState state)
 {
-  return json_pack("{s:s, s:i}", FIELD_STATE, JOB_STATES[state], FIELD_TASKS, (int)job->tasks);
+  return json_pack("{s:s, s:i}", FIELD_STATE, STATE_NAMES[state], FIELD_TASKS, (int)job->tasks);
 }
 
 static gboolean
@@ -36,8 +36,8 @@
   const char *name;
   if (!ws_json_string(value, FIELD_STATE, &name))
     return FALSE;
-  for (guint s = 0; s < G_N_ELEMENTS(JOB_STATES); s++)
-    if (strcmp(JOB_STATES[s], name) == 0) {
+  for (guint s = 0; s < G_N_ELEMENTS(STATE_NAMES); s++)
+    if (strcmp(STATE_NAMES[s], name) == 0) {
       *state = (WsJobState)s;
       return TRUE;
     }
--- a/src/storage/ws-job.c
+++ b/src/storage/ws-job.c
@@ -31,9 +31,9 @@
 {
   for (; iter->chunk < iter->job->chunks->len; iter->chunk++) {
     const WsChunk *chunk = g_ptr_array_index(iter->job->chunks, iter->chunk);
-    if (chunk != NULL && iter->place < chunk->assignments->len)
-      return &g_array_index(chunk->assignments, WsAssignment, iter->place++);
-    iter->place = 0;
+    if (chunk != NULL && iter->position < chunk->assignments->len)
+      return &g_array_index(chunk->assignments, WsAssignment, iter->position++);
+    iter->position = 0;
   }
   return NULL;
 }
--- a/src/storage/ws-job.h
+++ b/src/storage/ws-job.h
@@ -57,7 +57,7 @@
 typedef struct {
   const WsJob *job;
   guint chunk;
-  guint place;
+  guint position;
 } WsAssignmentIter;
 
 /** Initialises the iterator to the start of the job's assignments. */
--- a/src/storage/ws-machine-records.c
+++ b/src/storage/ws-machine-records.c
@@ -14,10 +14,10 @@
 #define FIELD_IS_IMMEDIATE "now"
 
 /* Size of a rental batch's record without its type, its zone and the names of its machines. */
-#define BYTES_AROUND_BATCH 90
+#define BATCH_OVERHEAD_BYTES 90
 /* Quotation marks and comma per machine name, and the usual length of a name. */
-#define BYTES_AROUND_NAME 3
-#define BYTES_OF_ORDINARY_NAME 20
+#define NAME_OVERHEAD_BYTES 3
+#define TYPICAL_NAME_BYTES 20
 #define MAX_MACHINES_PER_BATCH 50 /* the cloud rents out at most 50 machines per call */
 
 static const char *
@@ -31,18 +31,18 @@
 ws_rental_batch_has_space(const WsRentalBatch *rental_batch, const WsReplica *replica,
                           const char *machine)
 {
-  gsize bytes = BYTES_AROUND_BATCH + strlen(rental_batch->type) + strlen(rental_batch->zone)
-                + strlen(machine) + BYTES_AROUND_NAME;
+  gsize bytes = BATCH_OVERHEAD_BYTES + strlen(rental_batch->type) + strlen(rental_batch->zone)
+                + strlen(machine) + NAME_OVERHEAD_BYTES;
   for (guint i = 0; i < rental_batch->machines->len; i++)
-    bytes += strlen(machine_name(rental_batch, replica, i)) + BYTES_AROUND_NAME;
+    bytes += strlen(machine_name(rental_batch, replica, i)) + NAME_OVERHEAD_BYTES;
   return bytes <= replica->settings->state_record_bytes;
 }
 
 guint
 ws_rental_batch_max_machines(const WsSettings *settings)
 {
-  gsize bytes = (gsize)settings->state_record_bytes - (gsize)2 * BYTES_AROUND_BATCH;
-  return MIN((guint)(bytes / (BYTES_AROUND_NAME + BYTES_OF_ORDINARY_NAME)), MAX_MACHINES_PER_BATCH);
+  gsize bytes = (gsize)settings->state_record_bytes - (gsize)2 * BATCH_OVERHEAD_BYTES;
+  return MIN((guint)(bytes / (NAME_OVERHEAD_BYTES + TYPICAL_NAME_BYTES)), MAX_MACHINES_PER_BATCH);
 }
 
 json_t *
--- a/src/storage/ws-machine.c
+++ b/src/storage/ws-machine.c
@@ -2,12 +2,12 @@
 #include "storage/ws-machine.h"
 
 /* Number of consecutive failed jobs after which a machine is faulty. */
-#define FAULTY_FAILED_JOBS 2
+#define MIN_FAILED_JOBS_FOR_FAULTY 2
 
 gboolean
 ws_machine_is_faulty(const WsMachine *machine)
 {
-  return machine->fleet.consecutive_failed_jobs >= FAULTY_FAILED_JOBS;
+  return machine->fleet.consecutive_failed_jobs >= MIN_FAILED_JOBS_FOR_FAULTY;
 }
 
 gboolean
--- a/src/storage/ws-replica-apply.c
+++ b/src/storage/ws-replica-apply.c
@@ -14,7 +14,7 @@
 
 /* Applies a record that exists once per cluster. Returns FALSE for the key of any other record. */
 static gboolean
-apply_single(WsReplica *replica, const char *key, const json_t *value)
+apply_cluster_record(WsReplica *replica, const char *key, const json_t *value)
 {
   static const struct {
     const char *key;
@@ -45,7 +45,7 @@
                 { WS_KEYS_RENTAL_INTENT, ws_replica_apply_rental_intent },
                 { WS_KEYS_MEMBER, ws_replica_apply_member },
                 { WS_KEYS_MAILBOX, ws_replica_apply_mailbox } };
-  if (apply_single(replica, key, value))
+  if (apply_cluster_record(replica, key, value))
     return;
   for (gsize i = 0; i < G_N_ELEMENTS(KINDS); i++)
     if (g_str_has_prefix(key, KINDS[i].prefix))
@@ -53,7 +53,7 @@
 }
 
 static void
-note_removed(WsReplica *replica, const char *key, guint64 version)
+record_removal(WsReplica *replica, const char *key, guint64 version)
 {
   WsRemovedKey *removed = g_new0(WsRemovedKey, 1);
   *removed = (WsRemovedKey){ g_strdup(key), version };
@@ -71,7 +71,7 @@
     g_hash_table_insert(replica->versions, g_strdup(key), newest);
   }
   if (value == NULL)
-    note_removed(replica, key, version);
+    record_removal(replica, key, version);
   newest->version = version;
   newest->is_present = value != NULL;
   replica->applying_version = version;
@@ -95,7 +95,7 @@
     const char *name = g_ptr_array_index(missing, i);
     WsKeyVersion *newest = g_hash_table_lookup(replica->versions, name);
     newest->is_present = FALSE;
-    note_removed(replica, name, newest->version);
+    record_removal(replica, name, newest->version);
     apply_value(replica, name, NULL);
   }
 }
--- a/src/storage/ws-replica-cluster.c
+++ b/src/storage/ws-replica-cluster.c
@@ -6,7 +6,7 @@
 void
 ws_replica_apply_epoch(WsReplica *replica, const json_t *value)
 {
-  WsEpoch last = replica->epoch;
+  WsEpoch previous = replica->epoch;
   WsEpoch next;
   ws_epoch_init(&next);
   if (value == NULL || !ws_epoch_parse(&next, value, replica->settings)) {
@@ -16,8 +16,8 @@
   }
   replica->epoch = next;
   for (WsMachineIndex i = 0; i < replica->machines->len; i++)
-    ws_replica_update_owner(replica, ws_replica_machine(replica, i), &last);
-  ws_epoch_clear(&last);
+    ws_replica_update_owner(replica, ws_replica_machine(replica, i), &previous);
+  ws_epoch_clear(&previous);
 }
 
 void
--- a/src/storage/ws-replica-internal.h
+++ b/src/storage/ws-replica-internal.h
@@ -18,7 +18,7 @@
 void ws_replica_apply_leader(WsReplica *replica, const json_t *value);
 
 /** Sets or removes a member. A damaged record removes it. */
-void ws_replica_apply_member(WsReplica *replica, const char *node, const json_t *value);
+void ws_replica_apply_member(WsReplica *replica, const char *name, const json_t *value);
 
 /** Appends the value to the replica's mailbox. */
 void ws_replica_apply_mailbox(WsReplica *replica, const char *node, const json_t *value);
@@ -44,14 +44,14 @@
 void ws_replica_apply_rental_intent(WsReplica *replica, const char *request, const json_t *value);
 
 /** Sets or removes a machine's termination mark. A damaged record sets it without a reason. */
-void ws_replica_apply_mark(WsReplica *replica, const char *machine, const json_t *value);
+void ws_replica_apply_mark(WsReplica *replica, const char *name, const json_t *value);
 
 /**
  * Sets the machine's owner under the current epoch.
  *
- * @last: the previous epoch; NULL if the machine is new in the replica
+ * @previous: the previous epoch; NULL if the machine is new in the replica
  */
-void ws_replica_update_owner(WsReplica *replica, WsMachine *machine, const WsEpoch *last);
+void ws_replica_update_owner(WsReplica *replica, WsMachine *machine, const WsEpoch *previous);
 
 /** Frees a machine. */
 void ws_machine_free(WsMachine *machine);
--- a/src/storage/ws-replica-jobs.c
+++ b/src/storage/ws-replica-jobs.c
@@ -57,7 +57,7 @@
 /* Carries over the local status of unchanged assignments, which is not stored, to a new version of
    the chunk. New assignments are added to the replica's list for launching. */
 static void
-keep_status(WsReplica *replica, const WsJob *job, WsChunk *chunk, const WsChunk *old)
+carry_over_status(WsReplica *replica, const WsJob *job, WsChunk *chunk, const WsChunk *old)
 {
   for (guint i = 0; i < chunk->assignments->len; i++) {
     WsAssignment *assignment = &g_array_index(chunk->assignments, WsAssignment, i);
@@ -83,7 +83,7 @@
   unlink_chunk(replica, job, index);
   WsChunk *old = g_ptr_array_index(job->chunks, index);
   if (chunk != NULL) {
-    keep_status(replica, job, chunk, old);
+    carry_over_status(replica, job, chunk, old);
     for (guint i = 0; i < chunk->assignments->len; i++)
       link_assignment(replica, job, &g_array_index(chunk->assignments, WsAssignment, i));
     job->assigned_count += chunk->assignments->len;
@@ -107,7 +107,7 @@
 }
 
 static void
-discard_spec(WsReplica *replica, WsJob *job)
+discard_spec_and_chunks(WsReplica *replica, WsJob *job)
 {
   for (guint i = 0; i < job->chunks->len; i++)
     ws_replica_replace_chunk(replica, job, i, NULL);
@@ -129,16 +129,16 @@
 }
 
 static void
-finish_job(WsReplica *replica, WsJob *job, const WsJobRecord *record)
+apply_final_form(WsReplica *replica, WsJob *job, const WsJobRecord *record)
 {
   if (job->spec != NULL)
-    discard_spec(replica, job);
+    discard_spec_and_chunks(replica, job);
   if (record->has_task_count)
     job->tasks = record->tasks;
 }
 
 static void
-parse_spec(WsReplica *replica, WsJob *job, const json_t *message)
+parse_and_set_spec(WsReplica *replica, WsJob *job, const json_t *message)
 {
   g_autoptr(GError) error = NULL;
   WsJobSpec *spec = ws_job_spec_parse(message, &error);
@@ -162,7 +162,7 @@
   gboolean is_newly_cancelled = record.state == WS_JOB_CANCELLED && job->state != WS_JOB_CANCELLED;
   job->state = record.state;
   if (record.spec == NULL) {
-    finish_job(replica, job, &record);
+    apply_final_form(replica, job, &record);
     return;
   }
   job->accepted_ms = record.accepted_ms;
@@ -171,16 +171,16 @@
     g_array_append_val(replica->cancelled_jobs, job->index);
   job->coordinator = ws_settings_find_node(replica->settings, record.coordinator);
   if (job->spec == NULL)
-    parse_spec(replica, job, record.spec);
+    parse_and_set_spec(replica, job, record.spec);
 }
 
 void
-ws_replica_apply_chunk(WsReplica *replica, const char *name, const json_t *value)
+ws_replica_apply_chunk(WsReplica *replica, const char *job_and_number, const json_t *value)
 {
-  const char *slash = strrchr(name, '/');
+  const char *slash = strrchr(job_and_number, '/');
   if (slash == NULL)
     return;
-  g_autofree char *id = g_strndup(name, (gsize)(slash - name));
+  g_autofree char *id = g_strndup(job_and_number, (gsize)(slash - job_and_number));
   WsJob *job = ws_replica_find_job(replica, id);
   guint64 index;
   if (job == NULL || job->spec == NULL
@@ -189,7 +189,7 @@
     return;
   WsChunk *chunk = value != NULL ? ws_chunk_parse(replica, value) : NULL;
   if (value != NULL && chunk == NULL) {
-    g_warning("record of chunk %s is damaged", name);
+    g_warning("record of chunk %s is damaged", job_and_number);
     return;
   }
   ws_replica_replace_chunk(replica, job, (guint)index, chunk);
--- a/src/storage/ws-replica-machines.c
+++ b/src/storage/ws-replica-machines.c
@@ -16,11 +16,11 @@
 }
 
 void
-ws_replica_update_owner(WsReplica *replica, WsMachine *machine, const WsEpoch *last)
+ws_replica_update_owner(WsReplica *replica, WsMachine *machine, const WsEpoch *previous)
 {
   WsNodeIndex owner = ws_epoch_owner(&replica->epoch, machine->name, replica->settings);
-  if (last == NULL || owner != machine->owner
-      || !ws_epoch_continues(last, &replica->epoch, owner)) {
+  if (previous == NULL || owner != machine->owner
+      || !ws_epoch_continues(previous, &replica->epoch, owner)) {
     machine->owner_since_epoch = replica->epoch.number;
     machine->owner_since_epoch_version = ws_replica_version(replica, WS_KEY_EPOCH);
   }
@@ -64,7 +64,7 @@
 }
 
 static void
-begin_rental_batch(WsReplica *replica, const WsRentalBatch *rental_batch)
+attach_batch_to_machines(WsReplica *replica, const WsRentalBatch *rental_batch)
 {
   for (guint i = 0; i < rental_batch->machines->len; i++) {
     WsMachineIndex index = g_array_index(rental_batch->machines, WsMachineIndex, i);
@@ -79,7 +79,7 @@
 }
 
 static void
-end_rental_batch(WsReplica *replica, const WsRentalBatch *rental_batch)
+detach_batch_from_machines(WsReplica *replica, const WsRentalBatch *rental_batch)
 {
   for (guint i = 0; i < rental_batch->machines->len; i++) {
     WsMachineIndex index = g_array_index(rental_batch->machines, WsMachineIndex, i);
@@ -99,7 +99,7 @@
     const WsRentalBatch *rental_batch = g_ptr_array_index(replica->rental_batches, i);
     if (strcmp(rental_batch->name, name) != 0)
       continue;
-    end_rental_batch(replica, rental_batch);
+    detach_batch_from_machines(replica, rental_batch);
     g_ptr_array_remove_index_fast(replica->rental_batches, i);
     return;
   }
@@ -117,7 +117,7 @@
     }
     /* Must precede the removal of the old batch; otherwise a machine in both would be set as
        returned. */
-    begin_rental_batch(replica, rental_batch);
+    attach_batch_to_machines(replica, rental_batch);
   }
   remove_rental_batch(replica, name);
   if (rental_batch != NULL)
--- a/src/storage/ws-replica.c
+++ b/src/storage/ws-replica.c
@@ -7,13 +7,13 @@
 #define MIN_FETCH_GB_PER_S 0.01
 
 static void
-message_free(gpointer data)
+mailbox_message_free(gpointer data)
 {
   json_decref(data);
 }
 
 static void
-removed_free(gpointer data)
+removed_key_free(gpointer data)
 {
   g_free(((WsRemovedKey *)data)->key);
   g_free(data);
@@ -49,7 +49,7 @@
 ws_replica_free(WsReplica *replica)
 {
   g_hash_table_unref(replica->versions);
-  g_queue_clear_full(&replica->removed, removed_free);
+  g_queue_clear_full(&replica->removed, removed_key_free);
   g_array_unref(replica->new_assignments);
   g_array_unref(replica->cancelled_jobs);
   ws_epoch_clear(&replica->epoch);
@@ -61,7 +61,7 @@
   g_hash_table_unref(replica->machine_index);
   g_ptr_array_unref(replica->rental_intents);
   g_ptr_array_unref(replica->rental_batches);
-  g_queue_clear_full(&replica->mailbox, message_free);
+  g_queue_clear_full(&replica->mailbox, mailbox_message_free);
   g_free(replica->team_use);
   g_free(replica->team_is_recorded);
   ws_names_clear(&replica->images);
--- a/src/storage/ws-team-use.c
+++ b/src/storage/ws-team-use.c
@@ -5,10 +5,10 @@
 
 /* Size of a team's entry in a record without its name: two amounts of up to 19 digits, and
    punctuation. */
-#define BYTES_PER_TEAM 48
+#define TEAM_ENTRY_BYTES 48
 /* Average fill of a record relative to the store's limit. It leaves space since the hash of the
    names distributes teams unevenly. */
-#define FILL_RATIO 0.5
+#define AVERAGE_FILL_RATIO 0.5
 #define BYTES_PER_KB 1024.0
 
 /* Stored field names; amounts are in thousandths. */
@@ -21,16 +21,16 @@
   double bytes = 0.0;
   for (WsTeamIndex t = 0; t < settings->teams->len; t++) {
     const WsTeamSettings *team = g_ptr_array_index(settings->teams, t);
-    bytes += (double)strlen(team->name) + BYTES_PER_TEAM;
+    bytes += (double)strlen(team->name) + TEAM_ENTRY_BYTES;
   }
-  return 1 + (guint)(bytes / (FILL_RATIO * settings->state_value_kb * BYTES_PER_KB));
+  return 1 + (guint)(bytes / (AVERAGE_FILL_RATIO * settings->state_value_kb * BYTES_PER_KB));
 }
 
 guint
 ws_team_use_group(const WsSettings *settings, WsTeamIndex team)
 {
-  const WsTeamSettings *named = g_ptr_array_index(settings->teams, team);
-  return g_str_hash(named->name) % ws_team_use_group_count(settings);
+  const WsTeamSettings *team_settings = g_ptr_array_index(settings->teams, team);
+  return g_str_hash(team_settings->name) % ws_team_use_group_count(settings);
 }
 
 char *
@@ -59,12 +59,12 @@
 }
 
 static void
-apply_amount(WsReplica *replica, WsTeamIndex team, const json_t *amount, gboolean is_own_record)
+apply_amount(WsReplica *replica, WsTeamIndex team, const json_t *amount, gboolean is_from_own_group)
 {
   if (team == WS_NO_TEAM || !json_is_object(amount)
-      || (!is_own_record && replica->team_is_recorded[team]))
+      || (!is_from_own_group && replica->team_is_recorded[team]))
     return;
-  replica->team_is_recorded[team] = is_own_record;
+  replica->team_is_recorded[team] = is_from_own_group;
   replica->team_use[team].cpus = json_integer_value(json_object_get(amount, FIELD_CPUS));
   replica->team_use[team].gpus = json_integer_value(json_object_get(amount, FIELD_GPUS));
 }
@@ -78,8 +78,9 @@
   json_object_foreach((json_t *)value, name, amount)
   {
     WsTeamIndex team = ws_replica_find_team(replica, name);
-    gboolean is_own = team != WS_NO_TEAM && ws_team_use_group(replica->settings, team) == group;
-    apply_amount(replica, team, amount, is_own);
+    gboolean is_from_own_group
+        = team != WS_NO_TEAM && ws_team_use_group(replica->settings, team) == group;
+    apply_amount(replica, team, amount, is_from_own_group);
   }
 }
 
