--- a/tests/test-storage.c
+++ b/tests/test-storage.c
@@ -1,6 +1,6 @@
 /**
- * The replica: a node's own writes and the watch in any order, rereads, damaged records, and teams'
- * use.
+ * The replica: own writes that are applied before the watch delivers them, keys that are missing
+ * from a full read, damaged records, and the records of teams' resource use.
  */
 #include "storage/ws-records.h"
 #include "storage/ws-team-use.h"
@@ -83,8 +83,9 @@
   g_assert_cmpuint(linked, ==, job->assigned_count);
 }
 
-/* A node's own writes come early and again through the watch: the replica ends up the same, and
-   what is on each machine always adds up. */
+/* Guards against a replica that diverges when a node applies its own writes early and the watch
+   delivers older versions, and the same ones again, later. The final state must equal that of a
+   replica that was fed by the watch alone, and the sums per machine must hold after each step. */
 static void
 early_and_again(GRand *rand)
 {
@@ -123,7 +124,7 @@
   ws_cases(200, 1, early_and_again);
 }
 
-/* After the state was read again, keys that are no longer there are gone. */
+/* A full read at revision 7 removes keys that it did not find, unless they are newer. */
 static void
 test_forget(void)
 {
@@ -138,7 +139,7 @@
   ws_replica_remove_missing(replica, read, 7);
   g_assert_false(ws_replica_find_machine(replica, "m-1")->is_marked);
   g_assert_true(ws_replica_find_machine(replica, "m-2")->is_marked);
-  g_assert_true(ws_replica_find_machine(replica, "m-3")->is_marked); /* newer than what was read */
+  g_assert_true(ws_replica_find_machine(replica, "m-3")->is_marked); /* newer than the read */
   g_assert_cmpuint(ws_replica_version(replica, "w/mark/m-1"), ==, 0);
   ws_replica_free(replica);
 }
@@ -180,8 +181,9 @@
   }
 }
 
-/* What teams use is read as it was written, however many there are, and no record comes near the
-   largest value; one from before the records changed counts until there is a newer one. */
+/* For any number of teams, the resource use is read back as it was written, and each record stays
+   below 3/4 of the store's largest value. The record of a single team, from versions before 0.2, is
+   used only until the record of the team's group has been read. */
 static void
 test_team_use(void)
 {
