--- a/tests/test-storage.c
+++ b/tests/test-storage.c
@@ -14,30 +14,31 @@
   char *key;
   json_t *value;
   guint64 version;
-} Event;
+} KeyChange;
 
 static void
-event_clear(gpointer data)
+key_change_clear(gpointer data)
 {
-  Event *event = data;
-  g_free(event->key);
-  json_decref(event->value);
+  KeyChange *change = data;
+  g_free(change->key);
+  json_decref(change->value);
 }
 
 static json_t *
-chunk_value(GRand *rand)
+random_chunk_record(GRand *rand)
 {
   g_autofree char *machine = g_strdup_printf("m-%d", g_rand_int_range(rand, 0, 3));
-  json_t *on = json_array();
+  json_t *assignments = json_array();
   for (gint task = 0; task < 4; task++)
     if (g_rand_boolean(rand))
-      json_array_append_new(
-          on, json_pack("[i, s, i, i]", task, machine, g_rand_int_range(rand, 1, 9), 1000));
-  return json_pack("{s:i, s:o, s:s}", "a", 9, "on", on, "d", "00000000000000000000000000000000");
+      json_array_append_new(assignments, json_pack("[i, s, i, i]", task, machine,
+                                                   g_rand_int_range(rand, 1, 9), 1000));
+  return json_pack("{s:i, s:o, s:s}", "a", 9, "on", assignments, "d",
+                   "00000000000000000000000000000000");
 }
 
 static json_t *
-job_value(void)
+job_record(void)
 {
   g_autoptr(GRand) rand = g_rand_new_with_seed(1);
   json_t *spec = ws_gen_submission(rand);
@@ -48,30 +49,30 @@
 }
 
 static GArray *
-history(GRand *rand)
+random_history(GRand *rand)
 {
-  GArray *events = g_array_new(FALSE, TRUE, sizeof(Event));
-  g_array_set_clear_func(events, event_clear);
-  Event job = { g_strdup("w/job/req-1"), job_value(), 1 };
-  g_array_append_val(events, job);
+  GArray *changes = g_array_new(FALSE, TRUE, sizeof(KeyChange));
+  g_array_set_clear_func(changes, key_change_clear);
+  KeyChange job = { g_strdup("w/job/req-1"), job_record(), 1 };
+  g_array_append_val(changes, job);
   for (guint64 version = 2; version < 30; version++) {
     gboolean removed = g_rand_int_range(rand, 0, 4) == 0;
-    Event event = { 0 };
-    event.version = version;
+    KeyChange change = { 0 };
+    change.version = version;
     if (g_rand_boolean(rand)) {
-      event.key = g_strdup("w/task/req-1/0");
-      event.value = removed ? NULL : chunk_value(rand);
+      change.key = g_strdup("w/task/req-1/0");
+      change.value = removed ? NULL : random_chunk_record(rand);
     } else {
-      event.key = g_strdup_printf("w/mark/m-%d", g_rand_int_range(rand, 0, 3));
-      event.value = removed ? NULL : ws_mark_encode("idle", FALSE);
+      change.key = g_strdup_printf("w/mark/m-%d", g_rand_int_range(rand, 0, 3));
+      change.value = removed ? NULL : ws_mark_encode("idle", FALSE);
     }
-    g_array_append_val(events, event);
+    g_array_append_val(changes, change);
   }
-  return events;
+  return changes;
 }
 
 static void
-assert_sums(const WsReplica *replica)
+assert_machine_sums_match_assignments(const WsReplica *replica)
 {
   const WsJob *job = ws_replica_find_job(replica, "req-1");
   guint linked = 0;
@@ -87,46 +88,46 @@
    delivers older versions, and the same ones again, later. The final state must equal that of a
    replica that was fed by the watch alone, and the sums per machine must hold after each step. */
 static void
-early_and_again(GRand *rand)
+check_early_own_writes(GRand *rand)
 {
   g_autoptr(WsSettings) settings = ws_test_settings(0);
-  g_autoptr(GArray) events = history(rand);
-  WsReplica *plain = ws_replica_new(settings), *early = ws_replica_new(settings);
-  for (guint i = 0; i < events->len; i++) {
-    const Event *event = &g_array_index(events, Event, i);
-    ws_replica_apply(plain, event->key, event->value, event->version);
-    ws_replica_advance(plain, event->version);
+  g_autoptr(GArray) changes = random_history(rand);
+  WsReplica *watch_only = ws_replica_new(settings), *with_early_writes = ws_replica_new(settings);
+  for (guint i = 0; i < changes->len; i++) {
+    const KeyChange *change = &g_array_index(changes, KeyChange, i);
+    ws_replica_apply(watch_only, change->key, change->value, change->version);
+    ws_replica_advance(watch_only, change->version);
     guint ahead = i + (guint)g_rand_int_range(rand, 0, 4);
-    ahead = MIN(ahead, events->len - 1);
-    const Event *own = &g_array_index(events, Event, ahead);
+    ahead = MIN(ahead, changes->len - 1);
+    const KeyChange *own = &g_array_index(changes, KeyChange, ahead);
     if (i > 0)
-      ws_replica_apply(early, own->key, own->value, own->version);
-    ws_replica_apply(early, event->key, event->value, event->version);
-    ws_replica_advance(early, event->version);
-    assert_sums(early);
+      ws_replica_apply(with_early_writes, own->key, own->value, own->version);
+    ws_replica_apply(with_early_writes, change->key, change->value, change->version);
+    ws_replica_advance(with_early_writes, change->version);
+    assert_machine_sums_match_assignments(with_early_writes);
   }
   for (guint m = 0; m < 3; m++) {
     g_autofree char *name = g_strdup_printf("m-%u", m);
-    WsMachine *a = ws_replica_ensure_machine(plain, name),
-              *b = ws_replica_ensure_machine(early, name);
-    g_assert_cmpint(a->is_marked, ==, b->is_marked);
-    g_assert_cmpint(a->used.cpus, ==, b->used.cpus);
+    WsMachine *expected = ws_replica_ensure_machine(watch_only, name),
+              *actual = ws_replica_ensure_machine(with_early_writes, name);
+    g_assert_cmpint(expected->is_marked, ==, actual->is_marked);
+    g_assert_cmpint(expected->used.cpus, ==, actual->used.cpus);
   }
-  g_assert_cmpuint(ws_replica_version(plain, "w/task/req-1/0"), ==,
-                   ws_replica_version(early, "w/task/req-1/0"));
-  ws_replica_free(plain);
-  ws_replica_free(early);
+  g_assert_cmpuint(ws_replica_version(watch_only, "w/task/req-1/0"), ==,
+                   ws_replica_version(with_early_writes, "w/task/req-1/0"));
+  ws_replica_free(watch_only);
+  ws_replica_free(with_early_writes);
 }
 
 static void
-test_early(void)
+test_early_own_writes_and_watch_give_same_state(void)
 {
-  ws_cases(200, 1, early_and_again);
+  ws_cases(200, 1, check_early_own_writes);
 }
 
 /* A full read at revision 7 removes keys that it did not find, unless they are newer. */
 static void
-test_forget(void)
+test_full_read_removes_missing_older_keys(void)
 {
   g_autoptr(WsSettings) settings = ws_test_settings(0);
   g_autoptr(json_t) mark = ws_mark_encode("idle", FALSE);
@@ -144,7 +145,7 @@
   ws_replica_free(replica);
 }
 
-static guint warnings;
+static guint logged_warnings;
 
 static GLogWriterOutput
 count_warnings(GLogLevelFlags level, const GLogField *fields, gsize count, gpointer data)
@@ -152,21 +153,21 @@
   (void)fields;
   (void)count;
   (void)data;
-  warnings += (level & G_LOG_LEVEL_WARNING) != 0 ? 1 : 0;
+  logged_warnings += (level & G_LOG_LEVEL_WARNING) != 0 ? 1 : 0;
   return G_LOG_WRITER_HANDLED;
 }
 
 static void
-test_damaged(void)
+test_damaged_chunk_is_logged_and_ignored(void)
 {
   g_autoptr(WsSettings) settings = ws_test_settings(0);
-  g_autoptr(json_t) job = job_value();
+  g_autoptr(json_t) job = job_record();
   g_autoptr(json_t) damaged = json_pack("{s:i, s:[[i]], s:s}", "a", 1, "on", 1, "d", "00");
   WsReplica *replica = ws_replica_new(settings);
   ws_replica_apply(replica, "w/job/req-1", job, 1);
-  warnings = 0;
+  logged_warnings = 0;
   ws_replica_apply(replica, "w/task/req-1/0", damaged, 2);
-  g_assert_cmpuint(warnings, ==, 1);
+  g_assert_cmpuint(logged_warnings, ==, 1);
   g_assert_cmpuint(ws_replica_find_job(replica, "req-1")->assigned_count, ==, 0);
   ws_replica_free(replica);
 }
@@ -185,7 +186,7 @@
    below 3/4 of the store's largest value. The record of a single team, from versions before 0.2, is
    used only until the record of the team's group has been read. */
 static void
-test_team_use(void)
+test_team_use_is_read_as_written(void)
 {
   g_autoptr(GRand) rand = g_rand_new_with_seed(41);
   for (guint round = 0; round < 20; round++) {
@@ -216,10 +217,10 @@
 }
 
 static const WsTest TESTS[] = {
-  { "/storage/early", test_early },
-  { "/storage/forget", test_forget },
-  { "/storage/damaged", test_damaged },
-  { "/storage/team-use", test_team_use },
+  { "/storage/early", test_early_own_writes_and_watch_give_same_state },
+  { "/storage/forget", test_full_read_removes_missing_older_keys },
+  { "/storage/damaged", test_damaged_chunk_is_logged_and_ignored },
+  { "/storage/team-use", test_team_use_is_read_as_written },
 };
 
 int
