--- a/src/storage/ws-evidence.h
+++ b/src/storage/ws-evidence.h
@@ -48,8 +48,8 @@
 /**
  * Returns whether the release may be written. The records must still assign this attempt to the
  * machine that the evidence is about, and no other owner may have been entitled to launch it there
- * since the evidence was stated. The release of a completed task needs no such check of the owner:
- * a task that has completed stays completed, even if it is launched again.
+ * since the evidence was stated. The release of a completed task needs no check of the owner: the
+ * result is kept, so the task stays completed even if it is launched again.
  */
 gboolean ws_release_is_valid(const WsReplica *replica, const WsRelease *release);
 
