--- a/src/storage/ws-machine-records.c
+++ b/src/storage/ws-machine-records.c
@@ -1,4 +1,4 @@
-/* The records of rental batches, rental intents and termination marks. */
+/* Encoding and parsing of rental batches, rental intents and termination marks. */
 #include "storage/ws-machine-records.h"
 
 #include <string.h>
@@ -13,12 +13,12 @@
 #define FIELD_REASON "why"
 #define FIELD_IS_IMMEDIATE "now"
 
-/* The size of a rental batch's record without its type, its zone and the names of its machines. */
-#define BYTES_AROUND_BATCH 90
-/* Quotation marks and comma around a name, and an ordinary name. */
-#define BYTES_AROUND_NAME 3
-#define BYTES_OF_ORDINARY_NAME 20
-#define MAX_MACHINES_PER_BATCH 50
+/* Size of a rental batch's record without its type, its zone and the names of its machines. */
+#define BATCH_OVERHEAD_BYTES 90
+/* Quotation marks and comma per machine name, and the usual length of a name. */
+#define NAME_OVERHEAD_BYTES 3
+#define TYPICAL_NAME_BYTES 20
+#define MAX_MACHINES_PER_BATCH 50 /* the cloud rents out at most 50 machines per call */
 
 static const char *
 machine_name(const WsRentalBatch *rental_batch, const WsReplica *replica, guint position)
@@ -31,18 +31,18 @@
 ws_rental_batch_has_space(const WsRentalBatch *rental_batch, const WsReplica *replica,
                           const char *machine)
 {
-  gsize bytes = BYTES_AROUND_BATCH + strlen(rental_batch->type) + strlen(rental_batch->zone)
-                + strlen(machine) + BYTES_AROUND_NAME;
+  gsize bytes = BATCH_OVERHEAD_BYTES + strlen(rental_batch->type) + strlen(rental_batch->zone)
+                + strlen(machine) + NAME_OVERHEAD_BYTES;
   for (guint i = 0; i < rental_batch->machines->len; i++)
-    bytes += strlen(machine_name(rental_batch, replica, i)) + BYTES_AROUND_NAME;
+    bytes += strlen(machine_name(rental_batch, replica, i)) + NAME_OVERHEAD_BYTES;
   return bytes <= replica->settings->state_record_bytes;
 }
 
 guint
 ws_rental_batch_max_machines(const WsSettings *settings)
 {
-  gsize bytes = (gsize)settings->state_record_bytes - (gsize)2 * BYTES_AROUND_BATCH;
-  return MIN((guint)(bytes / (BYTES_AROUND_NAME + BYTES_OF_ORDINARY_NAME)), MAX_MACHINES_PER_BATCH);
+  gsize bytes = (gsize)settings->state_record_bytes - (gsize)2 * BATCH_OVERHEAD_BYTES;
+  return MIN((guint)(bytes / (NAME_OVERHEAD_BYTES + TYPICAL_NAME_BYTES)), MAX_MACHINES_PER_BATCH);
 }
 
 json_t *
@@ -56,7 +56,7 @@
                    (json_int_t)rental_batch->rented_ms, FIELD_MACHINES, names);
 }
 
-/* What machines are rented: fields that batches and intents share. */
+/* The fields that the records of rental batches and rental intents share. */
 typedef struct {
   const char *type;
   const char *zone;
--- a/src/storage/ws-machine.c
+++ b/src/storage/ws-machine.c
@@ -1,13 +1,13 @@
-/* Machines, rental intents and rental batches: what a machine shows, and freeing. */
+/* Machine queries, and freeing of rental intents and rental batches. */
 #include "storage/ws-machine.h"
 
-/* A machine is faulty once so many jobs have failed there since one last succeeded. */
-#define FAULTY_FAILED_JOBS 2
+/* Number of consecutive failed jobs after which a machine is faulty. */
+#define MIN_FAILED_JOBS_FOR_FAULTY 2
 
 gboolean
 ws_machine_is_faulty(const WsMachine *machine)
 {
-  return machine->fleet.consecutive_failed_jobs >= FAULTY_FAILED_JOBS;
+  return machine->fleet.consecutive_failed_jobs >= MIN_FAILED_JOBS_FOR_FAULTY;
 }
 
 gboolean
