--- a/src/storage/ws-replica-machines.c
+++ b/src/storage/ws-replica-machines.c
@@ -20,7 +20,7 @@
 {
   WsNodeIndex owner = ws_epoch_owner(&replica->epoch, machine->name, replica->settings);
   if (previous == NULL || owner != machine->owner
-      || !ws_epoch_continues(previous, &replica->epoch, owner)) {
+      || !ws_epoch_member_continues(previous, &replica->epoch, owner)) {
     machine->owner_since_epoch = replica->epoch.number;
     machine->owner_since_epoch_version = ws_replica_version(replica, WS_KEY_EPOCH);
   }
