--- a/src/coordination/ws-epoch.c
+++ b/src/coordination/ws-epoch.c
@@ -1,5 +1,7 @@
-/* The record of an epoch, its members, and the assignment of machines to owners by rendezvous
-   hashing. */
+/**
+ * Encoding and parsing of epoch records, their members, and the assignment of machines to owners by
+ * rendezvous hashing.
+ */
 #include "coordination/ws-epoch.h"
 
 /* Stored field names. */
@@ -9,10 +11,10 @@
 #define FIELD_NODE "node"
 #define FIELD_INCARNATION "incarnation"
 
-/* FNV-1a, 64 bits. */
+/* Constants of FNV-1a, 64 bits. */
 #define FNV_OFFSET_BASIS G_GUINT64_CONSTANT(14695981039346656037)
 #define FNV_PRIME G_GUINT64_CONSTANT(1099511628211)
-/* The finalizer of SplitMix64. */
+/* Constants of the finalizer of SplitMix64. */
 #define MIX_SHIFT_1 30
 #define MIX_FACTOR_1 G_GUINT64_CONSTANT(0xbf58476d1ce4e5b9)
 #define MIX_SHIFT_2 27
@@ -124,8 +126,8 @@
   return TRUE;
 }
 
-/* FNV-1a over both names, finalized with a 64-bit mix, so that machines whose names differ in the
-   last digit only are still spread over all nodes. */
+/* FNV-1a over both names, finalized with a 64-bit mix, so that machines whose names differ only in
+   the last digit are still spread over all nodes. */
 static guint64
 hash_weight(const char *machine, const char *node)
 {
--- a/src/coordination/ws-epoch.h
+++ b/src/coordination/ws-epoch.h
@@ -1,36 +1,39 @@
 /**
- * An epoch: a set of members, their leader, and which member owns which machine.
+ * An epoch: a set of members, their leader, and the assignment of machines to owners.
  *
- * Its number is also the fencing token that workers see. A new epoch begins with a new leader or
- * other members.
+ * The epoch's number is also the fencing token that is sent to workers. The leader begins a new
+ * epoch when the leader or the members change, or to raise the fencing token.
  */
 #pragma once
 
 #include "protocol/ws-settings.h"
 
-/** A run of a node that is a member. */
+/** A member of an epoch: one run of a node. */
 typedef struct {
   WsNodeIndex node;
-  guint64 incarnation; /**< of the run */
+  guint64 incarnation; /**< identifies the run of the node */
 } WsMember;
 
-/** An epoch. Owns its array. */
+/** An epoch. Owns the array of members. */
 typedef struct {
-  guint64 number; /**< also the fencing token; 0: none yet */
+  guint64 number; /**< also the fencing token; 0: before the first epoch */
   WsNodeIndex leader;
   GArray *members; /**< of WsMember, ordered by node */
 } WsEpoch;
 
-/** Makes @epoch the one before the first, without members. To be cleared with ws_epoch_clear. */
+/** Initializes @epoch with number 0, no leader and no members. Clear with ws_epoch_clear(). */
 void ws_epoch_init(WsEpoch *epoch);
 
-/** Frees what the epoch owns. */
+/** Frees the contents of the epoch, not the epoch itself. */
 void ws_epoch_clear(WsEpoch *epoch);
 
-/** Reads the stored record into an initialised epoch. FALSE: it is damaged; @epoch is undefined. */
+/**
+ * Parses the stored record into an initialized epoch. Returns FALSE if the record is malformed; the
+ * contents of @epoch are then undefined, and must still be cleared.
+ */
 gboolean ws_epoch_parse(WsEpoch *epoch, const json_t *value, const WsSettings *settings);
 
-/** The stored record, a new JSON object. */
+/** Encodes the epoch as the stored record. The caller owns the result. */
 json_t *ws_epoch_encode(const WsEpoch *epoch, const WsSettings *settings);
 
 /** Whether this run of the node is a member. */
@@ -40,15 +43,16 @@
 gboolean ws_epoch_has_node(const WsEpoch *epoch, WsNodeIndex node);
 
 /**
- * Whether the same run of the node is a member of both epochs, and no epoch lies between them: what
- * it was entitled to under the first one, nobody else was entitled to until the second one began.
+ * Whether the same run of the node is a member of both epochs and the second directly follows the
+ * first. If so, no other node had the rights that this node held in the first epoch until the
+ * second one began.
  */
 gboolean ws_epoch_continues(const WsEpoch *last, const WsEpoch *next, WsNodeIndex node);
 
 /** Whether the epoch has exactly these members, an array of WsMember. */
 gboolean ws_epoch_same_members(const WsEpoch *epoch, const GArray *members);
 
-/** The machine's owner, by rendezvous hashing over the members; WS_NO_NODE: there are none. */
+/** Returns the machine's owner, by rendezvous hashing; WS_NO_NODE if there are no members. */
 WsNodeIndex ws_epoch_owner(const WsEpoch *epoch, const char *machine, const WsSettings *settings);
 
 G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC(WsEpoch, ws_epoch_clear)
