--- a/src/membership/ws-authority.c
+++ b/src/membership/ws-authority.c
@@ -1,24 +1,24 @@
 /**
- * Whether this node may act, and if not why.
+ * Decides whether this node may act, and gives the reason if it may not.
  *
- * A node acts under its membership lease and the present epoch. All conditions under which it must
+ * A node acts under its membership lease and the current epoch. All conditions under which it must
  * not act are checked here and nowhere else: a process pause, a lost lease, a partition, a replica
- * that lags behind, a cancellation that was confirmed elsewhere.
+ * that lags behind, and cancellations that other nodes confirmed.
  */
 #include "membership/ws-membership-private.h"
 
 #include "membership/ws-peers.h"
 #include "store/ws-store.h"
 
-/* Allows for the time until a refusal takes effect, for clock drift and for messages in flight. */
+/* Margin for the time until a refusal takes effect, for clock drift and for messages in flight. */
 #define LEASE_RENEWAL_MARGIN_MS 4000.0
-/* A pause between two inputs after which this node's lease may have expired. */
+/* After a longer pause between two inputs this node's lease may have expired. */
 #define STALL_MS 3000
 
 struct _WsAuthority {
-  gboolean is_stalled;                  /* see ws_authority_detect_stall */
+  gboolean is_stalled;                  /* see ws_authority_detect_stall() */
   gint64 cancellations_known_ms;        /* when this node last knew all confirmed cancellations */
-  gboolean is_reached_from_other_zones; /* isolated, yet machines of other zones reach it */
+  gboolean is_reached_from_other_zones; /* isolated, but receives heartbeats from other zones */
 };
 
 WsAuthority *
@@ -38,17 +38,17 @@
 {
   static const char *const TEXTS[] = {
     [WS_REFUSAL_NONE] = "allowed",
-    [WS_REFUSAL_STATE_NOT_READ] = "the state is not read yet",
-    [WS_REFUSAL_STALLED] = "this node has not renewed its lease and read since a process pause",
+    [WS_REFUSAL_STATE_NOT_READ] = "the replica has not been loaded yet",
+    [WS_REFUSAL_STALLED] = "lease and replica are unconfirmed after a process pause",
     [WS_REFUSAL_NOT_A_MEMBER] = "this node is not a member of the epoch",
     [WS_REFUSAL_NOT_SHARD_OWNER] = "another node owns the machine",
     [WS_REFUSAL_BEHIND_EPOCH] = "the replica has not caught up with the epoch",
-    [WS_REFUSAL_EPOCH_SUPERSEDED] = "there is a newer epoch",
-    [WS_REFUSAL_CANCELLATIONS_UNKNOWN] = "confirmed cancellations may be missing",
+    [WS_REFUSAL_EPOCH_SUPERSEDED] = "a newer epoch exists",
+    [WS_REFUSAL_CANCELLATIONS_UNKNOWN] = "this node may not know all confirmed cancellations",
     [WS_REFUSAL_REFUSED_BY_STORE] = "the store is unavailable to this node only",
-    [WS_REFUSAL_ISOLATED] = "neither the store nor a peer is reached",
-    [WS_REFUSAL_NO_CATALOG] = "the cloud's catalog is not known yet",
-    [WS_REFUSAL_MACHINE_UNREACHABLE] = "the machine is not reached",
+    [WS_REFUSAL_ISOLATED] = "neither the store nor any peer is reachable",
+    [WS_REFUSAL_NO_CATALOG] = "the cloud's catalog has not been loaded yet",
+    [WS_REFUSAL_MACHINE_UNREACHABLE] = "the machine is unreachable",
     [WS_REFUSAL_TOKEN_UNACKNOWLEDGED] = "the worker has not acknowledged the fencing token",
   };
   return TEXTS[refusal];
@@ -122,15 +122,16 @@
   core->authority->is_stalled = FALSE;
 }
 
-/* Every timeout of this node, that of its own lease included, may seem to have expired during the
-   pause: the clock went on while no message was read. The timeouts start again. */
+/* During the pause the clock advanced while no message was read, so that every timeout of this
+   node, including that of its lease, may seem to have expired. The timeouts are restarted. */
 gboolean
 ws_authority_detect_stall(WsCore *core, gint64 now_ms)
 {
   gint64 pause_ms = now_ms - core->now;
   if (core->now == 0 || pause_ms <= STALL_MS)
     return FALSE;
-  g_info("process pause of %.1f s", (double)pause_ms / 1000.0);
+  g_info("process pause of %.1f s detected: lease and replica unconfirmed",
+         (double)pause_ms / 1000.0);
   core->authority->is_stalled = TRUE;
   ws_epoch_restart_clock(core, now_ms);
   for (guint i = 0; i < core->replica->machines->len; i++) {
@@ -150,8 +151,9 @@
   return node != core->settings->self && ws_peer_is_reachable(core, node);
 }
 
-/* In an outage for all nodes this node waits until it is over. In one for this node alone the
-   others go on without it. */
+/* Whether the store is unavailable to this node but available to a reachable peer. In an outage
+   that affects all nodes, this node waits until it ends. In one that affects this node only, the
+   other nodes continue without it. */
 static gboolean
 is_refused_by_store_alone(const WsCore *core)
 {
@@ -188,7 +190,7 @@
 
 /* Knowledge of confirmed cancellations and of newer epochs. */
 
-/* Whether the peer has delivered all its notifications since the store became unavailable. */
+/* Whether the peer has delivered all its cancellations since the store became unavailable. */
 static gboolean
 has_notified_all(const WsCore *core, const WsPeer *peer)
 {
@@ -196,9 +198,10 @@
          && peer->cancellations_complete_ms >= ws_store_unavailable_since_ms(core);
 }
 
-/* Whether a node whose replica is not current still knows all confirmed cancellations: the
-   store is unavailable to all peers that it reaches, so that nothing new can be confirmed, and one
-   of them has notified it of all that it knew. */
+/* Whether this node knows all confirmed cancellations although its replica is not current: the
+   store is unavailable to all reachable peers, so that none of them can confirm another
+   cancellation, no reachable peer has cancellations that this node lacks, and at least one peer has
+   delivered all of its own since the store became unavailable. */
 static gboolean
 peers_have_notified_all(const WsCore *core)
 {
@@ -216,7 +219,7 @@
   return is_reached && is_notified;
 }
 
-/* Whether this node misses no cancellation that was confirmed to its user. */
+/* Whether this node knows every cancellation that was confirmed to a user. */
 static gboolean
 has_all_cancellations(const WsCore *core)
 {
@@ -226,10 +229,11 @@
          || peers_have_notified_all(core);
 }
 
-/* Whether a lease that is renewed now expires in time for any cancellation that this node misses:
-   it may last for its whole duration, and the tasks of a cancellation confirmed since this node
-   last knew all of them must be gone within cancel_s. A node inside a partitioned zone goes on
-   renewing: the nodes outside return the machines there in time. */
+/* Whether a worker's lease that is renewed now expires in time for any cancellation that this node
+   does not know. Tasks must end within cancel_s of the confirmation, which may have been given
+   right after this node last knew all cancellations, and the renewed lease may last for its whole
+   duration. An isolated node without heartbeats from other zones, as inside a partitioned zone,
+   continues to renew: the nodes outside return the machines there in time. */
 static gboolean
 lease_would_end_in_time(const WsCore *core)
 {
--- a/src/membership/ws-cancellation-message.c
+++ b/src/membership/ws-cancellation-message.c
@@ -5,7 +5,7 @@
 
 #include "membership/ws-mesh-names.h"
 
-/* Positions in the array that is a notice. */
+/* Positions in the JSON array that encodes a notice. */
 #define ITEM_JOB 0
 #define ITEM_AGE_MS 1
 
--- a/src/membership/ws-cancellations.c
+++ b/src/membership/ws-cancellations.c
@@ -1,9 +1,9 @@
 /**
- * Confirmed cancellations, which hold in every epoch, and also while the store or this node's
- * replica doesn't show them.
+ * Registry of confirmed cancellations. They are valid in every epoch, and also while the store or
+ * this node's replica does not contain them.
  *
- * A node that learns of one, by its own commit or through its replica, notifies every peer until
- * each has acknowledged it. The tasks are halted by workers/ws-cancelled-tasks.c.
+ * A node that learns of a cancellation from its own commit or its replica notifies every peer until
+ * each has acknowledged it. workers/ws-cancelled-tasks.c halts the tasks.
  */
 #include "membership/ws-membership-private.h"
 
@@ -12,25 +12,25 @@
 #include "protocol/ws-status-codes.h"
 
 #define NOTIFY_TIMEOUT_MS 1000
-/* Between two messages to one peer, so that jobs cancelled in bulk share a message. */
+/* Minimum time between two messages to one peer, so that jobs cancelled in bulk share a message. */
 #define NOTIFY_INTERVAL_MS 100
 #define NOTIFY_RETRY_MS 500
-/* Between two rounds of notifications and halts. */
+/* Time between two rounds of notifying peers and halting tasks. */
 #define ROUND_INTERVAL_MS 100
 #define MAX_CANCELLATIONS_PER_MESSAGE 400
 
 typedef struct {
   char *id;
-  gint64 confirmed_ms;   /* when it was confirmed, or when this node learned of it */
-  guint acknowledged_by; /* bit for each node that has acknowledged it, or notified this one */
+  gint64 confirmed_ms;   /* earliest known time of the confirmation */
+  guint acknowledged_by; /* bit for each node that acknowledged it or sent it to this node */
 } Cancellation;
 
 struct _WsCancellations {
   GPtrArray *list; /* of Cancellation */
   GHashTable *by_id;
-  gboolean *is_notifying; /* by node */
-  gint64 *notify_ms;      /* by node: when it may be notified again */
-  gint64 next_round_ms;   /* when peers are notified and tasks halted again */
+  gboolean *is_notifying; /* by node: a notification to it is in flight */
+  gint64 *notify_ms;      /* by node: earliest time of the next notification */
+  gint64 next_round_ms;   /* when the next round of notifications and halts is due */
 };
 
 static void
@@ -76,7 +76,7 @@
              && find_cancellation(core, job->id) != NULL);
 }
 
-/* Whether the records show the job as finished, with no task left. */
+/* Whether the job is finished according to its record, with no task left. */
 static gboolean
 is_finished(const WsCore *core, const char *id)
 {
@@ -165,7 +165,7 @@
   }
 }
 
-/* Adds the cancellations that the node has not acknowledged, up to the limit of a message. */
+/* Adds cancellations that the node has not acknowledged, up to the limit of a message. */
 static void
 add_notices(const WsCore *core, Notification *notification, GArray *notices)
 {
@@ -249,7 +249,8 @@
   }
 }
 
-/* Adds the cancellations that the replica has shown since the last call. FALSE: there were none. */
+/* Adds the cancellations that the replica received since the last call. Returns FALSE if there were
+   none. */
 static gboolean
 add_replicated(WsCore *core)
 {
--- a/src/membership/ws-election.c
+++ b/src/membership/ws-election.c
@@ -12,27 +12,27 @@
 #define RENEW_INTERVAL_MS 900
 #define RENEW_TIMEOUT_MS 800
 #define RENEW_RETRY_MS 300
-/* Before the member key is written again. */
+/* Before another attempt to write the member key. */
 #define LISTING_RETRY_MS 200
 #define EPOCH_INTERVAL_MS 400
 #define EPOCH_RETRY_MS 200
-/* Between two epochs that are written only to raise the fencing token. */
+/* Minimum time between two epochs that are written only to raise the fencing token. */
 #define REQUESTED_EPOCH_INTERVAL_MS 10000
 
 struct _WsElection {
-  guint64 lease;      /* 0: none */
+  guint64 lease;      /* id of the lease; 0: none */
   gboolean is_listed; /* the member key is written under this lease */
   gboolean call_is_in_flight;
-  gint64 next_ms; /* when the lease is acquired, listed or renewed next */
+  gint64 next_ms; /* when the next call for the lease or the member key is due */
   gboolean is_electing;
   gboolean is_writing_epoch;
-  gint64 epoch_next_ms;      /* when the next epoch may be written */
-  gint64 requested_epoch_ms; /* when one may be written with the same members */
+  gint64 epoch_next_ms;      /* earliest time of the next epoch */
+  gint64 requested_epoch_ms; /* earliest time of the next epoch with the same members */
   /* After a process pause: */
-  gboolean call_predates_pause; /* the call in flight was sent before it */
-  gboolean is_renewed;
+  gboolean call_predates_pause; /* the lease call in flight was sent before the pause */
+  gboolean is_renewed;          /* the lease was renewed after the pause */
   gboolean is_reading;
-  guint pauses; /* a read counts only if there was no other pause since it was requested */
+  guint pauses; /* number of pauses; a read that was requested before the last one is ignored */
 };
 
 WsElection *
@@ -58,13 +58,13 @@
 {
   WsElection *election = core->election;
   if (election->lease != 0)
-    g_info("this node's lease has ended");
+    g_info("membership lease lost: acquiring a new one");
   election->lease = 0;
   election->is_listed = FALSE;
 }
 
-/* After a process pause this node acts again once the store has confirmed its lease, and the
-   replica has read everything up to then. */
+/* After a process pause this node acts again once the store has renewed its lease and a
+   linearizable read that began after the renewal is complete. */
 static void
 on_resumption_read(WsCore *core, gboolean is_current, gpointer data)
 {
@@ -131,8 +131,9 @@
     lose_lease(core);
 }
 
-/* A late transaction of an earlier run of this node may have replaced the key, which then was
-   deleted when that run's lease expired. */
+/* Schedules the member key to be written again if it is missing. A delayed transaction of an
+   earlier run of this node may have overwritten it, and the store then deleted it with that run's
+   lease. */
 static void
 check_member_key(WsCore *core)
 {
@@ -170,8 +171,8 @@
   ws_store_post(core, WS_REQUEST_LEASE, path, NULL, 0, RENEW_TIMEOUT_MS, on_renewed, NULL);
 }
 
-/* Makes the next call for the lease, one at a time: acquires it, writes the member key under it,
-   then renews it. */
+/* Sends the next call for the lease, one at a time: acquires the lease, writes the member key under
+   it, then renews it. */
 static void
 maintain_lease(WsCore *core)
 {
@@ -208,8 +209,9 @@
     core->election->next_ms = core->now;
 }
 
-/* The key may still belong to an earlier incarnation of this node, until the lease of that one
-   expires. It is replaced at once, since two processes never run under the same node name. */
+/* Writes the leader key if it is free or belongs to an earlier incarnation of this node, whose
+   lease has not expired yet. That one is replaced at once, since two processes never run under the
+   same node name. */
 static void
 campaign_for_leader(WsCore *core)
 {
@@ -236,18 +238,18 @@
       = core->now + (result == WS_TXN_COMMITTED ? EPOCH_INTERVAL_MS : EPOCH_RETRY_MS);
 }
 
-/* Whether an epoch is to be written although its members are the same. */
+/* Whether a requested epoch, with the same members as the current one, is due. */
 static gboolean
 new_epoch_is_due(WsCore *core)
 {
   if (!ws_epoch_new_one_is_needed(core) || core->now < core->election->requested_epoch_ms)
     return FALSE;
   core->election->requested_epoch_ms = core->now + REQUESTED_EPOCH_INTERVAL_MS;
-  g_info("a new epoch is needed: a launch stays indeterminate");
+  g_info("writing a new epoch with the same members: a launch is still indeterminate");
   return TRUE;
 }
 
-/* Whether the present epoch names this node as leader, and the members that there are. */
+/* Whether the current epoch has this node as leader and exactly the present members. */
 static gboolean
 epoch_is_current(const WsCore *core)
 {
@@ -279,7 +281,7 @@
     write_next_epoch(core);
 }
 
-/* Reads once after a process pause, when the lease has been renewed. */
+/* After a process pause, requests one linearizable read when the lease has been renewed. */
 static void
 read_for_resumption(WsCore *core)
 {
--- a/src/membership/ws-epoch-tracker.c
+++ b/src/membership/ws-epoch-tracker.c
@@ -1,13 +1,13 @@
 /**
- * This node's handling of the present epoch: since when it is known, and whether a new one is
- * needed.
+ * Tracks the epoch that this node has begun: since when it is known, and whether a new epoch with
+ * the same members has been requested.
  */
 #include "membership/ws-membership-private.h"
 
 struct _WsEpochTracker {
-  guint64 epoch;          /* the number of the epoch that this node began last */
-  gint64 known_since_ms;  /* since when it is known, without a process pause */
-  gboolean needs_new_one; /* an indeterminate outcome needs a higher fencing token */
+  guint64 epoch;          /* number of the last epoch that this node began */
+  gint64 known_since_ms;  /* when it began, or when the last process pause ended */
+  gboolean needs_new_one; /* an indeterminate launch needs a higher fencing token */
 };
 
 WsEpochTracker *
--- a/src/membership/ws-failure-detection.h
+++ b/src/membership/ws-failure-detection.h
@@ -1,55 +1,58 @@
 /**
- * What the parts of the failure detector share: liveness of machines, partitions of zones, probes.
- * Private to membership.
+ * State and functions shared by the parts of the failure detector: liveness of machines, partitions
+ * of zones, and probes. Private to membership.
  */
 #pragma once
 
 #include "membership/ws-membership-private.h"
 
-/** The state of the failure detector, by the module that keeps it. Times are in ms. */
+/** The state of the failure detector, grouped by the module that writes it. Times are in ms. */
 struct _WsFailureDetector {
   /* ws-liveness.c */
-  gint64 heartbeat_ms;              /**< when a worker last reached this node itself */
-  gboolean is_unreached_by_workers; /**< none does, although there are some for it */
+  gint64 heartbeat_ms;              /**< last heartbeat received directly, not relayed */
+  gboolean is_unreached_by_workers; /**< no heartbeats arrive, though some are due */
 
-  /* ws-partitions.c, both by zone */
-  gint64 *partition_ms;           /**< when it last seemed to be partitioned; 0: never */
-  gint64 *confirmed_partition_ms; /**< when that was last sure; 0: never */
+  /* ws-partitions.c, both indexed by zone */
+  gint64 *partition_ms;           /**< last time a partition was detected; 0: never */
+  gint64 *confirmed_partition_ms; /**< last time a partition was confirmed; 0: never */
 
   /* ws-failure-detector.c */
   guint probes_in_flight;
-  guint next_probe; /**< the machine at which the next round of probes begins */
+  guint next_probe; /**< index of the machine at which the next round of probes begins */
 };
 
 /**
- * The longest pause between two heartbeats of a machine that is up, with what a slow moment here or
- * there may add, in ms.
+ * Returns the heartbeat timeout: the longest time between two heartbeats of a machine that is up,
+ * with a margin for delays of the worker, the network and this node, in ms.
  */
 gint64 ws_liveness_patience_ms(const WsCore *core);
 
 /**
- * Since when nothing was heard of the machine although something should have been, in ms; 0:
- * nothing is expected.
+ * Returns the time from which a missing heartbeat of the machine counts towards suspicion, in ms;
+ * 0: no heartbeat is expected.
  */
 gint64 ws_liveness_suspected_since_ms(const WsMachine *machine);
 
-/** For how long the machine has not acknowledged what was sent to it, in ms. */
+/** Returns for how long commands to the machine have been unacknowledged, in ms; 0: none are. */
 gint64 ws_liveness_unacknowledged_for_ms(const WsCore *core, const WsMachine *machine);
 
-/** Finds out whether it is this node that workers don't reach. For each tick. */
+/** Detects whether heartbeats fail to reach this node as a whole. Called on each tick. */
 void ws_liveness_tick(WsCore *core);
 
-/** Finds out which zones are partitioned. For each tick. */
+/** Detects which zones are partitioned. Called on each tick. */
 void ws_partitions_tick(WsCore *core);
 
-/** Whether a node is in the zone. */
+/** Whether any node is located in the zone. */
 gboolean ws_zone_has_node(const WsCore *core, WsZoneIndex zone);
 
-/** Whether the zone is partitioned, or was until a lease ago. */
+/** Whether the zone is partitioned, or a partition was confirmed less than a lease time ago. */
 gboolean ws_zone_is_or_was_partitioned(const WsCore *core, WsZoneIndex zone);
 
-/** Whether it is the way to the zone's machines that is interrupted, rather than they. */
+/** Whether the links to the zone's machines are probably down, rather than the machines. */
 gboolean ws_zone_links_are_suspected(const WsCore *core, WsZoneIndex zone);
 
-/** Whether so many ordinary machines are suspected together that the way to them is interrupted. */
+/**
+ * Whether so many on-demand machines are suspected at the same time that the links to them are
+ * probably down, rather than the machines.
+ */
 gboolean ws_machines_are_suspected_together(const WsCore *core);
--- a/src/membership/ws-failure-detector.c
+++ b/src/membership/ws-failure-detector.c
@@ -1,6 +1,6 @@
 /**
- * The failure detector: probes suspected machines, waits for them, and declares them dead. A
- * machine that is declared dead is terminated without drain.
+ * The failure detector: probes suspected machines and declares those dead that neither answer nor
+ * send heartbeats until a timeout. A dead machine is terminated without drain.
  */
 #include "membership/ws-failure-detection.h"
 
@@ -9,26 +9,27 @@
 #define PROBE_INTERVAL_MS 600
 #define PROBE_TIMEOUT_MS 500
 #define MAX_PROBES_IN_FLIGHT 32
-/* A machine may be declared dead after so many probes in a row that it has not answered. */
+/* Consecutive failed probes before a machine may be declared dead. */
 #define MIN_FAILED_PROBES 2
-/* A launch whose outcome is indeterminate for longer than this needs a higher fencing token. */
+/* After a launch has been indeterminate for longer, a new epoch is requested for its higher fencing
+   token. */
 #define INDETERMINATE_TIMEOUT_MS 8000
-/* How much longer than a late heartbeat a suspected machine is waited for. */
+/* Time from the heartbeat timeout until a suspected machine is declared dead. */
 #define SUSPICION_MARGIN_MS 1500
-/* How much longer than its lease, where the link to it may be interrupted. */
+/* The same where the link to the machine may be down: time from the end of its lease. */
 #define LEASE_MARGIN_MS 500
-/* For how many leases the machines of a partitioned zone are waited for. */
+/* The timeout for machines of a partitioned zone, in lease durations. */
 #define PARTITION_LEASES 10.0
-/* The same where the zone has no node that could renew its workers' leases: the tasks have ended
-   with them, and only the machines may come back. */
+/* The same for a zone without a node that could renew its workers' leases: the tasks have ended
+   with the leases, and waiting can only save the machines. */
 #define PARTITION_LEASES_WITHOUT_NODE 3.0
-/* Per second of cancel_s: for how long a machine with a cancelled task is waited for at most. */
+/* The maximum timeout for a machine with a cancelled task, in ms per second of cancel_s. */
 #define CANCELLED_TIMEOUT_MS_PER_S 400.0
-/* A machine with overdue acknowledgements of commands gets no tasks, and is terminated after this
-   share of its lease. */
+/* A machine whose acknowledgements are overdue is assigned no tasks, and is terminated after this
+   share of the lease duration. */
 #define OUTBOUND_LEASE_SHARE 0.7
-/* With so many outbound unreachable machines, and one in so many of all, it is more likely that
-   this node's own messages are lost. */
+/* If at least MIN_UNREACHABLE_TOGETHER machines, and at least one in MACHINES_PER_UNREACHABLE, are
+   outbound unreachable, the probable cause is that this node's own messages are lost. */
 #define MIN_UNREACHABLE_TOGETHER 3
 #define MACHINES_PER_UNREACHABLE 5
 
@@ -57,13 +58,14 @@
   WsMachine *machine = ws_replica_machine(core->replica, GPOINTER_TO_UINT(data));
   g_autoptr(WsHeartbeat) heartbeat = ws_heartbeat_parse_status_reply(status, body, machine->name);
   core->failure_detector->probes_in_flight--;
-  /* An answer older than the last known status comes from a worker that was restarted. */
+  /* A status older than the last known one comes from a worker that was restarted. */
   if (heartbeat == NULL || !ws_owns_machine(core, machine)
       || !core->handlers->note_worker_status(core, machine, heartbeat)) {
     machine->worker.failed_probes++;
     return;
   }
-  /* It is up, and sends its heartbeats to another node, maybe to one whose epoch is over. */
+  /* The machine is up but sends its heartbeats to another node, possibly one that still acts under
+     a previous epoch. */
   if (heartbeat->fencing_token < core->replica->epoch.number)
     core->handlers->raise_fencing_token(core, machine);
 }
@@ -88,8 +90,8 @@
 
 /* Suspected machines. */
 
-/* Interruptions of links, the same for all machines of a tick: computed once, for the first
-   suspected machine. */
+/* Suspected interruptions of links. They are the same for all machines in a tick, so they are
+   computed once, at the first suspected machine. */
 typedef struct {
   gboolean is_known;
   gboolean machines_are_suspected_together;
@@ -119,7 +121,8 @@
   return FALSE;
 }
 
-/* For how long a machine is suspected until it is declared dead, if probes fail too. */
+/* Returns after how long under suspicion a machine is declared dead, provided that its probes fail
+   too. */
 static gint64
 suspicion_timeout_ms(const WsCore *core, const WsMachine *machine,
                      const Interruptions *interruptions)
@@ -135,7 +138,7 @@
         = ws_zone_has_node(core, machine->zone) ? PARTITION_LEASES : PARTITION_LEASES_WITHOUT_NODE;
     timeout_ms = (gint64)(settings->lease_s * leases * 1000.0);
   }
-  /* A cancelled task must be gone in time, partition or not. */
+  /* A cancelled task must end within cancel_s, also during a partition. */
   if (has_cancelled_task(core, machine))
     timeout_ms = MIN(timeout_ms, (gint64)(settings->cancel_s * CANCELLED_TIMEOUT_MS_PER_S));
   return timeout_ms;
@@ -156,11 +159,11 @@
     core->handlers->request_termination(core, machine, WS_MARK_REASON_SILENT, TRUE);
 }
 
-/* Machines that are reached in one direction only. */
+/* Machines that are reachable in one direction only. */
 
-/* Its tasks are gone, and those assigned to it since will not be launched: they are assigned to
-   other machines once it is returned. One without tasks is terminated at the end of its idle
-   timeout. */
+/* Terminates an inbound unreachable machine that has tasks. Its lease expired, so its tasks have
+   ended, and tasks assigned since then will not be launched; all are assigned to other machines
+   once the machine is returned. Without tasks, a machine is terminated by its idle timeout. */
 static void
 check_inbound(WsCore *core, WsMachine *machine)
 {
@@ -176,8 +179,8 @@
     core->handlers->request_termination(core, machine, WS_MARK_REASON_OUTBOUND_UNREACHABLE, TRUE);
 }
 
-/* The time without an acknowledgement after which a machine is terminated; 0: none is outbound
-   unreachable. */
+/* Returns the time without an acknowledgement after which a machine is terminated; 0: no machine is
+   outbound unreachable. */
 static double
 outbound_timeout_ms(const WsCore *core)
 {
@@ -209,7 +212,8 @@
   }
 }
 
-/* Only for machines that are up: the others would not receive a higher fencing token either. */
+/* Requests a new epoch if a launch stays indeterminate. Only for machines that are up: the others
+   would not receive the higher fencing token either. */
 static void
 check_indeterminate_launches(WsCore *core, const WsMachine *machine)
 {
@@ -230,7 +234,7 @@
 }
 
 /* Each round of probes begins after the last machine of the previous round, so that the limit on
-   probes in flight leaves no machine out. */
+   probes in flight does not starve any machine. */
 void
 ws_failure_detector_tick(WsCore *core)
 {
--- a/src/membership/ws-gossip.c
+++ b/src/membership/ws-gossip.c
@@ -1,9 +1,10 @@
 /**
- * Gossip: what the nodes announce to each other.
+ * Gossip: periodic messages in which each node announces its own state and that of its machines.
  *
- * A node sends each peer the changes of its machines since the revision that the peer has
- * acknowledged; the full state at first, after a restart, and in a new epoch, in which machines
- * have other owners. A lost delta shows in the next acknowledgement, and is sent again.
+ * A node sends each peer the machines that changed since the revision that the peer acknowledged.
+ * It sends all machines in its first message, after a restart, and in a new epoch, since the owners
+ * of machines change. After a lost message, the next acknowledgement still has the old revision,
+ * and the changes are sent again.
  */
 #include "membership/ws-membership-private.h"
 
@@ -18,10 +19,10 @@
 
 #define GOSSIP_INTERVAL_MS 700
 #define GOSSIP_TIMEOUT_MS 1000
-/* The version that is logged for a peer whose messages don't contain one. */
+/* The version logged for a peer whose messages do not contain one. */
 #define UNNAMED_VERSION "before 0.3"
 
-/* Bits of announced_state: what is announced of a machine. */
+/* Bits of announced_state, the announced state of a machine. */
 #define ANNOUNCED_UP 1u
 #define ANNOUNCED_INTERRUPTION 2u
 
@@ -34,7 +35,7 @@
   }
 }
 
-/* Announcing. */
+/* Encoding of announcements. */
 
 static guint
 current_state(const WsCore *core, const WsMachine *machine)
@@ -119,7 +120,7 @@
   return ws_gossip_message_encode(&message);
 }
 
-/* Applying. */
+/* Applying received announcements. */
 
 static void
 apply_images(WsCore *core, WsMachine *machine, const GPtrArray *images)
@@ -131,7 +132,7 @@
   }
 }
 
-/* Announcements of this node's own machines are ignored: its own state of them is newer. */
+/* Announcements of machines that this node owns are ignored: its own state of them is newer. */
 static void
 apply_machine(WsCore *core, const WsGossipMachine *announced)
 {
@@ -159,7 +160,8 @@
   }
 }
 
-/* A machine that its owner has announced as up stays up until the owner announces otherwise. */
+/* A machine that its owner announced as up is considered up, as long as gossip from the owner
+   arrives, until the owner announces otherwise. */
 static void
 note_machines_heard(WsCore *core, WsNodeIndex node)
 {
@@ -195,8 +197,8 @@
   if (version == peer->version)
     return;
   peer->version = version;
-  g_info("%s runs version %s, this node %s", ws_settings_node(core->settings, node)->name, version,
-         WS_VERSION);
+  g_info("peer %s runs version %s, this node runs %s", ws_settings_node(core->settings, node)->name,
+         version, WS_VERSION);
 }
 
 static void
@@ -247,9 +249,9 @@
     handle_gossip(core, body);
 }
 
-/* Of each pair of nodes the one with the smaller index calls, and gets the other's gossip with the
-   answer. The other one calls too if it has heard nothing for a while, since connections may fail
-   in one direction only. */
+/* In each pair of nodes, the one with the smaller index calls, and receives the other's gossip in
+   the answer. The other one calls too if no gossip has arrived for two intervals, since connections
+   may fail in one direction only. */
 static gboolean
 gossip_is_due(const WsCore *core, WsNodeIndex node)
 {
--- a/src/membership/ws-liveness.c
+++ b/src/membership/ws-liveness.c
@@ -1,17 +1,17 @@
 /**
- * Liveness of machines: which are up, which are suspected, and which are reached in one direction
+ * Liveness of machines: which are up, which are suspected, and which are reachable in one direction
  * only.
  */
 #include "membership/ws-failure-detection.h"
 
-/* The time for a worker to find a new owner: its call to a node that doesn't answer times out after
-   4 s, and a second later it calls the next node. */
+/* Time that a worker needs to find a new owner: its call to a node that does not answer times out
+   after 4 s, and it calls the next node 1 s later. */
 #define OWNER_DISCOVERY_MS 5000
-/* A heartbeat is late after 1.25 intervals and a margin for the network. */
+/* The heartbeat timeout: 1.25 heartbeat intervals and a margin for the network. */
 #define PATIENCE_MS_PER_INTERVAL_S 1250.0
 #define PATIENCE_MARGIN_MS 900
-/* This node counts as unreached by workers if none has reached it for the time in which so many
-   heartbeats were due. */
+/* This node is considered unreachable by workers if no heartbeat arrives during the time in which
+   this many are due, with a lower bound. */
 #define UNREACHED_HEARTBEATS 8.0
 #define MIN_UNREACHED_MS 1500
 
@@ -28,9 +28,10 @@
          && core->now - machine->worker.heard_ms <= ws_liveness_patience_ms(core);
 }
 
-/* When the owner of a machine changes, its worker may first wait for an answer of the old one.
-   Suspecting it for that once led to the return of machines with running tasks. A machine that this
-   run of the program has never heard is expected to exist if tasks are assigned to it. */
+/* After a change of owner, a worker may still be waiting for an answer of the previous owner.
+   Suspecting machines during that time has returned machines with running tasks, so the time starts
+   OWNER_DISCOVERY_MS after the change. A machine from which this process has received nothing is
+   expected to send heartbeats if tasks are assigned to it. */
 gint64
 ws_liveness_suspected_since_ms(const WsMachine *machine)
 {
@@ -54,7 +55,8 @@
   return machine->worker.unacknowledged_ms > 0 ? core->now - machine->worker.unacknowledged_ms : 0;
 }
 
-/* A machine that is not up is suspected instead, whatever it has not acknowledged. */
+/* A machine that is not up is suspected, not outbound unreachable, even if it has unacknowledged
+   commands. */
 gboolean
 ws_machine_is_outbound_unreachable(const WsCore *core, const WsMachine *machine)
 {
@@ -62,9 +64,9 @@
          && ws_liveness_unacknowledged_for_ms(core, machine) > ws_liveness_patience_ms(core);
 }
 
-/* A call to the worker has shown that its lease expired, and no heartbeat has arrived since. Tasks
-   that are launched there end when the next lease expires. A machine whose heartbeats are answered
-   by other nodes keeps its incarnation. */
+/* A call to the worker showed a new incarnation, which means that its lease expired, and no
+   heartbeat has arrived since. Tasks launched there would end when the next lease expires. A
+   machine whose heartbeats are answered by other nodes keeps its incarnation. */
 gboolean
 ws_machine_is_inbound_unreachable(const WsCore *core, const WsMachine *machine)
 {
@@ -97,8 +99,9 @@
   return count;
 }
 
-/* Detects whether workers fail to reach this node, rather than having failed themselves. Their
-   heartbeats are relayed by other nodes then. */
+/* Detects whether this node receives no heartbeats from any of its machines, which means that the
+   workers cannot reach it rather than that all have failed. Other nodes then relay their
+   heartbeats. */
 void
 ws_liveness_tick(WsCore *core)
 {
@@ -109,6 +112,7 @@
   gboolean is_unreached
       = count > 0 && (double)(core->now - since_ms) > MAX(usual_ms, MIN_UNREACHED_MS);
   if (is_unreached && !detector->is_unreached_by_workers)
-    g_info("no worker reaches this node");
+    g_info(
+        "no heartbeats received from any worker: this node is considered unreachable by workers");
   detector->is_unreached_by_workers = is_unreached;
 }
--- a/src/membership/ws-membership-private.h
+++ b/src/membership/ws-membership-private.h
@@ -1,39 +1,42 @@
 /**
- * What the modules of membership call of each other. Private to membership.
+ * Functions shared between the modules of membership. Private to membership.
  */
 #pragma once
 
 #include "membership/ws-membership.h"
 
-/** After a process pause: renews the lease or requests one, and reads, before this node acts. */
+/**
+ * Makes the election renew or acquire the lease and read the store before this node acts again.
+ * Called after a process pause.
+ */
 void ws_election_resume(WsCore *core, gint64 now_ms);
 
-/** The lease is renewed and everything up to then was read: what this node knew counts again. */
+/** Ends the stall after a process pause: the lease was renewed, and the store read after that. */
 void ws_authority_end_stall(WsCore *core);
 
-/** Counts the time for which the epoch is known from now on: after a process pause. */
+/** Restarts the time for which the epoch has been known. Called after a process pause. */
 void ws_epoch_restart_clock(WsCore *core, gint64 now_ms);
 
-/** Whether a new epoch was requested in this one. */
+/** Whether a new epoch with the same members was requested in the current epoch. */
 gboolean ws_epoch_new_one_is_needed(const WsCore *core);
 
-/** Requests a new epoch, whose fencing token ends what is indeterminate. */
+/** Requests a new epoch, whose higher fencing token resolves indeterminate launches. */
 void ws_epoch_request_new_one(WsCore *core);
 
-/** In a new epoch machines have other owners: announcements begin with all of them. */
+/** Resets all acknowledged revisions: owners changed, so the next gossip has the full state. */
 void ws_gossip_begin_epoch(WsCore *core);
 
-/** Handles another node's requests and answers. */
+/** Handles a batch of requests from another node and answers it. */
 void ws_peer_requests_handle(WsCore *core, const json_t *message, gpointer request);
 
-/** Drops what is queued: what was to be requested in an epoch is worked out afresh in the next. */
+/** Drops all queued requests. Callers issue those still needed again in the next epoch. */
 void ws_peer_requests_clear(WsCore *core);
 
-/** How many cancellations the node has neither notified this one of nor acknowledged. */
+/** Returns how many cancellations the node has neither acknowledged nor sent to this node. */
 guint ws_cancellations_count_unacknowledged(const WsCore *core, WsNodeIndex node);
 
-/** The node has begun anew, and knows none that it had acknowledged. */
+/** Clears the node's acknowledgements: it restarted and has lost the cancellations. */
 void ws_cancellations_forget_acknowledgements(WsCore *core, WsNodeIndex node);
 
-/** Handles another node's notification of cancellations and answers. */
+/** Handles a notification of cancellations from another node and answers it. */
 void ws_cancellations_handle_message(WsCore *core, const json_t *message, gpointer request);
--- a/src/membership/ws-mesh-names.h
+++ b/src/membership/ws-mesh-names.h
@@ -1,22 +1,22 @@
 /**
- * Paths and field names of the messages between nodes. Private to the messages' modules.
+ * Paths and field names of the messages between nodes. Private to membership.
  *
- * The spellings are those of every released version, so they stay; the names of the constants are
- * the terms that the code uses.
+ * The values must not change: nodes of all released versions use them. The names of the constants
+ * follow the terms that the code uses.
  */
 #pragma once
 
-/** Paths to which the messages are posted. */
+/** Paths of the messages, sent with POST. */
 #define MESH_PATH_GOSSIP "/gossip"
 #define MESH_PATH_CANCELLATIONS "/cancelled"
 #define MESH_PATH_PEER_REQUESTS "/ask"
-/* That of relayed heartbeats is WS_RELAY_PATH, in ws-relay-message.h. */
+/* The path of relayed heartbeats is WS_RELAY_PATH, in ws-relay-message.h. */
 
-/** In several messages. */
+/** Fields that occur in several messages. */
 #define MESH_NODE "node"
 #define MESH_EPOCH "epoch"
 
-/** Gossip. */
+/** Fields of a gossip message. */
 #define MESH_VERSION "version"
 #define MESH_INCARNATION "incarnation"
 #define MESH_STORE_IS_AVAILABLE "store"
@@ -30,23 +30,23 @@
 #define MESH_ACKNOWLEDGED_REVISION "ack"
 #define MESH_MACHINES "machines"
 
-/** A machine in a gossip message. */
+/** Fields of a machine in a gossip message. */
 #define MESH_MACHINE_NAME "name"
 #define MESH_MACHINE_IS_UP "up"
 #define MESH_MACHINE_ENDPOINT "endpoint"
 #define MESH_MACHINE_INTERRUPTION "notice"
 #define MESH_MACHINE_IMAGES "images"
 
-/** Cancellations. */
+/** Field of a notification of cancellations. */
 #define MESH_CANCELLED_JOBS "jobs"
 
-/** Peer requests: one list for each kind. */
+/** Fields of a batch of peer requests: one list for each kind. */
 #define MESH_STOPS "stops"
 #define MESH_RELEASES "releases"
 #define MESH_RESERVATIONS "reservations"
 #define MESH_ASSIGNMENTS "picks"
 #define MESH_MARKS "marks"
 
-/** Relay. */
+/** Fields of a relayed heartbeat. */
 #define MESH_RELAY_OWNER "owner"
 #define MESH_RELAY_HEARTBEAT "report"
--- a/src/membership/ws-partitions.c
+++ b/src/membership/ws-partitions.c
@@ -1,26 +1,26 @@
 /**
- * Partitions of zones: whether a zone's machines are suspected because the links to them are
- * interrupted.
+ * Partitions of zones: detects whether a zone's machines are suspected because the links to them
+ * are down.
  *
- * Machines behind a partition go on working, and declaring them dead would lose that work; they are
- * waited for longer than a machine that is suspected on its own.
+ * Machines behind a partition continue to run their tasks, and declaring them dead would lose that
+ * work. Their timeout is therefore longer than that of a machine that is suspected on its own.
  */
 #include "membership/ws-failure-detection.h"
 
 #include "membership/ws-peers.h"
 #include "storage/ws-mark-reasons.h"
 
-/* The time of a restart of a node, as a share of a lease: an upper bound. */
+/* Upper bound of the time that a node takes to restart, as a share of the lease duration. */
 #define RESTART_LEASE_SHARE 0.8
-/* How long a detected partition is valid: longer than the interval between two ticks, each of which
-   detects it again. */
+/* For how long a detected partition is valid. Each tick detects it again, so this must exceed the
+   interval between two ticks. */
 #define PARTITION_VALID_MS 600
-/* A common cause is assumed when at least so many machines are suspected together, and, where they
-   are counted over all zones, one in so many of all. */
+/* A common cause is assumed if at least MIN_SUSPECTED_TOGETHER machines are suspected at the same
+   time and, where machines of all zones are counted, at least one in MACHINES_PER_SUSPECTED. */
 #define MIN_SUSPECTED_TOGETHER 3
 #define MACHINES_PER_SUSPECTED 5
 
-/* How many machines are expected to be heard, and how many of them are not. */
+/* Number of machines whose heartbeats are expected, and how many of them are suspected. */
 typedef struct {
   guint all;
   guint suspected;
@@ -63,7 +63,8 @@
   return FALSE;
 }
 
-/* For how long none of the zone's nodes has been reached; 0: one is, or there is none. */
+/* Returns for how long none of the zone's nodes has been reachable; 0: one is reachable, or the
+   zone has no node. */
 static gint64
 unreachable_for_ms(const WsCore *core, WsZoneIndex zone)
 {
@@ -87,8 +88,8 @@
          && core->now - partition_ms[zone] < PARTITION_VALID_MS;
 }
 
-/* When a partition has healed, workers still have to find their owners: for the time of a lease
-   they aren't declared dead. */
+/* After a partition has healed, workers still have to find their owners. They are not declared dead
+   for the duration of a lease. */
 gboolean
 ws_zone_is_or_was_partitioned(const WsCore *core, WsZoneIndex zone)
 {
@@ -109,13 +110,14 @@
   return FALSE;
 }
 
-/* Whether a node of the zone is unreachable, or many of its machines are suspected together. Such
-   machines go on working, and their heartbeats are relayed by another node after a while. */
+/* Whether a node of the zone is unreachable, or most of its machines are suspected. Such machines
+   continue to run their tasks, and after a while another node relays their heartbeats. */
 gboolean
 ws_zone_links_are_suspected(const WsCore *core, WsZoneIndex zone)
 {
   gint64 unreachable_ms = unreachable_for_ms(core, zone);
-  /* The leases of its nodes may have expired already, while its machines aren't suspected yet. */
+  /* The leases of the zone's nodes may expire, which removes them from the epoch, before its
+     machines are suspected. */
   if (unreachable_ms > 0 && (double)unreachable_ms < core->settings->lease_s * 1000.0)
     return TRUE;
   if (member_is_unreachable(core, zone))
@@ -129,9 +131,10 @@
   return most_are_suspected(&count);
 }
 
-/* Many spot machines may be interrupted at once. When other machines are suspected together, the
-   links between them and this node are likely interrupted, and their tasks go on until their leases
-   expire. Machines behind a partition are not counted: they are no evidence about the others. */
+/* The cloud may interrupt many spot machines at once, so these are not counted. If many on-demand
+   machines are suspected at the same time, the links between them and this node are probably down,
+   and their tasks continue until their leases expire. Machines behind a partition are not counted:
+   they are no evidence about the others. */
 gboolean
 ws_machines_are_suspected_together(const WsCore *core)
 {
@@ -148,8 +151,8 @@
          && MACHINES_PER_SUSPECTED * count.suspected >= count.all;
 }
 
-/* Counts the machines by which a partition of the zone is detected: this node's own, or, in a zone
-   without a node, those of all owners. */
+/* Counts the machines by which a partition of the zone is detected: those that this node owns or,
+   in a zone without a node, those of all owners. */
 static SuspicionCount
 count_zone(const WsCore *core, WsZoneIndex zone, gboolean has_node)
 {
@@ -162,11 +165,16 @@
   return count;
 }
 
-/* Detects whether a zone is partitioned: none of its nodes is reachable, and most of this node's
-   machines there are suspected. Inside the partition its nodes go on renewing the leases of its
-   workers. A node that has stopped, together with a machine or two that failed, looks the same for
-   as long as a restart takes: such a partition is confirmed only after that time. In a zone without
-   a node, a partition is inferred if most of its machines are suspected, whoever owns them. */
+/* Detects whether a zone is partitioned.
+ *
+ * A zone with nodes is partitioned if none of them is reachable, and most of this node's machines
+ * there are suspected, or all if there are only a few. Its nodes continue to renew the leases of
+ * its workers inside the partition. A stopped node together with one or two failed machines looks
+ * the same until the node has restarted: if only a few machines are suspected, the partition is
+ * confirmed only after that time.
+ *
+ * A zone without nodes is partitioned if most of its machines are suspected, regardless of their
+ * owners. */
 static void
 detect_partition(WsCore *core, WsZoneIndex zone)
 {
--- a/src/membership/ws-peer-request-message.c
+++ b/src/membership/ws-peer-request-message.c
@@ -8,18 +8,18 @@
 
 #include <string.h>
 
-/* Requests of each kind in one message. */
+/* Maximum number of requests of each kind in one message. */
 #define MAX_REQUESTS_PER_KIND 48
 
-/* Positions in the array that is a request; what follows in a release is its evidence
-   (storage/ws-evidence.c). */
+/* Positions in the JSON array that encodes a request. In a release, further elements encode the
+   evidence (storage/ws-evidence.c). */
 #define MARK_MACHINE 0
 #define MARK_REASON 1
 #define MARK_IS_IMMEDIATE 2
 #define ITEM_JOB 0
-#define ITEM_TASK 1    /* of a reservation: how many tasks */
-#define ITEM_ATTEMPT 2 /* of stops and releases */
-#define ITEM_MACHINE 2 /* of assignments and reservations */
+#define ITEM_TASK 1    /* in a reservation: the number of tasks */
+#define ITEM_ATTEMPT 2 /* in stops and releases */
+#define ITEM_MACHINE 2 /* in assignments and reservations */
 #define ITEM_IS_COMPLETED 3
 
 static const char *const LIST_NAMES[] = {
--- a/src/membership/ws-peer-request-message.h
+++ b/src/membership/ws-peer-request-message.h
@@ -1,12 +1,12 @@
 /**
- * Peer requests as messages: a batch to one node, and the mailbox, which has a batch for each node
- * out of reach.
+ * Messages of peer requests: a batch of requests to one node, and the mailbox, which contains a
+ * batch for each unreachable node.
  */
 #pragma once
 
 #include "storage/ws-evidence.h"
 
-/** In the order in which a node handles them. */
+/** Kinds of requests, in the order in which a node handles them, with the fields of each. */
 typedef enum {
   WS_PEER_REQUEST_STOP,        /**< job, task, attempt */
   WS_PEER_REQUEST_RELEASE,     /**< job, task, attempt, release, has_evidence */
@@ -16,17 +16,17 @@
   WS_PEER_REQUEST_KINDS
 } WsPeerRequestKind;
 
-/** One request. What its kind doesn't have is 0; strings of one that was received may be NULL. */
+/** A request. Fields that its kind does not use are 0. Strings of a received one may be NULL. */
 typedef struct {
   WsPeerRequestKind kind;
-  char *job; /**< its id */
+  char *job; /**< the job's id */
   char *machine;
-  char *reason;          /**< of the termination */
+  char *reason;          /**< reason of the termination */
   gboolean is_immediate; /**< the machine is terminated without drain */
   gint64 task;           /**< not checked against the job when received */
-  gint64 tasks;          /**< how many are to be reserved for; not checked when received */
+  gint64 tasks;          /**< number of tasks to reserve capacity for; not checked when received */
   guint64 attempt;
-  WsRelease release;     /**< when received without its job and task */
+  WsRelease release;     /**< its job and task are not set when received */
   gboolean has_evidence; /**< versions before 0.4 send releases without it */
 } WsPeerRequest;
 
@@ -34,15 +34,15 @@
 void ws_peer_request_free(WsPeerRequest *request);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsPeerRequest, ws_peer_request_free)
 
-/** What a node requests of another one. */
+/** The requests of one node to another. */
 typedef struct {
   guint64 epoch;
-  GPtrArray *requests[WS_PEER_REQUEST_KINDS]; /**< of WsPeerRequest; NULL: there never was one */
-  WsPeerRequestKind order[WS_PEER_REQUEST_KINDS]; /**< of the kinds, as they were first added */
+  GPtrArray *requests[WS_PEER_REQUEST_KINDS];     /**< of WsPeerRequest; NULL: none was added */
+  WsPeerRequestKind order[WS_PEER_REQUEST_KINDS]; /**< kinds in the order of first addition */
   guint kinds;
 } WsPeerRequestBatch;
 
-/** Creates an empty batch, of epoch 0. The caller frees it. */
+/** Creates an empty batch of epoch 0. The caller frees it. */
 WsPeerRequestBatch *ws_peer_request_batch_new(void);
 
 /** Frees the batch with its requests; NULL is allowed. */
@@ -50,19 +50,22 @@
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsPeerRequestBatch, ws_peer_request_batch_free)
 
 /**
- * Adds the request, or frees it if the batch has as many of its kind as a message takes.
+ * Adds the request, or frees it if the batch already contains the maximum number of its kind.
  *
  * @request: taken
  */
 void ws_peer_request_batch_add(WsPeerRequestBatch *batch, WsPeerRequest *request);
 
-/** The batch as JSON. The caller owns it. */
+/** Encodes the batch as JSON. The caller owns the result. */
 json_t *ws_peer_request_batch_encode(const WsPeerRequestBatch *batch, const WsReplica *replica);
 
-/** Reads a batch; NULL: malformed. Whoever handles a request checks that its parts are there. */
+/**
+ * Parses a batch. Returns NULL if the epoch is missing or malformed. The fields of the requests are
+ * not validated: the handler of each kind does that.
+ */
 WsPeerRequestBatch *ws_peer_request_batch_parse(const WsReplica *replica, const json_t *body);
 
-/** Batches by the name of their node. */
+/** Batches for unreachable nodes, by the node's name. */
 typedef struct {
   GPtrArray *nodes;   /**< of const char *, borrowed from the settings */
   GPtrArray *batches; /**< of WsPeerRequestBatch */
@@ -84,11 +87,12 @@
 void ws_mailbox_add(WsMailbox *mailbox, const char *node, WsPeerRequestBatch *batch);
 
 /**
- * The mailbox as JSON, in as many bytes at the most, if that can be had by leaving out the later
- * requests of each kind. The caller owns it.
+ * Encodes the mailbox as JSON. If the text exceeds @max_bytes, drops the later half of each kind of
+ * each batch until it fits or no request is left; then it may still exceed the limit. The caller
+ * owns the result.
  */
 json_t *ws_mailbox_encode_within(WsMailbox *mailbox, const WsReplica *replica, gsize max_bytes);
 
-/** Reads the batch for the node from another node's mailbox; NULL: there is none. */
+/** Parses the batch for @node in another node's mailbox. Returns NULL if there is none. */
 WsPeerRequestBatch *ws_mailbox_parse(const WsReplica *replica, const json_t *body,
                                      const char *node);
--- a/src/membership/ws-peer-requests.c
+++ b/src/membership/ws-peer-requests.c
@@ -1,15 +1,15 @@
 /**
- * What nodes request of each other.
+ * Peer requests: requests from a node to the leader, or to the owner of a machine.
  *
  * The leader writes assignments, releases and marks for all nodes: owners of machines and
  * coordinating nodes of jobs forward theirs to it. Each of these shares keys with many others (a
  * job's tasks, a team's use), so that concurrent writes by several nodes would mostly conflict, and
- * conflicts count against the store's rate limit too. Requests to stop tasks go to the owners of
- * their machines.
+ * conflicting transactions count against the store's rate limit too. Requests to stop tasks go to
+ * the owners of their machines.
  *
- * A request is sent directly or, if the other node is unreachable, through the mailbox, a key of
- * this node in the store. It may be lost: its sender repeats it when it sees no effect. It is valid
- * only in the epoch in which it was made.
+ * A request is sent directly or, if the other node is unreachable, through the mailbox, which is a
+ * key of this node in the store. A request may be lost: its sender repeats it when it sees no
+ * effect. It is valid only in the epoch in which it was made.
  */
 #include "membership/ws-membership-private.h"
 
@@ -21,11 +21,11 @@
 #define BATCHING_MS 60
 #define MAILBOX_INTERVAL_MS 1000
 #define REQUEST_TIMEOUT_MS 1500
-/* When a node that took no requests may be called again. */
+/* Time after which a peer whose batch was refused may retry. */
 #define RETRY_AFTER_S 1
 
 struct _WsPeerRequests {
-  WsPeerRequestBatch **queued; /* by node; NULL: nothing */
+  WsPeerRequestBatch **queued; /* by node; NULL: nothing is queued */
   gint64 next_batch_ms;
   gint64 next_mailbox_ms;
 };
@@ -126,7 +126,7 @@
   return job != NULL && job->spec != NULL ? job : NULL;
 }
 
-/* The job, if it has the task. */
+/* Returns the open job of the request if it has the task; else NULL. */
 static WsJob *
 find_job_of_task(const WsCore *core, const WsPeerRequest *request)
 {
@@ -144,8 +144,8 @@
 log_refused(const WsCore *core, const WsRelease *release)
 {
   g_autofree char *text = ws_release_describe(core->replica, release);
-  g_debug("a release is refused under epoch %" G_GUINT64_FORMAT ": %s", core->replica->epoch.number,
-          text);
+  g_debug("release rejected in epoch %" G_GUINT64_FORMAT ", evidence not valid: %s",
+          core->replica->epoch.number, text);
 }
 
 static void
@@ -222,8 +222,8 @@
     HANDLERS[kind](core, g_ptr_array_index(requests, i));
 }
 
-/* Every owner of machines handles requests to stop tasks; all others are for the leader. FALSE:
-   this node may not handle requests, or the batch is of another epoch. */
+/* Every owner of machines handles requests to stop tasks; only the leader handles the other kinds.
+   Returns FALSE if this node may not handle requests or the batch is of another epoch. */
 static gboolean
 handle_batch(WsCore *core, const WsPeerRequestBatch *batch)
 {
@@ -266,7 +266,7 @@
 {
   (void)body;
   if (status != WS_HTTP_OK)
-    g_debug("%s took no peer requests (status %u)",
+    g_debug("peer %s did not accept a batch of peer requests (status %u)",
             ws_settings_node(core->settings, GPOINTER_TO_UINT(data))->name, status);
 }
 
@@ -281,7 +281,7 @@
 static void
 on_mailbox_written(WsCore *core, WsTxnResult result, gpointer data)
 {
-  /* A lost mailbox is like any lost request: it is repeated by its sender. */
+  /* The result is ignored: like any lost request, those in a lost mailbox are sent again. */
   (void)core;
   (void)result;
   (void)data;
@@ -301,8 +301,8 @@
   ws_txn_commit(core, txn, WS_REQUEST_TASK, on_mailbox_written, NULL);
 }
 
-/* Each mailbox replaces the previous one, so requests to unreachable nodes wait until the next may
-   be written. */
+/* Each mailbox overwrites the previous one, so requests to unreachable nodes stay queued until the
+   mailbox may be written again. */
 static void
 send_all(WsCore *core)
 {
--- a/src/membership/ws-peers.c
+++ b/src/membership/ws-peers.c
@@ -1,11 +1,12 @@
 /**
- * Peers: which are reachable, which reach each other, and what they announce.
+ * Peers: which are reachable, which links between them are up, and the state that they announce.
  */
 #include "membership/ws-peers.h"
 
 #include "membership/ws-membership.h"
 
-/* A peer is unreachable if nothing was heard of it for three rounds of gossip and a late one. */
+/* A peer is unreachable if no gossip from it arrives for this long: three gossip intervals of 700
+   ms and a margin for a delayed message. */
 #define REACHABLE_MS 2600
 
 WsPeers *
--- a/src/membership/ws-peers.h
+++ b/src/membership/ws-peers.h
@@ -1,6 +1,6 @@
 /**
- * What this node knows of its peers, by their gossip and by what it has sent them. ws-gossip.c and
- * ws-peers.c write it. Private to membership.
+ * The state of the peers, from their gossip and from the messages that this node sent them. Written
+ * by ws-gossip.c and ws-peers.c. Private to membership.
  */
 #pragma once
 
@@ -8,36 +8,36 @@
 
 /** A peer, as of its last gossip message. */
 typedef struct {
-  gint64 heard_ms;     /**< when it was last heard; 0: never */
-  const char *version; /**< of the program that it runs, interned; NULL: not heard yet */
+  gint64 heard_ms;     /**< when its gossip last arrived; 0: never */
+  const char *version; /**< version of its program, interned; NULL: no gossip yet */
   guint64 epoch;
-  guint64 incarnation; /**< of the run that was last heard */
+  guint64 incarnation; /**< of the run that sent the last gossip */
   gboolean store_is_available;
-  gboolean replica_is_loaded; /**< it has read the state since it began */
-  guint reachable_nodes;      /**< bit for each node that it hears */
+  gboolean replica_is_loaded; /**< it has loaded its replica since it started */
+  guint reachable_nodes;      /**< bit for each node whose gossip it receives */
 
   /* Cancellations. */
-  guint unacknowledged_cancellations; /**< those that it knows and this node hasn't acknowledged */
-  gint64 cancellations_complete_ms;   /**< when it last announced that it is without store and has
-                                           notified this node of all */
+  guint unacknowledged_cancellations; /**< those it knows that this node hasn't acknowledged */
+  gint64 cancellations_complete_ms;   /**< when it last announced that the store is unavailable to
+                                           it and this node has acknowledged all */
 
   /* Workers. */
-  gboolean is_unreached_by_workers; /**< it announces that no worker reaches it */
-  gint64 last_redirect_ms;          /**< when a worker was last redirected there all the same */
-  guint relays_in_flight;           /**< heartbeats on their way to it */
+  gboolean is_unreached_by_workers; /**< it announces that it receives no heartbeats */
+  gint64 last_redirect_ms;          /**< when a worker was last redirected to it */
+  guint relays_in_flight;           /**< relayed heartbeats to it that are in flight */
 
   /* Gossip. */
   gboolean gossip_is_in_flight;
   gint64 gossip_sent_ms;
-  guint64 acknowledged_revision; /**< of this node's announcements, what it has in this epoch */
-  guint64 received_revision;     /**< of its announcements, what this node has in this epoch */
+  guint64 acknowledged_revision; /**< of this node's announcements, received by it in this epoch */
+  guint64 received_revision;     /**< of its announcements, received by this node in this epoch */
 } WsPeer;
 
 /** All peers of this node, and the revision of what it announces to them. */
 struct _WsPeers {
-  WsPeer *by_node;            /**< by node; that of this node itself stays empty */
-  guint64 announced_revision; /**< counts the changes of this node's machines that are announced */
+  WsPeer *by_node;            /**< indexed by node; the entry of this node stays empty */
+  guint64 announced_revision; /**< incremented by each announced change of this node's machines */
 };
 
-/** The peer; for this node itself an empty one. */
+/** Returns the peer; for this node itself, an entry that stays empty. */
 WsPeer *ws_peer(const WsCore *core, WsNodeIndex node);
--- a/src/membership/ws-relay-message.h
+++ b/src/membership/ws-relay-message.h
@@ -1,6 +1,6 @@
 /**
- * The envelope in which a node passes a heartbeat on to the owner of its machine, or to a node that
- * reaches the owner. Public: workers/ws-relay.c sends and handles it.
+ * The envelope in which a node relays a heartbeat to the owner of the machine, or to a node that
+ * can reach the owner. Public: workers/ws-relay.c sends and handles it.
  */
 #pragma once
 
@@ -9,15 +9,15 @@
 /** The path to which an envelope is posted. */
 #define WS_RELAY_PATH "/relay"
 
-/** Strings are borrowed: from the caller, or from the parsed JSON. */
+/** A relayed heartbeat. Strings are borrowed from the caller or from the parsed JSON. */
 typedef struct {
-  guint64 epoch;         /**< the sender's */
-  const char *owner;     /**< the name of the node that owns the machine under it */
-  const char *heartbeat; /**< as the worker sent it */
+  guint64 epoch;         /**< the sender's epoch */
+  const char *owner;     /**< name of the node that owns the machine in that epoch */
+  const char *heartbeat; /**< the heartbeat's text, unchanged, as the worker sent it */
 } WsRelayMessage;
 
-/** The envelope as JSON. The caller owns it. */
+/** Encodes the envelope as JSON. The caller owns the result. */
 json_t *ws_relay_message_encode(const WsRelayMessage *message);
 
-/** Reads an envelope. FALSE: malformed. */
+/** Parses an envelope. Returns FALSE if it is malformed. */
 gboolean ws_relay_message_parse(const json_t *body, WsRelayMessage *message);
