--- a/src/core/ws-core.c
+++ b/src/core/ws-core.c
@@ -161,7 +161,7 @@
 static void
 update_cancellations(WsCore *core)
 {
-  ws_authority_note_cancellations(core);
+  ws_authority_record_known_cancellations(core);
   if (ws_cancellations_pump(core))
     ws_cancelled_tasks_enforce(core);
 }
--- a/src/membership/ws-epoch-tracker.c
+++ b/src/membership/ws-epoch-tracker.c
@@ -41,13 +41,13 @@
 }
 
 gboolean
-ws_epoch_new_one_is_needed(const WsCore *core)
+ws_epoch_bump_is_requested(const WsCore *core)
 {
   return core->epoch_tracker->needs_new_one;
 }
 
 void
-ws_epoch_request_new_one(WsCore *core)
+ws_epoch_request_bump(WsCore *core)
 {
   core->epoch_tracker->needs_new_one = TRUE;
 }
--- a/src/membership/ws-failure-detection.h
+++ b/src/membership/ws-failure-detection.h
@@ -9,8 +9,8 @@
 /** The state of the failure detector, grouped by the module that writes it. Times are in ms. */
 struct _WsFailureDetector {
   /* ws-liveness.c */
-  gint64 heartbeat_ms;              /**< last heartbeat received directly, not relayed */
-  gboolean is_unreached_by_workers; /**< no heartbeats arrive, though some are due */
+  gint64 heartbeat_ms;             /**< last heartbeat received directly, not relayed */
+  gboolean receives_no_heartbeats; /**< no heartbeats arrive, though some are due */
 
   /* ws-partitions.c, both indexed by zone */
   gint64 *partition_ms;           /**< last time a partition was detected; 0: never */
@@ -25,7 +25,7 @@
  * Returns the heartbeat timeout: the longest time between two heartbeats of a machine that is up,
  * with a margin for delays of the worker, the network and this node, in ms.
  */
-gint64 ws_liveness_patience_ms(const WsCore *core);
+gint64 ws_liveness_heartbeat_timeout_ms(const WsCore *core);
 
 /**
  * Returns the time from which a missing heartbeat of the machine counts towards suspicion, in ms;
@@ -46,7 +46,7 @@
 gboolean ws_zone_has_node(const WsCore *core, WsZoneIndex zone);
 
 /** Whether the zone is partitioned, or a partition was confirmed less than a lease time ago. */
-gboolean ws_zone_is_or_was_partitioned(const WsCore *core, WsZoneIndex zone);
+gboolean ws_zone_is_partitioned_or_recovering(const WsCore *core, WsZoneIndex zone);
 
 /** Whether the links to the zone's machines are probably down, rather than the machines. */
 gboolean ws_zone_links_are_suspected(const WsCore *core, WsZoneIndex zone);
--- a/src/membership/ws-gossip-message.h
+++ b/src/membership/ws-gossip-message.h
@@ -29,7 +29,7 @@
   gboolean replica_is_loaded;
   guint64 reachable_nodes; /**< bit for each node whose gossip it receives */
   gboolean needs_new_epoch;
-  gboolean is_unreached_by_workers;
+  gboolean receives_no_heartbeats;
   guint64 unacknowledged_cancellations;
 
   gboolean has_revisions;        /**< the revisions and machines below are present */
--- a/src/membership/ws-liveness.c
+++ b/src/membership/ws-liveness.c
@@ -16,7 +16,7 @@
 #define MIN_UNREACHED_MS 1500
 
 gint64
-ws_liveness_patience_ms(const WsCore *core)
+ws_liveness_heartbeat_timeout_ms(const WsCore *core)
 {
   return (gint64)(core->settings->report_s * PATIENCE_MS_PER_INTERVAL_S) + PATIENCE_MARGIN_MS;
 }
@@ -25,7 +25,7 @@
 ws_machine_is_up(const WsCore *core, const WsMachine *machine)
 {
   return machine->worker.heard_ms > 0
-         && core->now - machine->worker.heard_ms <= ws_liveness_patience_ms(core);
+         && core->now - machine->worker.heard_ms <= ws_liveness_heartbeat_timeout_ms(core);
 }
 
 /* After a change of owner, a worker may still be waiting for an answer of the previous owner.
@@ -46,7 +46,7 @@
 ws_machine_is_suspected(const WsCore *core, const WsMachine *machine)
 {
   gint64 since_ms = ws_liveness_suspected_since_ms(machine);
-  return since_ms > 0 && core->now - since_ms > ws_liveness_patience_ms(core);
+  return since_ms > 0 && core->now - since_ms > ws_liveness_heartbeat_timeout_ms(core);
 }
 
 gint64
@@ -61,7 +61,8 @@
 ws_machine_is_outbound_unreachable(const WsCore *core, const WsMachine *machine)
 {
   return ws_machine_is_up(core, machine)
-         && ws_liveness_unacknowledged_for_ms(core, machine) > ws_liveness_patience_ms(core);
+         && ws_liveness_unacknowledged_for_ms(core, machine)
+                > ws_liveness_heartbeat_timeout_ms(core);
 }
 
 /* A call to the worker showed a new incarnation, which means that its lease expired, and no
@@ -72,7 +73,8 @@
 {
   return machine->worker.incarnation_changed_ms > machine->worker.reported_ms
          && ws_machine_is_up(core, machine)
-         && core->now - machine->worker.incarnation_changed_ms > ws_liveness_patience_ms(core);
+         && core->now - machine->worker.incarnation_changed_ms
+                > ws_liveness_heartbeat_timeout_ms(core);
 }
 
 void
@@ -82,9 +84,9 @@
 }
 
 gboolean
-ws_is_unreached_by_workers(const WsCore *core)
+ws_receives_no_heartbeats(const WsCore *core)
 {
-  return core->failure_detector->is_unreached_by_workers;
+  return core->failure_detector->receives_no_heartbeats;
 }
 
 static guint
@@ -111,8 +113,8 @@
   gint64 since_ms = MAX(detector->heartbeat_ms, ws_epoch_known_since_ms(core));
   gboolean is_unreached
       = count > 0 && (double)(core->now - since_ms) > MAX(usual_ms, MIN_UNREACHED_MS);
-  if (is_unreached && !detector->is_unreached_by_workers)
+  if (is_unreached && !detector->receives_no_heartbeats)
     g_info(
         "no heartbeats received from any worker: this node is considered unreachable by workers");
-  detector->is_unreached_by_workers = is_unreached;
+  detector->receives_no_heartbeats = is_unreached;
 }
--- a/src/membership/ws-membership-private.h
+++ b/src/membership/ws-membership-private.h
@@ -18,10 +18,10 @@
 void ws_epoch_restart_clock(WsCore *core, gint64 now_ms);
 
 /** Whether a new epoch with the same members was requested in the current epoch. */
-gboolean ws_epoch_new_one_is_needed(const WsCore *core);
+gboolean ws_epoch_bump_is_requested(const WsCore *core);
 
 /** Requests a new epoch, whose higher fencing token resolves indeterminate launches. */
-void ws_epoch_request_new_one(WsCore *core);
+void ws_epoch_request_bump(WsCore *core);
 
 /** Resets all acknowledged revisions: owners changed, so the next gossip has the full state. */
 void ws_gossip_begin_epoch(WsCore *core);
--- a/src/membership/ws-membership.h
+++ b/src/membership/ws-membership.h
@@ -19,14 +19,14 @@
 /** The reason why this node must not perform an action. */
 typedef enum {
   WS_REFUSAL_NONE,                  /**< the action is allowed */
-  WS_REFUSAL_STATE_NOT_READ,        /**< the replica has not been loaded yet */
+  WS_REFUSAL_REPLICA_NOT_LOADED,    /**< the replica has not been loaded yet */
   WS_REFUSAL_STALLED,               /**< lease and replica unconfirmed after a process pause */
   WS_REFUSAL_NOT_A_MEMBER,          /**< no lease, or this incarnation isn't in the epoch */
   WS_REFUSAL_NOT_SHARD_OWNER,       /**< the machine belongs to another node's shard */
-  WS_REFUSAL_BEHIND_EPOCH,          /**< the replica is older than the epoch's record */
+  WS_REFUSAL_REPLICA_BEHIND_EPOCH,  /**< the replica is older than the epoch's record */
   WS_REFUSAL_EPOCH_SUPERSEDED,      /**< a worker or a peer knows a newer epoch */
   WS_REFUSAL_CANCELLATIONS_UNKNOWN, /**< a confirmed cancellation may be unknown here */
-  WS_REFUSAL_REFUSED_BY_STORE,      /**< the store is unavailable, but not to a peer */
+  WS_REFUSAL_STORE_UNAVAILABLE,     /**< the store is unavailable, but not to a peer */
   WS_REFUSAL_ISOLATED,              /**< neither the store nor any peer is reachable */
   WS_REFUSAL_NO_CATALOG,            /**< the cloud's catalog has not been loaded yet */
   WS_REFUSAL_MACHINE_UNREACHABLE,   /**< no address, not up, or no heartbeats arrive here */
@@ -53,7 +53,7 @@
  * Records the current time as the last one at which this node knew all confirmed cancellations, if
  * it does. Called after each input.
  */
-void ws_authority_note_cancellations(WsCore *core);
+void ws_authority_record_known_cancellations(WsCore *core);
 
 /**
  * Checks that this node is an active member: the replica is loaded, no process pause is pending,
@@ -115,7 +115,7 @@
 gboolean ws_is_isolated(const WsCore *core);
 
 /** Whether a heartbeat from another zone arrived while this node is isolated. */
-gboolean ws_authority_is_reached_from_other_zones(const WsCore *core);
+gboolean ws_authority_has_heartbeat_from_other_zone(const WsCore *core);
 
 /**
  * Records a heartbeat from a machine of another zone. The next tick on which this node is not
@@ -196,7 +196,7 @@
 gboolean ws_peer_replica_is_loaded(const WsCore *core, WsNodeIndex node);
 
 /** Whether the peer reports that it receives no heartbeats although it owns machines. */
-gboolean ws_peer_is_unreached_by_workers(const WsCore *core, WsNodeIndex node);
+gboolean ws_peer_receives_no_heartbeats(const WsCore *core, WsNodeIndex node);
 
 /** Returns when a worker was last redirected to the peer, in ms; 0: never. */
 gint64 ws_peer_last_redirect_ms(const WsCore *core, WsNodeIndex node);
@@ -285,7 +285,7 @@
  * Whether this node receives no heartbeats although it owns machines that should send them. As of
  * the last tick.
  */
-gboolean ws_is_unreached_by_workers(const WsCore *core);
+gboolean ws_receives_no_heartbeats(const WsCore *core);
 
 /**
  * Whether the zone is partitioned, as inferred from missing heartbeats of its machines. As of the
@@ -318,7 +318,7 @@
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsCancellations, ws_cancellations_free)
 
 /** Whether the job's cancellation is known to be confirmed, from its record or from a peer. */
-gboolean ws_cancellations_has(const WsCore *core, const WsJob *job);
+gboolean ws_cancellations_has_job(const WsCore *core, const WsJob *job);
 
 /** Returns how many cancellations of unfinished jobs are known. */
 guint ws_cancellations_count(const WsCore *core);
--- a/src/membership/ws-partitions.c
+++ b/src/membership/ws-partitions.c
@@ -91,7 +91,7 @@
 /* After a partition has healed, workers still have to find their owners. They are not declared dead
    for the duration of a lease. */
 gboolean
-ws_zone_is_or_was_partitioned(const WsCore *core, WsZoneIndex zone)
+ws_zone_is_partitioned_or_recovering(const WsCore *core, WsZoneIndex zone)
 {
   const gint64 *confirmed_ms = core->failure_detector->confirmed_partition_ms;
   if (ws_zone_is_partitioned(core, zone))
@@ -143,7 +143,7 @@
     const WsMachine *machine = ws_replica_machine(core->replica, i);
     if (machine->is_spot || !machine->is_recorded || ws_liveness_suspected_since_ms(machine) == 0
         || (machine->is_marked && g_strcmp0(machine->mark_reason, WS_MARK_REASON_SILENT) != 0)
-        || ws_zone_is_or_was_partitioned(core, machine->zone))
+        || ws_zone_is_partitioned_or_recovering(core, machine->zone))
       continue;
     count_machine(core, machine, &count);
   }
--- a/src/membership/ws-peers.h
+++ b/src/membership/ws-peers.h
@@ -22,9 +22,9 @@
                                            it and this node has acknowledged all */
 
   /* Workers. */
-  gboolean is_unreached_by_workers; /**< it announces that it receives no heartbeats */
-  gint64 last_redirect_ms;          /**< when a worker was last redirected to it */
-  guint relays_in_flight;           /**< relayed heartbeats to it that are in flight */
+  gboolean receives_no_heartbeats; /**< it announces that it receives no heartbeats */
+  gint64 last_redirect_ms;         /**< when a worker was last redirected to it */
+  guint relays_in_flight;          /**< relayed heartbeats to it that are in flight */
 
   /* Gossip. */
   gboolean gossip_is_in_flight;
--- a/src/storage/ws-replica-machines.c
+++ b/src/storage/ws-replica-machines.c
@@ -20,7 +20,7 @@
 {
   WsNodeIndex owner = ws_epoch_owner(&replica->epoch, machine->name, replica->settings);
   if (last == NULL || owner != machine->owner
-      || !ws_epoch_continues(last, &replica->epoch, owner)) {
+      || !ws_epoch_member_continues(last, &replica->epoch, owner)) {
     machine->owner_since = replica->epoch.number;
     machine->owner_since_version = ws_replica_version(replica, WS_KEY_EPOCH);
   }
--- a/src/workers/ws-reconciliation.c
+++ b/src/workers/ws-reconciliation.c
@@ -80,7 +80,7 @@
   }
   if (task->state == WS_TASK_EXITED)
     return;
-  gboolean is_cancelled = ws_cancellations_has(core, job);
+  gboolean is_cancelled = ws_cancellations_has_job(core, job);
   if (task->state == WS_TASK_SAVING && !is_cancelled)
     return;
   if (is_cancelled || assignment->is_stop_requested || ws_gang_is_ending(job)
@@ -94,7 +94,7 @@
 static gboolean
 is_unwanted(const Reconciliation *run, WsJob *job, const WsAssignment *assignment)
 {
-  return ws_cancellations_has(run->core, job) || assignment->is_stop_requested
+  return ws_cancellations_has_job(run->core, job) || assignment->is_stop_requested
          || run->machine->is_marked || ws_gang_is_ending(job)
          || ws_releases_is_pending(run->core, job, assignment);
 }
--- a/tests/test-peer-messages.c
+++ b/tests/test-peer-messages.c
@@ -48,7 +48,7 @@
   g_assert_cmpuint(message.reachable_nodes, ==, 5);
   g_assert_cmpuint(message.unacknowledged_cancellations, ==, 2);
   g_assert_true(message.store_is_available && message.replica_is_loaded);
-  g_assert_true(message.is_unreached_by_workers && !message.needs_new_epoch);
+  g_assert_true(message.receives_no_heartbeats && !message.needs_new_epoch);
   g_assert_true(message.has_revisions);
   g_assert_cmpuint(message.base_revision, ==, 3);
   g_assert_cmpuint(message.revision, ==, 8);
