--- a/src/coordination/ws-epoch.c
+++ b/src/coordination/ws-epoch.c
@@ -129,7 +129,7 @@
 /* FNV-1a over both names, finalized with a 64-bit mix, so that machines whose names differ only in
    the last digit are still spread over all nodes. */
 static guint64
-hash_weight(const char *machine, const char *node)
+rendezvous_weight(const char *machine, const char *node)
 {
   guint64 hash = FNV_OFFSET_BASIS;
   const char *const parts[] = { machine, "|", node };
@@ -148,7 +148,7 @@
   guint64 max_weight = 0;
   for (guint i = 0; i < epoch->members->len; i++) {
     WsNodeIndex node = g_array_index(epoch->members, WsMember, i).node;
-    guint64 weight = hash_weight(machine, ws_settings_node(settings, node)->name);
+    guint64 weight = rendezvous_weight(machine, ws_settings_node(settings, node)->name);
     if (owner == WS_NO_NODE || weight > max_weight) {
       owner = node;
       max_weight = weight;
--- a/src/membership/ws-authority.c
+++ b/src/membership/ws-authority.c
@@ -13,12 +13,12 @@
 /* Margin for the time until a refusal takes effect, for clock drift and for messages in flight. */
 #define LEASE_RENEWAL_MARGIN_MS 4000.0
 /* After a longer pause between two inputs this node's lease may have expired. */
-#define STALL_MS 3000
+#define STALL_THRESHOLD_MS 3000
 
 struct _WsAuthority {
-  gboolean is_stalled;                  /* see ws_authority_detect_stall() */
-  gint64 cancellations_known_ms;        /* when this node last knew all confirmed cancellations */
-  gboolean is_reached_from_other_zones; /* isolated, but receives heartbeats from other zones */
+  gboolean is_stalled;                    /* see ws_authority_detect_stall() */
+  gint64 cancellations_known_ms;          /* when this node last knew all confirmed cancellations */
+  gboolean has_heartbeat_from_other_zone; /* isolated, but receives heartbeats from other zones */
 };
 
 WsAuthority *
@@ -36,7 +36,7 @@
 const char *
 ws_refusal_describe(WsRefusal refusal)
 {
-  static const char *const TEXTS[] = {
+  static const char *const DESCRIPTIONS[] = {
     [WS_REFUSAL_NONE] = "allowed",
     [WS_REFUSAL_REPLICA_NOT_LOADED] = "the replica has not been loaded yet",
     [WS_REFUSAL_STALLED] = "lease and replica are unconfirmed after a process pause",
@@ -51,13 +51,13 @@
     [WS_REFUSAL_MACHINE_UNREACHABLE] = "the machine is unreachable",
     [WS_REFUSAL_TOKEN_UNACKNOWLEDGED] = "the worker has not acknowledged the fencing token",
   };
-  return TEXTS[refusal];
+  return DESCRIPTIONS[refusal];
 }
 
 /* Membership and ownership. */
 
 static WsRefusal
-check_awake(const WsCore *core)
+check_loaded_and_not_stalled(const WsCore *core)
 {
   if (!ws_store_is_loaded(core))
     return WS_REFUSAL_REPLICA_NOT_LOADED;
@@ -67,7 +67,7 @@
 WsRefusal
 ws_authority_check_member(const WsCore *core)
 {
-  WsRefusal refusal = check_awake(core);
+  WsRefusal refusal = check_loaded_and_not_stalled(core);
   if (refusal != WS_REFUSAL_NONE)
     return refusal;
   return ws_epoch_has_member(&core->replica->epoch, core->settings->self, core->incarnation)
@@ -128,7 +128,7 @@
 ws_authority_detect_stall(WsCore *core, gint64 now_ms)
 {
   gint64 pause_ms = now_ms - core->now;
-  if (core->now == 0 || pause_ms <= STALL_MS)
+  if (core->now == 0 || pause_ms <= STALL_THRESHOLD_MS)
     return FALSE;
   g_info("process pause of %.1f s detected: lease and replica unconfirmed",
          (double)pause_ms / 1000.0);
@@ -146,7 +146,7 @@
 /* Reachability. */
 
 static gboolean
-is_reached_peer(const WsCore *core, WsNodeIndex node)
+is_reachable_peer(const WsCore *core, WsNodeIndex node)
 {
   return node != core->settings->self && ws_peer_is_reachable(core, node);
 }
@@ -155,12 +155,12 @@
    that affects all nodes, this node waits until it ends. In one that affects this node only, the
    other nodes continue without it. */
 static gboolean
-is_refused_by_store_alone(const WsCore *core)
+store_is_unavailable_here_only(const WsCore *core)
 {
   if (ws_store_is_available(core))
     return FALSE;
   for (guint n = 0; n < core->settings->nodes->len; n++)
-    if (is_reached_peer(core, n) && ws_peer(core, n)->store_is_available)
+    if (is_reachable_peer(core, n) && ws_peer(core, n)->store_is_available)
       return TRUE;
   return FALSE;
 }
@@ -171,7 +171,7 @@
   if (ws_store_is_available(core))
     return FALSE;
   for (guint n = 0; n < core->settings->nodes->len; n++)
-    if (is_reached_peer(core, n))
+    if (is_reachable_peer(core, n))
       return FALSE;
   return core->settings->nodes->len > 1;
 }
@@ -179,20 +179,20 @@
 gboolean
 ws_authority_has_heartbeat_from_other_zone(const WsCore *core)
 {
-  return core->authority->is_reached_from_other_zones;
+  return core->authority->has_heartbeat_from_other_zone;
 }
 
 void
 ws_authority_note_heartbeat_from_other_zone(WsCore *core)
 {
-  core->authority->is_reached_from_other_zones = TRUE;
+  core->authority->has_heartbeat_from_other_zone = TRUE;
 }
 
 /* Knowledge of confirmed cancellations and of newer epochs. */
 
 /* Whether the peer has delivered all its cancellations since the store became unavailable. */
 static gboolean
-has_notified_all(const WsCore *core, const WsPeer *peer)
+has_delivered_cancellations(const WsCore *core, const WsPeer *peer)
 {
   return peer->cancellations_complete_ms > 0
          && peer->cancellations_complete_ms >= ws_store_unavailable_since_ms(core);
@@ -203,9 +203,9 @@
    cancellation, no reachable peer has cancellations that this node lacks, and at least one peer has
    delivered all of its own since the store became unavailable. */
 static gboolean
-peers_have_notified_all(const WsCore *core)
+peers_have_delivered_cancellations(const WsCore *core)
 {
-  gboolean is_reached = FALSE, is_notified = FALSE;
+  gboolean any_is_reachable = FALSE, any_has_delivered = FALSE;
   for (guint n = 0; n < core->settings->nodes->len; n++) {
     const WsPeer *peer = ws_peer(core, n);
     if (n == core->settings->self)
@@ -213,20 +213,20 @@
     if (ws_peer_is_reachable(core, n)
         && (peer->store_is_available || peer->unacknowledged_cancellations > 0))
       return FALSE;
-    is_reached = is_reached || ws_peer_is_reachable(core, n);
-    is_notified = is_notified || has_notified_all(core, peer);
+    any_is_reachable = any_is_reachable || ws_peer_is_reachable(core, n);
+    any_has_delivered = any_has_delivered || has_delivered_cancellations(core, peer);
   }
-  return is_reached && is_notified;
+  return any_is_reachable && any_has_delivered;
 }
 
 /* Whether this node knows every cancellation that was confirmed to a user. */
 static gboolean
-has_all_cancellations(const WsCore *core)
+knows_all_cancellations(const WsCore *core)
 {
   if (!ws_store_is_loaded(core))
     return FALSE;
   return ws_store_is_current(core) || core->settings->nodes->len == 1
-         || peers_have_notified_all(core);
+         || peers_have_delivered_cancellations(core);
 }
 
 /* Whether a worker's lease that is renewed now expires in time for any cancellation that this node
@@ -235,10 +235,10 @@
    duration. An isolated node without heartbeats from other zones, as inside a partitioned zone,
    continues to renew: the nodes outside return the machines there in time. */
 static gboolean
-lease_would_end_in_time(const WsCore *core)
+renewed_lease_expires_in_time(const WsCore *core)
 {
   const WsSettings *settings = core->settings;
-  if (has_all_cancellations(core)
+  if (knows_all_cancellations(core)
       || (ws_is_isolated(core) && !ws_authority_has_heartbeat_from_other_zone(core)))
     return TRUE;
   return (double)(core->now - core->authority->cancellations_known_ms)
@@ -257,7 +257,7 @@
 void
 ws_authority_record_known_cancellations(WsCore *core)
 {
-  if (has_all_cancellations(core))
+  if (knows_all_cancellations(core))
     core->authority->cancellations_known_ms = core->now;
 }
 
@@ -265,7 +265,7 @@
 ws_authority_tick(WsCore *core)
 {
   if (!ws_is_isolated(core))
-    core->authority->is_reached_from_other_zones = FALSE;
+    core->authority->has_heartbeat_from_other_zone = FALSE;
 }
 
 /* Permissions. */
@@ -273,12 +273,12 @@
 WsRefusal
 ws_authority_check_readiness(const WsCore *core)
 {
-  WsRefusal refusal = check_awake(core);
+  WsRefusal refusal = check_loaded_and_not_stalled(core);
   if (refusal != WS_REFUSAL_NONE)
     return refusal;
   if (core->replica->catalog == NULL)
     return WS_REFUSAL_NO_CATALOG;
-  if (is_refused_by_store_alone(core))
+  if (store_is_unavailable_here_only(core))
     return WS_REFUSAL_STORE_UNAVAILABLE;
   return ws_is_isolated(core) ? WS_REFUSAL_ISOLATED : WS_REFUSAL_NONE;
 }
@@ -291,7 +291,7 @@
     return refusal;
   if (fencing_token > core->replica->epoch.number)
     return WS_REFUSAL_EPOCH_SUPERSEDED;
-  return lease_would_end_in_time(core) ? WS_REFUSAL_NONE : WS_REFUSAL_CANCELLATIONS_UNKNOWN;
+  return renewed_lease_expires_in_time(core) ? WS_REFUSAL_NONE : WS_REFUSAL_CANCELLATIONS_UNKNOWN;
 }
 
 WsRefusal
@@ -302,7 +302,7 @@
     return refusal;
   if (peer_knows_newer_epoch(core))
     return WS_REFUSAL_EPOCH_SUPERSEDED;
-  return is_refused_by_store_alone(core) ? WS_REFUSAL_STORE_UNAVAILABLE : WS_REFUSAL_NONE;
+  return store_is_unavailable_here_only(core) ? WS_REFUSAL_STORE_UNAVAILABLE : WS_REFUSAL_NONE;
 }
 
 WsRefusal
@@ -313,7 +313,7 @@
     return refusal;
   if (!ws_has_caught_up_with_epoch(core))
     return WS_REFUSAL_REPLICA_BEHIND_EPOCH;
-  return has_all_cancellations(core) ? WS_REFUSAL_NONE : WS_REFUSAL_CANCELLATIONS_UNKNOWN;
+  return knows_all_cancellations(core) ? WS_REFUSAL_NONE : WS_REFUSAL_CANCELLATIONS_UNKNOWN;
 }
 
 WsRefusal
@@ -333,5 +333,5 @@
   WsRefusal refusal = ws_authority_check_command(core, machine);
   if (refusal != WS_REFUSAL_NONE)
     return refusal;
-  return has_all_cancellations(core) ? WS_REFUSAL_NONE : WS_REFUSAL_CANCELLATIONS_UNKNOWN;
+  return knows_all_cancellations(core) ? WS_REFUSAL_NONE : WS_REFUSAL_CANCELLATIONS_UNKNOWN;
 }
--- a/src/membership/ws-cancellations.c
+++ b/src/membership/ws-cancellations.c
@@ -16,7 +16,7 @@
 #define NOTIFY_INTERVAL_MS 100
 #define NOTIFY_RETRY_MS 500
 /* Time between two rounds of notifying peers and halting tasks. */
-#define ROUND_INTERVAL_MS 100
+#define NOTIFY_ROUND_INTERVAL_MS 100
 #define MAX_CANCELLATIONS_PER_MESSAGE 400
 
 typedef struct {
@@ -28,9 +28,9 @@
 struct _WsCancellations {
   GPtrArray *list; /* of Cancellation */
   GHashTable *by_id;
-  gboolean *is_notifying; /* by node: a notification to it is in flight */
-  gint64 *notify_ms;      /* by node: earliest time of the next notification */
-  gint64 next_round_ms;   /* when the next round of notifications and halts is due */
+  gboolean *notification_is_in_flight; /* by node: a notification to it is in flight */
+  gint64 *next_notify_ms;              /* by node: earliest time of the next notification */
+  gint64 next_round_ms;                /* when the next round of notifications and halts is due */
 };
 
 static void
@@ -47,8 +47,8 @@
   WsCancellations *cancellations = g_new0(WsCancellations, 1);
   cancellations->list = g_ptr_array_new_with_free_func(cancellation_free);
   cancellations->by_id = g_hash_table_new(g_str_hash, g_str_equal);
-  cancellations->is_notifying = g_new0(gboolean, settings->nodes->len);
-  cancellations->notify_ms = g_new0(gint64, settings->nodes->len);
+  cancellations->notification_is_in_flight = g_new0(gboolean, settings->nodes->len);
+  cancellations->next_notify_ms = g_new0(gint64, settings->nodes->len);
   return cancellations;
 }
 
@@ -57,8 +57,8 @@
 {
   g_hash_table_unref(cancellations->by_id);
   g_ptr_array_unref(cancellations->list);
-  g_free(cancellations->is_notifying);
-  g_free(cancellations->notify_ms);
+  g_free(cancellations->notification_is_in_flight);
+  g_free(cancellations->next_notify_ms);
   g_free(cancellations);
 }
 
@@ -155,8 +155,8 @@
   (void)body;
   g_autoptr(Notification) notification = data;
   WsCancellations *cancellations = core->cancellations;
-  cancellations->is_notifying[notification->node] = FALSE;
-  cancellations->notify_ms[notification->node]
+  cancellations->notification_is_in_flight[notification->node] = FALSE;
+  cancellations->next_notify_ms[notification->node]
       = core->now + (status == WS_HTTP_OK ? NOTIFY_INTERVAL_MS : NOTIFY_RETRY_MS);
   for (guint i = 0; status == WS_HTTP_OK && i < notification->ids->len; i++) {
     Cancellation *cancellation = find_cancellation(core, g_ptr_array_index(notification->ids, i));
@@ -188,7 +188,7 @@
   ws_cancellation_message_init(&message);
   message.node = ws_settings_node(core->settings, core->settings->self)->name;
   add_notices(core, notification, message.notices);
-  core->cancellations->is_notifying[node] = TRUE;
+  core->cancellations->notification_is_in_flight[node] = TRUE;
   ws_call(core, "POST", ws_settings_node(core->settings, node)->endpoint, WIRE_PATH_CANCELLATIONS,
           ws_cancellation_message_encode(&message), NOTIFY_TIMEOUT_MS, on_notified, notification);
 }
@@ -270,7 +270,8 @@
 {
   const WsCancellations *cancellations = core->cancellations;
   for (guint n = 0; n < core->settings->nodes->len; n++)
-    if (!cancellations->is_notifying[n] && core->now >= cancellations->notify_ms[n]
+    if (!cancellations->notification_is_in_flight[n]
+        && core->now >= cancellations->next_notify_ms[n]
         && ws_cancellations_count_unacknowledged(core, n) > 0)
       notify_node(core, n);
 }
@@ -283,7 +284,7 @@
   gboolean is_due = core->now >= cancellations->next_round_ms || has_new;
   if (cancellations->list->len == 0 || !is_due)
     return FALSE;
-  cancellations->next_round_ms = core->now + ROUND_INTERVAL_MS;
+  cancellations->next_round_ms = core->now + NOTIFY_ROUND_INTERVAL_MS;
   remove_finished(core);
   notify_peers(core);
   return TRUE;
--- a/src/membership/ws-election.c
+++ b/src/membership/ws-election.c
@@ -6,33 +6,33 @@
 #include "store/ws-store.h"
 #include "protocol/ws-kv.h"
 
-#define LEASE_MS 4000
-#define LEASE_TIMEOUT_MS 1000
-#define LEASE_RETRY_MS 200
+#define LEASE_DURATION_MS 4000
+#define ACQUIRE_TIMEOUT_MS 1000
+#define ACQUIRE_RETRY_MS 200
 #define RENEW_INTERVAL_MS 900
 #define RENEW_TIMEOUT_MS 800
 #define RENEW_RETRY_MS 300
 /* Before another attempt to write the member key. */
-#define LISTING_RETRY_MS 200
-#define EPOCH_INTERVAL_MS 400
-#define EPOCH_RETRY_MS 200
+#define MEMBER_KEY_RETRY_MS 200
+#define EPOCH_WRITE_INTERVAL_MS 400
+#define EPOCH_WRITE_RETRY_MS 200
 /* Minimum time between two epochs that are written only to raise the fencing token. */
-#define REQUESTED_EPOCH_INTERVAL_MS 10000
+#define EPOCH_BUMP_INTERVAL_MS 10000
 
 struct _WsElection {
-  guint64 lease;      /* id of the lease; 0: none */
-  gboolean is_listed; /* the member key is written under this lease */
-  gboolean call_is_in_flight;
-  gint64 next_ms; /* when the next call for the lease or the member key is due */
-  gboolean is_electing;
+  guint64 lease;           /* id of the lease; 0: none */
+  gboolean has_member_key; /* the member key is written under this lease */
+  gboolean lease_call_is_in_flight;
+  gint64 next_lease_call_ms; /* when the next call for the lease or the member key is due */
+  gboolean is_campaigning;
   gboolean is_writing_epoch;
-  gint64 epoch_next_ms;      /* earliest time of the next epoch */
-  gint64 requested_epoch_ms; /* earliest time of the next epoch with the same members */
+  gint64 next_epoch_ms;      /* earliest time of the next epoch */
+  gint64 next_epoch_bump_ms; /* earliest time of the next epoch with the same members */
   /* After a process pause: */
   gboolean call_predates_pause; /* the lease call in flight was sent before the pause */
-  gboolean is_renewed;          /* the lease was renewed after the pause */
-  gboolean is_reading;
-  guint pauses; /* number of pauses; a read that was requested before the last one is ignored */
+  gboolean lease_is_renewed;    /* the lease was renewed after the pause */
+  gboolean read_is_in_flight;
+  guint pause_count; /* a read requested before the last pause is ignored */
 };
 
 WsElection *
@@ -60,7 +60,7 @@
   if (election->lease != 0)
     g_info("membership lease lost: acquiring a new one");
   election->lease = 0;
-  election->is_listed = FALSE;
+  election->has_member_key = FALSE;
 }
 
 /* After a process pause this node acts again once the store has renewed its lease and a
@@ -69,17 +69,17 @@
 on_resumption_read(WsCore *core, gboolean is_current, gpointer data)
 {
   WsElection *election = core->election;
-  election->is_reading = FALSE;
-  if (!is_current || !election->is_renewed || election->pauses != GPOINTER_TO_UINT(data))
+  election->read_is_in_flight = FALSE;
+  if (!is_current || !election->lease_is_renewed || election->pause_count != GPOINTER_TO_UINT(data))
     return;
   ws_authority_end_stall(core);
   core->replan_is_needed = TRUE;
 }
 
 static void
-note_renewed(WsElection *election, gboolean is_renewed)
+note_lease_renewal(WsElection *election, gboolean is_renewed)
 {
-  election->is_renewed = is_renewed && !election->call_predates_pause;
+  election->lease_is_renewed = is_renewed && !election->call_predates_pause;
   election->call_predates_pause = FALSE;
 }
 
@@ -87,46 +87,48 @@
 ws_election_resume(WsCore *core, gint64 now_ms)
 {
   WsElection *election = core->election;
-  election->pauses++;
-  election->next_ms = now_ms;
-  election->call_predates_pause = election->call_is_in_flight;
-  election->is_renewed = FALSE;
+  election->pause_count++;
+  election->next_lease_call_ms = now_ms;
+  election->call_predates_pause = election->lease_call_is_in_flight;
+  election->lease_is_renewed = FALSE;
 }
 
 static void
-on_lease(WsCore *core, guint status, const json_t *body, gpointer data)
+on_lease_acquired(WsCore *core, guint status, const json_t *body, gpointer data)
 {
   (void)data;
   WsElection *election = core->election;
-  election->call_is_in_flight = FALSE;
+  election->lease_call_is_in_flight = FALSE;
   election->call_predates_pause = FALSE;
-  election->next_ms = core->now + LEASE_RETRY_MS;
+  election->next_lease_call_ms = core->now + ACQUIRE_RETRY_MS;
   if (status == WS_KV_OK && ws_kv_lease_parse(body, &election->lease))
-    election->next_ms = core->now;
+    election->next_lease_call_ms = core->now;
 }
 
 static void
-on_listed(WsCore *core, WsTxnResult result, gpointer data)
+on_member_key_written(WsCore *core, WsTxnResult result, gpointer data)
 {
   (void)data;
   WsElection *election = core->election;
-  election->call_is_in_flight = FALSE;
-  election->is_listed = result == WS_TXN_COMMITTED;
-  note_renewed(election, election->is_listed);
-  election->next_ms = core->now + (election->is_listed ? RENEW_INTERVAL_MS : LISTING_RETRY_MS);
+  election->lease_call_is_in_flight = FALSE;
+  election->has_member_key = result == WS_TXN_COMMITTED;
+  note_lease_renewal(election, election->has_member_key);
+  election->next_lease_call_ms
+      = core->now + (election->has_member_key ? RENEW_INTERVAL_MS : MEMBER_KEY_RETRY_MS);
   if (result == WS_TXN_UNAVAILABLE)
     lose_lease(core);
 }
 
 static void
-on_renewed(WsCore *core, guint status, const json_t *body, gpointer data)
+on_lease_renewed(WsCore *core, guint status, const json_t *body, gpointer data)
 {
   (void)body;
   (void)data;
   WsElection *election = core->election;
-  election->call_is_in_flight = FALSE;
-  election->next_ms = core->now + (status == WS_KV_OK ? RENEW_INTERVAL_MS : RENEW_RETRY_MS);
-  note_renewed(election, status == WS_KV_OK);
+  election->lease_call_is_in_flight = FALSE;
+  election->next_lease_call_ms
+      = core->now + (status == WS_KV_OK ? RENEW_INTERVAL_MS : RENEW_RETRY_MS);
+  note_lease_renewal(election, status == WS_KV_OK);
   if (status == WS_KV_NOT_FOUND)
     lose_lease(core);
 }
@@ -144,14 +146,15 @@
     if (member->node == core->settings->self && member->incarnation == core->incarnation)
       return;
   }
-  core->election->is_listed = FALSE;
+  core->election->has_member_key = FALSE;
 }
 
 static void
 acquire_lease(WsCore *core)
 {
-  ws_store_post(core, WS_REQUEST_LEASE, WS_KV_LEASES_PATH, ws_kv_lease_request_encode(LEASE_MS), 0,
-                LEASE_TIMEOUT_MS, on_lease, NULL);
+  ws_store_post(core, WS_REQUEST_LEASE, WS_KV_LEASES_PATH,
+                ws_kv_lease_request_encode(LEASE_DURATION_MS), 0, ACQUIRE_TIMEOUT_MS,
+                on_lease_acquired, NULL);
 }
 
 static void
@@ -161,14 +164,14 @@
   g_autofree char *key = ws_key(WS_KEYS_MEMBER, own_name(core));
   ws_txn_compare(txn, core->replica, key);
   ws_txn_put_leased(txn, key, ws_member_encode(core->incarnation), core->election->lease);
-  ws_txn_commit(core, txn, WS_REQUEST_LEASE, on_listed, NULL);
+  ws_txn_commit(core, txn, WS_REQUEST_LEASE, on_member_key_written, NULL);
 }
 
 static void
 renew_lease(WsCore *core)
 {
   g_autofree char *path = ws_kv_lease_renewal_path(core->election->lease);
-  ws_store_post(core, WS_REQUEST_LEASE, path, NULL, 0, RENEW_TIMEOUT_MS, on_renewed, NULL);
+  ws_store_post(core, WS_REQUEST_LEASE, path, NULL, 0, RENEW_TIMEOUT_MS, on_lease_renewed, NULL);
 }
 
 /* Sends the next call for the lease, one at a time: acquires the lease, writes the member key under
@@ -177,15 +180,15 @@
 maintain_lease(WsCore *core)
 {
   WsElection *election = core->election;
-  if (election->call_is_in_flight || core->now < election->next_ms)
+  if (election->lease_call_is_in_flight || core->now < election->next_lease_call_ms)
     return;
   check_member_key(core);
-  if (election->lease != 0 && !election->is_listed && !ws_store_is_loaded(core))
+  if (election->lease != 0 && !election->has_member_key && !ws_store_is_loaded(core))
     return;
-  election->call_is_in_flight = TRUE;
+  election->lease_call_is_in_flight = TRUE;
   if (election->lease == 0)
     acquire_lease(core);
-  else if (!election->is_listed)
+  else if (!election->has_member_key)
     write_member_key(core);
   else
     renew_lease(core);
@@ -199,14 +202,14 @@
 }
 
 static void
-on_elected(WsCore *core, WsTxnResult result, gpointer data)
+on_leader_key_written(WsCore *core, WsTxnResult result, gpointer data)
 {
   (void)data;
-  core->election->is_electing = FALSE;
+  core->election->is_campaigning = FALSE;
   if (result == WS_TXN_COMMITTED)
     g_info("elected leader");
   else if (result == WS_TXN_UNAVAILABLE)
-    core->election->next_ms = core->now;
+    core->election->next_lease_call_ms = core->now;
 }
 
 /* Writes the leader key if it is free or belongs to an earlier incarnation of this node, whose
@@ -216,35 +219,35 @@
 campaign_for_leader(WsCore *core)
 {
   WsElection *election = core->election;
-  if (!election->is_listed || election->is_electing || holds_leader_key(core))
+  if (!election->has_member_key || election->is_campaigning || holds_leader_key(core))
     return;
   if (core->replica->leader_node != WS_NO_NODE
       && core->replica->leader_node != core->settings->self)
     return;
-  election->is_electing = TRUE;
+  election->is_campaigning = TRUE;
   WsTxn *txn = ws_txn_new();
   ws_txn_compare(txn, core->replica, WS_KEY_LEADER);
   ws_txn_put_leased(txn, WS_KEY_LEADER, ws_leader_encode(core->incarnation, own_name(core)),
                     election->lease);
-  ws_txn_commit(core, txn, WS_REQUEST_LEASE, on_elected, NULL);
+  ws_txn_commit(core, txn, WS_REQUEST_LEASE, on_leader_key_written, NULL);
 }
 
 static void
-on_epoch(WsCore *core, WsTxnResult result, gpointer data)
+on_epoch_written(WsCore *core, WsTxnResult result, gpointer data)
 {
   (void)data;
   core->election->is_writing_epoch = FALSE;
-  core->election->epoch_next_ms
-      = core->now + (result == WS_TXN_COMMITTED ? EPOCH_INTERVAL_MS : EPOCH_RETRY_MS);
+  core->election->next_epoch_ms
+      = core->now + (result == WS_TXN_COMMITTED ? EPOCH_WRITE_INTERVAL_MS : EPOCH_WRITE_RETRY_MS);
 }
 
 /* Whether a requested epoch, with the same members as the current one, is due. */
 static gboolean
-new_epoch_is_due(WsCore *core)
+epoch_bump_is_due(WsCore *core)
 {
-  if (!ws_epoch_bump_is_requested(core) || core->now < core->election->requested_epoch_ms)
+  if (!ws_epoch_bump_is_requested(core) || core->now < core->election->next_epoch_bump_ms)
     return FALSE;
-  core->election->requested_epoch_ms = core->now + REQUESTED_EPOCH_INTERVAL_MS;
+  core->election->next_epoch_bump_ms = core->now + EPOCH_BUMP_INTERVAL_MS;
   g_info("writing a new epoch with the same members: a launch is still indeterminate");
   return TRUE;
 }
@@ -267,17 +270,17 @@
   ws_txn_compare(txn, core->replica, WS_KEY_EPOCH);
   ws_txn_compare(txn, core->replica, WS_KEY_LEADER);
   ws_txn_put(txn, WS_KEY_EPOCH, ws_epoch_encode(&next, core->settings));
-  ws_txn_commit(core, txn, WS_REQUEST_LEASE, on_epoch, NULL);
+  ws_txn_commit(core, txn, WS_REQUEST_LEASE, on_epoch_written, NULL);
 }
 
 static void
 maintain_epoch(WsCore *core)
 {
   const WsElection *election = core->election;
-  if (!holds_leader_key(core) || election->is_writing_epoch || core->now < election->epoch_next_ms
+  if (!holds_leader_key(core) || election->is_writing_epoch || core->now < election->next_epoch_ms
       || core->replica->members->len == 0)
     return;
-  if (!epoch_is_current(core) || new_epoch_is_due(core))
+  if (!epoch_is_current(core) || epoch_bump_is_due(core))
     write_next_epoch(core);
 }
 
@@ -286,10 +289,10 @@
 read_for_resumption(WsCore *core)
 {
   WsElection *election = core->election;
-  if (!election->is_renewed || election->is_reading)
+  if (!election->lease_is_renewed || election->read_is_in_flight)
     return;
-  election->is_reading = TRUE;
-  ws_store_linearizable_read(core, on_resumption_read, GUINT_TO_POINTER(election->pauses));
+  election->read_is_in_flight = TRUE;
+  ws_store_linearizable_read(core, on_resumption_read, GUINT_TO_POINTER(election->pause_count));
 }
 
 void
--- a/src/membership/ws-epoch-tracker.c
+++ b/src/membership/ws-epoch-tracker.c
@@ -5,9 +5,9 @@
 #include "membership/ws-membership-private.h"
 
 struct _WsEpochTracker {
-  guint64 epoch;          /* number of the last epoch that this node began */
-  gint64 known_since_ms;  /* when it began, or when the last process pause ended */
-  gboolean needs_new_one; /* an indeterminate launch needs a higher fencing token */
+  guint64 epoch;              /* number of the last epoch that this node began */
+  gint64 known_since_ms;      /* when it began, or when the last process pause ended */
+  gboolean bump_is_requested; /* an indeterminate launch needs a higher fencing token */
 };
 
 WsEpochTracker *
@@ -43,13 +43,13 @@
 gboolean
 ws_epoch_bump_is_requested(const WsCore *core)
 {
-  return core->epoch_tracker->needs_new_one;
+  return core->epoch_tracker->bump_is_requested;
 }
 
 void
 ws_epoch_request_bump(WsCore *core)
 {
-  core->epoch_tracker->needs_new_one = TRUE;
+  core->epoch_tracker->bump_is_requested = TRUE;
 }
 
 static void
@@ -79,7 +79,7 @@
   WsEpochTracker *tracker = core->epoch_tracker;
   tracker->epoch = core->replica->epoch.number;
   tracker->known_since_ms = core->now;
-  tracker->needs_new_one = FALSE;
+  tracker->bump_is_requested = FALSE;
   ws_peer_requests_clear(core);
   ws_gossip_begin_epoch(core);
   for (guint i = 0; i < core->replica->machines->len; i++)
--- a/src/membership/ws-failure-detection.h
+++ b/src/membership/ws-failure-detection.h
@@ -9,12 +9,12 @@
 /** The state of the failure detector, grouped by the module that writes it. Times are in ms. */
 struct _WsFailureDetector {
   /* ws-liveness.c */
-  gint64 heartbeat_ms;             /**< last heartbeat received directly, not relayed */
+  gint64 last_heartbeat_ms;        /**< last heartbeat received directly, not relayed */
   gboolean receives_no_heartbeats; /**< no heartbeats arrive, though some are due */
 
   /* ws-partitions.c, both indexed by zone */
-  gint64 *partition_ms;           /**< last time a partition was detected; 0: never */
-  gint64 *confirmed_partition_ms; /**< last time a partition was confirmed; 0: never */
+  gint64 *last_partition_ms;           /**< last time a partition was detected; 0: never */
+  gint64 *last_confirmed_partition_ms; /**< last time a partition was confirmed; 0: never */
 
   /* ws-failure-detector.c */
   guint probes_in_flight;
--- a/src/membership/ws-failure-detector.c
+++ b/src/membership/ws-failure-detector.c
@@ -13,40 +13,41 @@
 #define MIN_FAILED_PROBES 2
 /* After a launch has been indeterminate for longer, a new epoch is requested for its higher fencing
    token. */
-#define INDETERMINATE_TIMEOUT_MS 8000
+#define INDETERMINATE_LAUNCH_TIMEOUT_MS 8000
 /* Time from the heartbeat timeout until a suspected machine is declared dead. */
 #define SUSPICION_MARGIN_MS 1500
 /* The same where the link to the machine may be down: time from the end of its lease. */
-#define LEASE_MARGIN_MS 500
+#define LEASE_EXPIRY_MARGIN_MS 500
 /* The timeout for machines of a partitioned zone, in lease durations. */
-#define PARTITION_LEASES 10.0
+#define PARTITION_TIMEOUT_LEASES 10.0
 /* The same for a zone without a node that could renew its workers' leases: the tasks have ended
    with the leases, and waiting can only save the machines. */
-#define PARTITION_LEASES_WITHOUT_NODE 3.0
+#define PARTITION_TIMEOUT_LEASES_WITHOUT_NODE 3.0
 /* The maximum timeout for a machine with a cancelled task, in ms per second of cancel_s. */
-#define CANCELLED_TIMEOUT_MS_PER_S 400.0
+#define CANCELLED_TIMEOUT_MS_PER_CANCEL_S 400.0
 /* A machine whose acknowledgements are overdue is assigned no tasks, and is terminated after this
    share of the lease duration. */
-#define OUTBOUND_LEASE_SHARE 0.7
-/* If at least MIN_UNREACHABLE_TOGETHER machines, and at least one in MACHINES_PER_UNREACHABLE, are
-   outbound unreachable, the probable cause is that this node's own messages are lost. */
-#define MIN_UNREACHABLE_TOGETHER 3
-#define MACHINES_PER_UNREACHABLE 5
+#define OUTBOUND_TIMEOUT_LEASE_SHARE 0.7
+/* If at least MIN_OUTBOUND_UNREACHABLE machines, and at least one in
+   MACHINES_PER_OUTBOUND_UNREACHABLE, are outbound unreachable, the probable cause is that this
+   node's own messages are lost. */
+#define MIN_OUTBOUND_UNREACHABLE 3
+#define MACHINES_PER_OUTBOUND_UNREACHABLE 5
 
 WsFailureDetector *
 ws_failure_detector_new(const WsSettings *settings)
 {
   WsFailureDetector *detector = g_new0(WsFailureDetector, 1);
-  detector->partition_ms = g_new0(gint64, MAX(settings->zones->len, 1u));
-  detector->confirmed_partition_ms = g_new0(gint64, MAX(settings->zones->len, 1u));
+  detector->last_partition_ms = g_new0(gint64, MAX(settings->zones->len, 1u));
+  detector->last_confirmed_partition_ms = g_new0(gint64, MAX(settings->zones->len, 1u));
   return detector;
 }
 
 void
 ws_failure_detector_free(WsFailureDetector *detector)
 {
-  g_free(detector->partition_ms);
-  g_free(detector->confirmed_partition_ms);
+  g_free(detector->last_partition_ms);
+  g_free(detector->last_confirmed_partition_ms);
   g_free(detector);
 }
 
@@ -93,17 +94,17 @@
 /* Suspected interruptions of links. They are the same for all machines in a tick, so they are
    computed once, at the first suspected machine. */
 typedef struct {
-  gboolean is_known;
+  gboolean is_computed;
   gboolean machines_are_suspected_together;
   gboolean *links_are_suspected; /* by zone */
 } Interruptions;
 
 static void
-find_interruptions(const WsCore *core, Interruptions *interruptions)
+compute_interruptions(const WsCore *core, Interruptions *interruptions)
 {
-  if (interruptions->is_known)
+  if (interruptions->is_computed)
     return;
-  interruptions->is_known = TRUE;
+  interruptions->is_computed = TRUE;
   interruptions->machines_are_suspected_together = ws_machines_are_suspected_together(core);
   interruptions->links_are_suspected = g_new0(gboolean, core->settings->zones->len);
   for (guint z = 0; z < core->settings->zones->len; z++)
@@ -131,16 +132,16 @@
   gboolean is_interrupted
       = ws_receives_no_heartbeats(core) || interruptions->machines_are_suspected_together
         || (machine->zone != WS_NO_ZONE && interruptions->links_are_suspected[machine->zone]);
-  gint64 timeout_ms = is_interrupted ? (gint64)(settings->lease_s * 1000.0) + LEASE_MARGIN_MS
+  gint64 timeout_ms = is_interrupted ? (gint64)(settings->lease_s * 1000.0) + LEASE_EXPIRY_MARGIN_MS
                                      : ws_liveness_heartbeat_timeout_ms(core) + SUSPICION_MARGIN_MS;
   if (ws_zone_is_partitioned_or_recovering(core, machine->zone)) {
-    double leases
-        = ws_zone_has_node(core, machine->zone) ? PARTITION_LEASES : PARTITION_LEASES_WITHOUT_NODE;
+    double leases = ws_zone_has_node(core, machine->zone) ? PARTITION_TIMEOUT_LEASES
+                                                          : PARTITION_TIMEOUT_LEASES_WITHOUT_NODE;
     timeout_ms = (gint64)(settings->lease_s * leases * 1000.0);
   }
   /* A cancelled task must end within cancel_s, also during a partition. */
   if (has_cancelled_task(core, machine))
-    timeout_ms = MIN(timeout_ms, (gint64)(settings->cancel_s * CANCELLED_TIMEOUT_MS_PER_S));
+    timeout_ms = MIN(timeout_ms, (gint64)(settings->cancel_s * CANCELLED_TIMEOUT_MS_PER_CANCEL_S));
   return timeout_ms;
 }
 
@@ -151,7 +152,7 @@
   gint64 suspected_ms = since_ms > 0 ? core->now - since_ms : 0;
   if (suspected_ms <= ws_liveness_heartbeat_timeout_ms(core))
     return;
-  find_interruptions(core, interruptions);
+  compute_interruptions(core, interruptions);
   probe_machine(core, machine);
   gboolean probes_fail
       = machine->worker.endpoint == NULL || machine->worker.failed_probes >= MIN_FAILED_PROBES;
@@ -165,14 +166,14 @@
    ended, and tasks assigned since then will not be launched; all are assigned to other machines
    once the machine is returned. Without tasks, a machine is terminated by its idle timeout. */
 static void
-check_inbound(WsCore *core, WsMachine *machine)
+check_inbound_unreachable(WsCore *core, WsMachine *machine)
 {
   if (machine->tasks->len > 0 && ws_machine_is_inbound_unreachable(core, machine))
     core->handlers->request_termination(core, machine, WS_MARK_REASON_INBOUND_UNREACHABLE, TRUE);
 }
 
 static void
-check_outbound(WsCore *core, WsMachine *machine, double timeout_ms)
+check_outbound_unreachable(WsCore *core, WsMachine *machine, double timeout_ms)
 {
   if (ws_machine_is_up(core, machine)
       && (double)ws_liveness_unacknowledged_for_ms(core, machine) > timeout_ms)
@@ -194,13 +195,14 @@
   }
   if (unreachable == 0)
     return 0.0;
-  gboolean this_node_is_unheard
-      = unreachable >= MIN_UNREACHABLE_TOGETHER && MACHINES_PER_UNREACHABLE * unreachable >= all;
-  return (this_node_is_unheard ? 1.0 : OUTBOUND_LEASE_SHARE) * core->settings->lease_s * 1000.0;
+  gboolean own_messages_are_lost = unreachable >= MIN_OUTBOUND_UNREACHABLE
+                                   && MACHINES_PER_OUTBOUND_UNREACHABLE * unreachable >= all;
+  return (own_messages_are_lost ? 1.0 : OUTBOUND_TIMEOUT_LEASE_SHARE) * core->settings->lease_s
+         * 1000.0;
 }
 
 static void
-check_all_outbound(WsCore *core)
+check_all_outbound_unreachable(WsCore *core)
 {
   double timeout_ms = outbound_timeout_ms(core);
   if (timeout_ms <= 0.0)
@@ -208,7 +210,7 @@
   for (guint i = 0; i < core->replica->machines->len; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, i);
     if (machine->is_recorded && ws_owns_machine(core, machine) && !machine->mark_is_immediate)
-      check_outbound(core, machine, timeout_ms);
+      check_outbound_unreachable(core, machine, timeout_ms);
   }
 }
 
@@ -218,7 +220,7 @@
 check_indeterminate_launches(WsCore *core, const WsMachine *machine)
 {
   if (machine->worker.indeterminate_launches > 0
-      && core->now - machine->worker.indeterminate_ms > INDETERMINATE_TIMEOUT_MS
+      && core->now - machine->worker.indeterminate_ms > INDETERMINATE_LAUNCH_TIMEOUT_MS
       && ws_machine_is_up(core, machine))
     ws_epoch_request_bump(core);
 }
@@ -230,7 +232,7 @@
   if (machine->is_marked && machine->mark_is_immediate)
     return;
   check_suspected(core, machine, interruptions);
-  check_inbound(core, machine);
+  check_inbound_unreachable(core, machine);
 }
 
 /* Each round of probes begins after the last machine of the previous round, so that the limit on
@@ -253,5 +255,5 @@
       core->failure_detector->next_probe = machine->index + 1;
   }
   g_free(interruptions.links_are_suspected);
-  check_all_outbound(core);
+  check_all_outbound_unreachable(core);
 }
--- a/src/membership/ws-gossip.c
+++ b/src/membership/ws-gossip.c
@@ -20,7 +20,7 @@
 #define GOSSIP_INTERVAL_MS 700
 #define GOSSIP_TIMEOUT_MS 1000
 /* The version logged for a peer whose messages do not contain one. */
-#define UNNAMED_VERSION "before 0.3"
+#define VERSION_IF_ABSENT "before 0.3"
 
 /* Bits of announced_state, the announced state of a machine. */
 #define ANNOUNCED_UP 1u
@@ -151,7 +151,7 @@
 }
 
 static void
-forget_announced_machines(WsCore *core, WsNodeIndex node)
+clear_announced_machines(WsCore *core, WsNodeIndex node)
 {
   for (guint i = 0; i < core->replica->machines->len; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, i);
@@ -163,7 +163,7 @@
 /* A machine that its owner announced as up is considered up, as long as gossip from the owner
    arrives, until the owner announces otherwise. */
 static void
-note_machines_heard(WsCore *core, WsNodeIndex node)
+refresh_announced_machines(WsCore *core, WsNodeIndex node)
 {
   for (guint i = 0; i < core->replica->machines->len; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, i);
@@ -180,20 +180,20 @@
     return;
   peer->acknowledged_revision = message->acknowledged_revision;
   if (message->base_revision == 0)
-    forget_announced_machines(core, node);
+    clear_announced_machines(core, node);
   if (message->base_revision == 0 || message->base_revision == peer->received_revision) {
     for (guint i = 0; i < message->machines->len; i++)
       apply_machine(core, &g_array_index(message->machines, WsGossipMachine, i));
     peer->received_revision = message->revision;
   }
-  note_machines_heard(core, node);
+  refresh_announced_machines(core, node);
 }
 
 static void
 note_version(const WsCore *core, WsNodeIndex node, const char *announced)
 {
   WsPeer *peer = ws_peer(core, node);
-  const char *version = g_intern_string(announced != NULL ? announced : UNNAMED_VERSION);
+  const char *version = g_intern_string(announced != NULL ? announced : VERSION_IF_ABSENT);
   if (version == peer->version)
     return;
   peer->version = version;
--- a/src/membership/ws-liveness.c
+++ b/src/membership/ws-liveness.c
@@ -8,17 +8,18 @@
    after 4 s, and it calls the next node 1 s later. */
 #define OWNER_DISCOVERY_MS 5000
 /* The heartbeat timeout: 1.25 heartbeat intervals and a margin for the network. */
-#define PATIENCE_MS_PER_INTERVAL_S 1250.0
-#define PATIENCE_MARGIN_MS 900
+#define HEARTBEAT_TIMEOUT_MS_PER_INTERVAL_S 1250.0
+#define HEARTBEAT_TIMEOUT_MARGIN_MS 900
 /* This node is considered unreachable by workers if no heartbeat arrives during the time in which
    this many are due, with a lower bound. */
-#define UNREACHED_HEARTBEATS 8.0
-#define MIN_UNREACHED_MS 1500
+#define MAX_MISSED_HEARTBEATS 8.0
+#define MIN_NO_HEARTBEAT_MS 1500
 
 gint64
 ws_liveness_heartbeat_timeout_ms(const WsCore *core)
 {
-  return (gint64)(core->settings->report_s * PATIENCE_MS_PER_INTERVAL_S) + PATIENCE_MARGIN_MS;
+  return (gint64)(core->settings->report_s * HEARTBEAT_TIMEOUT_MS_PER_INTERVAL_S)
+         + HEARTBEAT_TIMEOUT_MARGIN_MS;
 }
 
 gboolean
@@ -37,9 +38,9 @@
 {
   if (machine->worker.heard_ms == 0 && machine->tasks->len == 0)
     return 0;
-  gint64 discovered_ms
+  gint64 discovery_end_ms
       = machine->worker.owned_ms > 0 ? machine->worker.owned_ms + OWNER_DISCOVERY_MS : 0;
-  return MAX(machine->worker.heard_ms, discovered_ms);
+  return MAX(machine->worker.heard_ms, discovery_end_ms);
 }
 
 gboolean
@@ -80,7 +81,7 @@
 void
 ws_liveness_note_heartbeat(WsCore *core)
 {
-  core->failure_detector->heartbeat_ms = core->now;
+  core->failure_detector->last_heartbeat_ms = core->now;
 }
 
 gboolean
@@ -90,7 +91,7 @@
 }
 
 static guint
-count_heard_machines(const WsCore *core)
+count_owned_senders(const WsCore *core)
 {
   guint count = 0;
   for (guint i = 0; i < core->replica->machines->len; i++) {
@@ -108,13 +109,13 @@
 ws_liveness_tick(WsCore *core)
 {
   WsFailureDetector *detector = core->failure_detector;
-  guint count = count_heard_machines(core);
-  double usual_ms = UNREACHED_HEARTBEATS * core->settings->report_s * 1000.0 / MAX(count, 1u);
-  gint64 since_ms = MAX(detector->heartbeat_ms, ws_epoch_known_since_ms(core));
-  gboolean is_unreached
-      = count > 0 && (double)(core->now - since_ms) > MAX(usual_ms, MIN_UNREACHED_MS);
-  if (is_unreached && !detector->receives_no_heartbeats)
+  guint count = count_owned_senders(core);
+  double allowed_ms = MAX_MISSED_HEARTBEATS * core->settings->report_s * 1000.0 / MAX(count, 1u);
+  gint64 since_ms = MAX(detector->last_heartbeat_ms, ws_epoch_known_since_ms(core));
+  gboolean no_heartbeats_arrive
+      = count > 0 && (double)(core->now - since_ms) > MAX(allowed_ms, MIN_NO_HEARTBEAT_MS);
+  if (no_heartbeats_arrive && !detector->receives_no_heartbeats)
     g_info(
         "no heartbeats received from any worker: this node is considered unreachable by workers");
-  detector->receives_no_heartbeats = is_unreached;
+  detector->receives_no_heartbeats = no_heartbeats_arrive;
 }
--- a/src/membership/ws-membership.h
+++ b/src/membership/ws-membership.h
@@ -246,8 +246,9 @@
 void ws_peer_request_assignment(WsCore *core, const WsJob *job, guint task,
                                 const WsMachine *machine);
 
-/** Requests that the leader marks the machine for termination. @now: TRUE: without drain */
-void ws_peer_request_mark(WsCore *core, const WsMachine *machine, const char *why, gboolean now);
+/** Requests that the leader marks the machine for termination. @is_immediate: without drain */
+void ws_peer_request_mark(WsCore *core, const WsMachine *machine, const char *reason,
+                          gboolean is_immediate);
 
 /** Requests that the leader reserves capacity for the job. @machine: WS_NO_MACHINE: any machine */
 void ws_peer_request_reservation(WsCore *core, const WsJob *job, WsMachineIndex machine,
--- a/src/membership/ws-partitions.c
+++ b/src/membership/ws-partitions.c
@@ -11,13 +11,13 @@
 #include "storage/ws-mark-reasons.h"
 
 /* Upper bound of the time that a node takes to restart, as a share of the lease duration. */
-#define RESTART_LEASE_SHARE 0.8
+#define NODE_RESTART_LEASE_SHARE 0.8
 /* For how long a detected partition is valid. Each tick detects it again, so this must exceed the
    interval between two ticks. */
-#define PARTITION_VALID_MS 600
-/* A common cause is assumed if at least MIN_SUSPECTED_TOGETHER machines are suspected at the same
+#define PARTITION_VALIDITY_MS 600
+/* A common cause is assumed if at least MIN_SUSPECTED_MACHINES machines are suspected at the same
    time and, where machines of all zones are counted, at least one in MACHINES_PER_SUSPECTED. */
-#define MIN_SUSPECTED_TOGETHER 3
+#define MIN_SUSPECTED_MACHINES 3
 #define MACHINES_PER_SUSPECTED 5
 
 /* Number of machines whose heartbeats are expected, and how many of them are suspected. */
@@ -37,14 +37,14 @@
 static gboolean
 most_are_suspected(const SuspicionCount *count)
 {
-  return count->suspected >= MIN_SUSPECTED_TOGETHER && 2 * count->suspected > count->all;
+  return count->suspected >= MIN_SUSPECTED_MACHINES && 2 * count->suspected > count->all;
 }
 
 static gboolean
 node_is_in_zone(const WsCore *core, WsNodeIndex node, WsZoneIndex zone)
 {
-  const WsNode *settings = ws_settings_node(core->settings, node);
-  return ws_replica_find_zone(core->replica, settings->zone) == zone;
+  const WsNode *node_settings = ws_settings_node(core->settings, node);
+  return ws_replica_find_zone(core->replica, node_settings->zone) == zone;
 }
 
 static gboolean
@@ -83,9 +83,9 @@
 gboolean
 ws_zone_is_partitioned(const WsCore *core, WsZoneIndex zone)
 {
-  const gint64 *partition_ms = core->failure_detector->partition_ms;
-  return zone < core->settings->zones->len && partition_ms[zone] > 0
-         && core->now - partition_ms[zone] < PARTITION_VALID_MS;
+  const gint64 *last_partition_ms = core->failure_detector->last_partition_ms;
+  return zone < core->settings->zones->len && last_partition_ms[zone] > 0
+         && core->now - last_partition_ms[zone] < PARTITION_VALIDITY_MS;
 }
 
 /* After a partition has healed, workers still have to find their owners. They are not declared dead
@@ -93,7 +93,7 @@
 gboolean
 ws_zone_is_partitioned_or_recovering(const WsCore *core, WsZoneIndex zone)
 {
-  const gint64 *confirmed_ms = core->failure_detector->confirmed_partition_ms;
+  const gint64 *confirmed_ms = core->failure_detector->last_confirmed_partition_ms;
   if (ws_zone_is_partitioned(core, zone))
     return TRUE;
   return zone < core->settings->zones->len && confirmed_ms[zone] > 0
@@ -147,7 +147,7 @@
       continue;
     count_machine(core, machine, &count);
   }
-  return count.suspected >= MIN_SUSPECTED_TOGETHER
+  return count.suspected >= MIN_SUSPECTED_MACHINES
          && MACHINES_PER_SUSPECTED * count.suspected >= count.all;
 }
 
@@ -185,13 +185,13 @@
   if (unreachable_ms > 0 || !has_node)
     count = count_zone(core, zone, has_node);
   gboolean outlasts_restart
-      = (double)unreachable_ms > RESTART_LEASE_SHARE * core->settings->lease_s * 1000.0;
-  gboolean most_are = most_are_suspected(&count);
-  gboolean all_are = count.all > 0 && count.suspected == count.all;
-  if (most_are || (has_node && all_are))
-    detector->partition_ms[zone] = core->now;
-  if (most_are || (has_node && all_are && outlasts_restart))
-    detector->confirmed_partition_ms[zone] = core->now;
+      = (double)unreachable_ms > NODE_RESTART_LEASE_SHARE * core->settings->lease_s * 1000.0;
+  gboolean majority_is_suspected = most_are_suspected(&count);
+  gboolean all_are_suspected = count.all > 0 && count.suspected == count.all;
+  if (majority_is_suspected || (has_node && all_are_suspected))
+    detector->last_partition_ms[zone] = core->now;
+  if (majority_is_suspected || (has_node && all_are_suspected && outlasts_restart))
+    detector->last_confirmed_partition_ms[zone] = core->now;
 }
 
 void
--- a/src/membership/ws-peer-request-message.c
+++ b/src/membership/ws-peer-request-message.c
@@ -65,7 +65,7 @@
 }
 
 static void
-append(WsPeerRequestBatch *batch, WsPeerRequest *request /* taken */)
+append_request(WsPeerRequestBatch *batch, WsPeerRequest *request /* taken */)
 {
   GPtrArray **requests = &batch->requests[request->kind];
   if (*requests == NULL) {
@@ -80,7 +80,7 @@
 {
   const GPtrArray *requests = batch->requests[request->kind];
   if (requests == NULL || requests->len < MAX_REQUESTS_PER_KIND)
-    append(batch, request);
+    append_request(batch, request);
   else
     ws_peer_request_free(request);
 }
@@ -182,7 +182,7 @@
     const json_t *item;
     json_array_foreach(json_object_get(body, LIST_NAMES[k]), i, item)
     {
-      append(batch, parse_request(replica, (WsPeerRequestKind)k, item));
+      append_request(batch, parse_request(replica, (WsPeerRequestKind)k, item));
     }
   }
   return batch;
--- a/src/membership/ws-peer-requests.c
+++ b/src/membership/ws-peer-requests.c
@@ -18,11 +18,11 @@
 #include "store/ws-store.h"
 #include "protocol/ws-status-codes.h"
 
-#define BATCHING_MS 60
-#define MAILBOX_INTERVAL_MS 1000
-#define REQUEST_TIMEOUT_MS 1500
+#define BATCH_INTERVAL_MS 60
+#define MAILBOX_WRITE_INTERVAL_MS 1000
+#define PEER_REQUEST_TIMEOUT_MS 1500
 /* Time after which a peer whose batch was refused may retry. */
-#define RETRY_AFTER_S 1
+#define REFUSED_BATCH_RETRY_S 1
 
 struct _WsPeerRequests {
   WsPeerRequestBatch **queued; /* by node; NULL: nothing is queued */
@@ -85,12 +85,13 @@
 }
 
 void
-ws_peer_request_mark(WsCore *core, const WsMachine *machine, const char *why, gboolean now)
+ws_peer_request_mark(WsCore *core, const WsMachine *machine, const char *reason,
+                     gboolean is_immediate)
 {
   WsPeerRequest *request = request_new(WS_PEER_REQUEST_MARK);
   request->machine = g_strdup(machine->name);
-  request->reason = g_strdup(why);
-  request->is_immediate = now;
+  request->reason = g_strdup(reason);
+  request->is_immediate = is_immediate;
   queue_request(core, core->replica->epoch.leader, request);
 }
 
@@ -141,7 +142,7 @@
 }
 
 static void
-log_refused(const WsCore *core, const WsRelease *release)
+log_rejected_release(const WsCore *core, const WsRelease *release)
 {
   g_autofree char *text = ws_release_describe(core->replica, release);
   g_debug("release rejected in epoch %" G_GUINT64_FORMAT ", evidence not valid: %s",
@@ -162,7 +163,7 @@
   else if (ws_release_is_valid(core->replica, &release))
     core->handlers->handle_release(core, &release);
   else
-    log_refused(core, &release);
+    log_rejected_release(core, &release);
 }
 
 static void
@@ -244,7 +245,7 @@
   if (handle_batch(core, batch))
     ws_answer(core, request, WS_HTTP_OK, json_object(), 0);
   else
-    ws_answer_later(core, request, RETRY_AFTER_S);
+    ws_answer_later(core, request, REFUSED_BATCH_RETRY_S);
 }
 
 static void
@@ -274,8 +275,8 @@
 send_batch(WsCore *core, WsNodeIndex node, const WsPeerRequestBatch *batch)
 {
   ws_call(core, "POST", ws_settings_node(core->settings, node)->endpoint, WIRE_PATH_PEER_REQUESTS,
-          ws_peer_request_batch_encode(batch, core->replica), REQUEST_TIMEOUT_MS, on_batch_answered,
-          GUINT_TO_POINTER(node));
+          ws_peer_request_batch_encode(batch, core->replica), PEER_REQUEST_TIMEOUT_MS,
+          on_batch_answered, GUINT_TO_POINTER(node));
 }
 
 static void
@@ -295,7 +296,7 @@
   g_autofree char *key
       = ws_key(WS_KEYS_MAILBOX, ws_settings_node(core->settings, core->settings->self)->name);
   WsTxn *txn = ws_txn_new();
-  core->peer_requests->next_mailbox_ms = core->now + MAILBOX_INTERVAL_MS;
+  core->peer_requests->next_mailbox_ms = core->now + MAILBOX_WRITE_INTERVAL_MS;
   ws_txn_compare(txn, core->replica, WS_KEY_EPOCH);
   ws_txn_put(txn, key, value);
   ws_txn_commit(core, txn, WS_REQUEST_TASK, on_mailbox_written, NULL);
@@ -304,7 +305,7 @@
 /* Each mailbox overwrites the previous one, so requests to unreachable nodes stay queued until the
    mailbox may be written again. */
 static void
-send_all(WsCore *core)
+send_queued_batches(WsCore *core)
 {
   gboolean may_write_mailbox
       = core->now >= core->peer_requests->next_mailbox_ms && ws_store_is_available(core);
@@ -342,6 +343,6 @@
   }
   if (core->now < core->peer_requests->next_batch_ms)
     return;
-  core->peer_requests->next_batch_ms = core->now + BATCHING_MS;
-  send_all(core);
+  core->peer_requests->next_batch_ms = core->now + BATCH_INTERVAL_MS;
+  send_queued_batches(core);
 }
--- a/src/membership/ws-peers.c
+++ b/src/membership/ws-peers.c
@@ -7,7 +7,7 @@
 
 /* A peer is unreachable if no gossip from it arrives for this long: three gossip intervals of 700
    ms and a margin for a delayed message. */
-#define REACHABLE_MS 2600
+#define PEER_TIMEOUT_MS 2600
 
 WsPeers *
 ws_peers_new(const WsSettings *settings)
@@ -35,7 +35,7 @@
 {
   const WsPeer *peer = ws_peer(core, node);
   return node == core->settings->self
-         || (peer->heard_ms > 0 && core->now - peer->heard_ms < REACHABLE_MS);
+         || (peer->heard_ms > 0 && core->now - peer->heard_ms < PEER_TIMEOUT_MS);
 }
 
 gboolean
