--- a/src/membership/ws-peer-request-message.c
+++ b/src/membership/ws-peer-request-message.c
@@ -65,7 +65,7 @@
 }
 
 static void
-append_request(WsPeerRequestBatch *batch, WsPeerRequest *request /* taken */)
+append_request(WsPeerRequestBatch *batch, WsPeerRequest *request /* takes ownership */)
 {
   GPtrArray **requests = &batch->requests[request->kind];
   if (*requests == NULL) {
--- a/src/membership/ws-peer-request-message.h
+++ b/src/membership/ws-peer-request-message.h
@@ -52,7 +52,7 @@
 /**
  * Adds the request, or frees it if the batch already contains the maximum number of its kind.
  *
- * @request: taken
+ * @request: ownership passes to the batch
  */
 void ws_peer_request_batch_add(WsPeerRequestBatch *batch, WsPeerRequest *request);
 
@@ -82,7 +82,7 @@
  * Adds the batch for a node that has none in the mailbox yet.
  *
  * @node: its name; borrowed, and must outlive the mailbox
- * @batch: taken; not NULL
+ * @batch: ownership passes to the mailbox; not NULL
  */
 void ws_mailbox_add(WsMailbox *mailbox, const char *node, WsPeerRequestBatch *batch);
 
--- a/src/membership/ws-peer-requests.c
+++ b/src/membership/ws-peer-requests.c
@@ -58,7 +58,7 @@
 }
 
 static void
-queue_request(WsCore *core, WsNodeIndex node, WsPeerRequest *request /* taken */)
+queue_request(WsCore *core, WsNodeIndex node, WsPeerRequest *request /* takes ownership */)
 {
   WsPeerRequestBatch **batch = &core->peer_requests->queued[node];
   if (*batch == NULL)
--- a/tests/test-coordination.c
+++ b/tests/test-coordination.c
@@ -1,5 +1,5 @@
 /**
- * Epochs: owners of machines by rendezvous hashing, and the encoding of epoch records.
+ * Epochs: encoding of epoch records and owners of machines by rendezvous hashing. Settings: limits.
  */
 #include "coordination/ws-epoch.h"
 #include "ws-site.h"
@@ -38,7 +38,8 @@
   ws_epoch_clear(&read);
 }
 
-/* Each machine has one owner; a node that leaves gives up its own machines and moves no others. */
+/* Machines are spread evenly over the members. When a node leaves, only its machines change owner.
+   An epoch without members has no owners. */
 static void
 test_split(void)
 {
@@ -71,7 +72,8 @@
   json_decref(message);
 }
 
-/* Limits are said at the door. */
+/* Settings beyond a limit are rejected with an error that names it: at most 31 nodes, since sets of
+   nodes are bit masks, and a minimum size of the store's values. */
 static void
 test_limits(void)
 {
--- a/tests/test-peer-messages.c
+++ b/tests/test-peer-messages.c
@@ -1,4 +1,5 @@
-/* The messages between nodes, byte for byte: nodes of different versions serve side by side. */
+/* The encoding of the messages between nodes, byte for byte: nodes of different versions run in the
+   same cluster, so that it must not change. */
 #include "membership/ws-cancellation-message.h"
 #include "membership/ws-gossip-message.h"
 #include "membership/ws-peer-request-message.h"
@@ -58,8 +59,7 @@
   assert_text(again, GOSSIP);
 }
 
-/* Whatever member of the header is missing, the message is refused; its sender is known all the
-   same. */
+/* A message that lacks any required field is rejected; its sender is still found. */
 static void
 test_gossip_without_member(void)
 {
@@ -76,7 +76,8 @@
   g_assert_null(ws_gossip_message_sender(NULL));
 }
 
-/* Versions before 0.3 don't name theirs, and a message without revisions has no machines. */
+/* The version is optional, since versions before 0.3 do not send it. A message that lacks a
+   revision is accepted without its machines. */
 static void
 test_gossip_optional(void)
 {
@@ -156,7 +157,7 @@
   g_assert_false(ws_relay_message_parse(body, &message));
 }
 
-/* An envelope that lacks a field is malformed; the heartbeat is passed on as it came. */
+/* An envelope contains the heartbeat unchanged. An envelope that lacks a field is malformed. */
 static void
 test_relay_lacks_field(void)
 {
@@ -199,7 +200,7 @@
   return request;
 }
 
-/* The replica learns of the job by its final record. */
+/* Adds the job to the replica by its final record. */
 static WsJobIndex
 add_job(WsReplica *replica, const char *id)
 {
@@ -226,7 +227,7 @@
   return request;
 }
 
-/* The lists stand in the order in which they began. */
+/* The lists of a batch are encoded in the order in which their kinds were first added. */
 static void
 test_requests_encode(void)
 {
@@ -245,7 +246,8 @@
   ws_settings_free(settings);
 }
 
-/* All kinds; a release with evidence, and one of a version before 0.4. */
+/* Requests of each kind except marks, with a release that has evidence, one that has none (as sent
+   by versions before 0.4), and a malformed stop. A batch without an epoch is rejected. */
 static void
 test_requests_parse(void)
 {
@@ -279,7 +281,8 @@
   ws_settings_free(settings);
 }
 
-/* A mailbox that exceeds a record is halved, each kind for each node, until it fits. */
+/* A mailbox that exceeds the size limit of a record is truncated: each kind of each node's batch is
+   halved until the mailbox fits or all are empty. */
 static void
 test_mailbox(void)
 {
