--- a/tests/test-coordination.c
+++ b/tests/test-coordination.c
@@ -7,7 +7,7 @@
 #include <string.h>
 
 static WsEpoch
-epoch_of(guint number, guint members)
+new_epoch(guint number, guint members)
 {
   WsEpoch epoch;
   ws_epoch_init(&epoch);
@@ -22,10 +22,10 @@
 }
 
 static void
-test_round_trip(void)
+test_epoch_record_keeps_all_fields(void)
 {
   g_autoptr(WsSettings) settings = ws_test_settings(1);
-  WsEpoch epoch = epoch_of(41, 5), read;
+  WsEpoch epoch = new_epoch(41, 5), read;
   ws_epoch_init(&read);
   g_autoptr(json_t) value = ws_epoch_encode(&epoch, settings);
   g_assert_true(ws_epoch_parse(&read, value, settings));
@@ -41,19 +41,19 @@
 /* Machines are spread evenly over the members. When a node leaves, only its machines change owner.
    An epoch without members has no owners. */
 static void
-test_split(void)
+test_leaving_node_moves_only_its_machines(void)
 {
   g_autoptr(WsSettings) settings = ws_test_settings(0);
-  WsEpoch all = epoch_of(1, 7), two = epoch_of(2, 5), none = epoch_of(3, 0);
+  WsEpoch all = new_epoch(1, 7), two = new_epoch(2, 5), none = new_epoch(3, 0);
   guint owned[3] = { 0 };
   for (guint i = 0; i < 3000; i++) {
     g_autofree char *name = g_strdup_printf("m-%06u", i);
     guint owner = ws_epoch_owner(&all, name, settings);
     owned[owner]++;
-    guint later = ws_epoch_owner(&two, name, settings);
-    g_assert_cmpuint(later, !=, 1);
+    guint new_owner = ws_epoch_owner(&two, name, settings);
+    g_assert_cmpuint(new_owner, !=, 1);
     if (owner != 1)
-      g_assert_cmpuint(later, ==, owner);
+      g_assert_cmpuint(new_owner, ==, owner);
     g_assert_cmpuint(ws_epoch_owner(&none, name, settings), ==, WS_NONE);
   }
   for (guint n = 0; n < 3; n++)
@@ -64,39 +64,39 @@
 }
 
 static void
-check_refused(json_t *message /* taken */, const char *why)
+assert_rejected(json_t *message /* taken */, const char *reason)
 {
   g_autoptr(GError) error = NULL;
   g_assert_null(ws_settings_parse(message, &error));
-  g_assert_nonnull(strstr(error->message, why));
+  g_assert_nonnull(strstr(error->message, reason));
   json_decref(message);
 }
 
 /* Settings beyond a limit are rejected with an error that names it: at most 31 nodes, since sets of
    nodes are bit masks, and a minimum size of the store's values. */
 static void
-test_limits(void)
+test_settings_beyond_limits_are_rejected(void)
 {
-  json_t *crowd = ws_test_message(0);
+  json_t *too_many_peers = ws_test_message(0);
   for (guint n = 0; n < 40; n++) {
     g_autofree char *name = g_strdup_printf("extra-%u", n);
     json_array_append_new(
-        json_object_get(crowd, "peers"),
+        json_object_get(too_many_peers, "peers"),
         json_pack("{s:s, s:s, s:s}", "node_name", name, "zone", "a", "endpoint", "mesh-9:1"));
   }
-  check_refused(crowd, "31 nodes");
-  json_t *narrow = ws_test_message(0);
-  json_object_set_new(json_object_get(json_object_get(narrow, "params"), "state"), "value_kb",
-                      json_real(2.0));
-  check_refused(narrow, "value_kb");
+  assert_rejected(too_many_peers, "31 nodes");
+  json_t *too_small_values = ws_test_message(0);
+  json_object_set_new(json_object_get(json_object_get(too_small_values, "params"), "state"),
+                      "value_kb", json_real(2.0));
+  assert_rejected(too_small_values, "value_kb");
 }
 
 int
 main(int argc, char **argv)
 {
   g_test_init(&argc, &argv, NULL);
-  g_test_add_func("/coordination/round-trip", test_round_trip);
-  g_test_add_func("/coordination/split", test_split);
-  g_test_add_func("/coordination/limits", test_limits);
+  g_test_add_func("/coordination/round-trip", test_epoch_record_keeps_all_fields);
+  g_test_add_func("/coordination/split", test_leaving_node_moves_only_its_machines);
+  g_test_add_func("/coordination/limits", test_settings_beyond_limits_are_rejected);
   return g_test_run();
 }
--- a/tests/test-peer-messages.c
+++ b/tests/test-peer-messages.c
@@ -37,7 +37,7 @@
   "\"images\":[]}]}"
 
 static void
-test_gossip(void)
+test_gossip_round_trip_is_identical(void)
 {
   g_autoptr(json_t) body = parse(GOSSIP);
   g_auto(WsGossipMessage) message;
@@ -55,13 +55,13 @@
   g_assert_cmpuint(message.revision, ==, 8);
   g_assert_cmpuint(message.acknowledged_revision, ==, 4);
   g_assert_cmpuint(message.machines->len, ==, 2);
-  g_autoptr(json_t) again = ws_gossip_message_encode(&message);
-  assert_text(again, GOSSIP);
+  g_autoptr(json_t) encoded = ws_gossip_message_encode(&message);
+  assert_text(encoded, GOSSIP);
 }
 
 /* A message that lacks any required field is rejected; its sender is still found. */
 static void
-test_gossip_without_member(void)
+test_gossip_without_required_field_is_rejected(void)
 {
   static const char *const REQUIRED[] = { "epoch",   "store",       "reaches", "wants_epoch",
                                           "unheard", "incarnation", "loaded",  "untold" };
@@ -79,7 +79,7 @@
 /* The version is optional, since versions before 0.3 do not send it. A message that lacks a
    revision is accepted without its machines. */
 static void
-test_gossip_optional(void)
+test_gossip_without_optional_field_is_accepted(void)
 {
   g_autoptr(json_t) body = parse(GOSSIP);
   g_auto(WsGossipMessage) message;
@@ -93,7 +93,7 @@
 }
 
 static void
-test_gossip_malformed_machine(void)
+test_gossip_skips_malformed_machines(void)
 {
   g_autoptr(json_t) body
       = parse("{" GOSSIP_HEADER ",\"base\":0,\"rev\":1,\"ack\":0," GOSSIP_TAIL
@@ -113,7 +113,7 @@
 /* Cancellations. */
 
 static void
-test_cancellations(void)
+test_cancellations_round_trip_is_identical(void)
 {
   static const char TEXT[] = "{\"node\":\"n1\",\"jobs\":[[\"j1\",0],[\"j2\",1500]]}";
   g_autoptr(json_t) body = parse(TEXT);
@@ -122,12 +122,12 @@
   g_assert_true(ws_cancellation_message_parse(body, &message));
   g_assert_cmpuint(message.notices->len, ==, 2);
   g_assert_cmpint(g_array_index(message.notices, WsCancellationNotice, 1).age_ms, ==, 1500);
-  g_autoptr(json_t) again = ws_cancellation_message_encode(&message);
-  assert_text(again, TEXT);
+  g_autoptr(json_t) encoded = ws_cancellation_message_encode(&message);
+  assert_text(encoded, TEXT);
 }
 
 static void
-test_cancellations_malformed(void)
+test_malformed_cancellations_are_rejected(void)
 {
   static const char *const TEXTS[]
       = { "{\"node\":\"n1\"}", "{\"node\":\"n1\",\"jobs\":3}",
@@ -145,21 +145,21 @@
 /* Relayed heartbeats. */
 
 static void
-test_relay(void)
+test_relay_round_trip_is_identical(void)
 {
   static const char TEXT[] = "{\"epoch\":7,\"owner\":\"n2\",\"report\":\"{}\"}";
   g_autoptr(json_t) body = parse(TEXT);
   WsRelayMessage message;
   g_assert_true(ws_relay_message_parse(body, &message));
-  g_autoptr(json_t) again = ws_relay_message_encode(&message);
-  assert_text(again, TEXT);
+  g_autoptr(json_t) encoded = ws_relay_message_encode(&message);
+  assert_text(encoded, TEXT);
   json_object_del(body, "owner");
   g_assert_false(ws_relay_message_parse(body, &message));
 }
 
 /* An envelope contains the heartbeat unchanged. An envelope that lacks a field is malformed. */
 static void
-test_relay_lacks_field(void)
+test_relay_without_field_is_rejected(void)
 {
   static const char HEARTBEAT[] = "{\"stroj\":\"m-000231\",\"kusy\":[]}";
   WsRelayMessage relay = { 7, "node-2", HEARTBEAT }, parsed;
@@ -229,7 +229,7 @@
 
 /* The lists of a batch are encoded in the order in which their kinds were first added. */
 static void
-test_requests_encode(void)
+test_batch_is_encoded_in_order_of_addition(void)
 {
   WsSettings *settings = ws_test_settings(0);
   WsReplica *replica = ws_replica_new(settings);
@@ -249,7 +249,7 @@
 /* Requests of each kind except marks, with a release that has evidence, one that has none (as sent
    by versions before 0.4), and a malformed stop. A batch without an epoch is rejected. */
 static void
-test_requests_parse(void)
+test_batch_is_parsed_by_kind(void)
 {
   WsSettings *settings = ws_test_settings(0);
   WsReplica *replica = ws_replica_new(settings);
@@ -284,7 +284,7 @@
 /* A mailbox that exceeds the size limit of a record is truncated: each kind of each node's batch is
    halved until the mailbox fits or all are empty. */
 static void
-test_mailbox(void)
+test_oversized_mailbox_is_truncated(void)
 {
   WsSettings *settings = ws_test_settings(0);
   WsReplica *replica = ws_replica_new(settings);
@@ -314,16 +314,18 @@
 main(int argc, char **argv)
 {
   g_test_init(&argc, &argv, NULL);
-  g_test_add_func("/peer-messages/gossip", test_gossip);
-  g_test_add_func("/peer-messages/gossip-without-member", test_gossip_without_member);
-  g_test_add_func("/peer-messages/gossip-optional", test_gossip_optional);
-  g_test_add_func("/peer-messages/gossip-malformed-machine", test_gossip_malformed_machine);
-  g_test_add_func("/peer-messages/cancellations", test_cancellations);
-  g_test_add_func("/peer-messages/cancellations-malformed", test_cancellations_malformed);
-  g_test_add_func("/peer-messages/relay", test_relay);
-  g_test_add_func("/peer-messages/relay-lacks-field", test_relay_lacks_field);
-  g_test_add_func("/peer-messages/requests-encode", test_requests_encode);
-  g_test_add_func("/peer-messages/requests-parse", test_requests_parse);
-  g_test_add_func("/peer-messages/mailbox", test_mailbox);
+  g_test_add_func("/peer-messages/gossip", test_gossip_round_trip_is_identical);
+  g_test_add_func("/peer-messages/gossip-without-member",
+                  test_gossip_without_required_field_is_rejected);
+  g_test_add_func("/peer-messages/gossip-optional", test_gossip_without_optional_field_is_accepted);
+  g_test_add_func("/peer-messages/gossip-malformed-machine", test_gossip_skips_malformed_machines);
+  g_test_add_func("/peer-messages/cancellations", test_cancellations_round_trip_is_identical);
+  g_test_add_func("/peer-messages/cancellations-malformed",
+                  test_malformed_cancellations_are_rejected);
+  g_test_add_func("/peer-messages/relay", test_relay_round_trip_is_identical);
+  g_test_add_func("/peer-messages/relay-lacks-field", test_relay_without_field_is_rejected);
+  g_test_add_func("/peer-messages/requests-encode", test_batch_is_encoded_in_order_of_addition);
+  g_test_add_func("/peer-messages/requests-parse", test_batch_is_parsed_by_kind);
+  g_test_add_func("/peer-messages/mailbox", test_oversized_mailbox_is_truncated);
   return g_test_run();
 }
