--- a/src/membership/ws-liveness.c
+++ b/src/membership/ws-liveness.c
@@ -10,8 +10,8 @@
 /* The heartbeat timeout: 1.25 heartbeat intervals and a margin for the network. */
 #define HEARTBEAT_TIMEOUT_MS_PER_INTERVAL_S 1250.0
 #define HEARTBEAT_TIMEOUT_MARGIN_MS 900
-/* This node is considered unreachable by workers if no heartbeat arrives during the time in which
-   this many are due, with a lower bound. */
+/* This node is considered unreachable by workers if no heartbeat arrives while this many are due,
+   but not before MIN_NO_HEARTBEAT_MS. */
 #define MAX_MISSED_HEARTBEATS 8.0
 #define MIN_NO_HEARTBEAT_MS 1500
 
@@ -30,9 +30,9 @@
 }
 
 /* After a change of owner, a worker may still be waiting for an answer of the previous owner.
-   Suspecting machines during that time has returned machines with running tasks, so the time starts
-   OWNER_DISCOVERY_MS after the change. A machine from which this process has received nothing is
-   expected to send heartbeats if tasks are assigned to it. */
+   Suspecting its machine during that time caused machines with running tasks to be returned, so the
+   time starts OWNER_DISCOVERY_MS after the change. A machine that this process has not heard from
+   yet is expected to send heartbeats if tasks are assigned to it. */
 gint64
 ws_liveness_suspected_since_ms(const WsMachine *machine)
 {
--- a/tests/test-coordination.c
+++ b/tests/test-coordination.c
@@ -64,7 +64,7 @@
 }
 
 static void
-assert_rejected(json_t *message /* taken */, const char *reason)
+assert_rejected(json_t *message /* takes ownership */, const char *reason)
 {
   g_autoptr(GError) error = NULL;
   g_assert_null(ws_settings_parse(message, &error));
