--- a/src/core/ws-core.c
+++ b/src/core/ws-core.c
@@ -131,8 +131,8 @@
     return;
   for (guint i = 0; i < core->replica->machines->len; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, i);
-    machine->fleet.empty_ms = 0;
-    machine->fleet.underused_ms = 0;
+    machine->fleet.empty_since_ms = 0;
+    machine->fleet.underused_since_ms = 0;
   }
 }
 
--- a/src/membership/ws-authority.c
+++ b/src/membership/ws-authority.c
@@ -136,8 +136,8 @@
   ws_epoch_restart_clock(core, now_ms);
   for (guint i = 0; i < core->replica->machines->len; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, i);
-    machine->worker.owned_ms = now_ms;
-    machine->worker.unacknowledged_ms = 0;
+    machine->worker.owned_since_ms = now_ms;
+    machine->worker.unacknowledged_since_ms = 0;
   }
   ws_election_resume(core, now_ms);
   return TRUE;
--- a/src/membership/ws-epoch-tracker.c
+++ b/src/membership/ws-epoch-tracker.c
@@ -57,9 +57,9 @@
 {
   machine->worker.redirected_ms = 0;
   machine->worker.failed_probes = 0;
-  machine->worker.unacknowledged_ms = 0;
+  machine->worker.unacknowledged_since_ms = 0;
   if (machine->worker.handled_owner != machine->owner)
-    machine->worker.owned_ms = core->now;
+    machine->worker.owned_since_ms = core->now;
   machine->worker.handled_owner = machine->owner;
 }
 
--- a/src/membership/ws-failure-detector.c
+++ b/src/membership/ws-failure-detector.c
@@ -220,7 +220,7 @@
 check_indeterminate_launches(WsCore *core, const WsMachine *machine)
 {
   if (machine->worker.indeterminate_launches > 0
-      && core->now - machine->worker.indeterminate_ms > INDETERMINATE_LAUNCH_TIMEOUT_MS
+      && core->now - machine->worker.indeterminate_since_ms > INDETERMINATE_LAUNCH_TIMEOUT_MS
       && ws_machine_is_up(core, machine))
     ws_epoch_request_bump(core);
 }
--- a/src/membership/ws-liveness.c
+++ b/src/membership/ws-liveness.c
@@ -38,8 +38,9 @@
 {
   if (machine->worker.heard_ms == 0 && machine->tasks->len == 0)
     return 0;
-  gint64 discovery_end_ms
-      = machine->worker.owned_ms > 0 ? machine->worker.owned_ms + OWNER_DISCOVERY_MS : 0;
+  gint64 discovery_end_ms = machine->worker.owned_since_ms > 0
+                                ? machine->worker.owned_since_ms + OWNER_DISCOVERY_MS
+                                : 0;
   return MAX(machine->worker.heard_ms, discovery_end_ms);
 }
 
@@ -53,7 +54,9 @@
 gint64
 ws_liveness_unacknowledged_for_ms(const WsCore *core, const WsMachine *machine)
 {
-  return machine->worker.unacknowledged_ms > 0 ? core->now - machine->worker.unacknowledged_ms : 0;
+  return machine->worker.unacknowledged_since_ms > 0
+             ? core->now - machine->worker.unacknowledged_since_ms
+             : 0;
 }
 
 /* A machine that is not up is suspected, not outbound unreachable, even if it has unacknowledged
@@ -72,7 +75,7 @@
 gboolean
 ws_machine_is_inbound_unreachable(const WsCore *core, const WsMachine *machine)
 {
-  return machine->worker.incarnation_changed_ms > machine->worker.reported_ms
+  return machine->worker.incarnation_changed_ms > machine->worker.last_heartbeat_ms
          && ws_machine_is_up(core, machine)
          && core->now - machine->worker.incarnation_changed_ms
                 > ws_liveness_heartbeat_timeout_ms(core);
--- a/src/workers/ws-reconciliation.c
+++ b/src/workers/ws-reconciliation.c
@@ -150,9 +150,9 @@
   gboolean is_unacknowledged
       = run->repeats_launch || !run->has_present_token || machine->worker.consecutive_halts > 1;
   if (!is_unacknowledged)
-    machine->worker.unacknowledged_ms = 0;
-  else if (machine->worker.unacknowledged_ms == 0)
-    machine->worker.unacknowledged_ms = run->core->now;
+    machine->worker.unacknowledged_since_ms = 0;
+  else if (machine->worker.unacknowledged_since_ms == 0)
+    machine->worker.unacknowledged_since_ms = run->core->now;
 }
 
 /* A delayed copy of a heartbeat may come from a machine that was returned before this node started.
@@ -161,7 +161,7 @@
 note_heartbeat(Reconciliation *run)
 {
   WsCore *core = run->core;
-  run->machine->worker.reported_ms = core->now;
+  run->machine->worker.last_heartbeat_ms = core->now;
   if (!run->has_present_token)
     return;
   if (!run->machine->is_recorded)
@@ -183,9 +183,9 @@
 ws_workers_answer_heartbeat(WsCore *core, const WsHeartbeat *heartbeat)
 {
   guint64 fencing_token = core->replica->epoch.number;
-  WsMachine *machine = ws_replica_get_machine(core->replica, heartbeat->machine);
-  ws_replica_describe_machine(core->replica, machine, heartbeat->type, heartbeat->zone,
-                              heartbeat->is_spot);
+  WsMachine *machine = ws_replica_ensure_machine(core->replica, heartbeat->machine);
+  ws_replica_set_machine_attributes(core->replica, machine, heartbeat->type, heartbeat->zone,
+                                    heartbeat->is_spot);
   Reconciliation run = { .core = core,
                          .machine = machine,
                          .heartbeat = heartbeat,
--- a/src/workers/ws-workers.c
+++ b/src/workers/ws-workers.c
@@ -144,9 +144,9 @@
     ws_answer_later(core, request, RETRY_AFTER_S);
     return;
   }
-  WsMachine *machine = ws_replica_get_machine(core->replica, heartbeat->machine);
-  ws_replica_describe_machine(core->replica, machine, heartbeat->type, heartbeat->zone,
-                              heartbeat->is_spot);
+  WsMachine *machine = ws_replica_ensure_machine(core->replica, heartbeat->machine);
+  ws_replica_set_machine_attributes(core->replica, machine, heartbeat->type, heartbeat->zone,
+                                    heartbeat->is_spot);
   if (turn_away_if_isolated(core, machine))
     ws_answer_later(core, request, RETRY_AFTER_S);
   else if (machine->owner != core->settings->self)
--- a/tests/test-peer-messages.c
+++ b/tests/test-peer-messages.c
@@ -221,7 +221,7 @@
   request->release.attempt = 2;
   request->release.is_completed = TRUE;
   request->release.evidence.kind = WS_EVIDENCE_EXITED;
-  request->release.evidence.machine = ws_replica_get_machine(replica, "m1")->index;
+  request->release.evidence.machine = ws_replica_ensure_machine(replica, "m1")->index;
   request->release.evidence.epoch = 7;
   request->release.evidence.incarnation = 4;
   return request;
@@ -253,7 +253,7 @@
 {
   WsSettings *settings = ws_test_settings(0);
   WsReplica *replica = ws_replica_new(settings);
-  (void)ws_replica_get_machine(replica, "m1");
+  (void)ws_replica_ensure_machine(replica, "m1");
   g_autoptr(json_t) body
       = parse("{\"picks\":[[\"j1\",4,\"m1\"]],\"reservations\":[[\"j2\",6,\"\"]],"
               "\"releases\":[[\"j1\",3,2,true,\"m1\",\"exited\",7,4],[\"j1\",3,2,false]],"
