--- a/src/coordination/ws-epoch.c
+++ b/src/coordination/ws-epoch.c
@@ -1,5 +1,7 @@
-/* The record of an epoch, its members, and the assignment of machines to owners by rendezvous
-   hashing. */
+/**
+ * Encoding and parsing of epoch records, their members, and the assignment of machines to owners by
+ * rendezvous hashing.
+ */
 #include "coordination/ws-epoch.h"
 
 /* Stored field names. */
@@ -9,10 +11,10 @@
 #define FIELD_NODE "node"
 #define FIELD_INCARNATION "incarnation"
 
-/* FNV-1a, 64 bits. */
+/* Constants of FNV-1a, 64 bits. */
 #define FNV_OFFSET_BASIS G_GUINT64_CONSTANT(14695981039346656037)
 #define FNV_PRIME G_GUINT64_CONSTANT(1099511628211)
-/* The finalizer of SplitMix64. */
+/* Constants of the finalizer of SplitMix64. */
 #define MIX_SHIFT_1 30
 #define MIX_FACTOR_1 G_GUINT64_CONSTANT(0xbf58476d1ce4e5b9)
 #define MIX_SHIFT_2 27
@@ -124,10 +126,10 @@
   return TRUE;
 }
 
-/* FNV-1a over both names, finalized with a 64-bit mix, so that machines whose names differ in the
-   last digit only are still spread over all nodes. */
+/* FNV-1a over both names, finalized with a 64-bit mix, so that machines whose names differ only in
+   the last digit are still spread over all nodes. */
 static guint64
-hash_weight(const char *machine, const char *node)
+rendezvous_weight(const char *machine, const char *node)
 {
   guint64 hash = FNV_OFFSET_BASIS;
   const char *const parts[] = { machine, "|", node };
@@ -146,7 +148,7 @@
   guint64 max_weight = 0;
   for (guint i = 0; i < epoch->members->len; i++) {
     WsNodeIndex node = g_array_index(epoch->members, WsMember, i).node;
-    guint64 weight = hash_weight(machine, ws_settings_node(settings, node)->name);
+    guint64 weight = rendezvous_weight(machine, ws_settings_node(settings, node)->name);
     if (owner == WS_NO_NODE || weight > max_weight) {
       owner = node;
       max_weight = weight;
--- a/src/membership/ws-authority.c
+++ b/src/membership/ws-authority.c
@@ -1,24 +1,24 @@
 /**
- * Whether this node may act, and if not why.
+ * Decides whether this node may act, and gives the reason if it may not.
  *
- * A node acts under its membership lease and the present epoch. All conditions under which it must
+ * A node acts under its membership lease and the current epoch. All conditions under which it must
  * not act are checked here and nowhere else: a process pause, a lost lease, a partition, a replica
- * that lags behind, a cancellation that was confirmed elsewhere.
+ * that lags behind, and cancellations that other nodes confirmed.
  */
 #include "membership/ws-membership-private.h"
 
 #include "membership/ws-peers.h"
 #include "store/ws-store.h"
 
-/* Allows for the time until a refusal takes effect, for clock drift and for messages in flight. */
+/* Margin for the time until a refusal takes effect, for clock drift and for messages in flight. */
 #define LEASE_RENEWAL_MARGIN_MS 4000.0
-/* A pause between two inputs after which this node's lease may have expired. */
-#define STALL_MS 3000
+/* After a longer pause between two inputs this node's lease may have expired. */
+#define STALL_THRESHOLD_MS 3000
 
 struct _WsAuthority {
-  gboolean is_stalled;                  /* see ws_authority_detect_stall */
-  gint64 cancellations_known_ms;        /* when this node last knew all confirmed cancellations */
-  gboolean is_reached_from_other_zones; /* isolated, yet machines of other zones reach it */
+  gboolean is_stalled;                    /* see ws_authority_detect_stall() */
+  gint64 cancellations_known_ms;          /* when this node last knew all confirmed cancellations */
+  gboolean has_heartbeat_from_other_zone; /* isolated, but receives heartbeats from other zones */
 };
 
 WsAuthority *
@@ -36,28 +36,28 @@
 const char *
 ws_refusal_describe(WsRefusal refusal)
 {
-  static const char *const TEXTS[] = {
+  static const char *const DESCRIPTIONS[] = {
     [WS_REFUSAL_NONE] = "allowed",
-    [WS_REFUSAL_REPLICA_NOT_LOADED] = "the state is not read yet",
-    [WS_REFUSAL_STALLED] = "this node has not renewed its lease and read since a process pause",
+    [WS_REFUSAL_REPLICA_NOT_LOADED] = "the replica has not been loaded yet",
+    [WS_REFUSAL_STALLED] = "lease and replica are unconfirmed after a process pause",
     [WS_REFUSAL_NOT_A_MEMBER] = "this node is not a member of the epoch",
     [WS_REFUSAL_NOT_SHARD_OWNER] = "another node owns the machine",
     [WS_REFUSAL_REPLICA_BEHIND_EPOCH] = "the replica has not caught up with the epoch",
-    [WS_REFUSAL_EPOCH_SUPERSEDED] = "there is a newer epoch",
-    [WS_REFUSAL_CANCELLATIONS_UNKNOWN] = "confirmed cancellations may be missing",
+    [WS_REFUSAL_EPOCH_SUPERSEDED] = "a newer epoch exists",
+    [WS_REFUSAL_CANCELLATIONS_UNKNOWN] = "this node may not know all confirmed cancellations",
     [WS_REFUSAL_STORE_UNAVAILABLE] = "the store is unavailable to this node only",
-    [WS_REFUSAL_ISOLATED] = "neither the store nor a peer is reached",
-    [WS_REFUSAL_NO_CATALOG] = "the cloud's catalog is not known yet",
-    [WS_REFUSAL_MACHINE_UNREACHABLE] = "the machine is not reached",
+    [WS_REFUSAL_ISOLATED] = "neither the store nor any peer is reachable",
+    [WS_REFUSAL_NO_CATALOG] = "the cloud's catalog has not been loaded yet",
+    [WS_REFUSAL_MACHINE_UNREACHABLE] = "the machine is unreachable",
     [WS_REFUSAL_TOKEN_UNACKNOWLEDGED] = "the worker has not acknowledged the fencing token",
   };
-  return TEXTS[refusal];
+  return DESCRIPTIONS[refusal];
 }
 
 /* Membership and ownership. */
 
 static WsRefusal
-check_awake(const WsCore *core)
+check_loaded_and_not_stalled(const WsCore *core)
 {
   if (!ws_store_is_loaded(core))
     return WS_REFUSAL_REPLICA_NOT_LOADED;
@@ -67,7 +67,7 @@
 WsRefusal
 ws_authority_check_member(const WsCore *core)
 {
-  WsRefusal refusal = check_awake(core);
+  WsRefusal refusal = check_loaded_and_not_stalled(core);
   if (refusal != WS_REFUSAL_NONE)
     return refusal;
   return ws_epoch_has_member(&core->replica->epoch, core->settings->self, core->incarnation)
@@ -122,15 +122,16 @@
   core->authority->is_stalled = FALSE;
 }
 
-/* Every timeout of this node, that of its own lease included, may seem to have expired during the
-   pause: the clock went on while no message was read. The timeouts start again. */
+/* During the pause the clock advanced while no message was read, so that every timeout of this
+   node, including that of its lease, may seem to have expired. The timeouts are restarted. */
 gboolean
 ws_authority_detect_stall(WsCore *core, gint64 now_ms)
 {
   gint64 pause_ms = now_ms - core->now;
-  if (core->now == 0 || pause_ms <= STALL_MS)
+  if (core->now == 0 || pause_ms <= STALL_THRESHOLD_MS)
     return FALSE;
-  g_info("process pause of %.1f s", (double)pause_ms / 1000.0);
+  g_info("process pause of %.1f s detected: lease and replica unconfirmed",
+         (double)pause_ms / 1000.0);
   core->authority->is_stalled = TRUE;
   ws_epoch_restart_clock(core, now_ms);
   for (guint i = 0; i < core->replica->machines->len; i++) {
@@ -145,20 +146,21 @@
 /* Reachability. */
 
 static gboolean
-is_reached_peer(const WsCore *core, WsNodeIndex node)
+is_reachable_peer(const WsCore *core, WsNodeIndex node)
 {
   return node != core->settings->self && ws_peer_is_reachable(core, node);
 }
 
-/* In an outage for all nodes this node waits until it is over. In one for this node alone the
-   others go on without it. */
+/* Whether the store is unavailable to this node but available to a reachable peer. In an outage
+   that affects all nodes, this node waits until it ends. In one that affects this node only, the
+   other nodes continue without it. */
 static gboolean
-is_refused_by_store_alone(const WsCore *core)
+store_is_unavailable_here_only(const WsCore *core)
 {
   if (ws_store_is_available(core))
     return FALSE;
   for (guint n = 0; n < core->settings->nodes->len; n++)
-    if (is_reached_peer(core, n) && ws_peer(core, n)->store_is_available)
+    if (is_reachable_peer(core, n) && ws_peer(core, n)->store_is_available)
       return TRUE;
   return FALSE;
 }
@@ -169,7 +171,7 @@
   if (ws_store_is_available(core))
     return FALSE;
   for (guint n = 0; n < core->settings->nodes->len; n++)
-    if (is_reached_peer(core, n))
+    if (is_reachable_peer(core, n))
       return FALSE;
   return core->settings->nodes->len > 1;
 }
@@ -177,32 +179,33 @@
 gboolean
 ws_authority_has_heartbeat_from_other_zone(const WsCore *core)
 {
-  return core->authority->is_reached_from_other_zones;
+  return core->authority->has_heartbeat_from_other_zone;
 }
 
 void
 ws_authority_note_heartbeat_from_other_zone(WsCore *core)
 {
-  core->authority->is_reached_from_other_zones = TRUE;
+  core->authority->has_heartbeat_from_other_zone = TRUE;
 }
 
 /* Knowledge of confirmed cancellations and of newer epochs. */
 
-/* Whether the peer has delivered all its notifications since the store became unavailable. */
+/* Whether the peer has delivered all its cancellations since the store became unavailable. */
 static gboolean
-has_notified_all(const WsCore *core, const WsPeer *peer)
+has_delivered_cancellations(const WsCore *core, const WsPeer *peer)
 {
   return peer->cancellations_complete_ms > 0
          && peer->cancellations_complete_ms >= ws_store_unavailable_since_ms(core);
 }
 
-/* Whether a node whose replica is not current still knows all confirmed cancellations: the
-   store is unavailable to all peers that it reaches, so that nothing new can be confirmed, and one
-   of them has notified it of all that it knew. */
+/* Whether this node knows all confirmed cancellations although its replica is not current: the
+   store is unavailable to all reachable peers, so that none of them can confirm another
+   cancellation, no reachable peer has cancellations that this node lacks, and at least one peer has
+   delivered all of its own since the store became unavailable. */
 static gboolean
-peers_have_notified_all(const WsCore *core)
+peers_have_delivered_cancellations(const WsCore *core)
 {
-  gboolean is_reached = FALSE, is_notified = FALSE;
+  gboolean any_is_reachable = FALSE, any_has_delivered = FALSE;
   for (guint n = 0; n < core->settings->nodes->len; n++) {
     const WsPeer *peer = ws_peer(core, n);
     if (n == core->settings->self)
@@ -210,31 +213,32 @@
     if (ws_peer_is_reachable(core, n)
         && (peer->store_is_available || peer->unacknowledged_cancellations > 0))
       return FALSE;
-    is_reached = is_reached || ws_peer_is_reachable(core, n);
-    is_notified = is_notified || has_notified_all(core, peer);
+    any_is_reachable = any_is_reachable || ws_peer_is_reachable(core, n);
+    any_has_delivered = any_has_delivered || has_delivered_cancellations(core, peer);
   }
-  return is_reached && is_notified;
+  return any_is_reachable && any_has_delivered;
 }
 
-/* Whether this node misses no cancellation that was confirmed to its user. */
+/* Whether this node knows every cancellation that was confirmed to a user. */
 static gboolean
-has_all_cancellations(const WsCore *core)
+knows_all_cancellations(const WsCore *core)
 {
   if (!ws_store_is_loaded(core))
     return FALSE;
   return ws_store_is_current(core) || core->settings->nodes->len == 1
-         || peers_have_notified_all(core);
+         || peers_have_delivered_cancellations(core);
 }
 
-/* Whether a lease that is renewed now expires in time for any cancellation that this node misses:
-   it may last for its whole duration, and the tasks of a cancellation confirmed since this node
-   last knew all of them must be gone within cancel_s. A node inside a partitioned zone goes on
-   renewing: the nodes outside return the machines there in time. */
+/* Whether a worker's lease that is renewed now expires in time for any cancellation that this node
+   does not know. Tasks must end within cancel_s of the confirmation, which may have been given
+   right after this node last knew all cancellations, and the renewed lease may last for its whole
+   duration. An isolated node without heartbeats from other zones, as inside a partitioned zone,
+   continues to renew: the nodes outside return the machines there in time. */
 static gboolean
-lease_would_end_in_time(const WsCore *core)
+renewed_lease_expires_in_time(const WsCore *core)
 {
   const WsSettings *settings = core->settings;
-  if (has_all_cancellations(core)
+  if (knows_all_cancellations(core)
       || (ws_is_isolated(core) && !ws_authority_has_heartbeat_from_other_zone(core)))
     return TRUE;
   return (double)(core->now - core->authority->cancellations_known_ms)
@@ -253,7 +257,7 @@
 void
 ws_authority_record_known_cancellations(WsCore *core)
 {
-  if (has_all_cancellations(core))
+  if (knows_all_cancellations(core))
     core->authority->cancellations_known_ms = core->now;
 }
 
@@ -261,7 +265,7 @@
 ws_authority_tick(WsCore *core)
 {
   if (!ws_is_isolated(core))
-    core->authority->is_reached_from_other_zones = FALSE;
+    core->authority->has_heartbeat_from_other_zone = FALSE;
 }
 
 /* Permissions. */
@@ -269,12 +273,12 @@
 WsRefusal
 ws_authority_check_readiness(const WsCore *core)
 {
-  WsRefusal refusal = check_awake(core);
+  WsRefusal refusal = check_loaded_and_not_stalled(core);
   if (refusal != WS_REFUSAL_NONE)
     return refusal;
   if (core->replica->catalog == NULL)
     return WS_REFUSAL_NO_CATALOG;
-  if (is_refused_by_store_alone(core))
+  if (store_is_unavailable_here_only(core))
     return WS_REFUSAL_STORE_UNAVAILABLE;
   return ws_is_isolated(core) ? WS_REFUSAL_ISOLATED : WS_REFUSAL_NONE;
 }
@@ -287,7 +291,7 @@
     return refusal;
   if (fencing_token > core->replica->epoch.number)
     return WS_REFUSAL_EPOCH_SUPERSEDED;
-  return lease_would_end_in_time(core) ? WS_REFUSAL_NONE : WS_REFUSAL_CANCELLATIONS_UNKNOWN;
+  return renewed_lease_expires_in_time(core) ? WS_REFUSAL_NONE : WS_REFUSAL_CANCELLATIONS_UNKNOWN;
 }
 
 WsRefusal
@@ -298,7 +302,7 @@
     return refusal;
   if (peer_knows_newer_epoch(core))
     return WS_REFUSAL_EPOCH_SUPERSEDED;
-  return is_refused_by_store_alone(core) ? WS_REFUSAL_STORE_UNAVAILABLE : WS_REFUSAL_NONE;
+  return store_is_unavailable_here_only(core) ? WS_REFUSAL_STORE_UNAVAILABLE : WS_REFUSAL_NONE;
 }
 
 WsRefusal
@@ -309,7 +313,7 @@
     return refusal;
   if (!ws_has_caught_up_with_epoch(core))
     return WS_REFUSAL_REPLICA_BEHIND_EPOCH;
-  return has_all_cancellations(core) ? WS_REFUSAL_NONE : WS_REFUSAL_CANCELLATIONS_UNKNOWN;
+  return knows_all_cancellations(core) ? WS_REFUSAL_NONE : WS_REFUSAL_CANCELLATIONS_UNKNOWN;
 }
 
 WsRefusal
@@ -329,5 +333,5 @@
   WsRefusal refusal = ws_authority_check_command(core, machine);
   if (refusal != WS_REFUSAL_NONE)
     return refusal;
-  return has_all_cancellations(core) ? WS_REFUSAL_NONE : WS_REFUSAL_CANCELLATIONS_UNKNOWN;
+  return knows_all_cancellations(core) ? WS_REFUSAL_NONE : WS_REFUSAL_CANCELLATIONS_UNKNOWN;
 }
--- a/src/membership/ws-liveness.c
+++ b/src/membership/ws-liveness.c
@@ -1,24 +1,25 @@
 /**
- * Liveness of machines: which are up, which are suspected, and which are reached in one direction
+ * Liveness of machines: which are up, which are suspected, and which are reachable in one direction
  * only.
  */
 #include "membership/ws-failure-detection.h"
 
-/* The time for a worker to find a new owner: its call to a node that doesn't answer times out after
-   4 s, and a second later it calls the next node. */
+/* Time that a worker needs to find a new owner: its call to a node that does not answer times out
+   after 4 s, and it calls the next node 1 s later. */
 #define OWNER_DISCOVERY_MS 5000
-/* A heartbeat is late after 1.25 intervals and a margin for the network. */
-#define PATIENCE_MS_PER_INTERVAL_S 1250.0
-#define PATIENCE_MARGIN_MS 900
-/* This node counts as unreached by workers if none has reached it for the time in which so many
-   heartbeats were due. */
-#define UNREACHED_HEARTBEATS 8.0
-#define MIN_UNREACHED_MS 1500
+/* The heartbeat timeout: 1.25 heartbeat intervals and a margin for the network. */
+#define HEARTBEAT_TIMEOUT_MS_PER_INTERVAL_S 1250.0
+#define HEARTBEAT_TIMEOUT_MARGIN_MS 900
+/* This node is considered unreachable by workers if no heartbeat arrives while this many are due,
+   but not before MIN_NO_HEARTBEAT_MS. */
+#define MAX_MISSED_HEARTBEATS 8.0
+#define MIN_NO_HEARTBEAT_MS 1500
 
 gint64
 ws_liveness_heartbeat_timeout_ms(const WsCore *core)
 {
-  return (gint64)(core->settings->report_s * PATIENCE_MS_PER_INTERVAL_S) + PATIENCE_MARGIN_MS;
+  return (gint64)(core->settings->report_s * HEARTBEAT_TIMEOUT_MS_PER_INTERVAL_S)
+         + HEARTBEAT_TIMEOUT_MARGIN_MS;
 }
 
 gboolean
@@ -28,18 +29,19 @@
          && core->now - machine->worker.heard_ms <= ws_liveness_heartbeat_timeout_ms(core);
 }
 
-/* When the owner of a machine changes, its worker may first wait for an answer of the old one.
-   Suspecting it for that once led to the return of machines with running tasks. A machine that this
-   run of the program has never heard is expected to exist if tasks are assigned to it. */
+/* After a change of owner, a worker may still be waiting for an answer of the previous owner.
+   Suspecting its machine during that time caused machines with running tasks to be returned, so the
+   time starts OWNER_DISCOVERY_MS after the change. A machine that this process has not heard from
+   yet is expected to send heartbeats if tasks are assigned to it. */
 gint64
 ws_liveness_suspected_since_ms(const WsMachine *machine)
 {
   if (machine->worker.heard_ms == 0 && machine->tasks->len == 0)
     return 0;
-  gint64 discovered_ms = machine->worker.owned_since_ms > 0
-                             ? machine->worker.owned_since_ms + OWNER_DISCOVERY_MS
-                             : 0;
-  return MAX(machine->worker.heard_ms, discovered_ms);
+  gint64 discovery_end_ms = machine->worker.owned_since_ms > 0
+                                ? machine->worker.owned_since_ms + OWNER_DISCOVERY_MS
+                                : 0;
+  return MAX(machine->worker.heard_ms, discovery_end_ms);
 }
 
 gboolean
@@ -57,7 +59,8 @@
              : 0;
 }
 
-/* A machine that is not up is suspected instead, whatever it has not acknowledged. */
+/* A machine that is not up is suspected, not outbound unreachable, even if it has unacknowledged
+   commands. */
 gboolean
 ws_machine_is_outbound_unreachable(const WsCore *core, const WsMachine *machine)
 {
@@ -66,9 +69,9 @@
                 > ws_liveness_heartbeat_timeout_ms(core);
 }
 
-/* A call to the worker has shown that its lease expired, and no heartbeat has arrived since. Tasks
-   that are launched there end when the next lease expires. A machine whose heartbeats are answered
-   by other nodes keeps its incarnation. */
+/* A call to the worker showed a new incarnation, which means that its lease expired, and no
+   heartbeat has arrived since. Tasks launched there would end when the next lease expires. A
+   machine whose heartbeats are answered by other nodes keeps its incarnation. */
 gboolean
 ws_machine_is_inbound_unreachable(const WsCore *core, const WsMachine *machine)
 {
@@ -91,7 +94,7 @@
 }
 
 static guint
-count_heard_machines(const WsCore *core)
+count_owned_senders(const WsCore *core)
 {
   guint count = 0;
   for (guint i = 0; i < core->replica->machines->len; i++) {
@@ -102,18 +105,20 @@
   return count;
 }
 
-/* Detects whether workers fail to reach this node, rather than having failed themselves. Their
-   heartbeats are relayed by other nodes then. */
+/* Detects whether this node receives no heartbeats from any of its machines, which means that the
+   workers cannot reach it rather than that all have failed. Other nodes then relay their
+   heartbeats. */
 void
 ws_liveness_tick(WsCore *core)
 {
   WsFailureDetector *detector = core->failure_detector;
-  guint count = count_heard_machines(core);
-  double usual_ms = UNREACHED_HEARTBEATS * core->settings->report_s * 1000.0 / MAX(count, 1u);
+  guint count = count_owned_senders(core);
+  double allowed_ms = MAX_MISSED_HEARTBEATS * core->settings->report_s * 1000.0 / MAX(count, 1u);
   gint64 since_ms = MAX(detector->last_heartbeat_ms, ws_epoch_known_since_ms(core));
-  gboolean is_unreached
-      = count > 0 && (double)(core->now - since_ms) > MAX(usual_ms, MIN_UNREACHED_MS);
-  if (is_unreached && !detector->receives_no_heartbeats)
-    g_info("no worker reaches this node");
-  detector->receives_no_heartbeats = is_unreached;
+  gboolean no_heartbeats_arrive
+      = count > 0 && (double)(core->now - since_ms) > MAX(allowed_ms, MIN_NO_HEARTBEAT_MS);
+  if (no_heartbeats_arrive && !detector->receives_no_heartbeats)
+    g_info(
+        "no heartbeats received from any worker: this node is considered unreachable by workers");
+  detector->receives_no_heartbeats = no_heartbeats_arrive;
 }
--- a/src/membership/ws-mesh-names.h
+++ b/src/membership/ws-mesh-names.h
@@ -1,22 +1,22 @@
 /**
- * Paths and field names of the messages between nodes. Private to the messages' modules.
+ * Paths and field names of the messages between nodes. Private to membership.
  *
- * The spellings are those of every released version, so they stay; the names of the constants are
- * the terms that the code uses.
+ * The values must not change: nodes of all released versions use them. The names of the constants
+ * follow the terms that the code uses.
  */
 #pragma once
 
-/** Paths to which the messages are posted. */
+/** Paths of the messages, sent with POST. */
 #define WIRE_PATH_GOSSIP "/gossip"
 #define WIRE_PATH_CANCELLATIONS "/cancelled"
 #define WIRE_PATH_PEER_REQUESTS "/ask"
-/* That of relayed heartbeats is WS_RELAY_PATH, in ws-relay-message.h. */
+/* The path of relayed heartbeats is WS_RELAY_PATH, in ws-relay-message.h. */
 
-/** In several messages. */
+/** Fields that occur in several messages. */
 #define WIRE_NODE "node"
 #define WIRE_EPOCH "epoch"
 
-/** Gossip. */
+/** Fields of a gossip message. */
 #define WIRE_VERSION "version"
 #define WIRE_INCARNATION "incarnation"
 #define WIRE_STORE_IS_AVAILABLE "store"
@@ -30,23 +30,23 @@
 #define WIRE_ACKNOWLEDGED_REVISION "ack"
 #define WIRE_MACHINES "machines"
 
-/** A machine in a gossip message. */
+/** Fields of a machine in a gossip message. */
 #define WIRE_MACHINE_NAME "name"
 #define WIRE_MACHINE_IS_UP "up"
 #define WIRE_MACHINE_ENDPOINT "endpoint"
 #define WIRE_MACHINE_INTERRUPTION "notice"
 #define WIRE_MACHINE_IMAGES "images"
 
-/** Cancellations. */
+/** Field of a notification of cancellations. */
 #define WIRE_CANCELLED_JOBS "jobs"
 
-/** Peer requests: one list for each kind. */
+/** Fields of a batch of peer requests: one list for each kind. */
 #define WIRE_STOPS "stops"
 #define WIRE_RELEASES "releases"
 #define WIRE_RESERVATIONS "reservations"
 #define WIRE_ASSIGNMENTS "picks"
 #define WIRE_MARKS "marks"
 
-/** Relay. */
+/** Fields of a relayed heartbeat. */
 #define WIRE_RELAY_OWNER "owner"
 #define WIRE_RELAY_HEARTBEAT "report"
--- a/src/membership/ws-peer-requests.c
+++ b/src/membership/ws-peer-requests.c
@@ -1,15 +1,15 @@
 /**
- * What nodes request of each other.
+ * Peer requests: requests from a node to the leader, or to the owner of a machine.
  *
  * The leader writes assignments, releases and marks for all nodes: owners of machines and
  * coordinating nodes of jobs forward theirs to it. Each of these shares keys with many others (a
  * job's tasks, a team's use), so that concurrent writes by several nodes would mostly conflict, and
- * conflicts count against the store's rate limit too. Requests to stop tasks go to the owners of
- * their machines.
+ * conflicting transactions count against the store's rate limit too. Requests to stop tasks go to
+ * the owners of their machines.
  *
- * A request is sent directly or, if the other node is unreachable, through the mailbox, a key of
- * this node in the store. It may be lost: its sender repeats it when it sees no effect. It is valid
- * only in the epoch in which it was made.
+ * A request is sent directly or, if the other node is unreachable, through the mailbox, which is a
+ * key of this node in the store. A request may be lost: its sender repeats it when it sees no
+ * effect. It is valid only in the epoch in which it was made.
  */
 #include "membership/ws-membership-private.h"
 
@@ -18,14 +18,14 @@
 #include "store/ws-store.h"
 #include "protocol/ws-status-codes.h"
 
-#define BATCHING_MS 60
-#define MAILBOX_INTERVAL_MS 1000
-#define REQUEST_TIMEOUT_MS 1500
-/* When a node that took no requests may be called again. */
-#define RETRY_AFTER_S 1
+#define BATCH_INTERVAL_MS 60
+#define MAILBOX_WRITE_INTERVAL_MS 1000
+#define PEER_REQUEST_TIMEOUT_MS 1500
+/* Time after which a peer whose batch was refused may retry. */
+#define REFUSED_BATCH_RETRY_S 1
 
 struct _WsPeerRequests {
-  WsPeerRequestBatch **queued; /* by node; NULL: nothing */
+  WsPeerRequestBatch **queued; /* by node; NULL: nothing is queued */
   gint64 next_batch_ms;
   gint64 next_mailbox_ms;
 };
@@ -58,7 +58,7 @@
 }
 
 static void
-queue_request(WsCore *core, WsNodeIndex node, WsPeerRequest *request /* taken */)
+queue_request(WsCore *core, WsNodeIndex node, WsPeerRequest *request /* takes ownership */)
 {
   WsPeerRequestBatch **batch = &core->peer_requests->queued[node];
   if (*batch == NULL)
@@ -85,12 +85,13 @@
 }
 
 void
-ws_peer_request_mark(WsCore *core, const WsMachine *machine, const char *why, gboolean now)
+ws_peer_request_mark(WsCore *core, const WsMachine *machine, const char *reason,
+                     gboolean is_immediate)
 {
   WsPeerRequest *request = request_new(WS_PEER_REQUEST_MARK);
   request->machine = g_strdup(machine->name);
-  request->reason = g_strdup(why);
-  request->is_immediate = now;
+  request->reason = g_strdup(reason);
+  request->is_immediate = is_immediate;
   queue_request(core, core->replica->epoch.leader, request);
 }
 
@@ -126,7 +127,7 @@
   return job != NULL && job->spec != NULL ? job : NULL;
 }
 
-/* The job, if it has the task. */
+/* Returns the open job of the request if it has the task; else NULL. */
 static WsJob *
 find_job_of_task(const WsCore *core, const WsPeerRequest *request)
 {
@@ -141,11 +142,11 @@
 }
 
 static void
-log_refused(const WsCore *core, const WsRelease *release)
+log_rejected_release(const WsCore *core, const WsRelease *release)
 {
   g_autofree char *text = ws_release_describe(core->replica, release);
-  g_debug("a release is refused under epoch %" G_GUINT64_FORMAT ": %s", core->replica->epoch.number,
-          text);
+  g_debug("release rejected in epoch %" G_GUINT64_FORMAT ", evidence not valid: %s",
+          core->replica->epoch.number, text);
 }
 
 static void
@@ -162,7 +163,7 @@
   else if (ws_release_is_valid(core->replica, &release))
     core->handlers->handle_release(core, &release);
   else
-    log_refused(core, &release);
+    log_rejected_release(core, &release);
 }
 
 static void
@@ -222,8 +223,8 @@
     HANDLERS[kind](core, g_ptr_array_index(requests, i));
 }
 
-/* Every owner of machines handles requests to stop tasks; all others are for the leader. FALSE:
-   this node may not handle requests, or the batch is of another epoch. */
+/* Every owner of machines handles requests to stop tasks; only the leader handles the other kinds.
+   Returns FALSE if this node may not handle requests or the batch is of another epoch. */
 static gboolean
 handle_batch(WsCore *core, const WsPeerRequestBatch *batch)
 {
@@ -244,7 +245,7 @@
   if (handle_batch(core, batch))
     ws_answer(core, request, WS_HTTP_OK, json_object(), 0);
   else
-    ws_answer_later(core, request, RETRY_AFTER_S);
+    ws_answer_later(core, request, REFUSED_BATCH_RETRY_S);
 }
 
 static void
@@ -266,7 +267,7 @@
 {
   (void)body;
   if (status != WS_HTTP_OK)
-    g_debug("%s took no peer requests (status %u)",
+    g_debug("peer %s did not accept a batch of peer requests (status %u)",
             ws_settings_node(core->settings, GPOINTER_TO_UINT(data))->name, status);
 }
 
@@ -274,14 +275,14 @@
 send_batch(WsCore *core, WsNodeIndex node, const WsPeerRequestBatch *batch)
 {
   ws_call(core, "POST", ws_settings_node(core->settings, node)->endpoint, WIRE_PATH_PEER_REQUESTS,
-          ws_peer_request_batch_encode(batch, core->replica), REQUEST_TIMEOUT_MS, on_batch_answered,
-          GUINT_TO_POINTER(node));
+          ws_peer_request_batch_encode(batch, core->replica), PEER_REQUEST_TIMEOUT_MS,
+          on_batch_answered, GUINT_TO_POINTER(node));
 }
 
 static void
 on_mailbox_written(WsCore *core, WsTxnResult result, gpointer data)
 {
-  /* A lost mailbox is like any lost request: it is repeated by its sender. */
+  /* The result is ignored: like any lost request, those in a lost mailbox are sent again. */
   (void)core;
   (void)result;
   (void)data;
@@ -295,16 +296,16 @@
   g_autofree char *key
       = ws_key(WS_KEYS_MAILBOX, ws_settings_node(core->settings, core->settings->self)->name);
   WsTxn *txn = ws_txn_new();
-  core->peer_requests->next_mailbox_ms = core->now + MAILBOX_INTERVAL_MS;
+  core->peer_requests->next_mailbox_ms = core->now + MAILBOX_WRITE_INTERVAL_MS;
   ws_txn_compare(txn, core->replica, WS_KEY_EPOCH);
   ws_txn_put(txn, key, value);
   ws_txn_commit(core, txn, WS_REQUEST_TASK, on_mailbox_written, NULL);
 }
 
-/* Each mailbox replaces the previous one, so requests to unreachable nodes wait until the next may
-   be written. */
+/* Each mailbox overwrites the previous one, so requests to unreachable nodes stay queued until the
+   mailbox may be written again. */
 static void
-send_all(WsCore *core)
+send_queued_batches(WsCore *core)
 {
   gboolean may_write_mailbox
       = core->now >= core->peer_requests->next_mailbox_ms && ws_store_is_available(core);
@@ -342,6 +343,6 @@
   }
   if (core->now < core->peer_requests->next_batch_ms)
     return;
-  core->peer_requests->next_batch_ms = core->now + BATCHING_MS;
-  send_all(core);
+  core->peer_requests->next_batch_ms = core->now + BATCH_INTERVAL_MS;
+  send_queued_batches(core);
 }
