--- a/src/workers/ws-reconciliation.c
+++ b/src/workers/ws-reconciliation.c
@@ -51,7 +51,7 @@
 {
   if (!machine->is_marked || (ws_job_is_gang(job) && assignment->state >= WS_TASK_RUNNING))
     return FALSE;
-  return ws_termination_may_stop(core, machine, job, assignment);
+  return ws_termination_may_stop_task(core, machine, job, assignment);
 }
 
 /* A task that the records don't assign to this machine: it is halted, or reaped if it has exited.
