--- a/src/workers/ws-cancelled-tasks.c
+++ b/src/workers/ws-cancelled-tasks.c
@@ -1,9 +1,9 @@
 /**
  * Halts the tasks of cancelled jobs.
  *
- * Every node does so, whoever owns the machine: the job is cancelled for good, so a halt is safe
- * from any node. A machine that hasn't confirmed in time that such a task has exited is returned to
- * the cloud.
+ * Every node sends halts, not only the owner of the machine. This is safe because a cancellation is
+ * final. A machine that doesn't confirm in time that the tasks have exited is returned to the
+ * cloud.
  */
 #include "workers/ws-workers-private.h"
 
@@ -15,21 +15,24 @@
 
 #include <string.h>
 
-/* The owner halts at once; the other nodes only after this delay, if the task is still recorded. */
+/* The owner halts at once. Other nodes wait for this time, and halt if the task is still recorded.
+ */
 #define NON_OWNER_HALT_DELAY_MS 1500
 #define HALT_RETRY_MS 1000
 #define HALT_TIMEOUT_MS 2000
-/* After a call without an answer: unreachable machines must not use up MAX_HALTS_IN_FLIGHT. */
+/* Retry time after a call without an answer. It is longer than HALT_RETRY_MS so that unreachable
+   machines don't use up MAX_HALTS_IN_FLIGHT. */
 #define UNREACHABLE_HALT_RETRY_MS 4000
 #define MAX_HALTS_IN_FLIGHT 24
-/* Shares of cancel_s: from the first on a machine that hasn't confirmed gets a termination mark,
-   from the second on it is returned without one if the store is unavailable. The remaining time is
-   for the cloud to carry out the return. */
+/* Deadlines for a machine to confirm that its cancelled tasks have exited, as shares of cancel_s.
+   After the first deadline the machine gets a termination mark. After the second it is returned
+   without a mark if the store is unavailable. The rest of cancel_s is left for the cloud to carry
+   out the return. */
 #define MARK_DEADLINE_SHARE 0.4
 #define RETURN_DEADLINE_SHARE 0.6
 
 struct _WsCancelledTasks {
-  GHashTable *next_halt_ms; /* WsMachineIndex -> when the machine may be called again (gint64) */
+  GHashTable *next_halt_ms; /* WsMachineIndex -> time of the next call to the worker (gint64) */
   guint halts_in_flight;
 };
 
@@ -50,8 +53,8 @@
 
 /* Halts. */
 
-/* Whether no attempt of the task is left on the machine: while one attempt has exited since the
-   machine was busy, another one may be running. */
+/* Whether no attempt of the task remains on the machine. All attempts are checked: one attempt may
+   have exited because the machine was busy while another one is running. */
 static gboolean
 is_halted(const WsHeartbeat *heartbeat, const WsJob *job, const WsAssignment *assignment)
 {
@@ -64,8 +67,8 @@
   return TRUE;
 }
 
-/* The machine's i-th assignment, if its job is cancelled and the task isn't confirmed to have
-   exited; otherwise NULL. */
+/* Returns the machine's i-th assignment if its job is cancelled and the task isn't confirmed to
+   have exited, otherwise NULL. @job: set to the job of the i-th assignment */
 static WsAssignment *
 unhalted_assignment(const WsCore *core, const WsMachine *machine, guint i, WsJob **job)
 {
@@ -77,8 +80,9 @@
              : NULL;
 }
 
-/* Concludes from the worker's own status which tasks have exited; nothing while a launch by this
-   node is indeterminate, since that may still be carried out after the status was sent. */
+/* Marks the cancelled tasks that are missing from the worker's status, or shown as exited, as
+   confirmed gone. Marks none while a launch by this node is indeterminate, since the launch may be
+   carried out after the status was sent. */
 static void
 confirm_halted(WsCore *core, WsMachine *machine, const WsHeartbeat *heartbeat)
 {
@@ -103,7 +107,7 @@
 
 typedef struct {
   WsMachineIndex machine;
-  gboolean has_halts; /* FALSE: the call only asked for the status */
+  gboolean has_halts; /* FALSE: the call only requested the status */
 } HaltCall;
 
 static void
@@ -120,16 +124,17 @@
   confirm_halted(core, machine, heartbeat);
   if (ws_owns_machine(core, machine))
     (void)ws_workers_note_status(core, machine, heartbeat);
-  /* The incarnation and the fencing token that the worker takes are known now. */
+  /* The reply contains the incarnation and the fencing token that the worker accepts, so the halts
+     can be sent at once. */
   if (status == WS_HTTP_CONFLICT || !call->has_halts)
     schedule_halt(core, machine, 0);
 }
 
-/* Halt commands for all tasks of cancelled jobs that remain on the machine.
+/* Returns halt commands for all tasks of cancelled jobs that remain on the machine.
 
-   They carry the incarnation and the fencing token that the worker itself showed, in /status or in
-   the body of a refusal. A worker accepts its own token from any node, so the commands don't raise
-   it and the machine's owner isn't fenced off. */
+   The commands carry the incarnation and the fencing token that the worker reported itself, in
+   /status or in the body of a refusal. A worker accepts its own token from any node. The commands
+   don't raise the token, so they don't fence off the machine's owner. */
 static json_t *
 encode_halts(const WsCore *core, const WsMachine *machine)
 {
@@ -175,8 +180,9 @@
 
 /* Returns. */
 
-/* Whether no node that this one reaches can write to the store, and this node is the first among
-   the reachable nodes with a loaded replica: only one of them returns the machine. */
+/* Whether this node may return a machine without a termination mark: no node that it reaches can
+   write to the store, and it has the lowest index of the reachable nodes with a loaded replica, so
+   that only one node returns the machine. */
 static gboolean
 may_return_unmarked(const WsCore *core)
 {
@@ -189,8 +195,9 @@
   return TRUE;
 }
 
-/* Has the machine returned if its tasks haven't been confirmed as exited so long after the
-   cancellation: through a termination mark, or without one if the store is unavailable. */
+/* Requests the return of a machine whose cancelled tasks haven't been confirmed as exited by the
+   deadline: through a termination mark, or without one if the store is unavailable.
+   @age_ms: time since the cancellation was confirmed to its user */
 static void
 return_if_late(WsCore *core, WsMachine *machine, gint64 age_ms)
 {
@@ -206,8 +213,8 @@
   }
 }
 
-/* When the first cancellation with unhalted tasks on the machine was confirmed to its user; 0: all
-   are halted. */
+/* Returns when the earliest cancellation with unhalted tasks on the machine was confirmed to its
+   user; 0: there are no unhalted tasks. */
 static gint64
 unhalted_since_ms(const WsCore *core, const WsMachine *machine)
 {
@@ -222,8 +229,8 @@
   return since_ms;
 }
 
-/* Halts what is left of cancelled jobs on the machine, and has the machine returned if that takes
-   too long. */
+/* Halts the remaining tasks of cancelled jobs on the machine, and requests the machine's return if
+   they aren't confirmed as exited by the deadline. */
 static void
 enforce_on_machine(WsCore *core, WsMachine *machine)
 {
@@ -237,7 +244,7 @@
   return_if_late(core, machine, age_ms);
 }
 
-/* @seen: the machines (WsMachineIndex) that were handled already; each is handled once. */
+/* @seen: set of the machines (WsMachineIndex) handled in this tick; each is handled once */
 static void
 enforce_on_job(WsCore *core, const WsJob *job, GHashTable *seen)
 {
--- a/src/workers/ws-launch.c
+++ b/src/workers/ws-launch.c
@@ -1,6 +1,6 @@
 /**
- * Launches new assignments on this node's machines, whichever node has made them, as soon as the
- * replica shows them.
+ * Launches new assignments on the machines that this node owns, as soon as they appear in the
+ * replica. Any node may have made the assignments.
  */
 #include "workers/ws-workers-private.h"
 
@@ -17,8 +17,8 @@
   return first->machine < second->machine ? -1 : first->machine > second->machine;
 }
 
-/* Empties the replica's list of new assignments. Returns those on machines of this node (of
-   Launch). */
+/* Empties the replica's list of new assignments. Returns an array of Launch with the assignments on
+   machines that this node owns. */
 static GArray *
 take_launches(WsCore *core)
 {
@@ -39,7 +39,7 @@
 }
 
 /* Launches all tasks on the machine of the launch at index @first. Returns the index of the first
-   launch on the next machine. */
+   launch on the next machine. @launches: sorted by machine */
 static guint
 launch_on_machine(WsCore *core, const GArray *launches, guint first)
 {
@@ -51,7 +51,7 @@
     const Launch *launch = &g_array_index(launches, Launch, i);
     WsTaskRef ref = { launch->job, launch->task };
     g_array_append_val(tasks, ref);
-    g_info("task %s/%u is assigned to %s", ws_replica_job(core->replica, launch->job)->id,
+    g_info("task %s/%u assigned to machine %s", ws_replica_job(core->replica, launch->job)->id,
            launch->task, machine->name);
   }
   ws_worker_rpc_launch(core, machine, tasks);
--- a/src/workers/ws-reconciliation.c
+++ b/src/workers/ws-reconciliation.c
@@ -1,9 +1,10 @@
 /**
- * The owner's answer to a heartbeat: the commands that bring a worker to what the records assign.
+ * Reconciles a worker's tasks with the records: computes the commands in the owner's answer to a
+ * heartbeat.
  *
- * The commands follow from two inputs only: the recorded assignments of the machine, and its newest
- * heartbeat. Only the machine's owner computes them, since no other node may release a task or have
- * the worker reap one.
+ * The inputs are the recorded assignments of the machine and its newest heartbeat. Only the owner
+ * of the machine computes the commands, since no other node may release a task or command the
+ * worker to reap one.
  */
 #include "workers/ws-workers-private.h"
 
@@ -16,10 +17,10 @@
   WsMachine *machine;
   const WsHeartbeat *heartbeat;
   json_t *commands;
-  gboolean has_present_token; /* the worker has shown the token of the present epoch */
-  gboolean is_behind;         /* the replica is older than the epoch */
+  gboolean has_present_token; /* the heartbeat has the current epoch's fencing token */
+  gboolean is_behind;         /* the replica hasn't caught up with the epoch */
   gboolean has_halts;
-  gboolean repeats_launch; /* a launch that was sent earlier doesn't show in the heartbeat */
+  gboolean repeats_launch; /* a task launched earlier is missing from the heartbeat */
 } Reconciliation;
 
 static void
@@ -27,25 +28,25 @@
             double grace_s)
 {
   const WsHeartbeat *heartbeat = run->heartbeat;
-  g_debug("command to %s: %s %s/%u attempt %" G_GUINT64_FORMAT " under token %" G_GUINT64_FORMAT
-          ", upon heartbeat %" G_GUINT64_FORMAT " of incarnation %" G_GUINT64_FORMAT
-          " with token %" G_GUINT64_FORMAT,
+  g_debug("command to machine %s: %s task %s/%u, attempt %" G_GUINT64_FORMAT
+          ", fencing token %" G_GUINT64_FORMAT "; answers heartbeat %" G_GUINT64_FORMAT
+          " of incarnation %" G_GUINT64_FORMAT " with fencing token %" G_GUINT64_FORMAT,
           heartbeat->machine, ws_op_name(op), job, task, attempt, run->core->replica->epoch.number,
           heartbeat->sequence, heartbeat->incarnation, heartbeat->fencing_token);
   run->has_halts = run->has_halts || op == WS_OP_HALT;
   json_array_append_new(run->commands, ws_command_encode(op, job, task, attempt, grace_s));
 }
 
-/* Whether the absence or the exit of a task may be acted on: the worker has the present token, so
-   it refuses older commands, and no indeterminate launch can still arrive. */
+/* Whether the heartbeat proves that a missing or exited task is gone: the worker has the current
+   fencing token, so it refuses older commands, and no indeterminate launch can still arrive. */
 static gboolean
 is_conclusive(const Reconciliation *run)
 {
   return run->has_present_token && run->machine->worker.indeterminate_launches == 0;
 }
 
-/* Whether the task is stopped because its machine is to be terminated. A running gang is stopped as
-   a whole, see ws_gang_stop(). */
+/* Whether to stop the task now in order to drain its machine, which is marked for termination. A
+   running gang is stopped as a whole, see ws_gang_stop(). */
 static gboolean
 is_drained(WsCore *core, WsMachine *machine, WsJob *job, const WsAssignment *assignment)
 {
@@ -54,8 +55,7 @@
   return ws_termination_may_stop(core, machine, job, assignment);
 }
 
-/* A task that the records don't assign to this machine: it is halted, or reaped if it has exited.
- */
+/* Halts a task that the records don't assign to this machine, or reaps it if it has exited. */
 static void
 command_unassigned(Reconciliation *run, const WsTaskStatus *task)
 {
@@ -67,7 +67,7 @@
     add_command(run, WS_OP_REAP, task->job, task->task, task->attempt, 0.0);
 }
 
-/* Adds the command, if any, for a task that the heartbeat shows. */
+/* Adds the command, if any, for a task in the heartbeat. */
 static void
 command_present(Reconciliation *run, const WsTaskStatus *task)
 {
@@ -89,8 +89,9 @@
                 ws_halt_grace_s(core, job, assignment));
 }
 
-/* Whether the assignment must not be launched any more. That includes one with a pending release:
-   launched again at that moment, a failed task once ran on two machines. */
+/* Whether the assignment must not be launched any more. This includes an assignment with a pending
+   release: a failed task that was launched again while its release was being written has run on two
+   machines. */
 static gboolean
 is_unwanted(const Reconciliation *run, WsJob *job, const WsAssignment *assignment)
 {
@@ -99,8 +100,9 @@
          || ws_releases_is_pending(run->core, job, assignment);
 }
 
-/* An assigned task that the heartbeat doesn't show is launched (repeatedly, until it shows) or
-   released. It isn't launched while this node may have missed a cancellation of it. */
+/* Launches an assigned task that is missing from the heartbeat, or releases it if it must not be
+   launched any more. The launch is repeated with each heartbeat until the task is reported. A task
+   isn't launched while this node may have missed its cancellation. */
 static void
 command_absent(Reconciliation *run, WsJob *job, WsAssignment *assignment)
 {
@@ -139,9 +141,9 @@
   }
 }
 
-/* Notes since when the heartbeats don't reflect what was sent. If a machine is outbound unreachable
-   (its heartbeats arrive, but answers and commands don't reach it), its heartbeats lack the present
-   token or launched tasks, or still show tasks that were halted. */
+/* Records since when the heartbeats don't reflect the commands that were sent. If a machine is
+   outbound unreachable (its heartbeats arrive, but answers and commands don't reach it), its
+   heartbeats lack the current fencing token or launched tasks, or still show halted tasks. */
 static void
 note_unacknowledged(const Reconciliation *run)
 {
@@ -155,8 +157,10 @@
     machine->worker.unacknowledged_ms = run->core->now;
 }
 
-/* A delayed copy of a heartbeat may come from a machine that was returned before this node started.
-   Only a machine that has received an answer of this epoch certainly exists. */
+/* Updates the machine and its tasks from the heartbeat. Without the current fencing token the tasks
+   are ignored and no record is requested: the heartbeat may be a delayed copy from a machine that
+   was returned before this node started. Only a machine that has received an answer of the current
+   epoch certainly exists. */
 static void
 note_heartbeat(Reconciliation *run)
 {
--- a/src/workers/ws-relay.c
+++ b/src/workers/ws-relay.c
@@ -1,9 +1,9 @@
 /**
- * Relays heartbeats to the owner of their machine.
+ * Relays heartbeats to the owner of their machine, and the owner's answers back to the workers.
  *
- * The worker gets the owner's answer. If the owner can't be reached directly, a third node that
- * reaches it is tried. If neither answers in time, this node answers with the present fencing token
- * and without launches, which renews the lease of the worker's tasks.
+ * If the owner can't be reached directly, the heartbeat is sent through a third node that reaches
+ * it. If neither answers in time, this node answers itself, with the current fencing token and
+ * without launches. That answer renews the lease of the worker's tasks.
  */
 #include "workers/ws-workers-private.h"
 
@@ -15,17 +15,17 @@
 
 #define RELAY_TIMEOUT_MS 1200
 #define FORWARD_TIMEOUT_MS 900
-/* Heartbeats in flight to one owner. After it has crashed, and before that is detected, its workers
-   come to this node by the hundred; for those above the limit this node renews the leases itself.
- */
+/* Limit of heartbeats in flight to one owner. Between a crash of the owner and its detection,
+   hundreds of its workers send their heartbeats to this node instead. Above the limit this node
+   renews the leases itself. */
 #define MAX_RELAYS_IN_FLIGHT 12
-/* Retry-After of a heartbeat that neither the owner nor this node answers now. */
+/* Retry-After header for a heartbeat that is answered with 503. */
 #define RETRY_AFTER_S 1
 
 typedef struct {
   gpointer request;
   WsNodeIndex owner;
-  WsNodeIndex via; /* the node called last */
+  WsNodeIndex via; /* the node called: the owner or a third node */
   char *heartbeat;
 } Relay;
 
@@ -40,7 +40,7 @@
 
 static void send_relay(WsCore *core, Relay *relay /* taken */);
 
-/* A node that reaches the owner and is reached from here; WS_NO_NODE: there is none. */
+/* Returns a node that this node reaches and that reaches the owner, or WS_NO_NODE. */
 static WsNodeIndex
 find_third_node(const WsCore *core, const Relay *relay)
 {
@@ -51,7 +51,7 @@
   return WS_NO_NODE;
 }
 
-/* Adds halts for tasks of cancelled jobs that the heartbeat, in its encoded form, shows. */
+/* Adds halts for the tasks of cancelled jobs in the heartbeat. @encoded: the heartbeat as JSON */
 static void
 add_halts(const WsCore *core, const char *encoded, json_t *commands)
 {
@@ -61,7 +61,8 @@
     ws_cancelled_tasks_add_halts(core, heartbeat, commands);
 }
 
-/* Renews the lease without the owner, if this node has the permission. */
+/* Renews the lease of the worker's tasks without the owner, or answers with 503 if this node may
+   not renew leases. */
 static void
 answer_without_owner(WsCore *core, const char *heartbeat, gpointer request)
 {
@@ -75,8 +76,8 @@
             ws_heartbeat_answer_encode(core->replica->epoch.number, commands), 0);
 }
 
-/* Passes on the owner's answer, with halts added: this node may have learned of a cancellation
-   before the owner. */
+/* Sends the owner's answer to the worker. Adds halts, since this node may have received a
+   cancellation before the owner did. */
 static void
 answer_as_owner(WsCore *core, const Relay *relay, const json_t *body)
 {
@@ -128,7 +129,7 @@
     answer_without_owner(core, heartbeat, request);
 }
 
-/* The owner's answer to a heartbeat that was forwarded for another node. */
+/* Sends the owner's answer back to the node whose heartbeat this node forwarded. */
 static void
 on_forwarded(WsCore *core, guint status, const json_t *body, gpointer data)
 {
--- a/src/workers/ws-worker-rpc.c
+++ b/src/workers/ws-worker-rpc.c
@@ -1,9 +1,9 @@
 /**
  * Commands sent directly to a worker's address.
  *
- * A command without an answer may be carried out minutes later. A launch therefore counts as
- * indeterminate from the moment it is sent until it is answered; if it never is, until the worker
- * has shown a higher fencing token or a new incarnation.
+ * A command without an answer may be carried out minutes later. A launch is therefore indeterminate
+ * from the moment it is sent until it is answered or, without an answer, until the worker has
+ * reported a higher fencing token or a new incarnation.
  */
 #include "workers/ws-workers-private.h"
 
@@ -11,14 +11,14 @@
 #include "protocol/ws-status-codes.h"
 #include "storage/ws-gang-phase.h"
 
-/* Calls in flight at once. Further launches wait for the answer to the machine's next heartbeat,
-   except those of critical tasks and of gangs. */
+/* Above this limit a launch waits for the answer to the machine's next heartbeat, except launches
+   of critical tasks and of gangs. */
 #define MAX_RPCS_IN_FLIGHT 48
 #define COMMAND_TIMEOUT_MS 2000
-/* What a graceful stop may take beyond the time for saving. */
+/* Time for a graceful stop in addition to the time for saving the checkpoint. */
 #define GRACE_MARGIN_S 1.0
 
-/* A call in flight. */
+/* A call in flight, with the fencing token and the incarnation that it was sent with. */
 typedef struct {
   WsMachineIndex machine;
   guint64 fencing_token;
@@ -26,8 +26,8 @@
   gboolean has_launches;
 } CommandCall;
 
-/* Whether the call's launches still count as indeterminate: the worker has shown neither a higher
-   fencing token nor a new incarnation since. */
+/* Whether the call's launches are still indeterminate: since the call was sent, the worker has
+   reported neither a higher fencing token nor a new incarnation. */
 static gboolean
 is_counted(const CommandCall *call, const WsMachine *machine)
 {
@@ -85,7 +85,8 @@
   send_commands(core, machine, json_array(), FALSE);
 }
 
-/* A user waits for a critical task, and the other tasks of a gang wait for each of it. */
+/* Whether a delayed launch would hold up a user, who waits for a critical task, or the other tasks
+   of a gang, which wait for each other. */
 static gboolean
 has_urgent_task(const WsCore *core, const GArray *tasks)
 {
@@ -124,7 +125,7 @@
     return 0.0;
   if (!ws_job_is_gang(job))
     return job->spec->save_s + GRACE_MARGIN_S;
-  /* Once a task is lost the others can save nothing. */
+  /* Once one task of a gang is lost, the other tasks can't save a checkpoint. */
   if (ws_gang_is_ending(job) && !assignment->is_stop_requested)
     return 0.0;
   return job->spec->save_s + core->settings->gang_peer_s + GRACE_MARGIN_S;
--- a/src/workers/ws-worker-status.c
+++ b/src/workers/ws-worker-status.c
@@ -1,23 +1,23 @@
 /**
- * Updates what is known of a machine and its tasks from a status of its worker.
+ * Updates the state of a machine and its tasks from its worker's status.
  *
- * Every status newer than the last one proves that the tasks which it shows are present. Nothing is
- * concluded here from tasks that it doesn't show, see ws-reconciliation.c.
+ * A status newer than the last one proves that the tasks in it are present on the machine. This
+ * module draws no conclusion from tasks that are missing, see ws-reconciliation.c.
  */
 #include "workers/ws-workers-private.h"
 
 #include "commit/ws-commit.h"
 
-/* Images that are taken to be in a machine's cache: the most recently used ones. */
+/* Only the most recently used images are assumed to be in a machine's cache. */
 #define MAX_KNOWN_IMAGES 10
-/* The pause before a failed job's tasks are placed again doubles with each failure in a row. */
+/* Back-off before a failed job's tasks are placed again: doubled with each consecutive failure. */
 #define JOB_RETRY_MS 500
 #define MAX_JOB_RETRY_DOUBLINGS 7u
-/* The same after a gang's attempt that was never complete. */
+/* Back-off after an attempt of a gang whose tasks weren't all ready in time: doubled likewise. */
 #define MIN_GANG_BACKOFF_MS 500
 #define MAX_GANG_BACKOFF_DOUBLINGS 6u
 
-/* Makes the image the most recently used one of the machine's cache. */
+/* Moves the image to the most recently used end of the machine's image list. */
 static void
 note_image_used(WsMachine *machine, WsImageIndex image)
 {
@@ -36,9 +36,9 @@
     g_array_remove_index(images, 0);
 }
 
-/* Counts the failure against the machine and the job: a machine on which several jobs fail counts
-   as faulty, and a job that keeps failing is retried with exponential back-off until its user
-   cancels it. */
+/* Counts a task failure for the machine and for the job. A machine on which several jobs fail in a
+   row is considered faulty. A job that keeps failing is retried with exponential back-off until its
+   user cancels it. */
 static void
 note_error(WsCore *core, WsMachine *machine, WsJob *job)
 {
@@ -48,11 +48,11 @@
   if (machine->fleet.last_failed_job != job->index)
     machine->fleet.failed_jobs++;
   machine->fleet.last_failed_job = job->index;
-  g_info("a task of job %s failed on %s", job->id, machine->name);
+  g_info("task of job %s failed on machine %s", job->id, machine->name);
 }
 
-/* The gang's tasks weren't all ready to run in time. Neither a machine nor the job is at fault, but
-   the next attempt backs off, for longer each time in a row. */
+/* Delays the next attempt of a gang whose tasks weren't all ready to run in time, with exponential
+   back-off. This isn't counted as a failure of a machine or of the job. */
 static void
 back_off_gang(WsCore *core, WsJob *job)
 {
@@ -60,7 +60,7 @@
       = MIN(job->status.incomplete_attempts + 1, MAX_GANG_BACKOFF_DOUBLINGS);
   job->status.retry_ms
       = core->now + MIN_GANG_BACKOFF_MS * (gint64)(1u << job->status.incomplete_attempts);
-  g_info("gang %s was not complete in time", job->id);
+  g_info("gang %s timed out before all its tasks were ready, backing off", job->id);
 }
 
 static void
@@ -112,7 +112,8 @@
   }
   ws_releases_refute(core, job, assignment);
   if (task->state != assignment->state)
-    g_debug("task %s/%u on %s: state %d", job->id, assignment->task, machine->name, task->state);
+    g_debug("task %s/%u on machine %s changed to state %d", job->id, assignment->task,
+            machine->name, task->state);
   assignment->state = task->state;
   if (assignment->state >= WS_TASK_GATHERING)
     note_image_used(machine, job->image);
@@ -125,14 +126,16 @@
     note_task(core, machine, &g_array_index(heartbeat->tasks, WsTaskStatus, i));
 }
 
-/* All tasks of the previous incarnation are gone. A command names the incarnation that it is for,
-   so the worker refuses launches that were sent to an earlier one. */
+/* Resets the state of the machine's assignments for a new incarnation of its worker: all tasks of
+   the previous incarnation are gone. No launch stays indeterminate, since each command carries the
+   incarnation that it is meant for and the worker refuses commands for an earlier one. */
 static void
 begin_incarnation(WsCore *core, WsMachine *machine, guint64 incarnation)
 {
   if (machine->worker.incarnation != 0) {
     machine->worker.incarnation_changed_ms = core->now;
-    g_info("machine %s begins incarnation %" G_GUINT64_FORMAT, machine->name, incarnation);
+    g_info("worker on machine %s started incarnation %" G_GUINT64_FORMAT, machine->name,
+           incarnation);
   }
   machine->worker.indeterminate_launches = 0;
   for (guint i = 0; i < machine->tasks->len; i++) {
@@ -146,8 +149,8 @@
   }
 }
 
-/* A worker that has shown a fencing token refuses commands under an older one: they are no longer
-   indeterminate. */
+/* Raises the fencing token that the worker has reported. The worker refuses commands with an older
+   token, so launches that were sent with one are no longer indeterminate. */
 static void
 note_fencing_token(WsMachine *machine, guint64 fencing_token)
 {
@@ -169,7 +172,7 @@
   g_info("machine %s is up", machine->name);
 }
 
-/* @interruption_s: how soon the cloud takes the machine; negative: it has given no notice */
+/* @interruption_s: time until the cloud interrupts the machine; negative: no notice was given */
 static void
 note_interruption(WsCore *core, WsMachine *machine, double interruption_s)
 {
@@ -207,7 +210,7 @@
   return TRUE;
 }
 
-/* A status under an older fencing token may be a delayed copy, so its tasks aren't noted. */
+/* A status with an older fencing token may be a delayed copy, so its tasks are ignored. */
 gboolean
 ws_workers_note_status(WsCore *core, WsMachine *machine, const WsHeartbeat *heartbeat)
 {
--- a/src/workers/ws-workers.c
+++ b/src/workers/ws-workers.c
@@ -1,6 +1,6 @@
 /**
- * Entry point of heartbeats: each is answered here, relayed to the owner of the machine, or its
- * worker is redirected there.
+ * Entry point for heartbeats. A heartbeat is answered by this node or relayed to the owner of its
+ * machine, or the worker is redirected to the owner.
  */
 #include "workers/ws-workers-private.h"
 
@@ -8,15 +8,16 @@
 #include "membership/ws-membership.h"
 #include "protocol/ws-status-codes.h"
 
-/* A worker that was redirected and comes back can't reach the owner. For this long it isn't
-   redirected again; its heartbeats are relayed. */
+/* Minimum time between redirects of the same worker. A worker that sends its next heartbeat to this
+   node again can't reach the owner, so until then its heartbeats are relayed. */
 #define REDIRECT_INTERVAL_MS 20000
-/* How often one worker is redirected to a node that no worker reaches, to find out whether one does
-   again. */
+/* Minimum time between redirects to an owner that no worker reaches. Each redirect probes whether
+   workers reach the owner again. */
 #define UNREACHED_OWNER_RETRY_MS 2000
-/* The share of its lease for which a worker that was turned away and came back is served. */
+/* Minimum time between rejections of the same worker by an isolated node, as a share of the lease.
+ */
 #define KEPT_LEASE_SHARE 0.6
-/* Retry-After of a heartbeat that this node doesn't answer now. */
+/* Retry-After header for a heartbeat that is answered with 503. */
 #define RETRY_AFTER_S 1
 
 WsWorkers *
@@ -34,7 +35,7 @@
   g_free(workers);
 }
 
-/* Whether all nodes of the machine's zone reach the owner. */
+/* Whether all nodes of the zone, except the owner itself, reach the owner. */
 static gboolean
 zone_reaches(const WsCore *core, WsZoneIndex zone, WsNodeIndex owner)
 {
@@ -56,11 +57,12 @@
   return ws_peer_is_reachable(core, owner) && zone_reaches(core, machine->zone, owner);
 }
 
-/* Returns whether a worker may be redirected to the owner now, and notes the redirect.
+/* Returns whether a worker may be redirected to the owner now. If so, records the time of the
+   redirect.
 
-   While no worker reaches the owner, a redirected worker waits for a timeout that is longer than
-   the failure detector allows between heartbeats. So only one worker at a time probes whether the
-   owner is reached again. */
+   If workers can't reach the owner, a redirected worker waits for a timeout that is longer than the
+   failure detector allows between heartbeats. So while no worker reaches the owner, only one worker
+   per UNREACHED_OWNER_RETRY_MS is redirected, to probe whether the owner is reachable again. */
 static gboolean
 take_redirect(WsCore *core, WsNodeIndex owner)
 {
@@ -86,19 +88,20 @@
             ws_redirect_encode(ws_settings_node(core->settings, owner)->name), 0);
 }
 
-/* Whether this node may answer the heartbeat now, and the machine hasn't been returned. */
+/* Whether this node may answer the heartbeat now and the machine hasn't been returned. */
 static gboolean
 is_accepted(const WsCore *core, const WsHeartbeat *heartbeat)
 {
   WsRefusal refusal = ws_authority_check_heartbeat(core, heartbeat->fencing_token);
   if (refusal == WS_REFUSAL_NONE && !ws_returns_is_confirmed(core, heartbeat->machine))
     return TRUE;
-  g_debug("a heartbeat of %s is put off: %s", heartbeat->machine,
-          refusal != WS_REFUSAL_NONE ? ws_refusal_describe(refusal) : "it is returned");
+  g_debug("heartbeat from machine %s rejected with 503: %s", heartbeat->machine,
+          refusal != WS_REFUSAL_NONE ? ws_refusal_describe(refusal)
+                                     : "the machine has been returned");
   return FALSE;
 }
 
-/* Whether the worker was turned away a short time ago, and has come back. */
+/* Whether this node rejected the worker recently, so that it must serve the worker now. */
 static gboolean
 was_turned_away(const WsCore *core, const WsMachine *machine)
 {
@@ -107,13 +110,15 @@
          && (double)since_ms < KEPT_LEASE_SHARE * core->settings->lease_s * 1000.0;
 }
 
-/* Returns whether this node is isolated and turns the worker away, so that it tries another node.
+/* Returns whether this node is isolated and rejects the worker, so that the worker tries another
+   node. Records the time of the rejection.
 
-   Isolated from the store and all other nodes, this node can't know whether a later epoch exists.
-   If machines of other zones still reach it, only this node is partitioned: workers can reach the
-   other nodes, and each is turned away once. One that comes back has reached none of them, so it is
-   served: the answers renew its tasks' lease. If no machine of another zone reaches this node, the
-   whole zone is partitioned, and its workers have no other node. */
+   A node that is isolated from the store and from all other nodes can't know whether a later epoch
+   exists. If machines of other zones still reach it, only this node is partitioned and workers can
+   reach the other nodes, so each worker is rejected once. A worker that sends its next heartbeat to
+   this node again has reached no other node. It is served, and the answers renew the lease of its
+   tasks. If no machine of another zone reaches this node, the whole zone is partitioned and its
+   workers can't reach any other node, so none is rejected. */
 static gboolean
 turn_away_if_isolated(WsCore *core, WsMachine *machine)
 {
@@ -135,7 +140,7 @@
   g_autoptr(GError) error = NULL;
   g_autoptr(WsHeartbeat) heartbeat = ws_heartbeat_parse(message, &error);
   if (heartbeat == NULL) {
-    g_warning("a heartbeat was refused: %s", error->message);
+    g_warning("malformed heartbeat rejected with 400: %s", error->message);
     ws_answer_reason(core, request, WS_HTTP_BAD_REQUEST, error->message);
     return;
   }
--- a/src/workers/ws-workers.h
+++ b/src/workers/ws-workers.h
@@ -1,10 +1,11 @@
 /**
- * The service for workers: heartbeats in, commands out, and the end of cancelled tasks.
+ * Communication with workers: handles their heartbeats, sends them commands, and halts the tasks of
+ * cancelled jobs.
  *
- * A worker sends heartbeats with its status to any node; the owner of its machine answers with
- * commands, and the answer renews the lease of the machine's tasks. The owner also calls workers
- * itself, since that is faster. Owns the calls in flight and what is left to halt of cancelled
- * jobs.
+ * A worker sends heartbeats with its status to any node. The owner of its machine answers with
+ * commands, and the answer renews the lease of the machine's tasks. The owner also sends commands
+ * directly to workers, which is faster than waiting for the next heartbeat. This package owns the
+ * calls to workers in flight and the retry times of halts for cancelled jobs.
  */
 #pragma once
 
@@ -17,45 +18,55 @@
 void ws_workers_free(WsWorkers *workers);
 
 /**
- * Handles a worker's heartbeat, which is answered now or later: with commands, with a redirect to
- * the owner of its machine, or, where this node may renew no lease, with 503.
+ * Handles a worker's heartbeat. The answer, sent now or later, contains commands, redirects the
+ * worker to the owner of its machine, or is 503 if this node may not renew leases. A malformed
+ * heartbeat is answered with 400.
  *
- * @body: @length bytes, read before the call returns; answered with 400 if it is malformed
- * @request: the handle under which ws_answer() answers it, exactly once
+ * @body: @length bytes, read before the call returns
+ * @request: the handle passed to ws_answer(), which is called exactly once for it
  */
 void ws_workers_handle_heartbeat(WsCore *core, const char *body, gsize length, gpointer request);
 
 /**
- * Notes the status that a worker has given as the answer to a call.
+ * Updates the machine and its tasks from the status with which a worker answered a call.
  *
- * Presence is believed of every status, and nothing is concluded from absence. Returns FALSE, with
- * nothing noted, if the status is older than one that was noted before.
+ * Tasks in the status are taken as present. A task that is missing from it is not taken as gone.
+ * Returns FALSE, without any change, if the status is not newer than the last one applied.
  */
 gboolean ws_workers_note_status(WsCore *core, WsMachine *machine, const WsHeartbeat *heartbeat);
 
-/** Launches what was newly assigned on this node's machines. */
+/** Launches the newly assigned tasks on the machines that this node owns. */
 void ws_workers_launch_assigned(WsCore *core);
 
-/** Handles another node's request to pass a heartbeat on, see ws-relay-message.h. */
+/** Handles a heartbeat that another node relays, see ws-relay-message.h. */
 void ws_relay_handle_request(WsCore *core, const json_t *message, gpointer request);
 
-/** Halts what is left of cancelled jobs, and has machines returned that don't confirm in time. */
+/**
+ * Halts the remaining tasks of cancelled jobs. Requests the return of machines that don't confirm
+ * the halt in time.
+ */
 void ws_cancelled_tasks_enforce(WsCore *core);
 
 /*
  * Commands sent to a worker's own address.
  *
- * They are faster than the answers to heartbeats, but may be carried out minutes later when their
- * answer is lost. A launch without an answer is therefore counted with its machine as
- * indeterminate: nothing on the machine is released for being absent until the worker has shown a
- * higher fencing token or a new incarnation.
+ * They are faster than commands in the answers to heartbeats, but a command whose answer is lost
+ * may still be carried out minutes later. A launch without an answer is therefore counted as
+ * indeterminate: until the worker has reported a higher fencing token or a new incarnation, no task
+ * of that machine is released for being absent from a heartbeat.
  */
 
-/** Whether this node may command the worker: it is up, reached, and knows the present token. */
+/**
+ * Whether this node may send the worker commands: the worker is up and reachable, and has reported
+ * the current fencing token.
+ */
 gboolean ws_worker_rpc_is_possible(const WsCore *core, const WsMachine *machine);
 
-/** Sends the worker the present fencing token, so that it refuses commands under older ones. */
+/** Sends the worker the current fencing token, so that it refuses commands with an older one. */
 void ws_worker_rpc_raise_fencing_token(WsCore *core, WsMachine *machine);
 
-/** Halts the task, with the time that it needs to save. Does nothing if no command is possible. */
+/**
+ * Halts the task, with a grace period in which it can save a checkpoint. Does nothing if
+ * ws_worker_rpc_is_possible() is FALSE.
+ */
 void ws_worker_rpc_halt(WsCore *core, WsJob *job, WsAssignment *assignment);
