--- a/src/workers/ws-cancelled-tasks.c
+++ b/src/workers/ws-cancelled-tasks.c
@@ -19,7 +19,7 @@
  */
 #define NON_OWNER_HALT_DELAY_MS 1500
 #define HALT_RETRY_MS 1000
-#define HALT_TIMEOUT_MS 2000
+#define HALT_CALL_TIMEOUT_MS 2000
 /* Retry time after a call without an answer. It is longer than HALT_RETRY_MS so that unreachable
    machines don't use up MAX_HALTS_IN_FLIGHT. */
 #define UNREACHABLE_HALT_RETRY_MS 4000
@@ -162,14 +162,14 @@
                       MAX(machine->worker.incarnation, machine->worker.halt_incarnation) > 0 };
   if (call->has_halts)
     ws_call(core, "POST", machine->worker.endpoint, "/commands", encode_halts(core, machine),
-            HALT_TIMEOUT_MS, on_halt_reply, call);
+            HALT_CALL_TIMEOUT_MS, on_halt_reply, call);
   else
-    ws_call(core, "GET", machine->worker.endpoint, "/status", NULL, HALT_TIMEOUT_MS, on_halt_reply,
-            call);
+    ws_call(core, "GET", machine->worker.endpoint, "/status", NULL, HALT_CALL_TIMEOUT_MS,
+            on_halt_reply, call);
 }
 
 static gboolean
-may_halt(const WsCore *core, const WsMachine *machine)
+may_call_worker(const WsCore *core, const WsMachine *machine)
 {
   const gint64 *at_ms = g_hash_table_lookup(core->workers->cancelled_tasks->next_halt_ms,
                                             GUINT_TO_POINTER(machine->index));
@@ -199,7 +199,7 @@
    deadline: through a termination mark, or without one if the store is unavailable.
    @age_ms: time since the cancellation was confirmed to its user */
 static void
-return_if_late(WsCore *core, WsMachine *machine, gint64 age_ms)
+request_return_if_late(WsCore *core, WsMachine *machine, gint64 age_ms)
 {
   double share = (double)age_ms / (core->settings->cancel_s * 1000.0);
   if (share < MARK_DEADLINE_SHARE || machine->is_returned
@@ -238,10 +238,10 @@
   if (since_ms == 0)
     return;
   gint64 age_ms = core->now - since_ms;
-  if (may_halt(core, machine)
+  if (may_call_worker(core, machine)
       && (age_ms >= NON_OWNER_HALT_DELAY_MS || machine->owner == core->settings->self))
     send_halts(core, machine);
-  return_if_late(core, machine, age_ms);
+  request_return_if_late(core, machine, age_ms);
 }
 
 /* @seen: set of the machines (WsMachineIndex) handled in this tick; each is handled once */
--- a/src/workers/ws-reconciliation.c
+++ b/src/workers/ws-reconciliation.c
@@ -17,10 +17,10 @@
   WsMachine *machine;
   const WsHeartbeat *heartbeat;
   json_t *commands;
-  gboolean has_present_token; /* the heartbeat has the current epoch's fencing token */
-  gboolean is_behind;         /* the replica hasn't caught up with the epoch */
+  gboolean has_current_token; /* the heartbeat has the current epoch's fencing token */
+  gboolean replica_is_behind; /* the replica hasn't caught up with the epoch */
   gboolean has_halts;
-  gboolean repeats_launch; /* a task launched earlier is missing from the heartbeat */
+  gboolean has_repeated_launch; /* a task launched earlier is missing from the heartbeat */
 } Reconciliation;
 
 static void
@@ -42,13 +42,13 @@
 static gboolean
 is_conclusive(const Reconciliation *run)
 {
-  return run->has_present_token && run->machine->worker.indeterminate_launches == 0;
+  return run->has_current_token && run->machine->worker.indeterminate_launches == 0;
 }
 
 /* Whether to stop the task now in order to drain its machine, which is marked for termination. A
    running gang is stopped as a whole, see ws_gang_stop(). */
 static gboolean
-is_drained(WsCore *core, WsMachine *machine, WsJob *job, const WsAssignment *assignment)
+may_stop_for_drain(WsCore *core, WsMachine *machine, WsJob *job, const WsAssignment *assignment)
 {
   if (!machine->is_marked || (ws_job_is_gang(job) && assignment->state >= WS_TASK_RUNNING))
     return FALSE;
@@ -57,9 +57,9 @@
 
 /* Halts a task that the records don't assign to this machine, or reaps it if it has exited. */
 static void
-command_unassigned(Reconciliation *run, const WsTaskStatus *task)
+handle_unassigned_task(Reconciliation *run, const WsTaskStatus *task)
 {
-  if (run->is_behind)
+  if (run->replica_is_behind)
     return;
   if (task->state != WS_TASK_EXITED)
     add_command(run, WS_OP_HALT, task->job, task->task, task->attempt, 0.0);
@@ -69,13 +69,13 @@
 
 /* Adds the command, if any, for a task in the heartbeat. */
 static void
-command_present(Reconciliation *run, const WsTaskStatus *task)
+handle_present_task(Reconciliation *run, const WsTaskStatus *task)
 {
   WsJob *job;
   WsCore *core = run->core;
   WsAssignment *assignment = ws_worker_status_find_assignment(core, run->machine, task, &job);
   if (assignment == NULL) {
-    command_unassigned(run, task);
+    handle_unassigned_task(run, task);
     return;
   }
   if (task->state == WS_TASK_EXITED)
@@ -84,7 +84,7 @@
   if (task->state == WS_TASK_SAVING && !is_cancelled)
     return;
   if (is_cancelled || assignment->is_stop_requested || ws_gang_is_ending(job)
-      || is_drained(core, run->machine, job, assignment))
+      || may_stop_for_drain(core, run->machine, job, assignment))
     add_command(run, WS_OP_HALT, task->job, task->task, task->attempt,
                 ws_halt_grace_s(core, job, assignment));
 }
@@ -93,7 +93,7 @@
    release: a failed task that was launched again while its release was being written has run on two
    machines. */
 static gboolean
-is_unwanted(const Reconciliation *run, WsJob *job, const WsAssignment *assignment)
+must_not_launch(const Reconciliation *run, WsJob *job, const WsAssignment *assignment)
 {
   return ws_cancellations_has(run->core, job) || assignment->is_stop_requested
          || run->machine->is_marked || ws_gang_is_ending(job)
@@ -104,9 +104,9 @@
    launched any more. The launch is repeated with each heartbeat until the task is reported. A task
    isn't launched while this node may have missed its cancellation. */
 static void
-command_absent(Reconciliation *run, WsJob *job, WsAssignment *assignment)
+handle_absent_task(Reconciliation *run, WsJob *job, WsAssignment *assignment)
 {
-  if (is_unwanted(run, job, assignment)) {
+  if (must_not_launch(run, job, assignment)) {
     if (is_conclusive(run))
       ws_releases_add_reported(run->core, job, assignment, WS_EVIDENCE_ABSENT, FALSE);
     return;
@@ -114,20 +114,20 @@
   if (ws_authority_check_launch(run->core) != WS_REFUSAL_NONE)
     return;
   add_command(run, WS_OP_LAUNCH, job->id, assignment->task, assignment->attempt, 0.0);
-  run->repeats_launch = run->repeats_launch || assignment->is_launch_sent;
+  run->has_repeated_launch = run->has_repeated_launch || assignment->is_launch_sent;
   assignment->is_launch_sent = TRUE;
 }
 
 static void
-command_all_present(Reconciliation *run)
+handle_present_tasks(Reconciliation *run)
 {
   const GArray *tasks = run->heartbeat->tasks;
   for (guint i = 0; i < tasks->len; i++)
-    command_present(run, &g_array_index(tasks, WsTaskStatus, i));
+    handle_present_task(run, &g_array_index(tasks, WsTaskStatus, i));
 }
 
 static void
-command_all_absent(Reconciliation *run)
+handle_absent_tasks(Reconciliation *run)
 {
   const WsMachine *machine = run->machine;
   for (guint i = 0; i < machine->tasks->len; i++) {
@@ -137,7 +137,7 @@
     if (assignment != NULL && assignment->machine == machine->index
         && ws_heartbeat_find_task(run->heartbeat, job->id, assignment->task, assignment->attempt)
                == NULL)
-      command_absent(run, job, assignment);
+      handle_absent_task(run, job, assignment);
   }
 }
 
@@ -149,8 +149,8 @@
 {
   WsMachine *machine = run->machine;
   machine->worker.consecutive_halts = run->has_halts ? machine->worker.consecutive_halts + 1 : 0;
-  gboolean is_unacknowledged
-      = run->repeats_launch || !run->has_present_token || machine->worker.consecutive_halts > 1;
+  gboolean is_unacknowledged = run->has_repeated_launch || !run->has_current_token
+                               || machine->worker.consecutive_halts > 1;
   if (!is_unacknowledged)
     machine->worker.unacknowledged_ms = 0;
   else if (machine->worker.unacknowledged_ms == 0)
@@ -166,7 +166,7 @@
 {
   WsCore *core = run->core;
   run->machine->worker.reported_ms = core->now;
-  if (!run->has_present_token)
+  if (!run->has_current_token)
     return;
   if (!run->machine->is_recorded)
     ws_cloud_list_note_unrecorded(core, run->machine, core->wall);
@@ -177,9 +177,9 @@
 reconcile(Reconciliation *run)
 {
   note_heartbeat(run);
-  command_all_present(run);
-  if (!run->is_behind)
-    command_all_absent(run);
+  handle_present_tasks(run);
+  if (!run->replica_is_behind)
+    handle_absent_tasks(run);
   note_unacknowledged(run);
 }
 
@@ -194,8 +194,8 @@
                          .machine = machine,
                          .heartbeat = heartbeat,
                          .commands = json_array(),
-                         .has_present_token = heartbeat->fencing_token == fencing_token,
-                         .is_behind = !ws_has_caught_up_with_epoch(core) };
+                         .has_current_token = heartbeat->fencing_token == fencing_token,
+                         .replica_is_behind = !ws_has_caught_up_with_epoch(core) };
   gboolean was_usable = ws_machine_is_up(core, machine) && machine->worker.interruption_ms == 0;
   if (ws_worker_status_note_header(core, machine, heartbeat)) {
     reconcile(&run);
--- a/src/workers/ws-relay.c
+++ b/src/workers/ws-relay.c
@@ -18,9 +18,9 @@
 /* Limit of heartbeats in flight to one owner. Between a crash of the owner and its detection,
    hundreds of its workers send their heartbeats to this node instead. Above the limit this node
    renews the leases itself. */
-#define MAX_RELAYS_IN_FLIGHT 12
+#define MAX_RELAYS_PER_OWNER 12
 /* Retry-After header for a heartbeat that is answered with 503. */
-#define RETRY_AFTER_S 1
+#define HEARTBEAT_RETRY_AFTER_S 1
 
 typedef struct {
   gpointer request;
@@ -67,7 +67,7 @@
 answer_without_owner(WsCore *core, const char *heartbeat, gpointer request)
 {
   if (ws_authority_check_lease_renewal(core, core->replica->epoch.number) != WS_REFUSAL_NONE) {
-    ws_answer_later(core, request, RETRY_AFTER_S);
+    ws_answer_later(core, request, HEARTBEAT_RETRY_AFTER_S);
     return;
   }
   json_t *commands = json_array();
@@ -79,7 +79,7 @@
 /* Sends the owner's answer to the worker. Adds halts, since this node may have received a
    cancellation before the owner did. */
 static void
-answer_as_owner(WsCore *core, const Relay *relay, const json_t *body)
+forward_owner_answer(WsCore *core, const Relay *relay, const json_t *body)
 {
   json_t *answer = json_deep_copy(body);
   add_halts(core, relay->heartbeat, ws_heartbeat_answer_commands(answer));
@@ -100,7 +100,7 @@
     }
   }
   if (status == WS_HTTP_OK)
-    answer_as_owner(core, relay, body);
+    forward_owner_answer(core, relay, body);
   else
     answer_without_owner(core, relay->heartbeat, relay->request);
 }
@@ -123,7 +123,7 @@
   *relay = (Relay){ request, owner, owner, g_strdup(heartbeat) };
   if (!ws_peer_is_reachable(core, owner))
     relay->via = find_third_node(core, relay);
-  if (relay->via != WS_NO_NODE && ws_peer_relays_in_flight(core, owner) < MAX_RELAYS_IN_FLIGHT)
+  if (relay->via != WS_NO_NODE && ws_peer_relays_in_flight(core, owner) < MAX_RELAYS_PER_OWNER)
     send_relay(core, g_steal_pointer(&relay));
   else
     answer_without_owner(core, heartbeat, request);
@@ -136,7 +136,7 @@
   if (status == WS_HTTP_OK)
     ws_answer(core, data, WS_HTTP_OK, json_incref((json_t *)body), 0);
   else
-    ws_answer_later(core, data, RETRY_AFTER_S);
+    ws_answer_later(core, data, HEARTBEAT_RETRY_AFTER_S);
 }
 
 static void
@@ -148,7 +148,7 @@
   if (heartbeat == NULL)
     ws_answer_reason(core, request, WS_HTTP_BAD_REQUEST, error->message);
   else if (ws_authority_check_lease_renewal(core, heartbeat->fencing_token) != WS_REFUSAL_NONE)
-    ws_answer_later(core, request, RETRY_AFTER_S);
+    ws_answer_later(core, request, HEARTBEAT_RETRY_AFTER_S);
   else
     ws_answer(core, request, WS_HTTP_OK, ws_workers_answer_heartbeat(core, heartbeat), 0);
 }
@@ -164,7 +164,7 @@
   WsNodeIndex owner = ws_settings_find_node(core->settings, relayed.owner);
   if (!ws_is_active_member(core) || relayed.epoch != core->replica->epoch.number
       || owner == WS_NO_NODE)
-    ws_answer_later(core, request, RETRY_AFTER_S);
+    ws_answer_later(core, request, HEARTBEAT_RETRY_AFTER_S);
   else if (owner == core->settings->self)
     answer_relayed_heartbeat(core, relayed.heartbeat, request);
   else
--- a/src/workers/ws-worker-rpc.c
+++ b/src/workers/ws-worker-rpc.c
@@ -16,7 +16,7 @@
 #define MAX_RPCS_IN_FLIGHT 48
 #define COMMAND_TIMEOUT_MS 2000
 /* Time for a graceful stop in addition to the time for saving the checkpoint. */
-#define GRACE_MARGIN_S 1.0
+#define HALT_GRACE_MARGIN_S 1.0
 
 /* A call in flight, with the fencing token and the incarnation that it was sent with. */
 typedef struct {
@@ -29,7 +29,7 @@
 /* Whether the call's launches are still indeterminate: since the call was sent, the worker has
    reported neither a higher fencing token nor a new incarnation. */
 static gboolean
-is_counted(const CommandCall *call, const WsMachine *machine)
+is_still_indeterminate(const CommandCall *call, const WsMachine *machine)
 {
   return call->has_launches && machine->worker.indeterminate_launches > 0
          && machine->worker.indeterminate_fencing_token == call->fencing_token
@@ -42,7 +42,7 @@
   g_autofree CommandCall *call = data;
   WsMachine *machine = ws_replica_machine(core->replica, call->machine);
   core->workers->rpcs_in_flight--;
-  if (status != WS_HTTP_NO_RESPONSE && is_counted(call, machine))
+  if (status != WS_HTTP_NO_RESPONSE && is_still_indeterminate(call, machine))
     machine->worker.indeterminate_launches--;
   g_autoptr(WsHeartbeat) heartbeat = ws_heartbeat_parse_command_reply(status, body, machine->name);
   if (heartbeat != NULL && ws_owns_machine(core, machine))
@@ -50,7 +50,7 @@
 }
 
 static void
-count_indeterminate(WsCore *core, WsMachine *machine, const CommandCall *call)
+note_indeterminate_launch(WsCore *core, WsMachine *machine, const CommandCall *call)
 {
   if (machine->worker.indeterminate_launches == 0)
     machine->worker.indeterminate_ms = core->now;
@@ -67,7 +67,7 @@
                          has_launches };
   core->workers->rpcs_in_flight++;
   if (has_launches)
-    count_indeterminate(core, machine, call);
+    note_indeterminate_launch(core, machine, call);
   ws_call(core, "POST", machine->worker.endpoint, "/commands",
           ws_commands_encode(call->fencing_token, call->incarnation, commands), COMMAND_TIMEOUT_MS,
           on_command_reply, call);
@@ -124,11 +124,11 @@
   if (ws_cancellations_has(core, job) || job->spec->checkpoint_s <= 0.0)
     return 0.0;
   if (!ws_job_is_gang(job))
-    return job->spec->save_s + GRACE_MARGIN_S;
+    return job->spec->save_s + HALT_GRACE_MARGIN_S;
   /* Once one task of a gang is lost, the other tasks can't save a checkpoint. */
   if (ws_gang_is_ending(job) && !assignment->is_stop_requested)
     return 0.0;
-  return job->spec->save_s + core->settings->gang_peer_s + GRACE_MARGIN_S;
+  return job->spec->save_s + core->settings->gang_peer_s + HALT_GRACE_MARGIN_S;
 }
 
 void
--- a/src/workers/ws-worker-status.c
+++ b/src/workers/ws-worker-status.c
@@ -9,12 +9,12 @@
 #include "commit/ws-commit.h"
 
 /* Only the most recently used images are assumed to be in a machine's cache. */
-#define MAX_KNOWN_IMAGES 10
+#define MAX_CACHED_IMAGES 10
 /* Back-off before a failed job's tasks are placed again: doubled with each consecutive failure. */
-#define JOB_RETRY_MS 500
-#define MAX_JOB_RETRY_DOUBLINGS 7u
+#define JOB_BACKOFF_BASE_MS 500
+#define MAX_JOB_BACKOFF_DOUBLINGS 7u
 /* Back-off after an attempt of a gang whose tasks weren't all ready in time: doubled likewise. */
-#define MIN_GANG_BACKOFF_MS 500
+#define GANG_BACKOFF_BASE_MS 500
 #define MAX_GANG_BACKOFF_DOUBLINGS 6u
 
 /* Moves the image to the most recently used end of the machine's image list. */
@@ -32,7 +32,7 @@
       break;
     }
   g_array_append_val(images, image);
-  if (images->len > MAX_KNOWN_IMAGES)
+  if (images->len > MAX_CACHED_IMAGES)
     g_array_remove_index(images, 0);
 }
 
@@ -40,11 +40,11 @@
    row is considered faulty. A job that keeps failing is retried with exponential back-off until its
    user cancels it. */
 static void
-note_error(WsCore *core, WsMachine *machine, WsJob *job)
+note_task_failure(WsCore *core, WsMachine *machine, WsJob *job)
 {
   job->status.consecutive_errors++;
-  guint doublings = MIN(job->status.consecutive_errors, MAX_JOB_RETRY_DOUBLINGS);
-  job->status.retry_ms = core->now + JOB_RETRY_MS * (gint64)(1u << doublings);
+  guint doublings = MIN(job->status.consecutive_errors, MAX_JOB_BACKOFF_DOUBLINGS);
+  job->status.retry_ms = core->now + JOB_BACKOFF_BASE_MS * (gint64)(1u << doublings);
   if (machine->fleet.last_failed_job != job->index)
     machine->fleet.failed_jobs++;
   machine->fleet.last_failed_job = job->index;
@@ -59,7 +59,7 @@
   job->status.incomplete_attempts
       = MIN(job->status.incomplete_attempts + 1, MAX_GANG_BACKOFF_DOUBLINGS);
   job->status.retry_ms
-      = core->now + MIN_GANG_BACKOFF_MS * (gint64)(1u << job->status.incomplete_attempts);
+      = core->now + GANG_BACKOFF_BASE_MS * (gint64)(1u << job->status.incomplete_attempts);
   g_info("gang %s timed out before all its tasks were ready, backing off", job->id);
 }
 
@@ -71,9 +71,9 @@
     return;
   assignment->state = WS_TASK_EXITED;
   if (reason == WS_EXIT_ERROR)
-    note_error(core, machine, job);
+    note_task_failure(core, machine, job);
   if (reason == WS_EXIT_REFUSED)
-    job->status.retry_ms = core->now + JOB_RETRY_MS;
+    job->status.retry_ms = core->now + JOB_BACKOFF_BASE_MS;
   if (reason == WS_EXIT_INCOMPLETE)
     back_off_gang(core, job);
   if (reason == WS_EXIT_DONE) {
--- a/src/workers/ws-workers.c
+++ b/src/workers/ws-workers.c
@@ -13,12 +13,12 @@
 #define REDIRECT_INTERVAL_MS 20000
 /* Minimum time between redirects to an owner that no worker reaches. Each redirect probes whether
    workers reach the owner again. */
-#define UNREACHED_OWNER_RETRY_MS 2000
+#define UNREACHED_OWNER_REDIRECT_INTERVAL_MS 2000
 /* Minimum time between rejections of the same worker by an isolated node, as a share of the lease.
  */
-#define KEPT_LEASE_SHARE 0.6
+#define REJECTION_INTERVAL_LEASE_SHARE 0.6
 /* Retry-After header for a heartbeat that is answered with 503. */
-#define RETRY_AFTER_S 1
+#define HEARTBEAT_RETRY_AFTER_S 1
 
 WsWorkers *
 ws_workers_new(void)
@@ -37,7 +37,7 @@
 
 /* Whether all nodes of the zone, except the owner itself, reach the owner. */
 static gboolean
-zone_reaches(const WsCore *core, WsZoneIndex zone, WsNodeIndex owner)
+zone_nodes_reach(const WsCore *core, WsZoneIndex zone, WsNodeIndex owner)
 {
   for (WsNodeIndex n = 0; n < core->settings->nodes->len; n++)
     if (n != owner && zone != WS_NO_ZONE
@@ -54,7 +54,7 @@
   if (machine->worker.redirected_ms > 0
       && core->now - machine->worker.redirected_ms < REDIRECT_INTERVAL_MS)
     return FALSE;
-  return ws_peer_is_reachable(core, owner) && zone_reaches(core, machine->zone, owner);
+  return ws_peer_is_reachable(core, owner) && zone_nodes_reach(core, machine->zone, owner);
 }
 
 /* Returns whether a worker may be redirected to the owner now. If so, records the time of the
@@ -62,12 +62,13 @@
 
    If workers can't reach the owner, a redirected worker waits for a timeout that is longer than the
    failure detector allows between heartbeats. So while no worker reaches the owner, only one worker
-   per UNREACHED_OWNER_RETRY_MS is redirected, to probe whether the owner is reachable again. */
+   per UNREACHED_OWNER_REDIRECT_INTERVAL_MS is redirected, to probe whether the owner is reachable
+   again. */
 static gboolean
-take_redirect(WsCore *core, WsNodeIndex owner)
+try_reserve_redirect(WsCore *core, WsNodeIndex owner)
 {
   if (ws_peer_is_unreached_by_workers(core, owner)
-      && core->now - ws_peer_last_redirect_ms(core, owner) < UNREACHED_OWNER_RETRY_MS)
+      && core->now - ws_peer_last_redirect_ms(core, owner) < UNREACHED_OWNER_REDIRECT_INTERVAL_MS)
     return FALSE;
   ws_peer_note_redirect(core, owner);
   return TRUE;
@@ -78,7 +79,7 @@
                   gpointer request)
 {
   WsNodeIndex owner = machine->owner;
-  if (!may_redirect(core, machine, owner) || !take_redirect(core, owner)) {
+  if (!may_redirect(core, machine, owner) || !try_reserve_redirect(core, owner)) {
     g_autofree char *heartbeat = g_strndup(body, length);
     ws_relay_heartbeat(core, owner, heartbeat, request);
     return;
@@ -90,7 +91,7 @@
 
 /* Whether this node may answer the heartbeat now and the machine hasn't been returned. */
 static gboolean
-is_accepted(const WsCore *core, const WsHeartbeat *heartbeat)
+may_answer_heartbeat(const WsCore *core, const WsHeartbeat *heartbeat)
 {
   WsRefusal refusal = ws_authority_check_heartbeat(core, heartbeat->fencing_token);
   if (refusal == WS_REFUSAL_NONE && !ws_returns_is_confirmed(core, heartbeat->machine))
@@ -103,11 +104,11 @@
 
 /* Whether this node rejected the worker recently, so that it must serve the worker now. */
 static gboolean
-was_turned_away(const WsCore *core, const WsMachine *machine)
+was_rejected_recently(const WsCore *core, const WsMachine *machine)
 {
   gint64 since_ms = core->now - machine->worker.turned_away_ms;
   return machine->worker.turned_away_ms > 0
-         && (double)since_ms < KEPT_LEASE_SHARE * core->settings->lease_s * 1000.0;
+         && (double)since_ms < REJECTION_INTERVAL_LEASE_SHARE * core->settings->lease_s * 1000.0;
 }
 
 /* Returns whether this node is isolated and rejects the worker, so that the worker tries another
@@ -120,14 +121,14 @@
    tasks. If no machine of another zone reaches this node, the whole zone is partitioned and its
    workers can't reach any other node, so none is rejected. */
 static gboolean
-turn_away_if_isolated(WsCore *core, WsMachine *machine)
+reject_if_isolated(WsCore *core, WsMachine *machine)
 {
   const WsNode *self = ws_settings_node(core->settings, core->settings->self);
   if (!ws_is_isolated(core))
     return FALSE;
   if (machine->zone != ws_replica_find_zone(core->replica, self->zone))
     ws_authority_note_heartbeat_from_other_zone(core);
-  if (!ws_authority_is_reached_from_other_zones(core) || was_turned_away(core, machine))
+  if (!ws_authority_is_reached_from_other_zones(core) || was_rejected_recently(core, machine))
     return FALSE;
   machine->worker.turned_away_ms = core->now;
   return TRUE;
@@ -145,15 +146,15 @@
     return;
   }
   ws_liveness_note_heartbeat(core);
-  if (!is_accepted(core, heartbeat)) {
-    ws_answer_later(core, request, RETRY_AFTER_S);
+  if (!may_answer_heartbeat(core, heartbeat)) {
+    ws_answer_later(core, request, HEARTBEAT_RETRY_AFTER_S);
     return;
   }
   WsMachine *machine = ws_replica_get_machine(core->replica, heartbeat->machine);
   ws_replica_describe_machine(core->replica, machine, heartbeat->type, heartbeat->zone,
                               heartbeat->is_spot);
-  if (turn_away_if_isolated(core, machine))
-    ws_answer_later(core, request, RETRY_AFTER_S);
+  if (reject_if_isolated(core, machine))
+    ws_answer_later(core, request, HEARTBEAT_RETRY_AFTER_S);
   else if (machine->owner != core->settings->self)
     redirect_or_relay(core, machine, body, length, request);
   else
