--- a/src/fleet/ws-cloud-list.c
+++ b/src/fleet/ws-cloud-list.c
@@ -1,6 +1,6 @@
 /**
  * Reconciles the records with the cloud's list of machines, page by page. Machines without a record
- * get one in a rental batch of their own, to be used or returned like all others.
+ * are recorded in additional rental batches and are then used or returned like all other machines.
  */
 #include "fleet/ws-fleet-private.h"
 
@@ -14,15 +14,15 @@
 #define LIST_TIMEOUT_MS 4000
 #define LIST_PAGE_MACHINES 500u
 /* A machine without a record gets one only after it has been listed for this multiple of the time
-   by which lists lag behind: a list may be older than the previous one, and show a machine that an
-   earlier leader has returned. */
+   by which lists may lag behind (list_lag_s). A list may be older than the previous one and may
+   still show a machine that an earlier leader has returned. */
 #define LIST_LAG_FACTOR 3.0
 
 struct _WsCloudList {
   gint64 next_call_ms;
   gboolean call_in_flight;
-  char *last_id;      /* the last machine of the previous page; NULL: the next page is the first */
-  guint64 last_batch; /* number of the last rental batch of unexpected machines in this run */
+  char *last_id;      /* last machine of the previous page; NULL: the first page is next */
+  guint64 last_batch; /* number of the last rental batch that this module created in this run */
 };
 
 WsCloudList *
@@ -47,7 +47,7 @@
         = ws_replica_machine(core->replica, g_array_index(machines, WsMachineIndex, i));
     machine->fleet.mark_is_pending = FALSE;
     if (result == WS_TXN_COMMITTED)
-      g_info("machine %s wasn't expected; it is used or returned", machine->name);
+      g_info("machine %s had no record: recorded in a new rental batch", machine->name);
     else
       machine->fleet.needs_record = TRUE;
   }
@@ -86,8 +86,8 @@
   return rental_batch;
 }
 
-/* Puts machines without a record that are of the first one's kind into one rental batch, and
-   appends them to @machines. */
+/* Returns a new rental batch with the machines that wait for a record and are of the same kind and
+   in the same zone as @first. Appends them to @machines. */
 static WsRentalBatch *
 fill_rental_batch(WsCore *core, const WsMachine *first, GArray *machines)
 {
@@ -108,7 +108,8 @@
   return rental_batch;
 }
 
-/* Adds a new rental batch to the transaction, and its machines to @machines. */
+/* Adds a rental batch for @first and similar machines to the transaction, and appends the machines
+   to @machines. */
 static void
 record_rental_batch(WsCore *core, WsTxn *txn, const WsMachine *first, GArray *machines)
 {
@@ -138,7 +139,7 @@
                   g_steal_pointer(&machines));
 }
 
-/* How long a machine without a record must have been listed before it gets one. */
+/* Returns for how long a machine without a record must have been listed before it gets one. */
 static gint64
 unrecorded_grace_ms(const WsCore *core)
 {
--- a/src/fleet/ws-consolidation.c
+++ b/src/fleet/ws-consolidation.c
@@ -1,10 +1,10 @@
 /**
- * Consolidation: a machine that is at most half used, by tasks of services that fit on other
- * machines, is terminated in the same way as an idle one.
+ * Consolidation: terminates a machine that is at most half used if all its tasks belong to services
+ * and fit on other machines. Such a machine is drained and returned like an idle one.
  *
- * Each move interrupts a service for a moment. So tasks move only to machines that have the image
- * cached, only when no task waits for capacity, and from few machines at a time, of which no two
- * have tasks of the same service.
+ * Each move interrupts a service briefly. So tasks move only to machines that have the image
+ * cached, only while no task waits for capacity, and only from a few machines at a time. No two of
+ * these machines have tasks of the same service.
  */
 #include "fleet/ws-fleet-private.h"
 
@@ -13,26 +13,27 @@
 #include "storage/ws-constraints.h"
 #include "storage/ws-mark-reasons.h"
 
-/* A machine is underused while at most this part of its CPUs and accelerators is in use: a half. */
+/* A machine is underused if at most 1/2 of its CPUs and of its accelerators is in use. */
 #define UNDERUSED_DIVISOR 2
-/* Candidates per tick that turn out not to fit elsewhere: each is compared with all machines. */
+/* Candidates per tick that can't be consolidated. Each of them is compared with all machines. */
 #define MAX_FAILED_CANDIDATES 4
-/* At most one machine, and one more for every so many machines, is consolidated at a time. */
+/* One machine is consolidated at a time, plus one for every so many recorded machines. */
 #define MACHINES_PER_CONSOLIDATION 50
-/* How long each node's turn is; it selects machines in the first half of it only. */
+/* Duration of each node's turn. The node selects machines only in the first half of it. */
 #define TURN_MS 2000
-/* How long after the beginning of an epoch machines may be consolidated. */
+/* No machine is consolidated for this time after the start of an epoch. */
 #define EPOCH_SETTLING_MS 15000
 
-/* The moves that are planned in one tick. */
+/* The moves planned in one tick. */
 typedef struct {
-  WsResources *incoming; /* by WsMachineIndex: needed by the tasks that move there */
+  WsResources *incoming; /* by WsMachineIndex: needed by the tasks planned to move there */
   gboolean *is_source;   /* by WsMachineIndex */
-  GHashTable *jobs;      /* WsJobIndex of each job with a task that moves */
+  GHashTable *jobs;      /* set of WsJobIndex: jobs with a task that moves */
   guint source_count;
 } MovePlan;
 
-/* Whether no task waits for a machine and no termination is under way. */
+/* Whether no task waits for a machine, no termination is under way, and the epoch didn't start
+   recently. */
 static gboolean
 is_settled(const WsCore *core)
 {
@@ -49,7 +50,7 @@
   return core->now - ws_epoch_known_since_ms(core) > EPOCH_SETTLING_MS;
 }
 
-/* Whether the job's constraints on zones allow a task to move. */
+/* Whether the job's zone constraints allow one of its tasks to move between the zones. */
 static gboolean
 may_move(const WsCore *core, const WsJob *job, WsZoneIndex from, WsZoneIndex to)
 {
@@ -78,8 +79,8 @@
          && may_move(core, job, machine->zone, target->zone);
 }
 
-/* Whether all tasks of the machine may move: each is of a service of which no other task moves, and
-   no task is planned to move to this machine. */
+/* Whether all tasks of the machine may move: each is a running task of a service of which no other
+   task moves, and no task is planned to move to this machine. */
 static gboolean
 may_be_source(const WsCore *core, const MovePlan *plan, const WsMachine *machine)
 {
@@ -107,8 +108,9 @@
   return NULL;
 }
 
-/* Plans a target for each task; FALSE: one has none. What was planned for the others isn't undone
-   then, so that capacity counts as taken until the next tick. */
+/* Plans a target for each task of the machine. Returns FALSE if a task has no target. In that case
+   the targets planned for the other tasks aren't undone: their capacity counts as taken until the
+   next tick. */
 static gboolean
 plan_moves(const WsCore *core, MovePlan *plan, const WsMachine *machine)
 {
@@ -133,7 +135,7 @@
   ws_termination_request_mark(core, machine, WS_MARK_REASON_CONSOLIDATION, FALSE);
 }
 
-/* Whether the machine is up, is an ordinary one without a mark, and is underused. */
+/* Whether the machine is an ordinary (not spot) machine, is up, isn't marked, and is underused. */
 static gboolean
 is_underused(const WsCore *core, const WsMachine *machine)
 {
@@ -184,13 +186,13 @@
       continue;
     }
     failed++;
-    machine->fleet.underused_ms = core->now; /* the other candidates come first */
+    machine->fleet.underused_ms = core->now; /* other candidates are tried first */
   }
 }
 
-/* Whether it is this node's turn by the wall clock. When three nodes planned at the same moment,
-   all counted on the same free capacity, and a service's task waited half a minute for a new
-   machine. */
+/* Whether it is this node's turn to select machines, by the wall clock. Without turns, three nodes
+   that planned at the same time relied on the same free capacity, and a task of a service waited
+   half a minute for a new machine. */
 static gboolean
 is_our_turn(const WsCore *core)
 {
--- a/src/fleet/ws-fleet-private.h
+++ b/src/fleet/ws-fleet-private.h
@@ -1,6 +1,6 @@
 /**
- * What the modules of src/fleet share: the state of the package, the budget of calls to the cloud,
- * and what the package's tick calls. Private to fleet.
+ * Declarations shared by the modules of src/fleet: the state of the package, the budget of calls to
+ * the cloud, and the tick functions of the modules. Private to fleet.
  */
 #pragma once
 
@@ -12,7 +12,7 @@
 /** Machines that are being returned, or whose return is confirmed; ws-returns.c. */
 typedef struct _WsReturns WsReturns;
 
-/** The progress through the cloud's list of machines; ws-cloud-list.c. */
+/** Progress of reading the cloud's list of machines, page by page; ws-cloud-list.c. */
 typedef struct _WsCloudList WsCloudList;
 
 /** Termination marks that were requested or are being written; ws-termination.c. */
@@ -20,14 +20,14 @@
 
 /** The state of this package. Owns the state of each module. */
 struct _WsFleet {
-  WsRate calls; /**< to the cloud */
+  WsRate calls; /**< rate limit of calls to the cloud */
   gint64 next_catalog_ms;
   gboolean catalog_in_flight;
   WsRentals *rentals;
   WsReturns *returns;
   WsCloudList *cloud_list;
   WsTermination *termination;
-  gboolean is_clearing_marks; /**< a transaction that does is in flight */
+  gboolean is_clearing_marks; /**< a transaction that clears marks is in flight */
 };
 
 /** Creates the state of rentals, with no request in flight. The caller frees it. */
@@ -45,7 +45,7 @@
 /** Frees the state of returns, which must not be NULL. */
 void ws_returns_free(WsReturns *returns);
 
-/** Creates the state of the listing, which begins with the first page. The caller frees it. */
+/** Creates the state of the listing, which starts at the first page. The caller frees it. */
 WsCloudList *ws_cloud_list_new(void);
 
 /** Frees the state of the listing. @list: not NULL */
@@ -54,55 +54,65 @@
 /** Creates the state of termination, with no mark requested. The caller frees it. */
 WsTermination *ws_termination_new(void);
 
-/** Frees the requests for marks too; they are not written. @termination: not NULL */
+/** Frees the state and drops the pending requests for marks. @termination: not NULL */
 void ws_termination_free(WsTermination *termination);
 
-/** Takes one call to the cloud from its rate limit; FALSE: none is left now. */
+/** Takes one call from the budget of calls to the cloud. Returns FALSE if none is left now. */
 gboolean ws_fleet_take_call_budget(WsCore *core);
 
 /**
- * Doubles a back-off within the limits of the properties.
+ * Returns the back-off doubled, within the limits of the properties.
  *
- * @backoff_ms: the one before; 0: there was none, and the shortest is returned
+ * @backoff_ms: the previous back-off; 0: there was none, and the minimum is returned
  */
 guint ws_fleet_next_backoff_ms(const WsCore *core, guint backoff_ms);
 
-/** The time since the machine was rented, in seconds. */
+/** Returns the time since the machine was rented, in seconds. */
 double ws_fleet_machine_age_s(const WsCore *core, const WsMachine *machine);
 
-/** Sends rental intents to the cloud; only the leader calls it. */
+/** Sends rental intents to the cloud. To be called only on the leader. */
 void ws_rentals_tick(WsCore *core);
 
-/** Begins or prolongs the back-off of a kind, or ends it if the cloud has @enough of it. */
+/**
+ * Starts or prolongs the capacity back-off of a kind of machine, or ends it if @enough is set.
+ *
+ * @enough: the cloud rented as many machines as were requested, or one of the kind was returned
+ */
 void ws_rentals_note_capacity(WsCore *core, WsTypeIndex type, WsZoneIndex zone, gboolean spot,
                               gboolean enough);
 
-/** Returns marked machines and cleans up after returned ones; only the leader calls it. */
+/**
+ * Returns marked machines to the cloud and completes the termination of returned ones. To be called
+ * only on the leader.
+ */
 void ws_returns_tick(WsCore *core);
 
 /**
- * Whether the replica has all that was assigned to the marked machine, so that it is empty if no
- * task is known there.
+ * Whether the replica has every assignment to the marked machine, so that the machine is empty if
+ * the replica shows no task on it.
  */
 gboolean ws_returns_knows_assignments(const WsCore *core, const WsMachine *machine);
 
-/** Releases the tasks of returned machines, and clears the marks of those that are empty. */
+/** Releases the tasks of returned machines. Clears the marks of returned machines without tasks. */
 void ws_mark_cleanup_tick(WsCore *core);
 
-/** Returns what was requested unmarked, and marks it as soon as that is possible; on every node. */
+/**
+ * Returns the machines of ws_returns_request_unmarked(), and requests their marks afterwards. Runs
+ * on every node.
+ */
 void ws_returns_tick_unmarked(WsCore *core);
 
-/** Asks the cloud for its list when it is due; only the leader calls it. */
+/** Requests the next page of the cloud's list when it is due. To be called only on the leader. */
 void ws_cloud_list_tick(WsCore *core);
 
 /**
- * Whether a machine that works may be terminated: by the disruption budget, the reachability of its
- * zone, and the headroom for critical jobs.
+ * Whether a healthy machine may be terminated: the disruption budget allows it, its zone isn't
+ * partitioned, and enough headroom for critical jobs remains.
  */
 gboolean ws_termination_is_allowed(const WsCore *core, const WsMachine *machine);
 
-/** Whether as many slots as are to be kept for critical jobs are there without the machine. */
+/** Whether the required headroom for critical jobs remains without the machine. */
 gboolean ws_headroom_remains_without(const WsCore *core, const WsMachine *machine);
 
-/** Requests marks for underused machines when it is this node's turn. */
+/** Requests termination marks for underused machines if it is this node's turn. */
 void ws_consolidation_tick(WsCore *core);
--- a/src/fleet/ws-fleet.c
+++ b/src/fleet/ws-fleet.c
@@ -1,6 +1,6 @@
 /**
- * The leader's calls to the cloud within the cloud's rate limit, the cloud's catalog, and the
- * termination of machines that don't boot.
+ * The tick of the fleet, the budget of calls within the cloud's rate limit, the refresh of the
+ * cloud's catalog, and the termination of machines that don't boot.
  */
 #include "fleet/ws-fleet-private.h"
 
@@ -12,10 +12,11 @@
 #define CATALOG_REFRESH_MS 60000
 #define CATALOG_RETRY_MS 1500
 #define CATALOG_TIMEOUT_MS 3000
-/* A machine has failed to boot after this multiple of its type's boot time, and a margin. */
+/* A machine has failed to boot after this multiple of its type's boot time plus a margin. */
 #define BOOT_TIMEOUT_FACTOR 2.0
 #define BOOT_TIMEOUT_MARGIN_S 5.0
-/* The share of the cloud's rate limit that is used, and the bursts that it allows. */
+/* The share of the cloud's rate limit that is used, and the largest burst of calls, given as the
+   time in which it accumulates. */
 #define USED_RATE_SHARE 0.9
 #define BURST_S 2.0
 
@@ -74,7 +75,7 @@
   fleet->catalog_in_flight = FALSE;
   fleet->next_catalog_ms = core->now + (catalog != NULL ? CATALOG_REFRESH_MS : CATALOG_RETRY_MS);
   if (catalog == NULL) {
-    g_info("the cloud gave no catalog (status %u)", status);
+    g_info("no valid catalog from the cloud (status %u), retrying", status);
     return;
   }
   WsTxn *txn = ws_txn_new();
@@ -95,7 +96,7 @@
           NULL);
 }
 
-/* Whether the machine is empty and has never sent a heartbeat, although its zone is reachable. */
+/* Whether the machine is empty, has never sent a heartbeat, and its zone isn't partitioned. */
 static gboolean
 has_never_been_up(const WsCore *core, const WsMachine *machine)
 {
@@ -110,9 +111,9 @@
   return (double)(core->wall - machine->rented_ms) / 1000.0;
 }
 
-/* Terminates machines that haven't booted in time, since they are charged all the same. After an
-   epoch begins, workers that are up get the time of one lease to find their owner, and owners to
-   announce them. */
+/* Terminates machines that haven't booted in time, since the cloud charges for them nevertheless.
+   Waits for the duration of one lease after the start of an epoch, so that workers that are up can
+   find their new owners and the owners can announce them to this node. */
 static void
 terminate_never_up(WsCore *core)
 {
--- a/src/fleet/ws-fleet.h
+++ b/src/fleet/ws-fleet.h
@@ -1,10 +1,10 @@
 /**
- * The fleet of rented machines: scale out and in, reconciliation with the cloud's list, and node
- * termination.
+ * The fleet of rented machines: scale out, scale in, reconciliation with the cloud's list of
+ * machines, and node termination.
  *
- * The leader alone calls the cloud; any node may return a machine unmarked in an outage of the
- * store. Owns rentals, returns, termination marks that are requested, and the use of the cloud's
- * rate limit.
+ * Only the leader calls the cloud, with one exception: during an outage of the store any node may
+ * return a machine without a termination mark. This package owns rentals, returns, requests for
+ * termination marks, and the budget of calls within the cloud's rate limit.
  */
 #pragma once
 
@@ -16,31 +16,38 @@
 /** Frees the state of this package. @fleet: not NULL */
 void ws_fleet_free(WsFleet *fleet);
 
-/** Does what is due at the cloud; what only the leader may do is left out on other nodes. */
+/**
+ * Sends the calls to the cloud that are due. On nodes other than the leader only returns of
+ * unmarked machines are sent.
+ */
 void ws_fleet_tick(WsCore *core);
 
 /*
  * Node termination.
  *
- * A machine is closed by its termination mark, drained, returned to the cloud, and its mark
- * cleared.
+ * A machine is cordoned by its termination mark, drained and returned to the cloud. Then its mark
+ * is cleared.
  */
 
-/** Requests marks for machines that are idle, faulty, interrupted or to be consolidated. */
+/**
+ * Requests termination marks for machines of this node that are idle, faulty, interrupted or to be
+ * consolidated.
+ */
 void ws_termination_tick(WsCore *core);
 
-/** Writes the marks that were requested from the leader; does nothing on other nodes. */
+/** Writes the requested termination marks to the store. Nodes other than the leader write none. */
 void ws_termination_pump(WsCore *core);
 
 /**
- * Requests the machine's termination mark, from the leader if that is another node.
+ * Requests a termination mark for the machine, from the leader if that is another node.
  *
- * Does nothing if it is marked or requested already, or while the store is unavailable. The leader
- * drops the request if the disruption budget is used up, unless @immediately is set or the cloud
- * has given an interruption notice.
+ * Does nothing if the machine already has such a mark, a request is pending, or the store is
+ * unavailable. A mark without @immediately can be replaced by one with it.
+ * The leader drops the request if the disruption budget is used up, unless @immediately is set or
+ * @reason is WS_MARK_REASON_INTERRUPTION.
  *
- * @reason: as it is stored with the mark; copied
- * @immediately: the machine is returned without drain
+ * @reason: stored with the mark, see ws-mark-reasons.h; copied
+ * @immediately: TRUE: the machine is returned without being drained
  */
 void ws_termination_request_mark(WsCore *core, WsMachine *machine, const char *reason,
                                  gboolean immediately);
@@ -48,51 +55,61 @@
 /**
  * Whether a task on a marked machine may be stopped now.
  *
- * Tasks of a service are stopped one at a time, with a back-off while another one of it has no
- * machine: a call that returns FALSE prolongs the back-off.
+ * The tasks of a service are stopped one at a time. While another task of the service has no
+ * machine the stop backs off, and each call after the end of the back-off doubles it and returns
+ * FALSE.
  */
 gboolean ws_termination_may_stop(WsCore *core, WsMachine *machine, WsJob *job,
                                  const WsAssignment *assignment);
 
 /*
- * Headroom: placement slots kept for the next critical job, which can't wait for a machine to boot.
+ * Headroom: placement slots that are kept for the next critical job, which can't wait for a machine
+ * to boot.
  */
 
-/** Whether the machine, of a known type, was rented lately and may still come up. */
+/**
+ * Whether the machine was rented recently and has sent no heartbeat yet. Its type must be known.
+ */
 gboolean ws_machine_is_booting(const WsCore *core, const WsMachine *machine);
 
-/** The critical job after which headroom is measured: the largest active one, or NULL. */
+/**
+ * Returns the job whose tasks determine the size of a headroom slot: the active critical job with
+ * the largest need of accelerators per task, or NULL if there is no active critical job.
+ */
 const WsJob *ws_headroom_job(const WsReplica *replica);
 
 /**
- * Counts slots for one task each that needs @need, up to as many as are to be kept: on machines
- * that aren't spot, up or booting, where no task of a service takes the capacity.
+ * Counts slots for one task with the resources @need each, up to the number of slots to be kept.
+ *
+ * Slots are counted on ordinary (not spot) machines that are up or booting and aren't marked.
+ * Capacity that tasks of services use is left out.
  *
- * @except: a machine that is left out, or NULL
+ * @except: a machine that isn't counted, or NULL
  */
 guint ws_headroom_count_slots(const WsCore *core, const WsResources *need, const WsMachine *except);
 
 /*
  * Rentals.
  *
- * A rental is recorded as an intent in the store before the cloud is called, and a rental batch
- * with the machines takes the intent's place in one transaction. So a new leader knows which
- * requests to repeat, under the same names, and no machine is charged for that nobody knows of.
- * Kinds of machines (type, zone, spot or not) of which the cloud had none are requested again after
- * a back-off.
+ * An intent is recorded in the store before the rental request is sent to the cloud. Once the cloud
+ * has rented the machines, one transaction replaces the intent by a rental batch with them. So a
+ * new leader knows which requests to repeat under the same names, and no machine is charged without
+ * being known to the cluster. If the cloud lacks capacity for a kind of machine (type, zone, spot
+ * or ordinary), that kind is requested again after a back-off.
  */
 
 /**
- * Notes how many machines of a kind are wanted, for ws_rentals_record_intents(). Does nothing while
- * earlier intents haven't been sent to the cloud: what is still wanted then is requested later.
+ * Adds intents to rent machines of a kind, to be written by ws_rentals_record_intents(). Does
+ * nothing while earlier intents are being written or haven't been sent to the cloud: the caller
+ * requests the remaining demand again later.
  */
 void ws_rentals_request(WsCore *core, WsTypeIndex type, WsZoneIndex zone, gboolean spot,
                         guint machines);
 
-/** Writes intents for what was requested since the last call. */
+/** Writes the intents that ws_rentals_request() has added since the last call. */
 void ws_rentals_record_intents(WsCore *core);
 
-/** Whether the kind is in back-off, since the cloud had none of it. */
+/** Whether requests for the kind back off because the cloud lacked capacity for it. */
 gboolean ws_rentals_is_backing_off(const WsCore *core, WsTypeIndex type, WsZoneIndex zone,
                                    gboolean spot);
 
@@ -100,24 +117,25 @@
  * Returns.
  */
 
-/** Whether the cloud has confirmed the return of the machine of this name. */
+/** Whether the cloud has confirmed the return of the machine with this name. */
 gboolean ws_returns_is_confirmed(const WsCore *core, const char *machine);
 
 /**
- * Returns the machine without a mark, which is written as soon as that is possible: for a cancelled
- * task that must end while the store is unavailable.
+ * Returns a machine without a termination mark, because a cancelled task on it must end while the
+ * store is unavailable. The mark is written after the return, once the store is available.
  */
 void ws_returns_request_unmarked(WsCore *core, const WsMachine *machine);
 
 /*
  * Reconciliation with the cloud's list.
  *
- * A machine that is listed or sends heartbeats but has no record, as after a rental that was
- * carried out late, gets a record and is used or returned; one that is listed as failed is marked.
+ * A machine that is listed or sends heartbeats but has no record, for example after a rental that
+ * was carried out late, gets a record and is then used or returned. A machine that is listed as
+ * failed gets a termination mark.
  */
 
-/** Notes that the machine is there without a record. @at_ms: wall clock of its rental */
+/** Schedules a record for a machine that exists without one. @at_ms: time of rental (wall clock) */
 void ws_cloud_list_note_unrecorded(WsCore *core, WsMachine *machine, gint64 at_ms);
 
-/** Writes records for what was noted; on every node. */
+/** Writes the scheduled records. Runs on every active member. */
 void ws_cloud_list_reconcile_tick(WsCore *core);
--- a/src/fleet/ws-headroom.c
+++ b/src/fleet/ws-headroom.c
@@ -1,14 +1,14 @@
 /**
  * Headroom: the placement slots that are kept for the next critical job.
  *
- * A slot counts if it is free, or in use by a task of an array, which may be preempted for a
- * critical task.
+ * A slot counts if it is free or is used by a task that isn't part of a service, since that task
+ * may be preempted for a critical one.
  */
 #include "fleet/ws-fleet-private.h"
 
 #include "membership/ws-membership.h"
 
-/* A machine counts as booting for this multiple of its type's boot time. */
+/* A machine without a heartbeat counts as booting for this multiple of its type's boot time. */
 #define BOOTING_FACTOR 1.6
 
 gboolean
@@ -40,7 +40,7 @@
          && (ws_machine_is_booting(core, machine) || ws_machine_is_up(core, machine));
 }
 
-/* The machine's capacity less what tasks of services use. */
+/* Returns the machine's capacity minus the resources that tasks of services use. */
 static WsResources
 capacity_beside_services(const WsReplica *replica, const WsMachine *machine)
 {
--- a/src/fleet/ws-mark-cleanup.c
+++ b/src/fleet/ws-mark-cleanup.c
@@ -1,6 +1,6 @@
 /**
- * Completes the termination of returned machines: releases the tasks that are still recorded there,
- * then clears the marks and removes the machines from their rental batches.
+ * Completes the termination of returned machines: releases the tasks that are still recorded on
+ * them, then clears their termination marks and removes them from their rental batches.
  */
 #include "fleet/ws-fleet-private.h"
 
@@ -17,7 +17,7 @@
         = ws_replica_machine(core->replica, g_array_index(machines, WsMachineIndex, i));
     machine->fleet.mark_is_pending = FALSE;
     if (result == WS_TXN_COMMITTED)
-      g_info("machine %s is returned and its mark cleared", machine->name);
+      g_info("machine %s returned, termination mark cleared", machine->name);
   }
 }
 
@@ -30,7 +30,8 @@
   return FALSE;
 }
 
-/* Writes the rental batch without the machines, or deletes it. */
+/* Adds to the transaction the rental batch without the @removed machines, or its deletion if no
+   machine remains. Does nothing if the batch has none of these machines. */
 static void
 shrink_rental_batch(WsCore *core, WsTxn *txn, const WsRentalBatch *rental_batch,
                     const GArray *removed)
@@ -62,7 +63,7 @@
   return FALSE;
 }
 
-/* In how many rental batches the machines are. */
+/* Returns the number of rental batches that contain any of the machines. */
 static guint
 count_batches_of(const WsCore *core, const GArray *machines)
 {
@@ -73,8 +74,8 @@
   return count;
 }
 
-/* Clears the marks and removes the machines from their rental batches, as many as fit into one
-   transaction. */
+/* Clears the marks of the machines and removes the machines from their rental batches, in one
+   transaction. Machines that don't fit into it are left for a later tick. */
 static void
 clear_marks(WsCore *core, GArray *machines /* taken */)
 {
@@ -97,7 +98,7 @@
   ws_txn_commit(core, txn, WS_REQUEST_OTHER, on_marks_cleared, machines);
 }
 
-/* Releases all tasks recorded on the machine, which is gone for good. */
+/* Releases all tasks recorded on the machine, which no longer exists. */
 static void
 release_tasks(WsCore *core, WsMachine *machine)
 {
@@ -110,9 +111,10 @@
   }
 }
 
-/* Whether tasks are recorded on a machine that is in no rental batch any more and that has sent no
-   heartbeat for the duration of a lease. A machine leaves its rental batch only once the cloud has
-   confirmed its return, and nothing is assigned to one that is in none: so the tasks are gone. */
+/* Whether the machine has recorded tasks, although it is in no rental batch and has sent no
+   heartbeat for the duration of a lease. Such tasks are gone: a machine is removed from its rental
+   batch only after the cloud has confirmed its return, and no task is assigned to a machine without
+   a rental batch. */
 static gboolean
 is_orphaned(const WsCore *core, const WsMachine *machine)
 {
--- a/src/fleet/ws-rentals.c
+++ b/src/fleet/ws-rentals.c
@@ -1,6 +1,6 @@
 /**
- * Scale out: an intent is written to the store, the request is sent to the cloud, and a rental
- * batch with the new machines replaces the intent.
+ * Scale out: an intent is written to the store, the rental request is sent to the cloud, and a
+ * rental batch with the new machines replaces the intent.
  */
 #include "fleet/ws-fleet-private.h"
 
@@ -10,33 +10,33 @@
 
 #define MIN_CAPACITY_BACKOFF_MS 5000
 #define MAX_CAPACITY_BACKOFF_MS 40000
-/* A rental that fails for lack of capacity costs two writes to the store: the intent, and its
-   deletion. Failed rentals of all kinds of machines together take no more than this share of the
-   store's writes. */
+/* A rental that fails for lack of capacity costs two writes to the store: the intent and its
+   deletion. Failed rentals of all kinds of machines together use no more than this share of the
+   store's write rate limit. */
 #define FAILED_RENTALS_WRITE_SHARE 0.03
 #define WRITES_PER_RENTAL 2.0
-/* Spot and ordinary machines. */
+/* Spot and ordinary machines are different kinds. */
 #define KINDS_PER_TYPE_AND_ZONE 2.0
 #define RENTAL_RETRY_MS 1500
 #define RENTAL_TIMEOUT_MS 4000
 
-/* Bits of a kind's key: the lowest says whether it is spot. */
+/* Bits of kind_key(): spot flag in bit 0, zone from bit 1, type from bit 16. */
 #define KIND_ZONE_SHIFT 1u
 #define KIND_TYPE_SHIFT 16u
 
-/* Until when a kind of machine isn't requested, since the cloud had no capacity for it. */
+/* Back-off of a kind of machine that the cloud lacked capacity for. */
 typedef struct {
-  gint64 until_ms;
+  gint64 until_ms; /* the kind isn't requested before this time */
   guint backoff_ms;
 } CapacityBackoff;
 
 struct _WsRentals {
   GHashTable *backoffs;   /* kind_key() -> CapacityBackoff */
-  guint64 last_request;   /* number of the last request in this run */
-  WsTxn *intents;         /* the transaction that is being put together, or NULL */
+  guint64 last_request;   /* number of the last rental request in this run */
+  WsTxn *intents;         /* the transaction being assembled, or NULL */
   gboolean is_writing;    /* a transaction of intents is in flight */
-  GHashTable *in_flight;  /* names of requests sent to the cloud whose intents still exist */
-  GHashTable *next_tries; /* name of a request -> when it may be sent again (gint64) */
+  GHashTable *in_flight;  /* names of requests sent to the cloud whose intents aren't closed */
+  GHashTable *next_tries; /* name of a request -> time of its next try (gint64) */
 };
 
 WsRentals *
@@ -72,8 +72,8 @@
   return backoff != NULL && core->now < backoff->until_ms;
 }
 
-/* By which factor the back-off is lengthened: above 1 where the store takes few writes and there
-   are many kinds of machines. */
+/* Returns the factor that lengthens the capacity back-off. It is above 1 if the store's write rate
+   limit is low in relation to the number of kinds of machines. */
 static double
 backoff_factor(const WsCore *core)
 {
@@ -113,8 +113,9 @@
   core->fleet->rentals->is_writing = FALSE;
 }
 
-/* Whether a rental still waits for the cloud's rate limit. Further demand accumulates meanwhile:
-   few large requests get the machines sooner than many small ones. */
+/* Whether an intent hasn't been sent to the cloud yet, for example because of the cloud's rate
+   limit. Meanwhile no intent is added and demand accumulates, since a few large requests get the
+   machines sooner than many small ones. */
 static gboolean
 has_unsent_intent(const WsCore *core)
 {
@@ -200,8 +201,8 @@
   core->replan_is_needed = TRUE;
 }
 
-/* Adds one rental batch to the transaction, with the machines from the index @first of the names
-   on. Returns how many names were consumed. */
+/* Adds the rental batch with this number to the transaction, with the machines from index @first in
+   @names on, as many as fit into one record. Returns how many names were consumed. */
 static guint
 add_rental_batch(WsCore *core, WsTxn *txn, const WsRentalIntent *intent, guint number,
                  GPtrArray *names, guint first)
@@ -230,17 +231,18 @@
   return next - first;
 }
 
-/* Replaces the intent by the machines' rental batch in one transaction, or by several batches if
-   the machines' names are too long for one record. Machines that don't fit into the transaction are
-   found later in the cloud's list. */
+/* Replaces the intent by a rental batch with the machines in one transaction, or by several batches
+   if the machines' names don't fit into one record. Machines that don't fit into the transaction
+   are recorded later from the cloud's list.
+   @names: of the rented machines; NULL: none was rented */
 static void
 close_intent(WsCore *core, const WsRentalIntent *intent, GPtrArray *names)
 {
   g_autofree char *key = ws_key(WS_KEYS_RENTAL_INTENT, intent->request);
   WsTxn *txn = ws_txn_new();
   ws_txn_compare(txn, core->replica, WS_KEY_EPOCH);
-  /* Committed late, after the rental batch has shrunk, the transaction would record machines again
-     that were returned. */
+  /* Without this comparison, a transaction that is committed late, after machines of the rental
+     batch have been returned, would record these machines again. */
   ws_txn_compare(txn, core->replica, key);
   ws_txn_delete(txn, key);
   guint consumed = 0, added = 1;
--- a/src/fleet/ws-returns.c
+++ b/src/fleet/ws-returns.c
@@ -1,5 +1,5 @@
 /**
- * Scale in: returns marked machines to the cloud, and unmarked ones during an outage of the store.
+ * Scale in: returns marked machines to the cloud and, during an outage of the store, unmarked ones.
  */
 #include "fleet/ws-fleet-private.h"
 
@@ -12,8 +12,8 @@
 #define RETURN_TIMEOUT_MS 4000
 
 struct _WsReturns {
-  GHashTable *confirmed;   /* names of machines */
-  GHashTable *unmarked;    /* names of machines that are or were returned without a mark */
+  GHashTable *confirmed; /* names of machines */
+  GHashTable *unmarked;  /* names of machines to be returned, or already returned, without a mark */
   gboolean call_in_flight; /* to the cloud */
   gint64 next_call_ms;
   guint backoff_ms;
@@ -36,8 +36,8 @@
   g_free(returns);
 }
 
-/* Delayed heartbeats and old lists may still show machines that were returned. The cloud never
-   reuses a name. */
+/* Delayed heartbeats and outdated lists may still show a returned machine, so confirmed returns are
+   remembered by name. The cloud never reuses a name. */
 gboolean
 ws_returns_is_confirmed(const WsCore *core, const char *name)
 {
@@ -46,7 +46,8 @@
          || g_hash_table_contains(core->fleet->returns->confirmed, name);
 }
 
-/* Notes the confirmed return, and that the cloud has capacity for machines of that kind again. */
+/* Records the confirmed return, and ends the capacity back-off of the machine's kind, since the
+   cloud has capacity for it again. */
 static void
 note_returned(WsCore *core, const char *name)
 {
@@ -66,7 +67,7 @@
   if (status != WS_HTTP_OK) {
     returns->backoff_ms = ws_fleet_next_backoff_ms(core, returns->backoff_ms);
     returns->next_call_ms = core->now + returns->backoff_ms;
-    g_info("scale in: the cloud refused a return (status %u): retry in %u ms", status,
+    g_info("scale in: return request to the cloud failed (status %u), retry in %u ms", status,
            returns->backoff_ms);
     return;
   }
@@ -93,14 +94,14 @@
 ws_returns_request_unmarked(WsCore *core, const WsMachine *machine)
 {
   if (g_hash_table_add(core->fleet->returns->unmarked, g_strdup(machine->name)))
-    g_message("machine %s has a task of a cancelled job and the store takes no mark: it is"
-              " returned without one",
+    g_message("machine %s has a task of a cancelled job and the store is unavailable: returning it"
+              " without a termination mark",
               machine->name);
 }
 
-/* Returns machines without a mark. The records are repaired as soon as the store is available: the
-   mark is written after the return, and cleared in the usual way. If this process ends before that,
-   the failure detector finds the machine, which sends no heartbeats but has recorded tasks. */
+/* Returns machines without a mark. Once the store is available the mark is written after the return
+   and is cleared in the usual way, which corrects the records. If this process ends before that,
+   the failure detector detects the machine, which sends no heartbeats but has recorded tasks. */
 void
 ws_returns_tick_unmarked(WsCore *core)
 {
@@ -122,10 +123,10 @@
   send_return(core, names);
 }
 
-/* Whether the replica has every assignment to the marked machine. After the mark nothing is
-   assigned to it, and what was assigned before, also by an indeterminate transaction, is in the
-   replica once the watch has passed the mark's revision. Without this check a machine was once
-   returned as empty whose tasks had just been assigned. */
+/* Whether the replica has every assignment to the marked machine. No task is assigned to the
+   machine after its mark was written. Earlier assignments, including those of indeterminate
+   transactions, are in the replica once the watch has passed the mark's revision. Without this
+   check a machine whose tasks had just been assigned was returned as empty. */
 gboolean
 ws_returns_knows_assignments(const WsCore *core, const WsMachine *machine)
 {
--- a/src/fleet/ws-termination.c
+++ b/src/fleet/ws-termination.c
@@ -1,10 +1,10 @@
 /**
  * Node termination: idle timeout, termination mark, drain, return, clearing of the mark.
  *
- * The owner selects a machine that was empty for the idle timeout and, if the disruption budget
- * allows it, has the leader write the mark; from then on the machine gets no new tasks. The leader
- * returns machines that are marked and empty (see ws-returns.c) and clears the marks once the cloud
- * has confirmed. Marks are stored, so the next leader continues with them.
+ * The owner selects a machine that has been empty for the idle timeout and, if the disruption
+ * budget allows it, requests the mark from the leader. A marked machine gets no new tasks. The
+ * leader returns machines that are marked and empty (see ws-returns.c) and clears the marks after
+ * the cloud has confirmed the return. Marks are stored, so a new leader continues the termination.
  */
 #include "fleet/ws-fleet-private.h"
 
@@ -14,7 +14,8 @@
 
 #include <string.h>
 
-/* A request for a mark that hasn't been written after so long counts as lost. */
+/* A requested mark that hasn't been written after this time counts as lost and may be requested
+   again. */
 #define MARK_REQUEST_TIMEOUT_MS 5000
 
 static const WsBudget *
@@ -35,7 +36,8 @@
   return machine->is_marked || machine->fleet.mark_is_pending || !ws_machine_is_up(core, machine);
 }
 
-/* Whether the disruption budget for its type and zone allows one more machine to be unavailable. */
+/* Whether the disruption budget of the machine's type and zone allows this machine to become
+   unavailable in addition to the ones that are. */
 static gboolean
 budget_allows(const WsCore *core, const WsMachine *machine)
 {
@@ -54,8 +56,9 @@
   return unavailable + 1 <= ws_budget_allowed(budget, total + 1);
 }
 
-/* Whether the zone's members and all other members reach one another. A partition makes every
-   machine of the zone unavailable, so none is terminated there until it heals. */
+/* Whether every member in the zone is reachable and its links to all other members are up. A
+   partition makes every machine of the zone unavailable, so no machine is terminated there until
+   the partition heals. */
 static gboolean
 zone_is_connected(const WsCore *core, WsZoneIndex zone)
 {
@@ -78,11 +81,11 @@
 typedef struct {
   WsMachineIndex machine;
   char *reason;
-  gboolean immediately; /* without draining the machine */
+  gboolean immediately; /* the machine is returned without being drained */
 } MarkRequest;
 
 struct _WsTermination {
-  GArray *requested; /* of MarkRequest: the leader writes them, many in one transaction */
+  GArray *requested; /* of MarkRequest: waiting; the leader writes many in one transaction */
   GArray *writing;   /* of MarkRequest: in the transaction in flight */
 };
 
@@ -123,7 +126,7 @@
   const char *zone = machine->zone != WS_NO_ZONE
                          ? g_ptr_array_index(core->settings->zones, machine->zone)
                          : "no zone";
-  g_info("machine %s (%s, %s, %u tasks) is marked: %s", machine->name,
+  g_info("machine %s (%s, %s, %u tasks) marked for termination: %s", machine->name,
          machine->is_spot ? "spot" : "ordinary", zone, machine->tasks->len, reason);
 }
 
@@ -156,8 +159,8 @@
   if (machine->fleet.mark_is_pending || has_mark(machine, immediately)
       || !ws_store_is_available(core))
     return;
-  /* Until the mark of a returned machine is cleared, its owner's failure detector suspects it and
-     requests another mark. */
+  /* Until the mark of a returned machine is cleared, the failure detector of its owner suspects the
+     machine and requests another mark, which isn't needed. */
   if (machine->is_marked && ws_returns_is_confirmed(core, machine->name))
     return;
   machine->fleet.mark_is_pending = TRUE;
@@ -170,8 +173,8 @@
   g_array_append_val(core->fleet->termination->requested, request);
 }
 
-/* Whether the leader may still write the mark: two owners may have requested marks at the same
-   time, of which the budget allows only one. */
+/* Whether the leader may still write the mark. Two owners may have requested marks at the same time
+   when the disruption budget allows only one. */
 static gboolean
 is_still_allowed(const WsCore *core, const WsMachine *machine, const MarkRequest *request)
 {
@@ -181,7 +184,7 @@
          || budget_allows(core, machine);
 }
 
-/* Moves the first request into the transaction, or drops it if it isn't allowed any more. */
+/* Moves the first request into the transaction, or drops it if it is no longer allowed. */
 static void
 write_first_request(WsCore *core, WsTxn *txn)
 {
@@ -230,8 +233,8 @@
   }
   machine->fleet.stop_backoff_ms = ws_fleet_next_backoff_ms(core, machine->fleet.stop_backoff_ms);
   machine->fleet.stop_after_ms = core->now + machine->fleet.stop_backoff_ms;
-  g_debug("the stop of a task of %s on %s backs off for %u ms", job->id, machine->name,
-          machine->fleet.stop_backoff_ms);
+  g_debug("drain: stop of a task of service %s on machine %s backs off for %u ms", job->id,
+          machine->name, machine->fleet.stop_backoff_ms);
   return FALSE;
 }
 
@@ -242,9 +245,9 @@
          && (machine->is_spot || ws_headroom_remains_without(core, machine));
 }
 
-/* Requests a mark for a machine that has been empty for the idle timeout. The time of an outage of
-   the store doesn't count, since nothing is placed then: dozens of machines were once returned at
-   the end of an outage while hundreds of jobs waited. */
+/* Requests a mark for a machine that has been empty for the idle timeout. The duration of a store
+   outage isn't counted, since no task is placed during one. When it was counted, dozens of machines
+   were returned at the end of an outage while hundreds of jobs waited. */
 static void
 mark_if_idle(WsCore *core, WsMachine *machine)
 {
@@ -278,8 +281,9 @@
 {
   for (WsMachineIndex i = 0; i < core->replica->machines->len; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, i);
-    /* Also on machines that this node no longer owns: a node that had requested a mark and then
-       became leader refused all other requests for that machine, and it was never returned. */
+    /* A pending request expires also for machines that this node no longer owns. Otherwise a node
+       that had requested a mark and then became leader refused all further requests for that
+       machine, and the machine was never returned. */
     if (machine->fleet.mark_is_pending
         && core->now - machine->fleet.mark_pending_ms > MARK_REQUEST_TIMEOUT_MS)
       machine->fleet.mark_is_pending = FALSE;
