--- a/src/fleet/ws-cloud-list.c
+++ b/src/fleet/ws-cloud-list.c
@@ -12,11 +12,11 @@
 #include <string.h>
 
 #define LIST_TIMEOUT_MS 4000
-#define LIST_PAGE_MACHINES 500u
+#define MACHINES_PER_LIST_PAGE 500u
 /* A machine without a record gets one only after it has been listed for this multiple of the time
    by which lists may lag behind (list_lag_s). A list may be older than the previous one and may
    still show a machine that an earlier leader has returned. */
-#define LIST_LAG_FACTOR 3.0
+#define UNRECORDED_GRACE_LAG_FACTOR 3.0
 
 struct _WsCloudList {
   gint64 next_call_ms;
@@ -65,7 +65,7 @@
 }
 
 static gboolean
-is_of_kind(const WsRentalBatch *rental_batch, const WsMachine *machine)
+is_of_batch_kind(const WsRentalBatch *rental_batch, const WsMachine *machine)
 {
   return strcmp(rental_batch->type, machine->type_name) == 0
          && rental_batch->is_spot == machine->is_spot;
@@ -95,7 +95,7 @@
   for (WsMachineIndex i = first->index; i < core->replica->machines->len; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, i);
     if (!machine->fleet.needs_record || machine->zone != first->zone
-        || !is_of_kind(rental_batch, machine)
+        || !is_of_batch_kind(rental_batch, machine)
         || rental_batch->machines->len >= ws_rental_batch_max_machines(core->settings)
         || !ws_rental_batch_has_space(rental_batch, core->replica, machine->name))
       continue;
@@ -143,7 +143,7 @@
 static gint64
 unrecorded_grace_ms(const WsCore *core)
 {
-  return (gint64)(core->settings->list_lag_s * (LIST_LAG_FACTOR * 1000.0));
+  return (gint64)(core->settings->list_lag_s * (UNRECORDED_GRACE_LAG_FACTOR * 1000.0));
 }
 
 static void
@@ -179,7 +179,7 @@
 }
 
 static void
-on_list(WsCore *core, guint status, const json_t *body, gpointer data)
+on_list_reply(WsCore *core, guint status, const json_t *body, gpointer data)
 {
   (void)data;
   WsCloudList *list = core->fleet->cloud_list;
@@ -208,7 +208,8 @@
   list->call_in_flight = TRUE;
   g_autofree char *path
       = list->last_id == NULL
-            ? g_strdup_printf("/machines?page=%u", LIST_PAGE_MACHINES)
-            : g_strdup_printf("/machines?from=%s&page=%u", list->last_id, LIST_PAGE_MACHINES);
-  ws_call(core, "GET", core->settings->cloud_addr, path, NULL, LIST_TIMEOUT_MS, on_list, NULL);
+            ? g_strdup_printf("/machines?page=%u", MACHINES_PER_LIST_PAGE)
+            : g_strdup_printf("/machines?from=%s&page=%u", list->last_id, MACHINES_PER_LIST_PAGE);
+  ws_call(core, "GET", core->settings->cloud_addr, path, NULL, LIST_TIMEOUT_MS, on_list_reply,
+          NULL);
 }
--- a/src/fleet/ws-consolidation.c
+++ b/src/fleet/ws-consolidation.c
@@ -18,11 +18,11 @@
 /* Candidates per tick that can't be consolidated. Each of them is compared with all machines. */
 #define MAX_FAILED_CANDIDATES 4
 /* One machine is consolidated at a time, plus one for every so many recorded machines. */
-#define MACHINES_PER_CONSOLIDATION 50
+#define MACHINES_PER_EXTRA_SOURCE 50
 /* Duration of each node's turn. The node selects machines only in the first half of it. */
-#define TURN_MS 2000
+#define CONSOLIDATION_TURN_MS 2000
 /* No machine is consolidated for this time after the start of an epoch. */
-#define EPOCH_SETTLING_MS 15000
+#define EPOCH_SETTLING_TIME_MS 15000
 
 /* The moves planned in one tick. */
 typedef struct {
@@ -35,7 +35,7 @@
 /* Whether no task waits for a machine, no termination is under way, and the epoch didn't start
    recently. */
 static gboolean
-is_settled(const WsCore *core)
+fleet_is_settled(const WsCore *core)
 {
   for (guint i = 0; i < core->replica->active_jobs->len; i++) {
     const WsJob *job = g_ptr_array_index(core->replica->active_jobs, i);
@@ -47,12 +47,12 @@
     if (machine->is_recorded && (machine->is_marked || machine->fleet.mark_is_pending))
       return FALSE;
   }
-  return core->now - ws_epoch_known_since_ms(core) > EPOCH_SETTLING_MS;
+  return core->now - ws_epoch_known_since_ms(core) > EPOCH_SETTLING_TIME_MS;
 }
 
 /* Whether the job's zone constraints allow one of its tasks to move between the zones. */
 static gboolean
-may_move(const WsCore *core, const WsJob *job, WsZoneIndex from, WsZoneIndex to)
+zone_constraints_allow_move(const WsCore *core, const WsJob *job, WsZoneIndex from, WsZoneIndex to)
 {
   guint zones = core->settings->zones->len;
   g_autofree guint *counts = g_new0(guint, zones);
@@ -63,8 +63,8 @@
 }
 
 static gboolean
-is_target(const WsCore *core, const MovePlan *plan, const WsMachine *machine,
-          const WsMachine *target, const WsJob *job)
+may_be_target(const WsCore *core, const MovePlan *plan, const WsMachine *machine,
+              const WsMachine *target, const WsJob *job)
 {
   if (target == machine || !target->is_recorded || target->is_marked
       || plan->is_source[target->index] || target->worker.interruption_ms != 0
@@ -76,7 +76,7 @@
   ws_resources_add(&available, &target->used, -1);
   ws_resources_add(&available, &plan->incoming[target->index], -1);
   return ws_resources_fit(&job->spec->need, &available)
-         && may_move(core, job, machine->zone, target->zone);
+         && zone_constraints_allow_move(core, job, machine->zone, target->zone);
 }
 
 /* Whether all tasks of the machine may move: each is a running task of a service of which no other
@@ -102,7 +102,7 @@
 {
   for (WsMachineIndex m = 0; m < core->replica->machines->len; m++) {
     const WsMachine *target = ws_replica_machine(core->replica, m);
-    if (is_target(core, plan, machine, target, job))
+    if (may_be_target(core, plan, machine, target, job))
       return target;
   }
   return NULL;
@@ -148,7 +148,7 @@
 
 /* Whether the machine has been underused for the idle timeout. */
 static gboolean
-is_due(const WsCore *core, WsMachine *machine)
+consolidation_is_due(const WsCore *core, WsMachine *machine)
 {
   if (!is_underused(core, machine)) {
     machine->fleet.underused_ms = 0;
@@ -170,15 +170,15 @@
 }
 
 static void
-consolidate_some(WsCore *core, MovePlan *plan)
+consolidate_owned_machines(WsCore *core, MovePlan *plan)
 {
   guint count = core->replica->machines->len;
-  guint max_sources = count_recorded(core) / MACHINES_PER_CONSOLIDATION;
+  guint max_sources = count_recorded(core) / MACHINES_PER_EXTRA_SOURCE;
   guint failed = 0;
   for (guint i = 0; i < count; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, i);
     if (!machine->is_recorded || machine->type == WS_NO_TYPE || !ws_owns_machine(core, machine)
-        || !is_due(core, machine) || failed >= MAX_FAILED_CANDIDATES
+        || !consolidation_is_due(core, machine) || failed >= MAX_FAILED_CANDIDATES
         || !may_be_source(core, plan, machine) || plan->source_count > max_sources)
       continue;
     if (plan_moves(core, plan, machine) && ws_termination_is_allowed(core, machine)) {
@@ -197,21 +197,21 @@
 is_our_turn(const WsCore *core)
 {
   const GArray *members = core->replica->epoch.members;
-  if (members->len == 0 || core->wall % TURN_MS >= TURN_MS / 2)
+  if (members->len == 0 || core->wall % CONSOLIDATION_TURN_MS >= CONSOLIDATION_TURN_MS / 2)
     return FALSE;
-  guint turn = (guint)(core->wall / TURN_MS % members->len);
+  guint turn = (guint)(core->wall / CONSOLIDATION_TURN_MS % members->len);
   return g_array_index(members, WsMember, turn).node == core->settings->self;
 }
 
 void
 ws_consolidation_tick(WsCore *core)
 {
-  if (core->replica->catalog == NULL || !is_our_turn(core) || !is_settled(core))
+  if (core->replica->catalog == NULL || !is_our_turn(core) || !fleet_is_settled(core))
     return;
   guint count = MAX(core->replica->machines->len, 1u);
   MovePlan plan
       = { g_new0(WsResources, count), g_new0(gboolean, count), g_hash_table_new(NULL, NULL), 0 };
-  consolidate_some(core, &plan);
+  consolidate_owned_machines(core, &plan);
   g_free(plan.incoming);
   g_free(plan.is_source);
   g_hash_table_unref(plan.jobs);
--- a/src/fleet/ws-fleet.c
+++ b/src/fleet/ws-fleet.c
@@ -17,15 +17,15 @@
 #define BOOT_TIMEOUT_MARGIN_S 5.0
 /* The share of the cloud's rate limit that is used, and the largest burst of calls, given as the
    time in which it accumulates. */
-#define USED_RATE_SHARE 0.9
-#define BURST_S 2.0
+#define CLOUD_RATE_SHARE 0.9
+#define CLOUD_RATE_BURST_S 2.0
 
 WsFleet *
 ws_fleet_new(const WsSettings *settings)
 {
   WsFleet *fleet = g_new0(WsFleet, 1);
-  double per_second = settings->cloud_rps * USED_RATE_SHARE;
-  ws_rate_init(&fleet->calls, per_second, per_second * BURST_S);
+  double per_second = settings->cloud_rps * CLOUD_RATE_SHARE;
+  ws_rate_init(&fleet->calls, per_second, per_second * CLOUD_RATE_BURST_S);
   fleet->rentals = ws_rentals_new();
   fleet->returns = ws_returns_new();
   fleet->cloud_list = ws_cloud_list_new();
@@ -67,7 +67,7 @@
 }
 
 static void
-on_catalog(WsCore *core, guint status, const json_t *body, gpointer data)
+on_catalog_reply(WsCore *core, guint status, const json_t *body, gpointer data)
 {
   (void)data;
   WsFleet *fleet = core->fleet;
@@ -92,8 +92,8 @@
       || !ws_fleet_take_call_budget(core))
     return;
   fleet->catalog_in_flight = TRUE;
-  ws_call(core, "GET", core->settings->cloud_addr, "/catalog", NULL, CATALOG_TIMEOUT_MS, on_catalog,
-          NULL);
+  ws_call(core, "GET", core->settings->cloud_addr, "/catalog", NULL, CATALOG_TIMEOUT_MS,
+          on_catalog_reply, NULL);
 }
 
 /* Whether the machine is empty, has never sent a heartbeat, and its zone isn't partitioned. */
@@ -115,7 +115,7 @@
    Waits for the duration of one lease after the start of an epoch, so that workers that are up can
    find their new owners and the owners can announce them to this node. */
 static void
-terminate_never_up(WsCore *core)
+terminate_unbooted_machines(WsCore *core)
 {
   gint64 lease_ms = (gint64)(core->settings->lease_s * 1000.0);
   if (core->now - ws_epoch_known_since_ms(core) < lease_ms)
@@ -142,5 +142,5 @@
   ws_rentals_tick(core);
   ws_cloud_list_tick(core);
   if (core->replica->catalog != NULL)
-    terminate_never_up(core);
+    terminate_unbooted_machines(core);
 }
--- a/src/fleet/ws-headroom.c
+++ b/src/fleet/ws-headroom.c
@@ -9,14 +9,14 @@
 #include "membership/ws-membership.h"
 
 /* A machine without a heartbeat counts as booting for this multiple of its type's boot time. */
-#define BOOTING_FACTOR 1.6
+#define BOOTING_TIME_FACTOR 1.6
 
 gboolean
 ws_machine_is_booting(const WsCore *core, const WsMachine *machine)
 {
   return machine->worker.heard_ms == 0
          && ws_fleet_machine_age_s(core, machine)
-                < BOOTING_FACTOR * ws_replica_type(core->replica, machine->type)->boot_s;
+                < BOOTING_TIME_FACTOR * ws_replica_type(core->replica, machine->type)->boot_s;
 }
 
 const WsJob *
@@ -33,7 +33,7 @@
 }
 
 static gboolean
-is_eligible(const WsCore *core, const WsMachine *machine)
+counts_for_headroom(const WsCore *core, const WsMachine *machine)
 {
   return machine->is_recorded && !machine->is_marked && !machine->is_spot
          && machine->type != WS_NO_TYPE && machine->zone != WS_NO_ZONE
@@ -42,7 +42,7 @@
 
 /* Returns the machine's capacity minus the resources that tasks of services use. */
 static WsResources
-capacity_beside_services(const WsReplica *replica, const WsMachine *machine)
+capacity_without_services(const WsReplica *replica, const WsMachine *machine)
 {
   WsResources capacity = ws_replica_type(replica, machine->type)->capacity;
   for (guint i = 0; i < machine->tasks->len; i++) {
@@ -60,9 +60,9 @@
   guint slots = 0;
   for (WsMachineIndex i = 0; i < core->replica->machines->len && slots < max_slots; i++) {
     const WsMachine *machine = ws_replica_machine(core->replica, i);
-    if (machine == except || !is_eligible(core, machine))
+    if (machine == except || !counts_for_headroom(core, machine))
       continue;
-    WsResources capacity = capacity_beside_services(core->replica, machine);
+    WsResources capacity = capacity_without_services(core->replica, machine);
     for (; ws_resources_fit(need, &capacity) && slots < max_slots; slots++)
       ws_resources_add(&capacity, need, -1);
   }
--- a/src/fleet/ws-mark-cleanup.c
+++ b/src/fleet/ws-mark-cleanup.c
@@ -33,8 +33,8 @@
 /* Adds to the transaction the rental batch without the @removed machines, or its deletion if no
    machine remains. Does nothing if the batch has none of these machines. */
 static void
-shrink_rental_batch(WsCore *core, WsTxn *txn, const WsRentalBatch *rental_batch,
-                    const GArray *removed)
+remove_from_rental_batch(WsCore *core, WsTxn *txn, const WsRentalBatch *rental_batch,
+                         const GArray *removed)
 {
   g_autofree char *key = ws_key(WS_KEYS_RENTAL_BATCH, rental_batch->name);
   g_autoptr(GArray) remaining = g_array_new(FALSE, FALSE, sizeof(WsMachineIndex));
@@ -65,7 +65,7 @@
 
 /* Returns the number of rental batches that contain any of the machines. */
 static guint
-count_batches_of(const WsCore *core, const GArray *machines)
+count_batches_with_any(const WsCore *core, const GArray *machines)
 {
   guint count = 0;
   for (guint i = 0; i < core->replica->rental_batches->len; i++)
@@ -80,7 +80,7 @@
 clear_marks(WsCore *core, GArray *machines /* taken */)
 {
   while (machines->len > 1
-         && machines->len + count_batches_of(core, machines) > core->settings->state_txn_ops)
+         && machines->len + count_batches_with_any(core, machines) > core->settings->state_txn_ops)
     g_array_set_size(machines, machines->len - 1);
   WsTxn *txn = ws_txn_new();
   ws_txn_compare(txn, core->replica, WS_KEY_EPOCH);
@@ -93,7 +93,8 @@
     ws_txn_delete(txn, mark);
   }
   for (guint i = 0; i < core->replica->rental_batches->len; i++)
-    shrink_rental_batch(core, txn, g_ptr_array_index(core->replica->rental_batches, i), machines);
+    remove_from_rental_batch(core, txn, g_ptr_array_index(core->replica->rental_batches, i),
+                             machines);
   core->fleet->is_clearing_marks = TRUE;
   ws_txn_commit(core, txn, WS_REQUEST_OTHER, on_marks_cleared, machines);
 }
@@ -116,7 +117,7 @@
    batch only after the cloud has confirmed its return, and no task is assigned to a machine without
    a rental batch. */
 static gboolean
-is_orphaned(const WsCore *core, const WsMachine *machine)
+has_orphaned_tasks(const WsCore *core, const WsMachine *machine)
 {
   gint64 since_ms = MAX(machine->worker.heard_ms, ws_epoch_known_since_ms(core));
   return !machine->is_recorded && !machine->is_marked && machine->tasks->len > 0
@@ -129,7 +130,7 @@
   g_autoptr(GArray) empty = g_array_new(FALSE, FALSE, sizeof(WsMachineIndex));
   for (WsMachineIndex i = 0; i < core->replica->machines->len; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, i);
-    if (is_orphaned(core, machine))
+    if (has_orphaned_tasks(core, machine))
       release_tasks(core, machine);
     if (!machine->is_marked || machine->fleet.mark_is_pending
         || !ws_returns_is_confirmed(core, machine->name)
--- a/src/fleet/ws-rentals.c
+++ b/src/fleet/ws-rentals.c
@@ -14,7 +14,7 @@
    deletion. Failed rentals of all kinds of machines together use no more than this share of the
    store's write rate limit. */
 #define FAILED_RENTALS_WRITE_SHARE 0.03
-#define WRITES_PER_RENTAL 2.0
+#define WRITES_PER_FAILED_RENTAL 2.0
 /* Spot and ordinary machines are different kinds. */
 #define KINDS_PER_TYPE_AND_ZONE 2.0
 #define RENTAL_RETRY_MS 1500
@@ -31,12 +31,13 @@
 } CapacityBackoff;
 
 struct _WsRentals {
-  GHashTable *backoffs;   /* kind_key() -> CapacityBackoff */
-  guint64 last_request;   /* number of the last rental request in this run */
-  WsTxn *intents;         /* the transaction being assembled, or NULL */
-  gboolean is_writing;    /* a transaction of intents is in flight */
-  GHashTable *in_flight;  /* names of requests sent to the cloud whose intents aren't closed */
-  GHashTable *next_tries; /* name of a request -> time of its next try (gint64) */
+  GHashTable *backoffs;       /* kind_key() -> CapacityBackoff */
+  guint64 last_request;       /* number of the last rental request in this run */
+  WsTxn *intents;             /* the transaction being assembled, or NULL */
+  gboolean intents_in_flight; /* a transaction of intents is in flight */
+  GHashTable
+      *requests_in_flight; /* names of requests sent to the cloud whose intents aren't closed */
+  GHashTable *next_try_ms; /* name of a request -> time of its next try (gint64) */
 };
 
 WsRentals *
@@ -44,8 +45,8 @@
 {
   WsRentals *rentals = g_new0(WsRentals, 1);
   rentals->backoffs = g_hash_table_new_full(NULL, NULL, NULL, g_free);
-  rentals->in_flight = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-  rentals->next_tries = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+  rentals->requests_in_flight = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+  rentals->next_try_ms = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
   return rentals;
 }
 
@@ -53,8 +54,8 @@
 ws_rentals_free(WsRentals *rentals)
 {
   g_hash_table_unref(rentals->backoffs);
-  g_hash_table_unref(rentals->in_flight);
-  g_hash_table_unref(rentals->next_tries);
+  g_hash_table_unref(rentals->requests_in_flight);
+  g_hash_table_unref(rentals->next_try_ms);
   g_free(rentals);
 }
 
@@ -75,13 +76,13 @@
 /* Returns the factor that lengthens the capacity back-off. It is above 1 if the store's write rate
    limit is low in relation to the number of kinds of machines. */
 static double
-backoff_factor(const WsCore *core)
+capacity_backoff_factor(const WsCore *core)
 {
   double kinds = 0.0;
   for (WsTypeIndex t = 0; core->replica->catalog != NULL && t < core->replica->catalog->len; t++)
     kinds += KINDS_PER_TYPE_AND_ZONE * g_strv_length(ws_replica_type(core->replica, t)->zones);
   double per_second = FAILED_RENTALS_WRITE_SHARE * core->settings->state_write_rps;
-  double period_ms = 1000.0 * WRITES_PER_RENTAL * kinds / per_second;
+  double period_ms = 1000.0 * WRITES_PER_FAILED_RENTAL * kinds / per_second;
   return MAX(1.0, period_ms / MAX_CAPACITY_BACKOFF_MS);
 }
 
@@ -99,7 +100,7 @@
     backoff = g_new0(CapacityBackoff, 1);
     g_hash_table_insert(core->fleet->rentals->backoffs, key, backoff);
   }
-  double factor = backoff_factor(core);
+  double factor = capacity_backoff_factor(core);
   backoff->backoff_ms = CLAMP(backoff->backoff_ms * 2, (guint)(MIN_CAPACITY_BACKOFF_MS * factor),
                               (guint)(MAX_CAPACITY_BACKOFF_MS * factor));
   backoff->until_ms = core->now + backoff->backoff_ms;
@@ -110,7 +111,7 @@
 {
   (void)result;
   (void)data;
-  core->fleet->rentals->is_writing = FALSE;
+  core->fleet->rentals->intents_in_flight = FALSE;
 }
 
 /* Whether an intent hasn't been sent to the cloud yet, for example because of the cloud's rate
@@ -121,7 +122,7 @@
 {
   for (guint i = 0; i < core->replica->rental_intents->len; i++) {
     const WsRentalIntent *intent = g_ptr_array_index(core->replica->rental_intents, i);
-    if (!g_hash_table_contains(core->fleet->rentals->in_flight, intent->request))
+    if (!g_hash_table_contains(core->fleet->rentals->requests_in_flight, intent->request))
       return TRUE;
   }
   return FALSE;
@@ -148,7 +149,7 @@
 ws_rentals_request(WsCore *core, WsTypeIndex type, WsZoneIndex zone, gboolean spot, guint machines)
 {
   WsRentals *rentals = core->fleet->rentals;
-  if (rentals->is_writing || has_unsent_intent(core))
+  if (rentals->intents_in_flight || has_unsent_intent(core))
     return;
   if (rentals->intents == NULL) {
     rentals->intents = ws_txn_new();
@@ -167,7 +168,7 @@
   WsRentals *rentals = core->fleet->rentals;
   if (rentals->intents == NULL)
     return;
-  rentals->is_writing = TRUE;
+  rentals->intents_in_flight = TRUE;
   ws_txn_commit(core, g_steal_pointer(&rentals->intents), WS_REQUEST_TASK, on_intents_written,
                 NULL);
 }
@@ -188,7 +189,7 @@
 {
   gint64 *at_ms = g_new(gint64, 1);
   *at_ms = core->now + RENTAL_RETRY_MS;
-  g_hash_table_insert(core->fleet->rentals->next_tries, g_strdup(request), at_ms);
+  g_hash_table_insert(core->fleet->rentals->next_try_ms, g_strdup(request), at_ms);
 }
 
 static void
@@ -197,7 +198,7 @@
   g_autofree char *request = data;
   if (result != WS_TXN_COMMITTED)
     schedule_retry(core, request);
-  g_hash_table_remove(core->fleet->rentals->in_flight, request);
+  g_hash_table_remove(core->fleet->rentals->requests_in_flight, request);
   core->replan_is_needed = TRUE;
 }
 
@@ -256,7 +257,7 @@
 }
 
 static void
-on_rented(WsCore *core, guint status, const json_t *body, gpointer data)
+on_rental_reply(WsCore *core, guint status, const json_t *body, gpointer data)
 {
   g_autofree char *request = data;
   const WsRentalIntent *intent = find_intent(core, request);
@@ -264,7 +265,7 @@
   WsRentalResult result = ws_rental_reply_parse(status, body, &names);
   if (intent == NULL || result == WS_RENTAL_FAILED) {
     schedule_retry(core, request);
-    g_hash_table_remove(core->fleet->rentals->in_flight, request);
+    g_hash_table_remove(core->fleet->rentals->requests_in_flight, request);
     return;
   }
   WsZoneIndex zone = ws_replica_find_zone(core->replica, intent->zone);
@@ -280,15 +281,15 @@
 send_rental(WsCore *core, const WsRentalIntent *intent)
 {
   WsRentals *rentals = core->fleet->rentals;
-  const gint64 *retry_ms = g_hash_table_lookup(rentals->next_tries, intent->request);
-  if (g_hash_table_contains(rentals->in_flight, intent->request)
+  const gint64 *retry_ms = g_hash_table_lookup(rentals->next_try_ms, intent->request);
+  if (g_hash_table_contains(rentals->requests_in_flight, intent->request)
       || (retry_ms != NULL && core->now < *retry_ms) || !ws_fleet_take_call_budget(core))
     return;
-  g_hash_table_add(rentals->in_flight, g_strdup(intent->request));
+  g_hash_table_add(rentals->requests_in_flight, g_strdup(intent->request));
   ws_call(
       core, "POST", core->settings->cloud_addr, "/machines",
       ws_rental_encode(intent->request, intent->type, intent->zone, intent->is_spot, intent->count),
-      RENTAL_TIMEOUT_MS, on_rented, g_strdup(intent->request));
+      RENTAL_TIMEOUT_MS, on_rental_reply, g_strdup(intent->request));
 }
 
 void
--- a/src/fleet/ws-returns.c
+++ b/src/fleet/ws-returns.c
@@ -58,7 +58,7 @@
 }
 
 static void
-on_returned(WsCore *core, guint status, const json_t *body, gpointer data)
+on_return_reply(WsCore *core, guint status, const json_t *body, gpointer data)
 {
   (void)body;
   g_autoptr(GPtrArray) names = data;
@@ -87,7 +87,7 @@
   json_t *body = ws_return_encode(names);
   returns->call_in_flight = TRUE;
   ws_call(core, "POST", core->settings->cloud_addr, "/machines/return", body, RETURN_TIMEOUT_MS,
-          on_returned, g_steal_pointer(&names));
+          on_return_reply, g_steal_pointer(&names));
 }
 
 void
--- a/src/fleet/ws-termination.c
+++ b/src/fleet/ws-termination.c
@@ -19,7 +19,7 @@
 #define MARK_REQUEST_TIMEOUT_MS 5000
 
 static const WsBudget *
-budget_for(const WsCore *core, const WsMachine *machine)
+find_budget(const WsCore *core, const WsMachine *machine)
 {
   for (guint i = 0; i < core->properties->budgets->len; i++) {
     const WsBudget *budget = g_ptr_array_index(core->properties->budgets, i);
@@ -41,7 +41,7 @@
 static gboolean
 budget_allows(const WsCore *core, const WsMachine *machine)
 {
-  const WsBudget *budget = budget_for(core, machine);
+  const WsBudget *budget = find_budget(core, machine);
   guint total = 0, unavailable = 0;
   if (budget == NULL)
     return TRUE;
@@ -131,7 +131,7 @@
 }
 
 static void
-on_marked(WsCore *core, WsTxnResult result, gpointer data)
+on_marks_written(WsCore *core, WsTxnResult result, gpointer data)
 {
   (void)data;
   GArray *writing = core->fleet->termination->writing;
@@ -176,7 +176,7 @@
 /* Whether the leader may still write the mark. Two owners may have requested marks at the same time
    when the disruption budget allows only one. */
 static gboolean
-is_still_allowed(const WsCore *core, const WsMachine *machine, const MarkRequest *request)
+mark_is_still_allowed(const WsCore *core, const WsMachine *machine, const MarkRequest *request)
 {
   if (!machine->is_recorded || !ws_is_leader(core))
     return FALSE;
@@ -186,12 +186,12 @@
 
 /* Moves the first request into the transaction, or drops it if it is no longer allowed. */
 static void
-write_first_request(WsCore *core, WsTxn *txn)
+add_first_request(WsCore *core, WsTxn *txn)
 {
   WsTermination *termination = core->fleet->termination;
   MarkRequest request = g_array_index(termination->requested, MarkRequest, 0);
   WsMachine *machine = ws_replica_machine(core->replica, request.machine);
-  if (is_still_allowed(core, machine, &request)) {
+  if (mark_is_still_allowed(core, machine, &request)) {
     g_autofree char *key = ws_key(WS_KEYS_MARK, machine->name);
     ws_txn_compare(txn, core->replica, key);
     ws_txn_put(txn, key, ws_mark_encode(request.reason, request.immediately));
@@ -213,9 +213,9 @@
   ws_txn_compare(txn, core->replica, WS_KEY_EPOCH);
   while (termination->requested->len > 0
          && ws_txn_operation_count(txn) < core->settings->state_txn_ops)
-    write_first_request(core, txn);
+    add_first_request(core, txn);
   if (termination->writing->len > 0)
-    ws_txn_commit(core, g_steal_pointer(&txn), WS_REQUEST_TASK, on_marked, NULL);
+    ws_txn_commit(core, g_steal_pointer(&txn), WS_REQUEST_TASK, on_marks_written, NULL);
 }
 
 gboolean
@@ -249,7 +249,7 @@
    outage isn't counted, since no task is placed during one. When it was counted, dozens of machines
    were returned at the end of an outage while hundreds of jobs waited. */
 static void
-mark_if_idle(WsCore *core, WsMachine *machine)
+request_mark_if_idle(WsCore *core, WsMachine *machine)
 {
   if (machine->tasks->len > 0 || !ws_machine_is_up(core, machine) || !ws_store_is_available(core)) {
     machine->fleet.empty_ms = 0;
@@ -264,7 +264,7 @@
 }
 
 static void
-mark_if_due(WsCore *core, WsMachine *machine)
+request_mark_if_due(WsCore *core, WsMachine *machine)
 {
   if (machine->is_marked)
     return;
@@ -273,7 +273,7 @@
   else if (ws_machine_is_faulty(machine))
     ws_termination_request_mark(core, machine, WS_MARK_REASON_FAULTY, FALSE);
   else
-    mark_if_idle(core, machine);
+    request_mark_if_idle(core, machine);
 }
 
 void
@@ -288,7 +288,7 @@
         && core->now - machine->fleet.mark_pending_ms > MARK_REQUEST_TIMEOUT_MS)
       machine->fleet.mark_is_pending = FALSE;
     if (machine->is_recorded && ws_owns_machine(core, machine))
-      mark_if_due(core, machine);
+      request_mark_if_due(core, machine);
   }
   ws_consolidation_tick(core);
 }
