--- a/src/core/ws-core.c
+++ b/src/core/ws-core.c
@@ -163,7 +163,7 @@
 {
   ws_authority_note_cancellations(core);
   if (ws_cancellations_pump(core))
-    ws_cancelled_tasks_enforce(core);
+    ws_cancelled_tasks_tick(core);
 }
 
 /* Processes the consequences of an input. Each step may create work for the following ones, and the
--- a/src/fleet/ws-fleet-private.h
+++ b/src/fleet/ws-fleet-private.h
@@ -91,7 +91,7 @@
  * Whether the replica has every assignment to the marked machine, so that the machine is empty if
  * the replica shows no task on it.
  */
-gboolean ws_returns_knows_assignments(const WsCore *core, const WsMachine *machine);
+gboolean ws_returns_has_all_assignments(const WsCore *core, const WsMachine *machine);
 
 /** Releases the tasks of returned machines. Clears the marks of returned machines without tasks. */
 void ws_mark_cleanup_tick(WsCore *core);
@@ -112,7 +112,7 @@
 gboolean ws_termination_is_allowed(const WsCore *core, const WsMachine *machine);
 
 /** Whether the required headroom for critical jobs remains without the machine. */
-gboolean ws_headroom_remains_without(const WsCore *core, const WsMachine *machine);
+gboolean ws_headroom_suffices_without(const WsCore *core, const WsMachine *machine);
 
 /** Requests termination marks for underused machines if it is this node's turn. */
 void ws_consolidation_tick(WsCore *core);
--- a/src/fleet/ws-fleet.h
+++ b/src/fleet/ws-fleet.h
@@ -59,8 +59,8 @@
  * machine the stop backs off, and each call after the end of the back-off doubles it and returns
  * FALSE.
  */
-gboolean ws_termination_may_stop(WsCore *core, WsMachine *machine, WsJob *job,
-                                 const WsAssignment *assignment);
+gboolean ws_termination_may_stop_task(WsCore *core, WsMachine *machine, WsJob *job,
+                                      const WsAssignment *assignment);
 
 /*
  * Headroom: placement slots that are kept for the next critical job, which can't wait for a machine
--- a/src/fleet/ws-mark-cleanup.c
+++ b/src/fleet/ws-mark-cleanup.c
@@ -134,7 +134,7 @@
       release_tasks(core, machine);
     if (!machine->is_marked || machine->fleet.mark_is_pending
         || !ws_returns_is_confirmed(core, machine->name)
-        || !ws_returns_knows_assignments(core, machine))
+        || !ws_returns_has_all_assignments(core, machine))
       continue;
     release_tasks(core, machine);
     if (machine->tasks->len == 0 && empty->len < core->settings->state_txn_ops)
--- a/src/fleet/ws-termination.c
+++ b/src/fleet/ws-termination.c
@@ -219,8 +219,8 @@
 }
 
 gboolean
-ws_termination_may_stop(WsCore *core, WsMachine *machine, WsJob *job,
-                        const WsAssignment *assignment)
+ws_termination_may_stop_task(WsCore *core, WsMachine *machine, WsJob *job,
+                             const WsAssignment *assignment)
 {
   if (job->spec->kind != WS_KIND_SERVICE || assignment->state < WS_TASK_RUNNING)
     return TRUE;
@@ -242,7 +242,7 @@
 ws_termination_is_allowed(const WsCore *core, const WsMachine *machine)
 {
   return zone_is_connected(core, machine->zone) && budget_allows(core, machine)
-         && (machine->is_spot || ws_headroom_remains_without(core, machine));
+         && (machine->is_spot || ws_headroom_suffices_without(core, machine));
 }
 
 /* Requests a mark for a machine that has been empty for the idle timeout. The duration of a store
--- a/src/scheduling/ws-gang.c
+++ b/src/scheduling/ws-gang.c
@@ -14,7 +14,7 @@
 is_reachable(const WsCore *core, const WsMachine *machine)
 {
   if (ws_owns_machine(core, machine))
-    return ws_worker_rpc_is_possible(core, machine)
+    return ws_worker_rpc_is_allowed(core, machine)
            && !ws_machine_is_outbound_unreachable(core, machine);
   return machine->owner != WS_NO_NODE && ws_peer_is_reachable(core, machine->owner)
          && ws_machine_is_up(core, machine);
--- a/src/workers/ws-cancelled-tasks.c
+++ b/src/workers/ws-cancelled-tasks.c
@@ -258,7 +258,7 @@
 }
 
 void
-ws_cancelled_tasks_enforce(WsCore *core)
+ws_cancelled_tasks_tick(WsCore *core)
 {
   g_autoptr(GHashTable) seen = g_hash_table_new(NULL, NULL);
   if (ws_cancellations_count(core) == 0)
--- a/src/workers/ws-reconciliation.c
+++ b/src/workers/ws-reconciliation.c
@@ -52,7 +52,7 @@
 {
   if (!machine->is_marked || (ws_job_is_gang(job) && assignment->state >= WS_TASK_RUNNING))
     return FALSE;
-  return ws_termination_may_stop(core, machine, job, assignment);
+  return ws_termination_may_stop_task(core, machine, job, assignment);
 }
 
 /* Halts a task that the records don't assign to this machine, or reaps it if it has exited. */
--- a/src/workers/ws-worker-rpc.c
+++ b/src/workers/ws-worker-rpc.c
@@ -74,7 +74,7 @@
 }
 
 gboolean
-ws_worker_rpc_is_possible(const WsCore *core, const WsMachine *machine)
+ws_worker_rpc_is_allowed(const WsCore *core, const WsMachine *machine)
 {
   return ws_authority_check_command(core, machine) == WS_REFUSAL_NONE;
 }
@@ -135,7 +135,7 @@
 ws_worker_rpc_halt(WsCore *core, WsJob *job, WsAssignment *assignment)
 {
   WsMachine *machine = ws_replica_machine(core->replica, assignment->machine);
-  if (!ws_worker_rpc_is_possible(core, machine))
+  if (!ws_worker_rpc_is_allowed(core, machine))
     return;
   json_t *commands = json_array();
   json_array_append_new(commands, ws_command_encode(WS_OP_HALT, job->id, assignment->task,
--- a/src/workers/ws-workers.h
+++ b/src/workers/ws-workers.h
@@ -45,7 +45,7 @@
  * Halts the remaining tasks of cancelled jobs. Requests the return of machines that don't confirm
  * the halt in time.
  */
-void ws_cancelled_tasks_enforce(WsCore *core);
+void ws_cancelled_tasks_tick(WsCore *core);
 
 /*
  * Commands sent to a worker's own address.
@@ -60,13 +60,13 @@
  * Whether this node may send the worker commands: the worker is up and reachable, and has reported
  * the current fencing token.
  */
-gboolean ws_worker_rpc_is_possible(const WsCore *core, const WsMachine *machine);
+gboolean ws_worker_rpc_is_allowed(const WsCore *core, const WsMachine *machine);
 
 /** Sends the worker the current fencing token, so that it refuses commands with an older one. */
 void ws_worker_rpc_raise_fencing_token(WsCore *core, WsMachine *machine);
 
 /**
  * Halts the task, with a grace period in which it can save a checkpoint. Does nothing if
- * ws_worker_rpc_is_possible() is FALSE.
+ * ws_worker_rpc_is_allowed() is FALSE.
  */
 void ws_worker_rpc_halt(WsCore *core, WsJob *job, WsAssignment *assignment);
