--- a/src/workers/ws-cancelled-tasks.c
+++ b/src/workers/ws-cancelled-tasks.c
@@ -232,7 +232,7 @@
 /* Halts the remaining tasks of cancelled jobs on the machine, and requests the machine's return if
    they aren't confirmed as exited by the deadline. */
 static void
-enforce_on_machine(WsCore *core, WsMachine *machine)
+halt_tasks_on_machine(WsCore *core, WsMachine *machine)
 {
   gint64 since_ms = unhalted_since_ms(core, machine);
   if (since_ms == 0)
@@ -246,7 +246,7 @@
 
 /* @seen: set of the machines (WsMachineIndex) handled in this tick; each is handled once */
 static void
-enforce_on_job(WsCore *core, const WsJob *job, GHashTable *seen)
+halt_tasks_of_job(WsCore *core, const WsJob *job, GHashTable *seen)
 {
   WsAssignmentIter iter;
   const WsAssignment *assignment;
@@ -254,7 +254,7 @@
   while ((assignment = ws_assignment_iter_next(&iter)) != NULL)
     if (!assignment->is_confirmed_gone
         && g_hash_table_add(seen, GUINT_TO_POINTER(assignment->machine)))
-      enforce_on_machine(core, ws_replica_machine(core->replica, assignment->machine));
+      halt_tasks_on_machine(core, ws_replica_machine(core->replica, assignment->machine));
 }
 
 void
@@ -266,7 +266,7 @@
   for (guint c = 0; c < ws_cancellations_count(core); c++) {
     const WsJob *job = ws_replica_find_job(core->replica, ws_cancellations_job_id(core, c));
     if (job != NULL)
-      enforce_on_job(core, job, seen);
+      halt_tasks_of_job(core, job, seen);
   }
 }
 
