--- a/src/fleet/ws-consolidation.c
+++ b/src/fleet/ws-consolidation.c
@@ -17,7 +17,7 @@
 #define UNDERUSED_DIVISOR 2
 /* Candidates per tick that can't be consolidated. Each of them is compared with all machines. */
 #define MAX_FAILED_CANDIDATES 4
-/* One machine is consolidated at a time, plus one for every so many recorded machines. */
+/* One machine is consolidated at a time, plus one for each group of this many recorded machines. */
 #define MACHINES_PER_EXTRA_SOURCE 50
 /* Duration of each node's turn. The node selects machines only in the first half of it. */
 #define CONSOLIDATION_TURN_MS 2000
--- a/src/workers/ws-cancelled-tasks.c
+++ b/src/workers/ws-cancelled-tasks.c
@@ -181,8 +181,8 @@
 /* Returns. */
 
 /* Whether this node may return a machine without a termination mark: no node that it reaches can
-   write to the store, and it has the lowest index of the reachable nodes with a loaded replica, so
-   that only one node returns the machine. */
+   write to the store, and it has the lowest node index of the reachable nodes with a loaded
+   replica, so that only one node returns the machine. */
 static gboolean
 may_return_unmarked(const WsCore *core)
 {
--- a/src/workers/ws-workers-private.h
+++ b/src/workers/ws-workers-private.h
@@ -23,7 +23,7 @@
 
 /**
  * Appends a halt to @commands for each task of a cancelled job that the heartbeat shows. Every
- * answer that renews a lease must contain these halts, from any node.
+ * answer that renews a lease must contain these halts, no matter which node sends it.
  */
 void ws_cancelled_tasks_add_halts(const WsCore *core, const WsHeartbeat *heartbeat,
                                   json_t *commands);
