--- a/src/commit/ws-release-order.c
+++ b/src/commit/ws-release-order.c
@@ -42,7 +42,7 @@
   sums->chunk_weight = g_hash_table_new(NULL, NULL);
   sums->pending_count = g_hash_table_new(NULL, NULL);
   sums->completed_count = g_hash_table_new(NULL, NULL);
-  sums->team_use_weight = g_new0(gint64, ws_team_use_groups(settings));
+  sums->team_use_weight = g_new0(gint64, ws_team_use_group_count(settings));
 }
 
 static void
--- a/src/fleet/ws-consolidation.c
+++ b/src/fleet/ws-consolidation.c
@@ -56,7 +56,7 @@
 {
   guint zones = core->settings->zones->len;
   g_autofree guint *counts = g_new0(guint, zones);
-  ws_job_count_zones(core->replica, job, counts);
+  ws_job_count_tasks_by_zone(core->replica, job, counts);
   if (counts[from] > 0)
     counts[from]--;
   return ws_constraints_allow_zone(job, counts, zones, to);
@@ -151,12 +151,12 @@
 consolidation_is_due(const WsCore *core, WsMachine *machine)
 {
   if (!is_underused(core, machine)) {
-    machine->fleet.underused_ms = 0;
+    machine->fleet.underused_since_ms = 0;
     return FALSE;
   }
-  if (machine->fleet.underused_ms == 0)
-    machine->fleet.underused_ms = core->now;
-  return core->now - machine->fleet.underused_ms
+  if (machine->fleet.underused_since_ms == 0)
+    machine->fleet.underused_since_ms = core->now;
+  return core->now - machine->fleet.underused_since_ms
          >= (gint64)(core->properties->idle_timeout_s * 1000.0);
 }
 
@@ -186,7 +186,7 @@
       continue;
     }
     failed++;
-    machine->fleet.underused_ms = core->now; /* other candidates are tried first */
+    machine->fleet.underused_since_ms = core->now; /* other candidates are tried first */
   }
 }
 
--- a/src/fleet/ws-mark-cleanup.c
+++ b/src/fleet/ws-mark-cleanup.c
@@ -89,7 +89,7 @@
         = ws_replica_machine(core->replica, g_array_index(machines, WsMachineIndex, i));
     g_autofree char *mark = ws_key(WS_KEYS_MARK, machine->name);
     machine->fleet.mark_is_pending = TRUE;
-    machine->fleet.mark_pending_ms = core->now;
+    machine->fleet.mark_pending_since_ms = core->now;
     ws_txn_delete(txn, mark);
   }
   for (guint i = 0; i < core->replica->rental_batches->len; i++)
--- a/src/fleet/ws-termination.c
+++ b/src/fleet/ws-termination.c
@@ -164,7 +164,7 @@
   if (machine->is_marked && ws_returns_is_confirmed(core, machine->name))
     return;
   machine->fleet.mark_is_pending = TRUE;
-  machine->fleet.mark_pending_ms = core->now;
+  machine->fleet.mark_pending_since_ms = core->now;
   if (!ws_is_leader(core)) {
     ws_peer_request_mark(core, machine, reason, immediately);
     return;
@@ -252,12 +252,13 @@
 request_mark_if_idle(WsCore *core, WsMachine *machine)
 {
   if (machine->tasks->len > 0 || !ws_machine_is_up(core, machine) || !ws_store_is_available(core)) {
-    machine->fleet.empty_ms = 0;
+    machine->fleet.empty_since_ms = 0;
     return;
   }
-  if (machine->fleet.empty_ms == 0)
-    machine->fleet.empty_ms = core->now;
-  if (core->now - machine->fleet.empty_ms < (gint64)(core->properties->idle_timeout_s * 1000.0))
+  if (machine->fleet.empty_since_ms == 0)
+    machine->fleet.empty_since_ms = core->now;
+  if (core->now - machine->fleet.empty_since_ms
+      < (gint64)(core->properties->idle_timeout_s * 1000.0))
     return;
   if (ws_termination_is_allowed(core, machine))
     ws_termination_request_mark(core, machine, WS_MARK_REASON_IDLE, FALSE);
@@ -285,7 +286,7 @@
        that had requested a mark and then became leader refused all further requests for that
        machine, and the machine was never returned. */
     if (machine->fleet.mark_is_pending
-        && core->now - machine->fleet.mark_pending_ms > MARK_REQUEST_TIMEOUT_MS)
+        && core->now - machine->fleet.mark_pending_since_ms > MARK_REQUEST_TIMEOUT_MS)
       machine->fleet.mark_is_pending = FALSE;
     if (machine->is_recorded && ws_owns_machine(core, machine))
       request_mark_if_due(core, machine);
--- a/src/scheduling/ws-gang.c
+++ b/src/scheduling/ws-gang.c
@@ -135,7 +135,7 @@
   for (guint i = 0; i < core->replica->active_jobs->len; i++) {
     WsJob *job = g_ptr_array_index(core->replica->active_jobs, i);
     if (ws_job_is_gang(job) && job->assigned_count > 0 && job->state == WS_JOB_ACTIVE
-        && !ws_cancellations_has(core, job))
+        && !ws_cancellations_has_job(core, job))
       advance(core, job);
   }
 }
--- a/src/workers/ws-reconciliation.c
+++ b/src/workers/ws-reconciliation.c
@@ -80,7 +80,7 @@
   }
   if (task->state == WS_TASK_EXITED)
     return;
-  gboolean is_cancelled = ws_cancellations_has(core, job);
+  gboolean is_cancelled = ws_cancellations_has_job(core, job);
   if (task->state == WS_TASK_SAVING && !is_cancelled)
     return;
   if (is_cancelled || assignment->is_stop_requested || ws_gang_is_ending(job)
@@ -95,7 +95,7 @@
 static gboolean
 must_not_launch(const Reconciliation *run, WsJob *job, const WsAssignment *assignment)
 {
-  return ws_cancellations_has(run->core, job) || assignment->is_stop_requested
+  return ws_cancellations_has_job(run->core, job) || assignment->is_stop_requested
          || run->machine->is_marked || ws_gang_is_ending(job)
          || ws_releases_is_pending(run->core, job, assignment);
 }
@@ -152,9 +152,9 @@
   gboolean is_unacknowledged = run->has_repeated_launch || !run->has_current_token
                                || machine->worker.consecutive_halts > 1;
   if (!is_unacknowledged)
-    machine->worker.unacknowledged_ms = 0;
-  else if (machine->worker.unacknowledged_ms == 0)
-    machine->worker.unacknowledged_ms = run->core->now;
+    machine->worker.unacknowledged_since_ms = 0;
+  else if (machine->worker.unacknowledged_since_ms == 0)
+    machine->worker.unacknowledged_since_ms = run->core->now;
 }
 
 /* Updates the machine and its tasks from the heartbeat. Without the current fencing token the tasks
@@ -165,7 +165,7 @@
 note_heartbeat(Reconciliation *run)
 {
   WsCore *core = run->core;
-  run->machine->worker.reported_ms = core->now;
+  run->machine->worker.last_heartbeat_ms = core->now;
   if (!run->has_current_token)
     return;
   if (!run->machine->is_recorded)
@@ -187,9 +187,9 @@
 ws_workers_answer_heartbeat(WsCore *core, const WsHeartbeat *heartbeat)
 {
   guint64 fencing_token = core->replica->epoch.number;
-  WsMachine *machine = ws_replica_get_machine(core->replica, heartbeat->machine);
-  ws_replica_describe_machine(core->replica, machine, heartbeat->type, heartbeat->zone,
-                              heartbeat->is_spot);
+  WsMachine *machine = ws_replica_ensure_machine(core->replica, heartbeat->machine);
+  ws_replica_set_machine_attributes(core->replica, machine, heartbeat->type, heartbeat->zone,
+                                    heartbeat->is_spot);
   Reconciliation run = { .core = core,
                          .machine = machine,
                          .heartbeat = heartbeat,
--- a/src/workers/ws-workers.c
+++ b/src/workers/ws-workers.c
@@ -67,7 +67,7 @@
 static gboolean
 try_reserve_redirect(WsCore *core, WsNodeIndex owner)
 {
-  if (ws_peer_is_unreached_by_workers(core, owner)
+  if (ws_peer_receives_no_heartbeats(core, owner)
       && core->now - ws_peer_last_redirect_ms(core, owner) < UNREACHED_OWNER_REDIRECT_INTERVAL_MS)
     return FALSE;
   ws_peer_note_redirect(core, owner);
@@ -128,7 +128,7 @@
     return FALSE;
   if (machine->zone != ws_replica_find_zone(core->replica, self->zone))
     ws_authority_note_heartbeat_from_other_zone(core);
-  if (!ws_authority_is_reached_from_other_zones(core) || was_rejected_recently(core, machine))
+  if (!ws_authority_has_heartbeat_from_other_zone(core) || was_rejected_recently(core, machine))
     return FALSE;
   machine->worker.turned_away_ms = core->now;
   return TRUE;
@@ -150,9 +150,9 @@
     ws_answer_later(core, request, HEARTBEAT_RETRY_AFTER_S);
     return;
   }
-  WsMachine *machine = ws_replica_get_machine(core->replica, heartbeat->machine);
-  ws_replica_describe_machine(core->replica, machine, heartbeat->type, heartbeat->zone,
-                              heartbeat->is_spot);
+  WsMachine *machine = ws_replica_ensure_machine(core->replica, heartbeat->machine);
+  ws_replica_set_machine_attributes(core->replica, machine, heartbeat->type, heartbeat->zone,
+                                    heartbeat->is_spot);
   if (reject_if_isolated(core, machine))
     ws_answer_later(core, request, HEARTBEAT_RETRY_AFTER_S);
   else if (machine->owner != core->settings->self)
