--- a/src/fleet/ws-cloud-list.c
+++ b/src/fleet/ws-cloud-list.c
@@ -1,6 +1,6 @@
 /**
  * Reconciles the records with the cloud's list of machines, page by page. Machines without a record
- * get one in a rental batch of their own, to be used or returned like all others.
+ * are recorded in additional rental batches and are then used or returned like all other machines.
  */
 #include "fleet/ws-fleet-private.h"
 
@@ -12,17 +12,17 @@
 #include <string.h>
 
 #define LIST_TIMEOUT_MS 4000
-#define LIST_PAGE_MACHINES 500u
+#define MACHINES_PER_LIST_PAGE 500u
 /* A machine without a record gets one only after it has been listed for this multiple of the time
-   by which lists lag behind: a list may be older than the previous one, and show a machine that an
-   earlier leader has returned. */
-#define LIST_LAG_FACTOR 3.0
+   by which lists may lag behind (list_lag_s). A list may be older than the previous one and may
+   still show a machine that an earlier leader has returned. */
+#define UNRECORDED_GRACE_LAG_FACTOR 3.0
 
 struct _WsCloudList {
   gint64 next_call_ms;
   gboolean call_in_flight;
-  char *last_id;      /* the last machine of the previous page; NULL: the next page is the first */
-  guint64 last_batch; /* number of the last rental batch of unexpected machines in this run */
+  char *last_id;      /* last machine of the previous page; NULL: the first page is next */
+  guint64 last_batch; /* number of the last rental batch that this module created in this run */
 };
 
 WsCloudList *
@@ -47,7 +47,7 @@
         = ws_replica_machine(core->replica, g_array_index(machines, WsMachineIndex, i));
     machine->fleet.mark_is_pending = FALSE;
     if (result == WS_TXN_COMMITTED)
-      g_info("machine %s wasn't expected; it is used or returned", machine->name);
+      g_info("machine %s had no record: recorded in a new rental batch", machine->name);
     else
       machine->fleet.needs_record = TRUE;
   }
@@ -65,7 +65,7 @@
 }
 
 static gboolean
-is_of_kind(const WsRentalBatch *rental_batch, const WsMachine *machine)
+is_of_batch_kind(const WsRentalBatch *rental_batch, const WsMachine *machine)
 {
   return strcmp(rental_batch->type, machine->type_name) == 0
          && rental_batch->is_spot == machine->is_spot;
@@ -86,8 +86,8 @@
   return rental_batch;
 }
 
-/* Puts machines without a record that are of the first one's kind into one rental batch, and
-   appends them to @machines. */
+/* Returns a new rental batch with the machines that wait for a record and are of the same kind and
+   in the same zone as @first. Appends them to @machines. */
 static WsRentalBatch *
 fill_rental_batch(WsCore *core, const WsMachine *first, GArray *machines)
 {
@@ -95,7 +95,7 @@
   for (WsMachineIndex i = first->index; i < core->replica->machines->len; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, i);
     if (!machine->fleet.needs_record || machine->zone != first->zone
-        || !is_of_kind(rental_batch, machine)
+        || !is_of_batch_kind(rental_batch, machine)
         || rental_batch->machines->len >= ws_rental_batch_max_machines(core->settings)
         || !ws_rental_batch_has_space(rental_batch, core->replica, machine->name))
       continue;
@@ -108,7 +108,8 @@
   return rental_batch;
 }
 
-/* Adds a new rental batch to the transaction, and its machines to @machines. */
+/* Adds a rental batch for @first and similar machines to the transaction, and appends the machines
+   to @machines. */
 static void
 record_rental_batch(WsCore *core, WsTxn *txn, const WsMachine *first, GArray *machines)
 {
@@ -138,11 +139,11 @@
                   g_steal_pointer(&machines));
 }
 
-/* How long a machine without a record must have been listed before it gets one. */
+/* Returns for how long a machine without a record must have been listed before it gets one. */
 static gint64
 unrecorded_grace_ms(const WsCore *core)
 {
-  return (gint64)(core->settings->list_lag_s * (LIST_LAG_FACTOR * 1000.0));
+  return (gint64)(core->settings->list_lag_s * (UNRECORDED_GRACE_LAG_FACTOR * 1000.0));
 }
 
 static void
@@ -179,7 +180,7 @@
 }
 
 static void
-on_list(WsCore *core, guint status, const json_t *body, gpointer data)
+on_list_reply(WsCore *core, guint status, const json_t *body, gpointer data)
 {
   (void)data;
   WsCloudList *list = core->fleet->cloud_list;
@@ -208,7 +209,8 @@
   list->call_in_flight = TRUE;
   g_autofree char *path
       = list->last_id == NULL
-            ? g_strdup_printf("/machines?page=%u", LIST_PAGE_MACHINES)
-            : g_strdup_printf("/machines?from=%s&page=%u", list->last_id, LIST_PAGE_MACHINES);
-  ws_call(core, "GET", core->settings->cloud_addr, path, NULL, LIST_TIMEOUT_MS, on_list, NULL);
+            ? g_strdup_printf("/machines?page=%u", MACHINES_PER_LIST_PAGE)
+            : g_strdup_printf("/machines?from=%s&page=%u", list->last_id, MACHINES_PER_LIST_PAGE);
+  ws_call(core, "GET", core->settings->cloud_addr, path, NULL, LIST_TIMEOUT_MS, on_list_reply,
+          NULL);
 }
--- a/src/fleet/ws-consolidation.c
+++ b/src/fleet/ws-consolidation.c
@@ -1,10 +1,10 @@
 /**
- * Consolidation: a machine that is at most half used, by tasks of services that fit on other
- * machines, is terminated in the same way as an idle one.
+ * Consolidation: terminates a machine that is at most half used if all its tasks belong to services
+ * and fit on other machines. Such a machine is drained and returned like an idle one.
  *
- * Each move interrupts a service for a moment. So tasks move only to machines that have the image
- * cached, only when no task waits for capacity, and from few machines at a time, of which no two
- * have tasks of the same service.
+ * Each move interrupts a service briefly. So tasks move only to machines that have the image
+ * cached, only while no task waits for capacity, and only from a few machines at a time. No two of
+ * these machines have tasks of the same service.
  */
 #include "fleet/ws-fleet-private.h"
 
@@ -13,28 +13,29 @@
 #include "storage/ws-constraints.h"
 #include "storage/ws-mark-reasons.h"
 
-/* A machine is underused while at most this part of its CPUs and accelerators is in use: a half. */
+/* A machine is underused if at most 1/2 of its CPUs and of its accelerators is in use. */
 #define UNDERUSED_DIVISOR 2
-/* Candidates per tick that turn out not to fit elsewhere: each is compared with all machines. */
+/* Candidates per tick that can't be consolidated. Each of them is compared with all machines. */
 #define MAX_FAILED_CANDIDATES 4
-/* At most one machine, and one more for every so many machines, is consolidated at a time. */
-#define MACHINES_PER_CONSOLIDATION 50
-/* How long each node's turn is; it selects machines in the first half of it only. */
-#define TURN_MS 2000
-/* How long after the beginning of an epoch machines may be consolidated. */
-#define EPOCH_SETTLING_MS 15000
-
-/* The moves that are planned in one tick. */
+/* One machine is consolidated at a time, plus one for each group of this many recorded machines. */
+#define MACHINES_PER_EXTRA_SOURCE 50
+/* Duration of each node's turn. The node selects machines only in the first half of it. */
+#define CONSOLIDATION_TURN_MS 2000
+/* No machine is consolidated for this time after the start of an epoch. */
+#define EPOCH_SETTLING_TIME_MS 15000
+
+/* The moves planned in one tick. */
 typedef struct {
-  WsResources *incoming; /* by WsMachineIndex: needed by the tasks that move there */
+  WsResources *incoming; /* by WsMachineIndex: needed by the tasks planned to move there */
   gboolean *is_source;   /* by WsMachineIndex */
-  GHashTable *jobs;      /* WsJobIndex of each job with a task that moves */
+  GHashTable *jobs;      /* set of WsJobIndex: jobs with a task that moves */
   guint source_count;
 } MovePlan;
 
-/* Whether no task waits for a machine and no termination is under way. */
+/* Whether no task waits for a machine, no termination is under way, and the epoch didn't start
+   recently. */
 static gboolean
-is_settled(const WsCore *core)
+fleet_is_settled(const WsCore *core)
 {
   for (guint i = 0; i < core->replica->active_jobs->len; i++) {
     const WsJob *job = g_ptr_array_index(core->replica->active_jobs, i);
@@ -46,12 +47,12 @@
     if (machine->is_recorded && (machine->is_marked || machine->fleet.mark_is_pending))
       return FALSE;
   }
-  return core->now - ws_epoch_known_since_ms(core) > EPOCH_SETTLING_MS;
+  return core->now - ws_epoch_known_since_ms(core) > EPOCH_SETTLING_TIME_MS;
 }
 
-/* Whether the job's constraints on zones allow a task to move. */
+/* Whether the job's zone constraints allow one of its tasks to move between the zones. */
 static gboolean
-may_move(const WsCore *core, const WsJob *job, WsZoneIndex from, WsZoneIndex to)
+zone_constraints_allow_move(const WsCore *core, const WsJob *job, WsZoneIndex from, WsZoneIndex to)
 {
   guint zones = core->settings->zones->len;
   g_autofree guint *counts = g_new0(guint, zones);
@@ -62,8 +63,8 @@
 }
 
 static gboolean
-is_target(const WsCore *core, const MovePlan *plan, const WsMachine *machine,
-          const WsMachine *target, const WsJob *job)
+may_be_target(const WsCore *core, const MovePlan *plan, const WsMachine *machine,
+              const WsMachine *target, const WsJob *job)
 {
   if (target == machine || !target->is_recorded || target->is_marked
       || plan->is_source[target->index] || target->worker.interruption_ms != 0
@@ -75,11 +76,11 @@
   ws_resources_add(&available, &target->used, -1);
   ws_resources_add(&available, &plan->incoming[target->index], -1);
   return ws_resources_fit(&job->spec->need, &available)
-         && may_move(core, job, machine->zone, target->zone);
+         && zone_constraints_allow_move(core, job, machine->zone, target->zone);
 }
 
-/* Whether all tasks of the machine may move: each is of a service of which no other task moves, and
-   no task is planned to move to this machine. */
+/* Whether all tasks of the machine may move: each is a running task of a service of which no other
+   task moves, and no task is planned to move to this machine. */
 static gboolean
 may_be_source(const WsCore *core, const MovePlan *plan, const WsMachine *machine)
 {
@@ -101,14 +102,15 @@
 {
   for (WsMachineIndex m = 0; m < core->replica->machines->len; m++) {
     const WsMachine *target = ws_replica_machine(core->replica, m);
-    if (is_target(core, plan, machine, target, job))
+    if (may_be_target(core, plan, machine, target, job))
       return target;
   }
   return NULL;
 }
 
-/* Plans a target for each task; FALSE: one has none. What was planned for the others isn't undone
-   then, so that capacity counts as taken until the next tick. */
+/* Plans a target for each task of the machine. Returns FALSE if a task has no target. In that case
+   the targets planned for the other tasks aren't undone: their capacity counts as taken until the
+   next tick. */
 static gboolean
 plan_moves(const WsCore *core, MovePlan *plan, const WsMachine *machine)
 {
@@ -133,7 +135,7 @@
   ws_termination_request_mark(core, machine, WS_MARK_REASON_CONSOLIDATION, FALSE);
 }
 
-/* Whether the machine is up, is an ordinary one without a mark, and is underused. */
+/* Whether the machine is an ordinary (not spot) machine, is up, isn't marked, and is underused. */
 static gboolean
 is_underused(const WsCore *core, const WsMachine *machine)
 {
@@ -146,7 +148,7 @@
 
 /* Whether the machine has been underused for the idle timeout. */
 static gboolean
-is_due(const WsCore *core, WsMachine *machine)
+consolidation_is_due(const WsCore *core, WsMachine *machine)
 {
   if (!is_underused(core, machine)) {
     machine->fleet.underused_since_ms = 0;
@@ -168,15 +170,15 @@
 }
 
 static void
-consolidate_some(WsCore *core, MovePlan *plan)
+consolidate_owned_machines(WsCore *core, MovePlan *plan)
 {
   guint count = core->replica->machines->len;
-  guint max_sources = count_recorded(core) / MACHINES_PER_CONSOLIDATION;
+  guint max_sources = count_recorded(core) / MACHINES_PER_EXTRA_SOURCE;
   guint failed = 0;
   for (guint i = 0; i < count; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, i);
     if (!machine->is_recorded || machine->type == WS_NO_TYPE || !ws_owns_machine(core, machine)
-        || !is_due(core, machine) || failed >= MAX_FAILED_CANDIDATES
+        || !consolidation_is_due(core, machine) || failed >= MAX_FAILED_CANDIDATES
         || !may_be_source(core, plan, machine) || plan->source_count > max_sources)
       continue;
     if (plan_moves(core, plan, machine) && ws_termination_is_allowed(core, machine)) {
@@ -184,32 +186,32 @@
       continue;
     }
     failed++;
-    machine->fleet.underused_since_ms = core->now; /* the other candidates come first */
+    machine->fleet.underused_since_ms = core->now; /* other candidates are tried first */
   }
 }
 
-/* Whether it is this node's turn by the wall clock. When three nodes planned at the same moment,
-   all counted on the same free capacity, and a service's task waited half a minute for a new
-   machine. */
+/* Whether it is this node's turn to select machines, by the wall clock. Without turns, three nodes
+   that planned at the same time relied on the same free capacity, and a task of a service waited
+   half a minute for a new machine. */
 static gboolean
 is_our_turn(const WsCore *core)
 {
   const GArray *members = core->replica->epoch.members;
-  if (members->len == 0 || core->wall % TURN_MS >= TURN_MS / 2)
+  if (members->len == 0 || core->wall % CONSOLIDATION_TURN_MS >= CONSOLIDATION_TURN_MS / 2)
     return FALSE;
-  guint turn = (guint)(core->wall / TURN_MS % members->len);
+  guint turn = (guint)(core->wall / CONSOLIDATION_TURN_MS % members->len);
   return g_array_index(members, WsMember, turn).node == core->settings->self;
 }
 
 void
 ws_consolidation_tick(WsCore *core)
 {
-  if (core->replica->catalog == NULL || !is_our_turn(core) || !is_settled(core))
+  if (core->replica->catalog == NULL || !is_our_turn(core) || !fleet_is_settled(core))
     return;
   guint count = MAX(core->replica->machines->len, 1u);
   MovePlan plan
       = { g_new0(WsResources, count), g_new0(gboolean, count), g_hash_table_new(NULL, NULL), 0 };
-  consolidate_some(core, &plan);
+  consolidate_owned_machines(core, &plan);
   g_free(plan.incoming);
   g_free(plan.is_source);
   g_hash_table_unref(plan.jobs);
--- a/src/fleet/ws-rentals.c
+++ b/src/fleet/ws-rentals.c
@@ -1,6 +1,6 @@
 /**
- * Scale out: an intent is written to the store, the request is sent to the cloud, and a rental
- * batch with the new machines replaces the intent.
+ * Scale out: an intent is written to the store, the rental request is sent to the cloud, and a
+ * rental batch with the new machines replaces the intent.
  */
 #include "fleet/ws-fleet-private.h"
 
@@ -10,33 +10,34 @@
 
 #define MIN_CAPACITY_BACKOFF_MS 5000
 #define MAX_CAPACITY_BACKOFF_MS 40000
-/* A rental that fails for lack of capacity costs two writes to the store: the intent, and its
-   deletion. Failed rentals of all kinds of machines together take no more than this share of the
-   store's writes. */
+/* A rental that fails for lack of capacity costs two writes to the store: the intent and its
+   deletion. Failed rentals of all kinds of machines together use no more than this share of the
+   store's write rate limit. */
 #define FAILED_RENTALS_WRITE_SHARE 0.03
-#define WRITES_PER_RENTAL 2.0
-/* Spot and ordinary machines. */
+#define WRITES_PER_FAILED_RENTAL 2.0
+/* Spot and ordinary machines are different kinds. */
 #define KINDS_PER_TYPE_AND_ZONE 2.0
 #define RENTAL_RETRY_MS 1500
 #define RENTAL_TIMEOUT_MS 4000
 
-/* Bits of a kind's key: the lowest says whether it is spot. */
+/* Bits of kind_key(): spot flag in bit 0, zone from bit 1, type from bit 16. */
 #define KIND_ZONE_SHIFT 1u
 #define KIND_TYPE_SHIFT 16u
 
-/* Until when a kind of machine isn't requested, since the cloud had no capacity for it. */
+/* Back-off of a kind of machine that the cloud lacked capacity for. */
 typedef struct {
-  gint64 until_ms;
+  gint64 until_ms; /* the kind isn't requested before this time */
   guint backoff_ms;
 } CapacityBackoff;
 
 struct _WsRentals {
-  GHashTable *backoffs;   /* kind_key() -> CapacityBackoff */
-  guint64 last_request;   /* number of the last request in this run */
-  WsTxn *intents;         /* the transaction that is being put together, or NULL */
-  gboolean is_writing;    /* a transaction of intents is in flight */
-  GHashTable *in_flight;  /* names of requests sent to the cloud whose intents still exist */
-  GHashTable *next_tries; /* name of a request -> when it may be sent again (gint64) */
+  GHashTable *backoffs;       /* kind_key() -> CapacityBackoff */
+  guint64 last_request;       /* number of the last rental request in this run */
+  WsTxn *intents;             /* the transaction being assembled, or NULL */
+  gboolean intents_in_flight; /* a transaction of intents is in flight */
+  GHashTable
+      *requests_in_flight; /* names of requests sent to the cloud whose intents aren't closed */
+  GHashTable *next_try_ms; /* name of a request -> time of its next try (gint64) */
 };
 
 WsRentals *
@@ -44,8 +45,8 @@
 {
   WsRentals *rentals = g_new0(WsRentals, 1);
   rentals->backoffs = g_hash_table_new_full(NULL, NULL, NULL, g_free);
-  rentals->in_flight = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-  rentals->next_tries = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+  rentals->requests_in_flight = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+  rentals->next_try_ms = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
   return rentals;
 }
 
@@ -53,8 +54,8 @@
 ws_rentals_free(WsRentals *rentals)
 {
   g_hash_table_unref(rentals->backoffs);
-  g_hash_table_unref(rentals->in_flight);
-  g_hash_table_unref(rentals->next_tries);
+  g_hash_table_unref(rentals->requests_in_flight);
+  g_hash_table_unref(rentals->next_try_ms);
   g_free(rentals);
 }
 
@@ -72,16 +73,16 @@
   return backoff != NULL && core->now < backoff->until_ms;
 }
 
-/* By which factor the back-off is lengthened: above 1 where the store takes few writes and there
-   are many kinds of machines. */
+/* Returns the factor that lengthens the capacity back-off. It is above 1 if the store's write rate
+   limit is low in relation to the number of kinds of machines. */
 static double
-backoff_factor(const WsCore *core)
+capacity_backoff_factor(const WsCore *core)
 {
   double kinds = 0.0;
   for (WsTypeIndex t = 0; core->replica->catalog != NULL && t < core->replica->catalog->len; t++)
     kinds += KINDS_PER_TYPE_AND_ZONE * g_strv_length(ws_replica_type(core->replica, t)->zones);
   double per_second = FAILED_RENTALS_WRITE_SHARE * core->settings->state_write_rps;
-  double period_ms = 1000.0 * WRITES_PER_RENTAL * kinds / per_second;
+  double period_ms = 1000.0 * WRITES_PER_FAILED_RENTAL * kinds / per_second;
   return MAX(1.0, period_ms / MAX_CAPACITY_BACKOFF_MS);
 }
 
@@ -99,7 +100,7 @@
     backoff = g_new0(CapacityBackoff, 1);
     g_hash_table_insert(core->fleet->rentals->backoffs, key, backoff);
   }
-  double factor = backoff_factor(core);
+  double factor = capacity_backoff_factor(core);
   backoff->backoff_ms = CLAMP(backoff->backoff_ms * 2, (guint)(MIN_CAPACITY_BACKOFF_MS * factor),
                               (guint)(MAX_CAPACITY_BACKOFF_MS * factor));
   backoff->until_ms = core->now + backoff->backoff_ms;
@@ -110,17 +111,18 @@
 {
   (void)result;
   (void)data;
-  core->fleet->rentals->is_writing = FALSE;
+  core->fleet->rentals->intents_in_flight = FALSE;
 }
 
-/* Whether a rental still waits for the cloud's rate limit. Further demand accumulates meanwhile:
-   few large requests get the machines sooner than many small ones. */
+/* Whether an intent hasn't been sent to the cloud yet, for example because of the cloud's rate
+   limit. Meanwhile no intent is added and demand accumulates, since a few large requests get the
+   machines sooner than many small ones. */
 static gboolean
 has_unsent_intent(const WsCore *core)
 {
   for (guint i = 0; i < core->replica->rental_intents->len; i++) {
     const WsRentalIntent *intent = g_ptr_array_index(core->replica->rental_intents, i);
-    if (!g_hash_table_contains(core->fleet->rentals->in_flight, intent->request))
+    if (!g_hash_table_contains(core->fleet->rentals->requests_in_flight, intent->request))
       return TRUE;
   }
   return FALSE;
@@ -147,7 +149,7 @@
 ws_rentals_request(WsCore *core, WsTypeIndex type, WsZoneIndex zone, gboolean spot, guint machines)
 {
   WsRentals *rentals = core->fleet->rentals;
-  if (rentals->is_writing || has_unsent_intent(core))
+  if (rentals->intents_in_flight || has_unsent_intent(core))
     return;
   if (rentals->intents == NULL) {
     rentals->intents = ws_txn_new();
@@ -166,7 +168,7 @@
   WsRentals *rentals = core->fleet->rentals;
   if (rentals->intents == NULL)
     return;
-  rentals->is_writing = TRUE;
+  rentals->intents_in_flight = TRUE;
   ws_txn_commit(core, g_steal_pointer(&rentals->intents), WS_REQUEST_TASK, on_intents_written,
                 NULL);
 }
@@ -187,7 +189,7 @@
 {
   gint64 *at_ms = g_new(gint64, 1);
   *at_ms = core->now + RENTAL_RETRY_MS;
-  g_hash_table_insert(core->fleet->rentals->next_tries, g_strdup(request), at_ms);
+  g_hash_table_insert(core->fleet->rentals->next_try_ms, g_strdup(request), at_ms);
 }
 
 static void
@@ -196,12 +198,12 @@
   g_autofree char *request = data;
   if (result != WS_TXN_COMMITTED)
     schedule_retry(core, request);
-  g_hash_table_remove(core->fleet->rentals->in_flight, request);
+  g_hash_table_remove(core->fleet->rentals->requests_in_flight, request);
   core->replan_is_needed = TRUE;
 }
 
-/* Adds one rental batch to the transaction, with the machines from the index @first of the names
-   on. Returns how many names were consumed. */
+/* Adds the rental batch with this number to the transaction, with the machines from index @first in
+   @names on, as many as fit into one record. Returns how many names were consumed. */
 static guint
 add_rental_batch(WsCore *core, WsTxn *txn, const WsRentalIntent *intent, guint number,
                  GPtrArray *names, guint first)
@@ -230,17 +232,18 @@
   return next - first;
 }
 
-/* Replaces the intent by the machines' rental batch in one transaction, or by several batches if
-   the machines' names are too long for one record. Machines that don't fit into the transaction are
-   found later in the cloud's list. */
+/* Replaces the intent by a rental batch with the machines in one transaction, or by several batches
+   if the machines' names don't fit into one record. Machines that don't fit into the transaction
+   are recorded later from the cloud's list.
+   @names: of the rented machines; NULL: none was rented */
 static void
 close_intent(WsCore *core, const WsRentalIntent *intent, GPtrArray *names)
 {
   g_autofree char *key = ws_key(WS_KEYS_RENTAL_INTENT, intent->request);
   WsTxn *txn = ws_txn_new();
   ws_txn_compare(txn, core->replica, WS_KEY_EPOCH);
-  /* Committed late, after the rental batch has shrunk, the transaction would record machines again
-     that were returned. */
+  /* Without this comparison, a transaction that is committed late, after machines of the rental
+     batch have been returned, would record these machines again. */
   ws_txn_compare(txn, core->replica, key);
   ws_txn_delete(txn, key);
   guint consumed = 0, added = 1;
@@ -254,7 +257,7 @@
 }
 
 static void
-on_rented(WsCore *core, guint status, const json_t *body, gpointer data)
+on_rental_reply(WsCore *core, guint status, const json_t *body, gpointer data)
 {
   g_autofree char *request = data;
   const WsRentalIntent *intent = find_intent(core, request);
@@ -262,7 +265,7 @@
   WsRentalResult result = ws_rental_reply_parse(status, body, &names);
   if (intent == NULL || result == WS_RENTAL_FAILED) {
     schedule_retry(core, request);
-    g_hash_table_remove(core->fleet->rentals->in_flight, request);
+    g_hash_table_remove(core->fleet->rentals->requests_in_flight, request);
     return;
   }
   WsZoneIndex zone = ws_replica_find_zone(core->replica, intent->zone);
@@ -278,15 +281,15 @@
 send_rental(WsCore *core, const WsRentalIntent *intent)
 {
   WsRentals *rentals = core->fleet->rentals;
-  const gint64 *retry_ms = g_hash_table_lookup(rentals->next_tries, intent->request);
-  if (g_hash_table_contains(rentals->in_flight, intent->request)
+  const gint64 *retry_ms = g_hash_table_lookup(rentals->next_try_ms, intent->request);
+  if (g_hash_table_contains(rentals->requests_in_flight, intent->request)
       || (retry_ms != NULL && core->now < *retry_ms) || !ws_fleet_take_call_budget(core))
     return;
-  g_hash_table_add(rentals->in_flight, g_strdup(intent->request));
+  g_hash_table_add(rentals->requests_in_flight, g_strdup(intent->request));
   ws_call(
       core, "POST", core->settings->cloud_addr, "/machines",
       ws_rental_encode(intent->request, intent->type, intent->zone, intent->is_spot, intent->count),
-      RENTAL_TIMEOUT_MS, on_rented, g_strdup(intent->request));
+      RENTAL_TIMEOUT_MS, on_rental_reply, g_strdup(intent->request));
 }
 
 void
--- a/src/workers/ws-relay.c
+++ b/src/workers/ws-relay.c
@@ -1,9 +1,9 @@
 /**
- * Relays heartbeats to the owner of their machine.
+ * Relays heartbeats to the owner of their machine, and the owner's answers back to the workers.
  *
- * The worker gets the owner's answer. If the owner can't be reached directly, a third node that
- * reaches it is tried. If neither answers in time, this node answers with the present fencing token
- * and without launches, which renews the lease of the worker's tasks.
+ * If the owner can't be reached directly, the heartbeat is sent through a third node that reaches
+ * it. If neither answers in time, this node answers itself, with the current fencing token and
+ * without launches. That answer renews the lease of the worker's tasks.
  */
 #include "workers/ws-workers-private.h"
 
@@ -15,17 +15,17 @@
 
 #define RELAY_TIMEOUT_MS 1200
 #define FORWARD_TIMEOUT_MS 900
-/* Heartbeats in flight to one owner. After it has crashed, and before that is detected, its workers
-   come to this node by the hundred; for those above the limit this node renews the leases itself.
- */
-#define MAX_RELAYS_IN_FLIGHT 12
-/* Retry-After of a heartbeat that neither the owner nor this node answers now. */
-#define RETRY_AFTER_S 1
+/* Limit of heartbeats in flight to one owner. Between a crash of the owner and its detection,
+   hundreds of its workers send their heartbeats to this node instead. Above the limit this node
+   renews the leases itself. */
+#define MAX_RELAYS_PER_OWNER 12
+/* Retry-After header for a heartbeat that is answered with 503. */
+#define HEARTBEAT_RETRY_AFTER_S 1
 
 typedef struct {
   gpointer request;
   WsNodeIndex owner;
-  WsNodeIndex via; /* the node called last */
+  WsNodeIndex via; /* the node called: the owner or a third node */
   char *heartbeat;
 } Relay;
 
@@ -40,7 +40,7 @@
 
 static void send_relay(WsCore *core, Relay *relay /* taken */);
 
-/* A node that reaches the owner and is reached from here; WS_NO_NODE: there is none. */
+/* Returns a node that this node reaches and that reaches the owner, or WS_NO_NODE. */
 static WsNodeIndex
 find_third_node(const WsCore *core, const Relay *relay)
 {
@@ -51,7 +51,7 @@
   return WS_NO_NODE;
 }
 
-/* Adds halts for tasks of cancelled jobs that the heartbeat, in its encoded form, shows. */
+/* Adds halts for the tasks of cancelled jobs in the heartbeat. @encoded: the heartbeat as JSON */
 static void
 add_halts(const WsCore *core, const char *encoded, json_t *commands)
 {
@@ -61,12 +61,13 @@
     ws_cancelled_tasks_add_halts(core, heartbeat, commands);
 }
 
-/* Renews the lease without the owner, if this node has the permission. */
+/* Renews the lease of the worker's tasks without the owner, or answers with 503 if this node may
+   not renew leases. */
 static void
 answer_without_owner(WsCore *core, const char *heartbeat, gpointer request)
 {
   if (ws_authority_check_lease_renewal(core, core->replica->epoch.number) != WS_REFUSAL_NONE) {
-    ws_answer_later(core, request, RETRY_AFTER_S);
+    ws_answer_later(core, request, HEARTBEAT_RETRY_AFTER_S);
     return;
   }
   json_t *commands = json_array();
@@ -75,10 +76,10 @@
             ws_heartbeat_answer_encode(core->replica->epoch.number, commands), 0);
 }
 
-/* Passes on the owner's answer, with halts added: this node may have learned of a cancellation
-   before the owner. */
+/* Sends the owner's answer to the worker. Adds halts, since this node may have received a
+   cancellation before the owner did. */
 static void
-answer_as_owner(WsCore *core, const Relay *relay, const json_t *body)
+forward_owner_answer(WsCore *core, const Relay *relay, const json_t *body)
 {
   json_t *answer = json_deep_copy(body);
   add_halts(core, relay->heartbeat, ws_heartbeat_answer_commands(answer));
@@ -99,7 +100,7 @@
     }
   }
   if (status == WS_HTTP_OK)
-    answer_as_owner(core, relay, body);
+    forward_owner_answer(core, relay, body);
   else
     answer_without_owner(core, relay->heartbeat, relay->request);
 }
@@ -122,20 +123,20 @@
   *relay = (Relay){ request, owner, owner, g_strdup(heartbeat) };
   if (!ws_peer_is_reachable(core, owner))
     relay->via = find_third_node(core, relay);
-  if (relay->via != WS_NO_NODE && ws_peer_relays_in_flight(core, owner) < MAX_RELAYS_IN_FLIGHT)
+  if (relay->via != WS_NO_NODE && ws_peer_relays_in_flight(core, owner) < MAX_RELAYS_PER_OWNER)
     send_relay(core, g_steal_pointer(&relay));
   else
     answer_without_owner(core, heartbeat, request);
 }
 
-/* The owner's answer to a heartbeat that was forwarded for another node. */
+/* Sends the owner's answer back to the node whose heartbeat this node forwarded. */
 static void
 on_forwarded(WsCore *core, guint status, const json_t *body, gpointer data)
 {
   if (status == WS_HTTP_OK)
     ws_answer(core, data, WS_HTTP_OK, json_incref((json_t *)body), 0);
   else
-    ws_answer_later(core, data, RETRY_AFTER_S);
+    ws_answer_later(core, data, HEARTBEAT_RETRY_AFTER_S);
 }
 
 static void
@@ -147,7 +148,7 @@
   if (heartbeat == NULL)
     ws_answer_reason(core, request, WS_HTTP_BAD_REQUEST, error->message);
   else if (ws_authority_check_lease_renewal(core, heartbeat->fencing_token) != WS_REFUSAL_NONE)
-    ws_answer_later(core, request, RETRY_AFTER_S);
+    ws_answer_later(core, request, HEARTBEAT_RETRY_AFTER_S);
   else
     ws_answer(core, request, WS_HTTP_OK, ws_workers_answer_heartbeat(core, heartbeat), 0);
 }
@@ -163,7 +164,7 @@
   WsNodeIndex owner = ws_settings_find_node(core->settings, relayed.owner);
   if (!ws_is_active_member(core) || relayed.epoch != core->replica->epoch.number
       || owner == WS_NO_NODE)
-    ws_answer_later(core, request, RETRY_AFTER_S);
+    ws_answer_later(core, request, HEARTBEAT_RETRY_AFTER_S);
   else if (owner == core->settings->self)
     answer_relayed_heartbeat(core, relayed.heartbeat, request);
   else
--- a/src/workers/ws-workers.c
+++ b/src/workers/ws-workers.c
@@ -1,6 +1,6 @@
 /**
- * Entry point of heartbeats: each is answered here, relayed to the owner of the machine, or its
- * worker is redirected there.
+ * Entry point for heartbeats. A heartbeat is answered by this node or relayed to the owner of its
+ * machine, or the worker is redirected to the owner.
  */
 #include "workers/ws-workers-private.h"
 
@@ -8,16 +8,17 @@
 #include "membership/ws-membership.h"
 #include "protocol/ws-status-codes.h"
 
-/* A worker that was redirected and comes back can't reach the owner. For this long it isn't
-   redirected again; its heartbeats are relayed. */
+/* Minimum time between redirects of the same worker. A worker that sends its next heartbeat to this
+   node again can't reach the owner, so until then its heartbeats are relayed. */
 #define REDIRECT_INTERVAL_MS 20000
-/* How often one worker is redirected to a node that no worker reaches, to find out whether one does
-   again. */
-#define UNREACHED_OWNER_RETRY_MS 2000
-/* The share of its lease for which a worker that was turned away and came back is served. */
-#define KEPT_LEASE_SHARE 0.6
-/* Retry-After of a heartbeat that this node doesn't answer now. */
-#define RETRY_AFTER_S 1
+/* Minimum time between redirects to an owner that no worker reaches. Each redirect probes whether
+   workers reach the owner again. */
+#define UNREACHED_OWNER_REDIRECT_INTERVAL_MS 2000
+/* Minimum time between rejections of the same worker by an isolated node, as a share of the lease.
+ */
+#define REJECTION_INTERVAL_LEASE_SHARE 0.6
+/* Retry-After header for a heartbeat that is answered with 503. */
+#define HEARTBEAT_RETRY_AFTER_S 1
 
 WsWorkers *
 ws_workers_new(void)
@@ -34,9 +35,9 @@
   g_free(workers);
 }
 
-/* Whether all nodes of the machine's zone reach the owner. */
+/* Whether all nodes of the zone, except the owner itself, reach the owner. */
 static gboolean
-zone_reaches(const WsCore *core, WsZoneIndex zone, WsNodeIndex owner)
+zone_nodes_reach(const WsCore *core, WsZoneIndex zone, WsNodeIndex owner)
 {
   for (WsNodeIndex n = 0; n < core->settings->nodes->len; n++)
     if (n != owner && zone != WS_NO_ZONE
@@ -53,19 +54,21 @@
   if (machine->worker.redirected_ms > 0
       && core->now - machine->worker.redirected_ms < REDIRECT_INTERVAL_MS)
     return FALSE;
-  return ws_peer_is_reachable(core, owner) && zone_reaches(core, machine->zone, owner);
+  return ws_peer_is_reachable(core, owner) && zone_nodes_reach(core, machine->zone, owner);
 }
 
-/* Returns whether a worker may be redirected to the owner now, and notes the redirect.
+/* Returns whether a worker may be redirected to the owner now. If so, records the time of the
+   redirect.
 
-   While no worker reaches the owner, a redirected worker waits for a timeout that is longer than
-   the failure detector allows between heartbeats. So only one worker at a time probes whether the
-   owner is reached again. */
+   If workers can't reach the owner, a redirected worker waits for a timeout that is longer than the
+   failure detector allows between heartbeats. So while no worker reaches the owner, only one worker
+   per UNREACHED_OWNER_REDIRECT_INTERVAL_MS is redirected, to probe whether the owner is reachable
+   again. */
 static gboolean
-take_redirect(WsCore *core, WsNodeIndex owner)
+try_reserve_redirect(WsCore *core, WsNodeIndex owner)
 {
   if (ws_peer_receives_no_heartbeats(core, owner)
-      && core->now - ws_peer_last_redirect_ms(core, owner) < UNREACHED_OWNER_RETRY_MS)
+      && core->now - ws_peer_last_redirect_ms(core, owner) < UNREACHED_OWNER_REDIRECT_INTERVAL_MS)
     return FALSE;
   ws_peer_note_redirect(core, owner);
   return TRUE;
@@ -76,7 +79,7 @@
                   gpointer request)
 {
   WsNodeIndex owner = machine->owner;
-  if (!may_redirect(core, machine, owner) || !take_redirect(core, owner)) {
+  if (!may_redirect(core, machine, owner) || !try_reserve_redirect(core, owner)) {
     g_autofree char *heartbeat = g_strndup(body, length);
     ws_relay_heartbeat(core, owner, heartbeat, request);
     return;
@@ -86,43 +89,46 @@
             ws_redirect_encode(ws_settings_node(core->settings, owner)->name), 0);
 }
 
-/* Whether this node may answer the heartbeat now, and the machine hasn't been returned. */
+/* Whether this node may answer the heartbeat now and the machine hasn't been returned. */
 static gboolean
-is_accepted(const WsCore *core, const WsHeartbeat *heartbeat)
+may_answer_heartbeat(const WsCore *core, const WsHeartbeat *heartbeat)
 {
   WsRefusal refusal = ws_authority_check_heartbeat(core, heartbeat->fencing_token);
   if (refusal == WS_REFUSAL_NONE && !ws_returns_is_confirmed(core, heartbeat->machine))
     return TRUE;
-  g_debug("a heartbeat of %s is put off: %s", heartbeat->machine,
-          refusal != WS_REFUSAL_NONE ? ws_refusal_describe(refusal) : "it is returned");
+  g_debug("heartbeat from machine %s rejected with 503: %s", heartbeat->machine,
+          refusal != WS_REFUSAL_NONE ? ws_refusal_describe(refusal)
+                                     : "the machine has been returned");
   return FALSE;
 }
 
-/* Whether the worker was turned away a short time ago, and has come back. */
+/* Whether this node rejected the worker recently, so that it must serve the worker now. */
 static gboolean
-was_turned_away(const WsCore *core, const WsMachine *machine)
+was_rejected_recently(const WsCore *core, const WsMachine *machine)
 {
   gint64 since_ms = core->now - machine->worker.turned_away_ms;
   return machine->worker.turned_away_ms > 0
-         && (double)since_ms < KEPT_LEASE_SHARE * core->settings->lease_s * 1000.0;
+         && (double)since_ms < REJECTION_INTERVAL_LEASE_SHARE * core->settings->lease_s * 1000.0;
 }
 
-/* Returns whether this node is isolated and turns the worker away, so that it tries another node.
+/* Returns whether this node is isolated and rejects the worker, so that the worker tries another
+   node. Records the time of the rejection.
 
-   Isolated from the store and all other nodes, this node can't know whether a later epoch exists.
-   If machines of other zones still reach it, only this node is partitioned: workers can reach the
-   other nodes, and each is turned away once. One that comes back has reached none of them, so it is
-   served: the answers renew its tasks' lease. If no machine of another zone reaches this node, the
-   whole zone is partitioned, and its workers have no other node. */
+   A node that is isolated from the store and from all other nodes can't know whether a later epoch
+   exists. If machines of other zones still reach it, only this node is partitioned and workers can
+   reach the other nodes, so each worker is rejected once. A worker that sends its next heartbeat to
+   this node again has reached no other node. It is served, and the answers renew the lease of its
+   tasks. If no machine of another zone reaches this node, the whole zone is partitioned and its
+   workers can't reach any other node, so none is rejected. */
 static gboolean
-turn_away_if_isolated(WsCore *core, WsMachine *machine)
+reject_if_isolated(WsCore *core, WsMachine *machine)
 {
   const WsNode *self = ws_settings_node(core->settings, core->settings->self);
   if (!ws_is_isolated(core))
     return FALSE;
   if (machine->zone != ws_replica_find_zone(core->replica, self->zone))
     ws_authority_note_heartbeat_from_other_zone(core);
-  if (!ws_authority_has_heartbeat_from_other_zone(core) || was_turned_away(core, machine))
+  if (!ws_authority_has_heartbeat_from_other_zone(core) || was_rejected_recently(core, machine))
     return FALSE;
   machine->worker.turned_away_ms = core->now;
   return TRUE;
@@ -135,20 +141,20 @@
   g_autoptr(GError) error = NULL;
   g_autoptr(WsHeartbeat) heartbeat = ws_heartbeat_parse(message, &error);
   if (heartbeat == NULL) {
-    g_warning("a heartbeat was refused: %s", error->message);
+    g_warning("malformed heartbeat rejected with 400: %s", error->message);
     ws_answer_reason(core, request, WS_HTTP_BAD_REQUEST, error->message);
     return;
   }
   ws_liveness_note_heartbeat(core);
-  if (!is_accepted(core, heartbeat)) {
-    ws_answer_later(core, request, RETRY_AFTER_S);
+  if (!may_answer_heartbeat(core, heartbeat)) {
+    ws_answer_later(core, request, HEARTBEAT_RETRY_AFTER_S);
     return;
   }
   WsMachine *machine = ws_replica_ensure_machine(core->replica, heartbeat->machine);
   ws_replica_set_machine_attributes(core->replica, machine, heartbeat->type, heartbeat->zone,
                                     heartbeat->is_spot);
-  if (turn_away_if_isolated(core, machine))
-    ws_answer_later(core, request, RETRY_AFTER_S);
+  if (reject_if_isolated(core, machine))
+    ws_answer_later(core, request, HEARTBEAT_RETRY_AFTER_S);
   else if (machine->owner != core->settings->self)
     redirect_or_relay(core, machine, body, length, request);
   else
