--- a/src/workers/ws-workers.c
+++ b/src/workers/ws-workers.c
@@ -142,19 +142,19 @@
   g_autoptr(WsHeartbeat) heartbeat = ws_heartbeat_parse(message, &error);
   if (heartbeat == NULL) {
     g_warning("malformed heartbeat rejected with 400: %s", error->message);
-    ws_answer_reason(core, request, WS_HTTP_BAD_REQUEST, error->message);
+    ws_answer_error(core, request, WS_HTTP_BAD_REQUEST, error->message);
     return;
   }
   ws_liveness_note_heartbeat(core);
   if (!may_answer_heartbeat(core, heartbeat)) {
-    ws_answer_later(core, request, HEARTBEAT_RETRY_AFTER_S);
+    ws_answer_retry_later(core, request, HEARTBEAT_RETRY_AFTER_S);
     return;
   }
   WsMachine *machine = ws_replica_ensure_machine(core->replica, heartbeat->machine);
   ws_replica_set_machine_attributes(core->replica, machine, heartbeat->type, heartbeat->zone,
                                     heartbeat->is_spot);
   if (reject_if_isolated(core, machine))
-    ws_answer_later(core, request, HEARTBEAT_RETRY_AFTER_S);
+    ws_answer_retry_later(core, request, HEARTBEAT_RETRY_AFTER_S);
   else if (machine->owner != core->settings->self)
     redirect_or_relay(core, machine, body, length, request);
   else
