--- a/src/commit/ws-assignments.c
+++ b/src/commit/ws-assignments.c
@@ -1,5 +1,6 @@
-/* Proposed assignments, and the transaction that writes them together with pending releases. The
-   leader writes for all nodes, one transaction at a time; the others forward theirs to it. */
+/* Queues proposed assignments and commits them, together with pending releases, in transactions.
+   Only the leader commits, one transaction at a time. The other nodes forward their proposals and
+   releases to the leader. */
 #include "commit/ws-commit.h"
 
 #include "commit/ws-job-quarantine.h"
@@ -7,12 +8,15 @@
 #include "commit/ws-releases-private.h"
 #include "commit/ws-task-key.h"
 
+/* Delay between two transactions, or two forwardings, in which further changes are collected. */
 #define BATCHING_MS 50
+/* Retry delays after a transaction that conflicted, and after one that failed otherwise. */
 #define CONFLICT_PAUSE_MS 60
 #define FAILURE_PAUSE_MS 400
-/* An assignment that was forwarded and is not written after this time may be proposed again. */
+/* If a forwarded assignment has not been committed by then, the task can be proposed again. */
 #define FORWARDED_TIMEOUT_MS 1500
-/* A batch waits until the write budget allows so many operations; meanwhile it grows. */
+/* Operations that the write budget must allow before a transaction starts. Until then, more changes
+   accumulate, so that fewer and larger transactions are written. */
 #define MIN_TXN_BUDGET 4
 
 typedef struct {
@@ -20,22 +24,22 @@
   gint64 until_ms;
 } ForwardedProposal;
 
-/* Which of the pending releases a step of the batch takes. */
+/* Which pending releases a step of filling the batch considers. */
 typedef enum { RELEASES_ENDING_JOBS, ALL_RELEASES } ReleaseFilter;
 
-/* Which of the proposals a step of the batch takes. */
+/* Which proposals a step of filling the batch considers. */
 typedef enum { CRITICAL_PROPOSALS, ALL_PROPOSALS } ProposalFilter;
 
 struct _WsAssignments {
-  GArray *proposals;   /* of WsProposal, the most urgent first */
-  GHashTable *pending; /* set of tasks: proposed, in the transaction, or forwarded */
-  GArray *writing;     /* of WsProposal: in the transaction in flight */
+  GArray *proposals;   /* of WsProposal, most urgent first */
+  GHashTable *pending; /* set of task keys: proposed, in the transaction in flight, or forwarded */
+  GArray *writing;     /* of WsProposal: the assignments in the transaction in flight */
   GArray *forwarded;   /* of ForwardedProposal */
-  GArray *ended_jobs;  /* of guint: jobs that the transaction ends */
-  GArray *jobs;        /* of guint: all jobs in the transaction */
+  GArray *ended_jobs;  /* of guint: jobs that the transaction in flight ends */
+  GArray *jobs;        /* of guint: all jobs in the transaction in flight */
   WsJobQuarantine *quarantine;
   gboolean is_writing;
-  gint64 next_ms; /* of the next transaction, or the next forwarding */
+  gint64 next_ms; /* earliest time of the next transaction or, on other nodes, forwarding */
 };
 
 WsAssignments *
@@ -131,7 +135,7 @@
   ws_releases_begin_epoch(core);
 }
 
-/* Forwarding, by all nodes but the leader. */
+/* Forwarding: on all nodes except the leader. */
 
 static void
 forward_proposals(WsCore *core)
@@ -163,7 +167,7 @@
   }
 }
 
-/* Writing, by the leader. */
+/* Committing: on the leader only. */
 
 static void
 log_ended_jobs(WsCore *core)
@@ -171,15 +175,16 @@
   for (guint i = 0; i < core->assignments->ended_jobs->len; i++) {
     const WsJob *job
         = ws_replica_job(core->replica, g_array_index(core->assignments->ended_jobs, guint, i));
-    g_info("job %s is %s, %.0f s after it was accepted", job->id,
-           job->state == WS_JOB_DONE ? "done" : "cancelled, with no task left",
+    g_info("job %s %s, %.0f s after acceptance", job->id,
+           job->state == WS_JOB_DONE ? "completed" : "cancelled, all tasks released",
            (double)(core->wall - job->accepted_ms) / 1000.0);
   }
 }
 
-/* Proposes the assignments of the failed transaction again: after a conflict, those that are still
-   valid when the watch has shown the other write are written. A transaction whose outcome is
-   indeterminate may still be carried out; its conditions make that harmless. */
+/* Queues the assignments of a failed transaction again. They are checked anew before the next
+   transaction; after a conflict, the retry delay gives the watch time to deliver the conflicting
+   write. A transaction with an indeterminate outcome may still be applied later. This is safe:
+   the new transaction depends on the same records, so whichever is applied second conflicts. */
 static void
 propose_again(WsCore *core, WsTxnResult result)
 {
@@ -263,9 +268,10 @@
   }
 }
 
-/* Critical assignments come first: when a partition heals, the releases of hundreds of other tasks
-   would otherwise fill one transaction after another before them. Releases that end jobs may fill
-   the transaction up to a half, and other assignments up to five sixths, so that each kind makes
+/* Fills the batch in order of priority. Critical assignments come first: when a partition heals,
+   hundreds of releases of other tasks become pending at once and would delay the critical
+   assignments by several transactions. Releases that end a job may fill the transaction up to one
+   half, and other assignments up to five sixths. This guarantees that every kind of change makes
    progress in every transaction. */
 static void
 fill_batch(WsCore *core, WsBatch *batch)
--- a/src/commit/ws-batch-check.c
+++ b/src/commit/ws-batch-check.c
@@ -1,5 +1,5 @@
-/* Whether a batch may take an assignment: all conditions of planning are checked again, against the
-   records as the batch leaves them. */
+/* Validates an assignment before it is added to a batch. Checks all conditions of planning again,
+   against the records as they will be after the batch's transaction. */
 #include "commit/ws-batch-private.h"
 
 #include "storage/ws-constraints.h"
@@ -36,7 +36,7 @@
   return ws_resources_fit(&job->spec->need, &capacity);
 }
 
-/* Whether the assignment leaves the capacity that was freed for more urgent jobs. */
+/* Returns whether the assignment leaves the capacity that is reserved for more urgent jobs. */
 static gboolean
 leaves_reserved_capacity(WsBatch *batch, const WsMachine *machine, const WsJob *job)
 {
@@ -62,7 +62,7 @@
   return ws_constraints_allow_zone(job, counts, zones, zone);
 }
 
-/* Two nodes may have proposed the same task: another assignment in this batch counts too. */
+/* Also checks the assignments in this batch, since two nodes may propose the same task. */
 static gboolean
 task_is_unassigned(const WsBatch *batch, const WsJob *job, guint task)
 {
--- a/src/commit/ws-batch-txn.c
+++ b/src/commit/ws-batch-txn.c
@@ -1,10 +1,12 @@
-/* The transaction of a batch. Its conditions are the epoch, the jobs, the teams' use, and the marks
-   and rental batches of the machines: one that is being terminated gets nothing new. */
+/* Builds the transaction of a batch. It is conditional on the versions of the epoch record, of the
+   records of the jobs, chunks and team usage that it depends on, and of the machines' rental
+   batches, and on the absence of termination marks: a machine that is being terminated must not be
+   assigned new tasks. */
 #include "commit/ws-batch-private.h"
 
 #include "storage/ws-team-use.h"
 
-/* The termination mark of each machine must be absent. */
+/* Adds the condition that no machine has a termination mark. */
 static void
 compare_machines(const WsBatch *batch, WsTxn *txn)
 {
@@ -18,8 +20,9 @@
   }
 }
 
-/* If the transaction is carried out late, after a machine was marked and returned, its mark is
-   absent again, but its rental batch has another version. */
+/* Adds the condition that the machines' rental batches are unchanged. If the store applies the
+   transaction late, a machine may have been marked and returned in the meantime. Its mark is then
+   absent again, but the version of its rental batch has changed. */
 static void
 compare_rental_batches(const WsBatch *batch, WsTxn *txn)
 {
@@ -43,9 +46,9 @@
   }
 }
 
-/* Puts the final record of a job whose last task the transaction releases. The records of its
-   chunks are garbage from then on, and are deleted later (ws-garbage.c): here each would cost an
-   operation. FALSE: the job goes on. */
+/* Writes the final record of the job if the transaction releases its last task. Returns whether it
+   does. The job's chunk records become garbage and are deleted later (ws-garbage.c), because each
+   deletion would cost this transaction an operation. */
 static gboolean
 put_final_record(const WsBatch *batch, WsTxn *txn, const WsJob *job, GArray *ended_jobs)
 {
@@ -72,8 +75,9 @@
   }
 }
 
-/* Compared and set in every transaction, even if the use is unchanged: this fences a late
-   transaction of the same leader. */
+/* Compares and writes the usage of the teams concerned in every transaction, even if the usage is
+   unchanged. The new version makes an earlier transaction of the same leader fail if the store
+   applies it late. */
 static void
 put_team_use(const WsBatch *batch, WsTxn *txn)
 {
--- a/src/commit/ws-batch.c
+++ b/src/commit/ws-batch.c
@@ -1,5 +1,5 @@
-/* A batch of releases and assignments for one transaction: which of them it takes, and how they
-   change the records. */
+/* Adds releases and assignments to a batch: checks them against the limits of a transaction and
+   applies them to copies of the records. */
 #include "commit/ws-batch.h"
 
 #include "commit/ws-batch-private.h"
@@ -7,16 +7,19 @@
 #include "storage/ws-gang-phase.h"
 #include "storage/ws-team-use.h"
 
-/* The store accepts 64 KiB; the rest is left for the final records of jobs and for conditions. */
+/* The store accepts 64 KiB. The difference is left for the final records of jobs and for
+   conditions, neither of which is included in the estimate. */
 #define MAX_TXN_BYTES 40000
+/* Estimated sizes of encoded items. */
 #define BYTES_PER_TEAM 64
 #define BYTES_PER_TASK 60
 #define BYTES_PER_CHUNK 400
+/* The limit on conditions, as a multiple of the limit on operations. */
 #define CONDITIONS_PER_OPERATION 4
 
-/* What a change adds to the transaction. */
+/* The cost that a change adds to the transaction. */
 typedef struct {
-  gint operations; /* fewer, where a final record replaces those of the chunks */
+  gint operations; /* negative, if a final record replaces several edited chunks */
   guint conditions;
   guint bytes;
 } Cost;
@@ -189,7 +192,7 @@
   return count;
 }
 
-/* If the change ends the job, its final record is written and none of its chunks. */
+/* If the change ends the job, the final record is written instead of the edited chunks. */
 static Cost
 change_cost(const WsBatch *batch, const WsJob *job, guint task, const WsMachine *machine,
             gboolean ends_job)
@@ -204,10 +207,10 @@
 }
 
 /**
- * Reserves the cost of a change of the task's chunk within the limits of the transaction. FALSE:
- * they don't allow it.
+ * Adds the cost of a change to the task's chunk, if the limits of the transaction allow it. Returns
+ * FALSE, without adding the cost, if they don't.
  *
- * @machine: to which the task is assigned; NULL: the change is a release
+ * @machine: the machine to which the task is assigned; NULL: the change is a release
  * @ends_job: whether the change ends the job
  */
 static gboolean
@@ -245,7 +248,8 @@
   return edit->chunk;
 }
 
-/* @tasks: how many more of the job's tasks are on the machine; negative: fewer */
+/* Changes the usage of the machine and of the job's team. @tasks: the number of tasks added to the
+   machine; negative: removed from it */
 static void
 change_use(WsBatch *batch, const WsJob *job, WsMachineIndex machine, gint64 tasks)
 {
@@ -254,7 +258,7 @@
   ws_resources_add(&batch->team_use[job->team], &job->spec->need, tasks);
 }
 
-/* Whether the release of one of the job's assigned tasks ends the job. */
+/* Returns whether the release of one more of the job's assigned tasks ends the job. */
 static gboolean
 release_ends_job(const WsBatch *batch, const WsJob *job, gboolean is_completed)
 {
@@ -266,7 +270,7 @@
   return ws_job_is_complete_after(job, &progress);
 }
 
-/* The highest attempt of the job as the batch leaves it. */
+/* Returns the highest attempt number of the job, including the batch's edits. */
 static guint64
 last_attempt(const WsBatch *batch, const WsJob *job)
 {
@@ -285,7 +289,7 @@
   change_use(batch, job, machine, -1);
 }
 
-/* The tasks of a gang complete together: when one is done, all are. */
+/* Completes all tasks of a gang: they complete together, as soon as the first one has. */
 static void
 finish_gang(WsBatch *batch, const WsJob *job)
 {
@@ -302,8 +306,8 @@
 log_release(const WsCore *core, const WsRelease *release)
 {
   g_autofree char *text = ws_release_describe(core->replica, release);
-  g_debug("a transaction of epoch %" G_GUINT64_FORMAT " releases %s", core->replica->epoch.number,
-          text);
+  g_debug("release added to a transaction of epoch %" G_GUINT64_FORMAT ": %s",
+          core->replica->epoch.number, text);
 }
 
 WsBatchResult
@@ -311,11 +315,11 @@
 {
   const WsJob *job = ws_replica_job(batch->core->replica, release->job);
   if (!ws_release_is_valid(batch->core->replica, release))
-    return WS_BATCH_REJECTED; /* written, of another attempt, or void */
+    return WS_BATCH_REJECTED; /* already written, of another attempt, or evidence no longer valid */
   const WsAssignment *assignment = ws_job_assignment(job, release->task);
   if (ws_chunk_find(ws_batch_chunk(batch, job, release->task / WS_CHUNK_TASKS), release->task)
       == NULL)
-    return WS_BATCH_ADDED; /* released by this batch: its use is subtracted once */
+    return WS_BATCH_ADDED; /* already released by this batch: subtract its usage only once */
   gboolean ends_job = release_ends_job(batch, job, release->is_completed);
   if (!reserve_cost(batch, job, release->task, NULL, ends_job))
     return WS_BATCH_FULL;
@@ -333,8 +337,8 @@
   return WS_BATCH_ADDED;
 }
 
-/* A gang's tasks share their attempt: that of the tasks which are assigned already, or else a new
-   one. */
+/* Returns the attempt number for an assignment. All tasks of a gang share one attempt number: a new
+   assignment takes the number of the tasks already assigned or, if there are none, a new one. */
 static guint64
 next_attempt(const WsBatch *batch, const WsJob *job, const WsChunk *chunk)
 {
--- a/src/commit/ws-batch.h
+++ b/src/commit/ws-batch.h
@@ -1,16 +1,17 @@
 /**
- * A batch of assignments and releases that become one transaction.
+ * A batch of assignments and releases that are committed in one transaction.
  *
- * Each is checked against the records as the batch leaves them, and taken while the limits of the
- * store on operations, conditions and bytes allow it. A team's use and its tasks' records change in
- * one transaction.
+ * Each change is validated against the records as they will be after the changes added before it,
+ * and is added as long as the transaction stays within the store's limits on operations, conditions
+ * and bytes. The resource usage of a team is updated in the same transaction as the records of the
+ * team's tasks.
  */
 #pragma once
 
 #include "storage/ws-evidence.h"
 #include "store/ws-store.h"
 
-/** An assignment that is proposed and not written yet. */
+/** A proposed assignment that has not been committed yet. */
 typedef struct {
   WsJobIndex job;
   guint task;
@@ -18,44 +19,48 @@
   gint64 planned_ms; /**< when it was proposed, on the clock of core->now */
 } WsProposal;
 
-/** What became of a release or an assignment that was to be added. */
+/** The result of adding a release or an assignment to a batch. */
 typedef enum {
-  WS_BATCH_ADDED,   /**< the batch does it, or has done so before */
-  WS_BATCH_FULL,    /**< a later batch may take it */
-  WS_BATCH_REJECTED /**< it doesn't hold, or not any more */
+  WS_BATCH_ADDED,   /**< the batch contains the change */
+  WS_BATCH_FULL,    /**< the change doesn't fit now; it may be added to a later batch */
+  WS_BATCH_REJECTED /**< the change is not valid, or no longer valid */
 } WsBatchResult;
 
-/** A transaction of assignments and releases that is being put together. */
+/** A batch under construction. */
 typedef struct _WsBatch WsBatch;
 
-/** @core: must outlive the batch, and its replica mustn't change until the batch is built */
+/**
+ * Creates an empty batch. The caller frees it.
+ *
+ * @core: must outlive the batch; its replica mustn't change until the transaction is built
+ */
 WsBatch *ws_batch_new(WsCore *core);
 
-/** Frees the batch, but not a transaction that it has built. @batch: not NULL */
+/** Frees the batch, but not the transaction built from it. @batch: not NULL */
 void ws_batch_free(WsBatch *batch);
 
-/** Sets how many operations the batch may have after the next addition. */
+/** Sets the limit on operations for further additions. */
 void ws_batch_set_max_operations(WsBatch *batch, guint max_operations);
 
-/** Makes the batch take no second job. */
+/** Restricts the batch to changes of a single job. */
 void ws_batch_restrict_to_one_job(WsBatch *batch);
 
-/** Appends the indices of the jobs in the batch, each once. @jobs: of guint */
+/** Appends the index of each job in the batch, without duplicates. @jobs: of guint */
 void ws_batch_collect_jobs(const WsBatch *batch, GArray *jobs);
 
-/** Whether the batch changes no record. */
+/** Returns whether the batch changes no record. */
 gboolean ws_batch_is_empty(const WsBatch *batch);
 
-/** Adds the release, if its evidence still holds. It is copied. */
+/** Adds the release if its evidence is still valid. @release: copied */
 WsBatchResult ws_batch_release(WsBatch *batch, const WsRelease *release);
 
-/** Adds the assignment, if the records as the batch leaves them allow it. It is copied. */
+/** Adds the assignment if the records, with the batch's changes, allow it. @proposal: copied */
 WsBatchResult ws_batch_assign(WsBatch *batch, const WsProposal *proposal);
 
 /**
- * Builds the transaction. The caller owns it.
+ * Builds the transaction. Ownership passes to the caller.
  *
- * @ended_jobs: of guint; the indices of the jobs that end with the transaction are appended
+ * @ended_jobs: of guint; the indices of jobs that the transaction ends are appended
  */
 WsTxn *ws_batch_build_txn(const WsBatch *batch, GArray *ended_jobs);
 
--- a/src/commit/ws-commit.h
+++ b/src/commit/ws-commit.h
@@ -1,10 +1,11 @@
 /**
- * Assignments and releases of tasks on their way into the key-value store.
+ * Commits task assignments and releases to the key-value store.
  *
- * A task is assigned there before it is launched, and released there before it may go elsewhere.
- * The leader writes for all nodes, one transaction at a time; the other nodes forward theirs to it.
- * Owns proposed assignments, pending releases, the transaction that is being written, the garbage
- * collection of finished jobs' records, and the estimator of run times.
+ * An assignment is committed before the task is launched, and a release before the task is assigned
+ * again. The leader commits the changes of all nodes, one transaction at a time; the other nodes
+ * forward their changes to it. This package owns the proposed assignments, the pending releases,
+ * the transaction in flight, the garbage collection of finished jobs' records and the run-time
+ * estimator.
  */
 #pragma once
 
@@ -13,112 +14,132 @@
 
 /* Assignments. */
 
-/** Calls back with a job that has a task on its way to the machine. */
+/** Called for a proposed assignment of one of the job's tasks to the machine. */
 typedef void (*WsProposalFunc)(const WsJob *job, WsMachineIndex machine, gpointer data);
 
-/** Creates the state of assignments, with none proposed. The caller frees it. */
+/** Creates the assignment state, without proposals. The caller frees it. */
 WsAssignments *ws_assignments_new(void);
 
-/** Frees the proposals too; they are not written. @assignments: not NULL */
+/** Frees the state and drops its uncommitted proposals. @assignments: not NULL */
 void ws_assignments_free(WsAssignments *assignments);
 
-/** Proposes to assign the task to the machine; nothing, if it's proposed already. */
+/** Proposes to assign the task to the machine. Does nothing if an assignment is pending. */
 void ws_assignments_propose(WsCore *core, WsJobIndex job, guint task, WsMachineIndex machine);
 
-/** Whether an assignment of the task is proposed, forwarded or being written. */
+/** Returns whether an assignment of the task is proposed, forwarded or in flight. */
 gboolean ws_assignments_is_pending(const WsCore *core, WsJobIndex job, guint task);
 
-/** Whether nothing is proposed or being written, so that planning may go on. */
+/** Returns whether no assignment is proposed or in flight, so that planning may continue. */
 gboolean ws_assignments_are_idle(const WsCore *core);
 
-/** Whether assignments or releases wait to be written. */
+/** Returns whether assignments or releases are waiting to be committed. */
 gboolean ws_assignments_have_backlog(const WsCore *core);
 
-/** For how long, in milliseconds, the oldest assignment has waited to be written; 0: none does. */
+/** Returns the age of the oldest uncommitted assignment in milliseconds; 0: there is none. */
 gint64 ws_assignments_oldest_age_ms(const WsCore *core);
 
-/** Writes what waits, or forwards it to the leader. Called after every input. */
+/**
+ * Commits pending changes or, on other nodes than the leader, forwards them to the leader. Called
+ * after every input.
+ */
 void ws_assignments_pump(WsCore *core);
 
-/** Forgets the proposals and the void releases: machines may have other owners in a new epoch. */
+/**
+ * Drops the proposals and all releases that are no longer valid, since machines may have new owners
+ * in a new epoch.
+ */
 void ws_assignments_begin_epoch(WsCore *core);
 
-/** Goes through what was forwarded to the leader and has not come back through the store yet. */
+/** Visits the assignments that were forwarded to the leader and aren't in the replica yet. */
 void ws_assignments_foreach_forwarded(const WsCore *core, WsProposalFunc visit, gpointer data);
 
 /* Releases.
 
-   Whoever finds out that an attempt is gone from its machine adds one: the machine's owner from its
-   worker's heartbeats, the leader for a machine that the cloud has taken back and for what other
-   nodes forward. Each is kept only while its evidence holds, see ws-evidence.h. */
+   A release records that a task's attempt no longer runs on its machine. The machine's owner adds
+   releases from the worker's heartbeats. The leader adds them for machines that were returned to
+   the cloud, and those that other nodes forward. A release is kept only while its evidence is
+   valid, see ws-evidence.h. */
 
-/** Creates the state of releases, with none pending. The caller frees it. */
+/** Creates the release state, without pending releases. The caller frees it. */
 WsReleases *ws_releases_new(void);
 
-/** Frees the pending releases too; they are not written. @releases: not NULL */
+/** Frees the state and drops its uncommitted releases. @releases: not NULL */
 void ws_releases_free(WsReleases *releases);
 
-/** Adds the release, or its evidence to a pending release of the same attempt. */
+/** Adds the release, or merges its evidence into a pending release of the same attempt. */
 void ws_releases_add(WsCore *core, const WsRelease *release);
 
 /**
- * Adds the release of an attempt by the newest heartbeat of its machine's worker.
+ * Adds the release of an attempt, with the newest heartbeat of its machine's worker as evidence.
  *
  * @is_completed: whether the task has completed
  */
 void ws_releases_add_reported(WsCore *core, const WsJob *job, const WsAssignment *assignment,
                               WsEvidenceKind kind, gboolean is_completed);
 
-/** Drops the release of the attempt: the worker shows it, so the evidence was wrong. */
+/**
+ * Drops the pending release of the attempt. Called when the worker reports the attempt, which
+ * proves the release wrong.
+ */
 void ws_releases_refute(WsCore *core, const WsJob *job, const WsAssignment *assignment);
 
-/** Whether the attempt's release waits to be written: until then nobody may launch it. */
+/**
+ * Returns whether a release of the attempt is waiting to be committed. Such an attempt must not be
+ * launched.
+ */
 gboolean ws_releases_is_pending(const WsCore *core, const WsJob *job,
                                 const WsAssignment *assignment);
 
-/** For how long, in milliseconds, the oldest release has waited to be written; 0: none does. */
+/** Returns the age of the oldest uncommitted release in milliseconds; 0: there is none. */
 gint64 ws_releases_oldest_age_ms(const WsCore *core);
 
-/* Releases by controllers of versions before 0.4, which carry no evidence.
+/* Releases from controllers before version 0.4, which carry no evidence.
 
-   Such a release is a hint, not proof: it may come from a former owner of the machine. It is taken
-   where nobody else can have launched the attempt, and for a completed task, whose result stays.
-   Otherwise the leader asks the worker, and takes an exit that it still shows; a machine that the
-   hint is repeated for during a whole lease is returned, which is proof. An owner of the present
-   version finds out by itself and needs no hint. */
+   Such a release is only a hint, since a former owner of the machine may have sent it. It is
+   accepted if the machine has had the same owner since the attempt was assigned, so that no other
+   node can have launched the attempt, or if the task is completed, because its result remains
+   valid. Otherwise the leader probes the worker and accepts the release if the worker reports that
+   the attempt has exited. If the hint is repeated for a whole lease without such a report, the
+   leader terminates the machine; its return is evidence. If the machine is owned by the leader
+   itself, the hint is ignored, because the leader gathers its own evidence from the worker's
+   heartbeats. */
 
-/** Creates the state of releases without evidence, with no hints. The caller frees it. */
+/** Creates the state of legacy releases, without hints. The caller frees it. */
 WsLegacyReleases *ws_legacy_releases_new(void);
 
-/** Frees the hints too. @legacy_releases: not NULL */
+/** Frees the state with its hints. @legacy_releases: not NULL */
 void ws_legacy_releases_free(WsLegacyReleases *legacy_releases);
 
-/** Takes a release without evidence; its evidence isn't read. For the leader. */
+/** Handles a legacy release; its evidence field is ignored. Only called on the leader. */
 void ws_legacy_releases_add(WsCore *core, const WsRelease *release);
 
-/** Forgets the hints whose attempts are no longer on the records. */
+/** Drops the hints about attempts that are no longer assigned. */
 void ws_legacy_releases_begin_epoch(WsCore *core);
 
 /* Run times. */
 
-/** Creates an estimator that has seen no run times. The caller frees it. */
+/** Creates an estimator without samples. The caller frees it. */
 WsEstimator *ws_estimator_new(void);
 
-/** Frees the estimator, and with it what it has learned. @estimator: not NULL */
+/** Frees the estimator and its samples. @estimator: not NULL */
 void ws_estimator_free(WsEstimator *estimator);
 
-/** The job's estimated run time in seconds, corrected by what tasks of its class have taken. */
+/**
+ * Returns the job's estimated run time in seconds, corrected by the measured run times of completed
+ * tasks of the same class.
+ */
 double ws_estimator_run_s(const WsCore *core, const WsJob *job);
 
 /* Garbage collection. */
 
-/** Creates the state of the garbage collection. The caller frees it. */
+/** Creates the garbage collection state. The caller frees it. */
 WsGarbage *ws_garbage_new(void);
 
-/** Frees the state of the garbage collection; NULL is allowed. */
+/** Frees the garbage collection state. @garbage: may be NULL */
 void ws_garbage_free(WsGarbage *garbage);
 
-/** Deletes some records of finished jobs, if it's time for that. For the leader. */
+/** Deletes records of finished jobs, if a collection is due. Does nothing unless this node leads.
+ */
 void ws_garbage_tick(WsCore *core);
 
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsAssignments, ws_assignments_free)
--- a/src/commit/ws-estimator.c
+++ b/src/commit/ws-estimator.c
@@ -1,16 +1,19 @@
-/* The run-time estimator: compares the run times of a class's tasks with the estimates of their
-   owners. On some days most estimates are too high, on others too low. Only the leader, which
-   writes all releases, has the run times. */
+/* The run-time estimator: corrects users' estimates by the ratio of measured to estimated run times
+   of completed tasks of the same class. Users' estimates are biased, and the bias changes over
+   time: most are too high for a while, then most are too low. Only the leader collects run times,
+   since it commits all releases. */
 #include "commit/ws-commit.h"
 
 #include "commit/ws-releases-private.h"
 
+/* Completed tasks of a class that are needed before its estimates are corrected. */
 #define MIN_TASKS 20
+/* Limits of the correction. */
 #define MIN_FACTOR 0.5
 #define MAX_FACTOR 2.0
-/* The time between an assignment and its launch on the machine. */
+/* Typical delay between the assignment of a task and its launch. */
 #define LAUNCH_DELAY_S 2.0
-/* Only some of the tasks have waited for their image: so much of its fetch is subtracted. */
+/* Fraction of the image fetch time to subtract, since only some tasks wait for their image. */
 #define IMAGE_FETCH_SHARE 0.5
 
 typedef struct {
@@ -41,7 +44,7 @@
 void
 ws_estimator_add(WsCore *core, const WsJob *job, const WsAssignment *assignment)
 {
-  /* A large record leaves out when its tasks were assigned. */
+  /* Large chunk records omit the assignment times. */
   gboolean is_timed = assignment->assigned_ms > 0;
   if (job->spec->estimate_s <= 0.0 || !is_timed || core->replica->catalog == NULL)
     return;
--- a/src/commit/ws-garbage.c
+++ b/src/commit/ws-garbage.c
@@ -1,17 +1,18 @@
-/* Garbage collection of finished jobs' chunks.
+/* Garbage collection of the chunk records of finished jobs.
 
-   The end of a job is written with one operation, on its own record; the records of its chunks stay
-   behind as garbage. The leader deletes them, a transaction at a time, when no assignment and no
-   release waits for the write budget, or when too many have accumulated. */
+   The end of a job is committed with a single operation on the job's own record, which leaves its
+   chunk records behind as garbage. The leader deletes them, one transaction at a time, when no
+   assignment or release is waiting for the write budget, or when too many have accumulated. */
 #include "commit/ws-commit.h"
 
 #include "store/ws-store.h"
 
 #include <string.h>
 
+/* Time until the next check: if there is no garbage or the deletion failed, and otherwise. */
 #define IDLE_PAUSE_MS 3000
 #define BUSY_PAUSE_MS 500
-/* Beyond this, garbage is deleted even when the leader is not idle, since every start reads it. */
+/* Above this limit garbage is deleted even under load, since every starting node has to read it. */
 #define MAX_GARBAGE_RECORDS 2000
 
 struct _WsGarbage {
@@ -30,7 +31,7 @@
   g_free(garbage);
 }
 
-/* Whether the key is of a chunk of a finished job. */
+/* Returns whether the key belongs to a chunk of a finished job. */
 static gboolean
 is_garbage(const WsReplica *replica, const char *key)
 {
@@ -49,7 +50,7 @@
   core->garbage->next_ms = core->now + (result == WS_TXN_COMMITTED ? BUSY_PAUSE_MS : IDLE_PAUSE_MS);
 }
 
-/* Adds deletions up to the limit of a transaction. Returns the number of all garbage records. */
+/* Adds deletions up to the operation limit. Returns the total number of garbage records. */
 static guint
 delete_garbage(const WsCore *core, WsTxn *txn)
 {
@@ -67,7 +68,8 @@
   return count;
 }
 
-/* Whether nothing else waits for the write budget, and half a transaction fits into it. */
+/* Returns whether no other change is waiting and the write budget allows half of the maximal number
+   of operations. */
 static gboolean
 writing_is_idle(WsCore *core)
 {
--- a/src/commit/ws-job-completion.c
+++ b/src/commit/ws-job-completion.c
@@ -1,4 +1,4 @@
-/* The rule of when a job is complete. */
+/* The rule that decides when a job ends. */
 #include "commit/ws-job-completion.h"
 
 #include "storage/ws-gang-phase.h"
--- a/src/commit/ws-job-completion.h
+++ b/src/commit/ws-job-completion.h
@@ -1,19 +1,21 @@
 /**
- * When a job ends: the one rule that the order of releases and the transaction share.
+ * The rule that decides when a job ends. Used both to order releases and to build batches, which
+ * have to agree.
  */
 #pragma once
 
 #include "storage/ws-replica.h"
 
-/** What a job's records would say once some releases are written. */
+/** The progress of a job, as it will be after some releases are committed. */
 typedef struct {
   gint64 completed_count; /**< completed tasks */
   gint64 assigned_count;  /**< tasks that are still assigned */
-  gboolean has_completed; /**< one of the releases is of a completed task */
+  gboolean has_completed; /**< whether one of the releases is of a completed task */
 } WsJobProgress;
 
 /**
- * Whether the releases leave the job with nothing to do: all tasks are completed, or, of a
- * cancelled job, none is assigned any more. The tasks of a gang complete together.
+ * Returns whether the job ends with the releases. An active job ends when all of its tasks are
+ * completed; a gang already with its first completed task, since its tasks complete together. A
+ * cancelled job ends when none of its tasks is assigned any more.
  */
 gboolean ws_job_is_complete_after(const WsJob *job, const WsJobProgress *progress);
--- a/src/commit/ws-job-quarantine.c
+++ b/src/commit/ws-job-quarantine.c
@@ -1,13 +1,15 @@
-/* The quarantine of jobs whose records the store rejects. */
+/* Quarantine of jobs whose records the store rejects as invalid. */
 #include "commit/ws-job-quarantine.h"
 
 #include "context/ws-context.h"
 
+/* How long transactions are limited to one job each, after a rejection. */
 #define ISOLATION_MS 5000
+/* How long a job that was rejected alone is excluded. */
 #define QUARANTINE_MS 10000
 
 struct _WsJobQuarantine {
-  GHashTable *until_ms; /* job index -> gint64: until when the job is left out */
+  GHashTable *until_ms; /* job index -> gint64: end of the quarantine */
   gint64 isolating_until_ms;
 };
 
--- a/src/commit/ws-job-quarantine.h
+++ b/src/commit/ws-job-quarantine.h
@@ -1,30 +1,35 @@
 /**
- * The quarantine of jobs whose records the store rejects.
+ * Quarantine of jobs whose records the store rejects as invalid.
  *
- * A rejection for a record's size or form is a fault that a retry doesn't mend. So that it holds up
- * no other job, what a rejected transaction had is written one job at a time for a while; a job
- * that is rejected alone is left out for some seconds.
+ * The store rejects a whole transaction if a record is too large or malformed, and a retry would
+ * fail again. To keep one such job from blocking all others, each transaction is limited to a
+ * single job for some seconds after a rejection. A job whose transaction is rejected in this state
+ * is excluded from transactions for some seconds.
  */
 #pragma once
 
 #include "protocol/ws-index.h"
 
-/** The jobs that are left out for now, and until when. Its times are in ms of one clock. */
+/** The set of quarantined jobs. All times passed to it are milliseconds of the same clock. */
 typedef struct _WsJobQuarantine WsJobQuarantine;
 
-/** Creates a quarantine without jobs. The caller frees it. */
+/** Creates an empty quarantine. The caller frees it. */
 WsJobQuarantine *ws_job_quarantine_new(void);
 
 /** Frees the quarantine. @quarantine: not NULL */
 void ws_job_quarantine_free(WsJobQuarantine *quarantine);
 
-/** Notes that a transaction was rejected. @jobs: of guint, the indices of its jobs */
+/**
+ * Records that the store rejected a transaction. Quarantines its job if it had only one.
+ *
+ * @jobs: of guint, the indices of the transaction's jobs
+ */
 void ws_job_quarantine_add(WsJobQuarantine *quarantine, gint64 now_ms, const GArray *jobs);
 
-/** Whether transactions hold one job each for now. */
+/** Returns whether transactions are currently limited to one job each. */
 gboolean ws_job_quarantine_is_isolating(const WsJobQuarantine *quarantine, gint64 now_ms);
 
-/** Whether the job is left out for now. */
+/** Returns whether the job is currently quarantined. */
 gboolean ws_job_quarantine_has(const WsJobQuarantine *quarantine, gint64 now_ms, WsJobIndex job);
 
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsJobQuarantine, ws_job_quarantine_free)
--- a/src/commit/ws-legacy-releases.c
+++ b/src/commit/ws-legacy-releases.c
@@ -1,19 +1,22 @@
-/* Releases from versions before 0.4, which come without evidence: each is a hint that an attempt is
-   gone, and is confirmed by its worker's status or by terminating the machine. */
+/* Releases from controllers before version 0.4, which carry no evidence. Each is treated as a hint
+   that an attempt no longer runs, and is confirmed by the status of the worker or by terminating
+   the machine. */
 #include "commit/ws-commit.h"
 
 #include "storage/ws-mark-reasons.h"
 
 #define STATUS_TIMEOUT_MS 1000
+/* Minimum time between two probes for the same hint. */
 #define STATUS_RETRY_MS 1500
-/* Those versions repeat a release every 2 s; after a longer pause than this it is a new hint. */
+/* Versions before 0.4 repeat a release every 2 s. A release that is repeated after a longer pause
+   than this is a new hint. */
 #define HINT_REPEAT_MS 5000
 
 typedef struct {
   WsRelease release;
-  gint64 since_ms;  /* when it first arrived */
-  gint64 last_ms;   /* when it was last repeated */
-  gint64 probed_ms; /* when its worker was last probed */
+  gint64 since_ms;  /* when the release was first received, without a longer pause since */
+  gint64 last_ms;   /* when the release was last received */
+  gint64 probed_ms; /* when the worker was last probed; 0: never */
 } Hint;
 
 struct _WsLegacyReleases {
@@ -67,8 +70,8 @@
   return task != NULL && task->state == WS_TASK_EXITED;
 }
 
-/* An exit in a status under the present fencing token is evidence: the worker keeps it until the
-   attempt is released. */
+/* Handles the status of a probed worker. If the status has the present fencing token, the exit of
+   an attempt in it is evidence, since the worker reports the exit until the attempt is released. */
 static void
 on_status(WsCore *core, guint status, const json_t *body, gpointer data)
 {
--- a/src/commit/ws-release-order.c
+++ b/src/commit/ws-release-order.c
@@ -1,19 +1,19 @@
-/* The order of releases: those that end jobs first, then by the total weight of the releases that
-   share a record. */
+/* Orders pending releases: first those that end a job, then by the total weight of the releases
+   that share a record. */
 #include "commit/ws-release-order.h"
 
 #include "commit/ws-job-completion.h"
 #include "storage/ws-team-use.h"
 
-/* The weight of a new release; it grows with its age. */
+/* The weight of a new release. A release's weight grows by its age in milliseconds. */
 #define MIN_WEIGHT_MS 300
 
-/* Sums over all pending releases. */
+/* Totals over all pending releases. */
 typedef struct {
   GHashTable *chunk_weight;    /* by chunk */
   GHashTable *pending_count;   /* by job */
-  GHashTable *completed_count; /* by job: how many of them are of completed tasks */
-  gint64 *team_use_weight;     /* by record of teams' use */
+  GHashTable *completed_count; /* by job: those of completed tasks */
+  gint64 *team_use_weight;     /* by team-use record */
 } Sums;
 
 static gpointer
@@ -67,7 +67,7 @@
     sums->team_use_weight[ws_team_use_group(core->settings, job->team)] += weight;
 }
 
-/* Whether the pending releases of the job end it. */
+/* Returns whether the pending releases of the job, taken together, end the job. */
 static gboolean
 ends_job(const Sums *sums, const WsJob *job)
 {
@@ -104,9 +104,9 @@
   return first->job == second->job && first->task / WS_CHUNK_TASKS == second->task / WS_CHUNK_TASKS;
 }
 
-/* Whether the store accepts the chunk's record without its pending releases. An older version of
-   the program may have written a record that is larger than the present limit: then its releases
-   wait until there are enough of them. */
+/* Returns whether the chunk's record, without the tasks that are to be released, is small enough
+   for the store. An older version of the program may have written a record above the present limit.
+   Its releases then wait until there are enough of them to bring the record below the limit. */
 static gboolean
 can_be_written(const WsCore *core, const GArray *releases, const WsOrderedRelease *ordered)
 {
@@ -123,7 +123,7 @@
   return ws_chunk_fits_record(rest, core->replica);
 }
 
-/* Leaves out the releases that can't be written yet. */
+/* Removes the releases that can't be written yet. */
 static void
 remove_unwritable(const WsCore *core, GArray *releases)
 {
@@ -136,7 +136,7 @@
       g_array_remove_index(releases, i);
 }
 
-/* Appends the pending releases, without their weights. */
+/* Appends the pending releases, without weights, and adds them to the totals. */
 static void
 append_pending(const WsCore *core, GHashTable *pending, GArray *releases, Sums *sums)
 {
--- a/src/commit/ws-releases-private.h
+++ b/src/commit/ws-releases-private.h
@@ -1,28 +1,35 @@
 /**
- * What the modules of commit call of each other: pending releases for the transactions, and
- * completed run times for the estimator. Private to commit.
+ * The interface between the modules of the commit package: access to pending releases, and run
+ * times for the estimator. Private to the package.
  */
 #pragma once
 
 #include "commit/ws-commit.h"
 
-/** Drops what is pending for the task. */
+/** Drops the pending release of the task. */
 void ws_releases_remove(WsCore *core, const WsRelease *release);
 
-/** How many releases are pending. */
+/** Returns the number of pending releases. */
 guint ws_releases_count(const WsCore *core);
 
-/** The releases (of WsOrderedRelease) in the order in which to write them. The caller frees it. */
+/**
+ * Returns the pending releases (of WsOrderedRelease) in the order in which to commit them. The
+ * caller frees the array.
+ */
 GArray *ws_releases_in_order(const WsCore *core);
 
-/** Forwards to the leader what is new, or has not been written for a while. */
+/** Forwards new releases to the leader, and again those that are still uncommitted after a while.
+ */
 void ws_releases_forward(WsCore *core);
 
-/** Makes everything be forwarded once more. */
+/** Marks all pending releases as not yet forwarded. */
 void ws_releases_reset_forwarding(WsCore *core);
 
-/** Drops what doesn't hold in the new epoch, and forwards the rest once more. */
+/**
+ * Drops the releases that are not valid in the new epoch, and marks the others as not yet
+ * forwarded.
+ */
 void ws_releases_begin_epoch(WsCore *core);
 
-/** Adds the run time of a completed task to what is known of its class. */
+/** Adds the run time of a completed task to the samples of its class. */
 void ws_estimator_add(WsCore *core, const WsJob *job, const WsAssignment *assignment);
--- a/src/commit/ws-releases.c
+++ b/src/commit/ws-releases.c
@@ -1,10 +1,10 @@
-/* Pending releases: attempts that are gone from their machines but still recorded as assigned. */
+/* Pending releases: attempts that no longer run but are still recorded as assigned. */
 #include "commit/ws-releases-private.h"
 
 #include "commit/ws-release-order.h"
 #include "commit/ws-task-key.h"
 
-/* A release that was forwarded and is not written after this time is forwarded again. */
+/* A forwarded release that has not been committed by then is forwarded again. */
 #define FORWARD_RETRY_MS 2000
 
 struct _WsReleases {
@@ -74,8 +74,9 @@
     ws_estimator_add(core, ws_replica_job(core->replica, release->job), assignment);
 }
 
-/* Evidence is never replaced by weaker evidence of the same attempt: a completed task stays
-   completed, and the cloud's confirmation of a return is stronger than any heartbeat. */
+/* Merges the evidence of two releases of the same attempt. Stronger evidence is kept: a completed
+   task stays completed, and the cloud's confirmation that the machine was returned is stronger than
+   any heartbeat. */
 static void
 merge_evidence(WsRelease *pending, const WsRelease *release)
 {
@@ -122,7 +123,7 @@
   if (pending == NULL || pending->release.attempt != assignment->attempt)
     return;
   g_autofree char *text = ws_release_describe(core->replica, &pending->release);
-  g_warning("a pending release is refuted by the worker: %s", text);
+  g_warning("pending release dropped, worker still reports the attempt: %s", text);
   g_hash_table_remove(core->releases->pending, key);
 }
 
@@ -134,8 +135,9 @@
   return pending != NULL && ws_release_is_valid(core->replica, &pending->release);
 }
 
-/* Drops releases whose machine has another owner since: that owner may have launched the attempt
-   again, and has to find its own evidence. Without this a task once ran twice. */
+/* Drops releases whose machine has changed its owner since. The new owner may have launched the
+   attempt again and has to gather evidence of its own. Writing such a release would let the task be
+   assigned again while it runs, so that it runs twice. */
 static void
 drop_void_releases(WsCore *core)
 {
@@ -148,14 +150,15 @@
       continue;
     if (ws_release_assignment(core->replica, release) != NULL) {
       g_autofree char *text = ws_release_describe(core->replica, release);
-      g_info("a release is dropped in epoch %" G_GUINT64_FORMAT ": %s", core->replica->epoch.number,
-             text);
+      g_info("pending release dropped in epoch %" G_GUINT64_FORMAT ", evidence no longer valid: %s",
+             core->replica->epoch.number, text);
     }
     g_hash_table_iter_remove(&iter);
   }
 }
 
-/* Evidence of the machine's present owner that was not refuted is valid in this epoch too. */
+/* Updates the evidence to the present epoch if this node still owns the machine. The evidence is
+   still valid, since the owner drops a release that a later heartbeat contradicts. */
 static void
 renew_evidence(const WsCore *core, WsRelease *release)
 {
--- a/src/commit/ws-task-key.h
+++ b/src/commit/ws-task-key.h
@@ -1,5 +1,5 @@
 /**
- * The key of a task in hash tables, for pending assignments and releases.
+ * The hash table key of a task, used for pending assignments and releases.
  */
 #pragma once
 
@@ -7,7 +7,7 @@
 
 #include <glib.h>
 
-/** The key of the task, by its number within the job. Never NULL. */
+/** Returns the key of a task. Never NULL. @task: number of the task within the job */
 static inline gpointer
 ws_task_key(WsJobIndex job, guint task)
 {
