--- a/src/commit/ws-assignments.c
+++ b/src/commit/ws-assignments.c
@@ -9,19 +9,19 @@
 #include "commit/ws-task-key.h"
 
 /* Delay between two transactions, or two forwardings, in which further changes are collected. */
-#define BATCHING_MS 50
+#define BATCH_INTERVAL_MS 50
 /* Retry delays after a transaction that conflicted, and after one that failed otherwise. */
-#define CONFLICT_PAUSE_MS 60
-#define FAILURE_PAUSE_MS 400
+#define CONFLICT_RETRY_DELAY_MS 60
+#define FAILURE_RETRY_DELAY_MS 400
 /* If a forwarded assignment has not been committed by then, the task can be proposed again. */
 #define FORWARDED_TIMEOUT_MS 1500
 /* Operations that the write budget must allow before a transaction starts. Until then, more changes
    accumulate, so that fewer and larger transactions are written. */
-#define MIN_TXN_BUDGET 4
+#define MIN_WRITE_BUDGET_OPERATIONS 4
 
 typedef struct {
   WsProposal proposal;
-  gint64 until_ms;
+  gint64 expires_ms;
 } ForwardedProposal;
 
 /* Which pending releases a step of filling the batch considers. */
@@ -33,13 +33,13 @@
 struct _WsAssignments {
   GArray *proposals;   /* of WsProposal, most urgent first */
   GHashTable *pending; /* set of task keys: proposed, in the transaction in flight, or forwarded */
-  GArray *writing;     /* of WsProposal: the assignments in the transaction in flight */
+  GArray *in_flight;   /* of WsProposal: the assignments in the transaction in flight */
   GArray *forwarded;   /* of ForwardedProposal */
   GArray *ended_jobs;  /* of guint: jobs that the transaction in flight ends */
   GArray *jobs;        /* of guint: all jobs in the transaction in flight */
   WsJobQuarantine *quarantine;
-  gboolean is_writing;
-  gint64 next_ms; /* earliest time of the next transaction or, on other nodes, forwarding */
+  gboolean is_txn_in_flight;
+  gint64 next_batch_ms; /* earliest time of the next transaction or, on other nodes, forwarding */
 };
 
 WsAssignments *
@@ -48,7 +48,7 @@
   WsAssignments *assignments = g_new0(WsAssignments, 1);
   assignments->proposals = g_array_new(FALSE, FALSE, sizeof(WsProposal));
   assignments->pending = g_hash_table_new(NULL, NULL);
-  assignments->writing = g_array_new(FALSE, FALSE, sizeof(WsProposal));
+  assignments->in_flight = g_array_new(FALSE, FALSE, sizeof(WsProposal));
   assignments->forwarded = g_array_new(FALSE, FALSE, sizeof(ForwardedProposal));
   assignments->ended_jobs = g_array_new(FALSE, FALSE, sizeof(guint));
   assignments->jobs = g_array_new(FALSE, FALSE, sizeof(guint));
@@ -61,7 +61,7 @@
 {
   g_array_unref(assignments->proposals);
   g_hash_table_unref(assignments->pending);
-  g_array_unref(assignments->writing);
+  g_array_unref(assignments->in_flight);
   g_array_unref(assignments->forwarded);
   g_array_unref(assignments->ended_jobs);
   g_array_unref(assignments->jobs);
@@ -86,7 +86,7 @@
 gboolean
 ws_assignments_are_idle(const WsCore *core)
 {
-  return !core->assignments->is_writing && core->assignments->proposals->len == 0;
+  return !core->assignments->is_txn_in_flight && core->assignments->proposals->len == 0;
 }
 
 gint64
@@ -116,14 +116,14 @@
 }
 
 static void
-forget_proposals(WsCore *core)
+drop_proposals(WsCore *core)
 {
   WsAssignments *assignments = core->assignments;
   g_array_set_size(assignments->proposals, 0);
   g_array_set_size(assignments->forwarded, 0);
   g_hash_table_remove_all(assignments->pending);
-  for (guint i = 0; i < assignments->writing->len; i++) {
-    const WsProposal *proposal = &g_array_index(assignments->writing, WsProposal, i);
+  for (guint i = 0; i < assignments->in_flight->len; i++) {
+    const WsProposal *proposal = &g_array_index(assignments->in_flight, WsProposal, i);
     g_hash_table_add(assignments->pending, ws_task_key(proposal->job, proposal->task));
   }
 }
@@ -131,7 +131,7 @@
 void
 ws_assignments_begin_epoch(WsCore *core)
 {
-  forget_proposals(core);
+  drop_proposals(core);
   ws_releases_begin_epoch(core);
 }
 
@@ -158,7 +158,7 @@
   for (guint i = forwarded->len; i-- > 0;) {
     const ForwardedProposal *item = &g_array_index(forwarded, ForwardedProposal, i);
     const WsJob *job = ws_replica_job(core->replica, item->proposal.job);
-    if (core->now <= item->until_ms && job->spec != NULL
+    if (core->now <= item->expires_ms && job->spec != NULL
         && ws_job_assignment(job, item->proposal.task) == NULL)
       continue;
     g_hash_table_remove(core->assignments->pending,
@@ -186,27 +186,27 @@
    write. A transaction with an indeterminate outcome may still be applied later. This is safe:
    the new transaction depends on the same records, so whichever is applied second conflicts. */
 static void
-propose_again(WsCore *core, WsTxnResult result)
+requeue_failed_assignments(WsCore *core, WsTxnResult result)
 {
   WsAssignments *assignments = core->assignments;
-  assignments->next_ms
-      = core->now + (result == WS_TXN_CONFLICT ? CONFLICT_PAUSE_MS : FAILURE_PAUSE_MS);
-  for (guint i = 0; i < assignments->writing->len; i++) {
-    const WsProposal *proposal = &g_array_index(assignments->writing, WsProposal, i);
+  assignments->next_batch_ms
+      = core->now + (result == WS_TXN_CONFLICT ? CONFLICT_RETRY_DELAY_MS : FAILURE_RETRY_DELAY_MS);
+  for (guint i = 0; i < assignments->in_flight->len; i++) {
+    const WsProposal *proposal = &g_array_index(assignments->in_flight, WsProposal, i);
     ws_assignments_propose(core, proposal->job, proposal->task, proposal->machine);
   }
 }
 
 static void
-on_written(WsCore *core, WsTxnResult result, gpointer data)
+on_txn_finished(WsCore *core, WsTxnResult result, gpointer data)
 {
   (void)data;
   WsAssignments *assignments = core->assignments;
-  assignments->is_writing = FALSE;
-  assignments->next_ms = core->now + BATCHING_MS;
+  assignments->is_txn_in_flight = FALSE;
+  assignments->next_batch_ms = core->now + BATCH_INTERVAL_MS;
   core->replan_is_needed = TRUE;
-  for (guint i = 0; i < assignments->writing->len; i++) {
-    const WsProposal *proposal = &g_array_index(assignments->writing, WsProposal, i);
+  for (guint i = 0; i < assignments->in_flight->len; i++) {
+    const WsProposal *proposal = &g_array_index(assignments->in_flight, WsProposal, i);
     g_hash_table_remove(assignments->pending, ws_task_key(proposal->job, proposal->task));
   }
   if (result == WS_TXN_INVALID)
@@ -214,8 +214,8 @@
   if (result == WS_TXN_COMMITTED)
     log_ended_jobs(core);
   else
-    propose_again(core, result);
-  g_array_set_size(assignments->writing, 0);
+    requeue_failed_assignments(core, result);
+  g_array_set_size(assignments->in_flight, 0);
 }
 
 static void
@@ -260,7 +260,7 @@
     const WsProposal *proposal = &g_array_index(proposals, WsProposal, i);
     WsBatchResult result = batch_proposal(core, batch, proposal, filter);
     if (result == WS_BATCH_ADDED)
-      g_array_append_vals(assignments->writing, proposal, 1);
+      g_array_append_vals(assignments->in_flight, proposal, 1);
     else if (result == WS_BATCH_FULL)
       g_array_append_vals(assignments->proposals, proposal, 1);
     else
@@ -293,18 +293,19 @@
 }
 
 static gboolean
-may_write(WsCore *core)
+can_write_batch(WsCore *core)
 {
-  return !core->assignments->is_writing && core->now >= core->assignments->next_ms
+  return !core->assignments->is_txn_in_flight && core->now >= core->assignments->next_batch_ms
          && core->replica->catalog != NULL && ws_has_caught_up_with_epoch(core)
-         && ws_assignments_have_backlog(core) && ws_store_has_write_budget(core, MIN_TXN_BUDGET);
+         && ws_assignments_have_backlog(core)
+         && ws_store_has_write_budget(core, MIN_WRITE_BUDGET_OPERATIONS);
 }
 
 static void
 write_batch(WsCore *core)
 {
   WsAssignments *assignments = core->assignments;
-  if (!may_write(core))
+  if (!can_write_batch(core))
     return;
   g_autoptr(WsBatch) batch = ws_batch_new(core);
   fill_batch(core, batch);
@@ -312,22 +313,22 @@
   g_array_set_size(assignments->jobs, 0);
   if (ws_batch_is_empty(batch))
     return;
-  assignments->is_writing = TRUE;
+  assignments->is_txn_in_flight = TRUE;
   ws_batch_collect_jobs(batch, assignments->jobs);
   WsTxn *txn = ws_batch_build_txn(batch, assignments->ended_jobs);
-  ws_txn_commit(core, txn, WS_REQUEST_TASK, on_written, NULL);
+  ws_txn_commit(core, txn, WS_REQUEST_TASK, on_txn_finished, NULL);
 }
 
 void
 ws_assignments_pump(WsCore *core)
 {
   if (!ws_is_active_member(core)) {
-    forget_proposals(core);
+    drop_proposals(core);
     ws_releases_reset_forwarding(core);
     return;
   }
-  if (core->now >= core->assignments->next_ms && !ws_is_leader(core)) {
-    core->assignments->next_ms = core->now + BATCHING_MS;
+  if (core->now >= core->assignments->next_batch_ms && !ws_is_leader(core)) {
+    core->assignments->next_batch_ms = core->now + BATCH_INTERVAL_MS;
     expire_forwarded(core);
     forward_proposals(core);
     ws_releases_forward(core);
--- a/src/commit/ws-batch-check.c
+++ b/src/commit/ws-batch-check.c
@@ -6,7 +6,7 @@
 #include "storage/ws-gang-phase.h"
 
 static void
-count_zones(const WsBatch *batch, const WsJob *job, guint *counts)
+count_tasks_per_zone(const WsBatch *batch, const WsJob *job, guint *counts)
 {
   const WsReplica *replica = batch->core->replica;
   for (guint c = 0; c < ws_job_chunk_count(job); c++) {
@@ -38,7 +38,7 @@
 
 /* Returns whether the assignment leaves the capacity that is reserved for more urgent jobs. */
 static gboolean
-leaves_reserved_capacity(WsBatch *batch, const WsMachine *machine, const WsJob *job)
+respects_reservations(WsBatch *batch, const WsMachine *machine, const WsJob *job)
 {
   const WsHandlers *handlers = batch->core->handlers;
   if (!handlers->has_reservations(batch->core))
@@ -58,7 +58,7 @@
   if (!ws_batch_depends_on_all_chunks(job))
     return TRUE;
   g_autofree guint *counts = g_new0(guint, zones);
-  count_zones(batch, job, counts);
+  count_tasks_per_zone(batch, job, counts);
   return ws_constraints_allow_zone(job, counts, zones, zone);
 }
 
@@ -72,22 +72,22 @@
 }
 
 static gboolean
-record_has_free_slot(const WsBatch *batch, const WsJob *job, guint task)
+chunk_has_free_slot(const WsBatch *batch, const WsJob *job, guint task)
 {
   const WsChunk *chunk = ws_batch_chunk(batch, job, task / WS_CHUNK_TASKS);
   return ws_chunk_free_slots(chunk, batch->core->replica) > 0;
 }
 
 static gboolean
-job_needs_task(const WsBatch *batch, const WsJob *job, guint task)
+can_assign_task(const WsBatch *batch, const WsJob *job, guint task)
 {
   return job->state == WS_JOB_ACTIVE && job->spec != NULL && job->team != WS_NO_TEAM
          && task < job->tasks && task_is_unassigned(batch, job, task) && !ws_gang_is_ending(job)
-         && record_has_free_slot(batch, job, task);
+         && chunk_has_free_slot(batch, job, task);
 }
 
 static gboolean
-machine_takes_tasks(const WsMachine *machine)
+machine_accepts_tasks(const WsMachine *machine)
 {
   return machine->is_recorded && !machine->is_marked && !machine->fleet.mark_is_pending;
 }
@@ -98,11 +98,11 @@
   const WsCore *core = batch->core;
   const WsJob *job = ws_replica_job(core->replica, proposal->job);
   const WsMachine *machine = ws_replica_machine(core->replica, proposal->machine);
-  return job_needs_task(batch, job, proposal->task) && machine_takes_tasks(machine)
+  return can_assign_task(batch, job, proposal->task) && machine_accepts_tasks(machine)
          && ws_constraints_allow_machine(core->replica, job->spec, job->zone, machine)
          && machine_has_capacity(batch, machine, job)
          && ws_team_has_capacity(core->settings, job->team, &batch->team_use[job->team],
                                  &job->spec->need)
          && zone_is_allowed(batch, job, machine->zone)
-         && leaves_reserved_capacity(batch, machine, job);
+         && respects_reservations(batch, machine, job);
 }
--- a/src/commit/ws-batch-private.h
+++ b/src/commit/ws-batch-private.h
@@ -23,7 +23,7 @@
   GHashTable *machines;         /**< set of the indices of machines that are assigned a task */
   GPtrArray *rental_batches;    /**< of interned names: the rental batches of these machines, each
                                      once, in the order in which the machines were added */
-  gboolean is_of_one_job;       /**< whether edits of a second job are refused */
+  gboolean is_restricted_to_one_job; /**< whether edits of a second job are refused */
   guint max_operations;
   guint operations;
   guint conditions;
--- a/src/commit/ws-batch.c
+++ b/src/commit/ws-batch.c
@@ -9,13 +9,13 @@
 
 /* The store accepts 64 KiB. The difference is left for the final records of jobs and for
    conditions, neither of which is included in the estimate. */
-#define MAX_TXN_BYTES 40000
+#define MAX_ESTIMATED_TXN_BYTES 40000
 /* Estimated sizes of encoded items. */
 #define BYTES_PER_TEAM 64
 #define BYTES_PER_TASK 60
 #define BYTES_PER_CHUNK 400
 /* The limit on conditions, as a multiple of the limit on operations. */
-#define CONDITIONS_PER_OPERATION 4
+#define MAX_CONDITIONS_PER_OPERATION 4
 
 /* The cost that a change adds to the transaction. */
 typedef struct {
@@ -70,7 +70,7 @@
 void
 ws_batch_restrict_to_one_job(WsBatch *batch)
 {
-  batch->is_of_one_job = TRUE;
+  batch->is_restricted_to_one_job = TRUE;
 }
 
 static gboolean
@@ -218,14 +218,14 @@
              gboolean ends_job)
 {
   Cost cost = change_cost(batch, job, task, machine, ends_job);
-  if (batch->is_of_one_job && batch->edits->len > count_edits(batch, job))
+  if (batch->is_restricted_to_one_job && batch->edits->len > count_edits(batch, job))
     return FALSE;
   gint operations = (gint)batch->operations + cost.operations;
   guint conditions = batch->conditions + cost.conditions;
   guint bytes = batch->bytes + cost.bytes;
   if (operations > (gint)batch->max_operations
-      || conditions > CONDITIONS_PER_OPERATION * batch->core->settings->state_txn_ops
-      || bytes > MAX_TXN_BYTES)
+      || conditions > MAX_CONDITIONS_PER_OPERATION * batch->core->settings->state_txn_ops
+      || bytes > MAX_ESTIMATED_TXN_BYTES)
     return FALSE;
   batch->operations = (guint)operations;
   batch->conditions = conditions;
@@ -236,7 +236,7 @@
 /* Changes. */
 
 static WsChunk *
-edit_chunk(WsBatch *batch, const WsJob *job, guint task)
+get_editable_chunk(WsBatch *batch, const WsJob *job, guint task)
 {
   guint index = task / WS_CHUNK_TASKS;
   WsChunkEdit *edit = ws_batch_find_edit(batch, job->index, index);
@@ -251,7 +251,7 @@
 /* Changes the usage of the machine and of the job's team. @tasks: the number of tasks added to the
    machine; negative: removed from it */
 static void
-change_use(WsBatch *batch, const WsJob *job, WsMachineIndex machine, gint64 tasks)
+adjust_use(WsBatch *batch, const WsJob *job, WsMachineIndex machine, gint64 tasks)
 {
   ws_resources_add(ws_batch_machine_use(batch, machine), &job->spec->need, tasks);
   batch->is_team_use_edited[ws_team_use_group(batch->core->settings, job->team)] = TRUE;
@@ -272,29 +272,29 @@
 
 /* Returns the highest attempt number of the job, including the batch's edits. */
 static guint64
-last_attempt(const WsBatch *batch, const WsJob *job)
+highest_attempt(const WsBatch *batch, const WsJob *job)
 {
-  guint64 last = 0;
+  guint64 highest = 0;
   for (guint c = 0; c < ws_job_chunk_count(job); c++) {
     const WsChunk *chunk = ws_batch_chunk(batch, job, c);
-    last = MAX(last, chunk != NULL ? chunk->last_attempt : 0);
+    highest = MAX(highest, chunk != NULL ? chunk->last_attempt : 0);
   }
-  return last;
+  return highest;
 }
 
 static void
 release_task(WsBatch *batch, const WsJob *job, WsChunk *chunk, guint task, WsMachineIndex machine)
 {
   ws_chunk_remove(chunk, task);
-  change_use(batch, job, machine, -1);
+  adjust_use(batch, job, machine, -1);
 }
 
 /* Completes all tasks of a gang: they complete together, as soon as the first one has. */
 static void
-finish_gang(WsBatch *batch, const WsJob *job)
+complete_gang(WsBatch *batch, const WsJob *job)
 {
   for (guint task = 0; task < job->tasks; task++) {
-    WsChunk *chunk = edit_chunk(batch, job, task);
+    WsChunk *chunk = get_editable_chunk(batch, job, task);
     const WsAssignment *assignment = ws_chunk_find(chunk, task);
     if (assignment != NULL)
       release_task(batch, job, chunk, task, assignment->machine);
@@ -325,13 +325,13 @@
     return WS_BATCH_FULL;
   log_release(batch->core, release);
   if (ws_job_is_gang(job) && release->is_completed && job->state == WS_JOB_ACTIVE) {
-    finish_gang(batch, job);
+    complete_gang(batch, job);
     return WS_BATCH_ADDED;
   }
-  WsChunk *chunk = edit_chunk(batch, job, release->task);
+  WsChunk *chunk = get_editable_chunk(batch, job, release->task);
   release_task(batch, job, chunk, release->task, assignment->machine);
   if (ws_job_is_gang(job))
-    chunk->last_attempt = last_attempt(batch, job) + 1;
+    chunk->last_attempt = highest_attempt(batch, job) + 1;
   if (release->is_completed)
     ws_chunk_set_completed(chunk, release->task);
   return WS_BATCH_ADDED;
@@ -344,8 +344,8 @@
 {
   if (!ws_job_is_gang(job))
     return chunk->last_attempt + 1;
-  gboolean is_new = ws_batch_count_tasks(batch, job).assigned_count == 0;
-  return last_attempt(batch, job) + (is_new ? 1 : 0);
+  gboolean starts_attempt = ws_batch_count_tasks(batch, job).assigned_count == 0;
+  return highest_attempt(batch, job) + (starts_attempt ? 1 : 0);
 }
 
 static void
@@ -366,14 +366,14 @@
     return WS_BATCH_REJECTED;
   if (!reserve_cost(batch, job, proposal->task, machine, FALSE))
     return WS_BATCH_FULL;
-  WsChunk *chunk = edit_chunk(batch, job, proposal->task);
+  WsChunk *chunk = get_editable_chunk(batch, job, proposal->task);
   WsAssignment assignment = { .task = proposal->task,
                               .machine = proposal->machine,
                               .attempt = next_attempt(batch, job, chunk),
                               .assigned_ms = core->wall };
   chunk->last_attempt = assignment.attempt;
   ws_chunk_add(chunk, &assignment);
-  change_use(batch, job, proposal->machine, 1);
+  adjust_use(batch, job, proposal->machine, 1);
   add_machine(batch, machine);
   core->handlers->note_assignment(core, job, proposal->machine);
   return WS_BATCH_ADDED;
--- a/src/commit/ws-estimator.c
+++ b/src/commit/ws-estimator.c
@@ -7,19 +7,19 @@
 #include "commit/ws-releases-private.h"
 
 /* Completed tasks of a class that are needed before its estimates are corrected. */
-#define MIN_TASKS 20
+#define MIN_SAMPLED_TASKS 20
 /* Limits of the correction. */
-#define MIN_FACTOR 0.5
-#define MAX_FACTOR 2.0
+#define MIN_CORRECTION_FACTOR 0.5
+#define MAX_CORRECTION_FACTOR 2.0
 /* Typical delay between the assignment of a task and its launch. */
 #define LAUNCH_DELAY_S 2.0
 /* Fraction of the image fetch time to subtract, since only some tasks wait for their image. */
-#define IMAGE_FETCH_SHARE 0.5
+#define IMAGE_FETCH_FRACTION 0.5
 
 typedef struct {
   guint tasks;
-  double ran_s;
-  double estimated_s;
+  double total_run_s;
+  double total_estimate_s;
 } ClassRunTimes;
 
 struct _WsEstimator {
@@ -55,9 +55,9 @@
   }
   double elapsed_s = (double)(core->wall - assignment->assigned_ms) / 1000.0;
   run_times->tasks++;
-  double fetch_s = IMAGE_FETCH_SHARE * ws_job_image_fetch_s(core->replica, job);
-  run_times->ran_s += MAX(elapsed_s - LAUNCH_DELAY_S - fetch_s, 0.0);
-  run_times->estimated_s += job->spec->estimate_s;
+  double fetch_s = IMAGE_FETCH_FRACTION * ws_job_image_fetch_s(core->replica, job);
+  run_times->total_run_s += MAX(elapsed_s - LAUNCH_DELAY_S - fetch_s, 0.0);
+  run_times->total_estimate_s += job->spec->estimate_s;
 }
 
 double
@@ -65,8 +65,9 @@
 {
   const ClassRunTimes *run_times
       = g_hash_table_lookup(core->estimator->classes, job->spec->class_name);
-  if (run_times == NULL || run_times->tasks < MIN_TASKS)
+  if (run_times == NULL || run_times->tasks < MIN_SAMPLED_TASKS)
     return job->spec->estimate_s;
   return job->spec->estimate_s
-         * CLAMP(run_times->ran_s / run_times->estimated_s, MIN_FACTOR, MAX_FACTOR);
+         * CLAMP(run_times->total_run_s / run_times->total_estimate_s, MIN_CORRECTION_FACTOR,
+                 MAX_CORRECTION_FACTOR);
 }
--- a/src/commit/ws-garbage.c
+++ b/src/commit/ws-garbage.c
@@ -10,13 +10,13 @@
 #include <string.h>
 
 /* Time until the next check: if there is no garbage or the deletion failed, and otherwise. */
-#define IDLE_PAUSE_MS 3000
-#define BUSY_PAUSE_MS 500
+#define IDLE_CHECK_INTERVAL_MS 3000
+#define ACTIVE_CHECK_INTERVAL_MS 500
 /* Above this limit garbage is deleted even under load, since every starting node has to read it. */
 #define MAX_GARBAGE_RECORDS 2000
 
 struct _WsGarbage {
-  gint64 next_ms;
+  gint64 next_check_ms;
 };
 
 WsGarbage *
@@ -44,15 +44,17 @@
 }
 
 static void
-on_collected(WsCore *core, WsTxnResult result, gpointer data)
+on_garbage_deleted(WsCore *core, WsTxnResult result, gpointer data)
 {
   (void)data;
-  core->garbage->next_ms = core->now + (result == WS_TXN_COMMITTED ? BUSY_PAUSE_MS : IDLE_PAUSE_MS);
+  core->garbage->next_check_ms
+      = core->now
+        + (result == WS_TXN_COMMITTED ? ACTIVE_CHECK_INTERVAL_MS : IDLE_CHECK_INTERVAL_MS);
 }
 
 /* Adds deletions up to the operation limit. Returns the total number of garbage records. */
 static guint
-delete_garbage(const WsCore *core, WsTxn *txn)
+add_garbage_deletions(const WsCore *core, WsTxn *txn)
 {
   guint count = 0;
   GHashTableIter iter;
@@ -71,7 +73,7 @@
 /* Returns whether no other change is waiting and the write budget allows half of the maximal number
    of operations. */
 static gboolean
-writing_is_idle(WsCore *core)
+has_spare_write_budget(WsCore *core)
 {
   return !ws_assignments_have_backlog(core)
          && ws_store_has_write_budget(core, core->settings->state_txn_ops / 2);
@@ -80,13 +82,15 @@
 void
 ws_garbage_tick(WsCore *core)
 {
-  if (!ws_is_leader(core) || core->now < core->garbage->next_ms || !ws_store_is_available(core))
+  if (!ws_is_leader(core) || core->now < core->garbage->next_check_ms
+      || !ws_store_is_available(core))
     return;
   g_autoptr(WsTxn) txn = ws_txn_new();
   ws_txn_compare(txn, core->replica, WS_KEY_EPOCH);
-  guint count = delete_garbage(core, txn);
-  gboolean may_write = count > MAX_GARBAGE_RECORDS || writing_is_idle(core);
-  core->garbage->next_ms = core->now + (count > 0 ? BUSY_PAUSE_MS : IDLE_PAUSE_MS);
+  guint count = add_garbage_deletions(core, txn);
+  gboolean may_write = count > MAX_GARBAGE_RECORDS || has_spare_write_budget(core);
+  core->garbage->next_check_ms
+      = core->now + (count > 0 ? ACTIVE_CHECK_INTERVAL_MS : IDLE_CHECK_INTERVAL_MS);
   if (count > 0 && may_write)
-    ws_txn_commit(core, g_steal_pointer(&txn), WS_REQUEST_OTHER, on_collected, NULL);
+    ws_txn_commit(core, g_steal_pointer(&txn), WS_REQUEST_OTHER, on_garbage_deleted, NULL);
 }
--- a/src/commit/ws-legacy-releases.c
+++ b/src/commit/ws-legacy-releases.c
@@ -5,18 +5,18 @@
 
 #include "storage/ws-mark-reasons.h"
 
-#define STATUS_TIMEOUT_MS 1000
+#define STATUS_PROBE_TIMEOUT_MS 1000
 /* Minimum time between two probes for the same hint. */
-#define STATUS_RETRY_MS 1500
+#define STATUS_PROBE_INTERVAL_MS 1500
 /* Versions before 0.4 repeat a release every 2 s. A release that is repeated after a longer pause
    than this is a new hint. */
-#define HINT_REPEAT_MS 5000
+#define MAX_HINT_REPEAT_GAP_MS 5000
 
 typedef struct {
   WsRelease release;
-  gint64 since_ms;  /* when the release was first received, without a longer pause since */
-  gint64 last_ms;   /* when the release was last received */
-  gint64 probed_ms; /* when the worker was last probed; 0: never */
+  gint64 first_received_ms; /* when the release was first received, without a longer pause since */
+  gint64 last_received_ms;  /* when the release was last received */
+  gint64 last_probed_ms;    /* when the worker was last probed; 0: never */
 } Hint;
 
 struct _WsLegacyReleases {
@@ -63,7 +63,7 @@
 }
 
 static gboolean
-shows_exit(const WsCore *core, const WsHeartbeat *heartbeat, const WsRelease *release)
+reports_exit(const WsCore *core, const WsHeartbeat *heartbeat, const WsRelease *release)
 {
   const WsTaskStatus *task = ws_heartbeat_find_task(
       heartbeat, ws_replica_job(core->replica, release->job)->id, release->task, release->attempt);
@@ -73,7 +73,7 @@
 /* Handles the status of a probed worker. If the status has the present fencing token, the exit of
    an attempt in it is evidence, since the worker reports the exit until the attempt is released. */
 static void
-on_status(WsCore *core, guint status, const json_t *body, gpointer data)
+on_worker_status(WsCore *core, guint status, const json_t *body, gpointer data)
 {
   const WsMachine *machine = ws_replica_machine(core->replica, GPOINTER_TO_UINT(data));
   g_autoptr(WsHeartbeat) heartbeat = ws_heartbeat_parse_status_reply(status, body, machine->name);
@@ -85,7 +85,7 @@
     const Hint *hint = &g_array_index(hints, Hint, i);
     const WsAssignment *assignment = ws_release_assignment(core->replica, &hint->release);
     if (assignment != NULL && assignment->machine == machine->index
-        && shows_exit(core, heartbeat, &hint->release))
+        && reports_exit(core, heartbeat, &hint->release))
       add_with_evidence(core, &hint->release, machine, WS_EVIDENCE_EXITED);
   }
 }
@@ -94,11 +94,11 @@
 probe_worker(WsCore *core, Hint *hint, const WsMachine *machine)
 {
   if (machine->worker.endpoint == NULL
-      || (hint->probed_ms > 0 && core->now - hint->probed_ms < STATUS_RETRY_MS))
+      || (hint->last_probed_ms > 0 && core->now - hint->last_probed_ms < STATUS_PROBE_INTERVAL_MS))
     return;
-  hint->probed_ms = core->now;
-  ws_call(core, "GET", machine->worker.endpoint, "/status", NULL, STATUS_TIMEOUT_MS, on_status,
-          GUINT_TO_POINTER(machine->index));
+  hint->last_probed_ms = core->now;
+  ws_call(core, "GET", machine->worker.endpoint, "/status", NULL, STATUS_PROBE_TIMEOUT_MS,
+          on_worker_status, GUINT_TO_POINTER(machine->index));
 }
 
 void
@@ -116,10 +116,10 @@
   if (machine->owner == core->settings->self)
     return;
   Hint *hint = find_or_add_hint(core, release);
-  if (core->now - hint->last_ms > HINT_REPEAT_MS)
-    hint->since_ms = core->now;
-  hint->last_ms = core->now;
-  if ((double)(core->now - hint->since_ms) > core->settings->lease_s * 1000.0)
+  if (core->now - hint->last_received_ms > MAX_HINT_REPEAT_GAP_MS)
+    hint->first_received_ms = core->now;
+  hint->last_received_ms = core->now;
+  if ((double)(core->now - hint->first_received_ms) > core->settings->lease_s * 1000.0)
     core->handlers->request_termination(core, machine, WS_MARK_REASON_LEGACY_RELEASE, TRUE);
   else
     probe_worker(core, hint, machine);
--- a/src/commit/ws-releases.c
+++ b/src/commit/ws-releases.c
@@ -5,7 +5,7 @@
 #include "commit/ws-task-key.h"
 
 /* A forwarded release that has not been committed by then is forwarded again. */
-#define FORWARD_RETRY_MS 2000
+#define FORWARD_RETRY_INTERVAL_MS 2000
 
 struct _WsReleases {
   GHashTable *pending; /* task -> WsPendingRelease */
@@ -67,7 +67,7 @@
 }
 
 static void
-note_run_time(WsCore *core, const WsRelease *release)
+record_run_time(WsCore *core, const WsRelease *release)
 {
   const WsAssignment *assignment = ws_release_assignment(core->replica, release);
   if (release->is_completed && assignment != NULL && ws_is_leader(core))
@@ -98,7 +98,7 @@
     merge_evidence(&pending->release, release);
     return;
   }
-  note_run_time(core, release);
+  record_run_time(core, release);
   pending = g_new0(WsPendingRelease, 1);
   pending->release = *release;
   pending->added_ms = core->now;
@@ -139,7 +139,7 @@
    attempt again and has to gather evidence of its own. Writing such a release would let the task be
    assigned again while it runs, so that it runs twice. */
 static void
-drop_void_releases(WsCore *core)
+drop_invalid_releases(WsCore *core)
 {
   GHashTableIter iter;
   gpointer value;
@@ -177,7 +177,7 @@
     if (!ws_release_is_valid(core->replica, &pending->release)) {
       g_hash_table_iter_remove(&iter);
     } else if (pending->forwarded_ms == 0
-               || core->now - pending->forwarded_ms >= FORWARD_RETRY_MS) {
+               || core->now - pending->forwarded_ms >= FORWARD_RETRY_INTERVAL_MS) {
       pending->forwarded_ms = core->now;
       renew_evidence(core, &pending->release);
       ws_peer_request_release(core, &pending->release);
@@ -188,6 +188,6 @@
 void
 ws_releases_begin_epoch(WsCore *core)
 {
-  drop_void_releases(core);
+  drop_invalid_releases(core);
   ws_releases_reset_forwarding(core);
 }
