--- a/src/commit/ws-batch.c
+++ b/src/commit/ws-batch.c
@@ -267,7 +267,7 @@
       = { .completed_count = (gint64)counts.completed_count + (is_completed ? 1 : 0),
           .assigned_count = (gint64)counts.assigned_count - 1,
           .has_completed = is_completed };
-  return ws_job_is_complete_after(job, &progress);
+  return ws_job_ends_after(job, &progress);
 }
 
 /* Returns the highest attempt number of the job, including the batch's edits. */
@@ -311,7 +311,7 @@
 }
 
 WsBatchResult
-ws_batch_release(WsBatch *batch, const WsRelease *release)
+ws_batch_add_release(WsBatch *batch, const WsRelease *release)
 {
   const WsJob *job = ws_replica_job(batch->core->replica, release->job);
   if (!ws_release_is_valid(batch->core->replica, release))
@@ -357,12 +357,12 @@
 }
 
 WsBatchResult
-ws_batch_assign(WsBatch *batch, const WsProposal *proposal)
+ws_batch_add_assignment(WsBatch *batch, const WsProposal *proposal)
 {
   WsCore *core = batch->core;
   const WsJob *job = ws_replica_job(core->replica, proposal->job);
   const WsMachine *machine = ws_replica_machine(core->replica, proposal->machine);
-  if (!ws_batch_allows(batch, proposal))
+  if (!ws_batch_allows_assignment(batch, proposal))
     return WS_BATCH_REJECTED;
   if (!reserve_cost(batch, job, proposal->task, machine, FALSE))
     return WS_BATCH_FULL;
--- a/src/commit/ws-batch.h
+++ b/src/commit/ws-batch.h
@@ -16,7 +16,7 @@
   WsJobIndex job;
   guint task;
   WsMachineIndex machine;
-  gint64 planned_ms; /**< when it was proposed, on the clock of core->now */
+  gint64 proposed_ms; /**< when it was proposed, on the clock of core->now */
 } WsProposal;
 
 /** The result of adding a release or an assignment to a batch. */
@@ -52,10 +52,10 @@
 gboolean ws_batch_is_empty(const WsBatch *batch);
 
 /** Adds the release if its evidence is still valid. @release: copied */
-WsBatchResult ws_batch_release(WsBatch *batch, const WsRelease *release);
+WsBatchResult ws_batch_add_release(WsBatch *batch, const WsRelease *release);
 
 /** Adds the assignment if the records, with the batch's changes, allow it. @proposal: copied */
-WsBatchResult ws_batch_assign(WsBatch *batch, const WsProposal *proposal);
+WsBatchResult ws_batch_add_assignment(WsBatch *batch, const WsProposal *proposal);
 
 /**
  * Builds the transaction. Ownership passes to the caller.
--- a/src/commit/ws-commit.h
+++ b/src/commit/ws-commit.h
@@ -81,7 +81,7 @@
  * Drops the pending release of the attempt. Called when the worker reports the attempt, which
  * proves the release wrong.
  */
-void ws_releases_refute(WsCore *core, const WsJob *job, const WsAssignment *assignment);
+void ws_releases_invalidate(WsCore *core, const WsJob *job, const WsAssignment *assignment);
 
 /**
  * Returns whether a release of the attempt is waiting to be committed. Such an attempt must not be
@@ -128,7 +128,7 @@
  * Returns the job's estimated run time in seconds, corrected by the measured run times of completed
  * tasks of the same class.
  */
-double ws_estimator_run_s(const WsCore *core, const WsJob *job);
+double ws_estimator_run_time_s(const WsCore *core, const WsJob *job);
 
 /* Garbage collection. */
 
--- a/src/commit/ws-job-completion.h
+++ b/src/commit/ws-job-completion.h
@@ -18,4 +18,4 @@
  * completed; a gang already with its first completed task, since its tasks complete together. A
  * cancelled job ends when none of its tasks is assigned any more.
  */
-gboolean ws_job_is_complete_after(const WsJob *job, const WsJobProgress *progress);
+gboolean ws_job_ends_after(const WsJob *job, const WsJobProgress *progress);
--- a/src/commit/ws-job-quarantine.c
+++ b/src/commit/ws-job-quarantine.c
@@ -29,7 +29,7 @@
 }
 
 void
-ws_job_quarantine_add(WsJobQuarantine *quarantine, gint64 now_ms, const GArray *jobs)
+ws_job_quarantine_record_rejection(WsJobQuarantine *quarantine, gint64 now_ms, const GArray *jobs)
 {
   quarantine->isolation_end_ms = now_ms + ISOLATION_DURATION_MS;
   if (jobs->len != 1)
@@ -47,7 +47,7 @@
 }
 
 gboolean
-ws_job_quarantine_has(const WsJobQuarantine *quarantine, gint64 now_ms, WsJobIndex job)
+ws_job_quarantine_contains(const WsJobQuarantine *quarantine, gint64 now_ms, WsJobIndex job)
 {
   const gint64 *end_ms = g_hash_table_lookup(quarantine->end_ms_by_job, GUINT_TO_POINTER(job));
   return end_ms != NULL && now_ms < *end_ms;
--- a/src/commit/ws-job-quarantine.h
+++ b/src/commit/ws-job-quarantine.h
@@ -24,12 +24,14 @@
  *
  * @jobs: of guint, the indices of the transaction's jobs
  */
-void ws_job_quarantine_add(WsJobQuarantine *quarantine, gint64 now_ms, const GArray *jobs);
+void ws_job_quarantine_record_rejection(WsJobQuarantine *quarantine, gint64 now_ms,
+                                        const GArray *jobs);
 
 /** Returns whether transactions are currently limited to one job each. */
 gboolean ws_job_quarantine_is_isolating(const WsJobQuarantine *quarantine, gint64 now_ms);
 
 /** Returns whether the job is currently quarantined. */
-gboolean ws_job_quarantine_has(const WsJobQuarantine *quarantine, gint64 now_ms, WsJobIndex job);
+gboolean ws_job_quarantine_contains(const WsJobQuarantine *quarantine, gint64 now_ms,
+                                    WsJobIndex job);
 
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsJobQuarantine, ws_job_quarantine_free)
--- a/src/commit/ws-release-order.c
+++ b/src/commit/ws-release-order.c
@@ -78,7 +78,7 @@
       = { .completed_count = job->completed_count + completed,
           .assigned_count = job->assigned_count - get_total(totals->pending_count, key),
           .has_completed = completed > 0 };
-  return job->spec != NULL && ws_job_is_complete_after(job, &progress);
+  return job->spec != NULL && ws_job_ends_after(job, &progress);
 }
 
 static gint
--- a/src/commit/ws-releases-private.h
+++ b/src/commit/ws-releases-private.h
@@ -16,7 +16,7 @@
  * Returns the pending releases (of WsOrderedRelease) in the order in which to commit them. The
  * caller frees the array.
  */
-GArray *ws_releases_in_order(const WsCore *core);
+GArray *ws_releases_in_commit_order(const WsCore *core);
 
 /** Forwards new releases to the leader, and again those that are still uncommitted after a while.
  */
@@ -32,4 +32,4 @@
 void ws_releases_begin_epoch(WsCore *core);
 
 /** Adds the run time of a completed task to the samples of its class. */
-void ws_estimator_add(WsCore *core, const WsJob *job, const WsAssignment *assignment);
+void ws_estimator_add_run_time(WsCore *core, const WsJob *job, const WsAssignment *assignment);
--- a/src/scheduling/ws-queue.c
+++ b/src/scheduling/ws-queue.c
@@ -54,7 +54,7 @@
   if (team->limit.cpus > 0 && need->cpus > 0)
     parallelism = MIN(parallelism, team->limit.cpus / need->cpus);
   guint rounds = (tasks + (guint)parallelism - 1) / MAX((guint)parallelism, 1u);
-  return ws_estimator_run_s(core, job) * rounds;
+  return ws_estimator_run_time_s(core, job) * rounds;
 }
 
 guint
@@ -92,8 +92,8 @@
     .job = job,
     .lateness = predict_lateness(core, job),
     .is_overdue = ws_queue_is_overdue(core, job),
-    .remaining_work_s
-    = ws_estimator_run_s(core, job) * unassigned - WORK_CREDIT_PER_WAITED_S * waited_s(core, job),
+    .remaining_work_s = ws_estimator_run_time_s(core, job) * unassigned
+                        - WORK_CREDIT_PER_WAITED_S * waited_s(core, job),
   };
 }
 
--- a/src/workers/ws-worker-status.c
+++ b/src/workers/ws-worker-status.c
@@ -110,7 +110,7 @@
                              task->exit_reason == WS_EXIT_DONE);
     return;
   }
-  ws_releases_refute(core, job, assignment);
+  ws_releases_invalidate(core, job, assignment);
   if (task->state != assignment->state)
     g_debug("task %s/%u on %s: state %d", job->id, assignment->task, machine->name, task->state);
   assignment->state = task->state;
