--- a/src/core/ws-core.c
+++ b/src/core/ws-core.c
@@ -1,4 +1,4 @@
-/* The core: connects the packages, and has them process each input in a fixed order. */
+/* The core: creates the packages, connects them and runs them in a fixed order for each input. */
 #include "core/ws-core.h"
 
 #include "api/ws-job-api.h"
@@ -13,15 +13,16 @@
 #include <string.h>
 
 #define RECONCILIATION_PERIOD_MS 250
-/* When the core stops, the end of one call may lead to another call; so often at most. */
+/* Upper limit on the passes over outstanding calls at shutdown, since a reply function may start a
+   new call. */
 #define MAX_STOP_ROUNDS 20
 
 #define PATH_READY "/ready"
 #define PATH_HEARTBEAT "/v1/report"
-/* Retry-After while the node isn't ready. */
+/* The Retry-After value, in seconds, of a node that isn't ready. */
 #define READY_RETRY_AFTER_S 1
 
-/* The functions of higher packages that lower ones call. */
+/* Callbacks through which lower packages call higher ones. */
 static const WsHandlers HANDLERS = {
   .request_termination = ws_termination_request_mark,
   .note_worker_status = ws_workers_note_status,
@@ -123,7 +124,8 @@
   return g_queue_pop_head(&core->outputs);
 }
 
-/* Restarts the idle timeouts after a pause of the process. */
+/* Restarts the machines' idle timeouts after a pause of the process that may have outlasted its
+   lease. */
 static void
 notice_stall(WsCore *core, gint64 now_ms)
 {
@@ -136,7 +138,7 @@
   }
 }
 
-/* Sets the clocks to the time of an input. The monotonic one never goes back. */
+/* Sets the clocks to the time of an input. The monotonic clock never goes back. */
 static void
 set_time(WsCore *core, gint64 now_ms, gint64 wall_ms)
 {
@@ -145,7 +147,7 @@
   core->wall = wall_ms;
 }
 
-/* In a new epoch all state that depends on the previous shards and leader is reset. */
+/* Resets all state that depends on the leader and the shards of the previous epoch. */
 static void
 handle_epoch_change(WsCore *core)
 {
@@ -166,8 +168,8 @@
     ws_cancelled_tasks_enforce(core);
 }
 
-/* Processes the consequences of an input. Each step may create work for the following ones, and the
-   last one sends the writes of all others. */
+/* Runs all packages after an input. The order matters: each step may create work for the following
+   ones, and the last step sends the store writes of all steps before it. */
 static void
 process_consequences(WsCore *core)
 {
@@ -188,7 +190,7 @@
     ws_write_stats_log(core, ws_assignments_oldest_age_ms(core), ws_releases_oldest_age_ms(core));
 }
 
-/* The periodic reconciliation of the desired state with the observed one. */
+/* Periodically reconciles the observed state with the desired state. */
 static void
 reconcile(WsCore *core)
 {
--- a/src/core/ws-core.h
+++ b/src/core/ws-core.h
@@ -1,9 +1,10 @@
 /**
- * The core: a state machine that inputs are handed to and outputs are taken from.
+ * The core: the controller as a deterministic state machine with inputs and outputs.
  *
- * It has no clock, no socket and no randomness: every input names the time, and what is to be sent
- * or answered is taken from ws_core_pop() after each input. The same inputs lead to the same
- * outputs. All functions are to be called from one thread.
+ * The core reads no clock, opens no socket and uses no random source. Every input carries the time.
+ * After each input, the caller takes the requests to send and the answers to return from
+ * ws_core_pop(). The same inputs produce the same outputs. All functions must be called from the
+ * same thread.
  */
 #pragma once
 
@@ -11,62 +12,69 @@
 #include "protocol/ws-properties.h"
 #include "protocol/ws-settings.h"
 
-/** The listener on which a request came in. */
+/** The listener that received a request. */
 typedef enum {
-  WS_LISTENER_API, /**< of users and workers */
-  WS_LISTENER_MESH /**< of the other controllers */
+  WS_LISTENER_API, /**< for users and workers */
+  WS_LISTENER_MESH /**< for the other controllers */
 } WsListener;
 
 /**
- * Creates the core of one node; to be freed with ws_core_free().
+ * Creates the core of one node. The caller frees it with ws_core_free().
  *
- * @settings: who the node is; must outlive the core
- * @properties: how it decides; must outlive the core
- * @incarnation: never the same for two runs of one node
+ * @settings: the node's identity and the cluster's configuration; must outlive the core
+ * @properties: tunable parameters of the scheduling decisions; must outlive the core
+ * @incarnation: identifies this run of the node; must differ between any two runs
  */
 WsCore *ws_core_new(const WsSettings *settings, const WsProperties *properties,
                     guint64 incarnation);
 
-/** Ends every call as if no response had come; what that leads to can still be popped. */
+/**
+ * Ends every outstanding call as if no response had been received. The outputs that result from
+ * this can still be popped.
+ */
 void ws_core_stop(WsCore *core);
 
-/** Frees the core, with the outputs that were not popped. */
+/** Frees the core and all outputs that were not popped. */
 void ws_core_free(WsCore *core);
 
 /**
- * Lets time pass; to be called several times a second.
+ * Runs the timers and periodic work. Must be called several times a second.
  *
- * @now_ms: monotonic time in milliseconds, above 0
- * @wall_ms: milliseconds since 1970
+ * @now_ms: monotonic time in milliseconds, greater than 0
+ * @wall_ms: wall-clock time in milliseconds since the Unix epoch
  */
 void ws_core_tick(WsCore *core, gint64 now_ms, gint64 wall_ms);
 
 /**
- * Handles a request. Its answer is an output that names @request, now or after a later input.
+ * Handles a request. The answer is an output that refers to @request. It is queued by this call or
+ * by a later input.
  *
- * @body: as received, of @length bytes; not kept
- * @request: the caller's name for the request; must be valid until the answer was popped
+ * @body: the body as received, @length bytes; not kept
+ * @request: an opaque handle of the caller; must remain valid until the answer is popped
  */
 void ws_core_request(WsCore *core, gint64 now_ms, gint64 wall_ms, WsListener listener,
                      const char *method, const char *path, const char *body, gsize length,
                      gpointer request);
 
 /**
- * Handles the response to a call that an output has asked for. Responses to unknown calls are
- * ignored.
+ * Handles the response to a call that an output requested. Responses to unknown calls are ignored.
  *
- * @call: of the output
- * @status: HTTP status; 0: no response came in time, or the connection failed
- * @body: as received, of @length bytes; not kept
+ * @call: the id of the call, from the output
+ * @status: the HTTP status; 0: the call timed out or the connection failed
+ * @body: the body as received, @length bytes; not kept
  */
 void ws_core_reply(WsCore *core, gint64 now_ms, gint64 wall_ms, guint64 call, guint status,
                    const char *body, gsize length);
 
-/** How many machines all plans so far have examined: the cost of planning. */
+/** Returns the number of machines examined by all plans so far, a measure of the cost of planning.
+ */
 guint64 ws_core_machines_examined(const WsCore *core);
 
-/** How many plans were made so far. */
+/** Returns the number of plans made so far. */
 guint64 ws_core_plan_count(const WsCore *core);
 
-/** Takes the oldest output, to be freed with ws_output_free(); NULL: there is none. */
+/**
+ * Removes and returns the oldest output; NULL: there is none. The caller frees it with
+ * ws_output_free().
+ */
 WsOutput *ws_core_pop(WsCore *core);
