--- a/src/context/ws-context.c
+++ b/src/context/ws-context.c
@@ -1,10 +1,8 @@
-/**
- * Calls whose replies are outstanding, and the queue of outputs: calls to send, requests to answer.
- */
+/* Outstanding calls to other processes, and the queue of outputs (calls and answers). */
 #include "context/ws-context.h"
 #include "protocol/ws-status-codes.h"
 
-/* A call whose reply is outstanding. */
+/* A call without a reply so far. */
 typedef struct {
   guint64 id; /* its key in the table of calls */
   WsReplyFunc reply;
--- a/src/context/ws-context.h
+++ b/src/context/ws-context.h
@@ -1,10 +1,10 @@
 /**
- * What every package of the core is handed: settings, the replica, the time of the input that is
- * being handled, calls to other processes and answers to requests.
+ * The context that every package of the core receives: settings, the replica, the time of the
+ * current input, calls to other processes and answers to requests.
  *
- * Each package keeps its state in a structure of its own, of which this header knows the name only.
- * Whoever is called with the context may use the functions of its own package and of those below
- * it; .ci/layers has the order.
+ * Each package defines the structure of its own state; this header only declares the types. A
+ * package may call its own functions and those of the packages below it. The order of the packages
+ * is defined in .ci/layers.
  */
 #pragma once
 
@@ -18,106 +18,107 @@
 /**
  * Handles the reply to a call.
  *
- * @status: of HTTP; 0: no response came
- * @body: borrowed; NULL: there is none, or it isn't JSON
- * @data: as handed over with the call
+ * @status: the HTTP status; 0: no response was received
+ * @body: borrowed; NULL: the reply has no body, or it isn't JSON
+ * @data: as passed to ws_call()
  */
 typedef void (*WsReplyFunc)(WsCore *core, guint status, const json_t *body, gpointer data);
 
 /** The client of the key-value store; ws-store.h. */
 typedef struct _WsStore WsStore;
-/** Whether this node may act; ws-membership.h. */
+/** Whether this node is currently allowed to act; ws-membership.h. */
 typedef struct _WsAuthority WsAuthority;
-/** This node's lease and the election of a leader; ws-membership.h. */
+/** This node's lease and the leader election; ws-membership.h. */
 typedef struct _WsElection WsElection;
-/** What is known of the other nodes; ws-membership.h. */
+/** The known state of the other nodes; ws-membership.h. */
 typedef struct _WsPeers WsPeers;
-/** The present epoch, as this node has dealt with it; ws-membership.h. */
+/** The epoch that this node has processed so far; ws-membership.h. */
 typedef struct _WsEpochTracker WsEpochTracker;
-/** Liveness of machines and partitions of zones; ws-membership.h. */
+/** The liveness of machines, and partitioned zones; ws-membership.h. */
 typedef struct _WsFailureDetector WsFailureDetector;
-/** Assignments on their way into the store; ws-commit.h. */
+/** Assignments that are not committed yet; ws-commit.h. */
 typedef struct _WsAssignments WsAssignments;
 /** Rentals, returns and terminations of machines; ws-fleet.h. */
 typedef struct _WsFleet WsFleet;
-/** The state of planning between two plans; ws-scheduling.h. */
+/** Planning state that is kept from one plan to the next; ws-scheduling.h. */
 typedef struct _WsPlan WsPlan;
-/** Requests to other nodes that wait to be sent; ws-membership.h. */
+/** Queued requests to other nodes; ws-membership.h. */
 typedef struct _WsPeerRequests WsPeerRequests;
 /** Cancellations that were confirmed to users; ws-membership.h. */
 typedef struct _WsCancellations WsCancellations;
-/** Commands to workers that are in flight or due; ws-workers.h. */
+/** Commands to workers that are due or in flight; ws-workers.h. */
 typedef struct _WsWorkers WsWorkers;
 /** Capacity that is reserved for jobs; ws-scheduling.h. */
 typedef struct _WsReservations WsReservations;
 /** Counts of committed operations, by purpose; ws-store.h. */
 typedef struct _WsWriteStats WsWriteStats;
-/** Releases by versions before 0.4, without evidence; ws-commit.h. */
+/** Releases from versions before 0.4, without evidence; ws-commit.h. */
 typedef struct _WsLegacyReleases WsLegacyReleases;
-/** Releases on their way into the store; ws-commit.h. */
+/** Releases that are not committed yet; ws-commit.h. */
 typedef struct _WsReleases WsReleases;
-/** Run times learned by class; ws-commit.h. */
+/** Run times measured by job class; ws-commit.h. */
 typedef struct _WsEstimator WsEstimator;
 /** The garbage collection of finished jobs' records; ws-commit.h. */
 typedef struct _WsGarbage WsGarbage;
 
 /**
- * What lower packages request of higher ones. The core connects them (ws-core.c), so that no
- * package includes what is above it.
+ * Callbacks from lower packages into higher ones. The core sets them (ws-core.c), so that no
+ * package includes a header of a package above it.
  */
 typedef struct {
-  /** Requests the machine's termination; immediately: without drain. For fleet. */
+  /** Requests the termination of a machine; immediately: without draining it. By fleet. */
   void (*request_termination)(WsCore *core, WsMachine *machine, const char *reason,
                               gboolean immediately);
-  /** Applies a worker's status; FALSE: it is older than what is known. For workers. */
+  /** Applies a worker's status; FALSE: it is older than the known status. By workers. */
   gboolean (*note_worker_status)(WsCore *core, WsMachine *machine, const WsHeartbeat *heartbeat);
-  /** Sends the worker the fencing token of the present epoch. For workers. */
+  /** Sends the current epoch's fencing token to the worker. By workers. */
   void (*raise_fencing_token)(WsCore *core, WsMachine *machine);
-  /** Stops the task for other work. For workers. */
+  /** Stops a task so that its capacity can be used for other work. By workers. */
   void (*halt_task)(WsCore *core, WsJob *job, WsAssignment *assignment);
-  /** Answers another node's request to pass a heartbeat on. For workers. */
+  /** Answers another node's request to relay a heartbeat. By workers. */
   void (*handle_relay)(WsCore *core, const json_t *message, gpointer request);
-  /** Handles a release that a node forwards to the leader. For commit. */
+  /** Handles a release that another node forwarded to the leader. By commit. */
   void (*handle_release)(WsCore *core, const WsRelease *release);
-  /** The same without evidence, as versions before 0.4 send it. For commit. */
+  /** Handles a release without evidence, from a version before 0.4. By commit. */
   void (*handle_legacy_release)(WsCore *core, const WsRelease *release);
-  /** Handles an assignment that a node forwards to the leader. For commit. */
+  /** Handles an assignment that another node forwarded to the leader. By commit. */
   void (*handle_assignment)(WsCore *core, WsJobIndex job, guint task, WsMachineIndex machine);
-  /** Handles a reservation that a node forwards to the leader. For scheduling. */
+  /** Handles a reservation that another node forwarded to the leader. By scheduling. */
   void (*handle_reservation)(WsCore *core, const WsJob *job, WsMachineIndex machine, guint tasks);
-  /** Whether there are reservations that an assignment could violate. For scheduling. */
+  /** Returns whether any reservation exists that an assignment could violate. By scheduling. */
   gboolean (*has_reservations)(const WsCore *core);
-  /** Whether an assignment leaves what is reserved for more urgent jobs. For scheduling. */
+  /** Returns whether an assignment leaves the capacity reserved for more urgent jobs. By
+   * scheduling. */
   gboolean (*allows_assignment)(const WsCore *core, const WsJob *job, guint assigned_tasks,
                                 WsMachineIndex machine, const WsResources *machine_free,
                                 const WsResources *team_use);
-  /** An assignment was added to a transaction. For scheduling. */
+  /** Called when an assignment was added to a transaction. By scheduling. */
   void (*note_assignment)(WsCore *core, const WsJob *job, WsMachineIndex machine);
 } WsHandlers;
 
 /**
- * One controller's state machine. Times are in ms; those of the core's clock begin anywhere and
- * never go back.
+ * The state machine of one controller. All times are in milliseconds. The core's clock is monotonic
+ * and starts at an arbitrary value.
  */
 struct _WsCore {
-  /* Set once. */
+  /* Set when the core is created, never changed. */
   const WsHandlers *handlers;
   const WsSettings *settings;     /**< borrowed */
   const WsProperties *properties; /**< borrowed */
-  guint64 incarnation;            /**< of this run of the node: never the same for two runs */
+  guint64 incarnation; /**< identifies this run of the node; differs between any two runs */
 
-  /* The input that is being handled. */
-  gint64 now;  /**< its time, by the core's clock */
-  gint64 wall; /**< its time, by the wall clock */
+  /* The current input. */
+  gint64 now;  /**< its time on the core's monotonic clock */
+  gint64 wall; /**< its time on the wall clock */
 
   /* Outputs and calls; ws-context.c. */
-  GQueue outputs;    /**< of WsOutput: what was not popped yet */
-  GHashTable *calls; /**< by id: those without a reply */
-  guint64 next_call;
+  GQueue outputs;    /**< of WsOutput: not popped yet */
+  GHashTable *calls; /**< by id: calls without a reply so far */
+  guint64 next_call; /**< the id of the most recent call */
 
   WsReplica *replica;
 
-  /* The packages' own state; each is opaque to the others. */
+  /* The state of each package, opaque to the other packages. */
   WsStore *store;
   WsWriteStats *write_stats;
   WsAuthority *authority;
@@ -138,54 +139,54 @@
   WsReservations *reservations;
 
   /* Shared between packages. */
-  gboolean replan_is_needed;     /**< something has changed that planning depends on */
+  gboolean replan_is_needed;     /**< an input of planning has changed */
   gint64 next_reconciliation_ms; /**< when the next periodic reconciliation is due */
 };
 
-/** Makes the table of calls. */
+/** Creates the table of outstanding calls. */
 void ws_context_init_calls(WsCore *core);
 
-/** Frees what was not popped, and forgets the calls without a reply. */
+/** Frees the outputs that were not popped and drops all outstanding calls. */
 void ws_context_clear_calls(WsCore *core);
 
-/** Ends every call as if no response had come. Returns whether there was any. */
+/** Ends every outstanding call as if no response had been received. Returns whether any existed. */
 gboolean ws_context_stop_calls(WsCore *core);
 
 /**
- * Hands the response to whoever made the call. FALSE: there is no such call (any more).
+ * Passes a response to the reply function of its call. Returns FALSE if the call is not
+ * outstanding.
  *
- * @status: of HTTP; 0: no response came, and the body is ignored
- * @body: @length bytes, not kept
+ * @status: the HTTP status; 0: no response was received, and the body is ignored
+ * @body: @length bytes; not kept
  */
 gboolean ws_context_handle_reply(WsCore *core, guint64 id, guint status, const char *body,
                                  gsize length);
 
 /**
- * Calls another process.
+ * Queues an HTTP request to another process.
  *
- * The reply function is called exactly once, unless the core is freed first: with the status and
- * the body, which is NULL if it isn't JSON, or with status 0 if no response came within the
- * timeout.
- *
- * The method is a string literal, and is kept as it is; the other strings are copied.
+ * The reply function is called exactly once, unless the core is freed first. It receives the status
+ * and the body of the response (NULL if the body isn't JSON), or status 0 if no response was
+ * received within the timeout.
  *
+ * @method: a string literal; not copied. The other strings are copied
  * @address: HOST:PORT
  * @path: begins with a slash
- * @body: taken; NULL: there is none
+ * @body: ownership is taken; NULL: no body
  */
 void ws_call(WsCore *core, const char *method, const char *address, const char *path, json_t *body,
              guint timeout_ms, WsReplyFunc reply, gpointer data);
 
 /**
- * Answers a request, which must not be answered again.
+ * Answers a request. Each request must be answered exactly once.
  *
- * @body: taken
- * @retry_after_s: in seconds; 0: no such header
+ * @body: ownership is taken
+ * @retry_after_s: the value of the Retry-After header, in seconds; 0: no header
  */
 void ws_answer(WsCore *core, gpointer request, guint status, json_t *body, guint retry_after_s);
 
-/** Answers with an error and its reason in words. */
+/** Answers a request with an error. @reason: a message for the client */
 void ws_answer_reason(WsCore *core, gpointer request, guint status, const char *reason);
 
-/** Answers that the request should be made again after some seconds (503). */
+/** Answers a request with status 503 and the time after which the client should retry. */
 void ws_answer_later(WsCore *core, gpointer request, guint retry_after_s);
--- a/src/context/ws-output.h
+++ b/src/context/ws-output.h
@@ -1,32 +1,33 @@
 /**
- * What the core puts out: answers to requests, and calls to other processes.
+ * The outputs of the core: answers to requests, and calls to other processes.
  *
- * Made by ws_call() and ws_answer(), taken with ws_core_pop() by whoever runs the core.
+ * Outputs are created by ws_call() and ws_answer(). The code that runs the core takes them with
+ * ws_core_pop().
  */
 #pragma once
 
 #include <glib.h>
 
-/** One controller's state machine; ws-context.h has its definition. */
+/** The state machine of one controller, defined in ws-context.h. */
 typedef struct _WsCore WsCore;
 
-/** An answer or a call. Whoever pops it from the core frees it. */
+/** An answer or a call. Freed by the caller of ws_core_pop(). */
 typedef struct {
   gboolean is_answer;
 
-  /* Of an answer. */
-  gpointer request; /**< as it was handed to the core */
+  /* Fields of an answer. */
+  gpointer request; /**< the handle that was passed to the core with the request */
   guint status;
-  guint retry_after_s; /**< 0: no such header */
+  guint retry_after_s; /**< the Retry-After header; 0: no header */
 
-  /* Of a call. */
-  guint64 call;       /**< the id that its reply is to be handed in with */
-  const char *method; /**< a literal */
+  /* Fields of a call. */
+  guint64 call;       /**< the id to pass to the core with the reply */
+  const char *method; /**< a string literal */
   char *url;
   guint timeout_ms;
 
-  /* Of both. */
-  char *body; /**< JSON, NULL: none */
+  /* Fields of both. */
+  char *body; /**< JSON; NULL: no body */
 } WsOutput;
 
 /** Frees the output with its URL and body, but not its request. @output: not NULL */
