--- a/src/api/ws-admission.c
+++ b/src/api/ws-admission.c
@@ -1,15 +1,15 @@
-/* Admission control: whether a submitted job could ever run here. */
+/* Admission control: rejects submitted jobs that could never run on this cluster. */
 #include "api/ws-admission.h"
 
 #include "storage/ws-constraints.h"
 
 #include <string.h>
 
-/* What a job's record needs beside its submission. */
+/* Space for the fields that a job's record has in addition to the submitted specification. */
 #define JOB_RECORD_OVERHEAD_BYTES 160
 
-/* Whether the job's record fits into one value of the store, also with what is added to it later.
- */
+/* Returns whether the job's record fits into one value of the store, including the fields that are
+   added later. */
 static gboolean
 fits_record(const WsCore *core, const WsJobSpec *spec)
 {
@@ -18,7 +18,7 @@
   return strlen(text) + JOB_RECORD_OVERHEAD_BYTES <= core->settings->state_record_bytes;
 }
 
-/* Whether all tasks of a gang could ever run at once. */
+/* Returns whether all tasks of a gang could ever run at the same time; TRUE for other jobs. */
 static gboolean
 can_run_at_once(const WsCore *core, const WsJobSpec *spec)
 {
--- a/src/api/ws-admission.h
+++ b/src/api/ws-admission.h
@@ -1,14 +1,13 @@
 /**
- * Admission of jobs: whether a job could ever run on this fleet, within its team's limit. Called by
- * the job API for each submission.
+ * Admission control: rejects submitted jobs that could never run on this cluster within the limit
+ * of their team. Called by the job API for each submission.
  */
 #pragma once
 
 #include "context/ws-context.h"
 
 /**
- * Returns why the job can never run, for its user; NULL: it may. A static string.
- *
- * It depends on settings and the cloud's catalog, which must be known.
+ * Returns the reason, a static string for the user, why the job can never run; NULL: the job is
+ * admitted. Uses the settings and the cloud's catalog, which must have been loaded.
  */
 const char *ws_admission_refusal(const WsCore *core, const WsJobSpec *spec);
--- a/src/api/ws-job-api.c
+++ b/src/api/ws-job-api.c
@@ -1,7 +1,5 @@
-/**
- * Decides on users' requests by the replica. Where it may be older than what another node has
- * written, a linearizable read brings it up to date first.
- */
+/* Processes users' requests based on the replica. If another node may have written newer data, a
+   linearizable read brings the replica up to date first. */
 #include "api/ws-job-api.h"
 #include "api/ws-admission.h"
 
@@ -13,26 +11,26 @@
 #include <string.h>
 
 #define JOBS_PATH "/api/jobs"
-#define CANCELLATION "withdraw" /* the last part of the path of a cancellation */
-/* A path with more parts below JOBS_PATH than an id and CANCELLATION is unknown. */
+#define CANCELLATION "withdraw" /* the last path segment of a cancellation */
+/* At most this many segments are split off below JOBS_PATH. Valid paths have one or two. */
 #define MAX_PATH_PARTS 3
 #define MAX_BODY_BYTES 65536
-/* How often the transaction of a request may conflict before its user has to retry. */
+/* Number of conflicts of a request's transaction after which the user is asked to retry. */
 #define MAX_TRIES 4
-/* Retry-After: after a request that may succeed soon, and while the store is unavailable. */
+/* Retry-After values: while the store is available, and during an outage of the store. */
 #define RETRY_AFTER_S 1
 #define RETRY_AFTER_OUTAGE_S 2
 
 typedef enum { REQUEST_SUBMIT, REQUEST_POLL, REQUEST_CANCEL } RequestKind;
 
-/* A user's request that hasn't been answered yet. */
+/* A user's request that has not been answered yet. */
 typedef struct {
   RequestKind kind;
   char *id;
-  WsJobSpec *spec; /* of a submission */
+  WsJobSpec *spec; /* only of a submission */
   gpointer handle; /* for ws_answer() */
   guint tries;
-  gboolean has_read; /* a linearizable read has succeeded since the request came in */
+  gboolean has_read; /* whether a linearizable read has succeeded since the request arrived */
 } UserRequest;
 
 static void decide(WsCore *core, UserRequest *user_request);
@@ -100,9 +98,9 @@
     finish_later(core, user_request);
 }
 
-/* A final state never changes, so it is answered at once. Everything else, and every refusal, is
-   decided by a replica that was brought up to date after the request came in, since another node
-   may have changed the job. */
+/* Answers at once if the job has ended, since a final state never changes. Otherwise, also before a
+   request is refused, a linearizable read brings the replica up to date, since another node may
+   have changed the job. */
 static void
 decide_after_read(WsCore *core, UserRequest *user_request)
 {
@@ -113,7 +111,7 @@
     ws_store_linearizable_read(core, on_read, user_request);
 }
 
-/* Decides again after a conflict, or leaves it to the user to do so. */
+/* Retries the request after a conflict, or asks the user to retry after too many conflicts. */
 static void
 retry(WsCore *core, UserRequest *user_request)
 {
@@ -123,8 +121,8 @@
     ws_store_linearizable_read(core, on_read, user_request);
 }
 
-/* Returns whether the transaction was committed. If not, the request is decided again after a
-   conflict, or else its user is asked to retry. */
+/* Returns whether the transaction was committed. Otherwise retries the request after a conflict,
+   and asks the user to retry after any other failure. */
 static gboolean
 handle_txn_result(WsCore *core, UserRequest *user_request, WsTxnResult result)
 {
@@ -181,7 +179,7 @@
     return;
   }
   const char *reason = ws_admission_refusal(core, user_request->spec);
-  /* Another node, perhaps of an older version with other rules, may have accepted the job. */
+  /* Another node may have accepted the job, possibly under other rules of an older version. */
   if (reason != NULL && !user_request->has_read)
     ws_store_linearizable_read(core, on_read, user_request);
   else if (reason != NULL)
@@ -201,8 +199,9 @@
   finish_with_status(core, user_request, WS_HTTP_OK, job);
 }
 
-/* Cancels the job. If it never had an assignment its record is final at once; the transaction then
-   depends on the absence of its chunk, since an assignment doesn't change the job's own key. */
+/* Cancels the job. If no task was ever assigned, the final record is written at once. The
+   transaction is then conditional on the absence of the job's chunk record, since an assignment
+   changes only the chunk record, not the job's own record. */
 static void
 cancel(WsCore *core, UserRequest *user_request, const WsJob *job)
 {
@@ -222,7 +221,7 @@
   ws_txn_commit(core, txn, WS_REQUEST_USER, on_cancelled, user_request);
 }
 
-/* Answers the request by the replica as it is now, or begins the transaction for it. */
+/* Answers the request from the current replica, or starts its transaction. */
 static void
 decide(WsCore *core, UserRequest *user_request)
 {
@@ -237,7 +236,7 @@
     finish_with_status(core, user_request, WS_HTTP_OK, job);
 }
 
-/* Begins to decide a request, after a linearizable read if that is necessary. */
+/* Starts processing a request, after a linearizable read if one is necessary. */
 static void
 begin(WsCore *core, RequestKind kind, const char *id, WsJobSpec *spec /* taken */, gpointer request)
 {
@@ -251,7 +250,7 @@
   UserRequest *user_request = g_new0(UserRequest, 1);
   *user_request
       = (UserRequest){ .kind = kind, .id = g_strdup(id), .spec = spec, .handle = request };
-  /* A new id needs no read: the transaction fails if another node has accepted the same id. */
+  /* A new id needs no read: the transaction conflicts if another node has accepted the same id. */
   if (kind == REQUEST_SUBMIT && job == NULL)
     decide(core, user_request);
   else
@@ -275,7 +274,7 @@
   begin(core, REQUEST_SUBMIT, spec->id, spec, request);
 }
 
-/* The id in JOBS_PATH/ID or JOBS_PATH/ID/CANCELLATION, or NULL. */
+/* Returns the id in JOBS_PATH/ID or JOBS_PATH/ID/CANCELLATION; NULL: the path has another form. */
 static char *
 job_id_in_path(const char *path, gboolean *is_cancellation)
 {
