--- a/src/api/ws-admission.c
+++ b/src/api/ws-admission.c
@@ -20,7 +20,7 @@
 
 /* Returns whether all tasks of a gang could ever run at the same time; TRUE for other jobs. */
 static gboolean
-can_run_at_once(const WsCore *core, const WsJobSpec *spec)
+tasks_can_run_at_once(const WsCore *core, const WsJobSpec *spec)
 {
   if (spec->kind != WS_KIND_GANG)
     return TRUE;
@@ -36,7 +36,7 @@
 }
 
 static gboolean
-is_within_limit(const WsJobSpec *spec, const WsTeamSettings *team)
+is_within_team_limit(const WsJobSpec *spec, const WsTeamSettings *team)
 {
   WsResources need = { 0 };
   ws_resources_add(&need, &spec->need, spec->kind == WS_KIND_ARRAY ? 1 : (gint64)spec->tasks);
@@ -66,9 +66,9 @@
     return "a task fits no allowed machine type";
   if (!fits_record(core, spec))
     return "is longer than the service can store";
-  if (!can_run_at_once(core, spec))
+  if (!tasks_can_run_at_once(core, spec))
     return "its tasks can't all run at the same time";
-  if (!is_within_limit(spec, team_settings(core, team)))
+  if (!is_within_team_limit(spec, team_settings(core, team)))
     return "needs more than the team's limit";
   return NULL;
 }
--- a/src/api/ws-job-api.c
+++ b/src/api/ws-job-api.c
@@ -11,15 +11,15 @@
 #include <string.h>
 
 #define JOBS_PATH "/api/jobs"
-#define CANCELLATION "withdraw" /* the last path segment of a cancellation */
+#define CANCELLATION_SEGMENT "withdraw" /* the last path segment of a cancellation */
 /* At most this many segments are split off below JOBS_PATH. Valid paths have one or two. */
-#define MAX_PATH_PARTS 3
+#define MAX_PATH_SEGMENTS 3
 #define MAX_BODY_BYTES 65536
 /* Number of conflicts of a request's transaction after which the user is asked to retry. */
-#define MAX_TRIES 4
+#define MAX_TXN_CONFLICTS 4
 /* Retry-After values: while the store is available, and during an outage of the store. */
-#define RETRY_AFTER_S 1
-#define RETRY_AFTER_OUTAGE_S 2
+#define RETRY_AFTER_STORE_AVAILABLE_S 1
+#define RETRY_AFTER_STORE_OUTAGE_S 2
 
 typedef enum { REQUEST_SUBMIT, REQUEST_POLL, REQUEST_CANCEL } RequestKind;
 
@@ -29,11 +29,11 @@
   char *id;
   WsJobSpec *spec; /* only of a submission */
   gpointer handle; /* for ws_answer() */
-  guint tries;
-  gboolean has_read; /* whether a linearizable read has succeeded since the request arrived */
+  guint txn_conflicts;
+  gboolean has_fresh_replica; /* a linearizable read has succeeded since the request arrived */
 } UserRequest;
 
-static void decide(WsCore *core, UserRequest *user_request);
+static void process_request(WsCore *core, UserRequest *user_request);
 
 static void
 user_request_free(UserRequest *user_request)
@@ -44,22 +44,23 @@
 }
 
 static void
-finish(WsCore *core, UserRequest *user_request, guint status, json_t *body)
+finish_with_body(WsCore *core, UserRequest *user_request, guint status, json_t *body)
 {
   ws_answer(core, user_request->handle, status, body, 0);
   user_request_free(user_request);
 }
 
 static void
-finish_later(WsCore *core, UserRequest *user_request)
+finish_with_retry_later(WsCore *core, UserRequest *user_request)
 {
   ws_answer_later(core, user_request->handle,
-                  ws_store_is_available(core) ? RETRY_AFTER_S : RETRY_AFTER_OUTAGE_S);
+                  ws_store_is_available(core) ? RETRY_AFTER_STORE_AVAILABLE_S
+                                              : RETRY_AFTER_STORE_OUTAGE_S);
   user_request_free(user_request);
 }
 
 static void
-finish_with_reason(WsCore *core, UserRequest *user_request, guint status, const char *reason)
+finish_with_error(WsCore *core, UserRequest *user_request, guint status, const char *reason)
 {
   ws_answer_reason(core, user_request->handle, status, reason);
   user_request_free(user_request);
@@ -76,49 +77,49 @@
 }
 
 static void
-finish_with_status(WsCore *core, UserRequest *user_request, guint status, const WsJob *job)
+finish_with_job_status(WsCore *core, UserRequest *user_request, guint status, const WsJob *job)
 {
   WsJobSummary summary
       = { .job_id = job->id,
           .state = user_state(job),
           .done_tasks = job->state == WS_JOB_DONE ? job->tasks : job->completed_count,
           .running_tasks = job->assigned_count };
-  finish(core, user_request, status,
-         ws_job_summary_encode(&summary, user_request->kind == REQUEST_POLL));
+  finish_with_body(core, user_request, status,
+                   ws_job_summary_encode(&summary, user_request->kind == REQUEST_POLL));
 }
 
 static void
-on_read(WsCore *core, gboolean is_current, gpointer data)
+on_replica_read(WsCore *core, gboolean is_current, gpointer data)
 {
   UserRequest *user_request = data;
-  user_request->has_read = user_request->has_read || is_current;
+  user_request->has_fresh_replica = user_request->has_fresh_replica || is_current;
   if (is_current)
-    decide(core, user_request);
+    process_request(core, user_request);
   else
-    finish_later(core, user_request);
+    finish_with_retry_later(core, user_request);
 }
 
 /* Answers at once if the job has ended, since a final state never changes. Otherwise, also before a
    request is refused, a linearizable read brings the replica up to date, since another node may
    have changed the job. */
 static void
-decide_after_read(WsCore *core, UserRequest *user_request)
+process_after_read(WsCore *core, UserRequest *user_request)
 {
   const WsJob *job = ws_replica_find_job(core->replica, user_request->id);
   if (job != NULL && job->state != WS_JOB_ACTIVE)
-    decide(core, user_request);
+    process_request(core, user_request);
   else
-    ws_store_linearizable_read(core, on_read, user_request);
+    ws_store_linearizable_read(core, on_replica_read, user_request);
 }
 
 /* Retries the request after a conflict, or asks the user to retry after too many conflicts. */
 static void
-retry(WsCore *core, UserRequest *user_request)
+retry_after_conflict(WsCore *core, UserRequest *user_request)
 {
-  if (++user_request->tries >= MAX_TRIES)
-    finish_later(core, user_request);
+  if (++user_request->txn_conflicts >= MAX_TXN_CONFLICTS)
+    finish_with_retry_later(core, user_request);
   else
-    ws_store_linearizable_read(core, on_read, user_request);
+    ws_store_linearizable_read(core, on_replica_read, user_request);
 }
 
 /* Returns whether the transaction was committed. Otherwise retries the request after a conflict,
@@ -127,9 +128,9 @@
 handle_txn_result(WsCore *core, UserRequest *user_request, WsTxnResult result)
 {
   if (result == WS_TXN_CONFLICT)
-    retry(core, user_request);
+    retry_after_conflict(core, user_request);
   else if (result != WS_TXN_COMMITTED)
-    finish_later(core, user_request);
+    finish_with_retry_later(core, user_request);
   return result == WS_TXN_COMMITTED;
 }
 
@@ -141,7 +142,7 @@
 }
 
 static void
-on_submitted(WsCore *core, WsTxnResult result, gpointer data)
+on_submission_txn_finished(WsCore *core, WsTxnResult result, gpointer data)
 {
   UserRequest *user_request = data;
   if (!handle_txn_result(core, user_request, result))
@@ -149,11 +150,11 @@
   log_accepted(user_request->spec);
   core->replan_is_needed = TRUE;
   WsJobSummary summary = { .job_id = user_request->id, .state = WS_USER_STATE_QUEUED };
-  finish(core, user_request, WS_HTTP_CREATED, ws_job_summary_encode(&summary, FALSE));
+  finish_with_body(core, user_request, WS_HTTP_CREATED, ws_job_summary_encode(&summary, FALSE));
 }
 
 static void
-accept(WsCore *core, UserRequest *user_request)
+commit_new_job(WsCore *core, UserRequest *user_request)
 {
   WsJob job = { .id = user_request->id, .spec = user_request->spec, .accepted_ms = core->wall };
   WsNodeIndex coordinator = ws_coordinator_choose(core, user_request->spec);
@@ -163,87 +164,88 @@
   WsTxn *txn = ws_txn_new();
   ws_txn_compare_version(txn, key, 0);
   ws_txn_put(txn, key, ws_job_encode(&job, WS_JOB_ACTIVE, name));
-  ws_txn_commit(core, txn, WS_REQUEST_USER, on_submitted, user_request);
+  ws_txn_commit(core, txn, WS_REQUEST_USER, on_submission_txn_finished, user_request);
 }
 
 static void
-decide_submission(WsCore *core, UserRequest *user_request)
+process_submission(WsCore *core, UserRequest *user_request)
 {
   const WsJob *job = ws_replica_find_job(core->replica, user_request->id);
   if (job != NULL) {
-    finish_with_status(core, user_request, WS_HTTP_OK, job);
+    finish_with_job_status(core, user_request, WS_HTTP_OK, job);
     return;
   }
   if (core->replica->catalog == NULL) {
-    finish_later(core, user_request);
+    finish_with_retry_later(core, user_request);
     return;
   }
   const char *reason = ws_admission_refusal(core, user_request->spec);
   /* Another node may have accepted the job, possibly under other rules of an older version. */
-  if (reason != NULL && !user_request->has_read)
-    ws_store_linearizable_read(core, on_read, user_request);
+  if (reason != NULL && !user_request->has_fresh_replica)
+    ws_store_linearizable_read(core, on_replica_read, user_request);
   else if (reason != NULL)
-    finish_with_reason(core, user_request, WS_HTTP_UNPROCESSABLE_CONTENT, reason);
+    finish_with_error(core, user_request, WS_HTTP_UNPROCESSABLE_CONTENT, reason);
   else
-    accept(core, user_request);
+    commit_new_job(core, user_request);
 }
 
 static void
-on_cancelled(WsCore *core, WsTxnResult result, gpointer data)
+on_cancellation_txn_finished(WsCore *core, WsTxnResult result, gpointer data)
 {
   UserRequest *user_request = data;
   if (!handle_txn_result(core, user_request, result))
     return;
   const WsJob *job = ws_replica_find_job(core->replica, user_request->id);
   g_info("job %s cancelled", user_request->id);
-  finish_with_status(core, user_request, WS_HTTP_OK, job);
+  finish_with_job_status(core, user_request, WS_HTTP_OK, job);
 }
 
 /* Cancels the job. If no task was ever assigned, the final record is written at once. The
    transaction is then conditional on the absence of the job's chunk record, since an assignment
    changes only the chunk record, not the job's own record. */
 static void
-cancel(WsCore *core, UserRequest *user_request, const WsJob *job)
+commit_cancellation(WsCore *core, UserRequest *user_request, const WsJob *job)
 {
   WsJob cancelled = *job;
   g_autofree char *key = ws_key_job(job->id);
   g_autofree char *chunk = ws_key_chunk(job->id, 0);
   cancelled.cancelled_ms = core->wall;
-  gboolean is_untouched
+  gboolean was_never_assigned
       = ws_job_chunk_count(job) == 1 && ws_replica_version(core->replica, chunk) == 0;
   WsTxn *txn = ws_txn_new();
   ws_txn_compare(txn, core->replica, key);
-  if (is_untouched)
+  if (was_never_assigned)
     ws_txn_compare_version(txn, chunk, 0);
   ws_txn_put(txn, key,
-             is_untouched ? ws_job_encode_final(job, WS_JOB_CANCELLED)
-                          : ws_job_encode(&cancelled, WS_JOB_CANCELLED, ""));
-  ws_txn_commit(core, txn, WS_REQUEST_USER, on_cancelled, user_request);
+             was_never_assigned ? ws_job_encode_final(job, WS_JOB_CANCELLED)
+                                : ws_job_encode(&cancelled, WS_JOB_CANCELLED, ""));
+  ws_txn_commit(core, txn, WS_REQUEST_USER, on_cancellation_txn_finished, user_request);
 }
 
 /* Answers the request from the current replica, or starts its transaction. */
 static void
-decide(WsCore *core, UserRequest *user_request)
+process_request(WsCore *core, UserRequest *user_request)
 {
   const WsJob *job = ws_replica_find_job(core->replica, user_request->id);
   if (user_request->kind == REQUEST_SUBMIT)
-    decide_submission(core, user_request);
+    process_submission(core, user_request);
   else if (job == NULL)
-    finish_with_reason(core, user_request, WS_HTTP_NOT_FOUND, "no such job");
+    finish_with_error(core, user_request, WS_HTTP_NOT_FOUND, "no such job");
   else if (user_request->kind == REQUEST_CANCEL && job->state == WS_JOB_ACTIVE)
-    cancel(core, user_request, job);
+    commit_cancellation(core, user_request, job);
   else
-    finish_with_status(core, user_request, WS_HTTP_OK, job);
+    finish_with_job_status(core, user_request, WS_HTTP_OK, job);
 }
 
 /* Starts processing a request, after a linearizable read if one is necessary. */
 static void
-begin(WsCore *core, RequestKind kind, const char *id, WsJobSpec *spec /* taken */, gpointer request)
+start_request(WsCore *core, RequestKind kind, const char *id, WsJobSpec *spec /* taken */,
+              gpointer request)
 {
   const WsJob *job = ws_replica_find_job(core->replica, id);
   gboolean is_final = job != NULL && job->state != WS_JOB_ACTIVE;
   if (!ws_store_is_loaded(core) || (!is_final && !ws_store_is_available(core))) {
-    ws_answer_later(core, request, RETRY_AFTER_OUTAGE_S);
+    ws_answer_later(core, request, RETRY_AFTER_STORE_OUTAGE_S);
     ws_job_spec_free(spec);
     return;
   }
@@ -252,13 +254,13 @@
       = (UserRequest){ .kind = kind, .id = g_strdup(id), .spec = spec, .handle = request };
   /* A new id needs no read: the transaction conflicts if another node has accepted the same id. */
   if (kind == REQUEST_SUBMIT && job == NULL)
-    decide(core, user_request);
+    process_request(core, user_request);
   else
-    decide_after_read(core, user_request);
+    process_after_read(core, user_request);
 }
 
 static void
-submit(WsCore *core, const char *body, gsize length, gpointer request)
+handle_submission(WsCore *core, const char *body, gsize length, gpointer request)
 {
   if (length > MAX_BODY_BYTES) {
     ws_answer_reason(core, request, WS_HTTP_BAD_REQUEST, "longer than 64 KiB");
@@ -271,18 +273,18 @@
     ws_answer_reason(core, request, WS_HTTP_BAD_REQUEST, error->message);
     return;
   }
-  begin(core, REQUEST_SUBMIT, spec->id, spec, request);
+  start_request(core, REQUEST_SUBMIT, spec->id, spec, request);
 }
 
-/* Returns the id in JOBS_PATH/ID or JOBS_PATH/ID/CANCELLATION; NULL: the path has another form. */
+/* Returns the id in JOBS_PATH/ID or JOBS_PATH/ID/CANCELLATION_SEGMENT; NULL for other paths. */
 static char *
 job_id_in_path(const char *path, gboolean *is_cancellation)
 {
   if (!g_str_has_prefix(path, JOBS_PATH "/"))
     return NULL;
-  g_auto(GStrv) parts = g_strsplit(path + strlen(JOBS_PATH "/"), "/", MAX_PATH_PARTS);
+  g_auto(GStrv) parts = g_strsplit(path + strlen(JOBS_PATH "/"), "/", MAX_PATH_SEGMENTS);
   guint count = g_strv_length(parts);
-  *is_cancellation = count == 2 && strcmp(parts[1], CANCELLATION) == 0;
+  *is_cancellation = count == 2 && strcmp(parts[1], CANCELLATION_SEGMENT) == 0;
   return count == 1 || *is_cancellation ? g_strdup(parts[0]) : NULL;
 }
 
@@ -298,9 +300,9 @@
   else if (strcmp(method, is_submission || is_cancellation ? "POST" : "GET") != 0)
     ws_answer_reason(core, request, WS_HTTP_METHOD_NOT_ALLOWED, "not with this method");
   else if (is_submission)
-    submit(core, body, length, request);
+    handle_submission(core, body, length, request);
   else if (!ws_job_id_valid(id))
     ws_answer_reason(core, request, WS_HTTP_NOT_FOUND, "no such job");
   else
-    begin(core, is_cancellation ? REQUEST_CANCEL : REQUEST_POLL, id, NULL, request);
+    start_request(core, is_cancellation ? REQUEST_CANCEL : REQUEST_POLL, id, NULL, request);
 }
--- a/src/context/ws-context.c
+++ b/src/context/ws-context.c
@@ -29,8 +29,8 @@
 {
   g_autoptr(GList) calls = g_hash_table_get_values(core->calls);
   g_hash_table_steal_all(core->calls);
-  for (GList *at = calls; at != NULL; at = at->next) {
-    g_autofree PendingCall *call = at->data;
+  for (GList *item = calls; item != NULL; item = item->next) {
+    g_autofree PendingCall *call = item->data;
     call->reply(core, WS_HTTP_NO_RESPONSE, NULL, call->data);
   }
   return calls != NULL;
--- a/src/core/ws-core.c
+++ b/src/core/ws-core.c
@@ -20,7 +20,7 @@
 #define PATH_READY "/ready"
 #define PATH_HEARTBEAT "/v1/report"
 /* The Retry-After value, in seconds, of a node that isn't ready. */
-#define READY_RETRY_AFTER_S 1
+#define NOT_READY_RETRY_AFTER_S 1
 
 /* Callbacks through which lower packages call higher ones. */
 static const WsHandlers HANDLERS = {
@@ -127,7 +127,7 @@
 /* Restarts the machines' idle timeouts after a pause of the process that may have outlasted its
    lease. */
 static void
-notice_stall(WsCore *core, gint64 now_ms)
+reset_idle_timeouts_after_stall(WsCore *core, gint64 now_ms)
 {
   if (!ws_authority_detect_stall(core, now_ms))
     return;
@@ -140,9 +140,9 @@
 
 /* Sets the clocks to the time of an input. The monotonic clock never goes back. */
 static void
-set_time(WsCore *core, gint64 now_ms, gint64 wall_ms)
+set_clocks(WsCore *core, gint64 now_ms, gint64 wall_ms)
 {
-  notice_stall(core, now_ms);
+  reset_idle_timeouts_after_stall(core, now_ms);
   core->now = MAX(core->now, now_ms);
   core->wall = wall_ms;
 }
@@ -171,7 +171,7 @@
 /* Runs all packages after an input. The order matters: each step may create work for the following
    ones, and the last step sends the store writes of all steps before it. */
 static void
-process_consequences(WsCore *core)
+run_packages(WsCore *core)
 {
   handle_epoch_change(core);
   update_cancellations(core);
@@ -209,12 +209,12 @@
 void
 ws_core_tick(WsCore *core, gint64 now_ms, gint64 wall_ms)
 {
-  set_time(core, now_ms, wall_ms);
+  set_clocks(core, now_ms, wall_ms);
   ws_store_tick(core, ws_is_leader(core));
   ws_election_tick(core);
   ws_gossip_tick(core);
   reconcile(core);
-  process_consequences(core);
+  run_packages(core);
 }
 
 static void
@@ -225,7 +225,7 @@
   else if (ws_authority_check_readiness(core) == WS_REFUSAL_NONE)
     ws_answer(core, request, WS_HTTP_OK, json_pack("{s:b}", "ready", 1), 0);
   else
-    ws_answer_later(core, request, READY_RETRY_AFTER_S);
+    ws_answer_later(core, request, NOT_READY_RETRY_AFTER_S);
 }
 
 static void
@@ -254,19 +254,19 @@
                 const char *method, const char *path, const char *body, gsize length,
                 gpointer request)
 {
-  set_time(core, now_ms, wall_ms);
+  set_clocks(core, now_ms, wall_ms);
   if (listener == WS_LISTENER_API)
     handle_api_request(core, method, path, body, length, request);
   else
     ws_peers_handle_request(core, path, body, length, request);
-  process_consequences(core);
+  run_packages(core);
 }
 
 void
 ws_core_reply(WsCore *core, gint64 now_ms, gint64 wall_ms, guint64 call, guint status,
               const char *body, gsize length)
 {
-  set_time(core, now_ms, wall_ms);
+  set_clocks(core, now_ms, wall_ms);
   if (ws_context_handle_reply(core, call, status, body, length))
-    process_consequences(core);
+    run_packages(core);
 }
