--- a/src/api/ws-admission.c
+++ b/src/api/ws-admission.c
@@ -55,7 +55,7 @@
 }
 
 const char *
-ws_admission_refusal(const WsCore *core, const WsJobSpec *spec)
+ws_admission_rejection_reason(const WsCore *core, const WsJobSpec *spec)
 {
   WsTeamIndex team = ws_replica_find_team(core->replica, spec->team);
   if (team == WS_NO_TEAM)
--- a/src/api/ws-admission.h
+++ b/src/api/ws-admission.h
@@ -10,4 +10,4 @@
  * Returns the reason, a static string for the user, why the job can never run; NULL: the job is
  * admitted. Uses the settings and the cloud's catalog, which must have been loaded.
  */
-const char *ws_admission_refusal(const WsCore *core, const WsJobSpec *spec);
+const char *ws_admission_rejection_reason(const WsCore *core, const WsJobSpec *spec);
--- a/src/api/ws-job-api.c
+++ b/src/api/ws-job-api.c
@@ -53,16 +53,16 @@
 static void
 finish_with_retry_later(WsCore *core, UserRequest *user_request)
 {
-  ws_answer_later(core, user_request->handle,
-                  ws_store_is_available(core) ? RETRY_AFTER_STORE_AVAILABLE_S
-                                              : RETRY_AFTER_STORE_OUTAGE_S);
+  ws_answer_retry_later(core, user_request->handle,
+                        ws_store_is_available(core) ? RETRY_AFTER_STORE_AVAILABLE_S
+                                                    : RETRY_AFTER_STORE_OUTAGE_S);
   user_request_free(user_request);
 }
 
 static void
 finish_with_error(WsCore *core, UserRequest *user_request, guint status, const char *reason)
 {
-  ws_answer_reason(core, user_request->handle, status, reason);
+  ws_answer_error(core, user_request->handle, status, reason);
   user_request_free(user_request);
 }
 
@@ -179,7 +179,7 @@
     finish_with_retry_later(core, user_request);
     return;
   }
-  const char *reason = ws_admission_refusal(core, user_request->spec);
+  const char *reason = ws_admission_rejection_reason(core, user_request->spec);
   /* Another node may have accepted the job, possibly under other rules of an older version. */
   if (reason != NULL && !user_request->has_fresh_replica)
     ws_store_linearizable_read(core, on_replica_read, user_request);
@@ -245,7 +245,7 @@
   const WsJob *job = ws_replica_find_job(core->replica, id);
   gboolean is_final = job != NULL && job->state != WS_JOB_ACTIVE;
   if (!ws_store_is_loaded(core) || (!is_final && !ws_store_is_available(core))) {
-    ws_answer_later(core, request, RETRY_AFTER_STORE_OUTAGE_S);
+    ws_answer_retry_later(core, request, RETRY_AFTER_STORE_OUTAGE_S);
     ws_job_spec_free(spec);
     return;
   }
@@ -263,14 +263,14 @@
 handle_submission(WsCore *core, const char *body, gsize length, gpointer request)
 {
   if (length > MAX_BODY_BYTES) {
-    ws_answer_reason(core, request, WS_HTTP_BAD_REQUEST, "longer than 64 KiB");
+    ws_answer_error(core, request, WS_HTTP_BAD_REQUEST, "longer than 64 KiB");
     return;
   }
   g_autoptr(json_t) message = ws_json_parse(body, length);
   g_autoptr(GError) error = NULL;
   WsJobSpec *spec = ws_job_spec_parse(message, &error);
   if (spec == NULL) {
-    ws_answer_reason(core, request, WS_HTTP_BAD_REQUEST, error->message);
+    ws_answer_error(core, request, WS_HTTP_BAD_REQUEST, error->message);
     return;
   }
   start_request(core, REQUEST_SUBMIT, spec->id, spec, request);
@@ -296,13 +296,13 @@
   gboolean is_submission = strcmp(path, JOBS_PATH) == 0;
   g_autofree char *id = job_id_in_path(path, &is_cancellation);
   if (!is_submission && id == NULL)
-    ws_answer_reason(core, request, WS_HTTP_NOT_FOUND, "no such path");
+    ws_answer_error(core, request, WS_HTTP_NOT_FOUND, "no such path");
   else if (strcmp(method, is_submission || is_cancellation ? "POST" : "GET") != 0)
-    ws_answer_reason(core, request, WS_HTTP_METHOD_NOT_ALLOWED, "not with this method");
+    ws_answer_error(core, request, WS_HTTP_METHOD_NOT_ALLOWED, "not with this method");
   else if (is_submission)
     handle_submission(core, body, length, request);
   else if (!ws_job_id_valid(id))
-    ws_answer_reason(core, request, WS_HTTP_NOT_FOUND, "no such job");
+    ws_answer_error(core, request, WS_HTTP_NOT_FOUND, "no such job");
   else
     start_request(core, is_cancellation ? REQUEST_CANCEL : REQUEST_POLL, id, NULL, request);
 }
--- a/src/commit/ws-batch.c
+++ b/src/commit/ws-batch.c
@@ -375,6 +375,6 @@
   ws_chunk_add(chunk, &assignment);
   adjust_use(batch, job, proposal->machine, 1);
   add_machine(batch, machine);
-  core->handlers->note_assignment(core, job, proposal->machine);
+  core->handlers->on_assignment_added(core, job, proposal->machine);
   return WS_BATCH_ADDED;
 }
--- a/src/context/ws-context.h
+++ b/src/context/ws-context.h
@@ -70,7 +70,7 @@
   void (*request_termination)(WsCore *core, WsMachine *machine, const char *reason,
                               gboolean immediately);
   /** Applies a worker's status; FALSE: it is older than the known status. By workers. */
-  gboolean (*note_worker_status)(WsCore *core, WsMachine *machine, const WsHeartbeat *heartbeat);
+  gboolean (*apply_worker_status)(WsCore *core, WsMachine *machine, const WsHeartbeat *heartbeat);
   /** Sends the current epoch's fencing token to the worker. By workers. */
   void (*raise_fencing_token)(WsCore *core, WsMachine *machine);
   /** Stops a task so that its capacity can be used for other work. By workers. */
@@ -93,7 +93,7 @@
                                 WsMachineIndex machine, const WsResources *machine_free,
                                 const WsResources *team_use);
   /** Called when an assignment was added to a transaction. By scheduling. */
-  void (*note_assignment)(WsCore *core, const WsJob *job, WsMachineIndex machine);
+  void (*on_assignment_added)(WsCore *core, const WsJob *job, WsMachineIndex machine);
 } WsHandlers;
 
 /**
@@ -112,9 +112,9 @@
   gint64 wall; /**< its time on the wall clock */
 
   /* Outputs and calls; ws-context.c. */
-  GQueue outputs;    /**< of WsOutput: not popped yet */
-  GHashTable *calls; /**< by id: calls without a reply so far */
-  guint64 next_call; /**< the id of the most recent call */
+  GQueue outputs;       /**< of WsOutput: not popped yet */
+  GHashTable *calls;    /**< by id: calls without a reply so far */
+  guint64 last_call_id; /**< the id of the most recent call */
 
   WsReplica *replica;
 
@@ -147,7 +147,7 @@
 void ws_context_init_calls(WsCore *core);
 
 /** Frees the outputs that were not popped and drops all outstanding calls. */
-void ws_context_clear_calls(WsCore *core);
+void ws_context_free_calls(WsCore *core);
 
 /** Ends every outstanding call as if no response had been received. Returns whether any existed. */
 gboolean ws_context_stop_calls(WsCore *core);
@@ -186,7 +186,7 @@
 void ws_answer(WsCore *core, gpointer request, guint status, json_t *body, guint retry_after_s);
 
 /** Answers a request with an error. @reason: a message for the client */
-void ws_answer_reason(WsCore *core, gpointer request, guint status, const char *reason);
+void ws_answer_error(WsCore *core, gpointer request, guint status, const char *reason);
 
 /** Answers a request with status 503 and the time after which the client should retry. */
-void ws_answer_later(WsCore *core, gpointer request, guint retry_after_s);
+void ws_answer_retry_later(WsCore *core, gpointer request, guint retry_after_s);
--- a/src/context/ws-output.h
+++ b/src/context/ws-output.h
@@ -2,7 +2,7 @@
  * The outputs of the core: answers to requests, and calls to other processes.
  *
  * Outputs are created by ws_call() and ws_answer(). The code that runs the core takes them with
- * ws_core_pop().
+ * ws_core_pop_output().
  */
 #pragma once
 
@@ -11,7 +11,7 @@
 /** The state machine of one controller, defined in ws-context.h. */
 typedef struct _WsCore WsCore;
 
-/** An answer or a call. Freed by the caller of ws_core_pop(). */
+/** An answer or a call. Freed by the caller of ws_core_pop_output(). */
 typedef struct {
   gboolean is_answer;
 
--- a/src/core/ws-core.c
+++ b/src/core/ws-core.c
@@ -25,7 +25,7 @@
 /* Callbacks through which lower packages call higher ones. */
 static const WsHandlers HANDLERS = {
   .request_termination = ws_termination_request_mark,
-  .note_worker_status = ws_workers_note_status,
+  .apply_worker_status = ws_workers_note_status,
   .raise_fencing_token = ws_worker_rpc_raise_fencing_token,
   .halt_task = ws_worker_rpc_halt,
   .handle_relay = ws_relay_handle_request,
@@ -35,7 +35,7 @@
   .handle_reservation = ws_reservations_renew,
   .has_reservations = ws_reservations_exist,
   .allows_assignment = ws_reservations_allow,
-  .note_assignment = ws_reservations_consume,
+  .on_assignment_added = ws_reservations_consume,
 };
 
 WsCore *
@@ -83,7 +83,7 @@
 void
 ws_core_free(WsCore *core)
 {
-  ws_context_clear_calls(core);
+  ws_context_free_calls(core);
   ws_store_free(core->store);
   ws_authority_free(core->authority);
   ws_election_free(core->election);
@@ -119,7 +119,7 @@
 }
 
 WsOutput *
-ws_core_pop(WsCore *core)
+ws_core_pop_output(WsCore *core)
 {
   return g_queue_pop_head(&core->outputs);
 }
@@ -221,18 +221,18 @@
 answer_readiness(WsCore *core, const char *method, gpointer request)
 {
   if (strcmp(method, "GET") != 0)
-    ws_answer_reason(core, request, WS_HTTP_METHOD_NOT_ALLOWED, "only GET here");
+    ws_answer_error(core, request, WS_HTTP_METHOD_NOT_ALLOWED, "only GET here");
   else if (ws_authority_check_readiness(core) == WS_REFUSAL_NONE)
     ws_answer(core, request, WS_HTTP_OK, json_pack("{s:b}", "ready", 1), 0);
   else
-    ws_answer_later(core, request, NOT_READY_RETRY_AFTER_S);
+    ws_answer_retry_later(core, request, NOT_READY_RETRY_AFTER_S);
 }
 
 static void
 handle_heartbeat(WsCore *core, const char *method, const char *body, gsize length, gpointer request)
 {
   if (strcmp(method, "POST") != 0)
-    ws_answer_reason(core, request, WS_HTTP_METHOD_NOT_ALLOWED, "only POST here");
+    ws_answer_error(core, request, WS_HTTP_METHOD_NOT_ALLOWED, "only POST here");
   else
     ws_workers_handle_heartbeat(core, body, length, request);
 }
@@ -250,9 +250,9 @@
 }
 
 void
-ws_core_request(WsCore *core, gint64 now_ms, gint64 wall_ms, WsListener listener,
-                const char *method, const char *path, const char *body, gsize length,
-                gpointer request)
+ws_core_handle_request(WsCore *core, gint64 now_ms, gint64 wall_ms, WsListener listener,
+                       const char *method, const char *path, const char *body, gsize length,
+                       gpointer request)
 {
   set_clocks(core, now_ms, wall_ms);
   if (listener == WS_LISTENER_API)
@@ -263,8 +263,8 @@
 }
 
 void
-ws_core_reply(WsCore *core, gint64 now_ms, gint64 wall_ms, guint64 call, guint status,
-              const char *body, gsize length)
+ws_core_handle_reply(WsCore *core, gint64 now_ms, gint64 wall_ms, guint64 call, guint status,
+                     const char *body, gsize length)
 {
   set_clocks(core, now_ms, wall_ms);
   if (ws_context_handle_reply(core, call, status, body, length))
--- a/src/core/ws-core.h
+++ b/src/core/ws-core.h
@@ -3,8 +3,8 @@
  *
  * The core reads no clock, opens no socket and uses no random source. Every input carries the time.
  * After each input, the caller takes the requests to send and the answers to return from
- * ws_core_pop(). The same inputs produce the same outputs. All functions must be called from the
- * same thread.
+ * ws_core_pop_output(). The same inputs produce the same outputs. All functions must be called from
+ * the same thread.
  */
 #pragma once
 
@@ -52,9 +52,9 @@
  * @body: the body as received, @length bytes; not kept
  * @request: an opaque handle of the caller; must remain valid until the answer is popped
  */
-void ws_core_request(WsCore *core, gint64 now_ms, gint64 wall_ms, WsListener listener,
-                     const char *method, const char *path, const char *body, gsize length,
-                     gpointer request);
+void ws_core_handle_request(WsCore *core, gint64 now_ms, gint64 wall_ms, WsListener listener,
+                            const char *method, const char *path, const char *body, gsize length,
+                            gpointer request);
 
 /**
  * Handles the response to a call that an output requested. Responses to unknown calls are ignored.
@@ -63,8 +63,8 @@
  * @status: the HTTP status; 0: the call timed out or the connection failed
  * @body: the body as received, @length bytes; not kept
  */
-void ws_core_reply(WsCore *core, gint64 now_ms, gint64 wall_ms, guint64 call, guint status,
-                   const char *body, gsize length);
+void ws_core_handle_reply(WsCore *core, gint64 now_ms, gint64 wall_ms, guint64 call, guint status,
+                          const char *body, gsize length);
 
 /** Returns the number of machines examined by all plans so far, a measure of the cost of planning.
  */
@@ -77,4 +77,4 @@
  * Removes and returns the oldest output; NULL: there is none. The caller frees it with
  * ws_output_free().
  */
-WsOutput *ws_core_pop(WsCore *core);
+WsOutput *ws_core_pop_output(WsCore *core);
--- a/src/membership/ws-failure-detector.c
+++ b/src/membership/ws-failure-detector.c
@@ -59,7 +59,7 @@
   core->failure_detector->probes_in_flight--;
   /* An answer older than the last known status comes from a worker that was restarted. */
   if (heartbeat == NULL || !ws_owns_machine(core, machine)
-      || !core->handlers->note_worker_status(core, machine, heartbeat)) {
+      || !core->handlers->apply_worker_status(core, machine, heartbeat)) {
     machine->worker.failed_probes++;
     return;
   }
--- a/src/membership/ws-gossip.c
+++ b/src/membership/ws-gossip.c
@@ -281,7 +281,7 @@
 {
   WsNodeIndex node = ws_settings_find_node(core->settings, ws_gossip_message_sender(body));
   if (node == WS_NO_NODE || node == core->settings->self) {
-    ws_answer_reason(core, request, WS_HTTP_BAD_REQUEST, "node is missing or unknown");
+    ws_answer_error(core, request, WS_HTTP_BAD_REQUEST, "node is missing or unknown");
     return;
   }
   handle_gossip(core, body);
@@ -302,6 +302,6 @@
   } else if (strcmp(path, WS_RELAY_PATH) == 0) {
     core->handlers->handle_relay(core, message, request);
   } else {
-    ws_answer_reason(core, request, WS_HTTP_NOT_FOUND, "no such path");
+    ws_answer_error(core, request, WS_HTTP_NOT_FOUND, "no such path");
   }
 }
--- a/src/membership/ws-peer-requests.c
+++ b/src/membership/ws-peer-requests.c
@@ -244,7 +244,7 @@
   if (handle_batch(core, batch))
     ws_answer(core, request, WS_HTTP_OK, json_object(), 0);
   else
-    ws_answer_later(core, request, RETRY_AFTER_S);
+    ws_answer_retry_later(core, request, RETRY_AFTER_S);
 }
 
 static void
--- a/src/workers/ws-workers.c
+++ b/src/workers/ws-workers.c
@@ -136,19 +136,19 @@
   g_autoptr(WsHeartbeat) heartbeat = ws_heartbeat_parse(message, &error);
   if (heartbeat == NULL) {
     g_warning("a heartbeat was refused: %s", error->message);
-    ws_answer_reason(core, request, WS_HTTP_BAD_REQUEST, error->message);
+    ws_answer_error(core, request, WS_HTTP_BAD_REQUEST, error->message);
     return;
   }
   ws_liveness_note_heartbeat(core);
   if (!is_accepted(core, heartbeat)) {
-    ws_answer_later(core, request, RETRY_AFTER_S);
+    ws_answer_retry_later(core, request, RETRY_AFTER_S);
     return;
   }
   WsMachine *machine = ws_replica_get_machine(core->replica, heartbeat->machine);
   ws_replica_describe_machine(core->replica, machine, heartbeat->type, heartbeat->zone,
                               heartbeat->is_spot);
   if (turn_away_if_isolated(core, machine))
-    ws_answer_later(core, request, RETRY_AFTER_S);
+    ws_answer_retry_later(core, request, RETRY_AFTER_S);
   else if (machine->owner != core->settings->self)
     redirect_or_relay(core, machine, body, length, request);
   else
