--- a/tests/evidence/evidence.h
+++ b/tests/evidence/evidence.h
@@ -1,5 +1,5 @@
 /**
- * The tests of evidence that stand in files of their own.
+ * Tests of the /evidence group that are defined outside test-evidence.c.
  */
 #pragma once
 
--- a/tests/evidence/flapping.c
+++ b/tests/evidence/flapping.c
@@ -1,12 +1,13 @@
 /**
- * A simulated cluster whose leader loses its lease again and again.
+ * A simulated cluster whose leader loses its lease repeatedly.
  */
 #include "evidence/evidence.h"
 #include "sim/fault-injection.h"
 
-/* Again and again an epoch begins, tasks are assigned whose machines don't know it yet, more urgent
-   work takes their slots, and the leader loses its lease for a while before it can write that they
-   are gone. */
+/* Repeats the following sequence: a new epoch begins; tasks are assigned to machines that haven't
+   received its fencing token yet; a more urgent job preempts them; the leader loses its lease for a
+   while before it can commit the releases of the preempted tasks. Then checks that the cluster
+   recovers. */
 static void
 play_flapping(guint32 seed)
 {
--- a/tests/evidence/validity.c
+++ b/tests/evidence/validity.c
@@ -1,6 +1,6 @@
 /**
- * Under which epochs a release holds, against a plain history of who owned the machines; and the
- * encoding of releases.
+ * The validity of releases over random sequences of epochs, compared with a simple model of the
+ * ownership of machines; and the encoding of releases.
  */
 #include "evidence/evidence.h"
 #include "sim/fault-injection.h"
@@ -13,17 +13,17 @@
 
 typedef struct {
   guint64 number;
-  guint64 incarnation[SIM_NODES]; /* 0: not a member */
+  guint64 incarnation[SIM_NODES]; /* by node; 0: not a member */
 } PastEpoch;
 
 static PastEpoch
 next_epoch(GRand *rand, const PastEpoch *last)
 {
   PastEpoch next = *last;
-  next.number += g_rand_int_range(rand, 0, 6) == 0 ? 2 : 1; /* this node may miss one */
+  next.number += g_rand_int_range(rand, 0, 6) == 0 ? 2 : 1; /* 2: this node missed an epoch */
   guint node = (guint)g_rand_int_range(rand, 0, SIM_NODES);
   if (next.incarnation[node] == 0 || g_rand_boolean(rand))
-    next.incarnation[node] = next.number * 10 + node + 1; /* it began, or began anew */
+    next.incarnation[node] = next.number * 10 + node + 1; /* the node joins or restarts */
   else if (g_rand_boolean(rand))
     next.incarnation[node] = 0;
   return next;
@@ -43,7 +43,7 @@
                    "members", members);
 }
 
-/* The run that owned the machine under the epoch; 0: none did. */
+/* Returns the incarnation of the node that owned the machine in the epoch; 0: no node did. */
 static guint64
 owner_run(const PastEpoch *past, const char *machine, const WsSettings *settings)
 {
@@ -56,7 +56,8 @@
   return owner != WS_NONE ? past->incarnation[owner] : 0;
 }
 
-/* Whether one run owned the machine from one epoch to the other, and none was missed between. */
+/* Returns whether the same incarnation owned the machine from one epoch to the other, without a
+   missed epoch in between. */
 static gboolean
 is_of_one_owner(const PastEpoch *history, guint from, guint to, const char *machine,
                 const WsSettings *settings)
@@ -104,7 +105,8 @@
                       ws_evidence_new(replica, machine, kind) };
 }
 
-/* What was concluded of the machine under one epoch, checked under a later one. */
+/* Checks the validity of two releases in a later epoch than the one of their evidence. A returned
+   machine is valid evidence in every epoch, an absent task only while the owner is the same. */
 static void
 check_releases(const WsReplica *replica, const WsRelease *absent, const WsRelease *returned,
                WsMachineIndex other_machine, gboolean is_of_same_owner)
@@ -156,7 +158,7 @@
   sim_play_seeds(4000, 30, check_history);
 }
 
-/* A release comes through a message as it was; damaged evidence is none. */
+/* A release is unchanged by encoding and parsing; malformed or missing evidence is not accepted. */
 void
 test_release_encoding_round_trip(void)
 {
--- a/tests/test-commit.c
+++ b/tests/test-commit.c
@@ -1,5 +1,5 @@
-/* The parts of src/commit that are functions of their arguments: when a job ends, and the
-   quarantine of jobs. */
+/* Unit tests of the parts of src/commit that need no core: the rule that decides when a job ends,
+   and the quarantine of jobs. */
 #include "commit/ws-job-completion.h"
 #include "commit/ws-job-quarantine.h"
 
@@ -31,7 +31,8 @@
   }
 }
 
-/* A job that was rejected together with others is not known to be the reason. */
+/* Only a job whose transaction held no other job is quarantined. If a transaction with several jobs
+   is rejected, it isn't known which of them is the cause. */
 static void
 test_quarantine(void)
 {
--- a/tests/test-evidence.c
+++ b/tests/test-evidence.c
@@ -1,9 +1,9 @@
 /**
- * Releases of tasks, and what has happened since they were concluded.
+ * Releases of tasks whose evidence may be outdated when they are committed.
  *
- * A release is written only while the evidence that it rests on still holds: an incident broke
- * ran_twice when a former owner's release was written after the next owner had launched the same
- * attempt.
+ * A release must be committed only while its evidence is valid. These tests guard against a task
+ * that runs twice (the ran_twice violation): a former owner's release was committed after the
+ * machine's next owner had launched the same attempt, so the task was assigned again while it ran.
  */
 #include "coordination/ws-epoch.h"
 #include "evidence/evidence.h"
@@ -15,7 +15,7 @@
 #define WRITE_S 2.0
 #define REPEATED_EVERY_S 2.0
 
-/* Whether the machine is n1's while the first nodes are members, so many of them. */
+/* Returns whether n1 owns the machine if the first @members nodes are the members. */
 static gboolean
 is_of_n1(const Fixture *fixture, const char *machine, guint members)
 {
@@ -30,7 +30,7 @@
   return is;
 }
 
-/* A machine that is n1's wherever n1 is a member beside n0. */
+/* Returns the name of a machine that n1 owns whenever n0 and n1 are members, with or without n2. */
 static char *
 name_of_machine_of_n1(const Fixture *fixture)
 {
@@ -61,7 +61,8 @@
   return json_pack("[{s:s, s:i, s:s}]", "kus", "req-1/0", "pokus", 1, "stav", state);
 }
 
-/* The task of one job is assigned to the machine by n0, which leads, and its launch was lost. */
+/* Sets up a cluster in which n0 leads and has assigned the only task of a job to the machine. The
+   machine hasn't received the launch command. */
 static void
 scenario_begin(Scenario *scenario)
 {
@@ -90,7 +91,7 @@
       json_object_get(sim_store_get(fixture->store, "w/epoch"), "number"));
 }
 
-/* n1 joins or leaves, and n0 writes the next epoch. */
+/* Makes n1 join or leave, and waits until n0 has written the next epoch. */
 static void
 change_epoch(Scenario *scenario, gboolean has_n1)
 {
@@ -101,8 +102,8 @@
   g_assert_cmpuint(epoch_number(scenario->fixture), ==, before + 1);
 }
 
-/* n1 says what it knew of the task under the fencing token: that it is absent, or its machine
- * returned. */
+/* Returns a peer message in which n1 releases the task. The evidence (@kind: "absent" or
+   "returned") was observed in the epoch @seen_under. */
 static json_t *
 release_of_n1(const Scenario *scenario, guint64 epoch, const char *kind, guint64 seen_under)
 {
@@ -110,7 +111,7 @@
                    "req-1", 0, 1, 0, scenario->machine, kind, (json_int_t)seen_under, 1);
 }
 
-/* The same, said by a version that doesn't say what it rests on. */
+/* Returns the same message from a version before 0.4, without evidence. */
 static json_t *
 legacy_release_of_n1(guint64 epoch)
 {
@@ -118,7 +119,7 @@
                    0);
 }
 
-/* Whether the task's first attempt is still on record. */
+/* Returns whether the task's first attempt is still recorded as assigned. */
 static gboolean
 is_first_attempt_on_record(const Scenario *scenario)
 {
@@ -126,7 +127,7 @@
   return json_integer_value(json_array_get(json_array_get(on, 0), 2)) == 1;
 }
 
-/* A second for the transaction that is to be held. */
+/* Waits up to one second until the fixture holds back the transaction. */
 static void
 wait_for_held_call(Fixture *fixture)
 {
@@ -134,7 +135,7 @@
     fixture_run(fixture, 0.05);
 }
 
-/* Somebody writes that the task's second attempt is on the machine. */
+/* Writes, as another node, a record that assigns the task's second attempt to the machine. */
 static void
 assign_second_attempt(Fixture *fixture, const char *machine)
 {
@@ -143,7 +144,7 @@
                               "d", "00000000000000000000000000000000"));
 }
 
-/* The machine is n0's now, and hears that it is to launch the task. */
+/* Has the machine, now owned by n0, receive the command to launch the task. */
 static void
 launch_as_n0(Scenario *scenario)
 {
@@ -154,8 +155,9 @@
   send_heartbeat(scenario, fencing_token, task_in_state("fetching"));
 }
 
-/* The leader has taken its owner's release, whose write comes to nothing; the owner ends, and the
-   leader, now the owner, launches the task again: what it took before must not be written then. */
+/* The leader n0 accepts a release from the machine's owner n1, but its transaction is held back and
+   then conflicts. n1 leaves, and n0, now the owner, launches the task again. The release must not
+   be committed any more. */
 static void
 write_pending_release(gboolean has_evidence)
 {
@@ -188,8 +190,9 @@
   write_pending_release(FALSE);
 }
 
-/* n1 concluded under its old epoch that the task is gone, lost its place to n0, which launched the
-   task, and is back: it sends what it concluded then under the present epoch. */
+/* n1 observes in an early epoch that the task is absent, then leaves. n0 becomes the owner and
+   launches the task. n1 joins again and sends the outdated release in the present epoch. The
+   release must not be committed. */
 static void
 send_release_of_former_owner(gboolean has_evidence)
 {
@@ -219,7 +222,7 @@
   send_release_of_former_owner(FALSE);
 }
 
-/* The cloud's word holds whoever owns the machine since. */
+/* The cloud's confirmation of a return is valid evidence, even after a change of the owner. */
 static void
 test_returned_machine_is_released_in_any_epoch(void)
 {
@@ -235,9 +238,8 @@
   scenario_end(&scenario);
 }
 
-/* A version that doesn't say what a release rests on is believed where nobody else has had the
-   right to launch the attempt: it was assigned to a machine that the sender's version has owned
-   since. */
+/* A release without evidence is accepted if no other node can have launched the attempt: the
+   machine has had the same owner since the attempt was assigned. */
 static void
 test_legacy_release_by_only_owner_holds(void)
 {
@@ -256,7 +258,9 @@
   scenario_end(&scenario);
 }
 
-/* Otherwise the worker is asked, and an end that it still holds is proof, with whatever reason. */
+/* If a release without evidence can't be accepted at once, the leader probes the worker. An exit in
+   the worker's status is evidence, whatever the exit reason, but only in a status under the present
+   fencing token. */
 static void
 test_legacy_release_needs_current_worker_status(void)
 {
@@ -265,7 +269,7 @@
   change_epoch(&scenario, TRUE);
   Fixture *fixture = scenario.fixture;
   for (guint64 fencing_token = 1; fencing_token <= 2;
-       fencing_token++) { /* only what is said under our fencing token counts */
+       fencing_token++) { /* only a status under the present token is evidence */
     json_t *tasks = json_pack("[{s:s, s:i, s:s, s:s}]", "kus", "req-1/0", "pokus", 1, "stav",
                               "exited", "duvod", "error");
     json_decref(fixture->status_report);
@@ -279,7 +283,8 @@
   scenario_end(&scenario);
 }
 
-/* What can't be proven and is repeated for a lease isn't lost: the machine is returned. */
+/* If a release without evidence is repeated for a whole lease and can't be confirmed, the machine
+   is terminated, and the task isn't released until then. */
 static void
 test_unproven_legacy_release_terminates_machine(void)
 {
@@ -301,8 +306,8 @@
   scenario_end(&scenario);
 }
 
-/* The task failed, its release is on its way, and the machine begins a new incarnation without it:
-   the owner launches nothing that it is about to release. */
+/* The task has failed and its release is not committed yet when the worker restarts and no longer
+   reports the task. The owner must not launch an attempt that it is about to release. */
 static void
 test_no_launch_while_release_is_pending(void)
 {
@@ -326,7 +331,7 @@
   scenario_end(&scenario);
 }
 
-/* What an owner concludes while it remains the owner is written in a later epoch too. */
+/* A release is still committed in a later epoch if the machine's owner is the same. */
 static void
 test_release_holds_for_same_owner(void)
 {
@@ -343,14 +348,15 @@
   scenario_end(&scenario);
 }
 
-/* The watch brings nothing while somebody else's last transaction under the old epoch moves the
-   task to another machine; then n0's own next epoch is in force, which it knows at once. */
+/* Makes n0 know its own new epoch while its replica is older. The watch is held back while another
+   node's last transaction of the old epoch moves the task to another machine. Then n0 writes the
+   next epoch, which it knows at once. */
 static void
 fall_behind_own_epoch(Scenario *scenario)
 {
   Fixture *fixture = scenario->fixture;
   fixture->hold_watch = TRUE;
-  fixture_write_key(fixture, "w/unused", json_object()); /* answers the watch that is open */
+  fixture_write_key(fixture, "w/unused", json_object()); /* completes the open watch request */
   fixture_run(fixture, 1.0);
   g_assert_cmpuint(fixture->held_watch, !=, 0);
   assign_second_attempt(fixture, "m-elsewhere");
@@ -363,8 +369,8 @@
   g_assert_cmpuint(epoch_number(fixture), ==, 2);
 }
 
-/* A leader whose replica is older than its own epoch launches nothing by it: the attempt may have
-   been taken elsewhere meanwhile. */
+/* A leader whose replica is older than its epoch must not launch tasks: an attempt may have been
+   replaced by one on another machine in the meantime. */
 static void
 test_no_launch_before_caught_up_with_epoch(void)
 {
@@ -382,7 +388,8 @@
   scenario_end(&scenario);
 }
 
-/* Nor does it halt or reap what it doesn't know: that may have been assigned meanwhile. */
+/* Such a leader must not halt or reap tasks that it doesn't know either, since they may have been
+   assigned in the meantime. */
 static void
 test_no_halt_before_caught_up_with_epoch(void)
 {
@@ -402,8 +409,7 @@
   }
   fixture_release_watch(scenario.fixture);
   fixture_run(scenario.fixture, 1.0);
-  send_heartbeat(&scenario, 2,
-                 task_in_state("running")); /* this attempt isn't on the records any more */
+  send_heartbeat(&scenario, 2, task_in_state("running")); /* this attempt is no longer recorded */
   g_assert_true(fixture_has_command(scenario.fixture, "halt"));
   scenario_end(&scenario);
 }
