--- a/tests/evidence/evidence.h
+++ b/tests/evidence/evidence.h
@@ -4,8 +4,8 @@
 #pragma once
 
 /* validity.c */
-void test_release_holds_exactly_under_one_owner(void);
+void test_release_is_valid_exactly_while_owner_is_same(void);
 void test_release_encoding_round_trip(void);
 
 /* flapping.c */
-void test_flapping(void);
+void test_cluster_recovers_from_repeated_lease_loss(void);
--- a/tests/evidence/flapping.c
+++ b/tests/evidence/flapping.c
@@ -9,7 +9,7 @@
    while before it can commit the releases of the preempted tasks. Then checks that the cluster
    recovers. */
 static void
-play_flapping(guint32 seed)
+play_repeated_lease_loss(guint32 seed)
 {
   static const SimJob LOW
       = { .tasks = 8, .team = "blue", .priority = "best_effort", .spot = TRUE, .run_s = 7.0 };
@@ -38,7 +38,7 @@
 }
 
 void
-test_flapping(void)
+test_cluster_recovers_from_repeated_lease_loss(void)
 {
-  sim_play_seeds(3000, 5, play_flapping);
+  sim_play_seeds(3000, 5, play_repeated_lease_loss);
 }
--- a/tests/evidence/validity.c
+++ b/tests/evidence/validity.c
@@ -8,8 +8,8 @@
 #include "storage/ws-evidence.h"
 #include "ws-site.h"
 
-#define EPOCHS 40
-#define MACHINES 12
+#define EPOCH_COUNT 40
+#define MACHINE_COUNT 12
 
 typedef struct {
   guint64 number;
@@ -45,7 +45,7 @@
 
 /* Returns the incarnation of the node that owned the machine in the epoch; 0: no node did. */
 static guint64
-owner_run(const PastEpoch *past, const char *machine, const WsSettings *settings)
+owner_incarnation(const PastEpoch *past, const char *machine, const WsSettings *settings)
 {
   WsEpoch epoch;
   g_autoptr(json_t) record = epoch_record(past);
@@ -59,13 +59,13 @@
 /* Returns whether the same incarnation owned the machine from one epoch to the other, without a
    missed epoch in between. */
 static gboolean
-is_of_one_owner(const PastEpoch *history, guint from, guint to, const char *machine,
-                const WsSettings *settings)
+has_same_owner(const PastEpoch *history, guint from, guint to, const char *machine,
+               const WsSettings *settings)
 {
-  guint64 run = owner_run(&history[from], machine, settings);
+  guint64 owner = owner_incarnation(&history[from], machine, settings);
   for (guint i = from + 1; i <= to; i++)
-    if (run == 0 || history[i].number != history[i - 1].number + 1
-        || owner_run(&history[i], machine, settings) != run)
+    if (owner == 0 || history[i].number != history[i - 1].number + 1
+        || owner_incarnation(&history[i], machine, settings) != owner)
       return FALSE;
   return TRUE;
 }
@@ -82,16 +82,16 @@
 add_assignments(WsReplica *replica)
 {
   json_t *spec = fixture_submission();
-  json_object_set_new(spec, "kusy", json_integer(MACHINES));
+  json_object_set_new(spec, "kusy", json_integer(MACHINE_COUNT));
   apply(replica, "w/job/req-1",
         json_pack("{s:s, s:i, s:s, s:o}", "s", "active", "at", 1, "home", "", "spec", spec));
-  json_t *on = json_array();
-  for (guint m = 0; m < MACHINES; m++) {
+  json_t *assignments = json_array();
+  for (guint m = 0; m < MACHINE_COUNT; m++) {
     g_autofree char *name = g_strdup_printf("m-%u", m);
-    json_array_append_new(on, json_pack("[i, s, i, i]", (int)m, name, (int)m + 1, 1));
+    json_array_append_new(assignments, json_pack("[i, s, i, i]", (int)m, name, (int)m + 1, 1));
   }
   apply(replica, "w/task/req-1/0",
-        json_pack("{s:i, s:o, s:s}", "a", MACHINES, "on", on, "d",
+        json_pack("{s:i, s:o, s:s}", "a", MACHINE_COUNT, "on", assignments, "d",
                   "00000000000000000000000000000000"));
 }
 
@@ -109,11 +109,11 @@
    machine is valid evidence in every epoch, an absent task only while the owner is the same. */
 static void
 check_releases(const WsReplica *replica, const WsRelease *absent, const WsRelease *returned,
-               WsMachineIndex other_machine, gboolean is_of_same_owner)
+               WsMachineIndex other_machine, gboolean is_same_owner)
 {
   g_assert_true(ws_release_is_valid(replica, returned));
   gboolean holds = ws_release_is_valid(replica, absent);
-  g_assert_true(holds == is_of_same_owner);
+  g_assert_true(holds == is_same_owner);
   WsRelease done = *absent;
   done.is_completed = TRUE;
   g_assert_true(ws_release_is_valid(replica, &done));
@@ -128,32 +128,32 @@
   g_autoptr(GRand) rand = g_rand_new_with_seed(seed);
   g_autoptr(WsSettings) settings = ws_test_settings(0);
   WsReplica *replica = ws_replica_new(settings);
-  PastEpoch history[EPOCHS] = { { .number = 1, .incarnation = { 1 } } };
-  WsRelease absent[EPOCHS][MACHINES], returned[EPOCHS][MACHINES];
+  PastEpoch history[EPOCH_COUNT] = { { .number = 1, .incarnation = { 1 } } };
+  WsRelease absent[EPOCH_COUNT][MACHINE_COUNT], returned[EPOCH_COUNT][MACHINE_COUNT];
   apply(replica, "w/epoch", epoch_record(&history[0]));
   add_assignments(replica);
-  for (guint now = 0; now < EPOCHS; now++) {
+  for (guint now = 0; now < EPOCH_COUNT; now++) {
     if (now > 0) {
       history[now] = next_epoch(rand, &history[now - 1]);
       apply(replica, "w/epoch", epoch_record(&history[now]));
     }
-    for (guint m = 0; m < MACHINES; m++) {
+    for (guint m = 0; m < MACHINE_COUNT; m++) {
       absent[now][m] = release_on(replica, m, WS_EVIDENCE_ABSENT);
       returned[now][m] = release_on(replica, m, WS_EVIDENCE_RETURNED);
     }
-    for (guint m = 0; m < MACHINES; m++) {
+    for (guint m = 0; m < MACHINE_COUNT; m++) {
       g_autofree char *name = g_strdup_printf("m-%u", m);
-      WsMachineIndex other_machine = returned[0][(m + 1) % MACHINES].evidence.machine;
+      WsMachineIndex other_machine = returned[0][(m + 1) % MACHINE_COUNT].evidence.machine;
       for (guint then = 0; then <= now; then++)
         check_releases(replica, &absent[then][m], &returned[then][m], other_machine,
-                       is_of_one_owner(history, then, now, name, settings));
+                       has_same_owner(history, then, now, name, settings));
     }
   }
   ws_replica_free(replica);
 }
 
 void
-test_release_holds_exactly_under_one_owner(void)
+test_release_is_valid_exactly_while_owner_is_same(void)
 {
   sim_play_seeds(4000, 30, check_history);
 }
@@ -165,7 +165,7 @@
   g_autoptr(WsSettings) settings = ws_test_settings(0);
   WsReplica *replica = ws_replica_new(settings);
   add_assignments(replica);
-  for (guint m = 0; m < MACHINES; m++) {
+  for (guint m = 0; m < MACHINE_COUNT; m++) {
     WsRelease release = release_on(replica, m, (WsEvidenceKind)(m % 3));
     release.evidence.epoch = 1u + m;
     release.evidence.incarnation = m;
--- a/tests/test-commit.c
+++ b/tests/test-commit.c
@@ -7,11 +7,11 @@
   WsJobState state;
   WsKind kind;
   WsJobProgress progress;
-  gboolean is_complete;
+  gboolean has_ended;
 } CompletionCase;
 
 static void
-test_completion(void)
+test_job_ends_by_state_kind_and_progress(void)
 {
   static const CompletionCase CASES[] = {
     { WS_JOB_ACTIVE, WS_KIND_ARRAY, { 3, 0, TRUE }, TRUE },
@@ -27,14 +27,14 @@
   for (gsize i = 0; i < G_N_ELEMENTS(CASES); i++) {
     WsJobSpec spec = { .kind = CASES[i].kind };
     WsJob job = { .state = CASES[i].state, .tasks = 3, .spec = &spec };
-    g_assert_cmpint(ws_job_ends_after(&job, &CASES[i].progress), ==, CASES[i].is_complete);
+    g_assert_cmpint(ws_job_ends_after(&job, &CASES[i].progress), ==, CASES[i].has_ended);
   }
 }
 
 /* Only a job whose transaction held no other job is quarantined. If a transaction with several jobs
    is rejected, it isn't known which of them is the cause. */
 static void
-test_quarantine(void)
+test_only_job_rejected_alone_is_quarantined(void)
 {
   g_autoptr(WsJobQuarantine) quarantine = ws_job_quarantine_new();
   g_autoptr(GArray) jobs = g_array_new(FALSE, FALSE, sizeof(guint));
@@ -57,7 +57,7 @@
 main(int argc, char **argv)
 {
   g_test_init(&argc, &argv, NULL);
-  g_test_add_func("/commit/completion", test_completion);
-  g_test_add_func("/commit/quarantine", test_quarantine);
+  g_test_add_func("/commit/completion", test_job_ends_by_state_kind_and_progress);
+  g_test_add_func("/commit/quarantine", test_only_job_rejected_alone_is_quarantined);
   return g_test_run();
 }
--- a/tests/test-evidence.c
+++ b/tests/test-evidence.c
@@ -11,13 +11,13 @@
 #include "ws-site.h"
 #include "ws-suite.h"
 
-#define NEW_EPOCH_S 1.5
-#define WRITE_S 2.0
-#define REPEATED_EVERY_S 2.0
+#define EPOCH_CHANGE_WAIT_S 1.5
+#define COMMIT_WAIT_S 2.0
+#define LEGACY_RELEASE_INTERVAL_S 2.0
 
 /* Returns whether n1 owns the machine if the first @members nodes are the members. */
 static gboolean
-is_of_n1(const Fixture *fixture, const char *machine, guint members)
+is_owned_by_n1(const Fixture *fixture, const char *machine, guint members)
 {
   WsEpoch epoch;
   ws_epoch_init(&epoch);
@@ -25,18 +25,18 @@
     WsMember member = { node, 1 };
     g_array_append_val(epoch.members, member);
   }
-  gboolean is = ws_epoch_owner(&epoch, machine, fixture->settings) == 1;
+  gboolean is_owner = ws_epoch_owner(&epoch, machine, fixture->settings) == 1;
   ws_epoch_clear(&epoch);
-  return is;
+  return is_owner;
 }
 
 /* Returns the name of a machine that n1 owns whenever n0 and n1 are members, with or without n2. */
 static char *
-name_of_machine_of_n1(const Fixture *fixture)
+find_machine_owned_by_n1(const Fixture *fixture)
 {
   for (guint i = 0;; i++) {
     char *name = g_strdup_printf("m-%u", i);
-    if (is_of_n1(fixture, name, 2) && is_of_n1(fixture, name, 3))
+    if (is_owned_by_n1(fixture, name, 2) && is_owned_by_n1(fixture, name, 3))
       return name;
     g_free(name);
   }
@@ -67,7 +67,7 @@
 scenario_begin(Scenario *scenario)
 {
   *scenario = (Scenario){ .fixture = fixture_new(TRUE) };
-  scenario->machine = name_of_machine_of_n1(scenario->fixture);
+  scenario->machine = find_machine_owned_by_n1(scenario->fixture);
   send_heartbeat(scenario, 0, json_array());
   fixture_run(scenario->fixture, 0.3);
   send_heartbeat(scenario, 1, json_array());
@@ -98,22 +98,23 @@
   guint64 before = epoch_number(scenario->fixture);
   fixture_write_key(scenario->fixture, "w/member/n1",
                     has_n1 ? json_pack("{s:i}", "incarnation", 1) : NULL);
-  fixture_run(scenario->fixture, NEW_EPOCH_S);
+  fixture_run(scenario->fixture, EPOCH_CHANGE_WAIT_S);
   g_assert_cmpuint(epoch_number(scenario->fixture), ==, before + 1);
 }
 
 /* Returns a peer message in which n1 releases the task. The evidence (@kind: "absent" or
-   "returned") was observed in the epoch @seen_under. */
+   "returned") was observed in the epoch @evidence_epoch. */
 static json_t *
-release_of_n1(const Scenario *scenario, guint64 epoch, const char *kind, guint64 seen_under)
+release_message_from_n1(const Scenario *scenario, guint64 epoch, const char *kind,
+                        guint64 evidence_epoch)
 {
   return json_pack("{s:I, s:[[s, i, i, b, s, s, I, i]]}", "epoch", (json_int_t)epoch, "releases",
-                   "req-1", 0, 1, 0, scenario->machine, kind, (json_int_t)seen_under, 1);
+                   "req-1", 0, 1, 0, scenario->machine, kind, (json_int_t)evidence_epoch, 1);
 }
 
 /* Returns the same message from a version before 0.4, without evidence. */
 static json_t *
-legacy_release_of_n1(guint64 epoch)
+legacy_release_message_from_n1(guint64 epoch)
 {
   return json_pack("{s:I, s:[[s, i, i, b]]}", "epoch", (json_int_t)epoch, "releases", "req-1", 0, 1,
                    0);
@@ -121,10 +122,10 @@
 
 /* Returns whether the task's first attempt is still recorded as assigned. */
 static gboolean
-is_first_attempt_on_record(const Scenario *scenario)
+is_first_attempt_assigned(const Scenario *scenario)
 {
-  const json_t *on = fixture_assignments(scenario->fixture, "req-1");
-  return json_integer_value(json_array_get(json_array_get(on, 0), 2)) == 1;
+  const json_t *assignments = fixture_assignments(scenario->fixture, "req-1");
+  return json_integer_value(json_array_get(json_array_get(assignments, 0), 2)) == 1;
 }
 
 /* Waits up to one second until the fixture holds back the transaction. */
@@ -159,42 +160,42 @@
    then conflicts. n1 leaves, and n0, now the owner, launches the task again. The release must not
    be committed any more. */
 static void
-write_pending_release(gboolean has_evidence)
+check_pending_release_after_owner_change(gboolean has_evidence)
 {
   Scenario scenario;
   scenario_begin(&scenario);
   change_epoch(&scenario, TRUE);
   scenario.fixture->hold_assignment = TRUE;
   fixture_request(scenario.fixture, WS_LISTENER_MESH, "POST", "/ask",
-                  has_evidence ? release_of_n1(&scenario, 2, "absent", 2)
-                               : legacy_release_of_n1(2));
+                  has_evidence ? release_message_from_n1(&scenario, 2, "absent", 2)
+                               : legacy_release_message_from_n1(2));
   wait_for_held_call(scenario.fixture);
   change_epoch(&scenario, FALSE);
   launch_as_n0(&scenario);
   if (scenario.fixture->held_call != 0)
     fixture_reply(scenario.fixture, scenario.fixture->held_call, 409, NULL);
-  fixture_run(scenario.fixture, WRITE_S);
-  g_assert_true(is_first_attempt_on_record(&scenario));
+  fixture_run(scenario.fixture, COMMIT_WAIT_S);
+  g_assert_true(is_first_attempt_assigned(&scenario));
   scenario_end(&scenario);
 }
 
 static void
 test_pending_release_expires_with_ownership(void)
 {
-  write_pending_release(TRUE);
+  check_pending_release_after_owner_change(TRUE);
 }
 
 static void
 test_pending_legacy_release_expires_with_ownership(void)
 {
-  write_pending_release(FALSE);
+  check_pending_release_after_owner_change(FALSE);
 }
 
 /* n1 observes in an early epoch that the task is absent, then leaves. n0 becomes the owner and
    launches the task. n1 joins again and sends the outdated release in the present epoch. The
    release must not be committed. */
 static void
-send_release_of_former_owner(gboolean has_evidence)
+check_release_by_former_owner(gboolean has_evidence)
 {
   Scenario scenario;
   scenario_begin(&scenario);
@@ -203,23 +204,23 @@
   launch_as_n0(&scenario);
   change_epoch(&scenario, TRUE);
   fixture_request(scenario.fixture, WS_LISTENER_MESH, "POST", "/ask",
-                  has_evidence ? release_of_n1(&scenario, 4, "absent", 2)
-                               : legacy_release_of_n1(4));
-  fixture_run(scenario.fixture, WRITE_S);
-  g_assert_true(is_first_attempt_on_record(&scenario));
+                  has_evidence ? release_message_from_n1(&scenario, 4, "absent", 2)
+                               : legacy_release_message_from_n1(4));
+  fixture_run(scenario.fixture, COMMIT_WAIT_S);
+  g_assert_true(is_first_attempt_assigned(&scenario));
   scenario_end(&scenario);
 }
 
 static void
-test_no_release_by_former_owner(void)
+test_release_by_former_owner_is_not_committed(void)
 {
-  send_release_of_former_owner(TRUE);
+  check_release_by_former_owner(TRUE);
 }
 
 static void
-test_no_legacy_release_by_former_owner(void)
+test_legacy_release_by_former_owner_is_not_committed(void)
 {
-  send_release_of_former_owner(FALSE);
+  check_release_by_former_owner(FALSE);
 }
 
 /* The cloud's confirmation of a return is valid evidence, even after a change of the owner. */
@@ -232,16 +233,16 @@
   change_epoch(&scenario, FALSE);
   change_epoch(&scenario, TRUE);
   fixture_request(scenario.fixture, WS_LISTENER_MESH, "POST", "/ask",
-                  release_of_n1(&scenario, 4, "returned", 1));
-  fixture_run(scenario.fixture, WRITE_S);
-  g_assert_false(is_first_attempt_on_record(&scenario));
+                  release_message_from_n1(&scenario, 4, "returned", 1));
+  fixture_run(scenario.fixture, COMMIT_WAIT_S);
+  g_assert_false(is_first_attempt_assigned(&scenario));
   scenario_end(&scenario);
 }
 
 /* A release without evidence is accepted if no other node can have launched the attempt: the
    machine has had the same owner since the attempt was assigned. */
 static void
-test_legacy_release_by_only_owner_holds(void)
+test_legacy_release_by_only_owner_is_accepted(void)
 {
   Scenario scenario;
   scenario_begin(&scenario);
@@ -275,10 +276,10 @@
     json_decref(fixture->status_report);
     fixture->status_report
         = fixture_heartbeat(fixture, scenario.machine, fencing_token, 100 + fencing_token, tasks);
-    fixture_run(fixture, WRITE_S);
-    fixture_request(fixture, WS_LISTENER_MESH, "POST", "/ask", legacy_release_of_n1(2));
+    fixture_run(fixture, COMMIT_WAIT_S);
+    fixture_request(fixture, WS_LISTENER_MESH, "POST", "/ask", legacy_release_message_from_n1(2));
     fixture_run(fixture, 0.4);
-    g_assert_true(is_first_attempt_on_record(&scenario) == (fencing_token == 1));
+    g_assert_true(is_first_attempt_assigned(&scenario) == (fencing_token == 1));
   }
   scenario_end(&scenario);
 }
@@ -293,16 +294,16 @@
   change_epoch(&scenario, TRUE);
   Fixture *fixture = scenario.fixture;
   g_autofree char *mark = g_strdup_printf("w/mark/%s", scenario.machine);
-  guint repeats = (guint)(fixture->settings->lease_s / REPEATED_EVERY_S) + 1;
+  guint repeats = (guint)(fixture->settings->lease_s / LEGACY_RELEASE_INTERVAL_S) + 1;
   for (guint i = 0; i < repeats; i++) {
     g_assert_false(sim_store_has(fixture->store, mark));
-    fixture_request(fixture, WS_LISTENER_MESH, "POST", "/ask", legacy_release_of_n1(2));
-    fixture_run(fixture, REPEATED_EVERY_S);
+    fixture_request(fixture, WS_LISTENER_MESH, "POST", "/ask", legacy_release_message_from_n1(2));
+    fixture_run(fixture, LEGACY_RELEASE_INTERVAL_S);
   }
-  fixture_request(fixture, WS_LISTENER_MESH, "POST", "/ask", legacy_release_of_n1(2));
+  fixture_request(fixture, WS_LISTENER_MESH, "POST", "/ask", legacy_release_message_from_n1(2));
   fixture_run(fixture, 1.0);
   g_assert_true(sim_store_has(fixture->store, mark));
-  g_assert_true(is_first_attempt_on_record(&scenario));
+  g_assert_true(is_first_attempt_assigned(&scenario));
   scenario_end(&scenario);
 }
 
@@ -320,31 +321,32 @@
                            "duvod", "error"));
   wait_for_held_call(fixture);
   g_assert_cmpuint(fixture->held_call, !=, 0);
-  json_t *anew = fixture_heartbeat(fixture, scenario.machine, 1, ++scenario.sequence, json_array());
-  json_object_set_new(anew, "smena", json_integer(2));
-  fixture_post(fixture, "/v1/report", anew);
+  json_t *restarted
+      = fixture_heartbeat(fixture, scenario.machine, 1, ++scenario.sequence, json_array());
+  json_object_set_new(restarted, "smena", json_integer(2));
+  fixture_post(fixture, "/v1/report", restarted);
   g_assert_cmpuint(fixture->status, ==, 200);
   g_assert_false(fixture_has_command(fixture, "launch"));
   fixture_reply(fixture, fixture->held_call, 409, NULL);
-  fixture_run(fixture, WRITE_S);
-  g_assert_false(is_first_attempt_on_record(&scenario));
+  fixture_run(fixture, COMMIT_WAIT_S);
+  g_assert_false(is_first_attempt_assigned(&scenario));
   scenario_end(&scenario);
 }
 
 /* A release is still committed in a later epoch if the machine's owner is the same. */
 static void
-test_release_holds_for_same_owner(void)
+test_release_stays_valid_for_same_owner(void)
 {
   Scenario scenario;
   scenario_begin(&scenario);
   change_epoch(&scenario, TRUE);
   fixture_write_key(scenario.fixture, "w/member/n2", json_pack("{s:i}", "incarnation", 1));
-  fixture_run(scenario.fixture, NEW_EPOCH_S);
+  fixture_run(scenario.fixture, EPOCH_CHANGE_WAIT_S);
   g_assert_cmpuint(epoch_number(scenario.fixture), ==, 3);
   fixture_request(scenario.fixture, WS_LISTENER_MESH, "POST", "/ask",
-                  release_of_n1(&scenario, 3, "absent", 2));
-  fixture_run(scenario.fixture, WRITE_S);
-  g_assert_false(is_first_attempt_on_record(&scenario));
+                  release_message_from_n1(&scenario, 3, "absent", 2));
+  fixture_run(scenario.fixture, COMMIT_WAIT_S);
+  g_assert_false(is_first_attempt_assigned(&scenario));
   scenario_end(&scenario);
 }
 
@@ -419,22 +421,24 @@
     test_pending_release_expires_with_ownership },
   { "/evidence/pending-legacy-release-expires-with-ownership",
     test_pending_legacy_release_expires_with_ownership },
-  { "/evidence/no-release-by-former-owner", test_no_release_by_former_owner },
-  { "/evidence/no-legacy-release-by-former-owner", test_no_legacy_release_by_former_owner },
+  { "/evidence/no-release-by-former-owner", test_release_by_former_owner_is_not_committed },
+  { "/evidence/no-legacy-release-by-former-owner",
+    test_legacy_release_by_former_owner_is_not_committed },
   { "/evidence/no-launch-while-release-is-pending", test_no_launch_while_release_is_pending },
-  { "/evidence/release-holds-for-same-owner", test_release_holds_for_same_owner },
+  { "/evidence/release-holds-for-same-owner", test_release_stays_valid_for_same_owner },
   { "/evidence/no-launch-before-caught-up-with-epoch", test_no_launch_before_caught_up_with_epoch },
   { "/evidence/no-halt-before-caught-up-with-epoch", test_no_halt_before_caught_up_with_epoch },
   { "/evidence/returned-machine-is-released-in-any-epoch",
     test_returned_machine_is_released_in_any_epoch },
-  { "/evidence/legacy-release-by-only-owner-holds", test_legacy_release_by_only_owner_holds },
+  { "/evidence/legacy-release-by-only-owner-holds", test_legacy_release_by_only_owner_is_accepted },
   { "/evidence/legacy-release-needs-current-worker-status",
     test_legacy_release_needs_current_worker_status },
   { "/evidence/unproven-legacy-release-terminates-machine",
     test_unproven_legacy_release_terminates_machine },
-  { "/evidence/release-holds-exactly-under-one-owner", test_release_holds_exactly_under_one_owner },
+  { "/evidence/release-holds-exactly-under-one-owner",
+    test_release_is_valid_exactly_while_owner_is_same },
   { "/evidence/release-encoding-round-trip", test_release_encoding_round_trip },
-  { "/evidence/flapping", test_flapping },
+  { "/evidence/flapping", test_cluster_recovers_from_repeated_lease_loss },
 };
 
 int
