--- a/src/commit/ws-batch-private.h
+++ b/src/commit/ws-batch-private.h
@@ -25,7 +25,7 @@
                                      once, in the order in which the machines were added */
   gboolean is_restricted_to_one_job; /**< whether edits of a second job are refused */
   guint max_operations;
-  guint operations;
+  guint operations; /**< used so far, as are the conditions and bytes */
   guint conditions;
   guint bytes; /**< estimated */
 };
--- a/src/commit/ws-commit.h
+++ b/src/commit/ws-commit.h
@@ -39,7 +39,7 @@
 gint64 ws_assignments_oldest_age_ms(const WsCore *core);
 
 /**
- * Commits pending changes or, on other nodes than the leader, forwards them to the leader. Called
+ * Commits pending changes or, on a node that isn't the leader, forwards them to the leader. Called
  * after every input.
  */
 void ws_assignments_pump(WsCore *core);
@@ -138,8 +138,7 @@
 /** Frees the garbage collection state. @garbage: may be NULL */
 void ws_garbage_free(WsGarbage *garbage);
 
-/** Deletes records of finished jobs, if a collection is due. Does nothing unless this node leads.
- */
+/** If a collection is due and this node is the leader, deletes records of finished jobs. */
 void ws_garbage_tick(WsCore *core);
 
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsAssignments, ws_assignments_free)
--- a/src/commit/ws-releases-private.h
+++ b/src/commit/ws-releases-private.h
@@ -18,8 +18,7 @@
  */
 GArray *ws_releases_in_commit_order(const WsCore *core);
 
-/** Forwards new releases to the leader, and again those that are still uncommitted after a while.
- */
+/** Forwards new releases to the leader, and again those still uncommitted after a while. */
 void ws_releases_forward(WsCore *core);
 
 /** Marks all pending releases as not yet forwarded. */
--- a/src/context/ws-context.h
+++ b/src/context/ws-context.h
@@ -63,36 +63,36 @@
 
 /**
  * Callbacks from lower packages into higher ones. The core sets them (ws-core.c), so that no
- * package includes a header of a package above it.
+ * package includes a header of a package above it. The package named in parentheses implements the
+ * callback.
  */
 typedef struct {
-  /** Requests the termination of a machine; immediately: without draining it. By fleet. */
+  /** Requests the termination of a machine; immediately: without draining it (fleet). */
   void (*request_termination)(WsCore *core, WsMachine *machine, const char *reason,
                               gboolean immediately);
-  /** Applies a worker's status; FALSE: it is older than the known status. By workers. */
+  /** Applies a worker's status; FALSE: it is older than the known status (workers). */
   gboolean (*apply_worker_status)(WsCore *core, WsMachine *machine, const WsHeartbeat *heartbeat);
-  /** Sends the current epoch's fencing token to the worker. By workers. */
+  /** Sends the current epoch's fencing token to the worker (workers). */
   void (*raise_fencing_token)(WsCore *core, WsMachine *machine);
-  /** Stops a task so that its capacity can be used for other work. By workers. */
+  /** Stops a task so that its capacity can be used for other work (workers). */
   void (*halt_task)(WsCore *core, WsJob *job, WsAssignment *assignment);
-  /** Answers another node's request to relay a heartbeat. By workers. */
+  /** Answers another node's request to relay a heartbeat (workers). */
   void (*handle_relay)(WsCore *core, const json_t *message, gpointer request);
-  /** Handles a release that another node forwarded to the leader. By commit. */
+  /** Handles a release that another node forwarded to the leader (commit). */
   void (*handle_release)(WsCore *core, const WsRelease *release);
-  /** Handles a release without evidence, from a version before 0.4. By commit. */
+  /** Handles a release without evidence, from a version before 0.4 (commit). */
   void (*handle_legacy_release)(WsCore *core, const WsRelease *release);
-  /** Handles an assignment that another node forwarded to the leader. By commit. */
+  /** Handles an assignment that another node forwarded to the leader (commit). */
   void (*handle_assignment)(WsCore *core, WsJobIndex job, guint task, WsMachineIndex machine);
-  /** Handles a reservation that another node forwarded to the leader. By scheduling. */
+  /** Handles a reservation that another node forwarded to the leader (scheduling). */
   void (*handle_reservation)(WsCore *core, const WsJob *job, WsMachineIndex machine, guint tasks);
-  /** Returns whether any reservation exists that an assignment could violate. By scheduling. */
+  /** Returns whether any reservation exists that an assignment could violate (scheduling). */
   gboolean (*has_reservations)(const WsCore *core);
-  /** Returns whether an assignment leaves the capacity reserved for more urgent jobs. By
-   * scheduling. */
+  /** Returns whether an assignment leaves capacity reserved for urgent jobs (scheduling). */
   gboolean (*allows_assignment)(const WsCore *core, const WsJob *job, guint assigned_tasks,
                                 WsMachineIndex machine, const WsResources *machine_free,
                                 const WsResources *team_use);
-  /** Called when an assignment was added to a transaction. By scheduling. */
+  /** Called when an assignment was added to a transaction (scheduling). */
   void (*on_assignment_added)(WsCore *core, const WsJob *job, WsMachineIndex machine);
 } WsHandlers;
 
@@ -169,7 +169,8 @@
  * and the body of the response (NULL if the body isn't JSON), or status 0 if no response was
  * received within the timeout.
  *
- * @method: a string literal; not copied. The other strings are copied
+ * The method must be a string literal, since it isn't copied. The other strings are copied.
+ *
  * @address: HOST:PORT
  * @path: begins with a slash
  * @body: ownership is taken; NULL: no body
--- a/src/core/ws-core.h
+++ b/src/core/ws-core.h
@@ -22,7 +22,7 @@
  * Creates the core of one node. The caller frees it with ws_core_free().
  *
  * @settings: the node's identity and the cluster's configuration; must outlive the core
- * @properties: tunable parameters of the scheduling decisions; must outlive the core
+ * @properties: the operators' settings for decisions; must outlive the core
  * @incarnation: identifies this run of the node; must differ between any two runs
  */
 WsCore *ws_core_new(const WsSettings *settings, const WsProperties *properties,
@@ -66,8 +66,7 @@
 void ws_core_handle_reply(WsCore *core, gint64 now_ms, gint64 wall_ms, guint64 call, guint status,
                           const char *body, gsize length);
 
-/** Returns the number of machines examined by all plans so far, a measure of the cost of planning.
- */
+/** Returns the number of machines examined by all plans so far: the cost of planning. */
 guint64 ws_core_machines_examined(const WsCore *core);
 
 /** Returns the number of plans made so far. */
