--- a/src/api/ws-admission.c
+++ b/src/api/ws-admission.c
@@ -48,7 +48,7 @@
 {
   for (WsTypeIndex t = 0; t < core->replica->catalog->len; t++) {
     const WsType *type = ws_replica_type(core->replica, t);
-    if (ws_constraints_type_fits(spec, type))
+    if (ws_constraints_task_fits_type(spec, type))
       return TRUE;
   }
   return FALSE;
--- a/src/commit/ws-batch.c
+++ b/src/commit/ws-batch.c
@@ -40,7 +40,7 @@
   batch->core = core;
   batch->edits = g_ptr_array_new_with_free_func(chunk_edit_free);
   batch->team_use = g_memdup2(core->replica->team_use, sizeof(WsResources) * MAX(teams, 1u));
-  batch->is_team_use_edited = g_new0(gboolean, ws_team_use_groups(core->settings));
+  batch->is_team_use_edited = g_new0(gboolean, ws_team_use_group_count(core->settings));
   batch->machine_use = g_hash_table_new_full(NULL, NULL, NULL, g_free);
   batch->machines = g_hash_table_new(NULL, NULL);
   batch->rental_batches = g_ptr_array_new();
--- a/src/commit/ws-release-order.c
+++ b/src/commit/ws-release-order.c
@@ -42,7 +42,7 @@
   totals->chunk_weight = g_hash_table_new(NULL, NULL);
   totals->pending_count = g_hash_table_new(NULL, NULL);
   totals->completed_count = g_hash_table_new(NULL, NULL);
-  totals->team_use_weight = g_new0(gint64, ws_team_use_groups(settings));
+  totals->team_use_weight = g_new0(gint64, ws_team_use_group_count(settings));
 }
 
 static void
--- a/src/core/ws-core.c
+++ b/src/core/ws-core.c
@@ -133,8 +133,8 @@
     return;
   for (guint i = 0; i < core->replica->machines->len; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, i);
-    machine->fleet.empty_ms = 0;
-    machine->fleet.underused_ms = 0;
+    machine->fleet.empty_since_ms = 0;
+    machine->fleet.underused_since_ms = 0;
   }
 }
 
@@ -163,9 +163,9 @@
 static void
 update_cancellations(WsCore *core)
 {
-  ws_authority_note_cancellations(core);
+  ws_authority_record_known_cancellations(core);
   if (ws_cancellations_pump(core))
-    ws_cancelled_tasks_enforce(core);
+    ws_cancelled_tasks_tick(core);
 }
 
 /* Runs all packages after an input. The order matters: each step may create work for the following
--- a/src/scheduling/ws-candidates.c
+++ b/src/scheduling/ws-candidates.c
@@ -119,7 +119,7 @@
     return FALSE;
   for (WsTypeIndex t = 0; t < replica->catalog->len; t++) {
     const WsType *type = ws_replica_type(replica, t);
-    if (ws_constraints_type_fits(job->spec, type) && left_s >= BOOT_TIME_FACTOR * type->boot_s
+    if (ws_constraints_task_fits_type(job->spec, type) && left_s >= BOOT_TIME_FACTOR * type->boot_s
         && is_available(core, job, t))
       return TRUE;
   }
--- a/src/scheduling/ws-preempt.c
+++ b/src/scheduling/ws-preempt.c
@@ -170,7 +170,7 @@
 add_team_victims(const WsCore *core, const WsJob *job, WsJob *candidate, GArray *victims,
                  WsResources *freeing)
 {
-  gboolean is_cancelled = ws_cancellations_has(core, candidate);
+  gboolean is_cancelled = ws_cancellations_has_job(core, candidate);
   gboolean may_stop = !is_cancelled && ws_preempt_allowed(core, job, candidate);
   WsAssignmentIter iter;
   ws_assignment_iter_init(&iter, candidate);
--- a/src/scheduling/ws-queue.c
+++ b/src/scheduling/ws-queue.c
@@ -121,7 +121,8 @@
   GArray *entries = g_array_new(FALSE, FALSE, sizeof(WsQueueEntry));
   for (guint i = 0; i < replica->active_jobs->len; i++) {
     WsJob *job = g_ptr_array_index(replica->active_jobs, i);
-    if (job->state != WS_JOB_ACTIVE || ws_cancellations_has(core, job) || job->team == WS_NO_TEAM)
+    if (job->state != WS_JOB_ACTIVE || ws_cancellations_has_job(core, job)
+        || job->team == WS_NO_TEAM)
       continue;
     WsQueueEntry entry = make_entry(core, job);
     g_array_append_val(entries, entry);
