--- a/src/api/ws-admission.c
+++ b/src/api/ws-admission.c
@@ -1,15 +1,15 @@
-/* Admission control: whether a submitted job could ever run here. */
+/* Admission control: rejects submitted jobs that could never run on this cluster. */
 #include "api/ws-admission.h"
 
 #include "storage/ws-constraints.h"
 
 #include <string.h>
 
-/* What a job's record needs beside its submission. */
+/* Space for the fields that a job's record has in addition to the submitted specification. */
 #define JOB_RECORD_OVERHEAD_BYTES 160
 
-/* Whether the job's record fits into one value of the store, also with what is added to it later.
- */
+/* Returns whether the job's record fits into one value of the store, including the fields that are
+   added later. */
 static gboolean
 fits_record(const WsCore *core, const WsJobSpec *spec)
 {
@@ -18,9 +18,9 @@
   return strlen(text) + JOB_RECORD_OVERHEAD_BYTES <= core->settings->state_record_bytes;
 }
 
-/* Whether all tasks of a gang could ever run at once. */
+/* Returns whether all tasks of a gang could ever run at the same time; TRUE for other jobs. */
 static gboolean
-can_run_at_once(const WsCore *core, const WsJobSpec *spec)
+tasks_can_run_at_once(const WsCore *core, const WsJobSpec *spec)
 {
   if (spec->kind != WS_KIND_GANG)
     return TRUE;
@@ -36,7 +36,7 @@
 }
 
 static gboolean
-is_within_limit(const WsJobSpec *spec, const WsTeamSettings *team)
+is_within_team_limit(const WsJobSpec *spec, const WsTeamSettings *team)
 {
   WsResources need = { 0 };
   ws_resources_add(&need, &spec->need, spec->kind == WS_KIND_ARRAY ? 1 : (gint64)spec->tasks);
@@ -66,9 +66,9 @@
     return "a task fits no allowed machine type";
   if (!fits_record(core, spec))
     return "is longer than the service can store";
-  if (!can_run_at_once(core, spec))
+  if (!tasks_can_run_at_once(core, spec))
     return "its tasks can't all run at the same time";
-  if (!is_within_limit(spec, team_settings(core, team)))
+  if (!is_within_team_limit(spec, team_settings(core, team)))
     return "needs more than the team's limit";
   return NULL;
 }
--- a/src/commit/ws-batch-check.c
+++ b/src/commit/ws-batch-check.c
@@ -1,12 +1,12 @@
-/* Whether a batch may take an assignment: all conditions of planning are checked again, against the
-   records as the batch leaves them. */
+/* Validates an assignment before it is added to a batch. Checks all conditions of planning again,
+   against the records as they will be after the batch's transaction. */
 #include "commit/ws-batch-private.h"
 
 #include "storage/ws-constraints.h"
 #include "storage/ws-gang-phase.h"
 
 static void
-count_zones(const WsBatch *batch, const WsJob *job, guint *counts)
+count_tasks_per_zone(const WsBatch *batch, const WsJob *job, guint *counts)
 {
   const WsReplica *replica = batch->core->replica;
   for (guint c = 0; c < ws_job_chunk_count(job); c++) {
@@ -36,9 +36,9 @@
   return ws_resources_fit(&job->spec->need, &capacity);
 }
 
-/* Whether the assignment leaves the capacity that was freed for more urgent jobs. */
+/* Returns whether the assignment leaves the capacity that is reserved for more urgent jobs. */
 static gboolean
-leaves_reserved_capacity(WsBatch *batch, const WsMachine *machine, const WsJob *job)
+respects_reservations(WsBatch *batch, const WsMachine *machine, const WsJob *job)
 {
   const WsHandlers *handlers = batch->core->handlers;
   if (!handlers->has_reservations(batch->core))
@@ -58,11 +58,11 @@
   if (!ws_batch_depends_on_all_chunks(job))
     return TRUE;
   g_autofree guint *counts = g_new0(guint, zones);
-  count_zones(batch, job, counts);
+  count_tasks_per_zone(batch, job, counts);
   return ws_constraints_allow_zone(job, counts, zones, zone);
 }
 
-/* Two nodes may have proposed the same task: another assignment in this batch counts too. */
+/* Also checks the assignments in this batch, since two nodes may propose the same task. */
 static gboolean
 task_is_unassigned(const WsBatch *batch, const WsJob *job, guint task)
 {
@@ -72,22 +72,22 @@
 }
 
 static gboolean
-record_has_free_slot(const WsBatch *batch, const WsJob *job, guint task)
+chunk_has_free_slot(const WsBatch *batch, const WsJob *job, guint task)
 {
   const WsChunk *chunk = ws_batch_chunk(batch, job, task / WS_CHUNK_TASKS);
   return ws_chunk_free_slots(chunk, batch->core->replica) > 0;
 }
 
 static gboolean
-job_needs_task(const WsBatch *batch, const WsJob *job, guint task)
+can_assign_task(const WsBatch *batch, const WsJob *job, guint task)
 {
   return job->state == WS_JOB_ACTIVE && job->spec != NULL && job->team != WS_NO_TEAM
          && task < job->tasks && task_is_unassigned(batch, job, task) && !ws_gang_is_ending(job)
-         && record_has_free_slot(batch, job, task);
+         && chunk_has_free_slot(batch, job, task);
 }
 
 static gboolean
-machine_takes_tasks(const WsMachine *machine)
+machine_accepts_tasks(const WsMachine *machine)
 {
   return machine->is_recorded && !machine->is_marked && !machine->fleet.mark_is_pending;
 }
@@ -98,11 +98,11 @@
   const WsCore *core = batch->core;
   const WsJob *job = ws_replica_job(core->replica, proposal->job);
   const WsMachine *machine = ws_replica_machine(core->replica, proposal->machine);
-  return job_needs_task(batch, job, proposal->task) && machine_takes_tasks(machine)
+  return can_assign_task(batch, job, proposal->task) && machine_accepts_tasks(machine)
          && ws_constraints_allow_machine(core->replica, job->spec, job->zone, machine)
          && machine_has_capacity(batch, machine, job)
          && ws_team_has_capacity(core->settings, job->team, &batch->team_use[job->team],
                                  &job->spec->need)
          && zone_is_allowed(batch, job, machine->zone)
-         && leaves_reserved_capacity(batch, machine, job);
+         && respects_reservations(batch, machine, job);
 }
--- a/src/commit/ws-garbage.c
+++ b/src/commit/ws-garbage.c
@@ -1,21 +1,22 @@
-/* Garbage collection of finished jobs' chunks.
+/* Garbage collection of the chunk records of finished jobs.
 
-   The end of a job is written with one operation, on its own record; the records of its chunks stay
-   behind as garbage. The leader deletes them, a transaction at a time, when no assignment and no
-   release waits for the write budget, or when too many have accumulated. */
+   The end of a job is committed with a single operation on the job's own record, which leaves its
+   chunk records behind as garbage. The leader deletes them, one transaction at a time, when no
+   assignment or release is waiting for the write budget, or when too many have accumulated. */
 #include "commit/ws-commit.h"
 
 #include "store/ws-store.h"
 
 #include <string.h>
 
-#define IDLE_PAUSE_MS 3000
-#define BUSY_PAUSE_MS 500
-/* Beyond this, garbage is deleted even when the leader is not idle, since every start reads it. */
+/* Time until the next check: if there is no garbage or the deletion failed, and otherwise. */
+#define IDLE_CHECK_INTERVAL_MS 3000
+#define ACTIVE_CHECK_INTERVAL_MS 500
+/* Above this limit garbage is deleted even under load, since every starting node has to read it. */
 #define MAX_GARBAGE_RECORDS 2000
 
 struct _WsGarbage {
-  gint64 next_ms;
+  gint64 next_check_ms;
 };
 
 WsGarbage *
@@ -30,7 +31,7 @@
   g_free(garbage);
 }
 
-/* Whether the key is of a chunk of a finished job. */
+/* Returns whether the key belongs to a chunk of a finished job. */
 static gboolean
 is_garbage(const WsReplica *replica, const char *key)
 {
@@ -43,15 +44,17 @@
 }
 
 static void
-on_collected(WsCore *core, WsTxnResult result, gpointer data)
+on_garbage_deleted(WsCore *core, WsTxnResult result, gpointer data)
 {
   (void)data;
-  core->garbage->next_ms = core->now + (result == WS_TXN_COMMITTED ? BUSY_PAUSE_MS : IDLE_PAUSE_MS);
+  core->garbage->next_check_ms
+      = core->now
+        + (result == WS_TXN_COMMITTED ? ACTIVE_CHECK_INTERVAL_MS : IDLE_CHECK_INTERVAL_MS);
 }
 
-/* Adds deletions up to the limit of a transaction. Returns the number of all garbage records. */
+/* Adds deletions up to the operation limit. Returns the total number of garbage records. */
 static guint
-delete_garbage(const WsCore *core, WsTxn *txn)
+add_garbage_deletions(const WsCore *core, WsTxn *txn)
 {
   guint count = 0;
   GHashTableIter iter;
@@ -67,9 +70,10 @@
   return count;
 }
 
-/* Whether nothing else waits for the write budget, and half a transaction fits into it. */
+/* Returns whether no other change is waiting and the write budget allows half of the maximal number
+   of operations. */
 static gboolean
-writing_is_idle(WsCore *core)
+has_spare_write_budget(WsCore *core)
 {
   return !ws_assignments_have_backlog(core)
          && ws_store_has_write_budget(core, core->settings->state_txn_ops / 2);
@@ -78,13 +82,15 @@
 void
 ws_garbage_tick(WsCore *core)
 {
-  if (!ws_is_leader(core) || core->now < core->garbage->next_ms || !ws_store_is_available(core))
+  if (!ws_is_leader(core) || core->now < core->garbage->next_check_ms
+      || !ws_store_is_available(core))
     return;
   g_autoptr(WsTxn) txn = ws_txn_new();
   ws_txn_compare(txn, core->replica, WS_KEY_EPOCH);
-  guint count = delete_garbage(core, txn);
-  gboolean may_write = count > MAX_GARBAGE_RECORDS || writing_is_idle(core);
-  core->garbage->next_ms = core->now + (count > 0 ? BUSY_PAUSE_MS : IDLE_PAUSE_MS);
+  guint count = add_garbage_deletions(core, txn);
+  gboolean may_write = count > MAX_GARBAGE_RECORDS || has_spare_write_budget(core);
+  core->garbage->next_check_ms
+      = core->now + (count > 0 ? ACTIVE_CHECK_INTERVAL_MS : IDLE_CHECK_INTERVAL_MS);
   if (count > 0 && may_write)
-    ws_txn_commit(core, g_steal_pointer(&txn), WS_REQUEST_OTHER, on_collected, NULL);
+    ws_txn_commit(core, g_steal_pointer(&txn), WS_REQUEST_OTHER, on_garbage_deleted, NULL);
 }
--- a/src/core/ws-core.c
+++ b/src/core/ws-core.c
@@ -1,4 +1,4 @@
-/* The core: connects the packages, and has them process each input in a fixed order. */
+/* The core: creates the packages, connects them and runs them in a fixed order for each input. */
 #include "core/ws-core.h"
 
 #include "api/ws-job-api.h"
@@ -13,15 +13,16 @@
 #include <string.h>
 
 #define RECONCILIATION_PERIOD_MS 250
-/* When the core stops, the end of one call may lead to another call; so often at most. */
+/* Upper limit on the passes over outstanding calls at shutdown, since a reply function may start a
+   new call. */
 #define MAX_STOP_ROUNDS 20
 
 #define PATH_READY "/ready"
 #define PATH_HEARTBEAT "/v1/report"
-/* Retry-After while the node isn't ready. */
-#define READY_RETRY_AFTER_S 1
+/* The Retry-After value, in seconds, of a node that isn't ready. */
+#define NOT_READY_RETRY_AFTER_S 1
 
-/* The functions of higher packages that lower ones call. */
+/* Callbacks through which lower packages call higher ones. */
 static const WsHandlers HANDLERS = {
   .request_termination = ws_termination_request_mark,
   .apply_worker_status = ws_workers_note_status,
@@ -123,9 +124,10 @@
   return g_queue_pop_head(&core->outputs);
 }
 
-/* Restarts the idle timeouts after a pause of the process. */
+/* Restarts the machines' idle timeouts after a pause of the process that may have outlasted its
+   lease. */
 static void
-notice_stall(WsCore *core, gint64 now_ms)
+reset_idle_timeouts_after_stall(WsCore *core, gint64 now_ms)
 {
   if (!ws_authority_detect_stall(core, now_ms))
     return;
@@ -136,16 +138,16 @@
   }
 }
 
-/* Sets the clocks to the time of an input. The monotonic one never goes back. */
+/* Sets the clocks to the time of an input. The monotonic clock never goes back. */
 static void
-set_time(WsCore *core, gint64 now_ms, gint64 wall_ms)
+set_clocks(WsCore *core, gint64 now_ms, gint64 wall_ms)
 {
-  notice_stall(core, now_ms);
+  reset_idle_timeouts_after_stall(core, now_ms);
   core->now = MAX(core->now, now_ms);
   core->wall = wall_ms;
 }
 
-/* In a new epoch all state that depends on the previous shards and leader is reset. */
+/* Resets all state that depends on the leader and the shards of the previous epoch. */
 static void
 handle_epoch_change(WsCore *core)
 {
@@ -166,10 +168,10 @@
     ws_cancelled_tasks_tick(core);
 }
 
-/* Processes the consequences of an input. Each step may create work for the following ones, and the
-   last one sends the writes of all others. */
+/* Runs all packages after an input. The order matters: each step may create work for the following
+   ones, and the last step sends the store writes of all steps before it. */
 static void
-process_consequences(WsCore *core)
+run_packages(WsCore *core)
 {
   handle_epoch_change(core);
   update_cancellations(core);
@@ -188,7 +190,7 @@
     ws_write_stats_log(core, ws_assignments_oldest_age_ms(core), ws_releases_oldest_age_ms(core));
 }
 
-/* The periodic reconciliation of the desired state with the observed one. */
+/* Periodically reconciles the observed state with the desired state. */
 static void
 reconcile(WsCore *core)
 {
@@ -207,12 +209,12 @@
 void
 ws_core_tick(WsCore *core, gint64 now_ms, gint64 wall_ms)
 {
-  set_time(core, now_ms, wall_ms);
+  set_clocks(core, now_ms, wall_ms);
   ws_store_tick(core, ws_is_leader(core));
   ws_election_tick(core);
   ws_gossip_tick(core);
   reconcile(core);
-  process_consequences(core);
+  run_packages(core);
 }
 
 static void
@@ -223,7 +225,7 @@
   else if (ws_authority_check_readiness(core) == WS_REFUSAL_NONE)
     ws_answer(core, request, WS_HTTP_OK, json_pack("{s:b}", "ready", 1), 0);
   else
-    ws_answer_retry_later(core, request, READY_RETRY_AFTER_S);
+    ws_answer_retry_later(core, request, NOT_READY_RETRY_AFTER_S);
 }
 
 static void
@@ -252,19 +254,19 @@
                        const char *method, const char *path, const char *body, gsize length,
                        gpointer request)
 {
-  set_time(core, now_ms, wall_ms);
+  set_clocks(core, now_ms, wall_ms);
   if (listener == WS_LISTENER_API)
     handle_api_request(core, method, path, body, length, request);
   else
     ws_peers_handle_request(core, path, body, length, request);
-  process_consequences(core);
+  run_packages(core);
 }
 
 void
 ws_core_handle_reply(WsCore *core, gint64 now_ms, gint64 wall_ms, guint64 call, guint status,
                      const char *body, gsize length)
 {
-  set_time(core, now_ms, wall_ms);
+  set_clocks(core, now_ms, wall_ms);
   if (ws_context_handle_reply(core, call, status, body, length))
-    process_consequences(core);
+    run_packages(core);
 }
--- a/tests/evidence/evidence.h
+++ b/tests/evidence/evidence.h
@@ -1,11 +1,11 @@
 /**
- * The tests of evidence that stand in files of their own.
+ * Tests of the /evidence group that are defined outside test-evidence.c.
  */
 #pragma once
 
 /* validity.c */
-void test_release_holds_exactly_under_one_owner(void);
+void test_release_is_valid_exactly_while_owner_is_same(void);
 void test_release_encoding_round_trip(void);
 
 /* flapping.c */
-void test_flapping(void);
+void test_cluster_recovers_from_repeated_lease_loss(void);
--- a/tests/evidence/flapping.c
+++ b/tests/evidence/flapping.c
@@ -1,14 +1,15 @@
 /**
- * A simulated cluster whose leader loses its lease again and again.
+ * A simulated cluster whose leader loses its lease repeatedly.
  */
 #include "evidence/evidence.h"
 #include "sim/fault-injection.h"
 
-/* Again and again an epoch begins, tasks are assigned whose machines don't know it yet, more urgent
-   work takes their slots, and the leader loses its lease for a while before it can write that they
-   are gone. */
+/* Repeats the following sequence: a new epoch begins; tasks are assigned to machines that haven't
+   received its fencing token yet; a more urgent job preempts them; the leader loses its lease for a
+   while before it can commit the releases of the preempted tasks. Then checks that the cluster
+   recovers. */
 static void
-play_flapping(guint32 seed)
+play_repeated_lease_loss(guint32 seed)
 {
   static const SimJob LOW
       = { .tasks = 8, .team = "blue", .priority = "best_effort", .spot = TRUE, .run_s = 7.0 };
@@ -37,7 +38,7 @@
 }
 
 void
-test_flapping(void)
+test_cluster_recovers_from_repeated_lease_loss(void)
 {
-  sim_play_seeds(3000, 5, play_flapping);
+  sim_play_seeds(3000, 5, play_repeated_lease_loss);
 }
