--- a/src/scheduling/ws-candidates.c
+++ b/src/scheduling/ws-candidates.c
@@ -7,14 +7,15 @@
 #include "storage/ws-constraints.h"
 #include "workers/ws-workers.h"
 
-/* Boots take up to this multiple of the type's stated boot time. */
+/* A boot takes up to this multiple of the boot time stated for the machine type. */
 #define BOOT_TIME_FACTOR 1.5
 
 typedef struct {
   WsMachineIndex machine;
   double score;
-  gboolean
-      is_spent; /* no longer fits a task, or was taken by preemption or for a service or gang */
+  /* The machine no longer fits a task, was taken by preemption, or was taken for a service or a
+     gang, which use another machine for each task as long as there is one. */
+  gboolean is_spent;
 } Candidate;
 
 struct _WsCandidates {
@@ -23,7 +24,7 @@
   guint *tasks_by_zone;
   WsZoneIndex only_zone; /* WS_NO_ZONE: any */
   WsPlacementScorer scorer;
-  GArray *by_kind[WS_SLOT_KINDS]; /* of Candidate, the best first; NULL: not searched for yet */
+  GArray *by_kind[WS_SLOT_KINDS]; /* of Candidate, the best first; NULL: not searched yet */
 };
 
 static gboolean
@@ -57,8 +58,8 @@
                                    zone_count(candidates), zone);
 }
 
-/* The job's coordinating node uses the machines of its own shard only; the leader, which plans for
-   jobs without one, uses all. */
+/* Whether the node that plans the job may use the machine. A coordinating node uses only the
+   machines of its own shard. The leader, which plans jobs without a coordinating node, uses all. */
 static gboolean
 is_in_shard(const WsReplica *replica, const WsJob *job, const WsMachine *machine)
 {
@@ -77,7 +78,7 @@
 }
 
 /* Whether the machine has capacity of the kind for one more task. A candidate for preemption always
-   has: the search has found victims on it. */
+   has, since the search has found enough victims on it. */
 static gboolean
 fits(const WsCandidates *candidates, WsSlotKind kind, WsMachineIndex machine)
 {
@@ -90,7 +91,8 @@
   return ws_resources_fit(&candidates->job->spec->need, &available);
 }
 
-/* Whether a machine of the type can be requested in a zone that the job allows: no back-off. */
+/* Whether a machine of the type can be requested in a zone that the job allows: rentals of the type
+   aren't in back-off there. */
 static gboolean
 is_available(const WsCore *core, const WsJob *job, WsTypeIndex type)
 {
@@ -106,8 +108,8 @@
   return FALSE;
 }
 
-/* Whether a machine that is requested now would be up in time for the job. Then no task is
-   preempted for it, since victims lose their work. */
+/* Whether a machine that is requested now would be up in time for the job. In that case the job
+   preempts no tasks, since the victims would lose their work. */
 static gboolean
 can_wait_for_boot(const WsCore *core, const WsJob *job)
 {
@@ -133,8 +135,8 @@
          || (job->status.is_guaranteed && map->has_unguaranteed);
 }
 
-/* Whether to search for victims for the job: always for critical ones; of the others for the first
-   few that can't wait for a boot. */
+/* Whether to search for victims for the job. A plan searches for every critical job, and for the
+   first few other jobs that can't wait for a machine to boot. */
 static gboolean
 may_search_victims(WsCapacityMap *map, const WsJob *job)
 {
@@ -223,7 +225,7 @@
   g_free(candidates);
 }
 
-/* Whether the candidate isn't spent. One that no longer fits a task is noted as spent. */
+/* Whether the candidate isn't spent. Marks it as spent if its machine no longer fits a task. */
 static gboolean
 is_left(const WsCandidates *candidates, WsSlotKind kind, Candidate *candidate)
 {
@@ -232,7 +234,7 @@
   return !candidate->is_spent;
 }
 
-/* Whether a task may be placed in the zone: by the restriction to one zone, and by the job. */
+/* Whether both the restriction to one zone and the job's constraints allow a task in the zone. */
 static gboolean
 is_zone_possible(const WsCandidates *candidates, WsZoneIndex zone)
 {
@@ -240,8 +242,9 @@
          && allows_zone(candidates, zone);
 }
 
-/* The best candidate that isn't spent. The penalty of a zone depends on how many of the job's tasks
-   are there by now, so the best candidate of each zone is found first, and those are compared. */
+/* Returns the best candidate that isn't spent, or NULL. The penalty of a zone depends on the
+   current number of the job's tasks there, so the best candidate of each zone is found first, and
+   these are compared by score less penalty. */
 static Candidate *
 find_best_left(WsCandidates *candidates, WsSlotKind kind)
 {
@@ -267,8 +270,8 @@
   return best;
 }
 
-/* Makes machines that already got a task of the service or gang candidates again; used when there
-   are no others. Returns whether any of them fits another task. */
+/* Makes the machines that were taken for a service or gang candidates again. Used when there is no
+   other candidate. Returns whether any of these machines fits another task. */
 static gboolean
 reinstate_spent(WsCandidates *candidates, WsSlotKind kind)
 {
@@ -303,7 +306,7 @@
   return best != NULL ? machine_at(candidates, best->machine) : NULL;
 }
 
-/* Subtracts the capacity for one task, and counts the task in its zone. */
+/* Subtracts the capacity for one task and adds the task to the number in the machine's zone. */
 static void
 allocate_task(WsCandidates *candidates, const WsMachine *machine)
 {
--- a/src/scheduling/ws-candidates.h
+++ b/src/scheduling/ws-candidates.h
@@ -1,8 +1,8 @@
 /**
- * The machines where the tasks of one job may go.
+ * The candidate machines for the tasks of one job.
  *
- * They are found once for all tasks of the job: these need the same, so they see the same machines.
- * The caller takes one machine after another, the best first. Private to scheduling.
+ * All tasks of a job have the same needs, so the machines are searched once for the whole job. The
+ * caller takes one machine after another, the best first. Private to scheduling.
  */
 #pragma once
 
@@ -10,50 +10,56 @@
 
 /** When and how a machine has capacity for the task. */
 typedef enum {
-  WS_SLOT_FREE,                     /**< now */
-  WS_SLOT_FREEING,                  /**< now, or once the tasks that are being stopped there end */
-  WS_SLOT_WITH_IMAGE,               /**< the same, and the image is in the machine's cache */
-  WS_SLOT_BY_PREEMPTION,            /**< once less urgent tasks are stopped */
-  WS_SLOT_BY_PREEMPTION_WITH_IMAGE, /**< the same, and the image is in the machine's cache */
+  WS_SLOT_FREE,          /**< now */
+  WS_SLOT_FREEING,       /**< now, or once the tasks that are being stopped there have ended */
+  WS_SLOT_WITH_IMAGE,    /**< as WS_SLOT_FREEING, with the job's image cached on the machine */
+  WS_SLOT_BY_PREEMPTION, /**< once less urgent tasks there are stopped */
+  WS_SLOT_BY_PREEMPTION_WITH_IMAGE, /**< as WS_SLOT_BY_PREEMPTION, with the job's image cached */
   WS_SLOT_KINDS
 } WsSlotKind;
 
-/** The search for machines for the tasks of one job. */
+/** The search for candidate machines for the tasks of one job. */
 typedef struct _WsCandidates WsCandidates;
 
 /**
- * Prepares the search, which the caller frees. All that it is handed must outlive it.
+ * Prepares a search. The caller frees it with ws_candidates_free(). All arguments must outlive it.
  *
- * @tasks_by_zone: how many tasks of the job have a machine, by zone; kept up to date
+ * @tasks_by_zone: number of the job's tasks that have a machine, by zone; updated by the search
  */
 WsCandidates *ws_candidates_new(WsCapacityMap *map, const WsJob *job, guint *tasks_by_zone);
 
-/** Frees the search, but not the map and the numbers by zone. @candidates: not NULL */
+/** Frees the search, but neither the map nor the array by zone. @candidates: not NULL */
 void ws_candidates_free(WsCandidates *candidates);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsCandidates, ws_candidates_free)
 
-/** From now on only machines of the zone are found; WS_NO_ZONE: of any. */
+/** Restricts the search to machines in the zone. WS_NO_ZONE lifts the restriction. */
 void ws_candidates_restrict_to_zone(WsCandidates *candidates, WsZoneIndex zone);
 
-/** Whether the job may use the machine at all, whatever its capacity. */
+/** Returns whether the job may use the machine, regardless of the machine's free capacity. */
 gboolean ws_candidates_is_eligible(const WsCandidates *candidates, const WsMachine *machine);
 
-/** The best machine of the kind, or NULL. */
+/** Returns the best machine with a slot of the kind, or NULL if there is none. */
 WsMachine *ws_candidates_peek(WsCandidates *candidates, WsSlotKind kind);
 
-/** The same; the capacity for one task is subtracted, and the task counted in its zone. */
+/**
+ * Like ws_candidates_peek(), but also subtracts the capacity for one task from the capacity map and
+ * adds the task to the number of tasks in the machine's zone.
+ */
 WsMachine *ws_candidates_take(WsCandidates *candidates, WsSlotKind kind);
 
 /**
- * Takes the capacity for one more task on a machine that was just taken.
+ * Takes the capacity for one more task on @machine, which was taken before.
  *
- * Returns FALSE if there is none, or if the task would block the machine's free accelerators.
+ * Returns FALSE if the task doesn't fit, if it would block the machine's free accelerators, or if
+ * the job allows no further task in the machine's zone.
  */
 gboolean ws_candidates_take_another(WsCandidates *candidates, const WsMachine *machine);
 
-/** Returns the capacity for one task on each of the machines (of WsMachineIndex). */
+/**
+ * Gives the capacity for one task back to the map on each machine in @machines (of WsMachineIndex).
+ */
 void ws_candidates_release(WsCandidates *candidates, const GArray *machines);
 
-/** Whether a task would fit the machine if @freed more of it were free. */
+/** Returns whether a task would fit the machine if @freed were also free there. */
 gboolean ws_candidates_would_fit(const WsCandidates *candidates, const WsMachine *machine,
                                  const WsResources *freed);
--- a/src/scheduling/ws-capacity-map.c
+++ b/src/scheduling/ws-capacity-map.c
@@ -1,13 +1,13 @@
-/* The free capacity of every machine, as one plan sees it. */
+/* The free capacity of every machine during one plan. */
 #include "scheduling/ws-capacity-map.h"
 
 #include "membership/ws-membership.h"
 #include "commit/ws-commit.h"
 #include "workers/ws-workers.h"
 
-/* Non-critical jobs per plan for which victims are searched. Each search examines every machine
-   with a task of an array; when hundreds of jobs wait, the first in the queue are the most urgent
-   ones. */
+/* Number of non-critical jobs per plan that may search for victims. Each search examines every
+   machine with a task of an array job, which would cost too much when hundreds of jobs wait. The
+   first jobs in the queue are the most urgent ones, so they get the searches. */
 #define MAX_VICTIM_SEARCHES 4
 
 static gboolean
@@ -60,9 +60,9 @@
     g_array_append_val(map->freeing, machine->index);
 }
 
-/* Lists the machines with enough free capacity for the smallest waiting task. The others aren't
-   examined for each job: in a full cluster hundreds of jobs wait, and nearly every machine has a
-   few CPUs left that are of no use to any of them. */
+/* Lists the machines with enough free capacity for the smallest waiting task. The other machines
+   aren't examined for each job: in a full cluster hundreds of jobs wait, and nearly every machine
+   has a few free CPUs that are too few for any of them. */
 static void
 find_open_machines(WsCapacityMap *map)
 {
@@ -73,7 +73,8 @@
   }
 }
 
-/* Notes which jobs could be preempted at all. If none, no search for victims is made. */
+/* Records what the array jobs with assigned tasks have in common, so that a plan in which no job
+   could be preempted makes no victim search. */
 static void
 summarize_array_jobs(WsCapacityMap *map)
 {
--- a/src/scheduling/ws-capacity-map.h
+++ b/src/scheduling/ws-capacity-map.h
@@ -1,45 +1,45 @@
 /**
- * The free capacity of every machine, as one plan sees it.
+ * The free capacity of every machine during one plan.
  *
- * The map is built at the start of a plan and changes as the plan places tasks; the replica is left
- * alone. Private to scheduling.
+ * The map is built from the replica at the start of a plan. Tasks that the plan places change the
+ * map, but not the replica. Private to scheduling.
  */
 #pragma once
 
 #include "scheduling/ws-scheduling.h"
 
-/** What one machine has to offer. */
+/** The capacity of one machine. */
 typedef struct {
-  WsResources free;    /**< now, less what this plan has placed there */
-  WsResources freeing; /**< what tasks that are being stopped will leave */
-  gboolean is_usable;  /**< tasks may be placed there at all */
-  gboolean has_service;
+  WsResources free;     /**< free now, less the needs of tasks that this plan has placed there */
+  WsResources freeing;  /**< in use by tasks that are being stopped */
+  gboolean is_usable;   /**< whether tasks may be placed there at all */
+  gboolean has_service; /**< whether a task of a service is on the machine */
 } WsMachineCapacity;
 
-/** The capacity of all machines, and the lists by which a plan finds those that matter. */
+/** The capacity of all machines, with lists of the machines that a plan has to examine. */
 typedef struct {
   WsCore *core;
-  WsMachineCapacity *machines; /**< by index of the machine */
+  WsMachineCapacity *machines; /**< by machine index */
   WsResources min_need;        /**< every waiting task needs at least this much */
-  GArray *open;                /**< of WsMachineIndex: with at least min_need free */
-  GArray *freeing;             /**< of WsMachineIndex: where a task is being stopped */
-  GArray *with_arrays;         /**< of WsMachineIndex: with tasks of array jobs */
-  guint lowest_priority;       /**< of the array jobs that have tasks on machines */
-  gboolean has_unguaranteed;   /**< one of those is outside its team's guarantee */
-  guint machines_examined;     /**< the cost of the plan so far */
-  guint victim_searches_left;  /**< for so many more jobs victims are searched for */
+  GArray *open;                /**< of WsMachineIndex: machines with at least min_need free */
+  GArray *freeing;             /**< of WsMachineIndex: machines where a task is being stopped */
+  GArray *with_arrays;         /**< of WsMachineIndex: machines with tasks of array jobs */
+  guint lowest_priority;       /**< lowest priority of the array jobs with assigned tasks */
+  gboolean has_unguaranteed;   /**< whether one of these jobs is outside its team's guarantee */
+  guint machines_examined;     /**< by this plan so far, a measure of its cost */
+  guint victim_searches_left;  /**< number of non-critical jobs that may still search for victims */
 } WsCapacityMap;
 
-/** Builds the map. @min_need: the least that any task to be placed needs of each resource */
+/** Builds the map. @min_need: the smallest need of any task to be placed, by resource */
 void ws_capacity_map_init(WsCapacityMap *map, WsCore *core, const WsResources *min_need);
 
-/** Frees what the map holds, not the map itself. */
+/** Frees the contents of the map, not the map itself. */
 void ws_capacity_map_clear(WsCapacityMap *map);
 
-/** Removes machines from the open ones that have less than min_need left. */
+/** Removes the machines that no longer have min_need free from the list of open machines. */
 void ws_capacity_map_prune_open(WsCapacityMap *map);
 
-/** The capacity of the machine, owned by the map; the plan may change it. */
+/** Returns the capacity of the machine, owned by the map. The plan may change it. */
 static inline WsMachineCapacity *
 ws_capacity_map_at(const WsCapacityMap *map, WsMachineIndex machine)
 {
--- a/src/scheduling/ws-coordinator.c
+++ b/src/scheduling/ws-coordinator.c
@@ -1,4 +1,4 @@
-/* The coordinating node of a job: how it is chosen, and the escalation of the job to the leader. */
+/* The choice of a job's coordinating node, and the escalation of jobs to the leader. */
 #include "scheduling/ws-coordinator.h"
 
 #include "scheduling/ws-capacity-map.h"
@@ -19,7 +19,8 @@
              : replica->epoch.leader;
 }
 
-/* How many tasks fit the free capacity of each node's shard, as an array by node. */
+/* Returns the number of tasks that fit the free capacity of each node's shard, as an array by node.
+   The caller frees it. */
 static gint64 *
 count_slots_by_node(WsCore *core, const WsJobSpec *spec)
 {
@@ -41,8 +42,8 @@
   return slots;
 }
 
-/* Whether only the leader may plan the job. An attempt of a gang is planned and written by one
-   node, and jobs that must be spread over zones or stay in one need a view of all machines. */
+/* Whether only the leader may plan the job. An attempt of a gang must be planned and written by one
+   node. Jobs that must be spread over zones, or stay in one zone, need a view of all machines. */
 static gboolean
 needs_leader(const WsJobSpec *spec)
 {
@@ -79,7 +80,7 @@
          && core->now - job->status.unplaced_ms >= ESCALATION_DELAY_MS;
 }
 
-/* Adds an update of the job's record that leaves it without a coordinating node. */
+/* Adds an update of the job's record to the transaction that removes its coordinating node. */
 static void
 add_escalation(WsCore *core, WsTxn *txn, const WsJob *job)
 {
--- a/src/scheduling/ws-coordinator.h
+++ b/src/scheduling/ws-coordinator.h
@@ -1,16 +1,17 @@
 /**
- * The coordinating node of a job: the one that plans it.
+ * The coordinating node of a job: the node that plans it.
  *
- * A job is given to the node whose shard of the machines fits the whole of it. Jobs without a
- * coordinating node, and those whose node has left, are planned by the leader, who may place them
- * on any machine. Private to scheduling, but for ws_coordinator_choose (ws-scheduling.h).
+ * A new job is assigned to a node whose shard of the machines fits all its tasks. Jobs without a
+ * coordinating node, and those whose node isn't in the current epoch, are planned by the leader,
+ * which may place them on any machine. Private to scheduling, except for ws_coordinator_choose()
+ * (ws-scheduling.h).
  */
 #pragma once
 
 #include "scheduling/ws-scheduling.h"
 
-/** The node that plans the job in the present epoch. */
+/** Returns the node that plans the job in the current epoch: coordinating node or leader. */
 WsNodeIndex ws_coordinator_acting(const WsReplica *replica, const WsJob *job);
 
-/** Passes jobs of this node to the leader that have not fitted its shard for a while. */
+/** Passes the jobs of this node that haven't fitted its shard for a while to the leader. */
 void ws_coordinator_escalate(WsCore *core);
--- a/src/scheduling/ws-demand-choice.c
+++ b/src/scheduling/ws-demand-choice.c
@@ -1,4 +1,4 @@
-/* Chooses the type and zone of the machines that are rented for a demand. */
+/* Chooses the type and the zone of the machines that are rented for a demand. */
 #include "scheduling/ws-demand-private.h"
 
 #include "fleet/ws-fleet.h"
@@ -12,8 +12,8 @@
          && (demand->only_zone == WS_NO_ZONE || demand->only_zone == zone);
 }
 
-/* The zone with the fewest machines, of those where one more of the type can be requested; or
-   WS_NO_ZONE. */
+/* Returns the zone with the fewest machines among those where a machine of the type can be
+   requested, or WS_NO_ZONE. */
 static WsZoneIndex
 choose_zone(const WsDemand *demand, const WsJob *job, WsTypeIndex type, gboolean is_spot)
 {
@@ -31,8 +31,8 @@
   return best;
 }
 
-/* The cheapest type that fits a task and can be requested, with its zone in @zone; or WS_NO_TYPE.
- */
+/* Returns the cheapest type that fits a task and can be requested, or WS_NO_TYPE. Sets @zone to the
+   zone for it. */
 static WsTypeIndex
 choose_type(const WsDemand *demand, const WsJob *job, gboolean is_spot, WsZoneIndex *zone)
 {
@@ -68,7 +68,8 @@
   return TRUE;
 }
 
-/* How many tasks of the job fit the machines in the zone that are booting, ordered or new. */
+/* Returns the number of the job's tasks that fit the booting, requested and new machines in the
+   zone. */
 static guint
 count_fitting(const WsDemand *demand, const WsJob *job, WsZoneIndex zone)
 {
@@ -86,8 +87,8 @@
   return count;
 }
 
-/* The first zone where enough machines for the tasks are booting or requested already, so that the
-   same zone is chosen again while the gang's machines boot; or WS_NO_ZONE. */
+/* Returns the first zone where enough machines for the tasks are booting or requested, or
+   WS_NO_ZONE. With this check, later plans choose the same zone while the gang's machines boot. */
 static WsZoneIndex
 find_zone_with_machines(const WsDemand *demand, const WsJob *job, guint tasks)
 {
--- a/src/scheduling/ws-demand-private.h
+++ b/src/scheduling/ws-demand-private.h
@@ -1,68 +1,70 @@
 /**
- * The machines that a demand counts on. Private to the demand's own files.
+ * The virtual machines of a demand, and the functions shared by the ws-demand*.c files. Private to
+ * these files.
  */
 #pragma once
 
 #include "scheduling/ws-demand.h"
 
-/** Why a virtual machine will have capacity. */
+/** Where the capacity of a virtual machine comes from. */
 typedef enum {
-  WS_VIRTUAL_BOOTING, /**< it boots */
-  WS_VIRTUAL_ORDERED, /**< it is on order: a rental was intended */
-  WS_VIRTUAL_RUNNING, /**< its array tasks will end some time soon */
-  WS_VIRTUAL_NEW      /**< it is to be rented */
+  WS_VIRTUAL_BOOTING, /**< a machine that is booting */
+  WS_VIRTUAL_ORDERED, /**< a machine that is requested: a rental intent exists or is being made */
+  WS_VIRTUAL_RUNNING, /**< a running machine whose array tasks will end */
+  WS_VIRTUAL_NEW      /**< a machine that this demand is to request */
 } WsVirtualSource;
 
-/** Capacity that isn't there yet, on one machine. */
+/** Future capacity on one machine: the machine isn't up yet, or the capacity is still in use. */
 typedef struct {
   WsTypeIndex type;
   WsZoneIndex zone;
   gboolean is_spot;
   WsVirtualSource source;
-  WsResources free; /**< what the demand hasn't used of it */
+  WsResources free; /**< the part of the capacity that the demand hasn't used yet */
 } WsVirtualMachine;
 
 /** The demand of one plan. */
 struct _WsDemand {
   WsCore *core;
   GArray *machines;        /**< of WsVirtualMachine */
-  guint *machines_by_zone; /**< that there are or will be, by zone */
-  WsZoneIndex only_zone;   /**< that the job at hand must be in; WS_NO_ZONE: any */
+  guint *machines_by_zone; /**< number of existing and of new machines, by zone */
+  WsZoneIndex only_zone;   /**< the zone required for the current job; WS_NO_ZONE: any */
 };
 
-/** The virtual machine by its place from 0 on; valid until the next one is added. */
+/** Returns the i-th virtual machine, from 0 on. It is valid until the next one is added. */
 static inline WsVirtualMachine *
 ws_demand_machine(const WsDemand *demand, guint i)
 {
   return &g_array_index(demand->machines, WsVirtualMachine, i);
 }
 
-/** Whether a machine for the job may be in the zone. */
+/** Returns whether a machine for the job may be in the zone. */
 gboolean ws_demand_allows_zone(const WsDemand *demand, const WsJob *job, WsZoneIndex zone);
 
-/* ws-demand-sizing.c: how much a task takes of a virtual machine. */
+/* ws-demand-sizing.c: how much of a virtual machine a task uses. */
 
 /**
- * What the task takes of a slot that is there for a while: less than it needs, if other tasks can
- * follow it there and still be on time.
+ * Returns the resources that the demand plans for one task of the job on a virtual machine. This is
+ * less than the task needs if several tasks can run there one after another and finish in time.
  */
 WsResources ws_demand_share(const WsDemand *demand, const WsJob *job);
 
-/** For how many tasks slots are wanted, if so many wait: more for critical jobs. */
+/** Returns the number of slots to request for @tasks waiting tasks: more for critical jobs. */
 guint ws_demand_with_spares(const WsDemand *demand, const WsJob *job, guint tasks);
 
-/** Whether the job may count on slots that running tasks will leave. */
+/** Returns whether the job can wait for capacity that running tasks will free. */
 gboolean ws_demand_can_wait_for_running(const WsDemand *demand, const WsJob *job);
 
-/* ws-demand-choice.c: of which type and in which zone machines are rented. */
+/* ws-demand-choice.c: the type and the zone of the machines to rent. */
 
 /**
- * Adds one machine for the job, of the cheapest type that can be had, with @need of it in use.
+ * Adds a new machine for the job, of the cheapest type that can be requested, and subtracts @need
+ * from its free capacity.
  *
- * Returns FALSE if none can be had.
+ * Returns FALSE if no machine can be requested.
  */
 gboolean ws_demand_add_new_machine(WsDemand *demand, const WsJob *job, gboolean is_spot,
                                    const WsResources *need);
 
-/** The zone where all tasks of a gang can have machines, or WS_NO_ZONE. */
+/** Returns a zone where machines for all tasks of a gang can be requested, or WS_NO_ZONE. */
 WsZoneIndex ws_demand_choose_gang_zone(const WsDemand *demand, const WsJob *job, guint tasks);
--- a/src/scheduling/ws-demand-sizing.c
+++ b/src/scheduling/ws-demand-sizing.c
@@ -1,37 +1,38 @@
-/* How much of a machine's capacity the demand reckons for each task. */
+/* How much capacity a demand plans for each task. */
 #include "scheduling/ws-demand-private.h"
 
 #include "commit/ws-commit.h"
 
-/* The slack of an array without a deadline or an objective: for so long its tasks may run one after
-   another in the same slot. */
+/* The slack of an array without a deadline or an objective: the time in which its tasks may run one
+   after another in the same slot. */
 #define DEFAULT_SLACK_S 100.0
-/* The smallest share of a slot that a task takes, however large its slack is. */
+/* The smallest share of a slot that is planned for a task, regardless of its slack. */
 #define MIN_SHARE 0.2
-/* A task occupies its slot for this much longer than its run time. */
+/* A task occupies its slot for this time in addition to its run time. */
 #define TASK_OVERHEAD_S 5.0
-/* Estimated run times are multiplied by this where a deadline must be met. */
+/* Safety factor on the estimated run time when computing whether a deadline can be met. */
 #define RUN_TIME_MARGIN 1.2
-/* Some machines take twice as long to boot as others. Where boots are long, several machines are
-   rented for a critical task that must wait for one: it gets the first that is up, and arrays use
-   the others. */
+/* Some machines take twice as long to boot as others. Where boots take long, spare machines are
+   rented for each critical task that must wait for a boot: the task uses the first machine that is
+   up, and arrays use the others. The number of spares grows linearly from none at SHORT_BOOT_S to
+   LONG_BOOT_SPARES_PER_TASK at LONG_BOOT_S. */
 #define SHORT_BOOT_S 30.0
 #define LONG_BOOT_S 60.0
 #define LONG_BOOT_SPARES_PER_TASK 1.0
-/* Estimates are often wrong by half, so only a share of the slack is used: a smaller one where all
-   jobs of a class have the same time limit, whatever their size, than where each job has a deadline
-   of its own. */
+/* Estimates are often wrong by half, so only a share of the slack is used. The share is smaller for
+   a time limit of the job's class, which ignores the size of the job, than for a deadline of the
+   job itself. */
 #define USED_JOB_SLACK 0.7
 #define USED_CLASS_SLACK 0.4
-/* The same for the time by which tasks should begin. That isn't an estimate, but many jobs may be
-   submitted at once. */
+/* The share of the slack until the time by which tasks should start. That time isn't an estimate,
+   but many jobs may be submitted at once. */
 #define USED_BEGIN_SLACK 0.5
-/* A job without a deadline may wait for slots of running tasks if its slack is at least this share
-   of its run time. */
+/* A job without a deadline may wait for the slots of running tasks if its slack is at least this
+   share of its run time. */
 #define MIN_WAIT_SHARE 0.5
 
-/* How long a task of the job may still wait for a slot and finish in time, even if a machine has to
-   boot for it. */
+/* Returns how long a task of the job can still wait for a slot and finish in time, even if a
+   machine has to boot for it. */
 static double
 slack_s(const WsDemand *demand, const WsJob *job)
 {
--- a/src/scheduling/ws-demand.c
+++ b/src/scheduling/ws-demand.c
@@ -1,4 +1,4 @@
-/* Autoscaling demand: how many machines of which kind are needed for the unplaced tasks. */
+/* Autoscaling demand: the machines to rent for the tasks that a plan couldn't place. */
 #include "scheduling/ws-demand-private.h"
 
 #include "scheduling/ws-type-fit.h"
@@ -7,7 +7,7 @@
 #include "membership/ws-membership.h"
 #include "storage/ws-constraints.h"
 
-/* The capacity that running tasks will free counts as this part of the capacity of new machines. */
+/* Capacity that running tasks will free is divided by this, since it isn't known when they exit. */
 #define RUNNING_SLOT_DIVISOR 2
 
 static void
@@ -18,8 +18,8 @@
   g_array_append_val(demand->machines, machine);
 }
 
-/* Adds what array tasks on the machine will free. A task that can wait may count on it, but as half
-   the capacity only, since it isn't known when they exit. */
+/* Adds a virtual machine with the capacity that the array tasks on the machine will free, divided
+   by RUNNING_SLOT_DIVISOR. Only tasks that can wait use it. */
 static void
 add_running(WsDemand *demand, const WsMachine *machine)
 {
@@ -37,7 +37,7 @@
     add_virtual(demand, WS_VIRTUAL_RUNNING, machine->type, machine->zone, machine->is_spot, &freed);
 }
 
-/* Adds the machines of rental intents that the cloud hasn't confirmed yet. */
+/* Adds the machines of the rental intents that the cloud hasn't confirmed yet. */
 static void
 add_ordered(WsDemand *demand)
 {
@@ -59,7 +59,7 @@
 {
   const WsCore *core = demand->core;
   demand->machines_by_zone[machine->zone]++;
-  /* A machine that boots in a partitioned zone can't be used. */
+  /* A machine in a partitioned zone can't be used, even once it has booted. */
   if (machine->is_marked || ws_zone_is_partitioned(core, machine->zone))
     return;
   if (ws_machine_is_booting(core, machine))
@@ -87,8 +87,9 @@
   return demand;
 }
 
-/* Whether the demand may place the job's tasks on the virtual machine. What running tasks will free
-   counts only on machines of the smallest type that fits: larger ones are for larger tasks. */
+/* Whether the job's tasks may be placed on the virtual machine. Capacity that running tasks will
+   free may be used only on machines of the smallest type that fits a task: larger machines are left
+   to larger tasks. */
 static gboolean
 is_allowed(const WsDemand *demand, const WsJob *job, const WsVirtualMachine *machine,
            gboolean can_wait, gint64 smallest_fitting_cpus)
@@ -102,8 +103,7 @@
          || (can_wait && type->capacity.cpus <= smallest_fitting_cpus);
 }
 
-/* Subtracts @need from what is free for up to @max_tasks tasks. Returns for how many it was enough.
- */
+/* Subtracts @need from @free for as many tasks as fit, up to @max_tasks. Returns their number. */
 static guint
 subtract_tasks(WsResources *free, const WsResources *need, guint max_tasks)
 {
@@ -113,7 +113,7 @@
   return tasks;
 }
 
-/* Places tasks on the virtual machines that the demand has already. Returns how many fitted. */
+/* Places tasks on the existing virtual machines of the demand. Returns the number that fitted. */
 static guint
 fill_machines(WsDemand *demand, const WsJob *job, const WsResources *need, guint tasks)
 {
@@ -140,7 +140,7 @@
         && !ws_demand_add_new_machine(demand, job, FALSE, &need))
       return;
     left--;
-    /* The new machine takes as many of the other tasks as fit. */
+    /* Place as many of the other tasks on the new machine as fit. */
     left -= subtract_tasks(&ws_demand_machine(demand, added)->free, &need, left);
   }
 }
@@ -157,7 +157,8 @@
   demand->only_zone = WS_NO_ZONE;
 }
 
-/* Places a task of the job on an ordinary machine that the demand requests already. */
+/* Places a task of the job on a new on-demand (not spot) machine of this demand. Returns FALSE if
+   it fits none. */
 static gboolean
 fill_new_machine(WsDemand *demand, const WsJob *job)
 {
@@ -172,8 +173,8 @@
   return FALSE;
 }
 
-/* Adds machines so that the headroom is complete: critical jobs can't wait for a boot, so some
-   slots are always kept for them. */
+/* Adds machines until the headroom is complete: slots that are always kept free for critical jobs,
+   since these can't wait for a machine to boot. */
 static void
 add_headroom(WsDemand *demand)
 {
@@ -201,7 +202,8 @@
          && first->is_spot == second->is_spot;
 }
 
-/* Requests all new machines of the kind of the i-th one, which is the first of its kind. */
+/* Requests all new machines that have the type, the zone and the price model (spot or on-demand) of
+   the i-th one, which is the first of them. */
 static void
 request_kind(WsDemand *demand, guint i)
 {
--- a/src/scheduling/ws-gang-placement.c
+++ b/src/scheduling/ws-gang-placement.c
@@ -1,4 +1,4 @@
-/* Placement of gangs: all tasks get a machine, or none does. */
+/* Placement of gangs: either all tasks are assigned to machines or none. */
 #include "scheduling/ws-gang-placement.h"
 
 #include "scheduling/ws-candidates.h"
@@ -7,13 +7,13 @@
 #include "commit/ws-commit.h"
 #include "storage/ws-gang-phase.h"
 
-/* When a gang has to fetch its image anyway, so many machines fetch it at the same time: the gang
-   starts no later, and later gangs find the image cached on more machines. */
+/* A gang that has to fetch its image anyway is spread over this many machines, which fetch it in
+   parallel. The gang starts no later, and later gangs find the image cached on more machines. */
 #define PARALLEL_FETCHES 6
 
-/* Takes a slot for each task, as many as fit on one machine before the next is chosen; at most
-   @max_per_fetch on a machine that has to fetch the image. Returns the machines of the tasks (of
-   WsMachineIndex), or NULL if not all fit. */
+/* Takes a slot for each task. Each machine takes as many tasks as fit before the next machine is
+   chosen, but at most @max_per_fetch if it has to fetch the image. Returns the machines of the
+   tasks (of WsMachineIndex), or NULL if not all tasks fit. */
 static GArray *
 take_slots(WsCandidates *candidates, const WsJob *job, guint tasks, guint max_per_fetch)
 {
@@ -35,11 +35,11 @@
   return g_steal_pointer(&machines);
 }
 
-/* The cost of a placement: a gang starts when the slowest machine is ready, and the loss of any one
-   machine ends the attempt. */
+/* The cost of a placement. Image fetches matter since the gang starts only when the slowest machine
+   is ready, and the number of machines since the loss of any one of them ends the attempt. */
 typedef struct {
-  guint fetches;  /* machines that have to fetch the image */
-  guint machines; /* different ones */
+  guint fetches;  /* number of machines that have to fetch the image */
+  guint machines; /* number of different machines */
 } Cost;
 
 static Cost
@@ -64,7 +64,8 @@
   return first->machines < second->machines;
 }
 
-/* Machines for the tasks in the zone (WS_NO_ZONE: in any), or NULL; the map is left as it was. */
+/* Returns machines for the tasks in the zone (WS_NO_ZONE: in any zone), or NULL if not all tasks
+   fit. The capacity map is unchanged afterwards. */
 static GArray *
 try_zone(WsCapacityMap *map, const WsJob *job, guint tasks, const guint *tasks_by_zone,
          WsZoneIndex zone, guint max_per_fetch)
@@ -79,8 +80,8 @@
   return machines;
 }
 
-/* Machines for the tasks in the zone, or NULL: as few as possible if none of them has to fetch the
-   image, otherwise spread over PARALLEL_FETCHES of them if possible. */
+/* Returns machines for the tasks in the zone, or NULL if not all tasks fit. Uses as few machines as
+   possible if none of them has to fetch the image, and PARALLEL_FETCHES otherwise, if possible. */
 static GArray *
 pack_or_spread(WsCapacityMap *map, const WsJob *job, guint tasks, const guint *tasks_by_zone,
                WsZoneIndex zone)
@@ -93,7 +94,7 @@
   return spread != NULL ? spread : g_steal_pointer(&packed);
 }
 
-/* The zone where all tasks fit at the least cost, or WS_NO_ZONE. */
+/* Returns the zone where all tasks fit at the lowest cost, or WS_NO_ZONE. */
 static WsZoneIndex
 find_cheapest_zone(WsCapacityMap *map, const WsJob *job, guint tasks, const guint *tasks_by_zone)
 {
@@ -112,8 +113,8 @@
   return best;
 }
 
-/* Finds a machine for each task (of WsMachineIndex) and subtracts their capacity from the map;
-   NULL: not all fit. */
+/* Finds a machine for each task (of WsMachineIndex) and subtracts the tasks' needs from the map.
+   Returns NULL if not all tasks fit. */
 static GArray *
 find_machines(WsCapacityMap *map, const WsJob *job, guint tasks, const guint *tasks_by_zone)
 {
@@ -131,8 +132,9 @@
   return machines;
 }
 
-/* Adds a gang that doesn't fit to the demand. For one that is overdue, capacity is reserved as it
-   becomes free, on machines and within its team's limit, against the jobs that come after it. */
+/* Adds a gang that doesn't fit to the demand. If the gang is overdue, also reserves capacity for
+   it, on machines and within its team's limit, so that jobs later in the queue don't take the slots
+   that become free. */
 static void
 gather_capacity(WsPlacement *placement, const WsJob *job, guint tasks, guint *tasks_by_zone,
                 gboolean team_allows)
@@ -151,7 +153,7 @@
                         guint *tasks_by_zone)
 {
   WsCore *core = placement->core;
-  /* Otherwise assignments of some tasks are pending, or there is no space for them in records. */
+  /* If @tasks isn't complete, assignments of some tasks are pending or their records are full. */
   gboolean is_complete = tasks->len + job->assigned_count + job->completed_count == job->tasks;
   if (!is_complete || ws_gang_is_ending(job))
     return;
--- a/src/scheduling/ws-gang-reservation.c
+++ b/src/scheduling/ws-gang-reservation.c
@@ -6,8 +6,8 @@
 /* A machine to reserve. */
 typedef struct {
   WsMachineIndex machine;
-  guint free_slots; /* for tasks of the gang, now */
-  guint slots;      /* once the tasks of arrays there have exited */
+  guint free_slots; /* number of tasks of the gang that fit now */
+  guint slots;      /* number that fit once the array tasks there have exited */
 } ReservedMachine;
 
 static guint
@@ -19,7 +19,7 @@
   return slots;
 }
 
-/* What will be free on the machine once the tasks of arrays there have exited. */
+/* Returns the capacity that is free on the machine once the array tasks there have exited. */
 static WsResources
 capacity_without_arrays(const WsCore *core, const WsMachine *machine)
 {
@@ -42,8 +42,8 @@
   return first->machine < second->machine ? -1 : first->machine > second->machine;
 }
 
-/* The machines of the zone (WS_NO_ZONE: of all zones) with slots for the gang (of ReservedMachine),
-   those with the most free slots first. */
+/* Returns the machines in the zone (WS_NO_ZONE: in all zones) with slots for the gang (of
+   ReservedMachine), those with the most free slots first. */
 static GArray *
 list_machines(WsCapacityMap *map, const WsJob *job, guint *tasks_by_zone, WsZoneIndex zone)
 {
@@ -65,7 +65,8 @@
   return listed;
 }
 
-/* The first of these machines, as many as the tasks need; NULL: all together have too few slots. */
+/* Returns the first machines of list_machines(), as many as the tasks need, or NULL if all of them
+   together have too few slots. */
 static GArray *
 choose_in_zone(WsCapacityMap *map, const WsJob *job, guint tasks, guint *tasks_by_zone,
                WsZoneIndex zone)
@@ -87,8 +88,8 @@
   return slots;
 }
 
-/* The machines to reserve, or NULL. For a gang that must be in one zone they are in the zone with
-   the most free slots. */
+/* Returns the machines to reserve, or NULL. For a gang that must be in one zone, this is the zone
+   where the chosen machines have the most free slots. */
 static GArray *
 choose_machines(WsCapacityMap *map, const WsJob *job, guint tasks, guint *tasks_by_zone)
 {
--- a/src/scheduling/ws-gang-reservation.h
+++ b/src/scheduling/ws-gang-reservation.h
@@ -6,13 +6,14 @@
 #include "scheduling/ws-capacity-map.h"
 
 /**
- * Reserves machines for a gang that doesn't fit yet: only critical jobs get a slot there.
+ * Reserves machines for a gang that doesn't fit yet. Only critical jobs can get a slot on them.
  *
- * Small tasks would take each slot as it becomes free, and the gang would never find all of its
- * slots at once. The machines are those with most free slots now, in one zone if the gang must be,
- * and as many as fit all its tasks once the arrays' tasks there have ended.
+ * Without the reservation small tasks would take each slot as it becomes free, and the gang would
+ * never find all of its slots at the same time. The machines with the most free slots are reserved,
+ * in one zone if the gang requires that, and as many as fit all tasks of the gang once the array
+ * tasks there have ended.
  *
- * @tasks_by_zone: the tasks of the gang that have machines, by zone
+ * @tasks_by_zone: number of the gang's tasks that have a machine, by zone
  */
 void ws_gang_reservation_renew(WsCapacityMap *map, const WsJob *job, guint tasks,
                                guint *tasks_by_zone);
--- a/src/scheduling/ws-gang.c
+++ b/src/scheduling/ws-gang.c
@@ -1,15 +1,16 @@
-/* Running gangs: halts the remaining tasks of an attempt that has failed, and stops a gang in an
-   orderly way before one of its machines is drained. */
+/* Running gangs: halts the remaining tasks of an attempt that has ended, and begins an orderly stop
+   of a gang before one of its machines is drained. */
 #include "scheduling/ws-scheduling.h"
 
 #include "membership/ws-membership.h"
 #include "storage/ws-gang-phase.h"
 #include "workers/ws-workers.h"
 
-/* Short, since all tasks of a gang must receive the halt within a few seconds of the first one. */
+/* The time until a halt is repeated. It is short since all tasks of a gang must receive their halt
+   within a few seconds of the first one. */
 #define HALT_RETRY_MS 700
 
-/* Whether a halt would reach the machine now, from this node or through its owner. */
+/* Whether a halt would reach the machine now, from this node or through the machine's owner. */
 static gboolean
 is_reachable(const WsCore *core, const WsMachine *machine)
 {
@@ -44,15 +45,15 @@
     ws_peer_request_stop(core, machine->owner, job, assignment);
 }
 
-/* Begins an orderly stop: all tasks are halted at once, with enough time to save their progress.
-   Does nothing while a machine of the gang is unreachable: the tasks on the other machines would
-   lose their progress for nothing. */
+/* Begins an orderly stop: all tasks are halted at the same time, with enough time to save their
+   progress. Does nothing while a machine of the gang is unreachable, since the tasks on the other
+   machines would be stopped and lose their progress for nothing. */
 static void
 stop_gang(WsCore *core, WsJob *job)
 {
   if (!are_all_reachable(core, job))
     return;
-  g_info("gang %s stops: %u tasks save their progress", job->id, job->assigned_count);
+  g_info("gang %s: orderly stop before a drain, halting %u tasks", job->id, job->assigned_count);
   WsAssignmentIter iter;
   ws_assignment_iter_init(&iter, job);
   WsAssignment *assignment;
@@ -81,8 +82,8 @@
   return FALSE;
 }
 
-/* Whether the task is on this node's machine and a halt is due. A task that is saving its progress
-   has received one already. */
+/* Whether a halt is due for a task on a machine of this node. A task that is saving its progress
+   has received its halt already. */
 static gboolean
 is_halt_due(const WsCore *core, const WsAssignment *assignment)
 {
@@ -91,8 +92,8 @@
          && core->now - assignment->stop_forwarded_ms >= HALT_RETRY_MS;
 }
 
-/* Repeats the halts of tasks on this node's machines: of all tasks, or only of those that were
-   requested to stop. */
+/* Repeats the halts that are due for tasks on this node's machines, either for all tasks or only
+   for those with a stop request. */
 static void
 retry_halts(WsCore *core, WsJob *job, gboolean of_all_tasks)
 {
@@ -107,7 +108,7 @@
   }
 }
 
-/* Takes the step that is due in the phase of the present attempt. */
+/* Halts or stops tasks as the phase of the current attempt requires. */
 static void
 advance(WsCore *core, WsJob *job)
 {
--- a/src/scheduling/ws-placement-score.c
+++ b/src/scheduling/ws-placement-score.c
@@ -1,4 +1,4 @@
-/* Placement score: how well a machine suits a job's next task. */
+/* Placement score: how well a machine suits the next task of a job. */
 #include "scheduling/ws-placement-score.h"
 
 #include "scheduling/ws-type-fit.h"
@@ -6,29 +6,29 @@
 
 /* Image locality. */
 #define CACHED_IMAGE_WEIGHT 100.0
-#define FETCHING_SAME_IMAGE_WEIGHT 50.0 /* for each task on the machine that is fetching it */
+#define FETCHING_SAME_IMAGE_WEIGHT 50.0 /* for each task that is fetching it on the machine */
 #define FETCHING_OTHER_IMAGE_PENALTY 20.0
 #define VICTIM_CACHED_IMAGE_WEIGHT 20.0 /* if tasks must be preempted first */
-/* Price. A service keeps its machine rented anyway, so tasks beside it cost nothing more. */
+/* Price. A service keeps its machine rented, so other tasks on that machine cost nothing extra. */
 #define SPOT_WEIGHT 30.0
 #define BESIDE_SERVICE_WEIGHT 45.0
-/* Bin packing: times the share of the machine that is in use. */
+/* Bin packing. These are multiplied by the share of the machine that is in use. */
 #define PACKED_GPUS_WEIGHT 20.0
 #define PACKED_CPUS_WEIGHT 5.0
-/* Anti-affinity, against losing several tasks of a service at once: for each one that is there
-   already. */
+/* Anti-affinity for services, so that one failure doesn't stop several tasks of a service. Each
+   penalty applies for every task of the service in the same zone or on the same machine. */
 #define SAME_ZONE_PENALTY 25.0
 #define SAME_MACHINE_PENALTY 25.0
-/* For a gang that has to fetch its image. Its tasks wait for the slowest fetch, and machines with
-   the images of other gangs should stay free for those. */
+/* For a gang that has to fetch its image. The gang waits for its slowest fetch, and machines that
+   have the images of other gangs should stay free for those gangs. */
 #define FETCH_HEADROOM_WEIGHT 150.0
 #define CONCURRENT_FETCH_PENALTY 60.0
 #define OTHER_GANG_IMAGE_PENALTY 30.0
-/* For a machine of a larger type than the smallest that fits the task: larger tasks fit no other
-   machines, and a small task can keep them out. */
+/* For a machine of a larger type than the smallest that fits the task. Larger tasks fit only these
+   machines, and a small task there can leave them too little capacity. */
 #define OVERSIZED_TYPE_PENALTY 150.0
-/* For a machine on which a task without accelerators would use up the CPUs or the memory that
-   belong to the free accelerators. */
+/* For a machine where the task would block free accelerators, see
+   ws_placement_blocks_accelerators(). */
 #define BLOCKED_ACCELERATORS_PENALTY 80.0
 
 static GHashTable *
@@ -72,8 +72,8 @@
          || (free->memory - need->memory) * capacity->gpus < free->gpus * capacity->memory;
 }
 
-/* The share of the machine's CPUs that are free beyond those that belong to its free accelerators.
-   The larger it is, the more later gangs can use the image there. */
+/* Returns the share of the machine's CPUs that are free, not counting the proportional share of its
+   free accelerators. The larger it is, the more later gangs can use the image fetched there. */
 static double
 fetch_headroom(const WsResources *capacity, const WsResources *free)
 {
@@ -81,7 +81,7 @@
   return capacity->cpus > 0 ? (double)MAX(free->cpus - reserved, 0) / (double)capacity->cpus : 0.0;
 }
 
-/* The score of a machine where a gang would have to fetch its image. */
+/* Returns the terms of the score for a machine where a gang would have to fetch its image. */
 static double
 gang_fetch_score(const WsPlacementScorer *scorer, const WsMachine *machine)
 {
@@ -104,7 +104,8 @@
   return score;
 }
 
-/* Adds to the score so far: floating-point sums depend on the order of their terms. */
+/* Adds the terms for bin packing to @score. Takes the score so far, rather than returning the sum
+   of its terms, since floating-point sums depend on the order of their terms. */
 static double
 add_bin_packing(double score, const WsResources *capacity, const WsResources *free)
 {
@@ -115,7 +116,7 @@
   return score;
 }
 
-/* Adds to the score so far the terms for the tasks that are on the machine already. */
+/* Adds the terms for the tasks that are already on the machine to @score. */
 static double
 add_neighbours(double score, const WsPlacementScorer *scorer, const WsMachine *machine)
 {
--- a/src/scheduling/ws-placement.c
+++ b/src/scheduling/ws-placement.c
@@ -57,7 +57,7 @@
          && !ws_assignments_is_pending(core, job->index, task);
 }
 
-/* Adds waiting tasks of one chunk, as many as there is space for in its record. */
+/* Adds waiting tasks of one chunk to @tasks, as many as the chunk's record has space for. */
 static void
 add_waiting_of_chunk(const WsCore *core, const WsJob *job, guint index, guint max_tasks,
                      GArray *tasks)
@@ -78,7 +78,7 @@
   }
 }
 
-/* The numbers of the job's waiting tasks (of guint). */
+/* Returns the numbers (of guint) of up to @max_tasks waiting tasks of the job. */
 static GArray *
 collect_waiting_tasks(const WsCore *core, const WsJob *job, guint max_tasks)
 {
--- a/src/scheduling/ws-placement.h
+++ b/src/scheduling/ws-placement.h
@@ -1,40 +1,40 @@
 /**
- * Placement: the state of one plan, and what the placement of arrays, services and gangs shares.
- * Private to scheduling.
+ * Placement: the state of one plan, and functions shared by the placement of arrays, services and
+ * gangs. Private to scheduling.
  */
 #pragma once
 
 #include "scheduling/ws-capacity-map.h"
 #include "scheduling/ws-demand.h"
 
-/** A plan that is being made. */
+/** The state of a plan that is being made. */
 typedef struct {
   WsCore *core;
   WsCapacityMap map;
-  WsResources *team_use; /**< by team: what it uses, with what this plan has placed */
-  WsDemand *demand;      /**< NULL: this node isn't the leader, who alone rents machines */
-  /** Machine -> for how many tasks of the job at hand capacity is being freed there. */
+  WsResources *team_use; /**< resources in use by team, including tasks that this plan has placed */
+  WsDemand *demand;      /**< NULL on nodes other than the leader, which alone rents machines */
+  /** Machine -> number of tasks of the current job for which capacity is being freed there. */
   GHashTable *freeing_slots;
 } WsPlacement;
 
-/** Begins a plan. @min_need: the least that any task to be placed needs of each resource */
+/** Begins a plan. @min_need: the smallest need of any task to be placed, by resource */
 void ws_placement_init(WsPlacement *placement, WsCore *core, const WsResources *min_need);
 
-/** Ends the plan: passes the demand on, and frees what the plan holds. */
+/** Ends the plan: requests rentals for the demand, and frees the contents of the plan. */
 void ws_placement_finish(WsPlacement *placement);
 
 /**
- * Places waiting tasks of the job, or all of a gang. Returns how many tasks were considered.
+ * Places waiting tasks of the job. Returns the number of tasks considered, at most @max_tasks.
  *
- * @max_tasks: the most that are placed, except of a gang, and the most that is returned
+ * @max_tasks: the maximum number of tasks to place; a gang is always placed whole
  */
 guint ws_placement_place_job(WsPlacement *placement, WsJob *job, guint max_tasks);
 
-/** Whether the limit of the job's team leaves capacity for so many of the job's tasks. */
+/** Returns whether the limit of the job's team leaves capacity for @tasks tasks of the job. */
 gboolean ws_placement_team_allows(const WsPlacement *placement, const WsJob *job, guint tasks);
 
-/** Counts so many tasks of the job as used by its team. */
+/** Adds the needs of @tasks tasks of the job to the resources in use by its team. */
 void ws_placement_use_team(WsPlacement *placement, const WsJob *job, guint tasks);
 
-/** Notes since when some of the job's tasks haven't found a machine. */
+/** Records since when the job has tasks without a machine, or that it has none. */
 void ws_placement_note_unplaced(const WsCore *core, WsJob *job, gboolean is_unplaced);
--- a/src/scheduling/ws-plan.c
+++ b/src/scheduling/ws-plan.c
@@ -1,8 +1,8 @@
 /* Planning: when a plan is made, and for which jobs.
 
-   A node plans the jobs that it coordinates, on the machines of its own shard; the leader also
-   plans the jobs that fit no shard, on any machine. Where two nodes plan with the same capacity
-   only one of them gets it, since the leader checks each assignment before it writes it. */
+   A node plans the jobs that it coordinates, on the machines of its own shard. The leader also
+   plans the jobs that fit no single shard, on any machine. If two nodes plan with the same
+   capacity, only one of them gets it, since the leader checks each assignment before writing it. */
 #include "scheduling/ws-plan.h"
 
 #include "scheduling/ws-coordinator.h"
@@ -13,15 +13,16 @@
 #include "membership/ws-membership.h"
 #include "store/ws-store.h"
 
+/* The minimum pause after a plan. */
 #define MIN_PAUSE_MS 100
-/* The pause after a plan grows with its cost, so that plans take a small part of the processor
-   whatever the size of the cluster. */
+/* The pause after a plan grows by 1 ms for this many examined machines, so that planning uses a
+   small share of the CPU time at any cluster size. */
 #define MACHINES_EXAMINED_PER_PAUSE_MS 40
-/* Bounds the cost of a plan with jobs of many thousands of tasks. It must not be much lower: if a
-   plan after a start leaves out waiting tasks, too few machines are rented. */
+/* Bounds the cost of a plan when jobs have many thousands of tasks. It must not be much lower: if
+   the first plan after a start leaves out waiting tasks, too few machines are rented. */
 #define MAX_TASKS_PER_PLAN 4000
-/* The urgency of jobs changes with time alone, but slowly: so long after the pause a plan is made
-   even if nothing else has changed. */
+/* The time after the pause until a plan is made even if nothing has changed, since the urgency of
+   jobs also changes with time, though slowly. */
 #define PERIODIC_PLAN_DELAY_MS 900
 
 WsPlan *
@@ -54,7 +55,7 @@
   return job->completed_count + job->assigned_count < job->tasks;
 }
 
-/* Whether this node has anything to place. Most of the time it hasn't, and no plan is made. */
+/* Whether this node has tasks to place. Usually it has none, and no plan is made. */
 static gboolean
 has_work(const WsCore *core)
 {
@@ -74,7 +75,7 @@
          && ws_coordinator_acting(core->replica, job) == core->settings->self;
 }
 
-/* Of each resource, the least that any task which is to be placed needs. */
+/* Returns the smallest need of any task to be placed, separately for each resource. */
 static WsResources
 find_min_need(const WsCore *core, const GArray *queue)
 {
@@ -96,8 +97,8 @@
   guint left = MAX_TASKS_PER_PLAN;
   for (guint i = 0; i < queue->len && left > 0; i++) {
     const WsQueueEntry *entry = &g_array_index(queue, WsQueueEntry, i);
-    /* An overdue job takes precedence with its protected tasks only: its other tasks would be
-       preempted again and again by the more urgent jobs that come after it in the queue. */
+    /* Only the protected tasks of an overdue job are placed at its place in the queue: its other
+       tasks would be preempted repeatedly by more urgent jobs that come later in the queue. */
     guint max_tasks = left;
     if (entry->is_overdue)
       max_tasks = MIN(left, ws_queue_protected_tasks(entry->job));
@@ -106,7 +107,7 @@
   }
 }
 
-/* Repeats the requests to stop tasks that are still running. */
+/* Repeats the stop requests for tasks that are still running. */
 static void
 resend_stop_requests(const WsPlacement *placement)
 {
--- a/src/scheduling/ws-preempt.c
+++ b/src/scheduling/ws-preempt.c
@@ -7,14 +7,14 @@
 #include "commit/ws-commit.h"
 #include "workers/ws-workers.h"
 
-/* The work that a victim loses may be at most so many times the work that is done instead. */
+/* The work lost by a victim may be at most this multiple of the work that is done in its place. */
 #define MAX_LOST_WORK_RATIO 2.0
-/* A job within its team's guarantee may only stop a task of the same priority that has run for less
-   than so many milliseconds per second of its estimated time. */
+/* A job within its team's guarantee may stop a task of the same priority only if the task has run
+   for less than this many milliseconds per second of its estimated run time. */
 #define MAX_LOST_RUN_MS_PER_S 500.0
-/* Negative: there are too few victims on the machine. */
+/* The cost if there are too few victims on the machine. */
 #define IMPOSSIBLE_COST_S (-1.0)
-/* The cost of each stop beside the lost work. */
+/* The fixed cost of each stop, in addition to the lost work. */
 #define STOP_COST_S 5.0
 
 static gboolean
@@ -28,8 +28,9 @@
          || (team->guarantee.gpus == 0 && team->guarantee.cpus == 0);
 }
 
-/* Whether the victim is protected from starvation: the first tasks of a job that has started late
-   aren't stopped again, or a steady flow of more urgent jobs would keep it from ever starting. */
+/* Whether the victim is protected from starvation. The first tasks of a job that has waited long
+   for its start aren't stopped again, since a steady flow of more urgent jobs could otherwise keep
+   the job from ever making progress. */
 static gboolean
 is_protected_start(const WsCore *core, const WsJob *victim, guint victim_tasks)
 {
@@ -44,14 +45,15 @@
     return FALSE;
   if (job->spec->priority != WS_CRITICAL && is_protected_start(core, victim, victim_tasks))
     return FALSE;
-  /* The queue puts guarantees before priorities. A job that stopped tasks of another one that is
-     ahead of it would see those placed in the freed slot again, and neither job would progress. */
+  /* The queue orders jobs by guarantee before priority. If a job stopped tasks of a job that is
+     ahead of it in the queue, the freed slot would be assigned to those tasks again, and neither
+     job would progress. */
   if (victim->status.is_guaranteed && !job->status.is_guaranteed
       && job->spec->priority != WS_CRITICAL)
     return FALSE;
   if (job->spec->priority < victim->spec->priority)
     return TRUE;
-  /* Never between two jobs within their guarantees: they would preempt each other in turn. */
+  /* Two jobs within their guarantees never preempt each other, since they would do so in turn. */
   return job->status.is_guaranteed && !victim->status.is_guaranteed && job->team != victim->team
          && is_beyond_guarantee(core, victim);
 }
@@ -62,8 +64,9 @@
   return ws_preempt_outranks(core, job, victim, victim->assigned_count);
 }
 
-/* Whether the lost work is no more than a few times the work that would be done instead: a large
-   task that has run for minutes isn't stopped for small ones that take seconds. */
+/* Whether the lost work is at most MAX_LOST_WORK_RATIO times the work that would be done in its
+   place, so that a large task that has run for minutes isn't stopped for small tasks that take
+   seconds. */
 static gboolean
 is_loss_acceptable(const WsCore *core, const WsJob *job, const WsJob *victim,
                    const WsAssignment *assignment)
@@ -76,8 +79,8 @@
   return lost <= MAX_LOST_WORK_RATIO * gain;
 }
 
-/* Whether the gain outweighs the lost work. For a guarantee, a task of the same priority that is
-   half done isn't stopped, since its slot is free soon. */
+/* Whether the gain outweighs the lost work. A job that preempts because of its guarantee doesn't
+   stop a task of the same priority that is half done, since that slot will be free soon. */
 static gboolean
 is_worthwhile(const WsCore *core, const WsJob *job, const WsJob *victim,
               const WsAssignment *assignment)
@@ -88,8 +91,9 @@
          < MAX_LOST_RUN_MS_PER_S * victim->spec->estimate_s;
 }
 
-/* The cheapest victim on the machine that isn't being stopped yet: the youngest task. @victim_job
-   is set to its job. */
+/* Returns the cheapest victim on the machine that isn't being stopped yet, or NULL. The cheapest
+   one is the task that was assigned last; only tasks assigned before @younger_than_ms are
+   considered. Sets @victim_job to the job of the victim. */
 static WsAssignment *
 find_cheapest_victim(const WsCore *core, const WsJob *job, const WsMachine *machine,
                      gint64 younger_than_ms, WsJob **victim_job)
@@ -150,7 +154,7 @@
   }
 }
 
-/* A task of the job's own team that may be stopped for it. */
+/* A task of the job's own team that may be stopped for the job. */
 typedef struct {
   WsJob *job;
   WsAssignment *assignment;
@@ -164,8 +168,8 @@
   return difference_ms < 0 ? -1 : difference_ms > 0;
 }
 
-/* Adds the candidate's tasks that may be stopped to @victims, and the resources of its tasks that
-   are being stopped already to @freeing. */
+/* Adds the tasks of the candidate that may be stopped to @victims, and the resources of those that
+   are already being stopped to @freeing. */
 static void
 add_team_victims(const WsCore *core, const WsJob *job, WsJob *candidate, GArray *victims,
                  WsResources *freeing)
@@ -184,8 +188,8 @@
   }
 }
 
-/* Moves to the front the youngest victim whose stop frees a slot for the job. FALSE: there is none.
- */
+/* Moves the youngest victim whose stop would free a slot for the job to the front. Returns FALSE if
+   there is none. */
 static gboolean
 move_fitting_victim_to_front(const WsCore *core, GArray *victims, WsPreemptFitFunc fits,
                              gpointer data)
@@ -202,8 +206,8 @@
   return FALSE;
 }
 
-/* How many of the victims must stop before the team's limit allows a task of the job; 0: to stop
-   all of them isn't enough. */
+/* Returns how many of the victims must stop until the team's limit allows a task of the job, or 0
+   if stopping all of them isn't enough. */
 static guint
 count_victims_needed(const WsCore *core, const WsJob *job, const WsResources *team_use,
                      const GArray *victims)
--- a/src/scheduling/ws-preempt.h
+++ b/src/scheduling/ws-preempt.h
@@ -1,39 +1,40 @@
 /**
  * Preemption: which tasks may be stopped for a more urgent job, and which are cheapest to stop.
  *
- * A task that may be stopped for the job is a victim. Only tasks of array jobs are victims: users
- * notice at once when a service's task stops, and a gang's would stop its whole gang. Private to
- * scheduling.
+ * A task that may be stopped for the job is a victim. Only tasks of array jobs can be victims: a
+ * stopped task of a service is noticed by users at once, and a stopped task of a gang would stop
+ * the whole gang. Private to scheduling.
  */
 #pragma once
 
 #include "scheduling/ws-capacity-map.h"
 
-/** Whether the job may have tasks of @victim stopped. */
+/** Returns whether tasks of @victim may be stopped for @job. */
 gboolean ws_preempt_allowed(const WsCore *core, const WsJob *job, const WsJob *victim);
 
-/** The same once @victim_tasks of the other job's tasks are on machines. */
+/** Like ws_preempt_allowed(), if @victim_tasks tasks of @victim were assigned. */
 gboolean ws_preempt_outranks(const WsCore *core, const WsJob *job, const WsJob *victim,
                              guint victim_tasks);
 
 /**
- * The work that would be lost, in seconds with a fixed part for each stop, if the cheapest tasks
- * were stopped until one task of the job fits the machine; negative: it can't be made to fit.
+ * Returns the cost of stopping the cheapest victims on the machine until one task of the job fits:
+ * the lost run time in seconds, plus a fixed cost for each stop. Negative if the task can't be made
+ * to fit.
  */
 double ws_preempt_cost(const WsCore *core, const WsJob *job, const WsMachine *machine,
                        const WsMachineCapacity *capacity);
 
-/** Stops those tasks; what they will leave is added to @capacity. */
+/** Stops the victims that ws_preempt_cost() counts, and adds their resources to @capacity. */
 void ws_preempt(WsCore *core, const WsJob *job, WsMachine *machine, WsMachineCapacity *capacity);
 
-/** Whether a task of the job could start on the machine if @freed more of it were free. */
+/** Returns whether a task of the job would fit the machine if @freed were also free there. */
 typedef gboolean (*WsPreemptFitFunc)(const WsMachine *machine, const WsResources *freed,
                                      gpointer data);
 
-/** What preemption within a team came to. */
+/** The result of preemption within a team. */
 typedef enum {
-  WS_TEAM_FULL,    /**< the team's limit is used up by tasks that may not be stopped for the job */
-  WS_TEAM_NO_SLOT, /**< stops would free enough of the limit, but no machine has a slot */
+  WS_TEAM_FULL,    /**< tasks that may not be stopped for the job use up the team's limit */
+  WS_TEAM_NO_SLOT, /**< stops could free enough of the limit, but no machine would have a slot */
   WS_TEAM_CAPACITY_FREEING /**< tasks are being stopped */
 } WsTeamCapacity;
 
@@ -41,12 +42,12 @@
  * Stops less urgent tasks of the job's own team, the youngest first, until the team's limit allows
  * one more task of the job.
  *
- * Nothing is stopped unless that task can then start: it has a slot, or the end of one of the
- * stopped tasks leaves it one.
+ * Tasks are stopped only if that task can start afterwards: either it has a slot already, or one of
+ * the stopped tasks frees one.
  *
- * @team_use: what the team uses, as planned
+ * @team_use: resources in use by the team, including tasks placed by the current plan
  * @has_slot: whether the task has a slot without any stop
- * @fits: says whether the end of a stopped task leaves the task a slot; called with @data
+ * @fits: checks whether stopping a victim would free a slot for the task; called with @data
  * @machines: of WsMachineIndex; the machines of the stopped tasks are appended
  */
 WsTeamCapacity ws_preempt_in_team(WsCore *core, const WsJob *job, const WsResources *team_use,
--- a/src/scheduling/ws-queue.c
+++ b/src/scheduling/ws-queue.c
@@ -1,21 +1,22 @@
-/* Queue order: in which order waiting jobs are placed. */
+/* Queue order: the order in which waiting jobs are placed. */
 #include "scheduling/ws-queue.h"
 
 #include "commit/ws-commit.h"
 #include "workers/ws-workers.h"
 
-/* A job counts as late only if it would be late even when it took this share of its estimated time.
- */
+/* The share of the estimated run time with which lateness is predicted. A job is late only if it
+   would exceed its time limit even when it runs this much faster than estimated. */
 #define OPTIMISTIC_RUN_TIME_SHARE 0.6
-/* A late job counts as slightly late up to this multiple of its time limit. */
+/* A late job is slightly late up to this multiple of its time limit. */
 #define SLIGHTLY_LATE_FACTOR 1.5
-/* Aging: a second of waiting counts as so many seconds less of remaining work, so that large jobs
+/* Aging: each second of waiting reduces the remaining work by this many seconds, so that large jobs
    don't starve. */
 #define WORK_CREDIT_PER_WAITED_S 5.0
-/* A job that has waited so long, and so many times its time limit, no longer counts as late. */
+/* A job that has waited for both this time and this multiple of its time limit is no longer
+   classified as late. */
 #define MAX_LATE_S 150.0
 #define MAX_LATE_FACTOR 2.0
-/* Of each job one task is protected, and one more for every so many tasks. */
+/* One task of each job is protected, and one more for every this many tasks. */
 #define TASKS_PER_PROTECTED_TASK 8
 
 static gint
@@ -41,8 +42,8 @@
          && (guarantee->gpus == 0 || need->gpus <= guarantee->gpus);
 }
 
-/* How long so many tasks of the job take at best: its team's limit lets only some of them run at
-   once. */
+/* Returns the shortest time in which @tasks tasks of the job can finish, given that its team's
+   limit may let only some of them run at the same time. */
 static double
 min_duration_s(const WsCore *core, const WsJob *job, guint tasks)
 {
@@ -97,8 +98,8 @@
   };
 }
 
-/* Notes for each job whether it is within its team's guarantee: all earlier open jobs of the team
-   and itself together need no more than is guaranteed. */
+/* Records for each job whether it is within its team's guarantee: the job and all older open jobs
+   of the team together need no more than is guaranteed. */
 static void
 note_guarantees(const WsCore *core, const GArray *entries_by_age)
 {
@@ -113,7 +114,7 @@
   }
 }
 
-/* The open jobs, the oldest first. */
+/* Returns the open jobs, the oldest first. */
 static GArray *
 collect_open_jobs(const WsCore *core)
 {
@@ -130,10 +131,10 @@
   return entries;
 }
 
-/* Critical jobs come first, since users wait for them; then overdue ones, the oldest first; then
-   jobs within guarantees, then by priority. Among equals, jobs that can still be on time come
-   before those that can't, and less remaining work before more: when there isn't enough capacity,
-   that makes the fewest jobs late. */
+/* Orders critical jobs first, since users wait for them. Overdue jobs follow, the oldest first,
+   then jobs within guarantees, then the other jobs; both by priority. Among equals, jobs that can
+   still be on time come before late ones, and jobs with less remaining work before those with more:
+   when capacity is scarce, this order makes the fewest jobs late. */
 static gint
 compare_by_urgency(gconstpointer a, gconstpointer b)
 {
--- a/src/scheduling/ws-queue.h
+++ b/src/scheduling/ws-queue.h
@@ -1,21 +1,23 @@
 /**
- * Queue order: in which order waiting jobs are placed. Private to scheduling.
+ * Queue order: the order in which waiting jobs are placed. Private to scheduling.
  */
 #pragma once
 
 #include "scheduling/ws-scheduling.h"
 
 /**
- * A job that has waited longer than this for its first task is overdue: it comes before guarantees
- * and priorities, critical jobs excepted. Whatever favours small or late jobs, age wins in the end.
+ * A job that has waited longer than this for its first task to start is overdue. An overdue job is
+ * placed before all jobs except critical ones, regardless of guarantees and priorities, so that the
+ * rules that favour other jobs, such as small ones, can't starve it.
  */
 #define WS_QUEUE_MAX_START_DELAY_S 120.0
 
-/** Whether a job can still meet its objective. */
+/** Whether a job can still finish within its time limit. */
 typedef enum {
-  WS_ON_TIME,       /**< it can, or it has none */
-  WS_SLIGHTLY_LATE, /**< within half as long again */
-  WS_LATE
+  /** It can, it has no time limit, or it has waited too long to be classified as late. */
+  WS_ON_TIME,
+  WS_SLIGHTLY_LATE, /**< it can finish within 1.5 times its time limit */
+  WS_LATE           /**< it will take longer than that */
 } WsLateness;
 
 /** An open job in the queue. */
@@ -23,20 +25,20 @@
   WsJob *job;
   WsLateness lateness;
   gboolean is_overdue;     /**< see WS_QUEUE_MAX_START_DELAY_S */
-  double remaining_work_s; /**< of tasks not yet assigned, less a credit for the time waited */
+  double remaining_work_s; /**< run time of unassigned tasks, less a credit for the time waited */
 } WsQueueEntry;
 
 /**
- * The open jobs, the most urgent first, as an array of WsQueueEntry that the caller frees. Also
- * notes in each job's status whether it is within its team's guarantee.
+ * Returns the open jobs, the most urgent first, as an array of WsQueueEntry that the caller frees.
+ * Also records in each job's status whether the job is within its team's guarantee.
  */
 GArray *ws_queue_jobs(const WsCore *core);
 
-/** Whether the job has waited too long for its first task. */
+/** Returns whether the job is overdue, see WS_QUEUE_MAX_START_DELAY_S. */
 gboolean ws_queue_is_overdue(const WsCore *core, const WsJob *job);
 
 /**
- * So many tasks of an overdue job are placed before all else, and aren't preempted again by
- * anything but critical jobs.
+ * Returns how many tasks of the job are protected once it is overdue: they are placed before the
+ * tasks of all jobs except critical ones, and only critical jobs may preempt them.
  */
 guint ws_queue_protected_tasks(const WsJob *job);
--- a/src/scheduling/ws-reservations.c
+++ b/src/scheduling/ws-reservations.c
@@ -7,18 +7,18 @@
 #include "workers/ws-workers.h"
 #include "storage/ws-gang-phase.h"
 
-/* Longer than it takes until a stop is requested, carried out, reported and written, also when the
-   request has to be repeated. */
+/* A reservation expires this long after its last renewal. Must be longer than it takes to request,
+   carry out, report and record a stop, including a retry of the request. */
 #define LIFETIME_MS 5000
-/* A reservation is renewed with the leader only from this age on, so that not every plan sends a
-   message. */
+/* A reservation is renewed only if its last renewal is at least this old, so that not every plan
+   sends a message to the leader. */
 #define RENEWAL_AGE_MS 1500
 
-/* Capacity for tasks of one job, on one machine or within its team's limit. */
+/* Capacity reserved for tasks of one job, on one machine or within its team's limit. */
 typedef struct {
   WsJobIndex job;
   WsMachineIndex machine; /* WS_NO_MACHINE: within the team's limit, on any machine */
-  guint tasks;            /* for so many tasks of the job */
+  guint tasks;            /* number of tasks of the job that the capacity is for */
   gint64 expiry_ms;
 } Reservation;
 
@@ -113,9 +113,9 @@
   drop_expired(core);
 }
 
-/* Whether the other job's tasks must respect what is reserved for the job. An overdue gang also has
-   precedence over jobs that it may not preempt: it needs many slots at once, and would never get
-   them while equally urgent tasks take each slot that becomes free. */
+/* Whether assignments of @other must respect the reservations of @job. An overdue gang also has
+   precedence over jobs that it may not preempt: it needs many slots at the same time, and would
+   never get them if equally urgent tasks took each slot that becomes free. */
 static gboolean
 has_precedence(const WsCore *core, const WsJob *job, const WsJob *other, guint other_tasks)
 {
@@ -126,7 +126,8 @@
          && other->spec->priority != WS_CRITICAL && !is_older;
 }
 
-/* For how many tasks the entry still reserves capacity against an assignment of another job. */
+/* Returns the number of tasks for which the entry still reserves capacity against assignments of
+   @other. */
 static guint
 count_reserved_tasks(const WsCore *core, const Reservation *entry, const WsJob *other,
                      guint other_tasks)
--- a/src/scheduling/ws-scheduling.h
+++ b/src/scheduling/ws-scheduling.h
@@ -1,9 +1,10 @@
 /**
- * Scheduling: which task goes to which machine.
+ * Scheduling: decides which task runs on which machine.
  *
- * Queue order, placement, preemption, gangs, reservations, and the demand for machines. The core
- * calls its ticks; the job API asks for the coordinating node of a new job. Owns the plan and the
- * reservations. What isn't declared here is private to the package.
+ * The package contains the queue order, placement, preemption, gangs, reservations and the demand
+ * for machines. The core calls the tick functions, and the job API requests the coordinating node
+ * of a new job. The package owns the planning state and the reservations. Everything that isn't
+ * declared in this header is private to the package.
  */
 #pragma once
 
@@ -12,90 +13,93 @@
 /*
  * Planning
  *
- * A node plans the jobs that it coordinates, on the machines of its own shard; the leader also
- * plans those that fit no shard, on any machine, and requests rentals.
+ * A node plans the jobs that it coordinates, on the machines of its own shard. The leader also
+ * plans the jobs that fit no single shard, on any machine, and requests rentals.
  */
 
-/** Creates the state of planning; to be freed with ws_plan_free(). */
+/** Creates the planning state. The caller frees it with ws_plan_free(). */
 WsPlan *ws_plan_new(void);
 
-/** Frees the state of planning. */
+/** Frees the planning state. */
 void ws_plan_free(WsPlan *plan);
 
 /**
- * Makes a plan if one is due: proposes assignments, has tasks preempted, and passes jobs that don't
- * fit to the leader. Does nothing on a node that may not act in the present epoch.
+ * Makes a plan if one is due: proposes assignments, preempts tasks, and escalates jobs that don't
+ * fit this node's shard to the leader. Does nothing on a node that isn't an active member of the
+ * current epoch.
  */
 void ws_plan_tick(WsCore *core);
 
 /**
- * Chooses the coordinating node for a new job: the one whose shard has most slots for it, if all
- * tasks fit there.
+ * Chooses the coordinating node of a new job: the node whose shard has the most free slots for the
+ * job's tasks, provided that all of them fit there.
  *
- * Returns WS_NO_NODE if the leader has to plan the job.
+ * Returns WS_NO_NODE if the leader must plan the job.
  */
 WsNodeIndex ws_coordinator_choose(WsCore *core, const WsJobSpec *spec);
 
-/** How many plans this node has made. */
+/** Returns the number of plans that this node has made. */
 guint64 ws_plan_count(const WsCore *core);
 
-/** How many machines all these plans have examined: the cost of planning. */
+/** Returns the number of machines examined by all these plans, a measure of the planning cost. */
 guint64 ws_plan_machines_examined(const WsCore *core);
 
 /*
- * Gangs: jobs whose tasks run at the same time or not at all
+ * Gangs: jobs whose tasks all run at the same time or not at all
  *
- * The tasks of one attempt carry the same attempt number. The attempt is over when one of its tasks
- * is known to be gone: the record of the end raises the number, the other tasks are halted, and the
- * next attempt starts once nothing of the old one is left.
+ * The tasks of one attempt have the same attempt number. The attempt ends as soon as the exit or
+ * loss of one of its tasks is recorded. That record increments the attempt number, the other tasks
+ * are halted, and the next attempt starts once every task of the old attempt has ended.
  */
 
 /**
- * Halts the tasks of attempts that are over, again until they end, and begins an orderly stop of
- * gangs with a task on a machine that is to be drained: all tasks are halted at once, with enough
- * time to save their progress.
+ * Drives the running gangs. Halts the tasks of attempts that have ended, and repeats each halt
+ * until the task ends. Begins an orderly stop of each gang that has a task on a machine that is to
+ * be drained: all its tasks are halted at the same time, with enough time to save their progress.
  */
 void ws_gang_tick(WsCore *core);
 
 /*
  * Reservations: capacity that is being freed for a job by stopping less urgent tasks
  *
- * The node that plans a job has tasks stopped for it, on a machine or within the job's team. Until
- * the job has taken what they leave, other nodes see free capacity and would give it to the very
- * job that was preempted. The planning node therefore reserves it with the leader, which refuses
- * less urgent assignments that would use it up. A reservation ends when the job takes it, when the
- * job waits no longer, and in any case a few seconds after it was last renewed.
+ * The node that plans a job stops tasks for it, on a machine or within the job's team. Until the
+ * job is assigned the freed capacity, other nodes see that capacity as free and could assign it to
+ * the very job that was preempted. The planning node therefore reserves it with the leader, which
+ * refuses less urgent assignments that would use it up. A reservation ends when the job is assigned
+ * the capacity, when the job no longer waits, and at the latest a few seconds after its last
+ * renewal.
  */
 
-/** Creates an empty table of reservations; to be freed with ws_reservations_free(). */
+/** Creates an empty reservation table. The caller frees it with ws_reservations_free(). */
 WsReservations *ws_reservations_new(void);
 
-/** Frees the table. */
+/** Frees the reservation table. */
 void ws_reservations_free(WsReservations *reservations);
 
-/** Whether there are any reservations. */
+/** Returns whether there are any reservations. */
 gboolean ws_reservations_exist(const WsCore *core);
 
-/** Drops all of them: they count only in the epoch in which they were made. */
+/** Drops all reservations, since they are valid only in the epoch in which they were made. */
 void ws_reservations_clear(WsCore *core);
 
 /**
- * Reserves capacity for so many tasks of the job, or renews that. A node that isn't the leader
- * passes it on to the leader.
+ * Reserves capacity for @tasks tasks of the job, or renews the reservation. A node that isn't the
+ * leader also forwards the reservation to the leader.
  *
- * @machine: WS_NO_MACHINE: within the limit of the job's team, on any machine
+ * @machine: the machine, or WS_NO_MACHINE to reserve part of the team's limit on any machine
  */
 void ws_reservations_renew(WsCore *core, const WsJob *job, WsMachineIndex machine, guint tasks);
 
-/** Notes that the job was assigned a task on the machine, which takes what was reserved for it. */
+/** Reduces the job's reservations by one task, after that task was assigned to the machine. */
 void ws_reservations_consume(WsCore *core, const WsJob *job, WsMachineIndex machine);
 
 /**
- * Whether an assignment of the job leaves what is reserved for more urgent ones.
+ * Returns whether an assignment of the job leaves the capacity untouched that is reserved for more
+ * urgent jobs. The arguments describe the state after the assignment.
  *
- * @assigned_tasks: how many of the job's tasks would be assigned
- * @machine_free: what the machine would have left
- * @team_use: what the team would use
+ * @assigned_tasks: number of the job's tasks that are assigned
+ * @machine_free: free capacity of the machine
+ * @team_use: resources in use by the job's team
  */
 gboolean ws_reservations_allow(const WsCore *core, const WsJob *job, guint assigned_tasks,
                                WsMachineIndex machine, const WsResources *machine_free,
--- a/src/scheduling/ws-stop-requests.c
+++ b/src/scheduling/ws-stop-requests.c
@@ -1,11 +1,11 @@
-/* Requests other nodes to stop preempted tasks on their machines. */
+/* Requests to other nodes to stop tasks on the machines that they own. */
 #include "scheduling/ws-stop-requests.h"
 
 #include "membership/ws-membership.h"
 
 #define STOP_RETRY_MS 3000
 
-/* Whether the task is to be stopped and no request was sent recently. */
+/* Whether the task is to be stopped and no stop request was sent in the last STOP_RETRY_MS. */
 static gboolean
 is_due(const WsCore *core, const WsAssignment *assignment)
 {
--- a/src/scheduling/ws-stop-requests.h
+++ b/src/scheduling/ws-stop-requests.h
@@ -1,12 +1,13 @@
 /**
- * Requests to other nodes to stop preempted tasks on their machines. Private to scheduling.
+ * Requests to other nodes to stop tasks on the machines that they own. Private to scheduling.
  */
 #pragma once
 
 #include "scheduling/ws-scheduling.h"
 
 /**
- * Asks the owner of the machine to stop the tasks there that are to be stopped. Each request is
- * repeated every few seconds until the task has ended, so the function may be called at any time.
+ * Sends the machine's owner a request for each task there that is to be stopped. A request for a
+ * task is repeated at most every few seconds, so the function may be called at any time. Does
+ * nothing if this node owns the machine.
  */
 void ws_stop_requests_send(WsCore *core, const WsMachine *machine);
--- a/src/scheduling/ws-task-placement.c
+++ b/src/scheduling/ws-task-placement.c
@@ -1,4 +1,4 @@
-/* Placement of arrays and services: their tasks are placed one by one. */
+/* Placement of arrays and services: each task is placed on its own. */
 #include "scheduling/ws-task-placement.h"
 
 #include "scheduling/ws-candidates.h"
@@ -6,10 +6,10 @@
 #include "scheduling/ws-stop-requests.h"
 #include "commit/ws-commit.h"
 
-/* For critical jobs, tasks are preempted to avoid a fetch of the image that takes so long. */
+/* Critical jobs preempt tasks to avoid an image fetch that takes at least this long. */
 #define LONG_FETCH_S 3.0
 
-/* What became of a waiting task. */
+/* The result of placing a waiting task. */
 typedef enum {
   OUTCOME_PLACED,
   OUTCOME_FREEING, /* a slot for it is being freed by stopping other tasks */
@@ -22,7 +22,7 @@
   return ws_replica_machine(placement->core->replica, g_array_index(machines, WsMachineIndex, i));
 }
 
-/* Notes that a slot for one more task of the job is being freed on the machine. */
+/* Adds a slot on the machine that is being freed for the current job. */
 static void
 add_freeing_slot(WsPlacement *placement, WsMachineIndex machine)
 {
@@ -31,7 +31,7 @@
   g_hash_table_insert(placement->freeing_slots, key, GUINT_TO_POINTER(tasks + 1));
 }
 
-/* Reserves the slots that are being freed for the job, and clears the list of them. */
+/* Reserves the slots that are being freed for the job, and clears the table of them. */
 static void
 reserve_freeing_slots(WsPlacement *placement, const WsJob *job)
 {
@@ -49,8 +49,8 @@
   WsCore *core = placement->core;
   WsMachineCapacity *planned = ws_capacity_map_at(&placement->map, machine->index);
   WsMachineCapacity capacity = *planned;
-  g_info("job %s preempts tasks on %s", job->id, machine->name);
-  /* The candidate search has subtracted the task already. */
+  g_info("job %s: preempting less urgent tasks on machine %s", job->id, machine->name);
+  /* ws_candidates_take() has already subtracted the task. */
   ws_resources_add(&capacity.free, &job->spec->need, 1);
   ws_preempt(core, job, machine, &capacity);
   planned->freeing = capacity.freeing;
@@ -64,19 +64,20 @@
   return ws_candidates_would_fit(candidates, machine, freed);
 }
 
-/* Requests the owners of the machines to stop the victims of the team there. */
+/* Sends stop requests for the victims of the job's team to the owners of their machines. */
 static void
 stop_in_team(WsPlacement *placement, const WsJob *job, const GArray *machines)
 {
   for (guint i = 0; i < machines->len; i++) {
     const WsMachine *machine = machine_at(placement, machines, i);
-    g_info("job %s preempts a task of its team on %s", job->id, machine->name);
+    g_info("job %s: preempting a task of its own team on machine %s", job->id, machine->name);
     ws_stop_requests_send(placement->core, machine);
   }
 }
 
-/* Stops less urgent tasks of the job's own team that use up the team's limit, if the job can start
-   then. If no machine has a slot for it yet, one is rented first. */
+/* Stops less urgent tasks of the job's own team that use up the team's limit, if a task of the job
+   can start afterwards. If no machine would have a slot for it, adds a machine to the demand and
+   stops nothing yet. */
 static void
 preempt_in_team(WsPlacement *placement, WsCandidates *candidates, const WsJob *job)
 {
@@ -87,7 +88,7 @@
     slot = ws_candidates_peek(candidates, WS_SLOT_FREEING);
   WsTeamCapacity capacity = ws_preempt_in_team(core, job, &placement->team_use[job->team],
                                                slot != NULL, would_fit, candidates, machines);
-  if (slot == NULL && machines->len > 0) /* the first victim is on a machine that fits the job */
+  if (slot == NULL && machines->len > 0) /* stopping the first victim frees a slot for the job */
     slot = machine_at(placement, machines, 0);
   if (capacity == WS_TEAM_CAPACITY_FREEING)
     ws_reservations_renew(core, job, WS_NO_MACHINE, 1);
@@ -98,8 +99,8 @@
   stop_in_team(placement, job, machines);
 }
 
-/* Whether preemption is preferred to a fetch of the image: a user waits for a critical task, so it
-   isn't placed where the fetch takes long if a slot where the image is cached can be freed. */
+/* Whether preemption is preferred to an image fetch. Users wait for critical tasks, so these aren't
+   placed on a machine that needs a long fetch if a slot can be freed where the image is cached. */
 static gboolean
 prefers_cached_image(const WsPlacement *placement, const WsJob *job)
 {
@@ -107,7 +108,7 @@
          && ws_job_image_fetch_s(placement->core->replica, job) >= LONG_FETCH_S;
 }
 
-/* Takes a slot that is being freed, or otherwise frees one by preemption; FALSE: neither is
+/* Takes a slot that is being freed, or else frees one by preemption. Returns FALSE if neither is
    possible. */
 static gboolean
 take_freeing_slot(WsPlacement *placement, WsCandidates *candidates, const WsJob *job,
@@ -155,7 +156,7 @@
       break;
     }
     ws_placement_use_team(placement, job, 1);
-    /* If there is no slot for one task, there is none for the next one, which needs the same. */
+    /* All tasks of a job have the same needs: if one finds no slot, the next ones won't either. */
     Outcome outcome = without_slot == 0
                           ? place_task(placement, candidates, job, g_array_index(tasks, guint, i))
                           : OUTCOME_UNPLACED;
--- a/src/scheduling/ws-type-fit.c
+++ b/src/scheduling/ws-type-fit.c
@@ -1,4 +1,4 @@
-/* The smallest machine type of the cloud's catalog that a task fits. */
+/* The smallest machine type in the cloud's catalog that fits a task. */
 #include "scheduling/ws-type-fit.h"
 
 #include "storage/ws-constraints.h"
