--- a/src/scheduling/ws-candidates.c
+++ b/src/scheduling/ws-candidates.c
@@ -15,7 +15,7 @@
   double score;
   /* The machine no longer fits a task, was taken by preemption, or was taken for a service or a
      gang, which use another machine for each task as long as there is one. */
-  gboolean is_spent;
+  gboolean is_excluded;
 } Candidate;
 
 struct _WsCandidates {
@@ -52,7 +52,7 @@
 }
 
 static gboolean
-allows_zone(const WsCandidates *candidates, WsZoneIndex zone)
+job_allows_zone(const WsCandidates *candidates, WsZoneIndex zone)
 {
   return ws_constraints_allow_zone(candidates->job, candidates->tasks_by_zone,
                                    zone_count(candidates), zone);
@@ -80,7 +80,7 @@
 /* Whether the machine has capacity of the kind for one more task. A candidate for preemption always
    has, since the search has found enough victims on it. */
 static gboolean
-fits(const WsCandidates *candidates, WsSlotKind kind, WsMachineIndex machine)
+has_slot(const WsCandidates *candidates, WsSlotKind kind, WsMachineIndex machine)
 {
   const WsMachineCapacity *capacity = ws_capacity_map_at(candidates->map, machine);
   WsResources available = capacity->free;
@@ -94,7 +94,7 @@
 /* Whether a machine of the type can be requested in a zone that the job allows: rentals of the type
    aren't in back-off there. */
 static gboolean
-is_available(const WsCore *core, const WsJob *job, WsTypeIndex type)
+can_be_requested(const WsCore *core, const WsJob *job, WsTypeIndex type)
 {
   const WsReplica *replica = core->replica;
   for (char **name = ws_replica_type(replica, type)->zones; *name != NULL; name++) {
@@ -122,7 +122,7 @@
   for (WsTypeIndex t = 0; t < replica->catalog->len; t++) {
     const WsType *type = ws_replica_type(replica, t);
     if (ws_constraints_type_fits(job->spec, type) && left_s >= BOOT_TIME_FACTOR * type->boot_s
-        && is_available(core, job, t))
+        && can_be_requested(core, job, t))
       return TRUE;
   }
   return FALSE;
@@ -152,12 +152,12 @@
 
 /* Adds the machine if it is a candidate of the kind. */
 static void
-examine(WsCandidates *candidates, WsSlotKind kind, const WsMachine *machine)
+add_if_candidate(WsCandidates *candidates, WsSlotKind kind, const WsMachine *machine)
 {
   const WsJob *job = candidates->job;
   const WsCapacityMap *map = candidates->map;
   Candidate candidate = { machine->index, 0.0, FALSE };
-  if (!ws_candidates_is_eligible(candidates, machine) || !fits(candidates, kind, machine->index)
+  if (!ws_candidates_is_eligible(candidates, machine) || !has_slot(candidates, kind, machine->index)
       || (needs_cached_image(kind) && !ws_machine_has_image(machine, job->image)))
     return;
   if (is_by_preemption(kind)) {
@@ -189,7 +189,7 @@
 }
 
 static void
-search(WsCandidates *candidates, WsSlotKind kind)
+search_machines(WsCandidates *candidates, WsSlotKind kind)
 {
   WsCapacityMap *map = candidates->map;
   candidates->by_kind[kind] = g_array_new(FALSE, FALSE, sizeof(Candidate));
@@ -199,7 +199,8 @@
     ws_capacity_map_prune_open(map);
   const GArray *machines = machines_to_examine(map, kind);
   for (guint i = 0; i < machines->len; i++)
-    examine(candidates, kind, machine_at(candidates, g_array_index(machines, WsMachineIndex, i)));
+    add_if_candidate(candidates, kind,
+                     machine_at(candidates, g_array_index(machines, WsMachineIndex, i)));
   map->machines_examined += machines->len;
   g_array_sort(candidates->by_kind[kind], compare_by_score);
 }
@@ -225,44 +226,44 @@
   g_free(candidates);
 }
 
-/* Whether the candidate isn't spent. Marks it as spent if its machine no longer fits a task. */
+/* Whether the candidate isn't excluded. Excludes it if its machine no longer fits a task. */
 static gboolean
-is_left(const WsCandidates *candidates, WsSlotKind kind, Candidate *candidate)
+is_remaining(const WsCandidates *candidates, WsSlotKind kind, Candidate *candidate)
 {
-  if (!candidate->is_spent)
-    candidate->is_spent = !fits(candidates, kind, candidate->machine);
-  return !candidate->is_spent;
+  if (!candidate->is_excluded)
+    candidate->is_excluded = !has_slot(candidates, kind, candidate->machine);
+  return !candidate->is_excluded;
 }
 
 /* Whether both the restriction to one zone and the job's constraints allow a task in the zone. */
 static gboolean
-is_zone_possible(const WsCandidates *candidates, WsZoneIndex zone)
+may_place_in_zone(const WsCandidates *candidates, WsZoneIndex zone)
 {
   return (candidates->only_zone == WS_NO_ZONE || zone == candidates->only_zone)
-         && allows_zone(candidates, zone);
+         && job_allows_zone(candidates, zone);
 }
 
-/* Returns the best candidate that isn't spent, or NULL. The penalty of a zone depends on the
+/* Returns the best candidate that isn't excluded, or NULL. The penalty of a zone depends on the
    current number of the job's tasks there, so the best candidate of each zone is found first, and
    these are compared by score less penalty. */
 static Candidate *
-find_best_left(WsCandidates *candidates, WsSlotKind kind)
+find_best_remaining(WsCandidates *candidates, WsSlotKind kind)
 {
-  GArray *of_kind = candidates->by_kind[kind];
+  GArray *candidates_of_kind = candidates->by_kind[kind];
   guint zones = zone_count(candidates), zones_seen = 0;
   g_autofree gboolean *is_zone_seen = g_new0(gboolean, zones);
   Candidate *best = NULL;
   double best_score = 0.0;
-  for (guint i = 0; i < of_kind->len && zones_seen < zones; i++) {
-    Candidate *candidate = &g_array_index(of_kind, Candidate, i);
+  for (guint i = 0; i < candidates_of_kind->len && zones_seen < zones; i++) {
+    Candidate *candidate = &g_array_index(candidates_of_kind, Candidate, i);
     WsZoneIndex zone = machine_at(candidates, candidate->machine)->zone;
-    if (is_zone_seen[zone] || !is_left(candidates, kind, candidate))
+    if (is_zone_seen[zone] || !is_remaining(candidates, kind, candidate))
       continue;
     is_zone_seen[zone] = TRUE;
     zones_seen++;
     double score = candidate->score
                    - ws_placement_zone_penalty(candidates->job, candidates->tasks_by_zone[zone]);
-    if (!is_zone_possible(candidates, zone) || (best != NULL && score <= best_score))
+    if (!may_place_in_zone(candidates, zone) || (best != NULL && score <= best_score))
       continue;
     best = candidate;
     best_score = score;
@@ -273,29 +274,29 @@
 /* Makes the machines that were taken for a service or gang candidates again. Used when there is no
    other candidate. Returns whether any of these machines fits another task. */
 static gboolean
-reinstate_spent(WsCandidates *candidates, WsSlotKind kind)
+readmit_excluded(WsCandidates *candidates, WsSlotKind kind)
 {
-  gboolean has_reinstated = FALSE;
+  gboolean has_readmitted = FALSE;
   if (candidates->job->spec->kind == WS_KIND_ARRAY || is_by_preemption(kind))
     return FALSE;
   for (guint i = 0; i < candidates->by_kind[kind]->len; i++) {
     Candidate *candidate = &g_array_index(candidates->by_kind[kind], Candidate, i);
-    if (!candidate->is_spent || !fits(candidates, kind, candidate->machine))
+    if (!candidate->is_excluded || !has_slot(candidates, kind, candidate->machine))
       continue;
-    candidate->is_spent = FALSE;
-    has_reinstated = TRUE;
+    candidate->is_excluded = FALSE;
+    has_readmitted = TRUE;
   }
-  return has_reinstated;
+  return has_readmitted;
 }
 
 static Candidate *
 find_best(WsCandidates *candidates, WsSlotKind kind)
 {
   if (candidates->by_kind[kind] == NULL)
-    search(candidates, kind);
-  Candidate *best = find_best_left(candidates, kind);
-  if (best == NULL && reinstate_spent(candidates, kind))
-    best = find_best_left(candidates, kind);
+    search_machines(candidates, kind);
+  Candidate *best = find_best_remaining(candidates, kind);
+  if (best == NULL && readmit_excluded(candidates, kind))
+    best = find_best_remaining(candidates, kind);
   return best;
 }
 
@@ -330,7 +331,7 @@
   if (best == NULL)
     return NULL;
   WsMachine *machine = machine_at(candidates, best->machine);
-  best->is_spent = is_by_preemption(kind) || candidates->job->spec->kind != WS_KIND_ARRAY;
+  best->is_excluded = is_by_preemption(kind) || candidates->job->spec->kind != WS_KIND_ARRAY;
   allocate_task(candidates, machine);
   return machine;
 }
@@ -348,7 +349,7 @@
   const WsResources *need = &candidates->job->spec->need;
   const WsType *type = ws_replica_type(candidates->map->core->replica, machine->type);
   if (!ws_resources_fit(need, free) || ws_placement_blocks_accelerators(&type->capacity, free, need)
-      || !allows_zone(candidates, machine->zone))
+      || !job_allows_zone(candidates, machine->zone))
     return FALSE;
   allocate_task(candidates, machine);
   return TRUE;
@@ -371,5 +372,5 @@
   ws_resources_add(&available, freed, 1);
   return ws_candidates_is_eligible(candidates, machine)
          && ws_resources_fit(&candidates->job->spec->need, &available)
-         && allows_zone(candidates, machine->zone);
+         && job_allows_zone(candidates, machine->zone);
 }
--- a/src/scheduling/ws-capacity-map.c
+++ b/src/scheduling/ws-capacity-map.c
@@ -64,7 +64,7 @@
    aren't examined for each job: in a full cluster hundreds of jobs wait, and nearly every machine
    has a few free CPUs that are too few for any of them. */
 static void
-find_open_machines(WsCapacityMap *map)
+list_open_machines(WsCapacityMap *map)
 {
   for (WsMachineIndex i = 0; i < map->core->replica->machines->len; i++) {
     const WsMachineCapacity *capacity = ws_capacity_map_at(map, i);
@@ -105,7 +105,7 @@
       add_machine(map, machine);
   }
   ws_assignments_foreach_forwarded(core, subtract_forwarded, map);
-  find_open_machines(map);
+  list_open_machines(map);
   map->machines_examined = replica->machines->len;
   summarize_array_jobs(map);
 }
--- a/src/scheduling/ws-coordinator.c
+++ b/src/scheduling/ws-coordinator.c
@@ -64,7 +64,7 @@
 }
 
 static void
-on_escalated(WsCore *core, WsTxnResult result, gpointer data)
+on_escalation_finished(WsCore *core, WsTxnResult result, gpointer data)
 {
   (void)result;
   (void)data;
@@ -73,7 +73,7 @@
 }
 
 static gboolean
-must_escalate(const WsCore *core, const WsJob *job)
+is_escalation_due(const WsCore *core, const WsJob *job)
 {
   return job->state == WS_JOB_ACTIVE && job->coordinator == core->settings->self
          && job->status.unplaced_ms != 0
@@ -101,10 +101,10 @@
   for (guint i = 0;
        i < active->len && ws_txn_operation_count(txn) < MAX_ESCALATIONS_PER_TRANSACTION; i++) {
     const WsJob *job = g_ptr_array_index(active, i);
-    if (must_escalate(core, job))
+    if (is_escalation_due(core, job))
       add_escalation(core, txn, job);
   }
   core->plan->escalation_is_in_flight = ws_txn_operation_count(txn) > 0;
   if (core->plan->escalation_is_in_flight)
-    ws_txn_commit(core, g_steal_pointer(&txn), WS_REQUEST_TASK, on_escalated, NULL);
+    ws_txn_commit(core, g_steal_pointer(&txn), WS_REQUEST_TASK, on_escalation_finished, NULL);
 }
--- a/src/scheduling/ws-demand-choice.c
+++ b/src/scheduling/ws-demand-choice.c
@@ -71,7 +71,7 @@
 /* Returns the number of the job's tasks that fit the booting, requested and new machines in the
    zone. */
 static guint
-count_fitting(const WsDemand *demand, const WsJob *job, WsZoneIndex zone)
+count_fitting_tasks(const WsDemand *demand, const WsJob *job, WsZoneIndex zone)
 {
   guint count = 0;
   for (guint i = 0; i < demand->machines->len; i++) {
@@ -93,7 +93,7 @@
 find_zone_with_machines(const WsDemand *demand, const WsJob *job, guint tasks)
 {
   for (WsZoneIndex zone = 0; zone < demand->core->settings->zones->len; zone++)
-    if (ws_demand_allows_zone(demand, job, zone) && count_fitting(demand, job, zone) >= tasks)
+    if (ws_demand_allows_zone(demand, job, zone) && count_fitting_tasks(demand, job, zone) >= tasks)
       return zone;
   return WS_NO_ZONE;
 }
--- a/src/scheduling/ws-demand.c
+++ b/src/scheduling/ws-demand.c
@@ -21,7 +21,7 @@
 /* Adds a virtual machine with the capacity that the array tasks on the machine will free, divided
    by RUNNING_SLOT_DIVISOR. Only tasks that can wait use it. */
 static void
-add_running(WsDemand *demand, const WsMachine *machine)
+add_capacity_of_array_tasks(WsDemand *demand, const WsMachine *machine)
 {
   const WsReplica *replica = demand->core->replica;
   WsResources freed = { 0 };
@@ -66,7 +66,7 @@
     add_virtual(demand, WS_VIRTUAL_BOOTING, machine->type, machine->zone, machine->is_spot,
                 &ws_replica_type(core->replica, machine->type)->capacity);
   else if (ws_machine_is_up(core, machine))
-    add_running(demand, machine);
+    add_capacity_of_array_tasks(demand, machine);
 }
 
 WsDemand *
@@ -91,8 +91,8 @@
    free may be used only on machines of the smallest type that fits a task: larger machines are left
    to larger tasks. */
 static gboolean
-is_allowed(const WsDemand *demand, const WsJob *job, const WsVirtualMachine *machine,
-           gboolean can_wait, gint64 smallest_fitting_cpus)
+may_use_machine(const WsDemand *demand, const WsJob *job, const WsVirtualMachine *machine,
+                gboolean can_wait, gint64 smallest_fitting_cpus)
 {
   const WsType *type = ws_replica_type(demand->core->replica, machine->type);
   if ((machine->is_spot && !job->spec->allows_spot)
@@ -118,11 +118,11 @@
 fill_machines(WsDemand *demand, const WsJob *job, const WsResources *need, guint tasks)
 {
   gboolean can_wait = ws_demand_can_wait_for_running(demand, job);
-  gint64 smallest = ws_type_smallest_fitting_cpus(demand->core->replica, job->spec);
+  gint64 smallest_fitting_cpus = ws_type_smallest_fitting_cpus(demand->core->replica, job->spec);
   guint placed = 0;
   for (guint i = 0; i < demand->machines->len && placed < tasks; i++) {
     WsVirtualMachine *machine = ws_demand_machine(demand, i);
-    if (is_allowed(demand, job, machine, can_wait, smallest))
+    if (may_use_machine(demand, job, machine, can_wait, smallest_fitting_cpus))
       placed += subtract_tasks(&machine->free, need, tasks - placed);
   }
   return placed;
@@ -196,7 +196,7 @@
 }
 
 static gboolean
-is_same_kind(const WsVirtualMachine *first, const WsVirtualMachine *second)
+is_same_rental_kind(const WsVirtualMachine *first, const WsVirtualMachine *second)
 {
   return first->type == second->type && first->zone == second->zone
          && first->is_spot == second->is_spot;
@@ -205,13 +205,13 @@
 /* Requests all new machines that have the type, the zone and the price model (spot or on-demand) of
    the i-th one, which is the first of them. */
 static void
-request_kind(WsDemand *demand, guint i)
+request_rental_kind(WsDemand *demand, guint i)
 {
   const WsVirtualMachine *first = ws_demand_machine(demand, i);
   guint count = 0;
   for (guint k = i; k < demand->machines->len; k++) {
     WsVirtualMachine *machine = ws_demand_machine(demand, k);
-    if (machine->source != WS_VIRTUAL_NEW || !is_same_kind(first, machine))
+    if (machine->source != WS_VIRTUAL_NEW || !is_same_rental_kind(first, machine))
       continue;
     machine->source = WS_VIRTUAL_ORDERED;
     count++;
@@ -225,7 +225,7 @@
   add_headroom(demand);
   for (guint i = 0; i < demand->machines->len; i++)
     if (ws_demand_machine(demand, i)->source == WS_VIRTUAL_NEW)
-      request_kind(demand, i);
+      request_rental_kind(demand, i);
   ws_rentals_record_intents(demand->core);
   g_array_unref(demand->machines);
   g_free(demand->machines_by_zone);
--- a/src/scheduling/ws-gang-placement.c
+++ b/src/scheduling/ws-gang-placement.c
@@ -9,7 +9,7 @@
 
 /* A gang that has to fetch its image anyway is spread over this many machines, which fetch it in
    parallel. The gang starts no later, and later gangs find the image cached on more machines. */
-#define PARALLEL_FETCHES 6
+#define PARALLEL_IMAGE_FETCHES 6
 
 /* Takes a slot for each task. Each machine takes as many tasks as fit before the next machine is
    chosen, but at most @max_per_fetch if it has to fetch the image. Returns the machines of the
@@ -19,17 +19,17 @@
 {
   g_autoptr(GArray) machines = g_array_new(FALSE, FALSE, sizeof(WsMachineIndex));
   const WsMachine *machine = NULL;
-  guint left_here = 0;
+  guint tasks_left_here = 0;
   for (guint i = 0; i < tasks; i++) {
-    if (left_here == 0 || !ws_candidates_take_another(candidates, machine)) {
+    if (tasks_left_here == 0 || !ws_candidates_take_another(candidates, machine)) {
       machine = ws_candidates_take(candidates, WS_SLOT_FREE);
       if (machine == NULL) {
         ws_candidates_release(candidates, machines);
         return NULL;
       }
-      left_here = ws_machine_has_image(machine, job->image) ? tasks : max_per_fetch;
+      tasks_left_here = ws_machine_has_image(machine, job->image) ? tasks : max_per_fetch;
     }
-    left_here--;
+    tasks_left_here--;
     g_array_append_val(machines, machine->index);
   }
   return g_steal_pointer(&machines);
@@ -40,12 +40,12 @@
 typedef struct {
   guint fetches;  /* number of machines that have to fetch the image */
   guint machines; /* number of different machines */
-} Cost;
+} PlacementCost;
 
-static Cost
-cost_of(const WsCore *core, const WsJob *job, const GArray *machines)
+static PlacementCost
+placement_cost(const WsCore *core, const WsJob *job, const GArray *machines)
 {
-  Cost cost = { 0 };
+  PlacementCost cost = { 0 };
   for (guint i = 0; i < machines->len; i++) {
     WsMachineIndex index = g_array_index(machines, WsMachineIndex, i);
     gboolean is_first = i == 0 || g_array_index(machines, WsMachineIndex, i - 1) != index;
@@ -57,7 +57,7 @@
 }
 
 static gboolean
-is_cheaper(const Cost *first, const Cost *second)
+is_cheaper(const PlacementCost *first, const PlacementCost *second)
 {
   if (first->fetches != second->fetches)
     return first->fetches < second->fetches;
@@ -81,15 +81,16 @@
 }
 
 /* Returns machines for the tasks in the zone, or NULL if not all tasks fit. Uses as few machines as
-   possible if none of them has to fetch the image, and PARALLEL_FETCHES otherwise, if possible. */
+   possible if none of them has to fetch the image, and PARALLEL_IMAGE_FETCHES otherwise, if
+   possible. */
 static GArray *
 pack_or_spread(WsCapacityMap *map, const WsJob *job, guint tasks, const guint *tasks_by_zone,
                WsZoneIndex zone)
 {
   g_autoptr(GArray) packed = try_zone(map, job, tasks, tasks_by_zone, zone, tasks);
-  if (packed == NULL || cost_of(map->core, job, packed).fetches == 0)
+  if (packed == NULL || placement_cost(map->core, job, packed).fetches == 0)
     return g_steal_pointer(&packed);
-  guint max_per_fetch = (tasks + PARALLEL_FETCHES - 1) / PARALLEL_FETCHES;
+  guint max_per_fetch = (tasks + PARALLEL_IMAGE_FETCHES - 1) / PARALLEL_IMAGE_FETCHES;
   GArray *spread = try_zone(map, job, tasks, tasks_by_zone, zone, max_per_fetch);
   return spread != NULL ? spread : g_steal_pointer(&packed);
 }
@@ -99,15 +100,15 @@
 find_cheapest_zone(WsCapacityMap *map, const WsJob *job, guint tasks, const guint *tasks_by_zone)
 {
   WsZoneIndex best = WS_NO_ZONE;
-  Cost least = { 0 };
+  PlacementCost lowest_cost = { 0 };
   for (WsZoneIndex zone = 0; zone < map->core->settings->zones->len; zone++) {
     g_autoptr(GArray) machines = try_zone(map, job, tasks, tasks_by_zone, zone, tasks);
     if (machines == NULL)
       continue;
-    Cost cost = cost_of(map->core, job, machines);
-    if (best == WS_NO_ZONE || is_cheaper(&cost, &least)) {
+    PlacementCost cost = placement_cost(map->core, job, machines);
+    if (best == WS_NO_ZONE || is_cheaper(&cost, &lowest_cost)) {
       best = zone;
-      least = cost;
+      lowest_cost = cost;
     }
   }
   return best;
@@ -136,8 +137,8 @@
    it, on machines and within its team's limit, so that jobs later in the queue don't take the slots
    that become free. */
 static void
-gather_capacity(WsPlacement *placement, const WsJob *job, guint tasks, guint *tasks_by_zone,
-                gboolean team_allows)
+request_and_reserve_capacity(WsPlacement *placement, const WsJob *job, guint tasks,
+                             guint *tasks_by_zone, gboolean team_allows)
 {
   if (team_allows && placement->demand != NULL)
     ws_demand_add_gang(placement->demand, job, tasks);
@@ -163,7 +164,7 @@
     machines = find_machines(&placement->map, job, tasks->len, tasks_by_zone);
   ws_placement_note_unplaced(core, job, machines == NULL);
   if (machines == NULL) {
-    gather_capacity(placement, job, tasks->len, tasks_by_zone, team_allows);
+    request_and_reserve_capacity(placement, job, tasks->len, tasks_by_zone, team_allows);
     return;
   }
   ws_placement_use_team(placement, job, tasks->len);
--- a/src/scheduling/ws-gang.c
+++ b/src/scheduling/ws-gang.c
@@ -12,7 +12,7 @@
 
 /* Whether a halt would reach the machine now, from this node or through the machine's owner. */
 static gboolean
-is_reachable(const WsCore *core, const WsMachine *machine)
+is_machine_reachable(const WsCore *core, const WsMachine *machine)
 {
   if (ws_owns_machine(core, machine))
     return ws_worker_rpc_is_possible(core, machine)
@@ -22,13 +22,13 @@
 }
 
 static gboolean
-are_all_reachable(const WsCore *core, const WsJob *job)
+are_all_machines_reachable(const WsCore *core, const WsJob *job)
 {
   WsAssignmentIter iter;
   ws_assignment_iter_init(&iter, job);
   const WsAssignment *assignment;
   while ((assignment = ws_assignment_iter_next(&iter)) != NULL)
-    if (!is_reachable(core, ws_replica_machine(core->replica, assignment->machine)))
+    if (!is_machine_reachable(core, ws_replica_machine(core->replica, assignment->machine)))
       return FALSE;
   return TRUE;
 }
@@ -51,7 +51,7 @@
 static void
 stop_gang(WsCore *core, WsJob *job)
 {
-  if (!are_all_reachable(core, job))
+  if (!are_all_machines_reachable(core, job))
     return;
   g_info("gang %s: orderly stop before a drain, halting %u tasks", job->id, job->assigned_count);
   WsAssignmentIter iter;
@@ -71,7 +71,7 @@
 }
 
 static gboolean
-is_to_be_drained(const WsCore *core, const WsJob *job)
+has_draining_machine(const WsCore *core, const WsJob *job)
 {
   WsAssignmentIter iter;
   ws_assignment_iter_init(&iter, job);
@@ -110,7 +110,7 @@
 
 /* Halts or stops tasks as the phase of the current attempt requires. */
 static void
-advance(WsCore *core, WsJob *job)
+act_on_phase(WsCore *core, WsJob *job)
 {
   switch (ws_gang_phase(job)) {
   case WS_GANG_ENDING:
@@ -120,7 +120,7 @@
     retry_halts(core, job, FALSE);
     break;
   case WS_GANG_RUNNING:
-    if (is_to_be_drained(core, job))
+    if (has_draining_machine(core, job))
       stop_gang(core, job);
     break;
   case WS_GANG_WAITING:
@@ -137,6 +137,6 @@
     WsJob *job = g_ptr_array_index(core->replica->active_jobs, i);
     if (ws_job_is_gang(job) && job->assigned_count > 0 && job->state == WS_JOB_ACTIVE
         && !ws_cancellations_has(core, job))
-      advance(core, job);
+      act_on_phase(core, job);
   }
 }
--- a/src/scheduling/ws-placement-score.c
+++ b/src/scheduling/ws-placement-score.c
@@ -118,7 +118,7 @@
 
 /* Adds the terms for the tasks that are already on the machine to @score. */
 static double
-add_neighbours(double score, const WsPlacementScorer *scorer, const WsMachine *machine)
+add_colocated_tasks(double score, const WsPlacementScorer *scorer, const WsMachine *machine)
 {
   const WsReplica *replica = scorer->map->core->replica;
   const WsJob *job = scorer->job;
@@ -140,20 +140,20 @@
 {
   const WsJob *job = scorer->job;
   const WsType *type = ws_replica_type(scorer->map->core->replica, machine->type);
-  const WsMachineCapacity *here = ws_capacity_map_at(scorer->map, machine->index);
+  const WsMachineCapacity *machine_capacity = ws_capacity_map_at(scorer->map, machine->index);
   double score = ws_machine_has_image(machine, job->image) ? CACHED_IMAGE_WEIGHT : 0.0;
   if (job->spec->allows_spot && machine->is_spot)
     score += SPOT_WEIGHT;
   if (type->capacity.cpus > scorer->smallest_fitting_cpus)
     score -= OVERSIZED_TYPE_PENALTY;
-  if (ws_placement_blocks_accelerators(&type->capacity, &here->free, &job->spec->need))
+  if (ws_placement_blocks_accelerators(&type->capacity, &machine_capacity->free, &job->spec->need))
     score -= BLOCKED_ACCELERATORS_PENALTY;
-  if (job->spec->kind != WS_KIND_SERVICE && here->has_service)
+  if (job->spec->kind != WS_KIND_SERVICE && machine_capacity->has_service)
     score += BESIDE_SERVICE_WEIGHT;
   if (scorer->gang_images != NULL && !ws_machine_has_image(machine, job->image))
     score += gang_fetch_score(scorer, machine);
-  score = add_bin_packing(score, &type->capacity, &here->free);
-  return add_neighbours(score, scorer, machine);
+  score = add_bin_packing(score, &type->capacity, &machine_capacity->free);
+  return add_colocated_tasks(score, scorer, machine);
 }
 
 double
--- a/src/scheduling/ws-plan.c
+++ b/src/scheduling/ws-plan.c
@@ -14,10 +14,10 @@
 #include "store/ws-store.h"
 
 /* The minimum pause after a plan. */
-#define MIN_PAUSE_MS 100
+#define MIN_PLAN_PAUSE_MS 100
 /* The pause after a plan grows by 1 ms for this many examined machines, so that planning uses a
    small share of the CPU time at any cluster size. */
-#define MACHINES_EXAMINED_PER_PAUSE_MS 40
+#define MACHINES_EXAMINED_PER_PLAN_PAUSE_MS 40
 /* Bounds the cost of a plan when jobs have many thousands of tasks. It must not be much lower: if
    the first plan after a start leaves out waiting tasks, too few machines are rented. */
 #define MAX_TASKS_PER_PLAN 4000
@@ -57,7 +57,7 @@
 
 /* Whether this node has tasks to place. Usually it has none, and no plan is made. */
 static gboolean
-has_work(const WsCore *core)
+has_tasks_to_place(const WsCore *core)
 {
   for (guint i = 0; i < core->replica->active_jobs->len; i++) {
     const WsJob *job = g_ptr_array_index(core->replica->active_jobs, i);
@@ -130,12 +130,12 @@
   guint cost = placement.map.machines_examined;
   core->plan->machines_examined += cost;
   core->plan->plan_count++;
-  core->plan->next_ms = core->now + MIN_PAUSE_MS + cost / MACHINES_EXAMINED_PER_PAUSE_MS;
+  core->plan->next_ms = core->now + MIN_PLAN_PAUSE_MS + cost / MACHINES_EXAMINED_PER_PLAN_PAUSE_MS;
   ws_placement_finish(&placement);
 }
 
 static gboolean
-is_due(const WsCore *core)
+is_plan_due(const WsCore *core)
 {
   gint64 next_ms = core->plan->next_ms;
   return core->now >= next_ms
@@ -143,7 +143,7 @@
 }
 
 static gboolean
-is_possible(const WsCore *core)
+is_plan_possible(const WsCore *core)
 {
   return ws_is_active_member(core) && core->replica->catalog != NULL
          && ws_assignments_are_idle(core) && ws_store_is_available(core);
@@ -152,11 +152,11 @@
 void
 ws_plan_tick(WsCore *core)
 {
-  if (!is_due(core) || !is_possible(core))
+  if (!is_plan_due(core) || !is_plan_possible(core))
     return;
   core->replan_is_needed = FALSE;
-  core->plan->next_ms = core->now + MIN_PAUSE_MS;
-  if (ws_is_leader(core) || has_work(core))
+  core->plan->next_ms = core->now + MIN_PLAN_PAUSE_MS;
+  if (ws_is_leader(core) || has_tasks_to_place(core))
     make_plan(core);
   ws_coordinator_escalate(core);
 }
--- a/src/scheduling/ws-preempt.c
+++ b/src/scheduling/ws-preempt.c
@@ -11,7 +11,7 @@
 #define MAX_LOST_WORK_RATIO 2.0
 /* A job within its team's guarantee may stop a task of the same priority only if the task has run
    for less than this many milliseconds per second of its estimated run time. */
-#define MAX_LOST_RUN_MS_PER_S 500.0
+#define MAX_LOST_MS_PER_ESTIMATED_S 500.0
 /* The cost if there are too few victims on the machine. */
 #define IMPOSSIBLE_COST_S (-1.0)
 /* The fixed cost of each stop, in addition to the lost work. */
@@ -32,7 +32,7 @@
    for its start aren't stopped again, since a steady flow of more urgent jobs could otherwise keep
    the job from ever making progress. */
 static gboolean
-is_protected_start(const WsCore *core, const WsJob *victim, guint victim_tasks)
+is_protected_from_preemption(const WsCore *core, const WsJob *victim, guint victim_tasks)
 {
   return core->wall - victim->accepted_ms > (gint64)(WS_QUEUE_MAX_START_DELAY_S * 1000.0)
          && victim->completed_count == 0 && victim_tasks <= ws_queue_protected_tasks(victim);
@@ -43,7 +43,8 @@
 {
   if (victim->state != WS_JOB_ACTIVE || victim->spec->kind != WS_KIND_ARRAY)
     return FALSE;
-  if (job->spec->priority != WS_CRITICAL && is_protected_start(core, victim, victim_tasks))
+  if (job->spec->priority != WS_CRITICAL
+      && is_protected_from_preemption(core, victim, victim_tasks))
     return FALSE;
   /* The queue orders jobs by guarantee before priority. If a job stopped tasks of a job that is
      ahead of it in the queue, the freed slot would be assigned to those tasks again, and neither
@@ -82,21 +83,21 @@
 /* Whether the gain outweighs the lost work. A job that preempts because of its guarantee doesn't
    stop a task of the same priority that is half done, since that slot will be free soon. */
 static gboolean
-is_worthwhile(const WsCore *core, const WsJob *job, const WsJob *victim,
-              const WsAssignment *assignment)
+is_preemption_worthwhile(const WsCore *core, const WsJob *job, const WsJob *victim,
+                         const WsAssignment *assignment)
 {
   if (job->spec->priority < victim->spec->priority)
     return job->spec->priority == WS_CRITICAL || is_loss_acceptable(core, job, victim, assignment);
   return (double)(core->wall - assignment->assigned_ms)
-         < MAX_LOST_RUN_MS_PER_S * victim->spec->estimate_s;
+         < MAX_LOST_MS_PER_ESTIMATED_S * victim->spec->estimate_s;
 }
 
 /* Returns the cheapest victim on the machine that isn't being stopped yet, or NULL. The cheapest
-   one is the task that was assigned last; only tasks assigned before @younger_than_ms are
+   one is the task that was assigned last; only tasks assigned before @assigned_before_ms are
    considered. Sets @victim_job to the job of the victim. */
 static WsAssignment *
 find_cheapest_victim(const WsCore *core, const WsJob *job, const WsMachine *machine,
-                     gint64 younger_than_ms, WsJob **victim_job)
+                     gint64 assigned_before_ms, WsJob **victim_job)
 {
   WsAssignment *best = NULL;
   for (guint i = 0; i < machine->tasks->len; i++) {
@@ -104,8 +105,8 @@
     WsJob *victim = ws_replica_job(core->replica, ref->job);
     WsAssignment *assignment = ws_job_assignment(victim, ref->task);
     if (assignment == NULL || assignment->is_stop_requested
-        || assignment->assigned_ms >= younger_than_ms || !ws_preempt_allowed(core, job, victim)
-        || !is_worthwhile(core, job, victim, assignment))
+        || assignment->assigned_ms >= assigned_before_ms || !ws_preempt_allowed(core, job, victim)
+        || !is_preemption_worthwhile(core, job, victim, assignment))
       continue;
     if (best == NULL || assignment->assigned_ms > best->assigned_ms) {
       best = assignment;
@@ -121,15 +122,15 @@
 {
   WsResources available = capacity->free;
   double cost = 0.0;
-  gint64 younger_than_ms = G_MAXINT64;
+  gint64 assigned_before_ms = G_MAXINT64;
   ws_resources_add(&available, &capacity->freeing, 1);
   while (!ws_resources_fit(&job->spec->need, &available)) {
     WsJob *victim = NULL;
     const WsAssignment *assignment
-        = find_cheapest_victim(core, job, machine, younger_than_ms, &victim);
+        = find_cheapest_victim(core, job, machine, assigned_before_ms, &victim);
     if (assignment == NULL)
       return IMPOSSIBLE_COST_S;
-    younger_than_ms = assignment->assigned_ms;
+    assigned_before_ms = assignment->assigned_ms;
     ws_resources_add(&available, &victim->spec->need, 1);
     cost += STOP_COST_S + (double)(core->wall - assignment->assigned_ms) / 1000.0;
   }
--- a/src/scheduling/ws-queue.c
+++ b/src/scheduling/ws-queue.c
@@ -14,8 +14,8 @@
 #define WORK_CREDIT_PER_WAITED_S 5.0
 /* A job that has waited for both this time and this multiple of its time limit is no longer
    classified as late. */
-#define MAX_LATE_S 150.0
-#define MAX_LATE_FACTOR 2.0
+#define MAX_LATE_WAIT_S 150.0
+#define MAX_LATE_WAIT_FACTOR 2.0
 /* One task of each job is protected, and one more for every this many tasks. */
 #define TASKS_PER_PROTECTED_TASK 8
 
@@ -78,7 +78,8 @@
   guint tasks_left = job->tasks - job->completed_count;
   double end_s
       = waited_s(core, job) + OPTIMISTIC_RUN_TIME_SHARE * min_duration_s(core, job, tasks_left);
-  if (allowed_s < 0.0 || waited_s(core, job) >= MAX(MAX_LATE_S, MAX_LATE_FACTOR * allowed_s))
+  if (allowed_s < 0.0
+      || waited_s(core, job) >= MAX(MAX_LATE_WAIT_S, MAX_LATE_WAIT_FACTOR * allowed_s))
     return WS_ON_TIME;
   if (end_s <= allowed_s)
     return WS_ON_TIME;
@@ -101,7 +102,7 @@
 /* Records for each job whether it is within its team's guarantee: the job and all older open jobs
    of the team together need no more than is guaranteed. */
 static void
-note_guarantees(const WsCore *core, const GArray *entries_by_age)
+record_guarantees(const WsCore *core, const GArray *entries_by_age)
 {
   const GPtrArray *teams = core->settings->teams;
   g_autofree WsResources *sums = g_new0(WsResources, MAX(teams->len, 1u));
@@ -162,7 +163,7 @@
 ws_queue_jobs(const WsCore *core)
 {
   GArray *entries = collect_open_jobs(core);
-  note_guarantees(core, entries);
+  record_guarantees(core, entries);
   g_array_sort(entries, compare_by_urgency);
   return entries;
 }
--- a/src/scheduling/ws-reservations.c
+++ b/src/scheduling/ws-reservations.c
@@ -9,10 +9,10 @@
 
 /* A reservation expires this long after its last renewal. Must be longer than it takes to request,
    carry out, report and record a stop, including a retry of the request. */
-#define LIFETIME_MS 5000
+#define RESERVATION_LIFETIME_MS 5000
 /* A reservation is renewed only if its last renewal is at least this old, so that not every plan
    sends a message to the leader. */
-#define RENEWAL_AGE_MS 1500
+#define RESERVATION_RENEWAL_AGE_MS 1500
 
 /* Capacity reserved for tasks of one job, on one machine or within its team's limit. */
 typedef struct {
@@ -79,9 +79,10 @@
 {
   drop_expired(core);
   Reservation *entry = find_entry(core, job->index, machine);
-  gboolean is_fresh = entry != NULL && entry->tasks == tasks
-                      && entry->expiry_ms - core->now > LIFETIME_MS - RENEWAL_AGE_MS;
-  if (is_fresh)
+  gboolean was_renewed_recently
+      = entry != NULL && entry->tasks == tasks
+        && entry->expiry_ms - core->now > RESERVATION_LIFETIME_MS - RESERVATION_RENEWAL_AGE_MS;
+  if (was_renewed_recently)
     return;
   if (entry == NULL) {
     Reservation added = { .job = job->index, .machine = machine };
@@ -89,7 +90,7 @@
     entry = find_entry(core, job->index, machine);
   }
   entry->tasks = tasks;
-  entry->expiry_ms = core->now + LIFETIME_MS;
+  entry->expiry_ms = core->now + RESERVATION_LIFETIME_MS;
   if (!ws_is_leader(core))
     ws_peer_request_reservation(core, job, machine, tasks);
 }
@@ -154,11 +155,11 @@
     guint tasks = count_reserved_tasks(core, entry, job, assigned_tasks);
     if (tasks == 0)
       continue;
-    const WsJob *urgent = ws_replica_job(core->replica, entry->job);
+    const WsJob *reserving_job = ws_replica_job(core->replica, entry->job);
     if (entry->machine == machine)
-      ws_resources_add(&reserved_on_machine, &urgent->spec->need, tasks);
-    else if (entry->machine == WS_NO_MACHINE && urgent->team == job->team)
-      ws_resources_add(&use, &urgent->spec->need, tasks);
+      ws_resources_add(&reserved_on_machine, &reserving_job->spec->need, tasks);
+    else if (entry->machine == WS_NO_MACHINE && reserving_job->team == job->team)
+      ws_resources_add(&use, &reserving_job->spec->need, tasks);
   }
   return ws_resources_fit(&reserved_on_machine, machine_free)
          && ws_team_has_capacity(core->settings, job->team, &use, &nothing);
--- a/src/scheduling/ws-stop-requests.c
+++ b/src/scheduling/ws-stop-requests.c
@@ -7,7 +7,7 @@
 
 /* Whether the task is to be stopped and no stop request was sent in the last STOP_RETRY_MS. */
 static gboolean
-is_due(const WsCore *core, const WsAssignment *assignment)
+is_stop_request_due(const WsCore *core, const WsAssignment *assignment)
 {
   if (assignment == NULL || !assignment->is_stop_requested)
     return FALSE;
@@ -24,7 +24,7 @@
     const WsTaskRef *ref = &g_array_index(machine->tasks, WsTaskRef, i);
     const WsJob *victim = ws_replica_job(core->replica, ref->job);
     WsAssignment *assignment = ws_job_assignment(victim, ref->task);
-    if (!is_due(core, assignment))
+    if (!is_stop_request_due(core, assignment))
       continue;
     assignment->stop_forwarded_ms = core->now;
     ws_peer_request_stop(core, machine->owner, victim, assignment);
--- a/src/scheduling/ws-task-placement.c
+++ b/src/scheduling/ws-task-placement.c
@@ -14,7 +14,7 @@
   OUTCOME_PLACED,
   OUTCOME_FREEING, /* a slot for it is being freed by stopping other tasks */
   OUTCOME_UNPLACED /* no machine has a slot for it */
-} Outcome;
+} PlacementOutcome;
 
 static WsMachine *
 machine_at(const WsPlacement *placement, const GArray *machines, guint i)
@@ -44,7 +44,7 @@
 }
 
 static void
-preempt_on(WsPlacement *placement, const WsJob *job, WsMachine *machine)
+preempt_on_machine(WsPlacement *placement, const WsJob *job, WsMachine *machine)
 {
   WsCore *core = placement->core;
   WsMachineCapacity *planned = ws_capacity_map_at(&placement->map, machine->index);
@@ -66,7 +66,7 @@
 
 /* Sends stop requests for the victims of the job's team to the owners of their machines. */
 static void
-stop_in_team(WsPlacement *placement, const WsJob *job, const GArray *machines)
+request_team_stops(WsPlacement *placement, const WsJob *job, const GArray *machines)
 {
   for (guint i = 0; i < machines->len; i++) {
     const WsMachine *machine = machine_at(placement, machines, i);
@@ -79,7 +79,7 @@
    can start afterwards. If no machine would have a slot for it, adds a machine to the demand and
    stops nothing yet. */
 static void
-preempt_in_team(WsPlacement *placement, WsCandidates *candidates, const WsJob *job)
+preempt_in_own_team(WsPlacement *placement, WsCandidates *candidates, const WsJob *job)
 {
   WsCore *core = placement->core;
   g_autoptr(GArray) machines = g_array_new(FALSE, FALSE, sizeof(WsMachineIndex));
@@ -96,7 +96,7 @@
     add_freeing_slot(placement, slot->index);
   if (capacity == WS_TEAM_NO_SLOT && placement->demand != NULL)
     ws_demand_add(placement->demand, job, 1);
-  stop_in_team(placement, job, machines);
+  request_team_stops(placement, job, machines);
 }
 
 /* Whether preemption is preferred to an image fetch. Users wait for critical tasks, so these aren't
@@ -118,14 +118,14 @@
   if (machine == NULL) {
     machine = ws_candidates_take(candidates, by_preemption);
     if (machine != NULL)
-      preempt_on(placement, job, machine);
+      preempt_on_machine(placement, job, machine);
   }
   if (machine != NULL)
     add_freeing_slot(placement, machine->index);
   return machine != NULL;
 }
 
-static Outcome
+static PlacementOutcome
 place_task(WsPlacement *placement, WsCandidates *candidates, const WsJob *job, guint task)
 {
   const WsMachine *machine = ws_candidates_peek(candidates, WS_SLOT_FREE);
@@ -149,22 +149,22 @@
                         guint *tasks_by_zone)
 {
   g_autoptr(WsCandidates) candidates = ws_candidates_new(&placement->map, job, tasks_by_zone);
-  guint waiting = 0, without_slot = 0;
+  guint still_waiting = 0, without_slot = 0;
   for (guint i = 0; i < tasks->len; i++) {
     if (!ws_placement_team_allows(placement, job, 1)) {
-      preempt_in_team(placement, candidates, job);
+      preempt_in_own_team(placement, candidates, job);
       break;
     }
     ws_placement_use_team(placement, job, 1);
     /* All tasks of a job have the same needs: if one finds no slot, the next ones won't either. */
-    Outcome outcome = without_slot == 0
-                          ? place_task(placement, candidates, job, g_array_index(tasks, guint, i))
-                          : OUTCOME_UNPLACED;
-    waiting += outcome != OUTCOME_PLACED ? 1 : 0;
+    PlacementOutcome outcome
+        = without_slot == 0 ? place_task(placement, candidates, job, g_array_index(tasks, guint, i))
+                            : OUTCOME_UNPLACED;
+    still_waiting += outcome != OUTCOME_PLACED ? 1 : 0;
     without_slot += outcome == OUTCOME_UNPLACED ? 1 : 0;
   }
   if (placement->demand != NULL && without_slot > 0)
     ws_demand_add(placement->demand, job, without_slot);
   reserve_freeing_slots(placement, job);
-  ws_placement_note_unplaced(placement->core, job, waiting > 0);
+  ws_placement_note_unplaced(placement->core, job, still_waiting > 0);
 }
