--- a/src/scheduling/ws-candidates.c
+++ b/src/scheduling/ws-candidates.c
@@ -36,7 +36,7 @@
 static gboolean
 needs_cached_image(WsSlotKind kind)
 {
-  return kind == WS_SLOT_WITH_IMAGE || kind == WS_SLOT_BY_PREEMPTION_WITH_IMAGE;
+  return kind == WS_SLOT_FREEING_WITH_IMAGE || kind == WS_SLOT_BY_PREEMPTION_WITH_IMAGE;
 }
 
 static WsMachine *
@@ -131,8 +131,8 @@
 static gboolean
 may_have_victims(const WsCapacityMap *map, const WsJob *job)
 {
-  return (guint)job->spec->priority < map->lowest_priority
-         || (job->status.is_guaranteed && map->has_unguaranteed);
+  return (guint)job->spec->priority < map->lowest_array_priority
+         || (job->status.is_guaranteed && map->has_unguaranteed_arrays);
 }
 
 /* Whether to search for victims for the job. A plan searches for every critical job, and for the
@@ -185,7 +185,7 @@
 {
   if (kind == WS_SLOT_FREE)
     return map->open;
-  return is_by_preemption(kind) ? map->with_arrays : map->freeing;
+  return is_by_preemption(kind) ? map->machines_with_arrays : map->freeing;
 }
 
 static void
@@ -343,7 +343,7 @@
 }
 
 gboolean
-ws_candidates_take_another(WsCandidates *candidates, const WsMachine *machine)
+ws_candidates_take_on_machine(WsCandidates *candidates, const WsMachine *machine)
 {
   const WsResources *free = &ws_capacity_map_at(candidates->map, machine->index)->free;
   const WsResources *need = &candidates->job->spec->need;
--- a/src/scheduling/ws-candidates.h
+++ b/src/scheduling/ws-candidates.h
@@ -10,10 +10,10 @@
 
 /** When and how a machine has capacity for the task. */
 typedef enum {
-  WS_SLOT_FREE,          /**< now */
-  WS_SLOT_FREEING,       /**< now, or once the tasks that are being stopped there have ended */
-  WS_SLOT_WITH_IMAGE,    /**< as WS_SLOT_FREEING, with the job's image cached on the machine */
-  WS_SLOT_BY_PREEMPTION, /**< once less urgent tasks there are stopped */
+  WS_SLOT_FREE,               /**< now */
+  WS_SLOT_FREEING,            /**< now, or once the tasks that are being stopped there have ended */
+  WS_SLOT_FREEING_WITH_IMAGE, /**< as WS_SLOT_FREEING, with the job's image cached on the machine */
+  WS_SLOT_BY_PREEMPTION,      /**< once less urgent tasks there are stopped */
   WS_SLOT_BY_PREEMPTION_WITH_IMAGE, /**< as WS_SLOT_BY_PREEMPTION, with the job's image cached */
   WS_SLOT_KINDS
 } WsSlotKind;
@@ -53,7 +53,7 @@
  * Returns FALSE if the task doesn't fit, if it would block the machine's free accelerators, or if
  * the job allows no further task in the machine's zone.
  */
-gboolean ws_candidates_take_another(WsCandidates *candidates, const WsMachine *machine);
+gboolean ws_candidates_take_on_machine(WsCandidates *candidates, const WsMachine *machine);
 
 /**
  * Gives the capacity for one task back to the map on each machine in @machines (of WsMachineIndex).
--- a/src/scheduling/ws-capacity-map.h
+++ b/src/scheduling/ws-capacity-map.h
@@ -19,15 +19,15 @@
 /** The capacity of all machines, with lists of the machines that a plan has to examine. */
 typedef struct {
   WsCore *core;
-  WsMachineCapacity *machines; /**< by machine index */
-  WsResources min_need;        /**< every waiting task needs at least this much */
-  GArray *open;                /**< of WsMachineIndex: machines with at least min_need free */
-  GArray *freeing;             /**< of WsMachineIndex: machines where a task is being stopped */
-  GArray *with_arrays;         /**< of WsMachineIndex: machines with tasks of array jobs */
-  guint lowest_priority;       /**< lowest priority of the array jobs with assigned tasks */
-  gboolean has_unguaranteed;   /**< whether one of these jobs is outside its team's guarantee */
-  guint machines_examined;     /**< by this plan so far, a measure of its cost */
-  guint victim_searches_left;  /**< number of non-critical jobs that may still search for victims */
+  WsMachineCapacity *machines;  /**< by machine index */
+  WsResources min_need;         /**< every waiting task needs at least this much */
+  GArray *open;                 /**< of WsMachineIndex: machines with at least min_need free */
+  GArray *freeing;              /**< of WsMachineIndex: machines where a task is being stopped */
+  GArray *machines_with_arrays; /**< of WsMachineIndex: machines with tasks of array jobs */
+  guint lowest_array_priority;  /**< lowest priority of the array jobs with assigned tasks */
+  gboolean has_unguaranteed_arrays; /**< whether one of them is outside its team's guarantee */
+  guint machines_examined;          /**< by this plan so far, a measure of its cost */
+  guint victim_searches_left; /**< number of non-critical jobs that may still search for victims */
 } WsCapacityMap;
 
 /** Builds the map. @min_need: the smallest need of any task to be placed, by resource */
--- a/src/scheduling/ws-coordinator.c
+++ b/src/scheduling/ws-coordinator.c
@@ -12,7 +12,7 @@
 #define MAX_ESCALATIONS_PER_TRANSACTION 4
 
 WsNodeIndex
-ws_coordinator_acting(const WsReplica *replica, const WsJob *job)
+ws_coordinator_current(const WsReplica *replica, const WsJob *job)
 {
   return job->coordinator != WS_NO_NODE && ws_epoch_has_node(&replica->epoch, job->coordinator)
              ? job->coordinator
--- a/src/scheduling/ws-coordinator.h
+++ b/src/scheduling/ws-coordinator.h
@@ -11,7 +11,7 @@
 #include "scheduling/ws-scheduling.h"
 
 /** Returns the node that plans the job in the current epoch: coordinating node or leader. */
-WsNodeIndex ws_coordinator_acting(const WsReplica *replica, const WsJob *job);
+WsNodeIndex ws_coordinator_current(const WsReplica *replica, const WsJob *job);
 
 /** Passes the jobs of this node that haven't fitted its shard for a while to the leader. */
 void ws_coordinator_escalate(WsCore *core);
--- a/src/scheduling/ws-demand-choice.c
+++ b/src/scheduling/ws-demand-choice.c
@@ -75,7 +75,7 @@
 {
   guint count = 0;
   for (guint i = 0; i < demand->machines->len; i++) {
-    const WsVirtualMachine *machine = ws_demand_machine(demand, i);
+    const WsVirtualMachine *machine = ws_demand_machine_at(demand, i);
     const WsType *type = ws_replica_type(demand->core->replica, machine->type);
     if (machine->source == WS_VIRTUAL_RUNNING || machine->zone != zone
         || (machine->is_spot && !job->spec->allows_spot)
--- a/src/scheduling/ws-demand-private.h
+++ b/src/scheduling/ws-demand-private.h
@@ -8,10 +8,10 @@
 
 /** Where the capacity of a virtual machine comes from. */
 typedef enum {
-  WS_VIRTUAL_BOOTING, /**< a machine that is booting */
-  WS_VIRTUAL_ORDERED, /**< a machine that is requested: a rental intent exists or is being made */
-  WS_VIRTUAL_RUNNING, /**< a running machine whose array tasks will end */
-  WS_VIRTUAL_NEW      /**< a machine that this demand is to request */
+  WS_VIRTUAL_BOOTING,   /**< a machine that is booting */
+  WS_VIRTUAL_REQUESTED, /**< a machine that is requested: a rental intent exists or is being made */
+  WS_VIRTUAL_RUNNING,   /**< a running machine whose array tasks will end */
+  WS_VIRTUAL_NEW        /**< a machine that this demand is to request */
 } WsVirtualSource;
 
 /** Future capacity on one machine: the machine isn't up yet, or the capacity is still in use. */
@@ -33,7 +33,7 @@
 
 /** Returns the i-th virtual machine, from 0 on. It is valid until the next one is added. */
 static inline WsVirtualMachine *
-ws_demand_machine(const WsDemand *demand, guint i)
+ws_demand_machine_at(const WsDemand *demand, guint i)
 {
   return &g_array_index(demand->machines, WsVirtualMachine, i);
 }
@@ -47,13 +47,13 @@
  * Returns the resources that the demand plans for one task of the job on a virtual machine. This is
  * less than the task needs if several tasks can run there one after another and finish in time.
  */
-WsResources ws_demand_share(const WsDemand *demand, const WsJob *job);
+WsResources ws_demand_amortized_need(const WsDemand *demand, const WsJob *job);
 
 /** Returns the number of slots to request for @tasks waiting tasks: more for critical jobs. */
-guint ws_demand_with_spares(const WsDemand *demand, const WsJob *job, guint tasks);
+guint ws_demand_count_slots_wanted(const WsDemand *demand, const WsJob *job, guint tasks);
 
 /** Returns whether the job can wait for capacity that running tasks will free. */
-gboolean ws_demand_can_wait_for_running(const WsDemand *demand, const WsJob *job);
+gboolean ws_demand_can_wait_for_running_tasks(const WsDemand *demand, const WsJob *job);
 
 /* ws-demand-choice.c: the type and the zone of the machines to rent. */
 
--- a/src/scheduling/ws-demand-sizing.c
+++ b/src/scheduling/ws-demand-sizing.c
@@ -52,7 +52,7 @@
 }
 
 guint
-ws_demand_with_spares(const WsDemand *demand, const WsJob *job, guint tasks)
+ws_demand_count_slots_wanted(const WsDemand *demand, const WsJob *job, guint tasks)
 {
   if (job->spec->priority != WS_CRITICAL)
     return tasks;
@@ -62,7 +62,7 @@
 }
 
 WsResources
-ws_demand_share(const WsDemand *demand, const WsJob *job)
+ws_demand_amortized_need(const WsDemand *demand, const WsJob *job)
 {
   WsResources need = job->spec->need;
   if (job->spec->kind != WS_KIND_ARRAY)
@@ -76,7 +76,7 @@
 }
 
 gboolean
-ws_demand_can_wait_for_running(const WsDemand *demand, const WsJob *job)
+ws_demand_can_wait_for_running_tasks(const WsDemand *demand, const WsJob *job)
 {
   if (job->spec->kind != WS_KIND_ARRAY)
     return FALSE;
--- a/src/scheduling/ws-demand.c
+++ b/src/scheduling/ws-demand.c
@@ -39,7 +39,7 @@
 
 /* Adds the machines of the rental intents that the cloud hasn't confirmed yet. */
 static void
-add_ordered(WsDemand *demand)
+add_requested(WsDemand *demand)
 {
   const WsReplica *replica = demand->core->replica;
   for (guint i = 0; i < replica->rental_intents->len; i++) {
@@ -49,7 +49,7 @@
     if (type == WS_NO_TYPE || zone == WS_NO_ZONE)
       continue;
     for (guint n = 0; n < rental->count; n++)
-      add_virtual(demand, WS_VIRTUAL_ORDERED, type, zone, rental->is_spot,
+      add_virtual(demand, WS_VIRTUAL_REQUESTED, type, zone, rental->is_spot,
                   &ws_replica_type(replica, type)->capacity);
   }
 }
@@ -83,7 +83,7 @@
     if (machine->is_recorded && machine->type != WS_NO_TYPE && machine->zone != WS_NO_ZONE)
       add_machine(demand, machine);
   }
-  add_ordered(demand);
+  add_requested(demand);
   return demand;
 }
 
@@ -117,11 +117,11 @@
 static guint
 fill_machines(WsDemand *demand, const WsJob *job, const WsResources *need, guint tasks)
 {
-  gboolean can_wait = ws_demand_can_wait_for_running(demand, job);
+  gboolean can_wait = ws_demand_can_wait_for_running_tasks(demand, job);
   gint64 smallest_fitting_cpus = ws_type_smallest_fitting_cpus(demand->core->replica, job->spec);
   guint placed = 0;
   for (guint i = 0; i < demand->machines->len && placed < tasks; i++) {
-    WsVirtualMachine *machine = ws_demand_machine(demand, i);
+    WsVirtualMachine *machine = ws_demand_machine_at(demand, i);
     if (may_use_machine(demand, job, machine, can_wait, smallest_fitting_cpus))
       placed += subtract_tasks(&machine->free, need, tasks - placed);
   }
@@ -131,8 +131,8 @@
 void
 ws_demand_add(WsDemand *demand, const WsJob *job, guint tasks)
 {
-  WsResources need = ws_demand_share(demand, job);
-  guint wanted = ws_demand_with_spares(demand, job, tasks);
+  WsResources need = ws_demand_amortized_need(demand, job);
+  guint wanted = ws_demand_count_slots_wanted(demand, job, tasks);
   guint left = wanted - fill_machines(demand, job, &need, wanted);
   while (left > 0) {
     guint added = demand->machines->len;
@@ -141,7 +141,7 @@
       return;
     left--;
     /* Place as many of the other tasks on the new machine as fit. */
-    left -= subtract_tasks(&ws_demand_machine(demand, added)->free, &need, left);
+    left -= subtract_tasks(&ws_demand_machine_at(demand, added)->free, &need, left);
   }
 }
 
@@ -163,7 +163,7 @@
 fill_new_machine(WsDemand *demand, const WsJob *job)
 {
   for (guint i = 0; i < demand->machines->len; i++) {
-    WsVirtualMachine *machine = ws_demand_machine(demand, i);
+    WsVirtualMachine *machine = ws_demand_machine_at(demand, i);
     if (machine->source != WS_VIRTUAL_NEW || machine->is_spot
         || !ws_resources_fit(&job->spec->need, &machine->free))
       continue;
@@ -185,8 +185,8 @@
   guint wanted = core->properties->headroom_tasks;
   guint slots = ws_headroom_count_slots(core, &job->spec->need, NULL);
   for (guint i = 0; i < demand->machines->len && slots < wanted; i++) {
-    WsVirtualMachine *machine = ws_demand_machine(demand, i);
-    if (machine->source == WS_VIRTUAL_ORDERED && !machine->is_spot)
+    WsVirtualMachine *machine = ws_demand_machine_at(demand, i);
+    if (machine->source == WS_VIRTUAL_REQUESTED && !machine->is_spot)
       slots += subtract_tasks(&machine->free, &job->spec->need, G_MAXUINT);
   }
   for (; slots < wanted; slots++)
@@ -207,13 +207,13 @@
 static void
 request_rental_kind(WsDemand *demand, guint i)
 {
-  const WsVirtualMachine *first = ws_demand_machine(demand, i);
+  const WsVirtualMachine *first = ws_demand_machine_at(demand, i);
   guint count = 0;
   for (guint k = i; k < demand->machines->len; k++) {
-    WsVirtualMachine *machine = ws_demand_machine(demand, k);
+    WsVirtualMachine *machine = ws_demand_machine_at(demand, k);
     if (machine->source != WS_VIRTUAL_NEW || !is_same_rental_kind(first, machine))
       continue;
-    machine->source = WS_VIRTUAL_ORDERED;
+    machine->source = WS_VIRTUAL_REQUESTED;
     count++;
   }
   ws_rentals_request(demand->core, first->type, first->zone, first->is_spot, count);
@@ -224,7 +224,7 @@
 {
   add_headroom(demand);
   for (guint i = 0; i < demand->machines->len; i++)
-    if (ws_demand_machine(demand, i)->source == WS_VIRTUAL_NEW)
+    if (ws_demand_machine_at(demand, i)->source == WS_VIRTUAL_NEW)
       request_rental_kind(demand, i);
   ws_rentals_record_intents(demand->core);
   g_array_unref(demand->machines);
--- a/src/scheduling/ws-placement.c
+++ b/src/scheduling/ws-placement.c
@@ -36,13 +36,13 @@
 }
 
 void
-ws_placement_use_team(WsPlacement *placement, const WsJob *job, guint tasks)
+ws_placement_add_team_use(WsPlacement *placement, const WsJob *job, guint tasks)
 {
   ws_resources_add(&placement->team_use[job->team], &job->spec->need, tasks);
 }
 
 void
-ws_placement_note_unplaced(const WsCore *core, WsJob *job, gboolean is_unplaced)
+ws_placement_record_unplaced(const WsCore *core, WsJob *job, gboolean is_unplaced)
 {
   if (!is_unplaced)
     job->status.unplaced_ms = 0;
--- a/src/scheduling/ws-placement.h
+++ b/src/scheduling/ws-placement.h
@@ -34,7 +34,7 @@
 gboolean ws_placement_team_allows(const WsPlacement *placement, const WsJob *job, guint tasks);
 
 /** Adds the needs of @tasks tasks of the job to the resources in use by its team. */
-void ws_placement_use_team(WsPlacement *placement, const WsJob *job, guint tasks);
+void ws_placement_add_team_use(WsPlacement *placement, const WsJob *job, guint tasks);
 
 /** Records since when the job has tasks without a machine, or that it has none. */
-void ws_placement_note_unplaced(const WsCore *core, WsJob *job, gboolean is_unplaced);
+void ws_placement_record_unplaced(const WsCore *core, WsJob *job, gboolean is_unplaced);
--- a/src/scheduling/ws-plan.c
+++ b/src/scheduling/ws-plan.c
@@ -62,7 +62,7 @@
   for (guint i = 0; i < core->replica->active_jobs->len; i++) {
     const WsJob *job = g_ptr_array_index(core->replica->active_jobs, i);
     if (job->state == WS_JOB_ACTIVE && has_unassigned_tasks(job)
-        && ws_coordinator_acting(core->replica, job) == core->settings->self)
+        && ws_coordinator_current(core->replica, job) == core->settings->self)
       return TRUE;
   }
   return FALSE;
@@ -72,7 +72,7 @@
 is_to_be_placed(const WsCore *core, const WsJob *job)
 {
   return has_unassigned_tasks(job) && core->now >= job->status.retry_ms
-         && ws_coordinator_acting(core->replica, job) == core->settings->self;
+         && ws_coordinator_current(core->replica, job) == core->settings->self;
 }
 
 /* Returns the smallest need of any task to be placed, separately for each resource. */
@@ -101,7 +101,7 @@
        tasks would be preempted repeatedly by more urgent jobs that come later in the queue. */
     guint max_tasks = left;
     if (entry->is_overdue)
-      max_tasks = MIN(left, ws_queue_protected_tasks(entry->job));
+      max_tasks = MIN(left, ws_queue_count_protected_tasks(entry->job));
     if (is_to_be_placed(placement->core, entry->job))
       left -= ws_placement_place_job(placement, entry->job, max_tasks);
   }
@@ -121,7 +121,7 @@
 static void
 make_plan(WsCore *core)
 {
-  g_autoptr(GArray) queue = ws_queue_jobs(core);
+  g_autoptr(GArray) queue = ws_queue_build(core);
   WsResources min_need = find_min_need(core, queue);
   WsPlacement placement;
   ws_placement_init(&placement, core, &min_need);
--- a/src/scheduling/ws-preempt.c
+++ b/src/scheduling/ws-preempt.c
@@ -35,11 +35,12 @@
 is_protected_from_preemption(const WsCore *core, const WsJob *victim, guint victim_tasks)
 {
   return core->wall - victim->accepted_ms > (gint64)(WS_QUEUE_MAX_START_DELAY_S * 1000.0)
-         && victim->completed_count == 0 && victim_tasks <= ws_queue_protected_tasks(victim);
+         && victim->completed_count == 0 && victim_tasks <= ws_queue_count_protected_tasks(victim);
 }
 
 gboolean
-ws_preempt_outranks(const WsCore *core, const WsJob *job, const WsJob *victim, guint victim_tasks)
+ws_preempt_allowed_at_task_count(const WsCore *core, const WsJob *job, const WsJob *victim,
+                                 guint victim_tasks)
 {
   if (victim->state != WS_JOB_ACTIVE || victim->spec->kind != WS_KIND_ARRAY)
     return FALSE;
@@ -62,7 +63,7 @@
 gboolean
 ws_preempt_allowed(const WsCore *core, const WsJob *job, const WsJob *victim)
 {
-  return ws_preempt_outranks(core, job, victim, victim->assigned_count);
+  return ws_preempt_allowed_at_task_count(core, job, victim, victim->assigned_count);
 }
 
 /* Whether the lost work is at most MAX_LOST_WORK_RATIO times the work that would be done in its
@@ -138,7 +139,8 @@
 }
 
 void
-ws_preempt(WsCore *core, const WsJob *job, WsMachine *machine, WsMachineCapacity *capacity)
+ws_preempt_on_machine(WsCore *core, const WsJob *job, WsMachine *machine,
+                      WsMachineCapacity *capacity)
 {
   WsResources available = capacity->free;
   ws_resources_add(&available, &capacity->freeing, 1);
@@ -235,7 +237,7 @@
   }
 }
 
-WsTeamCapacity
+WsTeamPreemptResult
 ws_preempt_in_team(WsCore *core, const WsJob *job, const WsResources *team_use, gboolean has_slot,
                    WsPreemptFitFunc fits, gpointer data, GArray *machines)
 {
@@ -251,7 +253,7 @@
     return WS_TEAM_CAPACITY_FREEING;
   g_array_sort(victims, compare_youngest_first);
   if (count_victims_needed(core, job, &use_left, victims) == 0)
-    return WS_TEAM_FULL;
+    return WS_TEAM_LIMIT_REACHED;
   if (!has_slot && !move_fitting_victim_to_front(core, victims, fits, data))
     return WS_TEAM_NO_SLOT;
   stop_victims(core, victims, count_victims_needed(core, job, &use_left, victims), machines);
--- a/src/scheduling/ws-preempt.h
+++ b/src/scheduling/ws-preempt.h
@@ -13,8 +13,8 @@
 gboolean ws_preempt_allowed(const WsCore *core, const WsJob *job, const WsJob *victim);
 
 /** Like ws_preempt_allowed(), if @victim_tasks tasks of @victim were assigned. */
-gboolean ws_preempt_outranks(const WsCore *core, const WsJob *job, const WsJob *victim,
-                             guint victim_tasks);
+gboolean ws_preempt_allowed_at_task_count(const WsCore *core, const WsJob *job, const WsJob *victim,
+                                          guint victim_tasks);
 
 /**
  * Returns the cost of stopping the cheapest victims on the machine until one task of the job fits:
@@ -25,7 +25,8 @@
                        const WsMachineCapacity *capacity);
 
 /** Stops the victims that ws_preempt_cost() counts, and adds their resources to @capacity. */
-void ws_preempt(WsCore *core, const WsJob *job, WsMachine *machine, WsMachineCapacity *capacity);
+void ws_preempt_on_machine(WsCore *core, const WsJob *job, WsMachine *machine,
+                           WsMachineCapacity *capacity);
 
 /** Returns whether a task of the job would fit the machine if @freed were also free there. */
 typedef gboolean (*WsPreemptFitFunc)(const WsMachine *machine, const WsResources *freed,
@@ -33,10 +34,10 @@
 
 /** The result of preemption within a team. */
 typedef enum {
-  WS_TEAM_FULL,    /**< tasks that may not be stopped for the job use up the team's limit */
+  WS_TEAM_LIMIT_REACHED, /**< tasks that may not be stopped for the job use up the team's limit */
   WS_TEAM_NO_SLOT, /**< stops could free enough of the limit, but no machine would have a slot */
   WS_TEAM_CAPACITY_FREEING /**< tasks are being stopped */
-} WsTeamCapacity;
+} WsTeamPreemptResult;
 
 /**
  * Stops less urgent tasks of the job's own team, the youngest first, until the team's limit allows
@@ -50,6 +51,6 @@
  * @fits: checks whether stopping a victim would free a slot for the task; called with @data
  * @machines: of WsMachineIndex; the machines of the stopped tasks are appended
  */
-WsTeamCapacity ws_preempt_in_team(WsCore *core, const WsJob *job, const WsResources *team_use,
-                                  gboolean has_slot, WsPreemptFitFunc fits, gpointer data,
-                                  GArray *machines);
+WsTeamPreemptResult ws_preempt_in_team(WsCore *core, const WsJob *job, const WsResources *team_use,
+                                       gboolean has_slot, WsPreemptFitFunc fits, gpointer data,
+                                       GArray *machines);
--- a/src/scheduling/ws-queue.c
+++ b/src/scheduling/ws-queue.c
@@ -59,7 +59,7 @@
 }
 
 guint
-ws_queue_protected_tasks(const WsJob *job)
+ws_queue_count_protected_tasks(const WsJob *job)
 {
   return 1 + job->tasks / TASKS_PER_PROTECTED_TASK;
 }
@@ -160,7 +160,7 @@
 }
 
 GArray *
-ws_queue_jobs(const WsCore *core)
+ws_queue_build(const WsCore *core)
 {
   GArray *entries = collect_open_jobs(core);
   record_guarantees(core, entries);
--- a/src/scheduling/ws-queue.h
+++ b/src/scheduling/ws-queue.h
@@ -32,7 +32,7 @@
  * Returns the open jobs, the most urgent first, as an array of WsQueueEntry that the caller frees.
  * Also records in each job's status whether the job is within its team's guarantee.
  */
-GArray *ws_queue_jobs(const WsCore *core);
+GArray *ws_queue_build(const WsCore *core);
 
 /** Returns whether the job is overdue, see WS_QUEUE_MAX_START_DELAY_S. */
 gboolean ws_queue_is_overdue(const WsCore *core, const WsJob *job);
@@ -41,4 +41,4 @@
  * Returns how many tasks of the job are protected once it is overdue: they are placed before the
  * tasks of all jobs except critical ones, and only critical jobs may preempt them.
  */
-guint ws_queue_protected_tasks(const WsJob *job);
+guint ws_queue_count_protected_tasks(const WsJob *job);
--- a/src/scheduling/ws-reservations.c
+++ b/src/scheduling/ws-reservations.c
@@ -120,7 +120,7 @@
 static gboolean
 has_precedence(const WsCore *core, const WsJob *job, const WsJob *other, guint other_tasks)
 {
-  if (ws_preempt_outranks(core, job, other, other_tasks))
+  if (ws_preempt_allowed_at_task_count(core, job, other, other_tasks))
     return TRUE;
   gboolean is_older = ws_queue_is_overdue(core, other) && other->accepted_ms <= job->accepted_ms;
   return ws_job_is_gang(job) && ws_queue_is_overdue(core, job)
--- a/src/scheduling/ws-task-placement.c
+++ b/src/scheduling/ws-task-placement.c
@@ -52,7 +52,7 @@
   g_info("job %s: preempting less urgent tasks on machine %s", job->id, machine->name);
   /* ws_candidates_take() has already subtracted the task. */
   ws_resources_add(&capacity.free, &job->spec->need, 1);
-  ws_preempt(core, job, machine, &capacity);
+  ws_preempt_on_machine(core, job, machine, &capacity);
   planned->freeing = capacity.freeing;
   ws_stop_requests_send(core, machine);
 }
@@ -86,15 +86,15 @@
   const WsMachine *slot = ws_candidates_peek(candidates, WS_SLOT_FREE);
   if (slot == NULL)
     slot = ws_candidates_peek(candidates, WS_SLOT_FREEING);
-  WsTeamCapacity capacity = ws_preempt_in_team(core, job, &placement->team_use[job->team],
-                                               slot != NULL, would_fit, candidates, machines);
+  WsTeamPreemptResult result = ws_preempt_in_team(core, job, &placement->team_use[job->team],
+                                                  slot != NULL, would_fit, candidates, machines);
   if (slot == NULL && machines->len > 0) /* stopping the first victim frees a slot for the job */
     slot = machine_at(placement, machines, 0);
-  if (capacity == WS_TEAM_CAPACITY_FREEING)
+  if (result == WS_TEAM_CAPACITY_FREEING)
     ws_reservations_renew(core, job, WS_NO_MACHINE, 1);
-  if (capacity == WS_TEAM_CAPACITY_FREEING && slot != NULL)
+  if (result == WS_TEAM_CAPACITY_FREEING && slot != NULL)
     add_freeing_slot(placement, slot->index);
-  if (capacity == WS_TEAM_NO_SLOT && placement->demand != NULL)
+  if (result == WS_TEAM_NO_SLOT && placement->demand != NULL)
     ws_demand_add(placement->demand, job, 1);
   request_team_stops(placement, job, machines);
 }
@@ -131,7 +131,7 @@
   const WsMachine *machine = ws_candidates_peek(candidates, WS_SLOT_FREE);
   gboolean has_image = machine != NULL && ws_machine_has_image(machine, job->image);
   if (!has_image && prefers_cached_image(placement, job)
-      && take_freeing_slot(placement, candidates, job, WS_SLOT_WITH_IMAGE,
+      && take_freeing_slot(placement, candidates, job, WS_SLOT_FREEING_WITH_IMAGE,
                            WS_SLOT_BY_PREEMPTION_WITH_IMAGE))
     return OUTCOME_FREEING;
   machine = ws_candidates_take(candidates, WS_SLOT_FREE);
@@ -155,7 +155,7 @@
       preempt_in_own_team(placement, candidates, job);
       break;
     }
-    ws_placement_use_team(placement, job, 1);
+    ws_placement_add_team_use(placement, job, 1);
     /* All tasks of a job have the same needs: if one finds no slot, the next ones won't either. */
     PlacementOutcome outcome
         = without_slot == 0 ? place_task(placement, candidates, job, g_array_index(tasks, guint, i))
@@ -166,5 +166,5 @@
   if (placement->demand != NULL && without_slot > 0)
     ws_demand_add(placement->demand, job, without_slot);
   reserve_freeing_slots(placement, job);
-  ws_placement_note_unplaced(placement->core, job, still_waiting > 0);
+  ws_placement_record_unplaced(placement->core, job, still_waiting > 0);
 }
