--- a/tests/gangs/gangs.h
+++ b/tests/gangs/gangs.h
@@ -1,12 +1,12 @@
 /**
- * The tests of gangs: all tasks run together or none does, whatever happens to machines and
- * controllers.
+ * The gang tests. Either all tasks of a gang run at the same time or none does, under any fault of
+ * machines and controllers.
  */
 #pragma once
 
 #include <glib.h>
 
-/** More than one machine has capacity for. */
+/** Number of tasks of a test gang: more than fit on one machine. */
 #define GANG_TASKS 6
 
 /* phase.c */
--- a/tests/gangs/one-node.c
+++ b/tests/gangs/one-node.c
@@ -1,5 +1,5 @@
 /**
- * Gangs with one controller and a scripted worker: admission, halts and placement.
+ * Tests of gangs with one controller and a scripted worker: admission, halts and placement.
  */
 #include "gangs/gangs.h"
 #include "protocol/ws-json.h"
@@ -53,7 +53,8 @@
                    first, "duvod", why, "kus", "req-1/1", "pokus", 1, "stav", second);
 }
 
-/* The grace of the halt in the last answer for the task, NULL for any; negative: it has none. */
+/* Returns the grace period of the halt for the task (NULL: for any task) in the last answer, or a
+   negative number if the answer has no such halt. */
 static double
 halt_grace(const Fixture *fixture, const char *task)
 {
@@ -79,7 +80,8 @@
   return fixture;
 }
 
-/* What the others of a lost task have is lost too: they are halted without time to save. */
+/* When a task of a gang exits with an error, the progress of the other tasks is lost as well, so
+   they are halted without a grace period for saving it. */
 void
 test_loss_halts_all_without_grace(void)
 {
@@ -93,7 +95,8 @@
   fixture_free(fixture);
 }
 
-/* One task that is done is the end of all, in one record; a cancellation comes too late then. */
+/* The completion of one task completes the whole gang, in one record. A cancellation that arrives
+   afterwards has no effect. */
 void
 test_one_completion_completes_all(void)
 {
@@ -107,8 +110,8 @@
   fixture_free(fixture);
 }
 
-/* A gang that isn't complete in time, or lost a task elsewhere, says nothing against the machine.
- */
+/* Tasks that exit because their gang wasn't complete in time, or because a task on another machine
+   was lost, don't show a fault of their own machine: it isn't marked for termination. */
 void
 test_peer_exit_reasons_mark_no_machine(void)
 {
@@ -125,8 +128,8 @@
   }
 }
 
-/* A gang that must be in one zone goes where there is capacity for all of it, also when the machine
-   that suits its first task best is elsewhere. */
+/* A gang that must be in one zone is placed in a zone with capacity for all its tasks, even if the
+   best machine for its first task is in another zone. */
 void
 test_placed_in_zone_with_capacity(void)
 {
@@ -147,7 +150,8 @@
   fixture_free(fixture);
 }
 
-/* A heartbeat of a machine on which the tasks that it has on record run. */
+/* Sends a heartbeat of the machine that reports all tasks assigned to it as running. @is_noticed:
+   whether it also reports an interruption notice. */
 static void
 report_running(Fixture *fixture, const char *machine, gboolean is_noticed)
 {
@@ -182,8 +186,8 @@
   return g_hash_table_size(machines);
 }
 
-/* A gang whose image no machine has is spread, so that it's there for the next one, which is packed
-   where the image is. */
+/* A gang whose image is on no machine is spread over several machines, which fetch the image in
+   parallel. The next gang with that image is packed on one machine that has it cached. */
 void
 test_spread_while_image_is_missing(void)
 {
@@ -205,9 +209,10 @@
   fixture_free(fixture);
 }
 
-/* A gang on two machines, of which the first is to be taken back. While the second one can't be
-   reached no stop is begun, since the others would lose what they have for nothing; then all are
-   halted, with the time that they need to save and to wait for each other. */
+/* A gang runs on two machines, and the first one receives an interruption notice. While the second
+   one is unreachable no orderly stop begins, since the tasks on the first one would lose their
+   progress for nothing. Once it is reachable all tasks are halted, with enough time to save their
+   progress and to wait for each other. */
 void
 test_no_stop_while_machine_is_unreachable(void)
 {
--- a/tests/gangs/phase.c
+++ b/tests/gangs/phase.c
@@ -1,5 +1,5 @@
 /**
- * The phase of a gang, for records and task states in any order.
+ * Tests of the phase of a gang, for random records and task states.
  */
 #include "gangs/gangs.h"
 #include "scheduling/ws-scheduling.h"
@@ -7,7 +7,7 @@
 
 typedef struct {
   guint assigned;
-  guint older; /* tasks of the attempt before */
+  guint older; /* number of tasks of the previous attempt */
   guint stopping;
   guint states[WS_TASK_EXITED + 1];
 } Expected;
--- a/tests/gangs/simulated.c
+++ b/tests/gangs/simulated.c
@@ -1,5 +1,6 @@
 /**
- * Gangs in a simulated cluster under faults; the checker sees to it that attempts don't overlap.
+ * Tests of gangs in a simulated cluster with faults. The checker of the simulation verifies that
+ * the attempts of a gang don't overlap.
  */
 #include "gangs/gangs.h"
 #include "sim/fault-injection.h"
@@ -46,8 +47,8 @@
   }
 }
 
-/* The loss of one task is that of the attempt; the next one starts when nothing of it is left,
-   which the checker sees to. */
+/* The loss of one task ends the attempt. The next attempt starts only once no task of the old one
+   is left, which the checker verifies. */
 void
 test_machine_loss_restarts_whole_gang(void)
 {
@@ -66,8 +67,8 @@
   }
 }
 
-/* A machine that stalls for less than its lease takes the attempt with it, and keeps its own task
-   until it goes on. */
+/* A machine that stalls for less than its lease ends the attempt, and keeps its own task until it
+   resumes. The gang restarts exactly once. */
 void
 test_short_stall_restarts_once(void)
 {
@@ -84,7 +85,8 @@
   }
 }
 
-/* A notice of one machine stops the whole gang at once, with the time that it needs to save. */
+/* An interruption notice of one machine stops the whole gang at the same time, with enough time to
+   save its progress. */
 void
 test_interruption_notice_saves_progress(void)
 {
@@ -101,7 +103,7 @@
   }
 }
 
-/* Controllers end at any step of a start, a loss or a stop. */
+/* The leader crashes at random times, in any step of a start, a loss or a stop. */
 void
 test_leader_crashes_at_any_step(void)
 {
@@ -119,7 +121,8 @@
   }
 }
 
-/* A cancellation in any phase, also in the middle of a stop; the checker knows cancel_s. */
+/* A gang is cancelled in any phase, also during an orderly stop. The checker verifies that its
+   tasks end within cancel_s. */
 void
 test_cancelled_in_any_phase(void)
 {
@@ -137,7 +140,7 @@
   }
 }
 
-/* A partition between zones goes through a gang whose tasks may be in any. */
+/* A partition between zones separates the tasks of a gang that may be spread over all zones. */
 void
 test_partition_through_gang(void)
 {
@@ -152,8 +155,8 @@
   }
 }
 
-/* Small tasks come all the time and take each place that becomes free; the gang, which needs
-   several at once, begins within four minutes all the same. */
+/* Small jobs are submitted all the time and take each slot that becomes free. A gang, which needs
+   several slots at the same time, still starts within four minutes. */
 void
 test_starts_among_small_jobs(void)
 {
@@ -177,7 +180,7 @@
   sim_free(sim);
 }
 
-/* Gangs among arrays and services, during combined faults. */
+/* Gangs run together with arrays and services during combined random faults. */
 static void
 play_drawn_faults(guint32 seed)
 {
@@ -197,7 +200,7 @@
   sim_play_seeds(2000, 25, play_drawn_faults);
 }
 
-/* The checker reports two attempts that occupy slots at once. */
+/* The checker reports two attempts of a gang that occupy slots at the same time. */
 void
 test_checker_detects_two_attempts(void)
 {
--- a/tests/test-gangs.c
+++ b/tests/test-gangs.c
@@ -1,5 +1,5 @@
 /**
- * The tests of gangs, in the order in which they run; gangs/ holds them by subject.
+ * The list of the gang tests, in the order in which they run. The tests are in gangs/, by subject.
  */
 #include "gangs/gangs.h"
 #include "ws-suite.h"
