--- a/tests/gangs/gangs.h
+++ b/tests/gangs/gangs.h
@@ -21,7 +21,7 @@
 void test_cancelled_in_any_phase(void);
 void test_partition_through_gang(void);
 void test_starts_among_small_jobs(void);
-void test_drawn(void);
+void test_recovery_from_random_faults(void);
 void test_checker_detects_two_attempts(void);
 
 /* one-node.c */
--- a/tests/gangs/one-node.c
+++ b/tests/gangs/one-node.c
@@ -38,16 +38,16 @@
     fixture_free(fixture);
   }
   Fixture *fixture = fixture_new_with_machine(TRUE);
-  json_t *torn = gang_submission(2);
-  json_object_set_new(torn, "one_zone", json_true());
-  json_object_set_new(torn, "scatter", json_true());
-  fixture_call(fixture, "POST", "/api/jobs", torn);
+  json_t *contradictory = gang_submission(2);
+  json_object_set_new(contradictory, "one_zone", json_true());
+  json_object_set_new(contradictory, "scatter", json_true());
+  fixture_call(fixture, "POST", "/api/jobs", contradictory);
   g_assert_cmpuint(fixture->status, ==, 422);
   fixture_free(fixture);
 }
 
 static json_t *
-two_tasks(const char *first, const char *why, const char *second)
+two_task_states(const char *first, const char *why, const char *second)
 {
   return json_pack("[{s:s, s:i, s:s, s:s?}, {s:s, s:i, s:s}]", "kus", "req-1/0", "pokus", 1, "stav",
                    first, "duvod", why, "kus", "req-1/1", "pokus", 1, "stav", second);
@@ -56,7 +56,7 @@
 /* Returns the grace period of the halt for the task (NULL: for any task) in the last answer, or a
    negative number if the answer has no such halt. */
 static double
-halt_grace(const Fixture *fixture, const char *task)
+halt_grace_s(const Fixture *fixture, const char *task)
 {
   size_t i;
   const json_t *command;
@@ -86,12 +86,12 @@
 test_loss_halts_all_without_grace(void)
 {
   Fixture *fixture = fixture_with_gang();
-  fixture_send_heartbeat(fixture, 1, two_tasks("running", NULL, "running"));
-  g_assert_cmpfloat(halt_grace(fixture, "req-1/1"), <, 0.0);
-  fixture_send_heartbeat(fixture, 1, two_tasks("exited", "error", "running"));
+  fixture_send_heartbeat(fixture, 1, two_task_states("running", NULL, "running"));
+  g_assert_cmpfloat(halt_grace_s(fixture, "req-1/1"), <, 0.0);
+  fixture_send_heartbeat(fixture, 1, two_task_states("exited", "error", "running"));
   fixture_run(fixture, 0.5);
-  fixture_send_heartbeat(fixture, 1, two_tasks("exited", "error", "running"));
-  g_assert_cmpfloat(halt_grace(fixture, "req-1/1"), ==, 0.0);
+  fixture_send_heartbeat(fixture, 1, two_task_states("exited", "error", "running"));
+  g_assert_cmpfloat(halt_grace_s(fixture, "req-1/1"), ==, 0.0);
   fixture_free(fixture);
 }
 
@@ -101,7 +101,7 @@
 test_one_completion_completes_all(void)
 {
   Fixture *fixture = fixture_with_gang();
-  fixture_send_heartbeat(fixture, 1, two_tasks("exited", "done", "running"));
+  fixture_send_heartbeat(fixture, 1, two_task_states("exited", "done", "running"));
   fixture_run(fixture, 0.5);
   fixture_call(fixture, "POST", "/api/jobs/req-1/withdraw", NULL);
   g_assert_cmpstr(json_string_value(json_object_get(fixture->answer, "stav")), ==, "done");
@@ -115,10 +115,10 @@
 void
 test_peer_exit_reasons_mark_no_machine(void)
 {
-  static const char *const WHY[] = { "peers", "incomplete" };
-  for (guint k = 0; k < 2 * G_N_ELEMENTS(WHY); k++) {
+  static const char *const EXIT_REASONS[] = { "peers", "incomplete" };
+  for (guint k = 0; k < 2 * G_N_ELEMENTS(EXIT_REASONS); k++) {
     Fixture *fixture = fixture_with_gang();
-    fixture_send_heartbeat(fixture, 1, two_tasks("exited", WHY[k % 2], "running"));
+    fixture_send_heartbeat(fixture, 1, two_task_states("exited", EXIT_REASONS[k % 2], "running"));
     fixture_run(fixture, 0.5);
     fixture_send_heartbeat(fixture, 1, json_array());
     fixture_run(fixture, 3.0);
@@ -150,10 +150,10 @@
   fixture_free(fixture);
 }
 
-/* Sends a heartbeat of the machine that reports all tasks assigned to it as running. @is_noticed:
-   whether it also reports an interruption notice. */
+/* Sends a heartbeat of the machine that reports all tasks assigned to it as running.
+   @has_interruption_notice: whether it also reports an interruption notice. */
 static void
-report_running(Fixture *fixture, const char *machine, gboolean is_noticed)
+report_running(Fixture *fixture, const char *machine, gboolean has_interruption_notice)
 {
   json_t *tasks = json_array();
   size_t i;
@@ -168,7 +168,7 @@
   }
   g_assert_cmpuint(json_array_size(tasks), >, 0);
   json_t *report = fixture_heartbeat(fixture, machine, 1, ++fixture->sequence, tasks);
-  if (is_noticed)
+  if (has_interruption_notice)
     json_object_set_new(report, "vypoved_s", json_real(20.0));
   fixture_call(fixture, "POST", "/v1/report", report);
 }
@@ -231,14 +231,14 @@
   for (guint i = 0; i < 3; i++) {
     fixture_run(fixture, 1.5);
     report_running(fixture, "m-1", i > 0);
-    g_assert_cmpfloat(halt_grace(fixture, NULL), <, 0.0);
+    g_assert_cmpfloat(halt_grace_s(fixture, NULL), <, 0.0);
   }
   g_assert_true(sim_store_has(fixture->store, "w/mark/m-1"));
   report_running(fixture, "m-2", FALSE);
   fixture_run(fixture, 0.5);
   report_running(fixture, "m-2", FALSE);
-  g_assert_cmpfloat(halt_grace(fixture, NULL), >=, 3.0 + fixture->settings->gang_peer_s);
+  g_assert_cmpfloat(halt_grace_s(fixture, NULL), >=, 3.0 + fixture->settings->gang_peer_s);
   report_running(fixture, "m-1", TRUE);
-  g_assert_cmpfloat(halt_grace(fixture, NULL), >=, 3.0 + fixture->settings->gang_peer_s);
+  g_assert_cmpfloat(halt_grace_s(fixture, NULL), >=, 3.0 + fixture->settings->gang_peer_s);
   fixture_free(fixture);
 }
--- a/tests/gangs/phase.c
+++ b/tests/gangs/phase.c
@@ -7,13 +7,13 @@
 
 typedef struct {
   guint assigned;
-  guint older; /* number of tasks of the previous attempt */
+  guint older_attempt; /* number of tasks of the previous attempt */
   guint stopping;
   guint states[WS_TASK_EXITED + 1];
-} Expected;
+} ExpectedTasks;
 
 static WsJob *
-generate_gang(GRand *rand, Expected *expected)
+generate_gang(GRand *rand, ExpectedTasks *expected)
 {
   WsJob *job = g_new0(WsJob, 1);
   WsChunk *chunk = ws_chunk_copy(NULL);
@@ -31,7 +31,7 @@
     assignment.attempt -= g_rand_int_range(rand, 0, 8) == 0 ? 1 : 0;
     assignment.is_stop_requested = g_rand_int_range(rand, 0, 8) == 0;
     expected->assigned++;
-    expected->older += assignment.attempt < 7 ? 1 : 0;
+    expected->older_attempt += assignment.attempt < 7 ? 1 : 0;
     expected->stopping += assignment.is_stop_requested ? 1 : 0;
     expected->states[assignment.state]++;
     ws_chunk_add(chunk, &assignment);
@@ -50,11 +50,11 @@
 }
 
 static WsGangPhase
-expected_phase(const Expected *expected)
+expected_phase(const ExpectedTasks *expected)
 {
   if (expected->assigned == 0)
     return WS_GANG_WAITING;
-  if (expected->older > 0)
+  if (expected->older_attempt > 0)
     return WS_GANG_ENDING;
   if (expected->stopping + expected->states[WS_TASK_SAVING] > 0)
     return WS_GANG_STOPPING;
@@ -68,11 +68,11 @@
 {
   for (guint32 seed = 1; seed <= 300; seed++) {
     g_autoptr(GRand) rand = g_rand_new_with_seed(seed);
-    Expected expected = { 0 };
+    ExpectedTasks expected = { 0 };
     WsJob *job = generate_gang(rand, &expected);
     g_test_message("seed %u", seed);
     g_assert_cmpint(ws_gang_phase(job), ==, expected_phase(&expected));
-    g_assert_true(ws_gang_is_ending(job) == (expected.older > 0));
+    g_assert_true(ws_gang_is_ending(job) == (expected.older_attempt > 0));
     free_gang(job);
   }
 }
--- a/tests/gangs/simulated.c
+++ b/tests/gangs/simulated.c
@@ -5,18 +5,18 @@
 #include "gangs/gangs.h"
 #include "sim/fault-injection.h"
 
-static const SimJob GANG = { .tasks = GANG_TASKS,
-                             .gang = TRUE,
-                             .team = "blue",
-                             .priority = "standard",
-                             .spot = TRUE,
-                             .one_zone = TRUE,
-                             .run_s = 25.0 };
-static const SimJob WIDE_GANG
+static const SimJob ONE_ZONE_GANG = { .tasks = GANG_TASKS,
+                                      .gang = TRUE,
+                                      .team = "blue",
+                                      .priority = "standard",
+                                      .spot = TRUE,
+                                      .one_zone = TRUE,
+                                      .run_s = 25.0 };
+static const SimJob ANY_ZONE_GANG
     = { .tasks = 6, .gang = TRUE, .team = "red", .priority = "standard", .run_s = 20.0 };
 
 static Sim *
-gang_world(guint32 seed, const SimJob *gang)
+new_sim_with_gang(guint32 seed, const SimJob *gang)
 {
   Sim *sim = sim_new(seed);
   g_test_message("seed %u", seed);
@@ -38,7 +38,7 @@
 test_tasks_start_together(void)
 {
   for (guint32 seed = 800; seed < 804; seed++) {
-    Sim *sim = gang_world(seed, seed % 2 == 0 ? &GANG : &WIDE_GANG);
+    Sim *sim = new_sim_with_gang(seed, seed % 2 == 0 ? &ONE_ZONE_GANG : &ANY_ZONE_GANG);
     run_until_started(sim);
     sim_expect_recovery(sim);
     g_assert_cmpuint(sim_gang_starts(sim, 0), ==, 1);
@@ -54,13 +54,13 @@
 {
   static const SimMachineFault FAULTS[]
       = { sim_stall_machine, sim_block_outbound, sim_block_inbound };
-  static const double SECONDS[] = { 20.0, 60.0, 60.0 };
+  static const double FAULT_DURATIONS_S[] = { 20.0, 60.0, 60.0 };
   for (guint32 seed = 810; seed < 822; seed++) {
     guint kind = (seed - 810) / 4;
-    Sim *sim = gang_world(seed, seed % 2 == 0 ? &GANG : &WIDE_GANG);
+    Sim *sim = new_sim_with_gang(seed, seed % 2 == 0 ? &ONE_ZONE_GANG : &ANY_ZONE_GANG);
     run_until_started(sim);
     sim_run(sim, 3.0);
-    FAULTS[kind](sim, sim_machine_running(sim, 0), SECONDS[kind]);
+    FAULTS[kind](sim, sim_machine_running(sim, 0), FAULT_DURATIONS_S[kind]);
     sim_run(sim, 60.0);
     sim_expect_recovery(sim);
     sim_free(sim);
@@ -73,7 +73,7 @@
 test_short_stall_restarts_once(void)
 {
   for (guint32 seed = 825; seed < 829; seed++) {
-    Sim *sim = gang_world(seed, &GANG);
+    Sim *sim = new_sim_with_gang(seed, &ONE_ZONE_GANG);
     run_until_started(sim);
     sim_run(sim, 2.0);
     sim_stall_machine(sim, sim_machine_running(sim, 0), 7.0);
@@ -91,7 +91,7 @@
 test_interruption_notice_saves_progress(void)
 {
   for (guint32 seed = 830; seed < 836; seed++) {
-    Sim *sim = gang_world(seed, &GANG);
+    Sim *sim = new_sim_with_gang(seed, &ONE_ZONE_GANG);
     run_until_started(sim);
     sim_run(sim, 6.0);
     sim_interrupt_machine(sim, sim_machine_running(sim, 0), 20.0);
@@ -108,7 +108,7 @@
 test_leader_crashes_at_any_step(void)
 {
   for (guint32 seed = 850; seed < 850 + sim_seed_count(10); seed++) {
-    Sim *sim = gang_world(seed, seed % 3 == 0 ? &WIDE_GANG : &GANG);
+    Sim *sim = new_sim_with_gang(seed, seed % 3 == 0 ? &ANY_ZONE_GANG : &ONE_ZONE_GANG);
     for (guint i = 0; i < 5; i++) {
       sim_run(sim, g_rand_double_range(sim_rand(sim), 0.5, 6.0));
       if (sim_machine_running(sim, 0) != G_MAXUINT)
@@ -127,7 +127,7 @@
 test_cancelled_in_any_phase(void)
 {
   for (guint32 seed = 870; seed < 870 + sim_seed_count(12); seed++) {
-    Sim *sim = gang_world(seed, &GANG);
+    Sim *sim = new_sim_with_gang(seed, &ONE_ZONE_GANG);
     sim_run(sim, g_rand_double_range(sim_rand(sim), 0.0, 30.0));
     if (seed % 2 == 0 && sim_machine_running(sim, 0) != G_MAXUINT)
       sim_interrupt_machine(sim, sim_machine_running(sim, 0), 20.0);
@@ -145,7 +145,7 @@
 test_partition_through_gang(void)
 {
   for (guint32 seed = 890; seed < 894; seed++) {
-    Sim *sim = gang_world(seed, &WIDE_GANG);
+    Sim *sim = new_sim_with_gang(seed, &ANY_ZONE_GANG);
     run_until_started(sim);
     sim_run(sim, 2.0);
     sim_faults(sim)->partitioned_zones = 1u << (seed % SIM_NODES);
@@ -160,20 +160,20 @@
 void
 test_starts_among_small_jobs(void)
 {
-  static const SimJob SMALL
+  static const SimJob SMALL_JOB
       = { .tasks = 2, .team = "blue", .priority = "standard", .spot = TRUE, .run_s = 7.0 };
-  SimJob anywhere = GANG;
-  anywhere.one_zone = FALSE;
+  SimJob gang_in_any_zone = ONE_ZONE_GANG;
+  gang_in_any_zone.one_zone = FALSE;
   Sim *sim = sim_new(940);
   sim_faults(sim)->max_machines = 2;
   sim_run(sim, 3.0);
   for (guint i = 0; i < 8; i++)
-    sim_submit(sim, &SMALL);
+    sim_submit(sim, &SMALL_JOB);
   sim_run(sim, 40.0);
   guint gang = sim_count_jobs(sim);
-  sim_submit(sim, &anywhere);
+  sim_submit(sim, &gang_in_any_zone);
   for (guint step = 0; step < 160 && !sim_has_started(sim, gang); step++) {
-    sim_submit(sim, &SMALL);
+    sim_submit(sim, &SMALL_JOB);
     sim_run(sim, 1.5);
   }
   g_assert_true(sim_has_started(sim, gang));
@@ -182,22 +182,22 @@
 
 /* Gangs run together with arrays and services during combined random faults. */
 static void
-play_drawn_faults(guint32 seed)
+play_random_faults(guint32 seed)
 {
   Sim *sim = sim_new_with_load(seed);
   for (guint i = 0; i < 3; i++)
-    sim_submit(sim, i == 1 ? &WIDE_GANG : &GANG);
+    sim_submit(sim, i == 1 ? &ANY_ZONE_GANG : &ONE_ZONE_GANG);
   sim_run(sim, g_rand_double_range(sim_rand(sim), 0.0, 25.0));
-  sim_submit(sim, &GANG);
+  sim_submit(sim, &ONE_ZONE_GANG);
   sim_inject_random_faults(sim);
   sim_expect_recovery(sim);
   sim_free(sim);
 }
 
 void
-test_drawn(void)
+test_recovery_from_random_faults(void)
 {
-  sim_play_seeds(2000, 25, play_drawn_faults);
+  sim_play_seeds(2000, 25, play_random_faults);
 }
 
 /* The checker reports two attempts of a gang that occupy slots at the same time. */
@@ -205,7 +205,7 @@
 test_checker_detects_two_attempts(void)
 {
   if (g_test_subprocess()) {
-    Sim *sim = gang_world(899, &GANG);
+    Sim *sim = new_sim_with_gang(899, &ONE_ZONE_GANG);
     run_until_started(sim);
     sim_force_start(sim, sim_machine_running(sim, 0), 0, 1);
     sim_run(sim, 2.0);
--- a/tests/test-gangs.c
+++ b/tests/test-gangs.c
@@ -22,7 +22,7 @@
   { "/gangs/cancelled-in-any-phase", test_cancelled_in_any_phase },
   { "/gangs/partition-through-gang", test_partition_through_gang },
   { "/gangs/starts-among-small-jobs", test_starts_among_small_jobs },
-  { "/gangs/drawn", test_drawn },
+  { "/gangs/drawn", test_recovery_from_random_faults },
 };
 
 int
