--- a/src/scheduling/ws-candidates.c
+++ b/src/scheduling/ws-candidates.c
@@ -226,7 +226,8 @@
   g_free(candidates);
 }
 
-/* Whether the candidate isn't excluded. Excludes it if its machine no longer fits a task. */
+/* Excludes the candidate if its machine no longer fits a task. Returns whether it isn't excluded.
+ */
 static gboolean
 is_remaining(const WsCandidates *candidates, WsSlotKind kind, Candidate *candidate)
 {
--- a/src/scheduling/ws-capacity-map.c
+++ b/src/scheduling/ws-capacity-map.c
@@ -73,8 +73,8 @@
   }
 }
 
-/* Records what the array jobs with assigned tasks have in common, so that a plan in which no job
-   could be preempted makes no victim search. */
+/* Records the lowest priority of the array jobs with assigned tasks, and whether any of these jobs
+   is outside its team's guarantee. A job that could preempt none of them makes no victim search. */
 static void
 summarize_array_jobs(WsCapacityMap *map)
 {
--- a/src/scheduling/ws-demand-sizing.c
+++ b/src/scheduling/ws-demand-sizing.c
@@ -10,7 +10,7 @@
 #define MIN_SLOT_SHARE 0.2
 /* A task occupies its slot for this time in addition to its run time. */
 #define SLOT_OVERHEAD_PER_TASK_S 5.0
-/* Safety factor on the estimated run time when computing whether a deadline can be met. */
+/* Safety factor on the estimated run time when the slack before a time limit is computed. */
 #define RUN_TIME_SAFETY_FACTOR 1.2
 /* Some machines take twice as long to boot as others. Where boots take long, spare machines are
    rented for each critical task that must wait for a boot: the task uses the first machine that is
--- a/src/scheduling/ws-placement.h
+++ b/src/scheduling/ws-placement.h
@@ -11,8 +11,9 @@
 typedef struct {
   WsCore *core;
   WsCapacityMap map;
-  WsResources *team_use; /**< resources in use by team, including tasks that this plan has placed */
-  WsDemand *demand;      /**< NULL on nodes other than the leader, which alone rents machines */
+  WsResources
+      *team_use;    /**< by team: resources in use, including those of tasks placed by this plan */
+  WsDemand *demand; /**< NULL on nodes other than the leader, which alone rents machines */
   /** Machine -> number of tasks of the current job for which capacity is being freed there. */
   GHashTable *freeing_slots;
 } WsPlacement;
--- a/src/scheduling/ws-preempt.c
+++ b/src/scheduling/ws-preempt.c
@@ -55,7 +55,8 @@
     return FALSE;
   if (job->spec->priority < victim->spec->priority)
     return TRUE;
-  /* Two jobs within their guarantees never preempt each other, since they would do so in turn. */
+  /* A job may use its guarantee to preempt only jobs outside theirs: two jobs that are both within
+     their guarantees would preempt each other in turn. */
   return job->status.is_guaranteed && !victim->status.is_guaranteed && job->team != victim->team
          && is_beyond_guarantee(core, victim);
 }
--- a/src/scheduling/ws-queue.c
+++ b/src/scheduling/ws-queue.c
@@ -4,8 +4,8 @@
 #include "commit/ws-commit.h"
 #include "workers/ws-workers.h"
 
-/* The share of the estimated run time with which lateness is predicted. A job is late only if it
-   would exceed its time limit even when it runs this much faster than estimated. */
+/* A job is late only if it would exceed its time limit even when it took just this share of its
+   estimated run time. */
 #define OPTIMISTIC_RUN_TIME_SHARE 0.6
 /* A late job is slightly late up to this multiple of its time limit. */
 #define SLIGHTLY_LATE_FACTOR 1.5
@@ -16,7 +16,7 @@
    classified as late. */
 #define MAX_LATE_WAIT_S 150.0
 #define MAX_LATE_WAIT_FACTOR 2.0
-/* One task of each job is protected, and one more for every this many tasks. */
+/* Each job has one protected task, plus one for every full group of this many tasks. */
 #define TASKS_PER_PROTECTED_TASK 8
 
 static gint
--- a/src/scheduling/ws-reservations.c
+++ b/src/scheduling/ws-reservations.c
@@ -10,8 +10,8 @@
 /* A reservation expires this long after its last renewal. Must be longer than it takes to request,
    carry out, report and record a stop, including a retry of the request. */
 #define RESERVATION_LIFETIME_MS 5000
-/* A reservation is renewed only if its last renewal is at least this old, so that not every plan
-   sends a message to the leader. */
+/* A reservation whose number of tasks is unchanged is renewed only if its last renewal is at least
+   this old, so that not every plan sends a message to the leader. */
 #define RESERVATION_RENEWAL_AGE_MS 1500
 
 /* Capacity reserved for tasks of one job, on one machine or within its team's limit. */
