--- a/src/scheduling/ws-demand-sizing.c
+++ b/src/scheduling/ws-demand-sizing.c
@@ -34,7 +34,7 @@
 /* Returns how long a task of the job can still wait for a slot and finish in time, even if a
    machine has to boot for it. */
 static double
-slack_s(const WsDemand *demand, const WsJob *job)
+task_slack_s(const WsDemand *demand, const WsJob *job)
 {
   const WsCore *core = demand->core;
   double allowed_s = ws_job_time_limit_s(core->replica, job);
@@ -68,7 +68,7 @@
   if (job->spec->kind != WS_KIND_ARRAY)
     return need;
   double run_s = ws_estimator_run_s(demand->core, job) + SLOT_OVERHEAD_PER_TASK_S;
-  double share = MAX(MIN_SLOT_SHARE, run_s / (run_s + slack_s(demand, job)));
+  double share = MAX(MIN_SLOT_SHARE, run_s / (run_s + task_slack_s(demand, job)));
   need.cpus = (gint64)((double)need.cpus * share);
   need.gpus = (gint64)((double)need.gpus * share);
   need.memory = (gint64)((double)need.memory * share);
@@ -81,5 +81,6 @@
   if (job->spec->kind != WS_KIND_ARRAY)
     return FALSE;
   return job->spec->deadline_s >= 0.0
-         || slack_s(demand, job) >= MIN_SLACK_PER_RUN_TIME * ws_estimator_run_s(demand->core, job);
+         || task_slack_s(demand, job)
+                >= MIN_SLACK_PER_RUN_TIME * ws_estimator_run_s(demand->core, job);
 }
