--- a/src/scheduling/ws-candidates.c
+++ b/src/scheduling/ws-candidates.c
@@ -226,8 +226,7 @@
   g_free(candidates);
 }
 
-/* Excludes the candidate if its machine no longer fits a task. Returns whether it isn't excluded.
- */
+/* Excludes the candidate if its machine no longer fits a task. Returns whether it remains. */
 static gboolean
 is_remaining(const WsCandidates *candidates, WsSlotKind kind, Candidate *candidate)
 {
--- a/src/scheduling/ws-placement.h
+++ b/src/scheduling/ws-placement.h
@@ -11,9 +11,8 @@
 typedef struct {
   WsCore *core;
   WsCapacityMap map;
-  WsResources
-      *team_use;    /**< by team: resources in use, including those of tasks placed by this plan */
-  WsDemand *demand; /**< NULL on nodes other than the leader, which alone rents machines */
+  WsResources *team_use; /**< by team: resources in use, including tasks placed by this plan */
+  WsDemand *demand;      /**< NULL on nodes other than the leader, which alone rents machines */
   /** Machine -> number of tasks of the current job for which capacity is being freed there. */
   GHashTable *freeing_slots;
 } WsPlacement;
