--- a/src/scheduling/ws-candidates.c
+++ b/src/scheduling/ws-candidates.c
@@ -116,12 +116,12 @@
   const WsReplica *replica = core->replica;
   double allowed_s = ws_job_time_limit_s(replica, job);
   double left_s = allowed_s - (double)(core->wall - job->accepted_ms) / 1000.0
-                  - ws_estimator_run_s(core, job) - ws_job_image_fetch_s(replica, job);
+                  - ws_estimator_run_time_s(core, job) - ws_job_image_fetch_s(replica, job);
   if (allowed_s < 0.0)
     return FALSE;
   for (WsTypeIndex t = 0; t < replica->catalog->len; t++) {
     const WsType *type = ws_replica_type(replica, t);
-    if (ws_constraints_type_fits(job->spec, type) && left_s >= BOOT_TIME_FACTOR * type->boot_s
+    if (ws_constraints_task_fits_type(job->spec, type) && left_s >= BOOT_TIME_FACTOR * type->boot_s
         && can_be_requested(core, job, t))
       return TRUE;
   }
--- a/src/scheduling/ws-capacity-map.c
+++ b/src/scheduling/ws-capacity-map.c
@@ -32,7 +32,8 @@
 static gboolean
 is_stopping(const WsCore *core, const WsJob *job, const WsAssignment *assignment)
 {
-  return assignment != NULL && (assignment->is_stop_requested || ws_cancellations_has(core, job));
+  return assignment != NULL
+         && (assignment->is_stop_requested || ws_cancellations_has_job(core, job));
 }
 
 static void
--- a/src/scheduling/ws-coordinator.c
+++ b/src/scheduling/ws-coordinator.c
@@ -76,8 +76,8 @@
 is_escalation_due(const WsCore *core, const WsJob *job)
 {
   return job->state == WS_JOB_ACTIVE && job->coordinator == core->settings->self
-         && job->status.unplaced_ms != 0
-         && core->now - job->status.unplaced_ms >= ESCALATION_DELAY_MS;
+         && job->status.unplaced_since_ms != 0
+         && core->now - job->status.unplaced_since_ms >= ESCALATION_DELAY_MS;
 }
 
 /* Adds an update of the job's record to the transaction that removes its coordinating node. */
--- a/src/scheduling/ws-demand-sizing.c
+++ b/src/scheduling/ws-demand-sizing.c
@@ -41,7 +41,7 @@
   double begin_s = ws_settings_begin_within(core->settings, job->spec->class_name);
   double used_s = (double)(core->wall - job->accepted_ms) / 1000.0
                   + ws_replica_type(core->replica, 0)->boot_s;
-  double end_s = RUN_TIME_SAFETY_FACTOR * ws_estimator_run_s(core, job)
+  double end_s = RUN_TIME_SAFETY_FACTOR * ws_estimator_run_time_s(core, job)
                  + ws_job_image_fetch_s(core->replica, job);
   double used_share = job->spec->deadline_s >= 0.0 ? USED_JOB_SLACK_SHARE : USED_CLASS_SLACK_SHARE;
   double slack_s
@@ -67,7 +67,7 @@
   WsResources need = job->spec->need;
   if (job->spec->kind != WS_KIND_ARRAY)
     return need;
-  double run_s = ws_estimator_run_s(demand->core, job) + SLOT_OVERHEAD_PER_TASK_S;
+  double run_s = ws_estimator_run_time_s(demand->core, job) + SLOT_OVERHEAD_PER_TASK_S;
   double share = MAX(MIN_SLOT_SHARE, run_s / (run_s + task_slack_s(demand, job)));
   need.cpus = (gint64)((double)need.cpus * share);
   need.gpus = (gint64)((double)need.gpus * share);
@@ -82,5 +82,5 @@
     return FALSE;
   return job->spec->deadline_s >= 0.0
          || task_slack_s(demand, job)
-                >= MIN_SLACK_PER_RUN_TIME * ws_estimator_run_s(demand->core, job);
+                >= MIN_SLACK_PER_RUN_TIME * ws_estimator_run_time_s(demand->core, job);
 }
--- a/src/scheduling/ws-preempt.c
+++ b/src/scheduling/ws-preempt.c
@@ -76,7 +76,7 @@
 {
   gint64 left = job->tasks - job->completed_count - job->assigned_count;
   gint64 cpus = MIN(left * job->spec->need.cpus, victim->spec->need.cpus);
-  double gain = (double)cpus * MAX(ws_estimator_run_s(core, job), 1.0);
+  double gain = (double)cpus * MAX(ws_estimator_run_time_s(core, job), 1.0);
   double lost
       = (double)victim->spec->need.cpus * (double)(core->wall - assignment->assigned_ms) / 1000.0;
   return lost <= MAX_LOST_WORK_RATIO * gain;
@@ -178,7 +178,7 @@
 add_team_victims(const WsCore *core, const WsJob *job, WsJob *candidate, GArray *victims,
                  WsResources *freeing)
 {
-  gboolean is_cancelled = ws_cancellations_has(core, candidate);
+  gboolean is_cancelled = ws_cancellations_has_job(core, candidate);
   gboolean may_stop = !is_cancelled && ws_preempt_allowed(core, job, candidate);
   WsAssignmentIter iter;
   ws_assignment_iter_init(&iter, candidate);
--- a/src/scheduling/ws-reservations.c
+++ b/src/scheduling/ws-reservations.c
@@ -135,7 +135,7 @@
 {
   const WsJob *job = ws_replica_job(core->replica, entry->job);
   if (core->now >= entry->expiry_ms || job == other || job->state != WS_JOB_ACTIVE
-      || job->spec == NULL || ws_cancellations_has(core, job)
+      || job->spec == NULL || ws_cancellations_has_job(core, job)
       || !has_precedence(core, job, other, other_tasks))
     return 0;
   guint assigned_or_done = job->completed_count + job->assigned_count;
