--- a/src/scheduling/ws-demand.c
+++ b/src/scheduling/ws-demand.c
@@ -1,4 +1,4 @@
-/* Autoscaling demand: how many machines of which kind are needed for the unplaced tasks. */
+/* Autoscaling demand: the machines to rent for the tasks that a plan couldn't place. */
 #include "scheduling/ws-demand-private.h"
 
 #include "scheduling/ws-type-fit.h"
@@ -7,7 +7,7 @@
 #include "membership/ws-membership.h"
 #include "storage/ws-constraints.h"
 
-/* The capacity that running tasks will free counts as this part of the capacity of new machines. */
+/* Capacity that running tasks will free is divided by this, since it isn't known when they exit. */
 #define RUNNING_SLOT_DIVISOR 2
 
 static void
@@ -18,10 +18,10 @@
   g_array_append_val(demand->machines, machine);
 }
 
-/* Adds what array tasks on the machine will free. A task that can wait may count on it, but as half
-   the capacity only, since it isn't known when they exit. */
+/* Adds a virtual machine with the capacity that the array tasks on the machine will free, divided
+   by RUNNING_SLOT_DIVISOR. Only tasks that can wait use it. */
 static void
-add_running(WsDemand *demand, const WsMachine *machine)
+add_capacity_of_array_tasks(WsDemand *demand, const WsMachine *machine)
 {
   const WsReplica *replica = demand->core->replica;
   WsResources freed = { 0 };
@@ -37,9 +37,9 @@
     add_virtual(demand, WS_VIRTUAL_RUNNING, machine->type, machine->zone, machine->is_spot, &freed);
 }
 
-/* Adds the machines of rental intents that the cloud hasn't confirmed yet. */
+/* Adds the machines of the rental intents that the cloud hasn't confirmed yet. */
 static void
-add_ordered(WsDemand *demand)
+add_requested(WsDemand *demand)
 {
   const WsReplica *replica = demand->core->replica;
   for (guint i = 0; i < replica->rental_intents->len; i++) {
@@ -59,14 +59,14 @@
 {
   const WsCore *core = demand->core;
   demand->machines_by_zone[machine->zone]++;
-  /* A machine that boots in a partitioned zone can't be used. */
+  /* A machine in a partitioned zone can't be used, even once it has booted. */
   if (machine->is_marked || ws_zone_is_partitioned(core, machine->zone))
     return;
   if (ws_machine_is_booting(core, machine))
     add_virtual(demand, WS_VIRTUAL_BOOTING, machine->type, machine->zone, machine->is_spot,
                 &ws_replica_type(core->replica, machine->type)->capacity);
   else if (ws_machine_is_up(core, machine))
-    add_running(demand, machine);
+    add_capacity_of_array_tasks(demand, machine);
 }
 
 WsDemand *
@@ -83,15 +83,16 @@
     if (machine->is_recorded && machine->type != WS_NO_TYPE && machine->zone != WS_NO_ZONE)
       add_machine(demand, machine);
   }
-  add_ordered(demand);
+  add_requested(demand);
   return demand;
 }
 
-/* Whether the demand may place the job's tasks on the virtual machine. What running tasks will free
-   counts only on machines of the smallest type that fits: larger ones are for larger tasks. */
+/* Whether the job's tasks may be placed on the virtual machine. Capacity that running tasks will
+   free may be used only on machines of the smallest type that fits a task: larger machines are left
+   to larger tasks. */
 static gboolean
-is_allowed(const WsDemand *demand, const WsJob *job, const WsVirtualMachine *machine,
-           gboolean can_wait, gint64 smallest_fitting_cpus)
+may_use_machine(const WsDemand *demand, const WsJob *job, const WsVirtualMachine *machine,
+                gboolean can_wait, gint64 smallest_fitting_cpus)
 {
   const WsType *type = ws_replica_type(demand->core->replica, machine->type);
   if ((machine->is_spot && !job->spec->allows_spot)
@@ -102,8 +103,7 @@
          || (can_wait && type->capacity.cpus <= smallest_fitting_cpus);
 }
 
-/* Subtracts @need from what is free for up to @max_tasks tasks. Returns for how many it was enough.
- */
+/* Subtracts @need from @free for as many tasks as fit, up to @max_tasks. Returns their number. */
 static guint
 subtract_tasks(WsResources *free, const WsResources *need, guint max_tasks)
 {
@@ -113,16 +113,16 @@
   return tasks;
 }
 
-/* Places tasks on the virtual machines that the demand has already. Returns how many fitted. */
+/* Places tasks on the existing virtual machines of the demand. Returns the number that fitted. */
 static guint
 fill_machines(WsDemand *demand, const WsJob *job, const WsResources *need, guint tasks)
 {
   gboolean can_wait = ws_demand_can_wait_for_running_tasks(demand, job);
-  gint64 smallest = ws_type_smallest_fitting_cpus(demand->core->replica, job->spec);
+  gint64 smallest_fitting_cpus = ws_type_smallest_fitting_cpus(demand->core->replica, job->spec);
   guint placed = 0;
   for (guint i = 0; i < demand->machines->len && placed < tasks; i++) {
     WsVirtualMachine *machine = ws_demand_machine_at(demand, i);
-    if (is_allowed(demand, job, machine, can_wait, smallest))
+    if (may_use_machine(demand, job, machine, can_wait, smallest_fitting_cpus))
       placed += subtract_tasks(&machine->free, need, tasks - placed);
   }
   return placed;
@@ -140,7 +140,7 @@
         && !ws_demand_add_new_machine(demand, job, FALSE, &need))
       return;
     left--;
-    /* The new machine takes as many of the other tasks as fit. */
+    /* Place as many of the other tasks on the new machine as fit. */
     left -= subtract_tasks(&ws_demand_machine_at(demand, added)->free, &need, left);
   }
 }
@@ -157,7 +157,8 @@
   demand->only_zone = WS_NO_ZONE;
 }
 
-/* Places a task of the job on an ordinary machine that the demand requests already. */
+/* Places a task of the job on a new on-demand (not spot) machine of this demand. Returns FALSE if
+   it fits none. */
 static gboolean
 fill_new_machine(WsDemand *demand, const WsJob *job)
 {
@@ -172,8 +173,8 @@
   return FALSE;
 }
 
-/* Adds machines so that the headroom is complete: critical jobs can't wait for a boot, so some
-   slots are always kept for them. */
+/* Adds machines until the headroom is complete: slots that are always kept free for critical jobs,
+   since these can't wait for a machine to boot. */
 static void
 add_headroom(WsDemand *demand)
 {
@@ -195,21 +196,22 @@
 }
 
 static gboolean
-is_same_kind(const WsVirtualMachine *first, const WsVirtualMachine *second)
+is_same_rental_kind(const WsVirtualMachine *first, const WsVirtualMachine *second)
 {
   return first->type == second->type && first->zone == second->zone
          && first->is_spot == second->is_spot;
 }
 
-/* Requests all new machines of the kind of the i-th one, which is the first of its kind. */
+/* Requests all new machines that have the type, the zone and the price model (spot or on-demand) of
+   the i-th one, which is the first of them. */
 static void
-request_kind(WsDemand *demand, guint i)
+request_rental_kind(WsDemand *demand, guint i)
 {
   const WsVirtualMachine *first = ws_demand_machine_at(demand, i);
   guint count = 0;
   for (guint k = i; k < demand->machines->len; k++) {
     WsVirtualMachine *machine = ws_demand_machine_at(demand, k);
-    if (machine->source != WS_VIRTUAL_NEW || !is_same_kind(first, machine))
+    if (machine->source != WS_VIRTUAL_NEW || !is_same_rental_kind(first, machine))
       continue;
     machine->source = WS_VIRTUAL_REQUESTED;
     count++;
@@ -223,7 +225,7 @@
   add_headroom(demand);
   for (guint i = 0; i < demand->machines->len; i++)
     if (ws_demand_machine_at(demand, i)->source == WS_VIRTUAL_NEW)
-      request_kind(demand, i);
+      request_rental_kind(demand, i);
   ws_rentals_record_intents(demand->core);
   g_array_unref(demand->machines);
   g_free(demand->machines_by_zone);
--- a/tests/gangs/gangs.h
+++ b/tests/gangs/gangs.h
@@ -1,12 +1,12 @@
 /**
- * The tests of gangs: all tasks run together or none does, whatever happens to machines and
- * controllers.
+ * The gang tests. Either all tasks of a gang run at the same time or none does, under any fault of
+ * machines and controllers.
  */
 #pragma once
 
 #include <glib.h>
 
-/** More than one machine has capacity for. */
+/** Number of tasks of a test gang: more than fit on one machine. */
 #define GANG_TASKS 6
 
 /* phase.c */
@@ -21,7 +21,7 @@
 void test_cancelled_in_any_phase(void);
 void test_partition_through_gang(void);
 void test_starts_among_small_jobs(void);
-void test_drawn(void);
+void test_recovery_from_random_faults(void);
 void test_checker_detects_two_attempts(void);
 
 /* one-node.c */
