--- a/src/api/ws-job-api.c
+++ b/src/api/ws-job-api.c
@@ -66,14 +66,14 @@
   user_request_free(user_request);
 }
 
-static WsUserState
+static WsReportedJobState
 user_state(const WsJob *job)
 {
   if (job->state == WS_JOB_DONE)
-    return WS_USER_STATE_DONE;
+    return WS_REPORTED_STATE_DONE;
   if (job->state == WS_JOB_CANCELLED)
-    return WS_USER_STATE_CANCELLED;
-  return job->assigned_count > 0 ? WS_USER_STATE_RUNNING : WS_USER_STATE_QUEUED;
+    return WS_REPORTED_STATE_CANCELLED;
+  return job->assigned_count > 0 ? WS_REPORTED_STATE_RUNNING : WS_REPORTED_STATE_QUEUED;
 }
 
 static void
@@ -149,7 +149,7 @@
     return;
   log_accepted(user_request->spec);
   core->replan_is_needed = TRUE;
-  WsJobSummary summary = { .job_id = user_request->id, .state = WS_USER_STATE_QUEUED };
+  WsJobSummary summary = { .job_id = user_request->id, .state = WS_REPORTED_STATE_QUEUED };
   finish_with_body(core, user_request, WS_HTTP_CREATED, ws_job_summary_encode(&summary, FALSE));
 }
 
@@ -301,7 +301,7 @@
     ws_answer_error(core, request, WS_HTTP_METHOD_NOT_ALLOWED, "not with this method");
   else if (is_submission)
     handle_submission(core, body, length, request);
-  else if (!ws_job_id_valid(id))
+  else if (!ws_job_id_is_valid(id))
     ws_answer_error(core, request, WS_HTTP_NOT_FOUND, "no such job");
   else
     start_request(core, is_cancellation ? REQUEST_CANCEL : REQUEST_POLL, id, NULL, request);
--- a/src/storage/ws-team-use.c
+++ b/src/storage/ws-team-use.c
@@ -23,7 +23,7 @@
     const WsTeamSettings *team = g_ptr_array_index(settings->teams, t);
     bytes += (double)strlen(team->name) + TEAM_ENTRY_BYTES;
   }
-  return 1 + (guint)(bytes / (AVERAGE_FILL_RATIO * settings->state_value_kb * BYTES_PER_KB));
+  return 1 + (guint)(bytes / (AVERAGE_FILL_RATIO * settings->kv_current_value_kb * BYTES_PER_KB));
 }
 
 guint
--- a/tests/test-coordination.c
+++ b/tests/test-coordination.c
@@ -54,7 +54,7 @@
     g_assert_cmpuint(new_owner, !=, 1);
     if (owner != 1)
       g_assert_cmpuint(new_owner, ==, owner);
-    g_assert_cmpuint(ws_epoch_owner(&none, name, settings), ==, WS_NONE);
+    g_assert_cmpuint(ws_epoch_owner(&none, name, settings), ==, WS_NO_INDEX);
   }
   for (guint n = 0; n < 3; n++)
     g_assert_cmpuint(owned[n], >, 850);
