--- a/src/protocol/ws-cloud.c
+++ b/src/protocol/ws-cloud.c
@@ -1,4 +1,4 @@
-/* Parses the cloud's answers and encodes the requests to it. */
+/* Parses the responses of the cloud API and encodes the requests to it. */
 #include "protocol/ws-cloud.h"
 
 #include "protocol/ws-field-names.h"
@@ -7,9 +7,9 @@
 #include <math.h>
 #include <string.h>
 
-/* The state of a listed machine that will never be up. */
+/* State of a listed machine that will never come up. */
 #define STATE_FAILED "failed"
-/* The body of the answer of a cloud that is out of capacity. */
+/* Member of an error response, and its value when the cloud is out of capacity. */
 #define FIELD_ERROR "error"
 #define ERROR_NO_CAPACITY "no capacity"
 
@@ -35,7 +35,8 @@
 
 typedef gboolean (*ParseItemFunc)(const json_t *item, gpointer parsed);
 
-/* Parses each item of the list into a new structure of the size; NULL: one is invalid. */
+/* Parses each item of a JSON array into a new structure of item_size bytes. Returns NULL if the
+   value is not an array or if an item is invalid. */
 static GPtrArray *
 parse_list(const json_t *list, gsize item_size, GDestroyNotify free_item, ParseItemFunc parse_item)
 {
--- a/src/protocol/ws-cloud.h
+++ b/src/protocol/ws-cloud.h
@@ -1,68 +1,71 @@
 /**
- * The cloud's messages: its catalog, the list of machines, rentals and returns.
+ * Messages of the cloud API: the machine-type catalog, the list of rented machines, rentals and
+ * returns.
  *
  * Parsers return an array that the caller unrefs, or NULL if the message is malformed. Encoders
- * return a new JSON object. Called by src/fleet, and by the replica for the catalog's record.
+ * return a new JSON object. Callers: src/fleet, and the replica, which stores the catalog as a
+ * record.
  */
 #pragma once
 
 #include "protocol/ws-resources.h"
 
-/** A machine type of the catalog. */
+/** A machine type from the catalog. */
 typedef struct {
   char *name;
   WsResources capacity;
-  double cache_gb; /**< size of a machine's image cache */
+  double cache_gb; /**< size of the machine's image cache */
   double fetch_gb_per_s;
-  double price; /**< on demand */
+  double price; /**< on-demand price */
   double spot_price;
-  double boot_s; /**< from the rental to the first heartbeat */
-  char **zones;  /**< in which it is offered */
+  double boot_s; /**< time from the rental to the first heartbeat */
+  char **zones;  /**< zones that offer the type */
 } WsType;
 
-/** A machine of the cloud's list. */
+/** An entry of the cloud's list of rented machines. */
 typedef struct {
   char *id;
-  char *endpoint; /**< NULL: the cloud doesn't say */
+  char *endpoint; /**< NULL if the list has no endpoint for it */
   char *type;
   char *zone;
   gboolean is_spot;
-  gboolean has_failed; /**< it will never be up */
-  double age_s;        /**< since it was rented */
+  gboolean has_failed; /**< the machine will never come up */
+  double age_s;        /**< time since the machine was rented */
 } WsListedMachine;
 
-/** Reads the catalog: an array of WsType, in its order. */
+/** Parses the catalog into an array of WsType, in catalog order. */
 GPtrArray *ws_catalog_parse(const json_t *message);
 
 /**
- * Reads a page of the list: an array of WsListedMachine.
+ * Parses one page of the machine list into an array of WsListedMachine.
  *
- * @more: set to whether the list goes on on another page
+ * @more: set to whether more pages follow
  */
 GPtrArray *ws_listing_parse(const json_t *message, gboolean *more);
 
-/** Reads the machines of a rental: an array of char *, their names. */
+/** Parses the response to a rental into an array of char *, the names of the rented machines. */
 GPtrArray *ws_rental_machines_parse(const json_t *message);
 
-/** What came of a request for machines. */
+/** Outcome of a rental request. */
 typedef enum {
-  WS_RENTAL_RENTED,      /**< some of the machines, or all */
-  WS_RENTAL_NO_CAPACITY, /**< the cloud has none of the kind */
-  WS_RENTAL_REFUSED,     /**< the request is malformed to the cloud: a retry is in vain */
-  WS_RENTAL_FAILED       /**< it isn't known whether machines were rented; to be retried */
+  WS_RENTAL_RENTED,      /**< some or all of the machines were rented */
+  WS_RENTAL_NO_CAPACITY, /**< the cloud has no such machine available */
+  WS_RENTAL_REFUSED,     /**< the cloud rejected the request as malformed; a retry can't succeed */
+  WS_RENTAL_FAILED       /**< unknown whether machines were rented; retry with the same key */
 } WsRentalResult;
 
 /**
- * Reads the cloud's answer to a request for machines.
+ * Parses the cloud's response to a rental request.
  *
- * @status: of HTTP; 0: no answer came
- * @names: set to the machines' names if any were rented, to be unreferenced; to NULL otherwise
+ * @status: the HTTP status; 0 if no response came
+ * @names: set to the names of the rented machines, which the caller unrefs, or to NULL if none were
+ *   rented
  */
 WsRentalResult ws_rental_reply_parse(guint status, const json_t *body, GPtrArray **names);
 
-/** Encodes a rental. @request: its idempotency key */
+/** Encodes a rental request. @request: its idempotency key */
 json_t *ws_rental_encode(const char *request, const char *type, const char *zone, gboolean spot,
                          guint count);
 
-/** Encodes the return of machines. @machines: of char *, their names */
+/** Encodes the return of rented machines. @machines: array of char *, their names */
 json_t *ws_return_encode(const GPtrArray *machines);
--- a/src/protocol/ws-error.c
+++ b/src/protocol/ws-error.c
@@ -1,4 +1,4 @@
-/* Error domain and the texts that several parsers share. */
+/* The error domain, and the error messages that several parsers share. */
 #include "protocol/ws-error.h"
 
 G_DEFINE_QUARK(ws - error - quark, ws_error)
--- a/src/protocol/ws-error.h
+++ b/src/protocol/ws-error.h
@@ -1,19 +1,20 @@
 /**
- * The error domain of whatever comes from outside: messages, settings, properties.
+ * The error domain for invalid input: messages, the settings file and the properties file.
  *
- * The texts are one line each and reach the user who sent a message, or the log.
+ * Each error message is one line. It is returned to the sender of an invalid message, or printed on
+ * standard error for an invalid file.
  */
 #pragma once
 
 #include <glib.h>
 
-/** The domain of a GError from this program's parsers. */
+/** The GError domain of the parsers in this directory. */
 #define WS_ERROR (ws_error_quark())
 
-/** The codes of WS_ERROR. */
+/** Error codes of the domain WS_ERROR. */
 typedef enum {
-  WS_ERROR_MALFORMED,        /**< not of the form that is read: no JSON object, no properties */
-  WS_ERROR_INVALID_FIELD,    /**< a message's field is missing or invalid */
+  WS_ERROR_MALFORMED,        /**< the input is not a JSON object, or not a properties file */
+  WS_ERROR_INVALID_FIELD,    /**< a field of a message is missing or invalid */
   WS_ERROR_INVALID_SETTING,  /**< a setting is missing or invalid */
   WS_ERROR_INVALID_PROPERTY, /**< a property is unknown or invalid */
 } WsError;
@@ -21,13 +22,13 @@
 /** The quark behind WS_ERROR. */
 GQuark ws_error_quark(void);
 
-/** Sets @error, which may be NULL, to WS_ERROR_MALFORMED for a message that is no JSON object. */
+/** Sets @error, which may be NULL, to WS_ERROR_MALFORMED: the message is not a JSON object. */
 void ws_error_set_not_object(GError **error);
 
 /**
- * Sets @error, which may be NULL, for a member of a message that is missing or invalid.
+ * Sets @error, which may be NULL, to an error that names a missing or invalid field or setting.
  *
- * @code: WS_ERROR_INVALID_FIELD or WS_ERROR_INVALID_SETTING.
- * @name: the member, as the sender knows it.
+ * @code: WS_ERROR_INVALID_FIELD or WS_ERROR_INVALID_SETTING
+ * @name: the name of the field or setting in the message or file
  */
 void ws_error_set_invalid(GError **error, WsError code, const char *name);
--- a/src/protocol/ws-field-names.h
+++ b/src/protocol/ws-field-names.h
@@ -1,70 +1,72 @@
 /**
- * The field names of the messages between users, workers, cloud, key-value store and controllers.
+ * JSON field names of the messages exchanged with users, workers, the cloud API, the key-value
+ * store and other controllers.
  *
- * They stay in this directory: everything above uses the standard terms, which stand beside them.
- * Fields that are spelled as in the standard have no name here unless several messages share them.
+ * Many of the platform's field names are not English. Only this directory uses them; the rest of
+ * the program uses the standard term, which the constant's name and comment give. A field that
+ * already has the standard name is listed here only if several messages share it.
  */
 #pragma once
 
-/** Shared by several messages. */
-#define WS_FIELD_ID "id"             /**< id of a job or of a listed machine */
-#define WS_FIELD_ENDPOINT "endpoint" /**< address where a machine's worker takes commands */
-#define WS_FIELD_MACHINE_TYPE "typ"  /**< type of a machine, of the catalog */
+/** Fields that several messages share. */
+#define WS_FIELD_ID "id"             /**< id of a job, or of a machine in the cloud's list */
+#define WS_FIELD_ENDPOINT "endpoint" /**< address at which the worker accepts commands */
+#define WS_FIELD_MACHINE_TYPE "typ"  /**< machine type, as named in the catalog */
 #define WS_FIELD_ZONE "hala"         /**< zone */
-#define WS_FIELD_SPOT "vypujcky"     /**< spot machine; of a job: may run on spot machines */
-#define WS_FIELD_CPUS "cpus"         /**< CPUs needed, or of a machine */
-#define WS_FIELD_GPUS "accelerators" /**< GPUs needed, or of a machine */
-#define WS_FIELD_MEMORY_GB "mem_gb"  /**< memory needed, or of a machine */
+#define WS_FIELD_SPOT "vypujcky"     /**< machine: is a spot machine; job: may use them */
+#define WS_FIELD_CPUS "cpus"         /**< CPUs: a task's need or a type's capacity */
+#define WS_FIELD_GPUS "accelerators" /**< GPUs: a task's need or a type's capacity */
+#define WS_FIELD_MEMORY_GB "mem_gb"  /**< memory: a task's need or a type's capacity */
 #define WS_FIELD_MACHINES "stroje"   /**< list of machines */
-#define WS_FIELD_TASKS "kusy"        /**< of a job: their number; of a heartbeat: their list */
-#define WS_FIELD_STATE "stav"        /**< state of a job, a task or a machine */
+#define WS_FIELD_TASKS "kusy"        /**< job: number of tasks; heartbeat: task statuses */
+#define WS_FIELD_STATE "stav"        /**< state of a job, task or machine */
 
-/** A job's submission. */
-#define WS_FIELD_CLASS "trida"           /**< class, for objectives and estimates */
-#define WS_FIELD_TEAM "dilna"            /**< team, whose quota it counts towards */
-#define WS_FIELD_KIND "druh"             /**< kind: array, service or gang */
-#define WS_FIELD_PRIORITY "prednost"     /**< priority class */
-#define WS_FIELD_IMAGE "obraz"           /**< image */
-#define WS_FIELD_IMAGE_GB "pull_gb"      /**< size of the image */
-#define WS_FIELD_MACHINE_TYPES "typy"    /**< allowed machine types; also the catalog's list */
-#define WS_FIELD_ONE_ZONE "one_zone"     /**< zone affinity among the tasks */
-#define WS_FIELD_SPREAD "scatter"        /**< zone anti-affinity: at most half in one zone */
-#define WS_FIELD_ESTIMATE_S "odhad_s"    /**< estimated run time of a task */
+/** Job submission. */
+#define WS_FIELD_CLASS "trida"        /**< class, used for objectives and run-time estimates */
+#define WS_FIELD_TEAM "dilna"         /**< team whose quota the job is charged to */
+#define WS_FIELD_KIND "druh"          /**< kind of job: array, service or gang */
+#define WS_FIELD_PRIORITY "prednost"  /**< priority class */
+#define WS_FIELD_IMAGE "obraz"        /**< image name */
+#define WS_FIELD_IMAGE_GB "pull_gb"   /**< image size */
+#define WS_FIELD_MACHINE_TYPES "typy" /**< allowed machine types; catalog: list of types */
+#define WS_FIELD_ONE_ZONE "one_zone"  /**< zone affinity: all tasks in one zone */
+#define WS_FIELD_SPREAD "scatter"     /**< zone anti-affinity: at most half the tasks in one zone */
+#define WS_FIELD_ESTIMATE_S "odhad_s" /**< estimated run time of a task */
 #define WS_FIELD_CHECKPOINT_S "zaloha_s" /**< checkpoint interval */
-#define WS_FIELD_SAVE_S "ulozeni_s"      /**< time that a checkpoint at a stop takes */
-#define WS_FIELD_DEADLINE_S "termin_s"   /**< deadline, from acceptance on */
+#define WS_FIELD_SAVE_S "ulozeni_s"      /**< time to write the checkpoint when a task is stopped */
+#define WS_FIELD_DEADLINE_S "termin_s"   /**< deadline, counted from the job's acceptance */
 
-/** A worker's heartbeat, and its answer to a command. */
-#define WS_FIELD_MACHINE "stroj"            /**< name of the machine */
-#define WS_FIELD_INCARNATION "smena"        /**< incarnation of the worker */
+/** A worker's heartbeat, and its response to commands. */
+#define WS_FIELD_MACHINE "stroj"            /**< machine name */
+#define WS_FIELD_INCARNATION "smena"        /**< incarnation number of the worker */
 #define WS_FIELD_SEQUENCE "poradi"          /**< sequence number within the incarnation */
-#define WS_FIELD_FENCING_TOKEN "pecet"      /**< fencing token: the highest epoch seen */
-#define WS_FIELD_INTERRUPTION_S "vypoved_s" /**< interruption notice: time until the end */
-#define WS_FIELD_TASK "kus"                 /**< task: JOB/NUMBER */
+#define WS_FIELD_FENCING_TOKEN "pecet"      /**< fencing token: highest epoch seen */
+#define WS_FIELD_INTERRUPTION_S "vypoved_s" /**< interruption notice: time until reclaim */
+#define WS_FIELD_TASK "kus"                 /**< task name, JOB/NUMBER */
 #define WS_FIELD_ATTEMPT "pokus"            /**< attempt number */
-#define WS_FIELD_EXIT_REASON "duvod"        /**< why a task has exited */
-#define WS_FIELD_IS_SAVED "stored"          /**< a stopped task's progress is in its checkpoint */
+#define WS_FIELD_EXIT_REASON "duvod"        /**< exit reason of a task */
+#define WS_FIELD_IS_SAVED "stored"          /**< the progress of a stopped task is checkpointed */
 
-/** What a worker is told. */
+/** Commands to a worker, and the response to its heartbeat. */
 #define WS_FIELD_COMMANDS "prikazy"     /**< list of commands */
-#define WS_FIELD_OPERATION "ukon"       /**< operation of a command */
-#define WS_FIELD_GRACE_S "lhuta_s"      /**< grace period of a stop */
-#define WS_FIELD_REDIRECT "hlasit_komu" /**< controller that owns the machine */
+#define WS_FIELD_OPERATION "ukon"       /**< operation of one command */
+#define WS_FIELD_GRACE_S "lhuta_s"      /**< grace period of a stop, for the checkpoint */
+#define WS_FIELD_REDIRECT "hlasit_komu" /**< name of the controller that owns the machine */
 
-/** The cloud: catalog, list of machines, rental, return. */
+/** Cloud API: catalog, list of machines, rental, return. */
 #define WS_FIELD_TYPE_NAME "sku"            /**< name of a machine type */
-#define WS_FIELD_CACHE_GB "local_gb"        /**< size of a machine's image cache */
-#define WS_FIELD_FETCH_RATE "pull_gb_per_s" /**< rate at which images are fetched, GB/s */
+#define WS_FIELD_CACHE_GB "local_gb"        /**< size of the machine's image cache */
+#define WS_FIELD_FETCH_RATE "pull_gb_per_s" /**< image download rate, GB/s */
 #define WS_FIELD_PRICE "price"              /**< on-demand price */
 #define WS_FIELD_SPOT_PRICE "low_price"     /**< spot price */
 #define WS_FIELD_BOOT_S "boot_s"            /**< time from the rental to the first heartbeat */
-#define WS_FIELD_ZONES "haly"               /**< zones in which a type is offered */
-#define WS_FIELD_AGE_S "age_s"              /**< time since a listed machine was rented */
-#define WS_FIELD_HAS_MORE "more"            /**< the list goes on on another page */
-#define WS_FIELD_REQUEST "objednavka"       /**< idempotency key of a rental */
-#define WS_FIELD_COUNT "how_many"           /**< how many machines to rent */
+#define WS_FIELD_ZONES "haly"               /**< zones that offer the type */
+#define WS_FIELD_AGE_S "age_s"              /**< time since the machine was rented */
+#define WS_FIELD_HAS_MORE "more"            /**< more pages follow */
+#define WS_FIELD_REQUEST "objednavka"       /**< idempotency key of a rental request */
+#define WS_FIELD_COUNT "how_many"           /**< number of machines to rent */
 
-/** The key-value store. */
-#define WS_FIELD_REVISION "zmena" /**< revision of the store */
-#define WS_FIELD_VERSION "verze"  /**< version of a key */
-#define WS_FIELD_LEASE "najem"    /**< lease */
+/** Key-value store. */
+#define WS_FIELD_REVISION "zmena" /**< revision of the whole store */
+#define WS_FIELD_VERSION "verze"  /**< version of one key */
+#define WS_FIELD_LEASE "najem"    /**< lease id */
--- a/src/protocol/ws-heartbeat.c
+++ b/src/protocol/ws-heartbeat.c
@@ -1,4 +1,4 @@
-/* Parses heartbeats and statuses of workers; encodes commands and the answers to heartbeats. */
+/* Parses the heartbeats and statuses of workers; encodes commands and heartbeat responses. */
 #include "protocol/ws-heartbeat.h"
 
 #include "protocol/ws-field-names.h"
@@ -8,12 +8,12 @@
 #include <string.h>
 
 #define MAX_MACHINE_NAME_BYTES 100
-/* The cloud has given no interruption notice. */
+/* Value of interruption_s if the cloud has given no interruption notice. */
 #define NO_INTERRUPTION_S (-1.0)
-/* A machine's name is part of keys of the store and of paths. */
+/* Characters that a machine name can't have: it is part of store keys and URL paths. */
 #define NOT_IN_MACHINE_NAMES " /"
 
-/* Splits JOB/NUMBER. */
+/* Splits a task name of the form JOB/NUMBER. */
 static gboolean
 parse_task_name(const char *name, char **job, guint *task)
 {
@@ -46,7 +46,7 @@
   return FALSE;
 }
 
-/* A reason that this version doesn't know counts as an error. */
+/* A reason that this version doesn't know is treated as an error of the task. */
 static WsExitReason
 parse_exit_reason(const char *name)
 {
@@ -88,8 +88,8 @@
   g_free(((WsTaskStatus *)data)->job);
 }
 
-/* Returns the name of the first field that is missing or invalid, as does parse_fields(); NULL: all
-   are valid. */
+/* Returns the name of the first missing or invalid field, or NULL if all are valid.
+   parse_fields() does the same. */
 static const char *
 parse_tasks(const json_t *message, WsHeartbeat *heartbeat)
 {
--- a/src/protocol/ws-heartbeat.h
+++ b/src/protocol/ws-heartbeat.h
@@ -1,107 +1,116 @@
 /**
- * What a worker reports, and what it is told.
+ * Messages between controllers and workers: heartbeats, task statuses and commands.
  *
- * Encoders return a new JSON object. Called by src/workers, the failure detector and the
- * check of releases without evidence (ws-legacy-releases.c).
+ * Encoders return a new JSON object. Callers: src/workers, the failure detector, and the check of
+ * releases that have no recorded evidence (ws-legacy-releases.c).
  */
 #pragma once
 
 #include "protocol/ws-error.h"
 #include "protocol/ws-json.h"
 
-/** The states of a task on its machine, in their order. */
+/** States of a task on its machine, in the order in which a task passes through them. */
 typedef enum {
-  WS_TASK_ASSIGNED,  /**< recorded; the worker hasn't reported it yet */
-  WS_TASK_FETCHING,  /**< its image is being fetched */
-  WS_TASK_GATHERING, /**< of a gang: it has its image, and waits for the other tasks */
+  WS_TASK_ASSIGNED,  /**< the assignment is stored; the worker hasn't reported the task yet */
+  WS_TASK_FETCHING,  /**< the worker downloads the image */
+  WS_TASK_GATHERING, /**< gang only: has its image and waits for the gang's other tasks */
   WS_TASK_RUNNING,
-  WS_TASK_SAVING, /**< it was stopped, and writes its checkpoint */
+  WS_TASK_SAVING, /**< was stopped and writes its checkpoint */
   WS_TASK_EXITED
 } WsTaskState;
 
-/** Why a task has exited. */
+/** Reasons for which a task exits. */
 typedef enum {
-  WS_EXIT_NONE,      /**< it hasn't */
+  WS_EXIT_NONE,      /**< the task hasn't exited */
   WS_EXIT_DONE,      /**< completed */
   WS_EXIT_STOPPED,   /**< stopped on request */
-  WS_EXIT_ERROR,     /**< failed, or for a reason that this version doesn't know */
-  WS_EXIT_REFUSED,   /**< the machine didn't take it */
-  WS_EXIT_PEERS,     /**< of a gang: another of its tasks is gone */
-  WS_EXIT_INCOMPLETE /**< of a gang: the others didn't come in time */
+  WS_EXIT_ERROR,     /**< failed, or exited for a reason that this version doesn't know */
+  WS_EXIT_REFUSED,   /**< the worker rejected the launch */
+  WS_EXIT_PEERS,     /**< gang only: another task of the gang was lost */
+  WS_EXIT_INCOMPLETE /**< gang only: the other tasks weren't ready within the timeout */
 } WsExitReason;
 
-/** A task's attempt as its worker reports it. */
+/** Status of one attempt of a task, as reported by the worker. */
 typedef struct {
   char *job; /**< owned */
   guint task;
   guint64 attempt;
   WsTaskState state;
   WsExitReason exit_reason;
-  gboolean is_saved; /**< of a task that was stopped: its progress is in its checkpoint */
+  gboolean is_saved; /**< stopped task: its progress is in its checkpoint */
 } WsTaskStatus;
 
-/** A heartbeat with the status of all tasks. All strings are owned. */
+/** A heartbeat with the status of all tasks on the machine. Owns its strings. */
 typedef struct {
   char *machine;
-  char *endpoint; /**< where the worker takes commands */
+  char *endpoint; /**< address at which the worker accepts commands */
   char *type;
   char *zone;
   gboolean is_spot;
   guint64 incarnation;
-  guint64 sequence;      /**< grows with each message of the incarnation */
-  guint64 fencing_token; /**< the highest that the worker has seen */
-  double interruption_s; /**< time until the cloud takes the machine back; negative: no notice */
-  GArray *tasks;         /**< of WsTaskStatus */
+  guint64 sequence;      /**< increases with each message of the same incarnation */
+  guint64 fencing_token; /**< the highest token that the worker has seen */
+  double interruption_s; /**< time until the cloud reclaims the machine; negative: no notice */
+  GArray *tasks;         /**< array of WsTaskStatus */
 } WsHeartbeat;
 
-/** Reads a heartbeat, which the caller frees. NULL with @error set: it is invalid. */
+/** Parses a heartbeat, which the caller frees. Returns NULL and sets @error if it is invalid. */
 WsHeartbeat *ws_heartbeat_parse(const json_t *message, GError **error);
 
-/** Frees the heartbeat with its tasks; NULL is allowed. */
+/** Frees the heartbeat and its task statuses; NULL is allowed. */
 void ws_heartbeat_free(WsHeartbeat *heartbeat);
 
-/** The attempt's status, owned by the heartbeat; NULL: the heartbeat doesn't have it. */
+/** Returns the attempt's status, owned by the heartbeat, or NULL if it isn't in the heartbeat. */
 const WsTaskStatus *ws_heartbeat_find_task(const WsHeartbeat *heartbeat, const char *job,
                                            guint task, guint64 attempt);
 
 /**
- * Reads the answer of a machine's worker to a call for its status.
+ * Parses a worker's response to a status request.
  *
- * Returns NULL if the answer isn't one (@status is 0: none came), is malformed, or is another
- * machine's, as after an address has passed on.
+ * Returns NULL if the request failed (@status is 0 if no response came), if the response is
+ * malformed, or if another machine sent it, which happens after an address was reassigned.
+ *
+ * @machine: name of the machine that was asked
  */
 WsHeartbeat *ws_heartbeat_parse_status_reply(guint status, const json_t *body, const char *machine);
 
 /**
- * Reads the answer of a machine's worker to commands. A refusal, for an outdated fencing token or
- * incarnation, carries the worker's status too; otherwise as ws_heartbeat_parse_status_reply().
+ * Parses a worker's response to commands, like ws_heartbeat_parse_status_reply(). It also accepts a
+ * rejection for an outdated fencing token or incarnation (409), which carries the worker's status.
  */
 WsHeartbeat *ws_heartbeat_parse_command_reply(guint status, const json_t *body,
                                               const char *machine);
 
-/** The operations of commands. */
+/** Operations that a command can request. */
 typedef enum {
   WS_OP_LAUNCH,
-  WS_OP_HALT, /**< stop, with a checkpoint within the grace period */
-  WS_OP_REAP  /**< forget an exited task */
+  WS_OP_HALT, /**< stop the task; it may write a checkpoint within the grace period */
+  WS_OP_REAP  /**< drop the worker's record of an exited task */
 } WsOp;
 
-/** The name of the operation, in commands and in the log; static. */
+/** Returns the static name of the operation, as used in commands and in the log. */
 const char *ws_op_name(WsOp op);
 
-/** Encodes a command. @grace_s: in seconds, of WS_OP_HALT alone */
+/** Encodes a command. @grace_s: grace period in seconds, used by WS_OP_HALT only */
 json_t *ws_command_encode(WsOp op, const char *job, guint task, guint64 attempt, double grace_s);
 
-/** Encodes the answer to a heartbeat. @commands: taken */
+/** Encodes the response to a heartbeat. Takes ownership of @commands. */
 json_t *ws_heartbeat_answer_encode(guint64 fencing_token, json_t *commands);
 
-/** The commands of an answer to a heartbeat, borrowed; NULL: it has none. */
+/** Returns the commands in a heartbeat response, borrowed from it, or NULL if it has none. */
 json_t *ws_heartbeat_answer_commands(const json_t *answer);
 
-/** Encodes a call to the worker, which only this incarnation carries out. @commands: taken */
+/**
+ * Encodes a request with commands that only the given incarnation of the worker executes. Takes
+ * ownership of @commands.
+ */
 json_t *ws_commands_encode(guint64 fencing_token, guint64 incarnation, json_t *commands);
 
-/** Encodes the redirection of a worker to a controller. @node: its name; NULL: none is known */
+/**
+ * Encodes the response that redirects a worker to the controller that owns its machine.
+ *
+ * @node: the controller's name; NULL if unknown
+ */
 json_t *ws_redirect_encode(const char *node);
 
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsHeartbeat, ws_heartbeat_free)
--- a/src/protocol/ws-index.h
+++ b/src/protocol/ws-index.h
@@ -1,46 +1,47 @@
 /**
- * Dense indices: names are mapped to them where a message or a record comes in.
+ * Dense indices that stand for names within the process. Parsers of messages and stored records map
+ * each name to its index.
  *
- * Each is a number from 0 on; its NO value says that there is none, or that it isn't known.
+ * Indices start at 0. Each type has a WS_NO_... value that means "none" or "unknown".
  */
 #pragma once
 
 #include <glib.h>
 
-/** The value of all of them that says that there is none. */
+/** The value of every index type that means "none" or "unknown". */
 #define WS_NONE G_MAXUINT32
 
-/** A controller: its place among WsSettings.nodes. */
+/** A controller: its index in WsSettings.nodes. */
 typedef guint WsNodeIndex;
-/** No node, or one that is not known. */
+/** No controller, or an unknown one. */
 #define WS_NO_NODE ((WsNodeIndex)WS_NONE)
 
-/** A zone: its place among WsSettings.zones. */
+/** A zone: its index in WsSettings.zones. */
 typedef guint WsZoneIndex;
-/** No zone, or one that is not known. */
+/** No zone, or an unknown one. */
 #define WS_NO_ZONE ((WsZoneIndex)WS_NONE)
 
-/** A team: its place among WsSettings.teams. */
+/** A team: its index in WsSettings.teams. */
 typedef guint WsTeamIndex;
-/** No team, or one that is not known. */
+/** No team, or an unknown one. */
 #define WS_NO_TEAM ((WsTeamIndex)WS_NONE)
 
-/** A type of machine: its place in the cloud's catalog. */
+/** A machine type: its index in the cloud's catalog. */
 typedef guint WsTypeIndex;
-/** No type, or one that is not known. */
+/** No machine type, or an unknown one. */
 #define WS_NO_TYPE ((WsTypeIndex)WS_NONE)
 
-/** A job: its place in the replica. */
+/** A job: its index in the replica. */
 typedef guint WsJobIndex;
-/** No job, or one that is not known. */
+/** No job, or an unknown one. */
 #define WS_NO_JOB ((WsJobIndex)WS_NONE)
 
-/** A machine: its place in the replica. */
+/** A machine: its index in the replica. */
 typedef guint WsMachineIndex;
-/** No machine, or one that is not known. */
+/** No machine, or an unknown one. */
 #define WS_NO_MACHINE ((WsMachineIndex)WS_NONE)
 
-/** An image: its place among the names that the replica has met. */
+/** An image: its index in the replica's table of image names. */
 typedef guint WsImageIndex;
-/** No image, or one that is not known. */
+/** No image, or an unknown one. */
 #define WS_NO_IMAGE ((WsImageIndex)WS_NONE)
--- a/src/protocol/ws-job-spec.c
+++ b/src/protocol/ws-job-spec.c
@@ -1,4 +1,4 @@
-/* Parses and encodes submissions of jobs, which are also part of the stored job records. */
+/* Parses and encodes job submissions. The stored job records contain them too. */
 #include "protocol/ws-job-spec.h"
 
 #include "protocol/ws-field-names.h"
@@ -8,7 +8,7 @@
 static const char *const KINDS[] = { "sweep", "service", "group", NULL };
 static const char *const PRIORITIES[] = { "critical", "urgent", "standard", "best_effort", NULL };
 
-/* The largest number of seconds, or of GB of an image. */
+/* Upper limit of durations in seconds and of the image size in GB. */
 #define MAX_NUMBER 1e9
 #define MAX_TEXT_BYTES 200
 #define MAX_MACHINE_TYPES 1000
@@ -36,7 +36,7 @@
   return ws_json_number(message, name, value) && *value >= 0.0 && *value <= MAX_NUMBER;
 }
 
-/* Reads a field whose value is one of the names; sets @index to its index among them. */
+/* Parses a field whose value must be one of the names; sets @index to its index in @names. */
 static gboolean
 parse_name(const json_t *message, const char *name, const char *const *names, guint *index)
 {
@@ -172,8 +172,8 @@
   return NULL;
 }
 
-/* Returns the name of the first field that is missing or invalid, as do the functions that it
-   calls; NULL: all are valid. */
+/* Returns the name of the first missing or invalid field, or NULL if all are valid. The functions
+   that it calls do the same. */
 static const char *
 parse_fields(const json_t *message, WsJobSpec *spec)
 {
--- a/src/protocol/ws-job-spec.h
+++ b/src/protocol/ws-job-spec.h
@@ -1,56 +1,56 @@
 /**
- * A job as its user describes it: its submission, which the stored record of the job contains.
+ * The specification of a job, as submitted by its user. The stored job record contains it.
  */
 #pragma once
 
 #include "protocol/ws-error.h"
 #include "protocol/ws-resources.h"
 
-/** The largest number of tasks that a job may have. */
+/** Maximum number of tasks of a job. */
 #define WS_MAX_TASKS 100000
 
-/** How the tasks of a job belong together. */
+/** Kinds of jobs, by the way in which their tasks depend on each other. */
 typedef enum {
   WS_KIND_ARRAY,   /**< independent tasks */
   WS_KIND_SERVICE, /**< tasks that run until the job is cancelled */
-  WS_KIND_GANG     /**< tasks that run together or not at all */
+  WS_KIND_GANG     /**< tasks that must all run at the same time */
 } WsKind;
 
-/** Priority classes, the highest first. */
+/** Priority classes, highest first. */
 typedef enum { WS_CRITICAL, WS_URGENT, WS_STANDARD, WS_BEST_EFFORT } WsPriority;
 
-/** A job's specification. All strings are owned. */
+/** A job's specification. Owns its strings. */
 typedef struct {
   char *id;
-  char *class_name; /**< class, for objectives and run-time estimates */
+  char *class_name; /**< class, used for objectives and run-time estimates */
   char *team;
   WsKind kind;
   WsPriority priority;
-  guint tasks;             /**< how many it has */
-  WsResources need;        /**< of each task */
-  char **types;            /**< allowed machine types; NULL: any */
-  char *zone;              /**< NULL: any */
-  gboolean needs_one_zone; /**< all tasks in the same zone */
-  gboolean must_spread;    /**< no more than half of the tasks, rounded up, in one zone */
-  gboolean allows_spot;    /**< may run on spot machines */
+  guint tasks;             /**< number of tasks */
+  WsResources need;        /**< resources that each task needs */
+  char **types;            /**< allowed machine types; NULL if all are */
+  char *zone;              /**< required zone; NULL if any will do */
+  gboolean needs_one_zone; /**< zone affinity: all tasks run in the same zone */
+  gboolean must_spread; /**< zone anti-affinity: at most half of the tasks, rounded up, per zone */
+  gboolean allows_spot; /**< the tasks may run on spot machines */
   char *image;
   double image_gb;
-  double estimate_s;   /**< run time of a task */
+  double estimate_s;   /**< estimated run time of a task */
   double checkpoint_s; /**< checkpoint interval */
-  double save_s;       /**< how long a checkpoint at a stop takes */
-  double deadline_s;   /**< in all; negative: none */
+  double save_s;       /**< time to write the checkpoint when a task is stopped */
+  double deadline_s;   /**< time from acceptance to the deadline; negative if none */
 } WsJobSpec;
 
-/** Reads a submission, which the caller frees. NULL with @error set: it is invalid. */
+/** Parses a submission, which the caller frees. Returns NULL and sets @error if it is invalid. */
 WsJobSpec *ws_job_spec_parse(const json_t *message, GError **error);
 
-/** The submission as ws_job_spec_parse() reads it, a new JSON object. */
+/** Encodes the submission as a new JSON object, which ws_job_spec_parse() can parse. */
 json_t *ws_job_spec_encode(const WsJobSpec *spec);
 
 /** Frees the specification; NULL is allowed. */
 void ws_job_spec_free(WsJobSpec *spec);
 
-/** Whether the text, which may be NULL, is of the form of a job's id. */
+/** Returns whether the text, which may be NULL, is a well-formed job id. */
 gboolean ws_job_id_valid(const char *id);
 
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsJobSpec, ws_job_spec_free)
--- a/src/protocol/ws-job-summary.c
+++ b/src/protocol/ws-job-summary.c
@@ -1,4 +1,4 @@
-/* Encodes the state of a job as its user gets it. */
+/* Encodes the job state that the job API returns to users. */
 #include "protocol/ws-job-summary.h"
 
 #include "protocol/ws-field-names.h"
--- a/src/protocol/ws-job-summary.h
+++ b/src/protocol/ws-job-summary.h
@@ -1,21 +1,21 @@
 /**
- * The answer to a job's user: its state, and for a poll how many tasks are done and running.
- * Called by the job API.
+ * The job API's response about a job: its state and, if a user polls the job, the numbers of
+ * completed and running tasks.
  */
 #pragma once
 
 #include <jansson.h>
 #include <glib.h>
 
-/** The state of a job, as its user is told. */
+/** The state of a job as the job API reports it. */
 typedef enum {
-  WS_USER_STATE_QUEUED, /**< no task has a machine */
+  WS_USER_STATE_QUEUED, /**< no task is assigned to a machine */
   WS_USER_STATE_RUNNING,
   WS_USER_STATE_DONE,
   WS_USER_STATE_CANCELLED
 } WsUserState;
 
-/** What a user is told of a job. */
+/** What the job API reports about a job. */
 typedef struct {
   const char *job_id; /**< borrowed */
   WsUserState state;
@@ -23,5 +23,5 @@
   guint running_tasks;
 } WsJobSummary;
 
-/** Returns a new JSON object. @with_tasks: the numbers of tasks too, as the answer to a poll has */
+/** Encodes the summary as a new JSON object. @with_tasks: include the numbers of tasks */
 json_t *ws_job_summary_encode(const WsJobSummary *summary, gboolean with_tasks);
--- a/src/protocol/ws-json.c
+++ b/src/protocol/ws-json.c
@@ -1,7 +1,7 @@
-/* Typed access to JSON values. */
+/* Typed, checked access to JSON values. */
 #include "protocol/ws-json.h"
 
-/* Significant digits of a written number. */
+/* Significant digits of an encoded real number. */
 #define REAL_DIGITS 12
 
 json_t *
--- a/src/protocol/ws-json.h
+++ b/src/protocol/ws-json.h
@@ -1,8 +1,8 @@
 /**
- * Typed, checked reading of JSON.
+ * Typed, checked access to JSON values.
  *
- * The getters return FALSE if the member is missing or of another type, and leave the value alone.
- * Strings are borrowed from the object.
+ * The getters read the member @name of @object into @value. They return FALSE, and leave @value
+ * unchanged, if the member is missing or of another type. Strings are borrowed from the object.
  */
 #pragma once
 
@@ -10,38 +10,38 @@
 #include <jansson.h>
 
 /**
- * Parses a text. The caller owns the value. NULL: the text is no JSON, or an object has a member
- * twice.
+ * Parses a JSON text into a value, which the caller unrefs. Returns NULL if the text is not valid
+ * JSON or if an object has a duplicate member.
  *
  * @body: @length bytes; may be NULL
  */
 json_t *ws_json_parse(const char *body, gsize length);
 
-/** The value's compact text, which the caller frees; NULL for NULL. */
+/** Serializes the value into a compact text, which the caller frees. Returns NULL for NULL. */
 char *ws_json_text(const json_t *value);
 
-/** A string. */
+/** Reads a string member. */
 gboolean ws_json_string(const json_t *object, const char *name, const char **value);
 
-/** A number, also an integer. */
+/** Reads a number member, real or integer. */
 gboolean ws_json_number(const json_t *object, const char *name, double *value);
 
-/** An integer that isn't negative. */
+/** Reads a non-negative integer member. */
 gboolean ws_json_count(const json_t *object, const char *name, guint64 *value);
 
-/** A boolean. */
+/** Reads a boolean member. */
 gboolean ws_json_bool(const json_t *object, const char *name, gboolean *value);
 
-/** Whether the member is missing or null. */
+/** Returns whether the member is missing or null. */
 gboolean ws_json_is_absent(const json_t *object, const char *name);
 
-/** TRUE also if the member is missing or null; the value is then left alone. */
+/** Reads a string member. Returns TRUE and leaves @value unchanged if it is missing or null. */
 gboolean ws_json_string_or_null(const json_t *object, const char *name, const char **value);
 
-/** TRUE also if the member is missing or null; the value is then left alone. */
+/** Reads a number member. Returns TRUE and leaves @value unchanged if it is missing or null. */
 gboolean ws_json_number_or_null(const json_t *object, const char *name, double *value);
 
-/** The strings of an array, which the caller frees; NULL: it is no array of strings alone. */
+/** Copies an array of strings, which the caller frees. Returns NULL if it is anything else. */
 char **ws_json_string_list(const json_t *list);
 
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(json_t, json_decref)
--- a/src/protocol/ws-kv.c
+++ b/src/protocol/ws-kv.c
@@ -1,4 +1,4 @@
-/* Parses and encodes the messages of the key-value store. */
+/* Parses and encodes the messages of the key-value store's HTTP interface. */
 #include "protocol/ws-kv.h"
 
 #include "protocol/ws-field-names.h"
--- a/src/protocol/ws-names.c
+++ b/src/protocol/ws-names.c
@@ -1,4 +1,4 @@
-/* Interned names with dense indices. */
+/* A table of interned names with dense indices. */
 #include "protocol/ws-names.h"
 
 void
--- a/src/protocol/ws-names.h
+++ b/src/protocol/ws-names.h
@@ -1,31 +1,32 @@
 /**
- * Names and their dense indices, where names come in from outside. Names are never removed.
+ * A table of interned names: maps each name received from outside to a dense index and back. Names
+ * are never removed.
  *
- * The replica has such a table of the images.
+ * The replica uses one for image names.
  */
 #pragma once
 
 #include "protocol/ws-index.h"
 
-/** A table of names. Owns them. */
+/** A table of interned names. Owns the names. */
 typedef struct {
   GHashTable *index; /**< name -> index */
-  GPtrArray *names;  /**< of char *, by index */
+  GPtrArray *names;  /**< array of char *, by index */
 } WsNames;
 
-/** Makes an empty table, to be cleared with ws_names_clear(). */
+/** Initializes an empty table, which the caller clears with ws_names_clear(). */
 void ws_names_init(WsNames *names);
 
-/** Frees all names, not the table itself. */
+/** Frees all names, but not the table itself. */
 void ws_names_clear(WsNames *names);
 
-/** The name's index; a new name is copied and gets the next one. */
+/** Returns the name's index. A new name is copied and gets the next index. */
 guint ws_names_intern(WsNames *names, const char *name);
 
-/** The name's index; WS_NONE: it was never interned. @name: may be NULL */
+/** Returns the name's index, or WS_NONE if it isn't in the table. @name: may be NULL */
 guint ws_names_find(const WsNames *names, const char *name);
 
-/** The name, owned by the table; "?" if there is no such index. */
+/** Returns the name, owned by the table, or "?" if the index is out of range. */
 const char *ws_names_get(const WsNames *names, guint index);
 
 G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC(WsNames, ws_names_clear)
--- a/src/protocol/ws-properties.c
+++ b/src/protocol/ws-properties.c
@@ -1,9 +1,9 @@
-/* Parses the properties file, with GKeyFile. */
+/* Parses the properties file with GKeyFile. */
 #include "protocol/ws-properties.h"
 
 #include <string.h>
 
-/* GKeyFile needs a group, and the file has none: this one is put before its text. */
+/* GKeyFile requires a group, but the file has none: this group header is prepended to its text. */
 #define GROUP "wrenshore"
 
 #define DEFAULT_IDLE_TIMEOUT_S 20.0
@@ -16,7 +16,7 @@
 #define MAX_BUDGET_MACHINES 1000000
 #define MAX_PERCENT 100u
 
-/* budget.TYPE.ZONE.LIMIT */
+/* A budget key has the form budget.TYPE.ZONE.LIMIT. */
 #define BUDGET_KEY_PARTS 4
 #define LIMIT_MIN_AVAILABLE "minAvailable"
 #define LIMIT_MAX_UNAVAILABLE "maxUnavailable"
@@ -96,7 +96,7 @@
   return FALSE;
 }
 
-/* Returns what is wrong with the key or its value, as does parse_key(); NULL: nothing. */
+/* Returns an error message, or NULL if the key and its value are valid; so does parse_key(). */
 static const char *
 parse_budget(WsProperties *properties, const char *key, const char *value, GPtrArray *zones)
 {
@@ -111,19 +111,20 @@
   if (!contains_zone(zones, zone))
     return "unknown zone";
   if (has_budget(properties, type, zone))
-    return "minAvailable and maxUnavailable can't both be given for a type and zone";
+    return "a type and zone can have only one of minAvailable and maxUnavailable";
   WsBudget *budget = g_new0(WsBudget, 1);
   budget->type = g_strdup(type);
   budget->zone = g_strdup(zone);
   budget->is_minimum = is_minimum;
   g_ptr_array_add(properties->budgets, budget);
-  return parse_amount(value, budget) ? NULL : "not a count or a percentage";
+  return parse_amount(value, budget) ? NULL
+                                     : "must be a count up to 1000000 or a percentage up to 100%";
 }
 
 static const char *
 parse_key(WsProperties *properties, const char *key, const char *value, GPtrArray *zones)
 {
-  const char *const not_seconds = "not a number of seconds above 0 and up to 3600";
+  const char *const not_seconds = "must be a number of seconds above 0 and up to 3600";
   if (strcmp(key, "giveback.hold_s") == 0)
     return parse_seconds(value, &properties->idle_timeout_s) ? NULL : not_seconds;
   if (strcmp(key, "giveback.backoff_min_s") == 0)
@@ -133,13 +134,13 @@
   if (strcmp(key, "fleet.spare_tasks") == 0)
     return parse_count(value, MAX_HEADROOM_TASKS, &properties->headroom_tasks)
                ? NULL
-               : "not a count up to 1000";
+               : "must be a count up to 1000";
   if (g_str_has_prefix(key, "budget."))
     return parse_budget(properties, key, value, zones);
   return "unknown key";
 }
 
-/* Loads the text as a file without groups. */
+/* Loads the text as a key file without groups; rejects a text that has groups of its own. */
 static gboolean
 load_key_file(GKeyFile *file, const char *text, GError **error)
 {
@@ -152,8 +153,8 @@
   gsize groups = 0;
   g_auto(GStrv) names = g_key_file_get_groups(file, &groups);
   if (groups != 1) {
-    g_set_error(error, WS_ERROR, WS_ERROR_MALFORMED, "%s: groups are not used here",
-                names[groups - 1]);
+    g_set_error(error, WS_ERROR, WS_ERROR_MALFORMED,
+                "group [%s]: the properties file can't have groups", names[groups - 1]);
     return FALSE;
   }
   return TRUE;
@@ -169,7 +170,7 @@
   for (char **key = keys; *key != NULL; key++) {
     g_autofree char *value = g_key_file_get_string(file, GROUP, *key, NULL);
     const char *problem
-        = value == NULL ? "not readable" : parse_key(properties, *key, value, zones);
+        = value == NULL ? "invalid value" : parse_key(properties, *key, value, zones);
     if (problem != NULL) {
       g_set_error(error, WS_ERROR, WS_ERROR_INVALID_PROPERTY, "%s: %s", *key, problem);
       return FALSE;
@@ -177,13 +178,13 @@
   }
   if (properties->backoff_max_s < properties->backoff_min_s) {
     g_set_error_literal(error, WS_ERROR, WS_ERROR_INVALID_PROPERTY,
-                        "giveback.backoff_max_s: below giveback.backoff_min_s");
+                        "giveback.backoff_max_s: less than giveback.backoff_min_s");
     return FALSE;
   }
   return TRUE;
 }
 
-/* Percentages are rounded towards fewer unavailable machines. */
+/* Rounds percentages so that fewer machines may be unavailable. */
 guint
 ws_budget_allowed(const WsBudget *budget, guint total)
 {
--- a/src/protocol/ws-properties.h
+++ b/src/protocol/ws-properties.h
@@ -1,36 +1,39 @@
 /**
- * The operators' own settings: a properties file, whose keys are described in docs/operations.md.
+ * The operators' properties file. docs/operations.md describes its keys.
  */
 #pragma once
 
 #include "protocol/ws-error.h"
 
-/** How many machines of a type in a zone may be unavailable at once. All strings are owned. */
+/**
+ * A disruption budget: limits how many machines of a type in a zone may be unavailable at once.
+ * Owns its strings.
+ */
 typedef struct {
   char *type;
   char *zone;
-  gboolean is_minimum; /**< minAvailable, else maxUnavailable */
-  gboolean is_percent; /**< the value is a percentage of the machines, else a number of them */
+  gboolean is_minimum; /**< limit is minAvailable; otherwise maxUnavailable */
+  gboolean is_percent; /**< value is a percentage of the machines; otherwise a count */
   guint value;
 } WsBudget;
 
-/** The operators' settings. */
+/** The operators' properties. */
 typedef struct {
-  double idle_timeout_s; /**< how long a machine is idle before it is given up */
-  double backoff_min_s;  /**< first pause after a refused return or a put-off stop */
-  double backoff_max_s;  /**< longest such pause */
-  guint headroom_tasks;  /**< capacity for so many of the largest tasks seen is kept rented */
-  GPtrArray *budgets;    /**< of WsBudget */
+  double idle_timeout_s; /**< how long a machine stays idle before it is returned to the cloud */
+  double backoff_min_s;  /**< initial back-off after a rejected return or a postponed stop */
+  double backoff_max_s;  /**< maximum back-off */
+  guint headroom_tasks;  /**< spare capacity to keep rented, in tasks of the largest size seen */
+  GPtrArray *budgets;    /**< array of WsBudget */
 } WsProperties;
 
-/** The defaults. The caller frees them. */
+/** Returns the default properties, which the caller frees. */
 WsProperties *ws_properties_new(void);
 
 /**
- * Sets what the text says. FALSE with @error set: the text is invalid; the properties are then
- * undefined, but can be freed.
+ * Sets the properties that the text contains; the others keep their values. If the text is invalid,
+ * returns FALSE and sets @error; the properties are then undefined and can only be freed.
  *
- * @zones: of char *, the zones that budgets may name; not kept
+ * @zones: array of char *, the zones that budgets may name; not kept
  */
 gboolean ws_properties_parse(WsProperties *properties, const char *text, GPtrArray *zones,
                              GError **error);
@@ -38,7 +41,7 @@
 /** Frees the properties; NULL is allowed. */
 void ws_properties_free(WsProperties *properties);
 
-/** How many of @total machines may be unavailable at once. */
+/** Returns how many of @total machines may be unavailable at once under the budget. */
 guint ws_budget_allowed(const WsBudget *budget, guint total);
 
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsProperties, ws_properties_free)
--- a/src/protocol/ws-resources.c
+++ b/src/protocol/ws-resources.c
@@ -4,9 +4,10 @@
 #include <math.h>
 
 #define THOUSANDTHS 1000.0
-/* Tolerates the error of binary fractions: 0.1 + 0.2 counts as 0.3. */
+/* Tolerates the rounding error of binary fractions: 0.1 + 0.2 is read as 0.3. */
 #define ROUNDING_SLACK 1e-6
-/* Far above any machine, and small enough that sums over 100,000 tasks fit into 64 bits. */
+/* Far above the size of any machine, and small enough that sums over 100,000 tasks fit into 64
+   bits. */
 #define MAX_AMOUNT 1e9
 
 gboolean
--- a/src/protocol/ws-resources.h
+++ b/src/protocol/ws-resources.h
@@ -1,7 +1,7 @@
 /**
  * Amounts of CPUs, GPUs and memory.
  *
- * They are counted in thousandths of the unit, so that sums are exact.
+ * Amounts are integers, in thousandths of the unit, so that sums are exact.
  */
 #pragma once
 
@@ -14,17 +14,17 @@
   gint64 memory; /**< thousandths of a GB */
 } WsResources;
 
-/** Whether the need fits into what is available, in each dimension. */
+/** Returns whether the need is at most the available amount of every resource. */
 gboolean ws_resources_fit(const WsResources *need, const WsResources *available);
 
-/** Adds a part to a sum, so many times. @times: may be negative */
+/** Adds @part to @sum @times times. @times: may be negative */
 void ws_resources_add(WsResources *sum, const WsResources *part, gint64 times);
 
-/** Reads an amount that is needed, rounded up. FALSE: the member is missing or invalid. */
+/** Reads a needed amount, rounded up. Returns FALSE if the member is missing or invalid. */
 gboolean ws_amount_parse_need(const json_t *object, const char *name, gint64 *thousandths);
 
-/** Reads an amount that there is, rounded down. FALSE: the member is missing or invalid. */
+/** Reads a capacity, rounded down. Returns FALSE if the member is missing or invalid. */
 gboolean ws_amount_parse_capacity(const json_t *object, const char *name, gint64 *thousandths);
 
-/** An amount as a number of units, a new JSON value. */
+/** Encodes an amount as a new JSON number, in whole units. */
 json_t *ws_amount_encode(gint64 thousandths);
--- a/src/protocol/ws-settings.c
+++ b/src/protocol/ws-settings.c
@@ -1,28 +1,29 @@
-/* Parses the settings file, section by section. */
+/* Parses the settings file section by section. */
 #include "protocol/ws-settings.h"
 
 #include <string.h>
 
 #define MAX_NUMBER 1e9
-/* Sets of nodes are stored as the bits of an integer. */
+/* Sets of nodes are stored as bit masks in an integer. */
 #define MAX_NODES 31u
-/* The size of a value that a record of 128 tasks or of 50 machines needs. */
+/* Value size that a record of 128 tasks or of 50 machines needs. */
 #define MIN_VALUE_KB 8.0
-/* The least values of the announced lower limits. A record then holds fewer tasks or machines, but
-   a submission, the use of a team and a few tasks must fit; and a transaction must have space for a
-   task, its job, the use of its team and one more operation. */
+/* Minimum values of the announced lower limits. A record then holds fewer tasks or machines, but a
+   value must have space for a job submission, for the resource use of a team and for a few tasks. A
+   transaction must have space for a task, its job, the resource use of its team and one more
+   operation. */
 #define MIN_NEXT_VALUE_KB 1.0
 #define MIN_TXN_OPERATIONS 4
-/* The share of each value that is kept free, since the key-value store may encode a value
-   differently when it counts its bytes. */
+/* Part of the maximum value size that records leave unused: the key-value store may encode a value
+   differently and so count more bytes than this program does. */
 #define RECORD_MARGIN_RATIO 0.03
-/* Used if the settings don't have these times: then the platform's jobs include no gangs. */
+/* Used if the settings don't have gang_peer_s; the platform's jobs then include no gangs. */
 #define DEFAULT_GANG_PEER_S 5.0
-/* Kinds of objectives. */
+/* Kinds of objectives: until tasks start, and until jobs complete. */
 #define OBJECTIVE_BEGIN "wait"
 #define OBJECTIVE_END "finished"
 #define BYTES_PER_KB 1024.0
-/* No objective applies to the class. */
+/* Returned if no objective applies to the class. */
 #define NO_OBJECTIVE_S (-1.0)
 
 static void
@@ -98,7 +99,7 @@
       return "peers";
   }
   if (settings->nodes->len > MAX_NODES)
-    return "peers (31 nodes are the most)";
+    return "peers (at most 31 nodes in total)";
   const WsNode *self = g_ptr_array_index(settings->nodes, 0);
   g_ptr_array_sort(settings->nodes, compare_names);
   for (WsNodeIndex n = 0; n < settings->nodes->len; n++)
@@ -106,7 +107,7 @@
       settings->self = n;
   for (WsNodeIndex n = 1; n < settings->nodes->len; n++)
     if (compare_names(&settings->nodes->pdata[n - 1], &settings->nodes->pdata[n]) == 0)
-      return "peers (a name twice)";
+      return "peers (duplicate node_name)";
   return NULL;
 }
 
@@ -122,8 +123,8 @@
          && ws_amount_parse_capacity(item, "gpus_max", &team->limit.gpus);
 }
 
-/* Adds an objective about the beginning of tasks or the end of jobs. Other kinds, and invalid ones,
-   are ignored: they are for the operators. */
+/* Adds an objective for the start of tasks or the completion of jobs. Objectives of other kinds,
+   and invalid ones, are ignored: they are meant for the operators. */
 static void
 parse_objective(WsSettings *settings, const json_t *item)
 {
@@ -166,7 +167,7 @@
   return NULL;
 }
 
-/* Lowers the limit to the announced one, if there is one. FALSE: that is invalid. */
+/* Lowers the limit to the announced one, if any. Returns FALSE if the announced one is invalid. */
 static gboolean
 lower_limit(const json_t *next, const char *name, double min, double *limit)
 {
@@ -179,8 +180,8 @@
   return TRUE;
 }
 
-/* Applies the announced limits at once: the key-value store enforces them from some later moment
-   on, without notice. */
+/* Applies the announced limits immediately: the key-value store starts to enforce them at some
+   later time, without notice. */
 static const char *
 parse_next_limits(WsSettings *settings, const json_t *next)
 {
@@ -192,9 +193,9 @@
   if (!lower_limit(next, "write_rps", 0.0, &settings->state_write_rps))
     return "params.state.next.write_rps";
   if (!lower_limit(next, "value_kb", MIN_NEXT_VALUE_KB, &value_kb))
-    return "params.state.next.value_kb (1 is the least)";
+    return "params.state.next.value_kb (minimum 1)";
   if (!lower_limit(next, "txn_ops", MIN_TXN_OPERATIONS, &ops))
-    return "params.state.next.txn_ops (4 is the least)";
+    return "params.state.next.txn_ops (minimum 4)";
   settings->state_txn_ops = (guint64)ops;
   settings->state_record_bytes = (guint64)(value_kb * BYTES_PER_KB * (1.0 - RECORD_MARGIN_RATIO));
   return NULL;
@@ -203,7 +204,7 @@
 static const char *
 parse_gang_times(WsSettings *settings, const json_t *workers)
 {
-  double gang_wait_s; /* checked, since the settings have it; no decision depends on it */
+  double gang_wait_s; /* the settings contain it, but no decision depends on it; only validated */
   settings->gang_peer_s = DEFAULT_GANG_PEER_S;
   if (!ws_json_is_absent(workers, "gang_wait_s")
       && !parse_positive(workers, "gang_wait_s", &gang_wait_s))
@@ -235,7 +236,7 @@
     return "params.state.write_rps";
   if (!parse_positive(state, "value_kb", &settings->state_value_kb)
       || settings->state_value_kb < MIN_VALUE_KB)
-    return "params.state.value_kb (8 is the least)";
+    return "params.state.value_kb (minimum 8)";
   if (!ws_json_count(state, "txn_ops", &settings->state_txn_ops)
       || settings->state_txn_ops < MIN_TXN_OPERATIONS)
     return "params.state.txn_ops";
@@ -274,8 +275,8 @@
   return invalid;
 }
 
-/* Returns the name of the first setting that is missing or invalid, as do the functions that it
-   calls; NULL: all are valid. */
+/* Returns the name of the first missing or invalid setting, or NULL if all are valid. The functions
+   that it calls do the same. */
 static const char *
 parse_all(WsSettings *settings, const json_t *message)
 {
@@ -361,8 +362,8 @@
   return WS_NO_NODE;
 }
 
-/* The shortest time of the class's objectives about the beginning, or else the end; or
-   NO_OBJECTIVE_S. */
+/* Returns the shortest time among the class's objectives for the start of tasks (is_begin) or the
+   completion of jobs, or NO_OBJECTIVE_S if there is none. */
 static double
 shortest_objective_s(const WsSettings *settings, const char *class_name, gboolean is_begin)
 {
--- a/src/protocol/ws-settings.h
+++ b/src/protocol/ws-settings.h
@@ -1,5 +1,5 @@
 /**
- * The settings file that the platform hands over. It is read once, at the start.
+ * The settings file that the platform provides. The program reads it once, at startup.
  */
 #pragma once
 
@@ -7,88 +7,89 @@
 #include "protocol/ws-index.h"
 #include "protocol/ws-resources.h"
 
-/** A controller. */
+/** A controller node. */
 typedef struct {
   char *name;
   char *zone;
-  char *endpoint; /**< address for the other controllers; NULL: it is this one */
+  char *endpoint; /**< address at which its peers reach it; NULL for this node */
 } WsNode;
 
 /** A team and its quota. */
 typedef struct {
   char *name;
-  WsResources guarantee; /**< 0: none in that dimension */
-  WsResources limit;     /**< 0: no limit in that dimension */
+  WsResources guarantee; /**< guaranteed amounts; 0 if none of that resource */
+  WsResources limit;     /**< maximum amounts; 0 if that resource is unlimited */
 } WsTeamSettings;
 
-/** How soon the tasks of a class are expected to begin, or its jobs to be complete. */
+/** A service-level objective: the time within which a class's tasks start, or its jobs complete. */
 typedef struct {
   char *class_name;
-  gboolean is_begin; /**< the tasks' beginning, else the jobs' end */
+  gboolean is_begin; /**< applies to the start of tasks; otherwise to the completion of jobs */
   double within_s;
 } WsObjective;
 
-/** The settings. Owns all that it points to. */
+/** The settings. Owns everything that it points to. */
 typedef struct {
-  GPtrArray *nodes; /**< of WsNode, ordered by name; WsNodeIndex is an index into it */
+  GPtrArray *nodes; /**< array of WsNode, sorted by name and indexed by WsNodeIndex */
   WsNodeIndex self;
 
   /* Addresses, HOST:PORT. */
-  char *api_addr;   /**< on which to listen for users and workers */
-  char *mesh_addr;  /**< on which to listen for the other controllers */
+  char *api_addr;   /**< listen address for users and workers */
+  char *mesh_addr;  /**< listen address for the other controllers */
   char *cloud_addr; /**< the cloud */
   char *state_addr; /**< the key-value store */
 
-  GPtrArray *zones;      /**< of char *; WsZoneIndex is an index into it */
-  GPtrArray *teams;      /**< of WsTeamSettings; WsTeamIndex is an index into it */
-  GPtrArray *objectives; /**< of WsObjective */
+  GPtrArray *zones;      /**< array of char *, indexed by WsZoneIndex */
+  GPtrArray *teams;      /**< array of WsTeamSettings, indexed by WsTeamIndex */
+  GPtrArray *objectives; /**< array of WsObjective */
 
   /* Workers. */
-  double report_s;    /**< interval of heartbeats */
-  double lease_s;     /**< how long a worker runs its tasks without an answer */
-  double cancel_s;    /**< within which the tasks of a cancelled job are to be stopped */
-  double gang_peer_s; /**< within which a gang notices a loss, and must hear of an orderly stop */
-
-  /* Limits of the key-value store. Where the settings announce lower ones (state.next), these are
-     the lower ones already: nothing is written that couldn't be rewritten under them. */
+  double report_s;    /**< heartbeat interval */
+  double lease_s;     /**< how long a worker keeps its tasks running without a heartbeat response */
+  double cancel_s;    /**< time within which the tasks of a cancelled job must be stopped */
+  double gang_peer_s; /**< time within which a gang's tasks detect that another one is gone, and
+                         within which they must be told of an orderly stop */
+
+  /* Limits of the key-value store. If the settings announce lower limits (state.next), these are
+     the lower ones from the start, so that every record can be rewritten once they are enforced. */
   double state_rps;           /**< requests per second */
   double state_write_rps;     /**< writes per second */
   guint64 state_txn_ops;      /**< operations per transaction */
-  guint64 state_record_bytes; /**< the largest value */
-  double state_value_kb;      /**< the largest value before state.next. The grouping of records is
-                                 computed from it, alike by all versions of the program that share the
-                                 store */
+  guint64 state_record_bytes; /**< maximum size of a record's value */
+  double state_value_kb; /**< maximum value size without state.next. The grouping of records depends
+                            on it, so all versions of the program that share the store must use the
+                            same value */
 
   /* The cloud. */
   double cloud_rps;  /**< requests per second */
-  double list_lag_s; /**< how far its list may be behind */
+  double list_lag_s; /**< maximum staleness of the cloud's machine list */
 
-  guint64 max_sockets; /**< of this process */
+  guint64 max_sockets; /**< maximum number of sockets of this process */
 } WsSettings;
 
-/** Reads the settings, which the caller frees. NULL with @error set: they are invalid. */
+/** Parses the settings, which the caller frees. Returns NULL and sets @error if invalid. */
 WsSettings *ws_settings_parse(const json_t *message, GError **error);
 
 /** Frees the settings; NULL is allowed. */
 void ws_settings_free(WsSettings *settings);
 
-/** Whether one more such need is within the team's limit. @use: what the team uses */
+/** Returns whether the team's limit allows @need in addition to @use, the team's current use. */
 gboolean ws_team_has_capacity(const WsSettings *settings, WsTeamIndex team, const WsResources *use,
                               const WsResources *need);
 
-/** Whether the use is within the team's limit. */
+/** Returns whether the use is within the team's limit. */
 gboolean ws_team_allows(const WsTeamSettings *team, const WsResources *use);
 
-/** The controller, owned by the settings. */
+/** Returns the controller node, owned by the settings. */
 const WsNode *ws_settings_node(const WsSettings *settings, WsNodeIndex node);
 
-/** The controller of the name; WS_NO_NODE: there is none. @name: may be NULL */
+/** Returns the index of the named controller, or WS_NO_NODE if unknown. @name: may be NULL */
 WsNodeIndex ws_settings_find_node(const WsSettings *settings, const char *name);
 
-/** Seconds within which the class's tasks should begin; negative: nothing is said. */
+/** Returns the seconds within which the class's tasks should start; negative if no objective. */
 double ws_settings_begin_within(const WsSettings *settings, const char *class_name);
 
-/** Seconds within which the class's jobs should be complete; negative: nothing is said. */
+/** Returns the seconds within which the class's jobs should complete; negative if no objective. */
 double ws_settings_finish_within(const WsSettings *settings, const char *class_name);
 
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsSettings, ws_settings_free)
