--- a/tests/test-kv.c
+++ b/tests/test-kv.c
@@ -1,5 +1,5 @@
-/* The messages of the key-value store: what is sent, byte for byte, and what malformed responses
-   come to. */
+/* The messages of the key-value store: the exact bytes of paths and requests, and the results of
+   parsing valid and malformed responses. */
 #include "protocol/ws-kv.h"
 
 #include <string.h>
@@ -51,7 +51,8 @@
   g_assert_null(items[1].value);
 }
 
-/* A page without items is the last one, whatever it says: the next would be the same. */
+/* A page without items is the last one even if it announces more: the request for the next page
+   would be the same again. */
 static void
 test_last_page(void)
 {
--- a/tests/test-properties.c
+++ b/tests/test-properties.c
@@ -1,5 +1,5 @@
 /**
- * The operators' properties file: what is accepted, what is rejected, and termination budgets.
+ * The operators' properties file: accepted and rejected input, and disruption budgets.
  */
 #include "protocol/ws-properties.h"
 
--- a/tests/test-protocol.c
+++ b/tests/test-protocol.c
@@ -1,5 +1,5 @@
 /**
- * Messages of the wire, from generated and from damaged ones.
+ * The parsers and encoders of src/protocol, with generated, damaged and fixed messages.
  */
 #include "protocol/ws-cloud.h"
 #include "protocol/ws-heartbeat.h"
@@ -27,7 +27,8 @@
                                  (double)first->need.cpus / 1000.0, 1e-6);
 }
 
-/* Whatever one member is replaced by, the answer is a submission or a reason. */
+/* A submission without a required member, or with an invalid value for it, is rejected with an
+   error that names the member. */
 static void
 submission_damaged(GRand *rand)
 {
@@ -69,7 +70,7 @@
   g_autoptr(GRand) rand = g_rand_new_with_seed(5);
   g_autoptr(json_t) message = ws_gen_submission(rand);
   g_autoptr(GError) error = NULL;
-  /* A nullable member may be missing, and an unknown one is ignored. */
+  /* Nullable members may be missing, and unknown members are ignored. */
   json_object_del(message, "typy");
   json_object_del(message, "hala");
   json_object_del(message, "termin_s");
@@ -89,7 +90,7 @@
   g_assert_true(ws_job_id_valid("req-000412"));
 }
 
-/* Amounts: a need is rounded up, and 0.1 + 0.2 is 0.3. */
+/* Amounts are integers in thousandths, so sums are exact: three times 0.1 fit into 0.3. */
 static void
 test_amounts(void)
 {
@@ -122,7 +123,8 @@
   g_assert_cmpint(g_array_index(report->tasks, WsTaskStatus, 1).exit_reason, ==, WS_EXIT_DONE);
 }
 
-/* Which answers of a worker count as its status: a refusal does only as the answer to commands. */
+/* A response with status 200 from the expected machine is accepted as the worker's status. A
+   rejection (409) is accepted only as the response to commands. */
 static void
 test_worker_replies(void)
 {
@@ -192,7 +194,7 @@
   }
 }
 
-/* Bytes changed at random never crash the reader. */
+/* Random changes of bytes never crash the parser: it returns either a heartbeat or an error. */
 static void
 report_damaged(GRand *rand)
 {
@@ -238,14 +240,15 @@
   g_assert_null(ws_rental_machines_parse(damaged));
 }
 
-/* Limits to come, and the gangs' times: lower ones count at once, bad ones are named. */
+/* Announced limits (state.next) apply at once if they are lower than the current ones. Invalid
+   ones, and invalid gang times, are rejected with an error that names the setting. */
 static void
 test_settings_to_come(void)
 {
   static const struct {
     const char *section;
     const char *json;
-    const char *complaint; /* NULL: it's good */
+    const char *complaint; /* NULL if the settings are valid */
   } CASES[] = {
     { "state", "{\"next\":{\"value_kb\":2.0,\"txn_ops\":5,\"write_rps\":18.0}}", NULL },
     { "state", "{\"next\":{\"value_kb\":64.0,\"txn_ops\":500}}", NULL },
@@ -283,7 +286,8 @@
   }
 }
 
-/* Words of a gang's tasks; an unknown reason is an error, and nothing else is lost. */
+/* The states and exit reasons of gang tasks are parsed. An unknown exit reason is read as an error
+   of the task, and the heartbeat is still accepted. */
 static void
 test_gang_words(void)
 {
