--- a/tests/test-kv.c
+++ b/tests/test-kv.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 static json_t *
-parse(const char *text)
+parse_json(const char *text)
 {
   json_t *message = ws_json_parse(text, strlen(text));
   g_assert_nonnull(message);
@@ -20,7 +20,7 @@
 }
 
 static void
-test_paths(void)
+test_paths_are_encoded(void)
 {
   g_autofree char *first = ws_kv_page_path("w/", NULL, 1000);
   g_autofree char *next = ws_kv_page_path("w/", "w/job/a", 1000);
@@ -33,11 +33,11 @@
 }
 
 static void
-test_page(void)
+test_page_is_parsed_without_malformed_items(void)
 {
-  g_autoptr(json_t) message
-      = parse("{\"zmena\":9,\"more\":true,\"pairs\":[{\"k\":\"a\",\"verze\":3,\"value\":{\"x\":1}},"
-              "{\"k\":\"b\",\"verze\":-1},{\"verze\":4},7,{\"k\":\"c\",\"verze\":5}]}");
+  g_autoptr(json_t) message = parse_json(
+      "{\"zmena\":9,\"more\":true,\"pairs\":[{\"k\":\"a\",\"verze\":3,\"value\":{\"x\":1}},"
+      "{\"k\":\"b\",\"verze\":-1},{\"verze\":4},7,{\"k\":\"c\",\"verze\":5}]}");
   g_autoptr(WsKvPage) page = ws_kv_page_parse(message);
   g_assert_nonnull(page);
   g_assert_cmpuint(page->revision, ==, 9);
@@ -54,7 +54,7 @@
 /* A page without items is the last one even if it announces more: the request for the next page
    would be the same again. */
 static void
-test_last_page(void)
+test_page_without_items_is_last(void)
 {
   static const struct {
     const char *text;
@@ -65,7 +65,7 @@
     { "{\"zmena\":9,\"more\":true,\"pairs\":[{}]}", FALSE },
   };
   for (gsize i = 0; i < G_N_ELEMENTS(CASES); i++) {
-    g_autoptr(json_t) message = parse(CASES[i].text);
+    g_autoptr(json_t) message = parse_json(CASES[i].text);
     g_autoptr(WsKvPage) page = ws_kv_page_parse(message);
     g_assert_nonnull(page);
     g_assert_cmpint(page->is_last, ==, CASES[i].is_last);
@@ -73,7 +73,7 @@
 }
 
 static void
-test_malformed_pages(void)
+test_malformed_page_is_rejected(void)
 {
   static const char *const CASES[] = {
     "{}",
@@ -87,19 +87,19 @@
     "{\"zmena\":9,\"more\":true,\"pairs\":{}}",
   };
   for (gsize i = 0; i < G_N_ELEMENTS(CASES); i++) {
-    g_autoptr(json_t) message = parse(CASES[i]);
+    g_autoptr(json_t) message = parse_json(CASES[i]);
     g_assert_null(ws_kv_page_parse(message));
   }
   g_assert_null(ws_kv_page_parse(NULL));
 }
 
 static void
-test_watch(void)
+test_watch_events_are_parsed(void)
 {
   g_autoptr(json_t) message
-      = parse("{\"zmena\":12,\"log\":[{\"verze\":10,\"set\":\"a\",\"value\":1},"
-              "{\"verze\":11,\"remove\":\"b\",\"value\":2},{\"set\":\"c\",\"value\":3},"
-              "{\"verze\":12,\"touch\":\"d\"}]}");
+      = parse_json("{\"zmena\":12,\"log\":[{\"verze\":10,\"set\":\"a\",\"value\":1},"
+                   "{\"verze\":11,\"remove\":\"b\",\"value\":2},{\"set\":\"c\",\"value\":3},"
+                   "{\"verze\":12,\"touch\":\"d\"}]}");
   g_autoptr(WsKvPage) page = ws_kv_watch_parse(message);
   g_assert_nonnull(page);
   g_assert_cmpuint(page->revision, ==, 12);
@@ -111,27 +111,27 @@
   g_assert_null(items[1].value);
   g_assert_cmpuint(items[1].version, ==, 11);
   g_assert_null(items[2].key);
-  g_autoptr(json_t) malformed = parse("{\"log\":[]}");
+  g_autoptr(json_t) malformed = parse_json("{\"log\":[]}");
   g_assert_null(ws_kv_watch_parse(malformed));
   g_assert_null(ws_kv_watch_parse(NULL));
 }
 
 static void
-test_lease(void)
+test_lease_request_is_encoded_and_grant_parsed(void)
 {
   g_autoptr(json_t) request = ws_kv_lease_request_encode(4000);
   assert_text(request, "{\"ttl_ms\":4000}");
   guint64 lease = 5;
-  g_autoptr(json_t) malformed = parse("{\"najem\":\"8\"}");
+  g_autoptr(json_t) malformed = parse_json("{\"najem\":\"8\"}");
   g_assert_false(ws_kv_lease_parse(malformed, &lease));
   g_assert_cmpuint(lease, ==, 5);
-  g_autoptr(json_t) granted = parse("{\"najem\":8}");
+  g_autoptr(json_t) granted = parse_json("{\"najem\":8}");
   g_assert_true(ws_kv_lease_parse(granted, &lease));
   g_assert_cmpuint(lease, ==, 8);
 }
 
 static void
-test_txn(void)
+test_txn_is_encoded(void)
 {
   g_autoptr(GArray) conditions = g_array_new(FALSE, FALSE, sizeof(WsKvCondition));
   g_array_set_clear_func(conditions, (GDestroyNotify)ws_kv_condition_clear);
@@ -154,11 +154,11 @@
 }
 
 static void
-test_errors(void)
+test_error_reason_is_parsed(void)
 {
-  g_autoptr(json_t) ended = parse("{\"error\":\"no such lease\"}");
-  g_autoptr(json_t) other = parse("{\"error\":\"too large\"}");
-  g_autoptr(json_t) none = parse("{\"error\":7}");
+  g_autoptr(json_t) ended = parse_json("{\"error\":\"no such lease\"}");
+  g_autoptr(json_t) other = parse_json("{\"error\":\"too large\"}");
+  g_autoptr(json_t) none = parse_json("{\"error\":7}");
   g_assert_true(ws_kv_error_is_lease_ended(ended));
   g_assert_false(ws_kv_error_is_lease_ended(other));
   g_assert_cmpstr(ws_kv_error_parse(other), ==, "too large");
@@ -171,13 +171,13 @@
 main(int argc, char **argv)
 {
   g_test_init(&argc, &argv, NULL);
-  g_test_add_func("/kv/paths", test_paths);
-  g_test_add_func("/kv/page", test_page);
-  g_test_add_func("/kv/last-page", test_last_page);
-  g_test_add_func("/kv/malformed-pages", test_malformed_pages);
-  g_test_add_func("/kv/watch", test_watch);
-  g_test_add_func("/kv/lease", test_lease);
-  g_test_add_func("/kv/txn", test_txn);
-  g_test_add_func("/kv/errors", test_errors);
+  g_test_add_func("/kv/paths", test_paths_are_encoded);
+  g_test_add_func("/kv/page", test_page_is_parsed_without_malformed_items);
+  g_test_add_func("/kv/last-page", test_page_without_items_is_last);
+  g_test_add_func("/kv/malformed-pages", test_malformed_page_is_rejected);
+  g_test_add_func("/kv/watch", test_watch_events_are_parsed);
+  g_test_add_func("/kv/lease", test_lease_request_is_encoded_and_grant_parsed);
+  g_test_add_func("/kv/txn", test_txn_is_encoded);
+  g_test_add_func("/kv/errors", test_error_reason_is_parsed);
   return g_test_run();
 }
--- a/tests/test-properties.c
+++ b/tests/test-properties.c
@@ -6,7 +6,7 @@
 #include <string.h>
 
 static gboolean
-parse(const char *text, WsProperties **properties, GError **error)
+parse_properties(const char *text, WsProperties **properties, GError **error)
 {
   g_autoptr(GPtrArray) zones = g_ptr_array_new();
   g_ptr_array_add(zones, (gpointer) "a");
@@ -16,19 +16,20 @@
 }
 
 static void
-test_good(void)
+test_valid_text_sets_properties(void)
 {
   g_autoptr(WsProperties) properties = NULL;
   g_autoptr(GError) error = NULL;
-  g_assert_true(parse("# a comment\ngiveback.hold_s = 7.5\nbudget.g8.a.minAvailable=50%\n"
-                      "budget.g8.b.maxUnavailable=2\n",
-                      &properties, &error));
+  g_assert_true(
+      parse_properties("# a comment\ngiveback.hold_s = 7.5\nbudget.g8.a.minAvailable=50%\n"
+                       "budget.g8.b.maxUnavailable=2\n",
+                       &properties, &error));
   g_assert_cmpfloat(properties->idle_timeout_s, ==, 7.5);
   g_assert_cmpuint(properties->budgets->len, ==, 2);
 }
 
 static void
-test_bad(void)
+test_invalid_text_is_rejected_with_key_in_error(void)
 {
   static const struct {
     const char *text;
@@ -46,7 +47,7 @@
   for (guint i = 0; i < G_N_ELEMENTS(CASES); i++) {
     g_autoptr(WsProperties) properties = NULL;
     g_autoptr(GError) error = NULL;
-    g_assert_false(parse(CASES[i].text, &properties, &error));
+    g_assert_false(parse_properties(CASES[i].text, &properties, &error));
     g_assert_true(error->domain == WS_ERROR);
     g_assert_nonnull(strstr(error->message, CASES[i].key));
   }
@@ -54,7 +55,7 @@
 
 /* Percentages are rounded so that a budget is never exceeded. */
 static void
-test_budget(void)
+test_budget_rounds_to_fewer_unavailable_machines(void)
 {
   WsBudget budget = { .is_minimum = TRUE, .value = 3 };
   g_assert_cmpuint(ws_budget_allowed(&budget, 5), ==, 2);
@@ -75,8 +76,8 @@
 main(int argc, char **argv)
 {
   g_test_init(&argc, &argv, NULL);
-  g_test_add_func("/properties/good", test_good);
-  g_test_add_func("/properties/bad", test_bad);
-  g_test_add_func("/properties/budget", test_budget);
+  g_test_add_func("/properties/valid", test_valid_text_sets_properties);
+  g_test_add_func("/properties/invalid", test_invalid_text_is_rejected_with_key_in_error);
+  g_test_add_func("/properties/budget", test_budget_rounds_to_fewer_unavailable_machines);
   return g_test_run();
 }
--- a/tests/test-protocol.c
+++ b/tests/test-protocol.c
@@ -11,7 +11,7 @@
 #include <string.h>
 
 static void
-submission_round_trip(GRand *rand)
+check_submission_round_trip(GRand *rand)
 {
   g_autoptr(json_t) message = ws_gen_submission(rand);
   g_autoptr(GError) error = NULL;
@@ -30,7 +30,7 @@
 /* A submission without a required member, or with an invalid value for it, is rejected with an
    error that names the member. */
 static void
-submission_damaged(GRand *rand)
+check_damaged_submission_is_rejected(GRand *rand)
 {
   static const char *const REQUIRED[]
       = { "id",       "trida",   "dilna",    "druh",      "prednost",    "kusy",
@@ -58,14 +58,14 @@
 }
 
 static void
-test_submissions(void)
+test_submissions_round_trip_and_damaged_ones_are_rejected(void)
 {
-  ws_cases(300, 1, submission_round_trip);
-  ws_cases(300, 1000, submission_damaged);
+  ws_cases(300, 1, check_submission_round_trip);
+  ws_cases(300, 1000, check_damaged_submission_is_rejected);
 }
 
 static void
-test_submission_edges(void)
+test_submission_edge_cases_are_accepted_or_rejected(void)
 {
   g_autoptr(GRand) rand = g_rand_new_with_seed(5);
   g_autoptr(json_t) message = ws_gen_submission(rand);
@@ -84,15 +84,16 @@
   g_autoptr(json_t) list = json_array();
   g_assert_null(ws_job_spec_parse(list, &list_error));
   g_assert_error(list_error, WS_ERROR, WS_ERROR_MALFORMED);
-  static const char *const BAD[] = { "", "req-", "job-1", "req-a/b", "req-a b", "req-../x" };
-  for (guint i = 0; i < G_N_ELEMENTS(BAD); i++)
-    g_assert_false(ws_job_id_valid(BAD[i]));
+  static const char *const INVALID_IDS[]
+      = { "", "req-", "job-1", "req-a/b", "req-a b", "req-../x" };
+  for (guint i = 0; i < G_N_ELEMENTS(INVALID_IDS); i++)
+    g_assert_false(ws_job_id_valid(INVALID_IDS[i]));
   g_assert_true(ws_job_id_valid("req-000412"));
 }
 
 /* Amounts are integers in thousandths, so sums are exact: three times 0.1 fit into 0.3. */
 static void
-test_amounts(void)
+test_resource_sums_are_exact(void)
 {
   WsResources sum = { 0 }, tenth = { 100, 100, 100 }, limit = { 300, 300, 300 };
   ws_resources_add(&sum, &tenth, 3);
@@ -101,32 +102,32 @@
   g_assert_false(ws_resources_fit(&sum, &limit));
 }
 
-static const char REPORT[]
+static const char HEARTBEAT[]
     = "{\"stroj\":\"m-000231\",\"endpoint\":\"10.1.0.232:9000\",\"typ\":\"g8\",\"hala\":\"a\","
       "\"vypujcky\":true,\"smena\":1,\"poradi\":88,\"pecet\":41,\"vypoved_s\":null,"
       "\"kusy\":[{\"kus\":\"req-000412/3\",\"pokus\":2,\"stav\":\"running\"},"
       "{\"kus\":\"req-000398/0\",\"pokus\":1,\"stav\":\"exited\",\"duvod\":\"done\"}]}";
 
 static void
-test_report(void)
+test_heartbeat_is_parsed(void)
 {
-  g_autoptr(json_t) message = ws_json_parse(REPORT, strlen(REPORT));
+  g_autoptr(json_t) message = ws_json_parse(HEARTBEAT, strlen(HEARTBEAT));
   g_autoptr(GError) error = NULL;
-  g_autoptr(WsHeartbeat) report = ws_heartbeat_parse(message, &error);
-  g_assert_nonnull(report);
-  g_assert_cmpuint(report->fencing_token, ==, 41);
-  g_assert_cmpuint(report->tasks->len, ==, 2);
-  const WsTaskStatus *first = &g_array_index(report->tasks, WsTaskStatus, 0);
+  g_autoptr(WsHeartbeat) heartbeat = ws_heartbeat_parse(message, &error);
+  g_assert_nonnull(heartbeat);
+  g_assert_cmpuint(heartbeat->fencing_token, ==, 41);
+  g_assert_cmpuint(heartbeat->tasks->len, ==, 2);
+  const WsTaskStatus *first = &g_array_index(heartbeat->tasks, WsTaskStatus, 0);
   g_assert_cmpstr(first->job, ==, "req-000412");
   g_assert_cmpuint(first->task, ==, 3);
   g_assert_cmpint(first->state, ==, WS_TASK_RUNNING);
-  g_assert_cmpint(g_array_index(report->tasks, WsTaskStatus, 1).exit_reason, ==, WS_EXIT_DONE);
+  g_assert_cmpint(g_array_index(heartbeat->tasks, WsTaskStatus, 1).exit_reason, ==, WS_EXIT_DONE);
 }
 
 /* A response with status 200 from the expected machine is accepted as the worker's status. A
    rejection (409) is accepted only as the response to commands. */
 static void
-test_worker_replies(void)
+test_worker_reply_is_accepted_only_with_status_of_machine(void)
 {
   static const struct {
     guint status;
@@ -136,7 +137,7 @@
   } CASES[] = { { 200, "m-000231", TRUE, TRUE },   { 409, "m-000231", FALSE, TRUE },
                 { 0, "m-000231", FALSE, FALSE },   { 503, "m-000231", FALSE, FALSE },
                 { 200, "m-000232", FALSE, FALSE }, { 409, "m-000232", FALSE, FALSE } };
-  g_autoptr(json_t) body = ws_json_parse(REPORT, strlen(REPORT));
+  g_autoptr(json_t) body = ws_json_parse(HEARTBEAT, strlen(HEARTBEAT));
   for (guint i = 0; i < G_N_ELEMENTS(CASES); i++) {
     g_autoptr(WsHeartbeat) status
         = ws_heartbeat_parse_status_reply(CASES[i].status, body, CASES[i].machine);
@@ -149,7 +150,7 @@
 }
 
 static void
-test_job_summary(void)
+test_job_summary_is_encoded_for_each_state(void)
 {
   static const struct {
     WsUserState state;
@@ -169,7 +170,7 @@
 }
 
 static void
-test_rental_replies(void)
+test_rental_reply_is_mapped_to_result(void)
 {
   static const struct {
     guint status;
@@ -196,26 +197,26 @@
 
 /* Random changes of bytes never crash the parser: it returns either a heartbeat or an error. */
 static void
-report_damaged(GRand *rand)
+check_damaged_heartbeat(GRand *rand)
 {
-  char text[sizeof REPORT];
-  memcpy(text, REPORT, sizeof REPORT);
+  char text[sizeof HEARTBEAT];
+  memcpy(text, HEARTBEAT, sizeof HEARTBEAT);
   for (gint i = g_rand_int_range(rand, 1, 6); i > 0; i--)
-    text[g_rand_int_range(rand, 0, sizeof REPORT - 1)] = (char)g_rand_int_range(rand, 32, 127);
+    text[g_rand_int_range(rand, 0, sizeof HEARTBEAT - 1)] = (char)g_rand_int_range(rand, 32, 127);
   g_autoptr(json_t) message = ws_json_parse(text, strlen(text));
   g_autoptr(GError) error = NULL;
-  g_autoptr(WsHeartbeat) report = ws_heartbeat_parse(message, &error);
-  g_assert_true((report == NULL) == (error != NULL));
+  g_autoptr(WsHeartbeat) heartbeat = ws_heartbeat_parse(message, &error);
+  g_assert_true((heartbeat == NULL) == (error != NULL));
 }
 
 static void
-test_damaged_reports(void)
+test_damaged_heartbeats_are_parsed_or_rejected(void)
 {
-  ws_cases(2000, 1, report_damaged);
+  ws_cases(2000, 1, check_damaged_heartbeat);
 }
 
 static void
-test_commands(void)
+test_halt_command_is_encoded(void)
 {
   g_autoptr(json_t) command = ws_command_encode(WS_OP_HALT, "req-1", 7, 3, 2.5);
   g_autofree char *text = ws_json_text(command);
@@ -223,7 +224,7 @@
 }
 
 static void
-test_cloud(void)
+test_catalog_is_parsed_and_malformed_lists_are_rejected(void)
 {
   static const char CATALOG[]
       = "{\"typy\":[{\"sku\":\"g8\",\"cpus\":96,\"accelerators\":8,\"mem_gb\":768,"
@@ -243,12 +244,12 @@
 /* Announced limits (state.next) apply at once if they are lower than the current ones. Invalid
    ones, and invalid gang times, are rejected with an error that names the setting. */
 static void
-test_settings_to_come(void)
+test_announced_limits_apply_and_invalid_settings_are_named(void)
 {
   static const struct {
     const char *section;
     const char *json;
-    const char *complaint; /* NULL if the settings are valid */
+    const char *error_prefix; /* NULL if the settings are valid */
   } CASES[] = {
     { "state", "{\"next\":{\"value_kb\":2.0,\"txn_ops\":5,\"write_rps\":18.0}}", NULL },
     { "state", "{\"next\":{\"value_kb\":64.0,\"txn_ops\":500}}", NULL },
@@ -270,10 +271,10 @@
     json_object_update(json_object_get(json_object_get(message, "params"), CASES[i].section), more);
     g_autoptr(GError) error = NULL;
     g_autoptr(WsSettings) settings = ws_settings_parse(message, &error);
-    g_assert_true((settings == NULL) == (CASES[i].complaint != NULL));
+    g_assert_true((settings == NULL) == (CASES[i].error_prefix != NULL));
     if (settings == NULL) {
       g_assert_error(error, WS_ERROR, WS_ERROR_INVALID_SETTING);
-      g_assert_true(g_str_has_prefix(error->message, CASES[i].complaint));
+      g_assert_true(g_str_has_prefix(error->message, CASES[i].error_prefix));
     }
     if (i == 0) {
       g_assert_cmpuint(settings->state_txn_ops, ==, 5);
@@ -289,30 +290,31 @@
 /* The states and exit reasons of gang tasks are parsed. An unknown exit reason is read as an error
    of the task, and the heartbeat is still accepted. */
 static void
-test_gang_words(void)
+test_gang_states_and_exit_reasons_are_parsed(void)
 {
   static const struct {
     const char *state;
-    const char *why;
-    WsTaskState parsed;
-    WsExitReason exit;
+    const char *exit_reason_name;
+    WsTaskState expected_state;
+    WsExitReason expected_reason;
   } CASES[] = { { "gathering", NULL, WS_TASK_GATHERING, WS_EXIT_NONE },
                 { "exited", "peers", WS_TASK_EXITED, WS_EXIT_PEERS },
                 { "exited", "incomplete", WS_TASK_EXITED, WS_EXIT_INCOMPLETE },
                 { "exited", "surprise", WS_TASK_EXITED, WS_EXIT_ERROR } };
   for (guint i = 0; i < G_N_ELEMENTS(CASES); i++) {
-    g_autoptr(json_t) message = ws_json_parse(REPORT, strlen(REPORT));
+    g_autoptr(json_t) message = ws_json_parse(HEARTBEAT, strlen(HEARTBEAT));
     json_t *task = json_array_get(json_object_get(message, "kusy"), 0);
     json_object_set_new(task, "stav", json_string(CASES[i].state));
     json_object_set_new(task, "duvod",
-                        CASES[i].why != NULL ? json_string(CASES[i].why) : json_null());
+                        CASES[i].exit_reason_name != NULL ? json_string(CASES[i].exit_reason_name)
+                                                          : json_null());
     json_object_set_new(task, "stored", json_boolean(i == 1));
     g_autoptr(GError) error = NULL;
-    g_autoptr(WsHeartbeat) report = ws_heartbeat_parse(message, &error);
-    g_assert_nonnull(report);
-    const WsTaskStatus *first = &g_array_index(report->tasks, WsTaskStatus, 0);
-    g_assert_cmpint(first->state, ==, CASES[i].parsed);
-    g_assert_cmpint(first->exit_reason, ==, CASES[i].exit);
+    g_autoptr(WsHeartbeat) heartbeat = ws_heartbeat_parse(message, &error);
+    g_assert_nonnull(heartbeat);
+    const WsTaskStatus *first = &g_array_index(heartbeat->tasks, WsTaskStatus, 0);
+    g_assert_cmpint(first->state, ==, CASES[i].expected_state);
+    g_assert_cmpint(first->exit_reason, ==, CASES[i].expected_reason);
     g_assert_true(first->is_saved == (i == 1));
   }
 }
@@ -321,17 +323,21 @@
 main(int argc, char **argv)
 {
   g_test_init(&argc, &argv, NULL);
-  g_test_add_func("/protocol/submissions", test_submissions);
-  g_test_add_func("/protocol/submission-edges", test_submission_edges);
-  g_test_add_func("/protocol/amounts", test_amounts);
-  g_test_add_func("/protocol/report", test_report);
-  g_test_add_func("/protocol/worker-replies", test_worker_replies);
-  g_test_add_func("/protocol/job-summary", test_job_summary);
-  g_test_add_func("/protocol/rental-replies", test_rental_replies);
-  g_test_add_func("/protocol/damaged-reports", test_damaged_reports);
-  g_test_add_func("/protocol/commands", test_commands);
-  g_test_add_func("/protocol/cloud", test_cloud);
-  g_test_add_func("/protocol/settings-to-come", test_settings_to_come);
-  g_test_add_func("/protocol/gang-words", test_gang_words);
+  g_test_add_func("/protocol/submissions",
+                  test_submissions_round_trip_and_damaged_ones_are_rejected);
+  g_test_add_func("/protocol/submission-edges",
+                  test_submission_edge_cases_are_accepted_or_rejected);
+  g_test_add_func("/protocol/amounts", test_resource_sums_are_exact);
+  g_test_add_func("/protocol/heartbeat", test_heartbeat_is_parsed);
+  g_test_add_func("/protocol/worker-replies",
+                  test_worker_reply_is_accepted_only_with_status_of_machine);
+  g_test_add_func("/protocol/job-summary", test_job_summary_is_encoded_for_each_state);
+  g_test_add_func("/protocol/rental-replies", test_rental_reply_is_mapped_to_result);
+  g_test_add_func("/protocol/damaged-heartbeats", test_damaged_heartbeats_are_parsed_or_rejected);
+  g_test_add_func("/protocol/commands", test_halt_command_is_encoded);
+  g_test_add_func("/protocol/cloud", test_catalog_is_parsed_and_malformed_lists_are_rejected);
+  g_test_add_func("/protocol/announced-limits",
+                  test_announced_limits_apply_and_invalid_settings_are_named);
+  g_test_add_func("/protocol/gang-states", test_gang_states_and_exit_reasons_are_parsed);
   return g_test_run();
 }
