--- a/src/protocol/ws-cloud.c
+++ b/src/protocol/ws-cloud.c
@@ -8,10 +8,10 @@
 #include <string.h>
 
 /* State of a listed machine that will never come up. */
-#define STATE_FAILED "failed"
+#define MACHINE_STATE_FAILED "failed"
 /* Member of an error response, and its value when the cloud is out of capacity. */
-#define FIELD_ERROR "error"
-#define ERROR_NO_CAPACITY "no capacity"
+#define CLOUD_FIELD_ERROR "error"
+#define CLOUD_ERROR_NO_CAPACITY "no capacity"
 
 static void
 type_free(gpointer data)
@@ -99,7 +99,7 @@
   listed->endpoint = g_strdup(endpoint);
   listed->type = g_strdup(type);
   listed->zone = g_strdup(zone);
-  listed->has_failed = g_strcmp0(state, STATE_FAILED) == 0;
+  listed->has_failed = g_strcmp0(state, MACHINE_STATE_FAILED) == 0;
   return TRUE;
 }
 
@@ -128,7 +128,8 @@
 has_no_capacity(const json_t *body)
 {
   const char *error;
-  return ws_json_string(body, FIELD_ERROR, &error) && strcmp(error, ERROR_NO_CAPACITY) == 0;
+  return ws_json_string(body, CLOUD_FIELD_ERROR, &error)
+         && strcmp(error, CLOUD_ERROR_NO_CAPACITY) == 0;
 }
 
 WsRentalResult
--- a/src/protocol/ws-heartbeat.c
+++ b/src/protocol/ws-heartbeat.c
@@ -9,9 +9,9 @@
 
 #define MAX_MACHINE_NAME_BYTES 100
 /* Value of interruption_s if the cloud has given no interruption notice. */
-#define NO_INTERRUPTION_S (-1.0)
+#define NO_INTERRUPTION_NOTICE_S (-1.0)
 /* Characters that a machine name can't have: it is part of store keys and URL paths. */
-#define NOT_IN_MACHINE_NAMES " /"
+#define FORBIDDEN_MACHINE_NAME_CHARS " /"
 
 /* Splits a task name of the form JOB/NUMBER. */
 static gboolean
@@ -67,7 +67,7 @@
 }
 
 static gboolean
-parse_task(const json_t *item, WsTaskStatus *task)
+parse_task_status(const json_t *item, WsTaskStatus *task)
 {
   const char *name, *state, *reason = NULL;
   if (!ws_json_string(item, WS_FIELD_TASK, &name)
@@ -91,7 +91,7 @@
 /* Returns the name of the first missing or invalid field, or NULL if all are valid.
    parse_fields() does the same. */
 static const char *
-parse_tasks(const json_t *message, WsHeartbeat *heartbeat)
+parse_task_statuses(const json_t *message, WsHeartbeat *heartbeat)
 {
   const json_t *list = json_object_get(message, WS_FIELD_TASKS);
   if (!json_is_array(list))
@@ -101,7 +101,7 @@
   json_array_foreach(list, i, item)
   {
     WsTaskStatus task = { 0 };
-    if (!parse_task(item, &task))
+    if (!parse_task_status(item, &task))
       return WS_FIELD_TASKS;
     g_array_append_val(heartbeat->tasks, task);
   }
@@ -113,7 +113,8 @@
 {
   const char *machine, *endpoint, *type, *zone;
   if (!ws_json_string(message, WS_FIELD_MACHINE, &machine) || *machine == '\0'
-      || strlen(machine) > MAX_MACHINE_NAME_BYTES || strpbrk(machine, NOT_IN_MACHINE_NAMES) != NULL)
+      || strlen(machine) > MAX_MACHINE_NAME_BYTES
+      || strpbrk(machine, FORBIDDEN_MACHINE_NAME_CHARS) != NULL)
     return WS_FIELD_MACHINE;
   if (!ws_json_string(message, WS_FIELD_ENDPOINT, &endpoint))
     return WS_FIELD_ENDPOINT;
@@ -135,7 +136,7 @@
   heartbeat->endpoint = g_strdup(endpoint);
   heartbeat->type = g_strdup(type);
   heartbeat->zone = g_strdup(zone);
-  return parse_tasks(message, heartbeat);
+  return parse_task_statuses(message, heartbeat);
 }
 
 WsHeartbeat *
@@ -146,7 +147,7 @@
     return NULL;
   }
   g_autoptr(WsHeartbeat) heartbeat = g_new0(WsHeartbeat, 1);
-  heartbeat->interruption_s = NO_INTERRUPTION_S;
+  heartbeat->interruption_s = NO_INTERRUPTION_NOTICE_S;
   heartbeat->tasks = g_array_new(FALSE, TRUE, sizeof(WsTaskStatus));
   g_array_set_clear_func(heartbeat->tasks, task_status_clear);
   const char *invalid = parse_fields(message, heartbeat);
@@ -158,7 +159,7 @@
 }
 
 static WsHeartbeat *
-parse_status_of(const json_t *body, const char *machine)
+parse_status_from_machine(const json_t *body, const char *machine)
 {
   g_autoptr(WsHeartbeat) heartbeat = ws_heartbeat_parse(body, NULL);
   if (heartbeat == NULL || strcmp(heartbeat->machine, machine) != 0)
@@ -169,13 +170,15 @@
 WsHeartbeat *
 ws_heartbeat_parse_status_reply(guint status, const json_t *body, const char *machine)
 {
-  return status == WS_HTTP_OK ? parse_status_of(body, machine) : NULL;
+  return status == WS_HTTP_OK ? parse_status_from_machine(body, machine) : NULL;
 }
 
 WsHeartbeat *
 ws_heartbeat_parse_command_reply(guint status, const json_t *body, const char *machine)
 {
-  return status == WS_HTTP_OK || status == WS_HTTP_CONFLICT ? parse_status_of(body, machine) : NULL;
+  return status == WS_HTTP_OK || status == WS_HTTP_CONFLICT
+             ? parse_status_from_machine(body, machine)
+             : NULL;
 }
 
 const WsTaskStatus *
--- a/src/protocol/ws-job-spec.c
+++ b/src/protocol/ws-job-spec.c
@@ -5,12 +5,13 @@
 
 #include <string.h>
 
-static const char *const KINDS[] = { "sweep", "service", "group", NULL };
-static const char *const PRIORITIES[] = { "critical", "urgent", "standard", "best_effort", NULL };
+static const char *const KIND_NAMES[] = { "sweep", "service", "group", NULL };
+static const char *const PRIORITY_NAMES[]
+    = { "critical", "urgent", "standard", "best_effort", NULL };
 
 /* Upper limit of durations in seconds and of the image size in GB. */
-#define MAX_NUMBER 1e9
-#define MAX_TEXT_BYTES 200
+#define MAX_SECONDS_OR_GB 1e9
+#define MAX_STRING_BYTES 200
 #define MAX_MACHINE_TYPES 1000
 #define NO_DEADLINE_S (-1.0)
 #define JOB_ID_PREFIX "req-"
@@ -33,12 +34,12 @@
 static gboolean
 parse_non_negative(const json_t *message, const char *name, double *value)
 {
-  return ws_json_number(message, name, value) && *value >= 0.0 && *value <= MAX_NUMBER;
+  return ws_json_number(message, name, value) && *value >= 0.0 && *value <= MAX_SECONDS_OR_GB;
 }
 
 /* Parses a field whose value must be one of the names; sets @index to its index in @names. */
 static gboolean
-parse_name(const json_t *message, const char *name, const char *const *names, guint *index)
+parse_enum(const json_t *message, const char *name, const char *const *names, guint *index)
 {
   const char *text;
   if (!ws_json_string(message, name, &text))
@@ -50,17 +51,17 @@
 }
 
 static gboolean
-parse_text(const json_t *message, const char *name, char **value)
+parse_string(const json_t *message, const char *name, char **value)
 {
   const char *found;
-  if (!ws_json_string(message, name, &found) || *found == '\0' || strlen(found) > MAX_TEXT_BYTES)
+  if (!ws_json_string(message, name, &found) || *found == '\0' || strlen(found) > MAX_STRING_BYTES)
     return FALSE;
   *value = g_strdup(found);
   return TRUE;
 }
 
 static gboolean
-parse_types(const json_t *message, char ***value)
+parse_machine_types(const json_t *message, char ***value)
 {
   const json_t *list = json_object_get(message, WS_FIELD_MACHINE_TYPES);
   if (list == NULL || json_is_null(list))
@@ -72,7 +73,7 @@
 }
 
 static gboolean
-parse_tasks(const json_t *message, guint *value)
+parse_task_count(const json_t *message, guint *value)
 {
   guint64 count;
   if (!ws_json_count(message, WS_FIELD_TASKS, &count) || count < 1 || count > WS_MAX_TASKS)
@@ -82,16 +83,16 @@
 }
 
 static gboolean
-parse_id(const json_t *message, char **value)
+parse_job_id(const json_t *message, char **value)
 {
-  return parse_text(message, WS_FIELD_ID, value) && ws_job_id_valid(*value);
+  return parse_string(message, WS_FIELD_ID, value) && ws_job_id_valid(*value);
 }
 
 static gboolean
 parse_deadline(const json_t *message, double *value)
 {
   *value = NO_DEADLINE_S;
-  return ws_json_number_or_null(message, WS_FIELD_DEADLINE_S, value) && *value <= MAX_NUMBER
+  return ws_json_number_or_null(message, WS_FIELD_DEADLINE_S, value) && *value <= MAX_SECONDS_OR_GB
          && (*value >= 0.0 || *value == NO_DEADLINE_S);
 }
 
@@ -109,15 +110,15 @@
 parse_identity(const json_t *message, WsJobSpec *spec)
 {
   guint kind = 0, priority = 0;
-  if (!parse_id(message, &spec->id))
+  if (!parse_job_id(message, &spec->id))
     return WS_FIELD_ID;
-  if (!parse_text(message, WS_FIELD_CLASS, &spec->class_name))
+  if (!parse_string(message, WS_FIELD_CLASS, &spec->class_name))
     return WS_FIELD_CLASS;
-  if (!parse_text(message, WS_FIELD_TEAM, &spec->team))
+  if (!parse_string(message, WS_FIELD_TEAM, &spec->team))
     return WS_FIELD_TEAM;
-  if (!parse_name(message, WS_FIELD_KIND, KINDS, &kind))
+  if (!parse_enum(message, WS_FIELD_KIND, KIND_NAMES, &kind))
     return WS_FIELD_KIND;
-  if (!parse_name(message, WS_FIELD_PRIORITY, PRIORITIES, &priority))
+  if (!parse_enum(message, WS_FIELD_PRIORITY, PRIORITY_NAMES, &priority))
     return WS_FIELD_PRIORITY;
   spec->kind = (WsKind)kind;
   spec->priority = (WsPriority)priority;
@@ -127,7 +128,7 @@
 static const char *
 parse_needs(const json_t *message, WsJobSpec *spec)
 {
-  if (!parse_tasks(message, &spec->tasks))
+  if (!parse_task_count(message, &spec->tasks))
     return WS_FIELD_TASKS;
   if (!ws_amount_parse_need(message, WS_FIELD_CPUS, &spec->need.cpus))
     return WS_FIELD_CPUS;
@@ -135,7 +136,7 @@
     return WS_FIELD_GPUS;
   if (!ws_amount_parse_need(message, WS_FIELD_MEMORY_GB, &spec->need.memory))
     return WS_FIELD_MEMORY_GB;
-  if (!parse_text(message, WS_FIELD_IMAGE, &spec->image))
+  if (!parse_string(message, WS_FIELD_IMAGE, &spec->image))
     return WS_FIELD_IMAGE;
   if (!parse_non_negative(message, WS_FIELD_IMAGE_GB, &spec->image_gb))
     return WS_FIELD_IMAGE_GB;
@@ -145,7 +146,7 @@
 static const char *
 parse_placement(const json_t *message, WsJobSpec *spec)
 {
-  if (!parse_types(message, &spec->types))
+  if (!parse_machine_types(message, &spec->types))
     return WS_FIELD_MACHINE_TYPES;
   if (!parse_zone(message, &spec->zone))
     return WS_FIELD_ZONE;
@@ -204,7 +205,7 @@
 }
 
 static json_t *
-encode_types(char *const *names)
+encode_machine_types(char *const *names)
 {
   if (names == NULL)
     return json_null();
@@ -217,16 +218,16 @@
 json_t *
 ws_job_spec_encode(const WsJobSpec *spec)
 {
-  json_t *message
-      = json_pack("{s:s, s:s, s:s, s:s, s:s, s:i}", WS_FIELD_ID, spec->id, WS_FIELD_CLASS,
-                  spec->class_name, WS_FIELD_TEAM, spec->team, WS_FIELD_KIND, KINDS[spec->kind],
-                  WS_FIELD_PRIORITY, PRIORITIES[spec->priority], WS_FIELD_TASKS, (int)spec->tasks);
+  json_t *message = json_pack("{s:s, s:s, s:s, s:s, s:s, s:i}", WS_FIELD_ID, spec->id,
+                              WS_FIELD_CLASS, spec->class_name, WS_FIELD_TEAM, spec->team,
+                              WS_FIELD_KIND, KIND_NAMES[spec->kind], WS_FIELD_PRIORITY,
+                              PRIORITY_NAMES[spec->priority], WS_FIELD_TASKS, (int)spec->tasks);
   json_object_set_new(message, WS_FIELD_CPUS, ws_amount_encode(spec->need.cpus));
   json_object_set_new(message, WS_FIELD_GPUS, ws_amount_encode(spec->need.gpus));
   json_object_set_new(message, WS_FIELD_MEMORY_GB, ws_amount_encode(spec->need.memory));
   json_object_set_new(message, WS_FIELD_IMAGE, json_string(spec->image));
   json_object_set_new(message, WS_FIELD_IMAGE_GB, json_real(spec->image_gb));
-  json_object_set_new(message, WS_FIELD_MACHINE_TYPES, encode_types(spec->types));
+  json_object_set_new(message, WS_FIELD_MACHINE_TYPES, encode_machine_types(spec->types));
   json_object_set_new(message, WS_FIELD_ZONE,
                       spec->zone != NULL ? json_string(spec->zone) : json_null());
   json_object_set_new(message, WS_FIELD_ONE_ZONE, json_boolean(spec->needs_one_zone));
--- a/src/protocol/ws-json.c
+++ b/src/protocol/ws-json.c
@@ -2,7 +2,7 @@
 #include "protocol/ws-json.h"
 
 /* Significant digits of an encoded real number. */
-#define REAL_DIGITS 12
+#define REAL_PRECISION_DIGITS 12
 
 json_t *
 ws_json_parse(const char *body, gsize length)
@@ -13,7 +13,9 @@
 char *
 ws_json_text(const json_t *value)
 {
-  return value == NULL ? NULL : json_dumps(value, JSON_COMPACT | JSON_REAL_PRECISION(REAL_DIGITS));
+  return value == NULL
+             ? NULL
+             : json_dumps(value, JSON_COMPACT | JSON_REAL_PRECISION(REAL_PRECISION_DIGITS));
 }
 
 gboolean
--- a/src/protocol/ws-kv.c
+++ b/src/protocol/ws-kv.c
@@ -3,19 +3,19 @@
 
 #include "protocol/ws-field-names.h"
 
-#define FIELD_CONDITIONS "if"
-#define FIELD_CONDITION_KEY "k"
-#define FIELD_OPERATIONS "apply"
-#define FIELD_PUT "set"
-#define FIELD_DELETE "remove"
-#define FIELD_VALUE "value"
-#define FIELD_ITEMS "pairs"
-#define FIELD_ITEM_KEY "k"
-#define FIELD_HAS_MORE "more"
-#define FIELD_EVENTS "log"
-#define FIELD_TTL_MS "ttl_ms"
-#define FIELD_ERROR "error"
-#define ERROR_LEASE_ENDED "no such lease"
+#define KV_FIELD_TXN_CONDITIONS "if"
+#define KV_FIELD_CONDITION_KEY "k"
+#define KV_FIELD_TXN_OPERATIONS "apply"
+#define KV_FIELD_PUT_KEY "set"
+#define KV_FIELD_DELETE_KEY "remove"
+#define KV_FIELD_VALUE "value"
+#define KV_FIELD_PAGE_ITEMS "pairs"
+#define KV_FIELD_ITEM_KEY "k"
+#define KV_FIELD_HAS_MORE_PAGES "more"
+#define KV_FIELD_WATCH_EVENTS "log"
+#define KV_FIELD_LEASE_TTL_MS "ttl_ms"
+#define KV_FIELD_ERROR "error"
+#define KV_ERROR_LEASE_EXPIRED "no such lease"
 
 char *
 ws_kv_page_path(const char *prefix, const char *after, guint page_size)
@@ -66,9 +66,9 @@
 {
   guint64 revision;
   gboolean has_more;
-  const json_t *items = json_object_get(message, FIELD_ITEMS);
-  if (!ws_kv_revision_parse(message, &revision) || !ws_json_bool(message, FIELD_HAS_MORE, &has_more)
-      || !json_is_array(items))
+  const json_t *items = json_object_get(message, KV_FIELD_PAGE_ITEMS);
+  if (!ws_kv_revision_parse(message, &revision)
+      || !ws_json_bool(message, KV_FIELD_HAS_MORE_PAGES, &has_more) || !json_is_array(items))
     return NULL;
   WsKvPage *page = page_new(revision);
   page->is_last = !has_more || json_array_size(items) == 0;
@@ -76,8 +76,8 @@
   const json_t *entry;
   json_array_foreach(items, i, entry)
   {
-    WsKvItem item = { .value = json_object_get(entry, FIELD_VALUE) };
-    if (ws_json_string(entry, FIELD_ITEM_KEY, &item.key)
+    WsKvItem item = { .value = json_object_get(entry, KV_FIELD_VALUE) };
+    if (ws_json_string(entry, KV_FIELD_ITEM_KEY, &item.key)
         && ws_json_count(entry, WS_FIELD_VERSION, &item.version))
       g_array_append_val(page->items, item);
   }
@@ -85,14 +85,14 @@
 }
 
 static gboolean
-event_parse(const json_t *event, WsKvItem *item)
+watch_event_parse(const json_t *event, WsKvItem *item)
 {
   if (!ws_json_count(event, WS_FIELD_VERSION, &item->version))
     return FALSE;
-  if (ws_json_string(event, FIELD_PUT, &item->key))
-    item->value = json_object_get(event, FIELD_VALUE);
+  if (ws_json_string(event, KV_FIELD_PUT_KEY, &item->key))
+    item->value = json_object_get(event, KV_FIELD_VALUE);
   else
-    (void)ws_json_string(event, FIELD_DELETE, &item->key);
+    (void)ws_json_string(event, KV_FIELD_DELETE_KEY, &item->key);
   return TRUE;
 }
 
@@ -105,10 +105,10 @@
   WsKvPage *page = page_new(revision);
   size_t i;
   const json_t *event;
-  json_array_foreach(json_object_get(message, FIELD_EVENTS), i, event)
+  json_array_foreach(json_object_get(message, KV_FIELD_WATCH_EVENTS), i, event)
   {
     WsKvItem item = { 0 };
-    if (event_parse(event, &item))
+    if (watch_event_parse(event, &item))
       g_array_append_val(page->items, item);
   }
   return page;
@@ -117,7 +117,7 @@
 json_t *
 ws_kv_lease_request_encode(guint ttl_ms)
 {
-  return json_pack("{s:i}", FIELD_TTL_MS, (int)ttl_ms);
+  return json_pack("{s:i}", KV_FIELD_LEASE_TTL_MS, (int)ttl_ms);
 }
 
 gboolean
@@ -129,7 +129,7 @@
 static json_t *
 condition_encode(const WsKvCondition *condition)
 {
-  return json_pack("{s:s, s:I}", FIELD_CONDITION_KEY, condition->key, WS_FIELD_VERSION,
+  return json_pack("{s:s, s:I}", KV_FIELD_CONDITION_KEY, condition->key, WS_FIELD_VERSION,
                    (json_int_t)condition->version);
 }
 
@@ -137,8 +137,9 @@
 operation_encode(const WsKvOperation *operation)
 {
   if (operation->value == NULL)
-    return json_pack("{s:s}", FIELD_DELETE, operation->key);
-  json_t *put = json_pack("{s:s, s:O}", FIELD_PUT, operation->key, FIELD_VALUE, operation->value);
+    return json_pack("{s:s}", KV_FIELD_DELETE_KEY, operation->key);
+  json_t *put
+      = json_pack("{s:s, s:O}", KV_FIELD_PUT_KEY, operation->key, KV_FIELD_VALUE, operation->value);
   if (operation->lease != 0)
     json_object_set_new(put, WS_FIELD_LEASE, json_integer((json_int_t)operation->lease));
   return put;
@@ -155,22 +156,22 @@
   for (guint i = 0; i < operations->len; i++)
     json_array_append_new(encoded_operations,
                           operation_encode(&g_array_index(operations, WsKvOperation, i)));
-  return json_pack("{s:o, s:o}", FIELD_CONDITIONS, encoded_conditions, FIELD_OPERATIONS,
-                   encoded_operations);
+  return json_pack("{s:o, s:o}", KV_FIELD_TXN_CONDITIONS, encoded_conditions,
+                   KV_FIELD_TXN_OPERATIONS, encoded_operations);
 }
 
 const char *
 ws_kv_error_parse(const json_t *message)
 {
   const char *error = NULL;
-  (void)ws_json_string(message, FIELD_ERROR, &error);
+  (void)ws_json_string(message, KV_FIELD_ERROR, &error);
   return error;
 }
 
 gboolean
 ws_kv_error_is_lease_ended(const json_t *message)
 {
-  return g_strcmp0(ws_kv_error_parse(message), ERROR_LEASE_ENDED) == 0;
+  return g_strcmp0(ws_kv_error_parse(message), KV_ERROR_LEASE_EXPIRED) == 0;
 }
 
 void
--- a/src/protocol/ws-properties.c
+++ b/src/protocol/ws-properties.c
@@ -4,14 +4,14 @@
 #include <string.h>
 
 /* GKeyFile requires a group, but the file has none: this group header is prepended to its text. */
-#define GROUP "wrenshore"
+#define KEY_FILE_GROUP "wrenshore"
 
 #define DEFAULT_IDLE_TIMEOUT_S 20.0
 #define DEFAULT_BACKOFF_MIN_S 1.0
 #define DEFAULT_BACKOFF_MAX_S 30.0
 #define DEFAULT_HEADROOM_TASKS 1
 
-#define MAX_SECONDS 3600.0
+#define MAX_DURATION_S 3600.0
 #define MAX_HEADROOM_TASKS 1000
 #define MAX_BUDGET_MACHINES 1000000
 #define MAX_PERCENT 100u
@@ -56,7 +56,7 @@
 {
   char *end;
   *value = g_ascii_strtod(text, &end);
-  return end != text && *end == '\0' && *value > 0.0 && *value <= MAX_SECONDS;
+  return end != text && *end == '\0' && *value > 0.0 && *value <= MAX_DURATION_S;
 }
 
 static gboolean
@@ -70,7 +70,7 @@
 }
 
 static gboolean
-parse_amount(const char *text, WsBudget *budget)
+parse_budget_value(const char *text, WsBudget *budget)
 {
   gsize length = strlen(text);
   budget->is_percent = length > 1 && text[length - 1] == '%';
@@ -96,7 +96,7 @@
   return FALSE;
 }
 
-/* Returns an error message, or NULL if the key and its value are valid; so does parse_key(). */
+/* Returns an error message, or NULL if the property is valid; so does parse_property(). */
 static const char *
 parse_budget(WsProperties *properties, const char *key, const char *value, GPtrArray *zones)
 {
@@ -117,20 +117,21 @@
   budget->zone = g_strdup(zone);
   budget->is_minimum = is_minimum;
   g_ptr_array_add(properties->budgets, budget);
-  return parse_amount(value, budget) ? NULL
-                                     : "must be a count up to 1000000 or a percentage up to 100%";
+  return parse_budget_value(value, budget)
+             ? NULL
+             : "must be a count up to 1000000 or a percentage up to 100%";
 }
 
 static const char *
-parse_key(WsProperties *properties, const char *key, const char *value, GPtrArray *zones)
+parse_property(WsProperties *properties, const char *key, const char *value, GPtrArray *zones)
 {
-  const char *const not_seconds = "must be a number of seconds above 0 and up to 3600";
+  const char *const seconds_error = "must be a number of seconds above 0 and up to 3600";
   if (strcmp(key, "giveback.hold_s") == 0)
-    return parse_seconds(value, &properties->idle_timeout_s) ? NULL : not_seconds;
+    return parse_seconds(value, &properties->idle_timeout_s) ? NULL : seconds_error;
   if (strcmp(key, "giveback.backoff_min_s") == 0)
-    return parse_seconds(value, &properties->backoff_min_s) ? NULL : not_seconds;
+    return parse_seconds(value, &properties->backoff_min_s) ? NULL : seconds_error;
   if (strcmp(key, "giveback.backoff_max_s") == 0)
-    return parse_seconds(value, &properties->backoff_max_s) ? NULL : not_seconds;
+    return parse_seconds(value, &properties->backoff_max_s) ? NULL : seconds_error;
   if (strcmp(key, "fleet.spare_tasks") == 0)
     return parse_count(value, MAX_HEADROOM_TASKS, &properties->headroom_tasks)
                ? NULL
@@ -145,7 +146,7 @@
 load_key_file(GKeyFile *file, const char *text, GError **error)
 {
   g_autoptr(GError) cause = NULL;
-  g_autofree char *grouped = g_strconcat("[" GROUP "]\n", text, NULL);
+  g_autofree char *grouped = g_strconcat("[" KEY_FILE_GROUP "]\n", text, NULL);
   if (!g_key_file_load_from_data(file, grouped, strlen(grouped), G_KEY_FILE_NONE, &cause)) {
     g_set_error_literal(error, WS_ERROR, WS_ERROR_MALFORMED, cause->message);
     return FALSE;
@@ -166,11 +167,11 @@
   g_autoptr(GKeyFile) file = g_key_file_new();
   if (!load_key_file(file, text, error))
     return FALSE;
-  g_auto(GStrv) keys = g_key_file_get_keys(file, GROUP, NULL, NULL);
+  g_auto(GStrv) keys = g_key_file_get_keys(file, KEY_FILE_GROUP, NULL, NULL);
   for (char **key = keys; *key != NULL; key++) {
-    g_autofree char *value = g_key_file_get_string(file, GROUP, *key, NULL);
+    g_autofree char *value = g_key_file_get_string(file, KEY_FILE_GROUP, *key, NULL);
     const char *problem
-        = value == NULL ? "invalid value" : parse_key(properties, *key, value, zones);
+        = value == NULL ? "invalid value" : parse_property(properties, *key, value, zones);
     if (problem != NULL) {
       g_set_error(error, WS_ERROR, WS_ERROR_INVALID_PROPERTY, "%s: %s", *key, problem);
       return FALSE;
--- a/src/protocol/ws-resources.c
+++ b/src/protocol/ws-resources.c
@@ -3,12 +3,12 @@
 
 #include <math.h>
 
-#define THOUSANDTHS 1000.0
+#define THOUSANDTHS_PER_UNIT 1000.0
 /* Tolerates the rounding error of binary fractions: 0.1 + 0.2 is read as 0.3. */
-#define ROUNDING_SLACK 1e-6
+#define ROUNDING_TOLERANCE_THOUSANDTHS 1e-6
 /* Far above the size of any machine, and small enough that sums over 100,000 tasks fit into 64
    bits. */
-#define MAX_AMOUNT 1e9
+#define MAX_AMOUNT_UNITS 1e9
 
 gboolean
 ws_resources_fit(const WsResources *need, const WsResources *available)
@@ -29,9 +29,9 @@
 ws_amount_parse_need(const json_t *object, const char *name, gint64 *thousandths)
 {
   double number;
-  if (!ws_json_number(object, name, &number) || !(number >= 0.0 && number <= MAX_AMOUNT))
+  if (!ws_json_number(object, name, &number) || !(number >= 0.0 && number <= MAX_AMOUNT_UNITS))
     return FALSE;
-  *thousandths = (gint64)ceil(number * THOUSANDTHS - ROUNDING_SLACK);
+  *thousandths = (gint64)ceil(number * THOUSANDTHS_PER_UNIT - ROUNDING_TOLERANCE_THOUSANDTHS);
   return TRUE;
 }
 
@@ -39,14 +39,14 @@
 ws_amount_parse_capacity(const json_t *object, const char *name, gint64 *thousandths)
 {
   double number;
-  if (!ws_json_number(object, name, &number) || !(number >= 0.0 && number < MAX_AMOUNT))
+  if (!ws_json_number(object, name, &number) || !(number >= 0.0 && number < MAX_AMOUNT_UNITS))
     return FALSE;
-  *thousandths = (gint64)floor(number * THOUSANDTHS + ROUNDING_SLACK);
+  *thousandths = (gint64)floor(number * THOUSANDTHS_PER_UNIT + ROUNDING_TOLERANCE_THOUSANDTHS);
   return TRUE;
 }
 
 json_t *
 ws_amount_encode(gint64 thousandths)
 {
-  return json_real((double)thousandths / THOUSANDTHS);
+  return json_real((double)thousandths / THOUSANDTHS_PER_UNIT);
 }
--- a/src/protocol/ws-settings.c
+++ b/src/protocol/ws-settings.c
@@ -3,7 +3,7 @@
 
 #include <string.h>
 
-#define MAX_NUMBER 1e9
+#define MAX_SETTING_VALUE 1e9
 /* Sets of nodes are stored as bit masks in an integer. */
 #define MAX_NODES 31u
 /* Value size that a record of 128 tasks or of 50 machines needs. */
@@ -16,12 +16,12 @@
 #define MIN_TXN_OPERATIONS 4
 /* Part of the maximum value size that records leave unused: the key-value store may encode a value
    differently and so count more bytes than this program does. */
-#define RECORD_MARGIN_RATIO 0.03
+#define VALUE_SIZE_MARGIN_RATIO 0.03
 /* Used if the settings don't have gang_peer_s; the platform's jobs then include no gangs. */
 #define DEFAULT_GANG_PEER_S 5.0
 /* Kinds of objectives: until tasks start, and until jobs complete. */
-#define OBJECTIVE_BEGIN "wait"
-#define OBJECTIVE_END "finished"
+#define OBJECTIVE_KIND_TASK_START "wait"
+#define OBJECTIVE_KIND_JOB_COMPLETION "finished"
 #define BYTES_PER_KB 1024.0
 /* Returned if no objective applies to the class. */
 #define NO_OBJECTIVE_S (-1.0)
@@ -53,7 +53,7 @@
 }
 
 static gboolean
-copy_text(const json_t *object, const char *name, char **value)
+copy_string(const json_t *object, const char *name, char **value)
 {
   const char *found;
   if (!ws_json_string(object, name, &found) || *found == '\0')
@@ -65,7 +65,7 @@
 static gboolean
 parse_positive(const json_t *object, const char *name, double *value)
 {
-  return ws_json_number(object, name, value) && *value > 0.0 && *value < MAX_NUMBER;
+  return ws_json_number(object, name, value) && *value > 0.0 && *value < MAX_SETTING_VALUE;
 }
 
 static gboolean
@@ -73,12 +73,12 @@
 {
   WsNode *node = g_new0(WsNode, 1);
   g_ptr_array_add(settings->nodes, node);
-  return copy_text(object, "node_name", &node->name) && copy_text(object, "zone", &node->zone)
-         && (is_self || copy_text(object, "endpoint", &node->endpoint));
+  return copy_string(object, "node_name", &node->name) && copy_string(object, "zone", &node->zone)
+         && (is_self || copy_string(object, "endpoint", &node->endpoint));
 }
 
 static gint
-compare_names(gconstpointer a, gconstpointer b)
+compare_node_names(gconstpointer a, gconstpointer b)
 {
   return strcmp((*(WsNode *const *)a)->name, (*(WsNode *const *)b)->name);
 }
@@ -101,12 +101,12 @@
   if (settings->nodes->len > MAX_NODES)
     return "peers (at most 31 nodes in total)";
   const WsNode *self = g_ptr_array_index(settings->nodes, 0);
-  g_ptr_array_sort(settings->nodes, compare_names);
+  g_ptr_array_sort(settings->nodes, compare_node_names);
   for (WsNodeIndex n = 0; n < settings->nodes->len; n++)
     if (g_ptr_array_index(settings->nodes, n) == self)
       settings->self = n;
   for (WsNodeIndex n = 1; n < settings->nodes->len; n++)
-    if (compare_names(&settings->nodes->pdata[n - 1], &settings->nodes->pdata[n]) == 0)
+    if (compare_node_names(&settings->nodes->pdata[n - 1], &settings->nodes->pdata[n]) == 0)
       return "peers (duplicate node_name)";
   return NULL;
 }
@@ -116,7 +116,7 @@
 {
   WsTeamSettings *team = g_new0(WsTeamSettings, 1);
   g_ptr_array_add(settings->teams, team);
-  return copy_text(item, "name", &team->name)
+  return copy_string(item, "name", &team->name)
          && ws_amount_parse_capacity(item, "cpus", &team->guarantee.cpus)
          && ws_amount_parse_capacity(item, "cpus_max", &team->limit.cpus)
          && ws_amount_parse_capacity(item, "gpus", &team->guarantee.gpus)
@@ -132,16 +132,16 @@
   WsObjective objective = { 0 };
   if (!ws_json_string(item, "kind", &kind))
     return;
-  objective.is_begin = strcmp(kind, OBJECTIVE_BEGIN) == 0;
-  if ((!objective.is_begin && strcmp(kind, OBJECTIVE_END) != 0)
+  objective.is_begin = strcmp(kind, OBJECTIVE_KIND_TASK_START) == 0;
+  if ((!objective.is_begin && strcmp(kind, OBJECTIVE_KIND_JOB_COMPLETION) != 0)
       || !parse_positive(item, "within_s", &objective.within_s)
-      || !copy_text(item, "class", &objective.class_name))
+      || !copy_string(item, "class", &objective.class_name))
     return;
   g_ptr_array_add(settings->objectives, g_memdup2(&objective, sizeof objective));
 }
 
 static const char *
-parse_lists(WsSettings *settings, const json_t *params)
+parse_zones_objectives_and_teams(WsSettings *settings, const json_t *params)
 {
   const json_t *zones = json_object_get(params, "zones");
   const json_t *teams = json_object_get(params, "teams");
@@ -197,7 +197,8 @@
   if (!lower_limit(next, "txn_ops", MIN_TXN_OPERATIONS, &ops))
     return "params.state.next.txn_ops (minimum 4)";
   settings->state_txn_ops = (guint64)ops;
-  settings->state_record_bytes = (guint64)(value_kb * BYTES_PER_KB * (1.0 - RECORD_MARGIN_RATIO));
+  settings->state_record_bytes
+      = (guint64)(value_kb * BYTES_PER_KB * (1.0 - VALUE_SIZE_MARGIN_RATIO));
   return NULL;
 }
 
@@ -259,7 +260,7 @@
   const json_t *workers = json_object_get(params, "workers");
   const json_t *state = json_object_get(params, "state");
   const json_t *limits = json_object_get(params, "limits");
-  const char *invalid = parse_lists(settings, params);
+  const char *invalid = parse_zones_objectives_and_teams(settings, params);
   if (invalid == NULL)
     invalid = parse_gang_times(settings, workers);
   if (invalid == NULL)
@@ -278,19 +279,19 @@
 /* Returns the name of the first missing or invalid setting, or NULL if all are valid. The functions
    that it calls do the same. */
 static const char *
-parse_all(WsSettings *settings, const json_t *message)
+parse_message(WsSettings *settings, const json_t *message)
 {
   const json_t *services = json_object_get(message, "services");
   const char *invalid = parse_nodes(settings, message);
   if (invalid != NULL)
     return invalid;
-  if (!copy_text(message, "api_addr", &settings->api_addr))
+  if (!copy_string(message, "api_addr", &settings->api_addr))
     return "api_addr";
-  if (!copy_text(message, "mesh_addr", &settings->mesh_addr))
+  if (!copy_string(message, "mesh_addr", &settings->mesh_addr))
     return "mesh_addr";
-  if (!copy_text(services, "cloud", &settings->cloud_addr))
+  if (!copy_string(services, "cloud", &settings->cloud_addr))
     return "services.cloud";
-  if (!copy_text(services, "state", &settings->state_addr))
+  if (!copy_string(services, "state", &settings->state_addr))
     return "services.state";
   return parse_params(settings, json_object_get(message, "params"));
 }
@@ -307,7 +308,7 @@
   settings->zones = g_ptr_array_new_with_free_func(g_free);
   settings->objectives = g_ptr_array_new_with_free_func(objective_free);
   settings->teams = g_ptr_array_new_with_free_func(team_free);
-  const char *invalid = parse_all(settings, message);
+  const char *invalid = parse_message(settings, message);
   if (invalid != NULL) {
     ws_error_set_invalid(error, WS_ERROR_INVALID_SETTING, invalid);
     return NULL;
@@ -326,9 +327,9 @@
 ws_team_has_capacity(const WsSettings *settings, WsTeamIndex team, const WsResources *use,
                      const WsResources *need)
 {
-  WsResources more = *use;
-  ws_resources_add(&more, need, 1);
-  return ws_team_allows(g_ptr_array_index(settings->teams, team), &more);
+  WsResources total = *use;
+  ws_resources_add(&total, need, 1);
+  return ws_team_allows(g_ptr_array_index(settings->teams, team), &total);
 }
 
 void
