--- a/src/api/ws-job-api.c
+++ b/src/api/ws-job-api.c
@@ -67,14 +67,14 @@
   user_request_free(user_request);
 }
 
-static WsUserState
+static WsReportedJobState
 user_state(const WsJob *job)
 {
   if (job->state == WS_JOB_DONE)
-    return WS_USER_STATE_DONE;
+    return WS_REPORTED_STATE_DONE;
   if (job->state == WS_JOB_CANCELLED)
-    return WS_USER_STATE_CANCELLED;
-  return job->assigned_count > 0 ? WS_USER_STATE_RUNNING : WS_USER_STATE_QUEUED;
+    return WS_REPORTED_STATE_CANCELLED;
+  return job->assigned_count > 0 ? WS_REPORTED_STATE_RUNNING : WS_REPORTED_STATE_QUEUED;
 }
 
 static void
@@ -150,7 +150,7 @@
     return;
   log_accepted(user_request->spec);
   core->replan_is_needed = TRUE;
-  WsJobSummary summary = { .job_id = user_request->id, .state = WS_USER_STATE_QUEUED };
+  WsJobSummary summary = { .job_id = user_request->id, .state = WS_REPORTED_STATE_QUEUED };
   finish(core, user_request, WS_HTTP_CREATED, ws_job_summary_encode(&summary, FALSE));
 }
 
@@ -300,7 +300,7 @@
     ws_answer_reason(core, request, WS_HTTP_METHOD_NOT_ALLOWED, "not with this method");
   else if (is_submission)
     submit(core, body, length, request);
-  else if (!ws_job_id_valid(id))
+  else if (!ws_job_id_is_valid(id))
     ws_answer_reason(core, request, WS_HTTP_NOT_FOUND, "no such job");
   else
     begin(core, is_cancellation ? REQUEST_CANCEL : REQUEST_POLL, id, NULL, request);
--- a/src/commit/ws-assignments.c
+++ b/src/commit/ws-assignments.c
@@ -270,7 +270,7 @@
 static void
 fill_batch(WsCore *core, WsBatch *batch)
 {
-  guint max_operations = core->settings->state_txn_ops;
+  guint max_operations = core->settings->kv_max_txn_ops;
   guint max_with_ending_releases = max_operations / 2;
   guint max_with_proposals = max_operations * 5 / 6;
   g_autoptr(GArray) releases = ws_releases_in_order(core);
--- a/src/commit/ws-batch.c
+++ b/src/commit/ws-batch.c
@@ -41,7 +41,7 @@
   batch->machine_use = g_hash_table_new_full(NULL, NULL, NULL, g_free);
   batch->machines = g_hash_table_new(NULL, NULL);
   batch->rental_batches = g_ptr_array_new();
-  batch->max_operations = core->settings->state_txn_ops;
+  batch->max_operations = core->settings->kv_max_txn_ops;
   batch->conditions = 1; /* the epoch */
   return batch;
 }
@@ -221,7 +221,7 @@
   guint conditions = batch->conditions + cost.conditions;
   guint bytes = batch->bytes + cost.bytes;
   if (operations > (gint)batch->max_operations
-      || conditions > CONDITIONS_PER_OPERATION * batch->core->settings->state_txn_ops
+      || conditions > CONDITIONS_PER_OPERATION * batch->core->settings->kv_max_txn_ops
       || bytes > MAX_TXN_BYTES)
     return FALSE;
   batch->operations = (guint)operations;
--- a/src/context/ws-context.c
+++ b/src/context/ws-context.c
@@ -69,7 +69,7 @@
   output->call = call->id;
   output->method = method;
   output->url = g_strdup_printf("http://%s%s", address, path);
-  output->body = ws_json_text(body);
+  output->body = ws_json_serialize(body);
   output->timeout_ms = timeout_ms;
   json_decref(body);
   g_queue_push_tail(&core->outputs, output);
@@ -82,7 +82,7 @@
   output->is_answer = TRUE;
   output->request = request;
   output->status = status;
-  output->body = ws_json_text(body);
+  output->body = ws_json_serialize(body);
   output->retry_after_s = retry_after_s;
   json_decref(body);
   g_queue_push_tail(&core->outputs, output);
--- a/src/coordination/ws-epoch.c
+++ b/src/coordination/ws-epoch.c
@@ -43,7 +43,7 @@
     const char *name;
     WsMember member;
     if (!ws_json_string(item, FIELD_NODE, &name)
-        || !ws_json_count(item, FIELD_INCARNATION, &member.incarnation))
+        || !ws_json_uint64(item, FIELD_INCARNATION, &member.incarnation))
       return FALSE;
     member.node = ws_settings_find_node(settings, name);
     if (member.node == WS_NO_NODE)
@@ -58,7 +58,7 @@
 {
   const char *leader;
   const json_t *members = json_object_get(value, FIELD_MEMBERS);
-  if (!ws_json_count(value, FIELD_NUMBER, &epoch->number)
+  if (!ws_json_uint64(value, FIELD_NUMBER, &epoch->number)
       || !ws_json_string(value, FIELD_LEADER, &leader) || !json_is_array(members))
     return FALSE;
   epoch->leader = ws_settings_find_node(settings, leader);
--- a/src/fleet/ws-cloud-list.c
+++ b/src/fleet/ws-cloud-list.c
@@ -130,7 +130,7 @@
     WsMachine *machine = ws_replica_machine(core->replica, i);
     if (machine->is_recorded || ws_returns_is_confirmed(core, machine->name))
       machine->fleet.needs_record = FALSE;
-    if (machine->fleet.needs_record && ws_txn_operation_count(txn) < core->settings->state_txn_ops)
+    if (machine->fleet.needs_record && ws_txn_operation_count(txn) < core->settings->kv_max_txn_ops)
       record_rental_batch(core, txn, machine, machines);
   }
   if (machines->len > 0)
--- a/src/fleet/ws-mark-cleanup.c
+++ b/src/fleet/ws-mark-cleanup.c
@@ -79,7 +79,7 @@
 clear_marks(WsCore *core, GArray *machines /* taken */)
 {
   while (machines->len > 1
-         && machines->len + count_batches_of(core, machines) > core->settings->state_txn_ops)
+         && machines->len + count_batches_of(core, machines) > core->settings->kv_max_txn_ops)
     g_array_set_size(machines, machines->len - 1);
   WsTxn *txn = ws_txn_new();
   ws_txn_compare(txn, core->replica, WS_KEY_EPOCH);
@@ -134,7 +134,7 @@
         || !ws_returns_knows_assignments(core, machine))
       continue;
     release_tasks(core, machine);
-    if (machine->tasks->len == 0 && empty->len < core->settings->state_txn_ops)
+    if (machine->tasks->len == 0 && empty->len < core->settings->kv_max_txn_ops)
       g_array_append_val(empty, machine->index);
   }
   if (empty->len > 0 && !core->fleet->is_clearing_marks)
--- a/src/fleet/ws-returns.c
+++ b/src/fleet/ws-returns.c
@@ -83,7 +83,7 @@
   if (names->len == 0 || returns->call_in_flight || core->now < returns->next_call_ms
       || !ws_fleet_take_call_budget(core))
     return;
-  json_t *body = ws_return_encode(names);
+  json_t *body = ws_machine_return_encode(names);
   returns->call_in_flight = TRUE;
   ws_call(core, "POST", core->settings->cloud_addr, "/machines/return", body, RETURN_TIMEOUT_MS,
           on_returned, g_steal_pointer(&names));
--- a/src/fleet/ws-termination.c
+++ b/src/fleet/ws-termination.c
@@ -17,11 +17,11 @@
 /* A request for a mark that hasn't been written after so long counts as lost. */
 #define MARK_REQUEST_TIMEOUT_MS 5000
 
-static const WsBudget *
+static const WsDisruptionBudget *
 budget_for(const WsCore *core, const WsMachine *machine)
 {
   for (guint i = 0; i < core->properties->budgets->len; i++) {
-    const WsBudget *budget = g_ptr_array_index(core->properties->budgets, i);
+    const WsDisruptionBudget *budget = g_ptr_array_index(core->properties->budgets, i);
     if (g_strcmp0(budget->type, machine->type_name) == 0
         && ws_replica_find_zone(core->replica, budget->zone) == machine->zone)
       return budget;
@@ -39,7 +39,7 @@
 static gboolean
 budget_allows(const WsCore *core, const WsMachine *machine)
 {
-  const WsBudget *budget = budget_for(core, machine);
+  const WsDisruptionBudget *budget = budget_for(core, machine);
   guint total = 0, unavailable = 0;
   if (budget == NULL)
     return TRUE;
@@ -51,7 +51,7 @@
     total++;
     unavailable += is_unavailable(core, other) ? 1 : 0;
   }
-  return unavailable + 1 <= ws_budget_allowed(budget, total + 1);
+  return unavailable + 1 <= ws_budget_max_unavailable(budget, total + 1);
 }
 
 /* Whether the zone's members and all other members reach one another. A partition makes every
@@ -209,7 +209,7 @@
   g_autoptr(WsTxn) txn = ws_txn_new();
   ws_txn_compare(txn, core->replica, WS_KEY_EPOCH);
   while (termination->requested->len > 0
-         && ws_txn_operation_count(txn) < core->settings->state_txn_ops)
+         && ws_txn_operation_count(txn) < core->settings->kv_max_txn_ops)
     write_first_request(core, txn);
   if (termination->writing->len > 0)
     ws_txn_commit(core, g_steal_pointer(&txn), WS_REQUEST_TASK, on_marked, NULL);
--- a/src/membership/ws-gossip-message.c
+++ b/src/membership/ws-gossip-message.c
@@ -99,15 +99,15 @@
 {
   (void)ws_json_string_or_null(body, MESH_VERSION, &message->version);
   return ws_json_string(body, MESH_NODE, &message->node)
-         && ws_json_count(body, MESH_EPOCH, &message->epoch)
+         && ws_json_uint64(body, MESH_EPOCH, &message->epoch)
          && ws_json_bool(body, MESH_STORE_IS_AVAILABLE, &message->store_is_available)
-         && ws_json_count(body, MESH_REACHABLE_NODES, &message->reachable_nodes)
+         && ws_json_uint64(body, MESH_REACHABLE_NODES, &message->reachable_nodes)
          && ws_json_bool(body, MESH_NEEDS_NEW_EPOCH, &message->needs_new_epoch)
          && ws_json_bool(body, MESH_UNREACHED_BY_WORKERS, &message->is_unreached_by_workers)
-         && ws_json_count(body, MESH_INCARNATION, &message->incarnation)
+         && ws_json_uint64(body, MESH_INCARNATION, &message->incarnation)
          && ws_json_bool(body, MESH_REPLICA_IS_LOADED, &message->replica_is_loaded)
-         && ws_json_count(body, MESH_UNACKNOWLEDGED_CANCELLATIONS,
-                          &message->unacknowledged_cancellations);
+         && ws_json_uint64(body, MESH_UNACKNOWLEDGED_CANCELLATIONS,
+                           &message->unacknowledged_cancellations);
 }
 
 gboolean
@@ -116,9 +116,9 @@
   if (!parse_header(body, message))
     return FALSE;
   message->has_revisions
-      = ws_json_count(body, MESH_BASE_REVISION, &message->base_revision)
-        && ws_json_count(body, MESH_REVISION, &message->revision)
-        && ws_json_count(body, MESH_ACKNOWLEDGED_REVISION, &message->acknowledged_revision);
+      = ws_json_uint64(body, MESH_BASE_REVISION, &message->base_revision)
+        && ws_json_uint64(body, MESH_REVISION, &message->revision)
+        && ws_json_uint64(body, MESH_ACKNOWLEDGED_REVISION, &message->acknowledged_revision);
   if (!message->has_revisions)
     return TRUE;
   size_t i;
--- a/src/membership/ws-peer-request-message.c
+++ b/src/membership/ws-peer-request-message.c
@@ -173,7 +173,7 @@
 ws_peer_request_batch_parse(const WsReplica *replica, const json_t *body)
 {
   guint64 epoch;
-  if (!ws_json_count(body, MESH_EPOCH, &epoch))
+  if (!ws_json_uint64(body, MESH_EPOCH, &epoch))
     return NULL;
   WsPeerRequestBatch *batch = ws_peer_request_batch_new();
   batch->epoch = epoch;
@@ -247,7 +247,7 @@
 {
   json_t *body = encode_mailbox(mailbox, replica);
   for (guint left = MAX_REQUESTS_PER_KIND; left > 0; left /= 2) {
-    g_autofree char *text = ws_json_text(body);
+    g_autofree char *text = ws_json_serialize(body);
     if (strlen(text) <= max_bytes)
       break;
     halve_batches(mailbox);
--- a/src/membership/ws-peer-requests.c
+++ b/src/membership/ws-peer-requests.c
@@ -291,7 +291,7 @@
 write_mailbox(WsCore *core, WsMailbox *mailbox)
 {
   json_t *value
-      = ws_mailbox_encode_within(mailbox, core->replica, core->settings->state_record_bytes);
+      = ws_mailbox_encode_within(mailbox, core->replica, core->settings->kv_max_record_bytes);
   g_autofree char *key
       = ws_key(WS_KEYS_MAILBOX, ws_settings_node(core->settings, core->settings->self)->name);
   WsTxn *txn = ws_txn_new();
--- a/src/membership/ws-relay-message.c
+++ b/src/membership/ws-relay-message.c
@@ -15,7 +15,7 @@
 gboolean
 ws_relay_message_parse(const json_t *body, WsRelayMessage *message)
 {
-  return ws_json_count(body, MESH_EPOCH, &message->epoch)
+  return ws_json_uint64(body, MESH_EPOCH, &message->epoch)
          && ws_json_string(body, MESH_RELAY_OWNER, &message->owner)
          && ws_json_string(body, MESH_RELAY_HEARTBEAT, &message->heartbeat);
 }
--- a/src/protocol/ws-field-names.h
+++ b/src/protocol/ws-field-names.h
@@ -32,9 +32,10 @@
 #define WS_FIELD_ONE_ZONE "one_zone"  /**< zone affinity: all tasks in one zone */
 #define WS_FIELD_SPREAD "scatter"     /**< zone anti-affinity: at most half the tasks in one zone */
 #define WS_FIELD_ESTIMATE_S "odhad_s" /**< estimated run time of a task */
-#define WS_FIELD_CHECKPOINT_S "zaloha_s" /**< checkpoint interval */
-#define WS_FIELD_SAVE_S "ulozeni_s"      /**< time to write the checkpoint when a task is stopped */
-#define WS_FIELD_DEADLINE_S "termin_s"   /**< deadline, counted from the job's acceptance */
+#define WS_FIELD_CHECKPOINT_INTERVAL_S "zaloha_s" /**< checkpoint interval */
+#define WS_FIELD_CHECKPOINT_SAVE_S                                                                 \
+  "ulozeni_s"                          /**< time to write the checkpoint when a task is stopped */
+#define WS_FIELD_DEADLINE_S "termin_s" /**< deadline, counted from the job's acceptance */
 
 /** A worker's heartbeat, and its response to commands. */
 #define WS_FIELD_MACHINE "stroj"            /**< machine name */
@@ -54,17 +55,17 @@
 #define WS_FIELD_REDIRECT "hlasit_komu" /**< name of the controller that owns the machine */
 
 /** Cloud API: catalog, list of machines, rental, return. */
-#define WS_FIELD_TYPE_NAME "sku"            /**< name of a machine type */
-#define WS_FIELD_CACHE_GB "local_gb"        /**< size of the machine's image cache */
-#define WS_FIELD_FETCH_RATE "pull_gb_per_s" /**< image download rate, GB/s */
-#define WS_FIELD_PRICE "price"              /**< on-demand price */
-#define WS_FIELD_SPOT_PRICE "low_price"     /**< spot price */
-#define WS_FIELD_BOOT_S "boot_s"            /**< time from the rental to the first heartbeat */
-#define WS_FIELD_ZONES "haly"               /**< zones that offer the type */
-#define WS_FIELD_AGE_S "age_s"              /**< time since the machine was rented */
-#define WS_FIELD_HAS_MORE "more"            /**< more pages follow */
-#define WS_FIELD_REQUEST "objednavka"       /**< idempotency key of a rental request */
-#define WS_FIELD_COUNT "how_many"           /**< number of machines to rent */
+#define WS_FIELD_TYPE_NAME "sku"                /**< name of a machine type */
+#define WS_FIELD_CACHE_GB "local_gb"            /**< size of the machine's image cache */
+#define WS_FIELD_FETCH_GB_PER_S "pull_gb_per_s" /**< image download rate, GB/s */
+#define WS_FIELD_PRICE "price"                  /**< on-demand price */
+#define WS_FIELD_SPOT_PRICE "low_price"         /**< spot price */
+#define WS_FIELD_BOOT_S "boot_s"                /**< time from the rental to the first heartbeat */
+#define WS_FIELD_ZONES "haly"                   /**< zones that offer the type */
+#define WS_FIELD_AGE_S "age_s"                  /**< time since the machine was rented */
+#define WS_FIELD_HAS_MORE "more"                /**< more pages follow */
+#define WS_FIELD_IDEMPOTENCY_KEY "objednavka"   /**< idempotency key of a rental request */
+#define WS_FIELD_MACHINE_COUNT "how_many"       /**< number of machines to rent */
 
 /** Key-value store. */
 #define WS_FIELD_REVISION "zmena" /**< revision of the whole store */
--- a/src/protocol/ws-heartbeat.h
+++ b/src/protocol/ws-heartbeat.h
@@ -21,13 +21,13 @@
 
 /** Reasons for which a task exits. */
 typedef enum {
-  WS_EXIT_NONE,      /**< the task hasn't exited */
-  WS_EXIT_DONE,      /**< completed */
-  WS_EXIT_STOPPED,   /**< stopped on request */
-  WS_EXIT_ERROR,     /**< failed, or exited for a reason that this version doesn't know */
-  WS_EXIT_REFUSED,   /**< the worker rejected the launch */
-  WS_EXIT_PEERS,     /**< gang only: another task of the gang was lost */
-  WS_EXIT_INCOMPLETE /**< gang only: the other tasks weren't ready within the timeout */
+  WS_EXIT_NONE,            /**< the task hasn't exited */
+  WS_EXIT_DONE,            /**< completed */
+  WS_EXIT_STOPPED,         /**< stopped on request */
+  WS_EXIT_ERROR,           /**< failed, or exited for a reason that this version doesn't know */
+  WS_EXIT_LAUNCH_REJECTED, /**< the worker rejected the launch */
+  WS_EXIT_GANG_PEER_LOST,  /**< gang only: another task of the gang was lost */
+  WS_EXIT_GANG_INCOMPLETE  /**< gang only: the other tasks weren't ready within the timeout */
 } WsExitReason;
 
 /** Status of one attempt of a task, as reported by the worker. */
@@ -95,16 +95,16 @@
 json_t *ws_command_encode(WsOp op, const char *job, guint task, guint64 attempt, double grace_s);
 
 /** Encodes the response to a heartbeat. Takes ownership of @commands. */
-json_t *ws_heartbeat_answer_encode(guint64 fencing_token, json_t *commands);
+json_t *ws_heartbeat_response_encode(guint64 fencing_token, json_t *commands);
 
 /** Returns the commands in a heartbeat response, borrowed from it, or NULL if it has none. */
-json_t *ws_heartbeat_answer_commands(const json_t *answer);
+json_t *ws_heartbeat_response_commands(const json_t *answer);
 
 /**
  * Encodes a request with commands that only the given incarnation of the worker executes. Takes
  * ownership of @commands.
  */
-json_t *ws_commands_encode(guint64 fencing_token, guint64 incarnation, json_t *commands);
+json_t *ws_command_request_encode(guint64 fencing_token, guint64 incarnation, json_t *commands);
 
 /**
  * Encodes the response that redirects a worker to the controller that owns its machine.
--- a/src/protocol/ws-job-spec.h
+++ b/src/protocol/ws-job-spec.h
@@ -35,10 +35,10 @@
   gboolean allows_spot; /**< the tasks may run on spot machines */
   char *image;
   double image_gb;
-  double estimate_s;   /**< estimated run time of a task */
-  double checkpoint_s; /**< checkpoint interval */
-  double save_s;       /**< time to write the checkpoint when a task is stopped */
-  double deadline_s;   /**< time from acceptance to the deadline; negative if none */
+  double estimate_s;            /**< estimated run time of a task */
+  double checkpoint_interval_s; /**< checkpoint interval */
+  double checkpoint_save_s;     /**< time to write the checkpoint when a task is stopped */
+  double deadline_s;            /**< time from acceptance to the deadline; negative if none */
 } WsJobSpec;
 
 /** Parses a submission, which the caller frees. Returns NULL and sets @error if it is invalid. */
@@ -51,6 +51,6 @@
 void ws_job_spec_free(WsJobSpec *spec);
 
 /** Returns whether the text, which may be NULL, is a well-formed job id. */
-gboolean ws_job_id_valid(const char *id);
+gboolean ws_job_id_is_valid(const char *id);
 
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsJobSpec, ws_job_spec_free)
--- a/src/protocol/ws-json.h
+++ b/src/protocol/ws-json.h
@@ -18,7 +18,7 @@
 json_t *ws_json_parse(const char *body, gsize length);
 
 /** Serializes the value into a compact text, which the caller frees. Returns NULL for NULL. */
-char *ws_json_text(const json_t *value);
+char *ws_json_serialize(const json_t *value);
 
 /** Reads a string member. */
 gboolean ws_json_string(const json_t *object, const char *name, const char **value);
@@ -27,7 +27,7 @@
 gboolean ws_json_number(const json_t *object, const char *name, double *value);
 
 /** Reads a non-negative integer member. */
-gboolean ws_json_count(const json_t *object, const char *name, guint64 *value);
+gboolean ws_json_uint64(const json_t *object, const char *name, guint64 *value);
 
 /** Reads a boolean member. */
 gboolean ws_json_bool(const json_t *object, const char *name, gboolean *value);
--- a/src/protocol/ws-kv.h
+++ b/src/protocol/ws-kv.h
@@ -105,7 +105,7 @@
 const char *ws_kv_error_parse(const json_t *message);
 
 /** Returns whether the store rejected a transaction because the lease that it names has expired. */
-gboolean ws_kv_error_is_lease_ended(const json_t *message);
+gboolean ws_kv_error_is_lease_expired(const json_t *message);
 
 /** Frees the members of the condition, not the condition itself. */
 void ws_kv_condition_clear(WsKvCondition *condition);
--- a/src/protocol/ws-names.h
+++ b/src/protocol/ws-names.h
@@ -23,7 +23,7 @@
 /** Returns the name's index. A new name is copied and gets the next index. */
 guint ws_names_intern(WsNames *names, const char *name);
 
-/** Returns the name's index, or WS_NONE if it isn't in the table. @name: may be NULL */
+/** Returns the name's index, or WS_NO_INDEX if it isn't in the table. @name: may be NULL */
 guint ws_names_find(const WsNames *names, const char *name);
 
 /** Returns the name, owned by the table, or "?" if the index is out of range. */
--- a/src/protocol/ws-properties.h
+++ b/src/protocol/ws-properties.h
@@ -15,7 +15,7 @@
   gboolean is_minimum; /**< limit is minAvailable; otherwise maxUnavailable */
   gboolean is_percent; /**< value is a percentage of the machines; otherwise a count */
   guint value;
-} WsBudget;
+} WsDisruptionBudget;
 
 /** The operators' properties. */
 typedef struct {
@@ -23,7 +23,7 @@
   double backoff_min_s;  /**< initial back-off after a rejected return or a postponed stop */
   double backoff_max_s;  /**< maximum back-off */
   guint headroom_tasks;  /**< spare capacity to keep rented, in tasks of the largest size seen */
-  GPtrArray *budgets;    /**< array of WsBudget */
+  GPtrArray *budgets;    /**< array of WsDisruptionBudget */
 } WsProperties;
 
 /** Returns the default properties, which the caller frees. */
@@ -42,6 +42,6 @@
 void ws_properties_free(WsProperties *properties);
 
 /** Returns how many of @total machines may be unavailable at once under the budget. */
-guint ws_budget_allowed(const WsBudget *budget, guint total);
+guint ws_budget_max_unavailable(const WsDisruptionBudget *budget, guint total);
 
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsProperties, ws_properties_free)
--- a/src/protocol/ws-settings.h
+++ b/src/protocol/ws-settings.h
@@ -24,7 +24,8 @@
 /** A service-level objective: the time within which a class's tasks start, or its jobs complete. */
 typedef struct {
   char *class_name;
-  gboolean is_begin; /**< applies to the start of tasks; otherwise to the completion of jobs */
+  gboolean
+      is_for_task_start; /**< applies to the start of tasks; otherwise to the completion of jobs */
   double within_s;
 } WsObjective;
 
@@ -37,7 +38,7 @@
   char *api_addr;   /**< listen address for users and workers */
   char *mesh_addr;  /**< listen address for the other controllers */
   char *cloud_addr; /**< the cloud */
-  char *state_addr; /**< the key-value store */
+  char *kv_addr;    /**< the key-value store */
 
   GPtrArray *zones;      /**< array of char *, indexed by WsZoneIndex */
   GPtrArray *teams;      /**< array of WsTeamSettings, indexed by WsTeamIndex */
@@ -52,13 +53,13 @@
 
   /* Limits of the key-value store. If the settings announce lower limits (state.next), these are
      the lower ones from the start, so that every record can be rewritten once they are enforced. */
-  double state_rps;           /**< requests per second */
-  double state_write_rps;     /**< writes per second */
-  guint64 state_txn_ops;      /**< operations per transaction */
-  guint64 state_record_bytes; /**< maximum size of a record's value */
-  double state_value_kb; /**< maximum value size without state.next. The grouping of records depends
-                            on it, so all versions of the program that share the store must use the
-                            same value */
+  double kv_requests_per_s;    /**< requests per second */
+  double kv_writes_per_s;      /**< writes per second */
+  guint64 kv_max_txn_ops;      /**< operations per transaction */
+  guint64 kv_max_record_bytes; /**< maximum size of a record's value */
+  double kv_current_value_kb;  /**< maximum value size without state.next. The grouping of records
+                             depends  on it, so all versions of the program that share the store must
+                             use the  same value */
 
   /* The cloud. */
   double cloud_rps;  /**< requests per second */
@@ -78,7 +79,7 @@
                               const WsResources *need);
 
 /** Returns whether the use is within the team's limit. */
-gboolean ws_team_allows(const WsTeamSettings *team, const WsResources *use);
+gboolean ws_team_is_within_limit(const WsTeamSettings *team, const WsResources *use);
 
 /** Returns the controller node, owned by the settings. */
 const WsNode *ws_settings_node(const WsSettings *settings, WsNodeIndex node);
@@ -87,9 +88,9 @@
 WsNodeIndex ws_settings_find_node(const WsSettings *settings, const char *name);
 
 /** Returns the seconds within which the class's tasks should start; negative if no objective. */
-double ws_settings_begin_within(const WsSettings *settings, const char *class_name);
+double ws_settings_start_objective_s(const WsSettings *settings, const char *class_name);
 
 /** Returns the seconds within which the class's jobs should complete; negative if no objective. */
-double ws_settings_finish_within(const WsSettings *settings, const char *class_name);
+double ws_settings_completion_objective_s(const WsSettings *settings, const char *class_name);
 
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsSettings, ws_settings_free)
--- a/src/scheduling/ws-demand-sizing.c
+++ b/src/scheduling/ws-demand-sizing.c
@@ -37,7 +37,7 @@
 {
   const WsCore *core = demand->core;
   double allowed_s = ws_job_time_limit_s(core->replica, job);
-  double begin_s = ws_settings_begin_within(core->settings, job->spec->class_name);
+  double begin_s = ws_settings_start_objective_s(core->settings, job->spec->class_name);
   double used_s = (double)(core->wall - job->accepted_ms) / 1000.0
                   + ws_replica_type(core->replica, 0)->boot_s;
   double end_s
--- a/src/storage/ws-replica.c
+++ b/src/storage/ws-replica.c
@@ -170,7 +170,7 @@
 {
   return job->spec->deadline_s >= 0.0
              ? job->spec->deadline_s
-             : ws_settings_finish_within(replica->settings, job->spec->class_name);
+             : ws_settings_completion_objective_s(replica->settings, job->spec->class_name);
 }
 
 double
--- a/src/storage/ws-team-use.c
+++ b/src/storage/ws-team-use.c
@@ -22,7 +22,7 @@
     const WsTeamSettings *team = g_ptr_array_index(settings->teams, t);
     bytes += (double)strlen(team->name) + BYTES_PER_TEAM;
   }
-  return 1 + (guint)(bytes / (FILL_RATIO * settings->state_value_kb * BYTES_PER_KB));
+  return 1 + (guint)(bytes / (FILL_RATIO * settings->kv_current_value_kb * BYTES_PER_KB));
 }
 
 guint
--- a/src/workers/ws-cancelled-tasks.c
+++ b/src/workers/ws-cancelled-tasks.c
@@ -141,9 +141,9 @@
       json_array_append_new(commands, ws_command_encode(WS_OP_HALT, job->id, assignment->task,
                                                         assignment->attempt, 0.0));
   }
-  return ws_commands_encode(MAX(machine->worker.fencing_token, machine->worker.halt_fencing_token),
-                            MAX(machine->worker.incarnation, machine->worker.halt_incarnation),
-                            commands);
+  return ws_command_request_encode(
+      MAX(machine->worker.fencing_token, machine->worker.halt_fencing_token),
+      MAX(machine->worker.incarnation, machine->worker.halt_incarnation), commands);
 }
 
 /* Sends halts, or requests the status if the worker's incarnation isn't known yet. */
--- a/src/workers/ws-reconciliation.c
+++ b/src/workers/ws-reconciliation.c
@@ -198,5 +198,5 @@
     core->replan_is_needed
         = core->replan_is_needed || !was_usable || machine->worker.interruption_ms > 0;
   }
-  return ws_heartbeat_answer_encode(fencing_token, run.commands);
+  return ws_heartbeat_response_encode(fencing_token, run.commands);
 }
--- a/src/workers/ws-relay.c
+++ b/src/workers/ws-relay.c
@@ -72,7 +72,7 @@
   json_t *commands = json_array();
   add_halts(core, heartbeat, commands);
   ws_answer(core, request, WS_HTTP_OK,
-            ws_heartbeat_answer_encode(core->replica->epoch.number, commands), 0);
+            ws_heartbeat_response_encode(core->replica->epoch.number, commands), 0);
 }
 
 /* Passes on the owner's answer, with halts added: this node may have learned of a cancellation
@@ -81,7 +81,7 @@
 answer_as_owner(WsCore *core, const Relay *relay, const json_t *body)
 {
   json_t *answer = json_deep_copy(body);
-  add_halts(core, relay->heartbeat, ws_heartbeat_answer_commands(answer));
+  add_halts(core, relay->heartbeat, ws_heartbeat_response_commands(answer));
   ws_answer(core, relay->request, WS_HTTP_OK, answer, 0);
 }
 
--- a/src/workers/ws-worker-rpc.c
+++ b/src/workers/ws-worker-rpc.c
@@ -69,8 +69,8 @@
   if (has_launches)
     count_indeterminate(core, machine, call);
   ws_call(core, "POST", machine->worker.endpoint, "/commands",
-          ws_commands_encode(call->fencing_token, call->incarnation, commands), COMMAND_TIMEOUT_MS,
-          on_command_reply, call);
+          ws_command_request_encode(call->fencing_token, call->incarnation, commands),
+          COMMAND_TIMEOUT_MS, on_command_reply, call);
 }
 
 gboolean
@@ -120,14 +120,14 @@
 double
 ws_halt_grace_s(const WsCore *core, const WsJob *job, const WsAssignment *assignment)
 {
-  if (ws_cancellations_has(core, job) || job->spec->checkpoint_s <= 0.0)
+  if (ws_cancellations_has(core, job) || job->spec->checkpoint_interval_s <= 0.0)
     return 0.0;
   if (!ws_job_is_gang(job))
-    return job->spec->save_s + GRACE_MARGIN_S;
+    return job->spec->checkpoint_save_s + GRACE_MARGIN_S;
   /* Once a task is lost the others can save nothing. */
   if (ws_gang_is_ending(job) && !assignment->is_stop_requested)
     return 0.0;
-  return job->spec->save_s + core->settings->gang_peer_s + GRACE_MARGIN_S;
+  return job->spec->checkpoint_save_s + core->settings->gang_peer_s + GRACE_MARGIN_S;
 }
 
 void
--- a/src/workers/ws-worker-status.c
+++ b/src/workers/ws-worker-status.c
@@ -72,9 +72,9 @@
   assignment->state = WS_TASK_EXITED;
   if (reason == WS_EXIT_ERROR)
     note_error(core, machine, job);
-  if (reason == WS_EXIT_REFUSED)
+  if (reason == WS_EXIT_LAUNCH_REJECTED)
     job->status.retry_ms = core->now + JOB_RETRY_MS;
-  if (reason == WS_EXIT_INCOMPLETE)
+  if (reason == WS_EXIT_GANG_INCOMPLETE)
     back_off_gang(core, job);
   if (reason == WS_EXIT_DONE) {
     machine->fleet.failed_jobs = 0;
--- a/tests/sim/fixture.c
+++ b/tests/sim/fixture.c
@@ -17,7 +17,7 @@
 void
 fixture_reply(Fixture *fixture, guint64 call, guint status, const json_t *body)
 {
-  g_autofree char *text = ws_json_text(body);
+  g_autofree char *text = ws_json_serialize(body);
   ws_core_reply(fixture->core, fixture->now_ms, fixture->now_ms, call, status, text,
                 text != NULL ? strlen(text) : 0);
 }
@@ -193,7 +193,7 @@
 fixture_request(Fixture *fixture, WsListener door, const char *method, const char *path,
                 json_t *body)
 {
-  g_autofree char *text = ws_json_text(body);
+  g_autofree char *text = ws_json_serialize(body);
   ws_core_request(fixture->core, fixture->now_ms, fixture->now_ms, door, method, path, text,
                   text != NULL ? strlen(text) : 0, fixture);
   json_decref(body);
--- a/tests/sim/sim-network.c
+++ b/tests/sim/sim-network.c
@@ -96,7 +96,7 @@
     } else if (call->expected != 0) {
       check_malformed_reply(sim, call);
     } else if (sim->nodes[call->node].core != NULL && sim->nodes[call->node].run == call->run) {
-      g_autofree char *text = ws_json_text(call->answer);
+      g_autofree char *text = ws_json_serialize(call->answer);
       ws_core_reply(sim->nodes[call->node].core, sim->now_ms, sim_wall(sim), call->call,
                     call->status, text, text != NULL ? strlen(text) : 0);
       sim_pump(sim, call->node);
@@ -142,7 +142,7 @@
 static void
 send_to_node(Sim *sim, Call *call, guint node, WsListener door)
 {
-  g_autofree char *text = ws_json_text(call->body);
+  g_autofree char *text = ws_json_serialize(call->body);
   if (sim->nodes[node].core == NULL) {
     sim_call_unref(call);
     return;
--- a/tests/test-coordination.c
+++ b/tests/test-coordination.c
@@ -53,7 +53,7 @@
     g_assert_cmpuint(later, !=, 1);
     if (owner != 1)
       g_assert_cmpuint(later, ==, owner);
-    g_assert_cmpuint(ws_epoch_owner(&none, name, settings), ==, WS_NONE);
+    g_assert_cmpuint(ws_epoch_owner(&none, name, settings), ==, WS_NO_INDEX);
   }
   for (guint n = 0; n < 3; n++)
     g_assert_cmpuint(owned[n], >, 850);
--- a/tests/test-kv.c
+++ b/tests/test-kv.c
@@ -15,7 +15,7 @@
 static void
 assert_text(const json_t *message, const char *expected)
 {
-  g_autofree char *text = ws_json_text(message);
+  g_autofree char *text = ws_json_serialize(message);
   g_assert_cmpstr(text, ==, expected);
 }
 
@@ -159,10 +159,10 @@
   g_autoptr(json_t) ended = parse_json("{\"error\":\"no such lease\"}");
   g_autoptr(json_t) other = parse_json("{\"error\":\"too large\"}");
   g_autoptr(json_t) none = parse_json("{\"error\":7}");
-  g_assert_true(ws_kv_error_is_lease_ended(ended));
-  g_assert_false(ws_kv_error_is_lease_ended(other));
+  g_assert_true(ws_kv_error_is_lease_expired(ended));
+  g_assert_false(ws_kv_error_is_lease_expired(other));
   g_assert_cmpstr(ws_kv_error_parse(other), ==, "too large");
-  g_assert_false(ws_kv_error_is_lease_ended(none));
+  g_assert_false(ws_kv_error_is_lease_expired(none));
   g_assert_null(ws_kv_error_parse(none));
   g_assert_null(ws_kv_error_parse(NULL));
 }
--- a/tests/test-peer-messages.c
+++ b/tests/test-peer-messages.c
@@ -11,7 +11,7 @@
 static void
 assert_text(const json_t *body, const char *expected)
 {
-  g_autofree char *text = ws_json_text(body);
+  g_autofree char *text = ws_json_serialize(body);
   g_assert_cmpstr(text, ==, expected);
 }
 
--- a/tests/test-storage.c
+++ b/tests/test-storage.c
@@ -187,7 +187,7 @@
   g_autoptr(GRand) rand = g_rand_new_with_seed(41);
   for (guint round = 0; round < 20; round++) {
     g_autoptr(WsSettings) settings = ws_test_settings(0);
-    settings->state_value_kb = 8.0;
+    settings->kv_current_value_kb = 8.0;
     add_teams(settings, (guint)g_rand_int_range(rand, 0, 400));
     WsReplica *replica = ws_replica_new(settings);
     g_autofree WsResources *use = g_new0(WsResources, settings->teams->len);
