--- a/src/protocol/ws-field-names.h
+++ b/src/protocol/ws-field-names.h
@@ -33,8 +33,7 @@
 #define WS_FIELD_SPREAD "scatter"     /**< zone anti-affinity: at most half the tasks in one zone */
 #define WS_FIELD_ESTIMATE_S "odhad_s" /**< estimated run time of a task */
 #define WS_FIELD_CHECKPOINT_INTERVAL_S "zaloha_s" /**< checkpoint interval */
-#define WS_FIELD_CHECKPOINT_SAVE_S                                                                 \
-  "ulozeni_s"                          /**< time to write the checkpoint when a task is stopped */
+#define WS_FIELD_CHECKPOINT_SAVE_S "ulozeni_s"    /**< time to write the checkpoint at a stop */
 #define WS_FIELD_DEADLINE_S "termin_s" /**< deadline, counted from the job's acceptance */
 
 /** A worker's heartbeat, and its response to commands. */
--- a/src/protocol/ws-heartbeat.c
+++ b/src/protocol/ws-heartbeat.c
@@ -232,9 +232,9 @@
 }
 
 json_t *
-ws_heartbeat_response_commands(const json_t *answer)
+ws_heartbeat_response_commands(const json_t *response)
 {
-  return json_object_get(answer, WS_FIELD_COMMANDS);
+  return json_object_get(response, WS_FIELD_COMMANDS);
 }
 
 json_t *
--- a/src/protocol/ws-heartbeat.h
+++ b/src/protocol/ws-heartbeat.h
@@ -98,7 +98,7 @@
 json_t *ws_heartbeat_response_encode(guint64 fencing_token, json_t *commands);
 
 /** Returns the commands in a heartbeat response, borrowed from it, or NULL if it has none. */
-json_t *ws_heartbeat_response_commands(const json_t *answer);
+json_t *ws_heartbeat_response_commands(const json_t *response);
 
 /**
  * Encodes a request with commands that only the given incarnation of the worker executes. Takes
--- a/src/protocol/ws-settings.h
+++ b/src/protocol/ws-settings.h
@@ -24,8 +24,7 @@
 /** A service-level objective: the time within which a class's tasks start, or its jobs complete. */
 typedef struct {
   char *class_name;
-  gboolean
-      is_for_task_start; /**< applies to the start of tasks; otherwise to the completion of jobs */
+  gboolean is_for_task_start; /**< TRUE: start of tasks; FALSE: completion of jobs */
   double within_s;
 } WsObjective;
 
@@ -37,8 +36,8 @@
   /* Addresses, HOST:PORT. */
   char *api_addr;   /**< listen address for users and workers */
   char *mesh_addr;  /**< listen address for the other controllers */
-  char *cloud_addr; /**< the cloud */
-  char *kv_addr;    /**< the key-value store */
+  char *cloud_addr; /**< address of the cloud API */
+  char *kv_addr;    /**< address of the key-value store */
 
   GPtrArray *zones;      /**< array of char *, indexed by WsZoneIndex */
   GPtrArray *teams;      /**< array of WsTeamSettings, indexed by WsTeamIndex */
@@ -52,17 +51,17 @@
                          within which they must be told of an orderly stop */
 
   /* Limits of the key-value store. If the settings announce lower limits (state.next), these are
-     the lower ones from the start, so that every record can be rewritten once they are enforced. */
-  double kv_requests_per_s;    /**< requests per second */
-  double kv_writes_per_s;      /**< writes per second */
-  guint64 kv_max_txn_ops;      /**< operations per transaction */
-  guint64 kv_max_record_bytes; /**< maximum size of a record's value */
-  double kv_current_value_kb;  /**< maximum value size without state.next. The grouping of records
-                             depends  on it, so all versions of the program that share the store must
-                             use the  same value */
+     the lower ones from the start, so that every record can be rewritten once they are enforced.
+     Only kv_current_value_kb ignores state.next: the grouping of records depends on it, so all
+     versions of the program that share the store must use the same value. */
+  double kv_requests_per_s;    /**< maximum requests per second */
+  double kv_writes_per_s;      /**< maximum writes per second */
+  guint64 kv_max_txn_ops;      /**< maximum operations per transaction */
+  guint64 kv_max_record_bytes; /**< maximum size of a record's value, in bytes */
+  double kv_current_value_kb;  /**< maximum value size before state.next is applied, in KB */
 
   /* The cloud. */
-  double cloud_rps;  /**< requests per second */
+  double cloud_rps;  /**< maximum requests per second */
   double list_lag_s; /**< maximum staleness of the cloud's machine list */
 
   guint64 max_sockets; /**< maximum number of sockets of this process */
