--- a/src/api/ws-admission.c
+++ b/src/api/ws-admission.c
@@ -48,14 +48,14 @@
 {
   for (WsTypeIndex t = 0; t < core->replica->catalog->len; t++) {
     const WsType *type = ws_replica_type(core->replica, t);
-    if (ws_constraints_type_fits(spec, type))
+    if (ws_constraints_task_fits_type(spec, type))
       return TRUE;
   }
   return FALSE;
 }
 
 const char *
-ws_admission_refusal(const WsCore *core, const WsJobSpec *spec)
+ws_admission_rejection_reason(const WsCore *core, const WsJobSpec *spec)
 {
   WsTeamIndex team = ws_replica_find_team(core->replica, spec->team);
   if (team == WS_NO_TEAM)
--- a/src/coordination/ws-epoch.c
+++ b/src/coordination/ws-epoch.c
@@ -91,7 +91,7 @@
 }
 
 gboolean
-ws_epoch_has(const WsEpoch *epoch, WsNodeIndex node, guint64 incarnation)
+ws_epoch_has_member(const WsEpoch *epoch, WsNodeIndex node, guint64 incarnation)
 {
   const WsMember *member = find_member(epoch, node);
   return member != NULL && member->incarnation == incarnation;
@@ -104,21 +104,21 @@
 }
 
 gboolean
-ws_epoch_continues(const WsEpoch *last, const WsEpoch *next, WsNodeIndex node)
+ws_epoch_member_continues(const WsEpoch *last, const WsEpoch *next, WsNodeIndex node)
 {
   const WsMember *member = find_member(last, node);
   return member != NULL && next->number == last->number + 1
-         && ws_epoch_has(next, node, member->incarnation);
+         && ws_epoch_has_member(next, node, member->incarnation);
 }
 
 gboolean
-ws_epoch_same_members(const WsEpoch *epoch, const GArray *members)
+ws_epoch_has_same_members(const WsEpoch *epoch, const GArray *members)
 {
   if (epoch->members->len != members->len)
     return FALSE;
   for (guint i = 0; i < members->len; i++) {
     const WsMember *member = &g_array_index(members, WsMember, i);
-    if (!ws_epoch_has(epoch, member->node, member->incarnation))
+    if (!ws_epoch_has_member(epoch, member->node, member->incarnation))
       return FALSE;
   }
   return TRUE;
--- a/src/fleet/ws-mark-cleanup.c
+++ b/src/fleet/ws-mark-cleanup.c
@@ -88,7 +88,7 @@
         = ws_replica_machine(core->replica, g_array_index(machines, WsMachineIndex, i));
     g_autofree char *mark = ws_key(WS_KEYS_MARK, machine->name);
     machine->fleet.mark_is_pending = TRUE;
-    machine->fleet.mark_pending_ms = core->now;
+    machine->fleet.mark_pending_since_ms = core->now;
     ws_txn_delete(txn, mark);
   }
   for (guint i = 0; i < core->replica->rental_batches->len; i++)
@@ -131,7 +131,7 @@
       release_tasks(core, machine);
     if (!machine->is_marked || machine->fleet.mark_is_pending
         || !ws_returns_is_confirmed(core, machine->name)
-        || !ws_returns_knows_assignments(core, machine))
+        || !ws_returns_has_all_assignments(core, machine))
       continue;
     release_tasks(core, machine);
     if (machine->tasks->len == 0 && empty->len < core->settings->kv_max_txn_ops)
--- a/src/fleet/ws-rentals.c
+++ b/src/fleet/ws-rentals.c
@@ -218,7 +218,7 @@
   guint next = first;
   for (; next < names->len; next++) {
     const char *machine = g_ptr_array_index(names, next);
-    WsMachineIndex index = ws_replica_get_machine(core->replica, machine)->index;
+    WsMachineIndex index = ws_replica_ensure_machine(core->replica, machine)->index;
     if (ws_returns_is_confirmed(core, machine))
       continue;
     if (!ws_rental_batch_has_space(&rental_batch, core->replica, machine))
--- a/src/fleet/ws-returns.c
+++ b/src/fleet/ws-returns.c
@@ -127,7 +127,7 @@
    replica once the watch has passed the mark's revision. Without this check a machine was once
    returned as empty whose tasks had just been assigned. */
 gboolean
-ws_returns_knows_assignments(const WsCore *core, const WsMachine *machine)
+ws_returns_has_all_assignments(const WsCore *core, const WsMachine *machine)
 {
   g_autofree char *key = ws_key(WS_KEYS_MARK, machine->name);
   return core->replica->revision >= ws_replica_version(core->replica, key);
@@ -139,7 +139,7 @@
   if (!machine->is_marked || ws_returns_is_confirmed(core, machine->name))
     return FALSE;
   return machine->mark_is_immediate
-         || (machine->tasks->len == 0 && ws_returns_knows_assignments(core, machine));
+         || (machine->tasks->len == 0 && ws_returns_has_all_assignments(core, machine));
 }
 
 static void
--- a/src/fleet/ws-termination.c
+++ b/src/fleet/ws-termination.c
@@ -161,7 +161,7 @@
   if (machine->is_marked && ws_returns_is_confirmed(core, machine->name))
     return;
   machine->fleet.mark_is_pending = TRUE;
-  machine->fleet.mark_pending_ms = core->now;
+  machine->fleet.mark_pending_since_ms = core->now;
   if (!ws_is_leader(core)) {
     ws_peer_request_mark(core, machine, reason, immediately);
     return;
@@ -216,8 +216,8 @@
 }
 
 gboolean
-ws_termination_may_stop(WsCore *core, WsMachine *machine, WsJob *job,
-                        const WsAssignment *assignment)
+ws_termination_may_stop_task(WsCore *core, WsMachine *machine, WsJob *job,
+                             const WsAssignment *assignment)
 {
   if (job->spec->kind != WS_KIND_SERVICE || assignment->state < WS_TASK_RUNNING)
     return TRUE;
@@ -239,7 +239,7 @@
 ws_termination_is_allowed(const WsCore *core, const WsMachine *machine)
 {
   return zone_is_connected(core, machine->zone) && budget_allows(core, machine)
-         && (machine->is_spot || ws_headroom_remains_without(core, machine));
+         && (machine->is_spot || ws_headroom_suffices_without(core, machine));
 }
 
 /* Requests a mark for a machine that has been empty for the idle timeout. The time of an outage of
@@ -249,12 +249,13 @@
 mark_if_idle(WsCore *core, WsMachine *machine)
 {
   if (machine->tasks->len > 0 || !ws_machine_is_up(core, machine) || !ws_store_is_available(core)) {
-    machine->fleet.empty_ms = 0;
+    machine->fleet.empty_since_ms = 0;
     return;
   }
-  if (machine->fleet.empty_ms == 0)
-    machine->fleet.empty_ms = core->now;
-  if (core->now - machine->fleet.empty_ms < (gint64)(core->properties->idle_timeout_s * 1000.0))
+  if (machine->fleet.empty_since_ms == 0)
+    machine->fleet.empty_since_ms = core->now;
+  if (core->now - machine->fleet.empty_since_ms
+      < (gint64)(core->properties->idle_timeout_s * 1000.0))
     return;
   if (ws_termination_is_allowed(core, machine))
     ws_termination_request_mark(core, machine, WS_MARK_REASON_IDLE, FALSE);
@@ -281,7 +282,7 @@
     /* Also on machines that this node no longer owns: a node that had requested a mark and then
        became leader refused all other requests for that machine, and it was never returned. */
     if (machine->fleet.mark_is_pending
-        && core->now - machine->fleet.mark_pending_ms > MARK_REQUEST_TIMEOUT_MS)
+        && core->now - machine->fleet.mark_pending_since_ms > MARK_REQUEST_TIMEOUT_MS)
       machine->fleet.mark_is_pending = FALSE;
     if (machine->is_recorded && ws_owns_machine(core, machine))
       mark_if_due(core, machine);
--- a/src/storage/ws-chunk-record.c
+++ b/src/storage/ws-chunk-record.c
@@ -131,7 +131,7 @@
     return FALSE;
   *assignment = (WsAssignment){
     .task = (guint)json_integer_value(json_array_get(item, ITEM_TASK)),
-    .machine = ws_replica_get_machine(replica, machine)->index,
+    .machine = ws_replica_ensure_machine(replica, machine)->index,
     .attempt = (guint64)json_integer_value(json_array_get(item, ITEM_ATTEMPT)),
     .assigned_ms = json_integer_value(json_array_get(item, ITEM_ASSIGNED)),
   };
--- a/src/storage/ws-machine-records.c
+++ b/src/storage/ws-machine-records.c
@@ -91,7 +91,7 @@
   {
     if (!json_is_string(item))
       continue;
-    WsMachineIndex machine = ws_replica_get_machine(replica, json_string_value(item))->index;
+    WsMachineIndex machine = ws_replica_ensure_machine(replica, json_string_value(item))->index;
     g_array_append_val(rental_batch->machines, machine);
   }
   return rental_batch;
--- a/src/storage/ws-replica.c
+++ b/src/storage/ws-replica.c
@@ -153,7 +153,7 @@
 }
 
 void
-ws_job_count_zones(const WsReplica *replica, const WsJob *job, guint *counts)
+ws_job_count_tasks_by_zone(const WsReplica *replica, const WsJob *job, guint *counts)
 {
   WsAssignmentIter iter;
   ws_assignment_iter_init(&iter, job);
--- a/src/store/ws-store.h
+++ b/src/store/ws-store.h
@@ -4,8 +4,8 @@
  *
  * Called by every package that reads or writes durable state. Owns the request queues, the request
  * and write budgets of this node, the watch and the load of the replica. Callbacks are called from
- * ws_core_reply or from one of the functions here that say so, never before the function that was
- * handed the callback returns.
+ * ws_core_handle_reply or from one of the functions here that say so, never before the function
+ * that was handed the callback returns.
  */
 #pragma once
 
--- a/tests/sim/sim-faults.c
+++ b/tests/sim/sim-faults.c
@@ -9,7 +9,7 @@
 {
   WsOutput *output;
   ws_core_stop(core);
-  while ((output = ws_core_pop(core)) != NULL) {
+  while ((output = ws_core_pop_output(core)) != NULL) {
     if (output->is_answer)
       sim_call_unref(output->request);
     ws_output_free(output);
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -136,7 +136,7 @@
   g_autoptr(WsSettings) next = ws_settings_parse(message, &error);
   g_autoptr(WsSettings) present = ws_test_settings(0);
   g_assert_nonnull(next);
-  g_assert_cmpuint(ws_team_use_groups(next), ==, ws_team_use_groups(present));
+  g_assert_cmpuint(ws_team_use_group_count(next), ==, ws_team_use_group_count(present));
   for (guint team = 0; team < next->teams->len; team++)
     g_assert_cmpuint(ws_team_use_group(next, team), ==, ws_team_use_group(present, team));
 }
@@ -205,7 +205,7 @@
     g_autofree char *name = g_strdup_printf("m-%06d", g_rand_int_range(rand, 0, 1000000));
     WsAssignment assignment
         = { .task = task, .attempt = ++chunk->last_attempt, .assigned_ms = 1234567890123 };
-    assignment.machine = ws_replica_get_machine(replica, name)->index;
+    assignment.machine = ws_replica_ensure_machine(replica, name)->index;
     ws_chunk_add(chunk, &assignment);
   }
   return chunk;
@@ -249,7 +249,7 @@
     g_autofree char *name = g_strdup_printf("machine-with-a-long-name-%060u", i);
     if (!ws_rental_batch_has_space(&rental_batch, replica, name))
       break;
-    guint index = ws_replica_get_machine(replica, name)->index;
+    guint index = ws_replica_ensure_machine(replica, name)->index;
     g_array_append_val(machines, index);
   }
   g_autoptr(json_t) value = ws_rental_batch_encode(&rental_batch, replica);
