--- a/src/protocol/ws-cloud.c
+++ b/src/protocol/ws-cloud.c
@@ -1,4 +1,4 @@
-/* Parses the cloud's answers and encodes the requests to it. */
+/* Parses the responses of the cloud API and encodes the requests to it. */
 #include "protocol/ws-cloud.h"
 
 #include "protocol/ws-field-names.h"
@@ -7,11 +7,11 @@
 #include <math.h>
 #include <string.h>
 
-/* The state of a listed machine that will never be up. */
-#define STATE_FAILED "failed"
-/* The body of the answer of a cloud that is out of capacity. */
-#define FIELD_ERROR "error"
-#define ERROR_NO_CAPACITY "no capacity"
+/* State of a listed machine that will never come up. */
+#define MACHINE_STATE_FAILED "failed"
+/* Member of an error response, and its value when the cloud is out of capacity. */
+#define CLOUD_FIELD_ERROR "error"
+#define CLOUD_ERROR_NO_CAPACITY "no capacity"
 
 static void
 type_free(gpointer data)
@@ -35,7 +35,8 @@
 
 typedef gboolean (*ParseItemFunc)(const json_t *item, gpointer parsed);
 
-/* Parses each item of the list into a new structure of the size; NULL: one is invalid. */
+/* Parses each item of a JSON array into a new structure of item_size bytes. Returns NULL if the
+   value is not an array or if an item is invalid. */
 static GPtrArray *
 parse_list(const json_t *list, gsize item_size, GDestroyNotify free_item, ParseItemFunc parse_item)
 {
@@ -98,7 +99,7 @@
   listed->endpoint = g_strdup(endpoint);
   listed->type = g_strdup(type);
   listed->zone = g_strdup(zone);
-  listed->has_failed = g_strcmp0(state, STATE_FAILED) == 0;
+  listed->has_failed = g_strcmp0(state, MACHINE_STATE_FAILED) == 0;
   return TRUE;
 }
 
@@ -127,7 +128,8 @@
 has_no_capacity(const json_t *body)
 {
   const char *error;
-  return ws_json_string(body, FIELD_ERROR, &error) && strcmp(error, ERROR_NO_CAPACITY) == 0;
+  return ws_json_string(body, CLOUD_FIELD_ERROR, &error)
+         && strcmp(error, CLOUD_ERROR_NO_CAPACITY) == 0;
 }
 
 WsRentalResult
--- a/src/protocol/ws-json.c
+++ b/src/protocol/ws-json.c
@@ -1,8 +1,8 @@
-/* Typed access to JSON values. */
+/* Typed, checked access to JSON values. */
 #include "protocol/ws-json.h"
 
-/* Significant digits of a written number. */
-#define REAL_DIGITS 12
+/* Significant digits of an encoded real number. */
+#define REAL_PRECISION_DIGITS 12
 
 json_t *
 ws_json_parse(const char *body, gsize length)
@@ -13,7 +13,9 @@
 char *
 ws_json_serialize(const json_t *value)
 {
-  return value == NULL ? NULL : json_dumps(value, JSON_COMPACT | JSON_REAL_PRECISION(REAL_DIGITS));
+  return value == NULL
+             ? NULL
+             : json_dumps(value, JSON_COMPACT | JSON_REAL_PRECISION(REAL_PRECISION_DIGITS));
 }
 
 gboolean
--- a/src/protocol/ws-settings.c
+++ b/src/protocol/ws-settings.c
@@ -1,28 +1,29 @@
-/* Parses the settings file, section by section. */
+/* Parses the settings file section by section. */
 #include "protocol/ws-settings.h"
 
 #include <string.h>
 
-#define MAX_NUMBER 1e9
-/* Sets of nodes are stored as the bits of an integer. */
+#define MAX_SETTING_VALUE 1e9
+/* Sets of nodes are stored as bit masks in an integer. */
 #define MAX_NODES 31u
-/* The size of a value that a record of 128 tasks or of 50 machines needs. */
+/* Value size that a record of 128 tasks or of 50 machines needs. */
 #define MIN_VALUE_KB 8.0
-/* The least values of the announced lower limits. A record then holds fewer tasks or machines, but
-   a submission, the use of a team and a few tasks must fit; and a transaction must have space for a
-   task, its job, the use of its team and one more operation. */
+/* Minimum values of the announced lower limits. A record then holds fewer tasks or machines, but a
+   value must have space for a job submission, for the resource use of a team and for a few tasks. A
+   transaction must have space for a task, its job, the resource use of its team and one more
+   operation. */
 #define MIN_NEXT_VALUE_KB 1.0
 #define MIN_TXN_OPERATIONS 4
-/* The share of each value that is kept free, since the key-value store may encode a value
-   differently when it counts its bytes. */
-#define RECORD_MARGIN_RATIO 0.03
-/* Used if the settings don't have these times: then the platform's jobs include no gangs. */
+/* Part of the maximum value size that records leave unused: the key-value store may encode a value
+   differently and so count more bytes than this program does. */
+#define VALUE_SIZE_MARGIN_RATIO 0.03
+/* Used if the settings don't have gang_peer_s; the platform's jobs then include no gangs. */
 #define DEFAULT_GANG_PEER_S 5.0
-/* Kinds of objectives. */
-#define OBJECTIVE_BEGIN "wait"
-#define OBJECTIVE_END "finished"
+/* Kinds of objectives: until tasks start, and until jobs complete. */
+#define OBJECTIVE_KIND_TASK_START "wait"
+#define OBJECTIVE_KIND_JOB_COMPLETION "finished"
 #define BYTES_PER_KB 1024.0
-/* No objective applies to the class. */
+/* Returned if no objective applies to the class. */
 #define NO_OBJECTIVE_S (-1.0)
 
 static void
@@ -52,7 +53,7 @@
 }
 
 static gboolean
-copy_text(const json_t *object, const char *name, char **value)
+copy_string(const json_t *object, const char *name, char **value)
 {
   const char *found;
   if (!ws_json_string(object, name, &found) || *found == '\0')
@@ -64,7 +65,7 @@
 static gboolean
 parse_positive(const json_t *object, const char *name, double *value)
 {
-  return ws_json_number(object, name, value) && *value > 0.0 && *value < MAX_NUMBER;
+  return ws_json_number(object, name, value) && *value > 0.0 && *value < MAX_SETTING_VALUE;
 }
 
 static gboolean
@@ -72,12 +73,12 @@
 {
   WsNode *node = g_new0(WsNode, 1);
   g_ptr_array_add(settings->nodes, node);
-  return copy_text(object, "node_name", &node->name) && copy_text(object, "zone", &node->zone)
-         && (is_self || copy_text(object, "endpoint", &node->endpoint));
+  return copy_string(object, "node_name", &node->name) && copy_string(object, "zone", &node->zone)
+         && (is_self || copy_string(object, "endpoint", &node->endpoint));
 }
 
 static gint
-compare_names(gconstpointer a, gconstpointer b)
+compare_node_names(gconstpointer a, gconstpointer b)
 {
   return strcmp((*(WsNode *const *)a)->name, (*(WsNode *const *)b)->name);
 }
@@ -98,15 +99,15 @@
       return "peers";
   }
   if (settings->nodes->len > MAX_NODES)
-    return "peers (31 nodes are the most)";
+    return "peers (at most 31 nodes in total)";
   const WsNode *self = g_ptr_array_index(settings->nodes, 0);
-  g_ptr_array_sort(settings->nodes, compare_names);
+  g_ptr_array_sort(settings->nodes, compare_node_names);
   for (WsNodeIndex n = 0; n < settings->nodes->len; n++)
     if (g_ptr_array_index(settings->nodes, n) == self)
       settings->self = n;
   for (WsNodeIndex n = 1; n < settings->nodes->len; n++)
-    if (compare_names(&settings->nodes->pdata[n - 1], &settings->nodes->pdata[n]) == 0)
-      return "peers (a name twice)";
+    if (compare_node_names(&settings->nodes->pdata[n - 1], &settings->nodes->pdata[n]) == 0)
+      return "peers (duplicate node_name)";
   return NULL;
 }
 
@@ -115,15 +116,15 @@
 {
   WsTeamSettings *team = g_new0(WsTeamSettings, 1);
   g_ptr_array_add(settings->teams, team);
-  return copy_text(item, "name", &team->name)
+  return copy_string(item, "name", &team->name)
          && ws_amount_parse_capacity(item, "cpus", &team->guarantee.cpus)
          && ws_amount_parse_capacity(item, "cpus_max", &team->limit.cpus)
          && ws_amount_parse_capacity(item, "gpus", &team->guarantee.gpus)
          && ws_amount_parse_capacity(item, "gpus_max", &team->limit.gpus);
 }
 
-/* Adds an objective about the beginning of tasks or the end of jobs. Other kinds, and invalid ones,
-   are ignored: they are for the operators. */
+/* Adds an objective for the start of tasks or the completion of jobs. Objectives of other kinds,
+   and invalid ones, are ignored: they are meant for the operators. */
 static void
 parse_objective(WsSettings *settings, const json_t *item)
 {
@@ -131,16 +132,16 @@
   WsObjective objective = { 0 };
   if (!ws_json_string(item, "kind", &kind))
     return;
-  objective.is_for_task_start = strcmp(kind, OBJECTIVE_BEGIN) == 0;
-  if ((!objective.is_for_task_start && strcmp(kind, OBJECTIVE_END) != 0)
+  objective.is_for_task_start = strcmp(kind, OBJECTIVE_KIND_TASK_START) == 0;
+  if ((!objective.is_for_task_start && strcmp(kind, OBJECTIVE_KIND_JOB_COMPLETION) != 0)
       || !parse_positive(item, "within_s", &objective.within_s)
-      || !copy_text(item, "class", &objective.class_name))
+      || !copy_string(item, "class", &objective.class_name))
     return;
   g_ptr_array_add(settings->objectives, g_memdup2(&objective, sizeof objective));
 }
 
 static const char *
-parse_lists(WsSettings *settings, const json_t *params)
+parse_zones_objectives_and_teams(WsSettings *settings, const json_t *params)
 {
   const json_t *zones = json_object_get(params, "zones");
   const json_t *teams = json_object_get(params, "teams");
@@ -166,7 +167,7 @@
   return NULL;
 }
 
-/* Lowers the limit to the announced one, if there is one. FALSE: that is invalid. */
+/* Lowers the limit to the announced one, if any. Returns FALSE if the announced one is invalid. */
 static gboolean
 lower_limit(const json_t *next, const char *name, double min, double *limit)
 {
@@ -179,8 +180,8 @@
   return TRUE;
 }
 
-/* Applies the announced limits at once: the key-value store enforces them from some later moment
-   on, without notice. */
+/* Applies the announced limits immediately: the key-value store starts to enforce them at some
+   later time, without notice. */
 static const char *
 parse_next_limits(WsSettings *settings, const json_t *next)
 {
@@ -192,18 +193,19 @@
   if (!lower_limit(next, "write_rps", 0.0, &settings->kv_writes_per_s))
     return "params.state.next.write_rps";
   if (!lower_limit(next, "value_kb", MIN_NEXT_VALUE_KB, &value_kb))
-    return "params.state.next.value_kb (1 is the least)";
+    return "params.state.next.value_kb (minimum 1)";
   if (!lower_limit(next, "txn_ops", MIN_TXN_OPERATIONS, &ops))
-    return "params.state.next.txn_ops (4 is the least)";
+    return "params.state.next.txn_ops (minimum 4)";
   settings->kv_max_txn_ops = (guint64)ops;
-  settings->kv_max_record_bytes = (guint64)(value_kb * BYTES_PER_KB * (1.0 - RECORD_MARGIN_RATIO));
+  settings->kv_max_record_bytes
+      = (guint64)(value_kb * BYTES_PER_KB * (1.0 - VALUE_SIZE_MARGIN_RATIO));
   return NULL;
 }
 
 static const char *
 parse_gang_times(WsSettings *settings, const json_t *workers)
 {
-  double gang_wait_s; /* checked, since the settings have it; no decision depends on it */
+  double gang_wait_s; /* the settings contain it, but no decision depends on it; only validated */
   settings->gang_peer_s = DEFAULT_GANG_PEER_S;
   if (!ws_json_is_absent(workers, "gang_wait_s")
       && !parse_positive(workers, "gang_wait_s", &gang_wait_s))
@@ -235,7 +237,7 @@
     return "params.state.write_rps";
   if (!parse_positive(state, "value_kb", &settings->kv_current_value_kb)
       || settings->kv_current_value_kb < MIN_VALUE_KB)
-    return "params.state.value_kb (8 is the least)";
+    return "params.state.value_kb (minimum 8)";
   if (!ws_json_uint64(state, "txn_ops", &settings->kv_max_txn_ops)
       || settings->kv_max_txn_ops < MIN_TXN_OPERATIONS)
     return "params.state.txn_ops";
@@ -258,7 +260,7 @@
   const json_t *workers = json_object_get(params, "workers");
   const json_t *state = json_object_get(params, "state");
   const json_t *limits = json_object_get(params, "limits");
-  const char *invalid = parse_lists(settings, params);
+  const char *invalid = parse_zones_objectives_and_teams(settings, params);
   if (invalid == NULL)
     invalid = parse_gang_times(settings, workers);
   if (invalid == NULL)
@@ -274,22 +276,22 @@
   return invalid;
 }
 
-/* Returns the name of the first setting that is missing or invalid, as do the functions that it
-   calls; NULL: all are valid. */
+/* Returns the name of the first missing or invalid setting, or NULL if all are valid. The functions
+   that it calls do the same. */
 static const char *
-parse_all(WsSettings *settings, const json_t *message)
+parse_message(WsSettings *settings, const json_t *message)
 {
   const json_t *services = json_object_get(message, "services");
   const char *invalid = parse_nodes(settings, message);
   if (invalid != NULL)
     return invalid;
-  if (!copy_text(message, "api_addr", &settings->api_addr))
+  if (!copy_string(message, "api_addr", &settings->api_addr))
     return "api_addr";
-  if (!copy_text(message, "mesh_addr", &settings->mesh_addr))
+  if (!copy_string(message, "mesh_addr", &settings->mesh_addr))
     return "mesh_addr";
-  if (!copy_text(services, "cloud", &settings->cloud_addr))
+  if (!copy_string(services, "cloud", &settings->cloud_addr))
     return "services.cloud";
-  if (!copy_text(services, "state", &settings->kv_addr))
+  if (!copy_string(services, "state", &settings->kv_addr))
     return "services.state";
   return parse_params(settings, json_object_get(message, "params"));
 }
@@ -306,7 +308,7 @@
   settings->zones = g_ptr_array_new_with_free_func(g_free);
   settings->objectives = g_ptr_array_new_with_free_func(objective_free);
   settings->teams = g_ptr_array_new_with_free_func(team_free);
-  const char *invalid = parse_all(settings, message);
+  const char *invalid = parse_message(settings, message);
   if (invalid != NULL) {
     ws_error_set_invalid(error, WS_ERROR_INVALID_SETTING, invalid);
     return NULL;
@@ -325,9 +327,9 @@
 ws_team_has_capacity(const WsSettings *settings, WsTeamIndex team, const WsResources *use,
                      const WsResources *need)
 {
-  WsResources more = *use;
-  ws_resources_add(&more, need, 1);
-  return ws_team_is_within_limit(g_ptr_array_index(settings->teams, team), &more);
+  WsResources total = *use;
+  ws_resources_add(&total, need, 1);
+  return ws_team_is_within_limit(g_ptr_array_index(settings->teams, team), &total);
 }
 
 void
@@ -361,8 +363,8 @@
   return WS_NO_NODE;
 }
 
-/* The shortest time of the class's objectives about the beginning, or else the end; or
-   NO_OBJECTIVE_S. */
+/* Returns the shortest time among the class's objectives for the start of tasks (is_for_task_start)
+   or the completion of jobs, or NO_OBJECTIVE_S if there is none. */
 static double
 shortest_objective_s(const WsSettings *settings, const char *class_name, gboolean is_for_task_start)
 {
