--- a/src/store/ws-store-load.c
+++ b/src/store/ws-store-load.c
@@ -1,4 +1,4 @@
-/* The initial load of the replica: all keys are read page by page. Changes made meanwhile arrive
+/* The initial load of the replica: reads all keys page by page. Changes made during the load arrive
    through the watch, which starts at the revision of the first page. */
 #include "store/ws-store-private.h"
 
@@ -33,7 +33,7 @@
   load->is_loaded = TRUE;
   core->replica->is_loading = FALSE;
   core->replan_is_needed = TRUE;
-  g_info("replica loaded: revision %" G_GUINT64_FORMAT ", %u jobs open, %u machines",
+  g_info("replica loaded: revision %" G_GUINT64_FORMAT ", %u active jobs, %u machines",
          load->revision, core->replica->active_jobs->len, core->replica->machines->len);
 }
 
--- a/src/store/ws-store-private.h
+++ b/src/store/ws-store-private.h
@@ -1,90 +1,93 @@
 /**
- * The parts of the store's client, for the files of this directory only.
+ * Declarations shared by the files of this directory only.
  *
- * Each part has its own state in WsStore and its own file: the request queue (ws-store-requests.c),
- * linearizable reads (ws-store-reads.c), the load of the replica (ws-store-load.c) and the watch
- * (ws-store-watch.c). ws-store.c drives them.
+ * Each part of the store's client has its own state in WsStore and its own file: the request queues
+ * (ws-store-requests.c), linearizable reads (ws-store-reads.c), the initial load of the replica
+ * (ws-store-load.c) and the watch (ws-store-watch.c). ws-store.c calls them.
  */
 #pragma once
 
 #include "store/ws-store.h"
 
-/** Requests that wait for their turn, and the budgets that they are paced by. */
+/** The queued requests, and the token buckets that limit the rate at which they are sent. */
 typedef struct {
   GQueue queues[WS_REQUEST_CLASSES]; /**< of StoreRequest */
   WsRate request_rate;
   WsRate write_rate;
-  gint64 rate_limited_until_ms; /**< nothing is sent before: the last request was one too many */
-  gint64 unavailable_since_ms;  /**< since when there are only failures; 0: there aren't */
+  gint64 rate_limited_until_ms; /**< nothing is sent before: the store rejected the request rate */
+  gint64 unavailable_since_ms;  /**< when the current outage began; 0: there is none */
 } WsStoreRequests;
 
-/** Linearizable reads: one request to the store serves all that came before it was sent. */
+/** Linearizable reads. One request to the store serves all reads that were queued before it. */
 typedef struct {
-  GArray *unsent;  /**< of PendingRead: for the next request */
-  GArray *sent;    /**< of PendingRead: served by the request on its way */
-  GArray *waiting; /**< of PendingRead: until the replica has reached a revision */
-  gboolean is_reading;
+  GArray *unsent;  /**< of PendingRead: to be served by the next request */
+  GArray *sent;    /**< of PendingRead: served by the request in flight */
+  GArray *waiting; /**< of PendingRead: their revision is known, the replica hasn't reached it */
+  gboolean is_reading; /**< a request is queued or in flight */
 } WsStoreReads;
 
-/** The load of the replica, page by page. */
+/** The initial load of the replica, page by page. */
 typedef struct {
   gboolean is_loaded;
   gboolean is_loading;
-  gint64 retry_ms;
+  gint64 retry_ms;  /**< no load starts before this time */
   guint64 revision; /**< of the first page */
-  GHashTable *keys; /**< set of the keys on the pages */
-  char *last_key;   /**< of the page before; NULL: the next page is the first */
+  GHashTable *keys; /**< set of the keys on the pages loaded so far */
+  char *last_key;   /**< of the previous page; NULL: no page was loaded yet */
 } WsStoreLoad;
 
-/** The watch that reports what changes after the load. */
+/** The watch, which reports changes made after the load. */
 typedef struct {
-  gint64 opened_ms;
-  gint64 retry_ms;
+  gint64 opened_ms; /**< when the last watch was opened */
+  gint64 retry_ms;  /**< no watch is opened before this time */
   gboolean is_open;
 } WsStoreWatch;
 
-/** The state of the client. Owns that of each part. */
+/** The client's state, with the state of each of its parts. */
 struct _WsStore {
   WsStoreRequests requests;
   WsStoreReads reads;
   WsStoreLoad load;
   WsStoreWatch watch;
-  gboolean is_stale; /**< the store was unavailable, and nothing has been read since */
-  gboolean is_catching_up;
+  gboolean is_stale;       /**< an outage has occurred, and no read has succeeded since */
+  gboolean is_catching_up; /**< the read that ends is_stale is pending */
 };
 
-/** Makes empty queues and full budgets, whose rates ws_store_requests_set_shares() sets. */
+/** Makes empty queues and full buckets. ws_store_requests_set_shares() then sets their rates. */
 void ws_store_requests_init(WsStoreRequests *requests, const WsSettings *settings);
 /** Frees the queued requests without calling back. */
 void ws_store_requests_clear(WsStoreRequests *requests);
-/** Queues a read, of class WS_REQUEST_READ; otherwise like ws_store_post. */
+/** Queues a GET request of class WS_REQUEST_READ; otherwise like ws_store_post(). */
 void ws_store_get(WsCore *core, const char *path, guint timeout_ms, WsReplyFunc reply,
                   gpointer data);
-/** Sets this node's share of the budgets. @leads: whether it's the leader's. */
+/** Sets this node's share of the store's rate limits. @leads: whether this node is the leader */
 void ws_store_requests_set_shares(WsCore *core, gboolean leads);
-/** Sends as many requests as the budgets allow, the most urgent class first. */
+/** Sends as many requests as the budgets allow, in order of priority. */
 void ws_store_requests_send(WsCore *core);
-/** Ends all queued requests as if no response had come. Returns whether there was any. */
+/** Completes all queued requests as if they had timed out. Returns whether there were any. */
 gboolean ws_store_requests_stop(WsCore *core);
 
-/** Makes empty lists of reads. */
+/** Creates the empty lists of reads. */
 void ws_store_reads_init(WsStoreReads *reads);
 /** Frees the lists of reads without calling back. */
 void ws_store_reads_clear(WsStoreReads *reads);
-/** Asks the store for its revision, if a read waits for that. */
+/**
+ * Queues the request that serves the unsent reads, unless one is queued or in flight. Fails these
+ * reads if the replica isn't loaded or the store is unavailable.
+ */
 void ws_store_reads_send(WsCore *core);
-/** Ends the reads whose revision the replica has reached, and those that have timed out. */
+/** Completes the reads whose revision the replica has reached; fails those that timed out. */
 void ws_store_reads_finish(WsCore *core);
-/** Ends all reads without success. Returns whether there was any. */
+/** Fails all reads. Returns whether there were any. */
 gboolean ws_store_reads_stop(WsCore *core);
 
-/** Frees the keys of a load that was not finished. Its state is to be zero at first. */
+/** Frees the keys collected by a load. @load: initially all zero */
 void ws_store_load_clear(WsStoreLoad *load);
-/** Starts to load the replica, unless it's loaded or being loaded. */
+/** Starts the load of the replica if it is due: not loaded, not loading, and no watch open. */
 void ws_store_load_tick(WsCore *core);
 
-/** Opens the watch, unless it's open or not due. */
+/** Opens the watch if the replica is loaded, no watch is open, and the next one is due. */
 void ws_store_watch_open(WsCore *core);
 
-/** Counts a committed operation. */
+/** Counts a committed operation on the key. */
 void ws_write_stats_add(WsCore *core, const char *key);
--- a/src/store/ws-store-reads.c
+++ b/src/store/ws-store-reads.c
@@ -1,12 +1,12 @@
-/* Linearizable reads of the replica: the store's current revision is requested, and a read
-   completes once the watch has brought the replica up to it. */
+/* Linearizable reads of the replica. The client requests the store's current revision; the read
+   completes once the watch has brought the replica up to that revision. */
 #include "store/ws-store-private.h"
 
 #include "protocol/ws-kv.h"
 
 #define READ_TIMEOUT_MS 1500
 #define REVISION_TIMEOUT_MS 800
-/* No key has this prefix, so a page of it contains the store's revision and no items. */
+/* No key has this prefix: a page of it carries the store's revision and no items. */
 #define NO_KEYS_PREFIX WS_PREFIX "~"
 #define MIN_PAGE_SIZE 1
 
@@ -14,7 +14,7 @@
   WsReadFunc done;
   gpointer data;
   gint64 requested_ms;
-  guint64 revision; /* which the replica must reach; 0: not known yet */
+  guint64 revision; /* the replica must reach it; 0: not known yet */
 } PendingRead;
 
 static GArray *
@@ -46,7 +46,7 @@
   g_array_append_val(core->store->reads.unsent, read);
 }
 
-/* Completes all reads of a list, which is replaced first: a callback may request another read. */
+/* Completes all reads in a list. Replaces the list first, since a callback may queue a new read. */
 static void
 finish_all(WsCore *core, GArray **reads, gboolean is_current)
 {
@@ -58,7 +58,7 @@
   }
 }
 
-/* Moves the reads whose revision is reached, and those that have timed out, to the lists. */
+/* Moves the reads that have reached their revision or timed out from the waiting list. */
 static void
 take_finished(WsCore *core, GArray *reached, GArray *timed_out)
 {
--- a/src/store/ws-store-requests.c
+++ b/src/store/ws-store-requests.c
@@ -1,14 +1,15 @@
-/* The request queue of the store's client: by priority class, paced by this node's share of the
-   store's budgets. */
+/* The request queues of the store's client: one per priority class, limited to this node's share of
+   the store's rate limits. */
 #include "store/ws-store-private.h"
 
 #include "protocol/ws-kv.h"
 #include "protocol/ws-status-codes.h"
 
-/* Shares of the store's rate limits. The leader writes nearly everything (assignments and releases,
-   machines, rentals, termination marks) and has the largest one. Followers, who all have the same
-   share, write submissions, cancellations, leases and mailboxes, and seldom use all of it: the
-   write shares therefore add up to more than 1. A rate-limited request is retried after a pause. */
+/* Shares of the store's rate limits. The leader gets the largest share, since it writes nearly
+   everything: assignments, releases, machines, rentals and termination marks. The followers split
+   theirs evenly. They write submissions, cancellations, leases and mailboxes, and seldom use all of
+   it; the write shares therefore add up to more than 1. If the store rejects a request because of
+   its rate, the request is retried after a delay. */
 #define LEADER_WRITE_SHARE 0.75
 #define FOLLOWERS_WRITE_SHARE 0.4
 #define LEADER_READ_SHARE 0.34
@@ -17,14 +18,14 @@
 #define MIN_WRITE_BURST 4.0
 #define RATE_LIMITED_PAUSE_MS 120
 #define MAX_RATE_LIMITED_TRIES 5
-/* The store counts as unavailable when requests have failed for longer than this. */
+/* The store is considered unavailable once all requests have failed for this long. */
 #define UNAVAILABLE_AFTER_MS 700
 
 typedef struct {
-  const char *method; /* a literal */
+  const char *method; /* a string literal */
   char *path;
   json_t *body;      /* NULL: no body */
-  guint write_count; /* operations taken from the write budget; 0: a read */
+  guint write_count; /* operations to take from the write budget; 0: not a write */
   guint timeout_ms;
   WsReplyFunc reply;
   gpointer data;
@@ -122,7 +123,7 @@
   enqueue(core, &request);
 }
 
-/* A response to the request itself, which shows that the store is available. */
+/* Whether the status shows that the store is available: it has processed the request. */
 static gboolean
 is_proper_response(guint status)
 {
@@ -163,8 +164,8 @@
           json_incref(request->body), request->timeout_ms, on_reply, request);
 }
 
-/* Leases, reads and users' requests may borrow from the write budget, so that they don't wait until
-   a large transaction of tasks is paid off. */
+/* Takes the request's cost from the budgets. Leases, reads and users' requests may overdraw the
+   write budget, so that they don't wait while it recovers from a large transaction of tasks. */
 static gboolean
 may_send(WsCore *core, WsRequestClass request_class, guint write_count)
 {
@@ -178,8 +179,8 @@
   return has_write_budget && ws_rate_take(&requests->request_rate, 1.0, core->now);
 }
 
-/* In strict order of the classes: while a write waits for its budget, so do all less urgent
-   requests. */
+/* Sends in strict order of priority: while a request waits for the budget, all requests of lower
+   classes wait as well. */
 void
 ws_store_requests_send(WsCore *core)
 {
--- a/src/store/ws-store-watch.c
+++ b/src/store/ws-store-watch.c
@@ -1,4 +1,4 @@
-/* The watch: a long poll for the changes after the replica's revision. */
+/* The watch: a long poll for changes after the replica's revision. */
 #include "store/ws-store-private.h"
 
 #include "protocol/ws-kv.h"
@@ -7,7 +7,8 @@
 #define WATCH_MARGIN_MS 2000
 #define WATCH_TIMEOUT_MS (WATCH_WAIT_MS + WATCH_MARGIN_MS)
 #define RETRY_PAUSE_MS 300
-/* The watch may use one request in so many. While it is closed, changes accumulate in the store. */
+/* The watch may use one in this many of the node's requests. Between two long polls, changes
+   accumulate in the store. */
 #define REQUESTS_PER_WATCH 3.0
 
 static void
@@ -28,7 +29,7 @@
   WsStore *store = core->store;
   store->watch.is_open = FALSE;
   if (status == WS_KV_COMPACTED) {
-    g_info("the watch is too far behind: the replica is loaded again");
+    g_info("watch failed: its revision was compacted; reloading the replica");
     store->load.is_loaded = FALSE;
     return;
   }
@@ -42,7 +43,8 @@
   ws_store_reads_finish(core);
 }
 
-/* The interval between two watches is skipped while a read waits for the replica. */
+/* The minimum interval between two long polls doesn't apply while a linearizable read waits for the
+   replica. */
 static gboolean
 watch_is_due(const WsCore *core)
 {
--- a/src/store/ws-store.c
+++ b/src/store/ws-store.c
@@ -1,4 +1,4 @@
-/* The client of the key-value store: drives its parts, and catches up after an outage. */
+/* The client of the key-value store: calls its parts, and refreshes the replica after an outage. */
 #include "store/ws-store.h"
 
 #include "store/ws-store-private.h"
@@ -44,8 +44,8 @@
     core->store->is_stale = FALSE;
 }
 
-/* While the store was unavailable to this node, others may have written: the replica is stale until
-   this node has read once more. */
+/* Other nodes may have written while this node could not reach the store. The replica therefore
+   counts as stale after an outage until a linearizable read has succeeded. */
 static void
 catch_up_after_outage(WsCore *core)
 {
--- a/src/store/ws-store.h
+++ b/src/store/ws-store.h
@@ -1,105 +1,110 @@
 /**
- * The client of the key-value store: paced requests, the watch that keeps the replica up to date,
- * linearizable reads, transactions, and statistics of what is written.
+ * The client of the key-value store: rate-limited requests, the watch that keeps the replica up to
+ * date, linearizable reads, transactions, and statistics of committed operations.
  *
- * Called by every package that reads or writes durable state. Owns the request queues, the request
- * and write budgets of this node, the watch and the load of the replica. Callbacks are called from
- * ws_core_reply or from one of the functions here that say so, never before the function that was
- * handed the callback returns.
+ * Called by every package that reads or writes durable state. The client owns the request queues,
+ * this node's request and write budgets, the watch, and the initial load of the replica.
+ *
+ * Callbacks run from ws_core_reply(), ws_core_stop(), ws_store_tick() or ws_store_pump(), never
+ * before the function that they were passed to has returned.
  */
 #pragma once
 
 #include "context/ws-context.h"
 
-/** The priority classes of requests, the most urgent first. */
+/** The priority classes of requests, from the highest priority to the lowest. */
 typedef enum {
-  WS_REQUEST_LEASE, /**< leases, election and epochs */
-  WS_REQUEST_READ,  /**< load, watch and linearizable reads */
-  WS_REQUEST_USER,  /**< what a user waits for */
-  WS_REQUEST_TASK,  /**< assignments and releases of tasks */
-  WS_REQUEST_OTHER,
-  WS_REQUEST_CLASSES /**< how many there are */
+  WS_REQUEST_LEASE,  /**< leases, election and epochs */
+  WS_REQUEST_READ,   /**< load, watch and linearizable reads */
+  WS_REQUEST_USER,   /**< submissions and cancellations, whose users wait for the response */
+  WS_REQUEST_TASK,   /**< assignments, releases, rentals, terminations and mailboxes */
+  WS_REQUEST_OTHER,  /**< background work, e.g. garbage collection */
+  WS_REQUEST_CLASSES /**< the number of classes */
 } WsRequestClass;
 
 /** The outcome of a transaction. */
 typedef enum {
   WS_TXN_COMMITTED,
   WS_TXN_CONFLICT,     /**< a condition failed */
-  WS_TXN_UNAVAILABLE,  /**< not carried out; may be retried */
-  WS_TXN_INVALID,      /**< rejected for its size or form: a retry would be too */
-  WS_TXN_INDETERMINATE /**< no answer: it may have been carried out, or may be later */
+  WS_TXN_UNAVAILABLE,  /**< not applied; may be retried */
+  WS_TXN_INVALID,      /**< rejected for its size or form; a retry would be rejected as well */
+  WS_TXN_INDETERMINATE /**< no response: it may have been applied, or may still be */
 } WsTxnResult;
 
-/** A transaction while it's put together, and until it's answered. */
+/** A transaction, from its creation until the store has responded. */
 typedef struct _WsTxn WsTxn;
 
-/** Called back with the outcome of a transaction. @data: as handed to ws_txn_commit() */
+/** Receives the outcome of a transaction. @data: as passed to ws_txn_commit() */
 typedef void (*WsTxnFunc)(WsCore *core, WsTxnResult result, gpointer data);
 
-/** @is_current: whether the replica is up to date; FALSE: the read failed or took too long */
+/** Completes a linearizable read. @is_current: whether the replica is up to date */
 typedef void (*WsReadFunc)(WsCore *core, gboolean is_current, gpointer data);
 
-/** Creates a client that has loaded nothing. The caller frees it. @settings: read, not kept */
+/** Creates a client with nothing loaded. The caller frees it. @settings: read, not kept */
 WsStore *ws_store_new(const WsSettings *settings);
 
-/** Frees the client; what it has queued is not called back. @store: not NULL */
+/** Frees the client and its queued requests without calling back. @store: not NULL */
 void ws_store_free(WsStore *store);
 
 /**
- * Does the periodic work: loads the replica, times reads out, catches up after an outage.
+ * Does the periodic work: starts the load of the replica, fails reads that have timed out, and
+ * brings the replica up to date after an outage of the store.
  *
- * @leads: whether this node is the leader, which needs most of the write budget
+ * @leads: whether this node is the leader, which gets the largest share of the write budget
  */
 void ws_store_tick(WsCore *core, gboolean leads);
 
-/** Sends the queued requests that the budgets allow. Called after every input. */
+/** Sends the queued requests that the budgets allow. Called after every input of the core. */
 void ws_store_pump(WsCore *core);
 
 /**
- * Ends all queued requests as if no response had come, and all reads without success.
+ * Completes all queued requests as if they had timed out, and fails all linearizable reads.
  *
- * Returns whether there was any; the callbacks may have added others.
+ * Returns whether there were any. Their callbacks may have queued new ones.
  */
 gboolean ws_store_stop(WsCore *core);
 
-/** Whether the replica has been loaded, and the watch has not lost its place since. */
+/** Whether the replica is loaded. FALSE again once the store has compacted the watch's revision. */
 gboolean ws_store_is_loaded(const WsCore *core);
 
-/** Whether the store answers; TRUE also for the first moments of an outage. */
+/** Whether the store responds. An outage is reported only once it has lasted for a while. */
 gboolean ws_store_is_available(const WsCore *core);
 
-/** Whether the replica is loaded and as new as the store, but for what is on its way. */
+/** Whether the replica is loaded and up to date, except for changes still in transit. */
 gboolean ws_store_is_current(const WsCore *core);
 
-/** Since when all requests have failed, on the clock of core->now; 0: they don't. */
+/** Since when all requests have failed, on the clock of core->now; 0: the store responds. */
 gint64 ws_store_unavailable_since_ms(const WsCore *core);
 
-/** Whether this node's write budget allows so many operations now. Takes nothing from it. */
+/** Whether this node's write budget allows @operations now. Takes nothing from the budget. */
 gboolean ws_store_has_write_budget(WsCore *core, guint operations);
 
 /**
- * Queues a request that is posted to the store.
+ * Queues a POST request to the store.
  *
- * A request that is rejected for its rate is retried some times; @reply then gets status 429. It
- * gets status 0 if no response comes within the time.
+ * A rate-limited request is retried a few times before @reply is called with status 429. After a
+ * timeout, @reply is called with status 0.
  *
- * @body: taken; NULL: there is none
- * @write_count: what the request takes from the write budget
- * @timeout_ms: from when the request is sent
+ * @body: taken; NULL: no body
+ * @write_count: operations to take from the write budget
+ * @timeout_ms: starts when the request is sent
  */
 void ws_store_post(WsCore *core, WsRequestClass request_class, const char *path, json_t *body,
                    guint write_count, guint timeout_ms, WsReplyFunc reply, gpointer data);
 
-/** Calls back once the replica is as new as the store was when this was called. */
+/**
+ * Calls @done with TRUE once the replica has every change that was committed before this call, or
+ * with FALSE if the read fails or times out.
+ */
 void ws_store_linearizable_read(WsCore *core, WsReadFunc done, gpointer data);
 
-/** Creates an empty transaction, which ws_txn_commit() takes or ws_txn_free() frees. */
+/** Creates an empty transaction, to be passed to ws_txn_commit() or freed with ws_txn_free(). */
 WsTxn *ws_txn_new(void);
 
-/** Frees a transaction that isn't committed. */
+/** Frees a transaction that was not passed to ws_txn_commit(). */
 void ws_txn_free(WsTxn *txn);
 
-/** Adds the condition that the key has the version which the replica knows. */
+/** Adds the condition that the key still has the version which the replica holds. */
 void ws_txn_compare(WsTxn *txn, const WsReplica *replica, const char *key);
 
 /** Adds the condition that the key has the version; 0: that it doesn't exist. */
@@ -108,37 +113,37 @@
 /** Adds an operation that sets the key. @value: taken */
 void ws_txn_put(WsTxn *txn, const char *key, json_t *value);
 
-/** Adds an operation that sets the key until the lease ends. @value: taken */
+/** Adds an operation that sets the key; the store deletes it with the lease. @value: taken */
 void ws_txn_put_leased(WsTxn *txn, const char *key, json_t *value, guint64 lease);
 
 /** Adds an operation that deletes the key. */
 void ws_txn_delete(WsTxn *txn, const char *key);
 
-/** How many operations the transaction has; its conditions are not counted. */
+/** Returns the number of operations in the transaction, without its conditions. */
 guint ws_txn_operation_count(const WsTxn *txn);
 
 /**
- * Queues the transaction, which is carried out if all conditions hold. Once it's committed the
- * replica has its operations before @done is called.
+ * Queues the transaction, which the store applies if all conditions hold. If it commits, its
+ * operations are applied to the replica before @done is called.
  *
  * @txn: taken
  */
 void ws_txn_commit(WsCore *core, WsTxn *txn, WsRequestClass request_class, WsTxnFunc done,
                    gpointer data);
 
-/** Creates statistics without operations. The caller frees them. */
+/** Creates statistics with all counts 0. The caller frees them. */
 WsWriteStats *ws_write_stats_new(void);
 
-/** Frees the statistics, without a log line; NULL is allowed. */
+/** Frees the statistics without logging them. @stats: may be NULL */
 void ws_write_stats_free(WsWriteStats *stats);
 
-/** Whether the periodic log line on the operations of this node is due. */
+/** Whether the periodic log line with this node's write statistics is due. */
 gboolean ws_write_stats_is_due(const WsCore *core);
 
 /**
- * Logs the committed operations by purpose, and starts to count anew.
+ * Logs the number of committed operations by purpose, and resets the counts.
  *
- * @oldest_assignment_ms, @oldest_release_ms: for how long the oldest of each has waited
+ * @oldest_assignment_ms, @oldest_release_ms: how long the oldest pending one of each has waited
  */
 void ws_write_stats_log(WsCore *core, gint64 oldest_assignment_ms, gint64 oldest_release_ms);
 
--- a/src/store/ws-txn.c
+++ b/src/store/ws-txn.c
@@ -1,4 +1,4 @@
-/* Transactions of the key-value store: conditions, operations, and the meaning of each response. */
+/* Transactions of the key-value store: builds them and maps each response to a WsTxnResult. */
 #include "store/ws-store-private.h"
 
 #include "protocol/ws-kv.h"
@@ -81,17 +81,19 @@
   }
 }
 
-/* Logs the limits that the transaction exceeds. Exceeding one is a defect of this program. */
+/* Logs each limit that the transaction exceeds, which would be a bug in this program. */
 static void
 log_exceeded_limits(const WsCore *core, const WsTxn *txn)
 {
   if (ws_txn_operation_count(txn) > core->settings->state_txn_ops)
-    g_warning("a transaction has %u operations", ws_txn_operation_count(txn));
+    g_warning("transaction exceeds the store's operation limit: %u operations",
+              ws_txn_operation_count(txn));
   for (guint i = 0; i < txn->operations->len; i++) {
     const WsKvOperation *operation = &g_array_index(txn->operations, WsKvOperation, i);
     g_autofree char *text = ws_json_text(operation->value);
     if (text != NULL && strlen(text) > core->settings->state_record_bytes)
-      g_warning("the record %s has %zu bytes", operation->key, strlen(text));
+      g_warning("record %s exceeds the store's size limit: %zu bytes", operation->key,
+                strlen(text));
   }
 }
 
@@ -99,7 +101,7 @@
 explain_rejection(const WsCore *core, const WsTxn *txn, const json_t *body)
 {
   if (ws_kv_error_is_lease_ended(body)) {
-    g_info("a leased write is rejected: its lease has expired");
+    g_info("leased write rejected: the lease has expired");
     return WS_TXN_UNAVAILABLE;
   }
   const char *error = ws_kv_error_parse(body);
--- a/src/store/ws-write-stats.c
+++ b/src/store/ws-write-stats.c
@@ -1,7 +1,7 @@
 /* Statistics of committed operations, by purpose.
 
-   Where the store's write rate is low, it bounds how fast tasks are launched and released; the
-   statistics show what the rate is spent on. */
+   A store with a low write rate limits how fast tasks are launched and released. The statistics
+   show how much of that rate each purpose uses. */
 #include "store/ws-store-private.h"
 
 #define INTERVAL_MS 30000
@@ -72,7 +72,7 @@
   WsWriteStats *stats = core->write_stats;
   g_autofree char *text = describe_counts(stats);
   if (*text != '\0')
-    g_info("operations in %.0f s: %s; waiting: assignments for %.1f s, releases for %.1f s",
+    g_info("operations committed in %.0f s: %s; oldest pending: assignment %.1f s, release %.1f s",
            (double)(core->now - stats->since_ms) / 1000.0, text,
            (double)oldest_assignment_ms / 1000.0, (double)oldest_release_ms / 1000.0);
   *stats = (WsWriteStats){ .since_ms = core->now };
