--- a/src/store/ws-store-load.c
+++ b/src/store/ws-store-load.c
@@ -4,9 +4,9 @@
 
 #include "protocol/ws-kv.h"
 
-#define PAGE_SIZE 1000
-#define PAGE_TIMEOUT_MS 3000
-#define RETRY_PAUSE_MS 300
+#define LOAD_PAGE_KEYS 1000
+#define LOAD_PAGE_TIMEOUT_MS 3000
+#define LOAD_RETRY_DELAY_MS 300
 
 static void load_page(WsCore *core);
 
@@ -60,7 +60,7 @@
   g_autoptr(WsKvPage) page = status == WS_KV_OK ? ws_kv_page_parse(body) : NULL;
   if (page == NULL) {
     load->is_loading = FALSE;
-    load->retry_ms = core->now + RETRY_PAUSE_MS;
+    load->retry_ms = core->now + LOAD_RETRY_DELAY_MS;
     return;
   }
   apply_page(core, page);
@@ -73,8 +73,8 @@
 static void
 load_page(WsCore *core)
 {
-  g_autofree char *path = ws_kv_page_path(WS_PREFIX, core->store->load.last_key, PAGE_SIZE);
-  ws_store_get(core, path, PAGE_TIMEOUT_MS, on_page, NULL);
+  g_autofree char *path = ws_kv_page_path(WS_PREFIX, core->store->load.last_key, LOAD_PAGE_KEYS);
+  ws_store_get(core, path, LOAD_PAGE_TIMEOUT_MS, on_page, NULL);
 }
 
 void
--- a/src/store/ws-store-private.h
+++ b/src/store/ws-store-private.h
@@ -23,7 +23,7 @@
   GArray *unsent;  /**< of PendingRead: to be served by the next request */
   GArray *sent;    /**< of PendingRead: served by the request in flight */
   GArray *waiting; /**< of PendingRead: their revision is known, the replica hasn't reached it */
-  gboolean is_reading; /**< a request is queued or in flight */
+  gboolean is_revision_requested; /**< a request is queued or in flight */
 } WsStoreReads;
 
 /** The initial load of the replica, page by page. */
@@ -60,8 +60,9 @@
 /** Queues a GET request of class WS_REQUEST_READ; otherwise like ws_store_post(). */
 void ws_store_get(WsCore *core, const char *path, guint timeout_ms, WsReplyFunc reply,
                   gpointer data);
-/** Sets this node's share of the store's rate limits. @leads: whether this node is the leader */
-void ws_store_requests_set_shares(WsCore *core, gboolean leads);
+/** Sets this node's share of the store's rate limits. @is_leader: whether this node is the leader
+ */
+void ws_store_requests_set_shares(WsCore *core, gboolean is_leader);
 /** Sends as many requests as the budgets allow, in order of priority. */
 void ws_store_requests_send(WsCore *core);
 /** Completes all queued requests as if they had timed out. Returns whether there were any. */
--- a/src/store/ws-store-reads.c
+++ b/src/store/ws-store-reads.c
@@ -4,11 +4,11 @@
 
 #include "protocol/ws-kv.h"
 
-#define READ_TIMEOUT_MS 1500
-#define REVISION_TIMEOUT_MS 800
+#define LINEARIZABLE_READ_TIMEOUT_MS 1500
+#define REVISION_REQUEST_TIMEOUT_MS 800
 /* No key has this prefix: a page of it carries the store's revision and no items. */
 #define NO_KEYS_PREFIX WS_PREFIX "~"
-#define MIN_PAGE_SIZE 1
+#define REVISION_PAGE_KEYS 1
 
 typedef struct {
   WsReadFunc done;
@@ -48,7 +48,7 @@
 
 /* Completes all reads in a list. Replaces the list first, since a callback may queue a new read. */
 static void
-finish_all(WsCore *core, GArray **reads, gboolean is_current)
+complete_all(WsCore *core, GArray **reads, gboolean is_current)
 {
   g_autoptr(GArray) finished = *reads;
   *reads = pending_reads_new();
@@ -60,13 +60,13 @@
 
 /* Moves the reads that have reached their revision or timed out from the waiting list. */
 static void
-take_finished(WsCore *core, GArray *reached, GArray *timed_out)
+remove_finished(WsCore *core, GArray *reached, GArray *timed_out)
 {
   GArray *waiting = core->store->reads.waiting;
   for (guint i = waiting->len; i-- > 0;) {
     PendingRead read = g_array_index(waiting, PendingRead, i);
     gboolean is_reached = read.revision <= core->replica->revision;
-    if (!is_reached && core->now - read.requested_ms <= READ_TIMEOUT_MS)
+    if (!is_reached && core->now - read.requested_ms <= LINEARIZABLE_READ_TIMEOUT_MS)
       continue;
     if (is_reached)
       g_array_append_val(reached, read);
@@ -81,9 +81,9 @@
 {
   GArray *reached = pending_reads_new();
   GArray *timed_out = pending_reads_new();
-  take_finished(core, reached, timed_out);
-  finish_all(core, &reached, TRUE);
-  finish_all(core, &timed_out, FALSE);
+  remove_finished(core, reached, timed_out);
+  complete_all(core, &reached, TRUE);
+  complete_all(core, &timed_out, FALSE);
   g_array_unref(reached);
   g_array_unref(timed_out);
 }
@@ -94,9 +94,9 @@
   (void)data;
   WsStoreReads *reads = &core->store->reads;
   guint64 revision;
-  reads->is_reading = FALSE;
+  reads->is_revision_requested = FALSE;
   if (status != WS_KV_OK || !ws_kv_revision_parse(body, &revision)) {
-    finish_all(core, &reads->sent, FALSE);
+    complete_all(core, &reads->sent, FALSE);
     return;
   }
   for (guint i = 0; i < reads->sent->len; i++) {
@@ -112,17 +112,17 @@
 ws_store_reads_send(WsCore *core)
 {
   WsStoreReads *reads = &core->store->reads;
-  if (reads->unsent->len == 0 || reads->is_reading)
+  if (reads->unsent->len == 0 || reads->is_revision_requested)
     return;
   if (!ws_store_is_loaded(core) || !ws_store_is_available(core)) {
-    finish_all(core, &reads->unsent, FALSE);
+    complete_all(core, &reads->unsent, FALSE);
     return;
   }
-  reads->is_reading = TRUE;
+  reads->is_revision_requested = TRUE;
   g_array_append_vals(reads->sent, reads->unsent->data, reads->unsent->len);
   g_array_set_size(reads->unsent, 0);
-  g_autofree char *path = ws_kv_page_path(NO_KEYS_PREFIX, NULL, MIN_PAGE_SIZE);
-  ws_store_get(core, path, REVISION_TIMEOUT_MS, on_revision, NULL);
+  g_autofree char *path = ws_kv_page_path(NO_KEYS_PREFIX, NULL, REVISION_PAGE_KEYS);
+  ws_store_get(core, path, REVISION_REQUEST_TIMEOUT_MS, on_revision, NULL);
 }
 
 gboolean
@@ -130,8 +130,8 @@
 {
   WsStoreReads *reads = &core->store->reads;
   gboolean had_reads = reads->unsent->len + reads->sent->len + reads->waiting->len > 0;
-  finish_all(core, &reads->unsent, FALSE);
-  finish_all(core, &reads->sent, FALSE);
-  finish_all(core, &reads->waiting, FALSE);
+  complete_all(core, &reads->unsent, FALSE);
+  complete_all(core, &reads->sent, FALSE);
+  complete_all(core, &reads->waiting, FALSE);
   return had_reads;
 }
--- a/src/store/ws-store-requests.c
+++ b/src/store/ws-store-requests.c
@@ -14,10 +14,10 @@
 #define FOLLOWERS_WRITE_SHARE 0.4
 #define LEADER_READ_SHARE 0.34
 #define TOTAL_READ_SHARE 0.95
-#define BURST_S 0.6
-#define MIN_WRITE_BURST 4.0
-#define RATE_LIMITED_PAUSE_MS 120
-#define MAX_RATE_LIMITED_TRIES 5
+#define BUDGET_BURST_S 0.6
+#define MIN_WRITE_BURST_OPERATIONS 4.0
+#define RATE_LIMITED_RETRY_DELAY_MS 120
+#define MAX_RATE_LIMITED_ATTEMPTS 5
 /* The store is considered unavailable once all requests have failed for this long. */
 #define UNAVAILABLE_AFTER_MS 700
 
@@ -30,14 +30,14 @@
   WsReplyFunc reply;
   gpointer data;
   WsRequestClass request_class;
-  guint tries;
+  guint attempts;
 } StoreRequest;
 
 void
 ws_store_requests_init(WsStoreRequests *requests, const WsSettings *settings)
 {
-  ws_rate_init(&requests->request_rate, 1.0, settings->state_rps * BURST_S);
-  ws_rate_init(&requests->write_rate, 1.0, settings->state_write_rps * BURST_S);
+  ws_rate_init(&requests->request_rate, 1.0, settings->state_rps * BUDGET_BURST_S);
+  ws_rate_init(&requests->write_rate, 1.0, settings->state_write_rps * BUDGET_BURST_S);
 }
 
 static void
@@ -77,16 +77,17 @@
 }
 
 void
-ws_store_requests_set_shares(WsCore *core, gboolean leads)
+ws_store_requests_set_shares(WsCore *core, gboolean is_leader)
 {
   WsStoreRequests *requests = &core->store->requests;
   guint followers = MAX(core->settings->nodes->len - 1, 1u);
   double read_share
-      = leads ? LEADER_READ_SHARE : (TOTAL_READ_SHARE - LEADER_READ_SHARE) / followers;
-  double write_share = leads ? LEADER_WRITE_SHARE : FOLLOWERS_WRITE_SHARE / followers;
+      = is_leader ? LEADER_READ_SHARE : (TOTAL_READ_SHARE - LEADER_READ_SHARE) / followers;
+  double write_share = is_leader ? LEADER_WRITE_SHARE : FOLLOWERS_WRITE_SHARE / followers;
   requests->request_rate.per_second = core->settings->state_rps * read_share;
   requests->write_rate.per_second = core->settings->state_write_rps * write_share;
-  requests->write_rate.burst = MAX(requests->write_rate.per_second * BURST_S, MIN_WRITE_BURST);
+  requests->write_rate.burst
+      = MAX(requests->write_rate.per_second * BUDGET_BURST_S, MIN_WRITE_BURST_OPERATIONS);
 }
 
 static void
@@ -125,17 +126,17 @@
 
 /* Whether the status shows that the store is available: it has processed the request. */
 static gboolean
-is_proper_response(guint status)
+shows_availability(guint status)
 {
   return status == WS_KV_OK || status == WS_KV_NOT_FOUND || status == WS_KV_CONFLICT
          || status == WS_KV_COMPACTED;
 }
 
 static void
-note_availability(WsCore *core, guint status)
+update_availability(WsCore *core, guint status)
 {
   WsStoreRequests *requests = &core->store->requests;
-  if (is_proper_response(status))
+  if (shows_availability(status))
     requests->unavailable_since_ms = 0;
   else if (status != WS_KV_RATE_LIMITED && status != WS_KV_INVALID
            && requests->unavailable_since_ms == 0)
@@ -147,9 +148,9 @@
 {
   StoreRequest *request = data;
   WsStoreRequests *requests = &core->store->requests;
-  note_availability(core, status);
-  if (status == WS_KV_RATE_LIMITED && ++request->tries < MAX_RATE_LIMITED_TRIES) {
-    requests->rate_limited_until_ms = core->now + RATE_LIMITED_PAUSE_MS;
+  update_availability(core, status);
+  if (status == WS_KV_RATE_LIMITED && ++request->attempts < MAX_RATE_LIMITED_ATTEMPTS) {
+    requests->rate_limited_until_ms = core->now + RATE_LIMITED_RETRY_DELAY_MS;
     g_queue_push_head(&requests->queues[request->request_class], request);
     return;
   }
@@ -167,7 +168,7 @@
 /* Takes the request's cost from the budgets. Leases, reads and users' requests may overdraw the
    write budget, so that they don't wait while it recovers from a large transaction of tasks. */
 static gboolean
-may_send(WsCore *core, WsRequestClass request_class, guint write_count)
+take_budget(WsCore *core, WsRequestClass request_class, guint write_count)
 {
   WsStoreRequests *requests = &core->store->requests;
   if (!ws_rate_ready(&requests->request_rate, 1.0, core->now))
@@ -190,7 +191,7 @@
   for (guint i = 0; i < WS_REQUEST_CLASSES; i++) {
     StoreRequest *request;
     while ((request = g_queue_peek_head(&requests->queues[i])) != NULL) {
-      if (!may_send(core, (WsRequestClass)i, request->write_count))
+      if (!take_budget(core, (WsRequestClass)i, request->write_count))
         return;
       send_request(core, g_queue_pop_head(&requests->queues[i]));
     }
--- a/src/store/ws-store-watch.c
+++ b/src/store/ws-store-watch.c
@@ -3,10 +3,10 @@
 
 #include "protocol/ws-kv.h"
 
-#define WATCH_WAIT_MS 8000
-#define WATCH_MARGIN_MS 2000
-#define WATCH_TIMEOUT_MS (WATCH_WAIT_MS + WATCH_MARGIN_MS)
-#define RETRY_PAUSE_MS 300
+#define WATCH_LONG_POLL_MS 8000
+#define WATCH_TIMEOUT_MARGIN_MS 2000
+#define WATCH_TIMEOUT_MS (WATCH_LONG_POLL_MS + WATCH_TIMEOUT_MARGIN_MS)
+#define WATCH_RETRY_DELAY_MS 300
 /* The watch may use one in this many of the node's requests. Between two long polls, changes
    accumulate in the store. */
 #define REQUESTS_PER_WATCH 3.0
@@ -35,7 +35,7 @@
   }
   g_autoptr(WsKvPage) page = status == WS_KV_OK ? ws_kv_watch_parse(body) : NULL;
   if (page == NULL) {
-    store->watch.retry_ms = core->now + RETRY_PAUSE_MS;
+    store->watch.retry_ms = core->now + WATCH_RETRY_DELAY_MS;
     return;
   }
   apply_events(core, page->items);
@@ -63,6 +63,6 @@
     return;
   watch->is_open = TRUE;
   watch->opened_ms = core->now;
-  g_autofree char *path = ws_kv_watch_path(WS_PREFIX, core->replica->revision, WATCH_WAIT_MS);
+  g_autofree char *path = ws_kv_watch_path(WS_PREFIX, core->replica->revision, WATCH_LONG_POLL_MS);
   ws_store_get(core, path, WATCH_TIMEOUT_MS, on_events, NULL);
 }
--- a/src/store/ws-store.c
+++ b/src/store/ws-store.c
@@ -36,7 +36,7 @@
 }
 
 static void
-on_caught_up(WsCore *core, gboolean is_current, gpointer data)
+on_catch_up_read(WsCore *core, gboolean is_current, gpointer data)
 {
   (void)data;
   core->store->is_catching_up = FALSE;
@@ -57,13 +57,13 @@
   if (!store->is_stale || store->is_catching_up || !ws_store_is_loaded(core))
     return;
   store->is_catching_up = TRUE;
-  ws_store_linearizable_read(core, on_caught_up, NULL);
+  ws_store_linearizable_read(core, on_catch_up_read, NULL);
 }
 
 void
-ws_store_tick(WsCore *core, gboolean leads)
+ws_store_tick(WsCore *core, gboolean is_leader)
 {
-  ws_store_requests_set_shares(core, leads);
+  ws_store_requests_set_shares(core, is_leader);
   ws_store_load_tick(core);
   ws_store_reads_finish(core);
   catch_up_after_outage(core);
--- a/src/store/ws-store.h
+++ b/src/store/ws-store.h
@@ -50,9 +50,9 @@
  * Does the periodic work: starts the load of the replica, fails reads that have timed out, and
  * brings the replica up to date after an outage of the store.
  *
- * @leads: whether this node is the leader, which gets the largest share of the write budget
+ * @is_leader: whether this node is the leader, which gets the largest share of the write budget
  */
-void ws_store_tick(WsCore *core, gboolean leads);
+void ws_store_tick(WsCore *core, gboolean is_leader);
 
 /** Sends the queued requests that the budgets allow. Called after every input of the core. */
 void ws_store_pump(WsCore *core);
--- a/src/store/ws-txn.c
+++ b/src/store/ws-txn.c
@@ -98,7 +98,7 @@
 }
 
 static WsTxnResult
-explain_rejection(const WsCore *core, const WsTxn *txn, const json_t *body)
+classify_rejection(const WsCore *core, const WsTxn *txn, const json_t *body)
 {
   if (ws_kv_error_is_lease_ended(body)) {
     g_info("leased write rejected: the lease has expired");
@@ -125,7 +125,7 @@
   } else if (status == WS_KV_RATE_LIMITED || status == WS_KV_UNAVAILABLE) {
     result = WS_TXN_UNAVAILABLE;
   } else if (status == WS_KV_INVALID) {
-    result = explain_rejection(core, txn, body);
+    result = classify_rejection(core, txn, body);
   }
   txn->done(core, result, txn->data);
 }
--- a/src/store/ws-write-stats.c
+++ b/src/store/ws-write-stats.c
@@ -4,7 +4,7 @@
    show how much of that rate each purpose uses. */
 #include "store/ws-store-private.h"
 
-#define INTERVAL_MS 30000
+#define WRITE_STATS_LOG_INTERVAL_MS 30000
 
 static const struct {
   const char *prefix;
@@ -52,11 +52,11 @@
 gboolean
 ws_write_stats_is_due(const WsCore *core)
 {
-  return core->now - core->write_stats->since_ms >= INTERVAL_MS;
+  return core->now - core->write_stats->since_ms >= WRITE_STATS_LOG_INTERVAL_MS;
 }
 
 static char *
-describe_counts(const WsWriteStats *stats)
+format_counts(const WsWriteStats *stats)
 {
   GString *text = g_string_new(NULL);
   for (gsize i = 0; i < G_N_ELEMENTS(PURPOSES); i++)
@@ -70,7 +70,7 @@
 ws_write_stats_log(WsCore *core, gint64 oldest_assignment_ms, gint64 oldest_release_ms)
 {
   WsWriteStats *stats = core->write_stats;
-  g_autofree char *text = describe_counts(stats);
+  g_autofree char *text = format_counts(stats);
   if (*text != '\0')
     g_info("operations committed in %.0f s: %s; oldest pending: assignment %.1f s, release %.1f s",
            (double)(core->now - stats->since_ms) / 1000.0, text,
