--- a/src/store/ws-store-private.h
+++ b/src/store/ws-store-private.h
@@ -60,8 +60,7 @@
 /** Queues a GET request of class WS_REQUEST_READ; otherwise like ws_store_post(). */
 void ws_store_get(WsCore *core, const char *path, guint timeout_ms, WsReplyFunc reply,
                   gpointer data);
-/** Sets this node's share of the store's rate limits. @is_leader: whether this node is the leader
- */
+/** Sets this node's share of the store's rate limits. @is_leader: whether this node leads */
 void ws_store_requests_set_shares(WsCore *core, gboolean is_leader);
 /** Sends as many requests as the budgets allow, in order of priority. */
 void ws_store_requests_send(WsCore *core);
--- a/src/transport/ws-http-client.c
+++ b/src/transport/ws-http-client.c
@@ -5,10 +5,10 @@
 #include <string.h>
 
 #define MIN_CONNECTIONS 16u
-/* A host that doesn't respond may use up its own connections only. */
+/* Keeps a host that doesn't respond from using up all connections. */
 #define MAX_CONNECTIONS_PER_HOST 12
 #define IDLE_CONNECTION_TIMEOUT_S 30
-/* Timeouts are kept by a timer for each call. */
+/* Disables libsoup's timeout: each request has a timer instead. */
 #define NO_SOCKET_TIMEOUT 0
 #define STATUS_NO_RESPONSE 0
 
@@ -28,8 +28,7 @@
 ws_http_client_new(guint max_connections)
 {
   WsHttpClient *client = g_new0(WsHttpClient, 1);
-  /* No proxy resolver: the peers are numeric addresses, and looking for one costs time and memory.
-   */
+  /* No proxy resolver: all addresses are numeric, and resolving a proxy costs time and memory. */
   client->session = soup_session_new_with_options(
       "proxy-resolver", NULL, "max-conns", (int)MAX(max_connections, MIN_CONNECTIONS),
       "max-conns-per-host", MAX_CONNECTIONS_PER_HOST, "idle-timeout", IDLE_CONNECTION_TIMEOUT_S,
@@ -83,12 +82,13 @@
 {
   g_autoptr(SoupMessage) message = soup_message_new(method, url);
   if (message == NULL) {
-    g_warning("unusable address %s", url);
+    g_warning("HTTP request not sent: invalid URL %s", url);
     done(STATUS_NO_RESPONSE, "", 0, data);
     return;
   }
-  /* Without the second flag libsoup opens a connection for every POST. Every request of ours may
-     be carried out twice: it is conditional, has an idempotency key, or no lasting effect. */
+  /* Without SOUP_MESSAGE_IDEMPOTENT libsoup opens a new connection for every POST. The flag allows
+     it to repeat a request, which is safe: each request of this program is conditional, has an
+     idempotency key, or has no lasting effect. */
   soup_message_add_flags(message, SOUP_MESSAGE_NO_REDIRECT | SOUP_MESSAGE_IDEMPOTENT);
   if (body != NULL) {
     g_autoptr(GBytes) bytes = g_bytes_new(body, strlen(body));
--- a/src/transport/ws-http-client.h
+++ b/src/transport/ws-http-client.h
@@ -1,5 +1,5 @@
 /**
- * Outgoing HTTP: every call has a deadline of its own and ends in exactly one callback.
+ * HTTP client: each request has its own timeout and completes with exactly one callback.
  *
  * Called by the runtime, from the thread of the default main loop.
  */
@@ -7,28 +7,33 @@
 
 #include <glib.h>
 
-/** A client with its connections. */
+/** A client with its connection pool. */
 typedef struct _WsHttpClient WsHttpClient;
 
 /**
- * Called back at the end of a call.
+ * Receives the outcome of a request.
  *
- * @status: of HTTP; 0: no usable response came in time
- * @body: @length bytes, borrowed for the time of the callback; never NULL
+ * @status: HTTP status; 0: no response within the timeout, or the request failed
+ * @body: @length bytes, valid until the callback returns; never NULL
  */
 typedef void (*WsHttpDone)(guint status, const char *body, gsize length, gpointer data);
 
-/** Creates a client with at most so many connections in all. The caller frees it. */
+/**
+ * Creates a client. The caller frees it.
+ *
+ * @max_connections: to all hosts together; a small value is raised to a minimum
+ */
 WsHttpClient *ws_http_client_new(guint max_connections);
 
-/** Frees the client. Calls that are under way are aborted. */
+/** Frees the client and aborts its pending requests. */
 void ws_http_client_free(WsHttpClient *client);
 
 /**
- * Sends a request. The callback comes from the main loop, or at once if the URL can't be used.
+ * Sends a request. @done is called from the main loop, or before this function returns if the URL
+ * is invalid.
  *
- * @body: JSON, copied; NULL: there is none
- * @timeout_ms: from now until the whole response is there
+ * @body: JSON, copied; NULL: no body
+ * @timeout_ms: until the whole response has been received
  */
 void ws_http_client_send(WsHttpClient *client, const char *method, const char *url,
                          const char *body, guint timeout_ms, WsHttpDone done, gpointer data);
--- a/src/transport/ws-http-server.c
+++ b/src/transport/ws-http-server.c
@@ -1,7 +1,7 @@
-/* The HTTP server, built on libmicrohttpd, which keeps its connections in an epoll set of its own:
-   GLib's main loop polls a single descriptor. A server of libsoup adds a source to the main loop
-   for each connection, and the loop checks all of them at every event; with hundreds of workers
-   connected that alone exceeded the CPU budget (docs/results.md). */
+/* The HTTP server, built on libmicrohttpd. The library keeps its connections in its own epoll set,
+   so that GLib's main loop polls a single descriptor. libsoup's server adds a source to the main
+   loop for each connection instead, and the loop checks all sources at every event. With hundreds
+   of workers connected, that alone exceeded the CPU budget (docs/results.md). */
 #include "transport/ws-http-server.h"
 
 #include <errno.h>
@@ -11,7 +11,7 @@
 #include <string.h>
 
 #define MAX_BODY_BYTES (4u << 20)
-/* For each connection: a request's headers must fit; bodies are passed on in parts. */
+/* Memory per connection. A request's headers must fit into it; bodies are received in parts. */
 #define CONNECTION_MEMORY_BYTES 4096
 #define RETRY_AFTER_BYTES 16
 
@@ -20,7 +20,7 @@
   WsHttpHandler handler;
   gpointer data;
   guint epoll_source;
-  guint idle_source; /* 0: no input or output is pending */
+  guint idle_source; /* the scheduled call of MHD_run(); 0: none */
 };
 
 typedef struct {
@@ -101,7 +101,7 @@
   if (*length == 0)
     return handle_request(request);
   if (request->bytes->len + *length > MAX_BODY_BYTES)
-    return MHD_NO; /* closes the connection: no valid request is so large */
+    return MHD_NO; /* closes the connection; no valid request is that large */
   g_byte_array_append(request->bytes, (const guint8 *)part, (guint)*length);
   *length = 0;
   return MHD_YES;
@@ -116,8 +116,8 @@
     server->idle_source = g_idle_add_full(G_PRIORITY_DEFAULT, on_wakeup, server, NULL);
 }
 
-/* MHD_run() may leave some of the pending input unread, and the descriptor isn't signalled again
-   for it: another run is scheduled then. */
+/* MHD_run() may leave pending input unread, for which the epoll descriptor isn't signalled again.
+   Another run is scheduled in that case. */
 static void
 process_events(WsHttpServer *server)
 {
@@ -158,12 +158,12 @@
       server, MHD_OPTION_CONNECTION_LIMIT, max_connections, MHD_OPTION_CONNECTION_MEMORY_LIMIT,
       (size_t)CONNECTION_MEMORY_BYTES, MHD_OPTION_END);
   if (daemon == NULL)
-    g_set_error(error, G_IO_ERROR, g_io_error_from_errno(errno),
-                "the address can't be listened on: %s", g_strerror(errno));
+    g_set_error(error, G_IO_ERROR, g_io_error_from_errno(errno), "cannot listen on the address: %s",
+                g_strerror(errno));
   return daemon;
 }
 
-/* NULL: the address is not HOST:PORT, or its host is a name. */
+/* Returns NULL with the error set unless the address is IP:PORT. Host names are not resolved. */
 static GSocketAddress *
 parse_address(const char *address, GError **error)
 {
--- a/src/transport/ws-http-server.h
+++ b/src/transport/ws-http-server.h
@@ -1,5 +1,5 @@
 /**
- * Incoming HTTP on one address. A request is a handle that is answered once, at once or later.
+ * HTTP server on one address. Each request is answered once, by its handler or later.
  *
  * Called by the runtime, from the thread of the default main loop.
  */
@@ -11,34 +11,35 @@
 typedef struct _WsHttpServer WsHttpServer;
 typedef struct _WsHttpRequest WsHttpRequest;
 
-/** A request, owned by the server. All of it is good until the answer. */
+/** A request, owned by the server. Its fields are valid until it is answered. */
 struct _WsHttpRequest {
   const char *method;
   const char *path;
-  const char *body; /**< not terminated; NULL: there is none */
+  const char *body; /**< not NUL-terminated; NULL: no body */
   gsize length;     /**< of the body, in bytes */
 };
 
-/** Takes a request, which it answers at once or later. */
+/** Handles a request, which must be answered with ws_http_request_answer(), now or later. */
 typedef void (*WsHttpHandler)(WsHttpRequest *request, gpointer data);
 
 /**
- * Listens for requests. The caller frees the server. NULL with @error set: that isn't possible.
+ * Starts to listen for requests. The caller frees the server. Returns NULL with @error set on
+ * failure.
  *
  * @address: IP:PORT
- * @max_connections: at once
+ * @max_connections: limit of concurrent connections
  */
 WsHttpServer *ws_http_server_new(const char *address, guint max_connections, WsHttpHandler handler,
                                  gpointer data, GError **error);
 
-/** Stops listening. Requests without an answer must not be answered any more. */
+/** Stops listening and frees the server. Unanswered requests must not be used afterwards. */
 void ws_http_server_free(WsHttpServer *server);
 
 /**
- * Answers a request, which is not to be used any more.
+ * Answers a request, which must not be used afterwards.
  *
- * @body: JSON, copied; NULL: none
- * @retry_after_s: in seconds; 0: no such header
+ * @body: JSON, copied; NULL: no body
+ * @retry_after_s: the Retry-After header, in seconds; 0: no such header
  */
 void ws_http_request_answer(WsHttpRequest *request, guint status, const char *body,
                             guint retry_after_s);
--- a/src/transport/ws-rate.c
+++ b/src/transport/ws-rate.c
@@ -10,7 +10,7 @@
   *rate = (WsRate){ .per_second = per_second, .burst = size, .tokens = size };
 }
 
-/* A request larger than the burst is allowed when the bucket is full, and leaves it in debt. */
+/* A count above the burst needs a full bucket, and overdraws it when taken. */
 gboolean
 ws_rate_ready(WsRate *rate, double count, gint64 now_ms)
 {
--- a/src/transport/ws-rate.h
+++ b/src/transport/ws-rate.h
@@ -1,28 +1,34 @@
 /**
- * A token bucket, which limits a rate. It keeps no clock: every call names the time.
- *
- * Times are of one clock, in milliseconds.
+ * A token bucket for rate limiting. It reads no clock: the caller passes the time, in milliseconds
+ * and always of the same clock.
  */
 #pragma once
 
 #include <glib.h>
 
-/** A bucket. */
+/** A token bucket. */
 typedef struct {
-  double per_second; /**< tokens that are added per second; may be changed at any time */
-  double burst;      /**< the most that it holds, at least 1 */
-  double tokens;     /**< what it holds; negative: it is in debt */
-  gint64 at_ms;      /**< until when tokens have been added */
+  double per_second; /**< tokens added per second; may be changed at any time */
+  double burst;      /**< capacity in tokens, at least 1 */
+  double tokens;     /**< available tokens; negative: overdrawn */
+  gint64 at_ms;      /**< time of the last refill */
 } WsRate;
 
-/** Makes a full bucket. */
+/** Initializes a full bucket. A burst below 1 is raised to 1. */
 void ws_rate_init(WsRate *rate, double per_second, double burst);
 
-/** Whether @count tokens could be taken now. */
+/** Whether ws_rate_take() would take @count tokens now. Takes none. */
 gboolean ws_rate_ready(WsRate *rate, double count, gint64 now_ms);
 
-/** Takes @count tokens. FALSE: there aren't enough, and none are taken. */
+/**
+ * Takes @count tokens. FALSE: there aren't enough, and none are taken.
+ *
+ * A count above the burst is taken from a full bucket, which is overdrawn afterwards.
+ */
 gboolean ws_rate_take(WsRate *rate, double count, gint64 now_ms);
 
-/** Takes @count tokens for what may not wait. FALSE: a whole burst is owed, and none are taken. */
+/**
+ * Takes @count tokens even if that overdraws the bucket, for requests that must not wait. FALSE:
+ * the bucket is already overdrawn by a whole burst or more, and none are taken.
+ */
 gboolean ws_rate_borrow(WsRate *rate, double count, gint64 now_ms);
