--- a/src/main.c
+++ b/src/main.c
@@ -15,7 +15,7 @@
   gboolean show_version;
 } Options;
 
-/* Checks the command line without the options that were parsed. */
+/* Checks the parsed options, and that no other arguments are left on the command line. */
 static gboolean
 check_arguments(int argc, char **argv, const Options *options)
 {
@@ -96,7 +96,7 @@
   return g_steal_pointer(&properties);
 }
 
-/* Libraries log every connection: messages below a warning are shown of this program only. */
+/* Whether the message comes from this program rather than from a library. */
 static gboolean
 is_from_this_program(const GLogField *fields, gsize count)
 {
@@ -106,6 +106,8 @@
   return FALSE;
 }
 
+/* Writes info and debug messages only if they come from this program: libraries log every
+   connection at these levels. */
 static GLogWriterOutput
 write_log(GLogLevelFlags level, const GLogField *fields, gsize count, gpointer data)
 {
@@ -118,7 +120,7 @@
   return G_LOG_WRITER_HANDLED;
 }
 
-/* Warnings are shown at every level: each needs an operator's attention. */
+/* Warnings are logged at every LOG_LEVEL, since each needs an operator's attention. */
 static GLogLevelFlags
 log_level(void)
 {
@@ -135,14 +137,14 @@
   g_autoptr(GMainLoop) loop = g_main_loop_new(NULL, FALSE);
   g_autoptr(WsRuntime) runtime = ws_runtime_new(settings, properties, &error);
   if (runtime == NULL) {
-    fprintf(stderr, "wrenshore: can't listen: %s\n", error->message);
+    fprintf(stderr, "wrenshore: cannot start the HTTP servers: %s\n", error->message);
     return EXIT_FAILURE;
   }
   g_main_loop_run(loop);
   return EXIT_SUCCESS;
 }
 
-/* Carries out the command line. Returns the exit status. */
+/* Runs the program as the command line says. Returns the exit status. */
 static int
 run_command(int argc, char **argv, Options *options)
 {
--- a/src/runtime/ws-runtime.c
+++ b/src/runtime/ws-runtime.c
@@ -1,14 +1,17 @@
-/* Passes requests, replies and ticks to the core, and carries out its calls and answers. */
+/* Passes requests, replies and timer ticks to the core, and sends the calls and answers that the
+   core outputs. */
 #include "runtime/ws-runtime.h"
 
 #include "transport/ws-http-client.h"
 #include "transport/ws-http-server.h"
 
 #define TICK_INTERVAL_MS 50
-/* The random low bits of an incarnation. */
+/* The number of random low bits in an incarnation. */
 #define RANDOM_BITS 10
-/* Shares of the sockets, so that neither workers and users nor calls to hundreds of workers can use
-   up the connections to the other controllers and to the key-value store. */
+/* Shares of the limit on sockets (max_sockets): incoming connections of workers and users, outgoing
+   connections, and incoming connections of the other controllers. Separate limits keep workers,
+   users, and calls to hundreds of workers from using up the connections to the other controllers
+   and to the key-value store. */
 #define API_SOCKET_SHARE 0.65
 #define CLIENT_SOCKET_SHARE 0.25
 #define MESH_SOCKET_SHARE 0.05
@@ -100,8 +103,8 @@
   return G_SOURCE_CONTINUE;
 }
 
-/* The time of day in microseconds distinguishes two runs of a node; the low bits are random, since
-   a restart may fall into the same tick of a coarse clock. */
+/* The wall clock in microseconds distinguishes two runs of a node. The low bits are random, since a
+   restart may fall into the same tick of a coarse clock. */
 static guint64
 new_incarnation(void)
 {
--- a/src/runtime/ws-runtime.h
+++ b/src/runtime/ws-runtime.h
@@ -1,6 +1,6 @@
 /**
- * Ties the core to the clock and the network: hands it the time, requests and responses, and sends
- * what it puts out. Owns the core, the HTTP servers and the HTTP client; called by main.
+ * Connects the core to the clock and the network: passes it the time, requests and responses, and
+ * sends its outputs. Owns the core, the HTTP servers and the HTTP client. Called by main.
  */
 #pragma once
 
@@ -10,8 +10,8 @@
 typedef struct _WsRuntime WsRuntime;
 
 /**
- * Starts a node in the default main loop. The caller frees it. NULL with @error set: an address
- * can't be listened on.
+ * Starts a node in the default main loop. The caller frees it. Returns NULL with @error set if the
+ * node can't listen on one of its addresses.
  *
  * @settings: must outlive the node
  * @properties: must outlive the node
