--- a/src/main.c
+++ b/src/main.c
@@ -11,7 +11,7 @@
 typedef struct {
   char *config;
   char *properties;
-  gboolean only_check;
+  gboolean check_only;
   gboolean show_version;
 } Options;
 
@@ -37,7 +37,7 @@
                                "settings of the platform (JSON)", "FILE" },
                              { "properties", 0, 0, G_OPTION_ARG_FILENAME, &options->properties,
                                "operators' own settings (properties)", "FILE" },
-                             { "check", 0, 0, G_OPTION_ARG_NONE, &options->only_check,
+                             { "check", 0, 0, G_OPTION_ARG_NONE, &options->check_only,
                                "check both files and end", NULL },
                              { "version", 0, 0, G_OPTION_ARG_NONE, &options->show_version,
                                "show the version and end", NULL },
@@ -61,14 +61,14 @@
   g_autofree char *text = NULL;
   g_autoptr(GError) error = NULL;
   gsize length;
-  json_error_t where;
+  json_error_t parse_error;
   if (!g_file_get_contents(path, &text, &length, &error)) {
     fprintf(stderr, "wrenshore: %s\n", error->message);
     return NULL;
   }
-  g_autoptr(json_t) message = json_loadb(text, length, JSON_REJECT_DUPLICATES, &where);
+  g_autoptr(json_t) message = json_loadb(text, length, JSON_REJECT_DUPLICATES, &parse_error);
   if (message == NULL) {
-    fprintf(stderr, "wrenshore: %s: line %d: %s\n", path, where.line, where.text);
+    fprintf(stderr, "wrenshore: %s: line %d: %s\n", path, parse_error.line, parse_error.text);
     return NULL;
   }
   WsSettings *settings = ws_settings_parse(message, &error);
@@ -112,8 +112,9 @@
 write_log(GLogLevelFlags level, const GLogField *fields, gsize count, gpointer data)
 {
   GLogLevelFlags max_level = GPOINTER_TO_UINT(data);
-  gboolean is_detail = (level & G_LOG_LEVEL_MASK) > G_LOG_LEVEL_MESSAGE;
-  if ((level & G_LOG_LEVEL_MASK) > max_level || (is_detail && !is_from_this_program(fields, count)))
+  gboolean is_info_or_debug = (level & G_LOG_LEVEL_MASK) > G_LOG_LEVEL_MESSAGE;
+  if ((level & G_LOG_LEVEL_MASK) > max_level
+      || (is_info_or_debug && !is_from_this_program(fields, count)))
     return G_LOG_WRITER_HANDLED;
   g_autofree char *line = g_log_writer_format_fields(level, fields, count, FALSE);
   fprintf(stderr, "%s\n", line);
@@ -161,7 +162,7 @@
   g_autoptr(WsProperties) properties = read_properties(options->properties, settings);
   if (properties == NULL)
     return EXIT_USAGE;
-  if (options->only_check) {
+  if (options->check_only) {
     printf("wrenshore: the settings are good\n");
     return EXIT_SUCCESS;
   }
--- a/src/runtime/ws-runtime.c
+++ b/src/runtime/ws-runtime.c
@@ -5,28 +5,28 @@
 #include "transport/ws-http-client.h"
 #include "transport/ws-http-server.h"
 
-#define TICK_INTERVAL_MS 50
+#define CORE_TICK_INTERVAL_MS 50
 /* The number of random low bits in an incarnation. */
-#define RANDOM_BITS 10
+#define INCARNATION_RANDOM_BITS 10
 /* Shares of the limit on sockets (max_sockets): incoming connections of workers and users, outgoing
    connections, and incoming connections of the other controllers. Separate limits keep workers,
    users, and calls to hundreds of workers from using up the connections to the other controllers
    and to the key-value store. */
-#define API_SOCKET_SHARE 0.65
-#define CLIENT_SOCKET_SHARE 0.25
-#define MESH_SOCKET_SHARE 0.05
+#define API_SERVER_SOCKET_SHARE 0.65
+#define HTTP_CLIENT_SOCKET_SHARE 0.25
+#define PEER_SERVER_SOCKET_SHARE 0.05
 
 struct _WsRuntime {
   WsCore *core;
   WsHttpClient *client;
-  WsHttpServer *api;
-  WsHttpServer *mesh;
+  WsHttpServer *api_server;
+  WsHttpServer *peer_server;
   guint tick_source;
 };
 
 typedef struct {
   WsRuntime *runtime;
-  guint64 call;
+  guint64 call_id;
 } PendingCall;
 
 static gint64
@@ -48,7 +48,7 @@
 {
   g_autofree PendingCall *pending = data;
   WsRuntime *runtime = pending->runtime;
-  ws_core_reply(runtime->core, now_ms(), wall_ms(), pending->call, status, body, length);
+  ws_core_reply(runtime->core, now_ms(), wall_ms(), pending->call_id, status, body, length);
   send_outputs(runtime);
 }
 
@@ -89,7 +89,7 @@
 }
 
 static void
-on_mesh_request(WsHttpRequest *request, gpointer data)
+on_peer_request(WsHttpRequest *request, gpointer data)
 {
   handle_request(data, WS_LISTENER_MESH, request);
 }
@@ -108,8 +108,8 @@
 static guint64
 new_incarnation(void)
 {
-  guint64 random_bits = g_random_int() & ((1u << RANDOM_BITS) - 1);
-  return ((guint64)g_get_real_time() << RANDOM_BITS | random_bits) & G_MAXINT64;
+  guint64 random_bits = g_random_int() & ((1u << INCARNATION_RANDOM_BITS) - 1);
+  return ((guint64)g_get_real_time() << INCARNATION_RANDOM_BITS | random_bits) & G_MAXINT64;
 }
 
 WsRuntime *
@@ -118,17 +118,19 @@
   WsRuntime *runtime = g_new0(WsRuntime, 1);
   runtime->core = ws_core_new(settings, properties, new_incarnation());
   double sockets = (double)settings->max_sockets;
-  runtime->client = ws_http_client_new((guint)(sockets * CLIENT_SOCKET_SHARE));
-  runtime->api = ws_http_server_new(settings->api_addr, (guint)(sockets * API_SOCKET_SHARE),
-                                    on_api_request, runtime, error);
-  if (runtime->api != NULL)
-    runtime->mesh = ws_http_server_new(settings->mesh_addr, (guint)(sockets * MESH_SOCKET_SHARE),
-                                       on_mesh_request, runtime, error);
-  if (runtime->mesh == NULL) {
+  runtime->client = ws_http_client_new((guint)(sockets * HTTP_CLIENT_SOCKET_SHARE));
+  runtime->api_server
+      = ws_http_server_new(settings->api_addr, (guint)(sockets * API_SERVER_SOCKET_SHARE),
+                           on_api_request, runtime, error);
+  if (runtime->api_server != NULL)
+    runtime->peer_server
+        = ws_http_server_new(settings->mesh_addr, (guint)(sockets * PEER_SERVER_SOCKET_SHARE),
+                             on_peer_request, runtime, error);
+  if (runtime->peer_server == NULL) {
     ws_runtime_free(runtime);
     return NULL;
   }
-  runtime->tick_source = g_timeout_add(TICK_INTERVAL_MS, on_tick, runtime);
+  runtime->tick_source = g_timeout_add(CORE_TICK_INTERVAL_MS, on_tick, runtime);
   on_tick(runtime);
   return runtime;
 }
@@ -138,10 +140,10 @@
 {
   if (runtime->tick_source != 0)
     g_source_remove(runtime->tick_source);
-  if (runtime->api != NULL)
-    ws_http_server_free(runtime->api);
-  if (runtime->mesh != NULL)
-    ws_http_server_free(runtime->mesh);
+  if (runtime->api_server != NULL)
+    ws_http_server_free(runtime->api_server);
+  if (runtime->peer_server != NULL)
+    ws_http_server_free(runtime->peer_server);
   ws_http_client_free(runtime->client);
   ws_core_free(runtime->core);
   g_free(runtime);
--- a/src/transport/ws-http-client.c
+++ b/src/transport/ws-http-client.c
@@ -22,7 +22,7 @@
   guint timer;
   WsHttpDone done;
   gpointer data;
-} PendingCall;
+} PendingRequest;
 
 WsHttpClient *
 ws_http_client_new(guint max_connections)
@@ -45,7 +45,7 @@
 }
 
 static void
-pending_call_free(PendingCall *pending)
+pending_request_free(PendingRequest *pending)
 {
   g_object_unref(pending->message);
   g_object_unref(pending->cancellable);
@@ -55,16 +55,16 @@
 static gboolean
 on_timeout(gpointer data)
 {
-  PendingCall *pending = data;
+  PendingRequest *pending = data;
   pending->timer = 0;
   g_cancellable_cancel(pending->cancellable);
   return G_SOURCE_REMOVE;
 }
 
 static void
-on_sent(GObject *source, GAsyncResult *result, gpointer data)
+on_response(GObject *source, GAsyncResult *result, gpointer data)
 {
-  PendingCall *pending = data;
+  PendingRequest *pending = data;
   g_autoptr(GError) error = NULL;
   g_autoptr(GBytes) bytes = soup_session_send_and_read_finish(SOUP_SESSION(source), result, &error);
   if (pending->timer != 0)
@@ -73,7 +73,7 @@
   const char *body = bytes != NULL ? g_bytes_get_data(bytes, &length) : NULL;
   guint status = bytes != NULL ? soup_message_get_status(pending->message) : STATUS_NO_RESPONSE;
   pending->done(status, body != NULL ? body : "", length, pending->data);
-  pending_call_free(pending);
+  pending_request_free(pending);
 }
 
 void
@@ -94,12 +94,12 @@
     g_autoptr(GBytes) bytes = g_bytes_new(body, strlen(body));
     soup_message_set_request_body_from_bytes(message, "application/json", bytes);
   }
-  PendingCall *pending = g_new0(PendingCall, 1);
+  PendingRequest *pending = g_new0(PendingRequest, 1);
   pending->message = g_steal_pointer(&message);
   pending->cancellable = g_cancellable_new();
   pending->done = done;
   pending->data = data;
   pending->timer = g_timeout_add(timeout_ms, on_timeout, pending);
   soup_session_send_and_read_async(client->session, pending->message, G_PRIORITY_DEFAULT,
-                                   pending->cancellable, on_sent, pending);
+                                   pending->cancellable, on_response, pending);
 }
--- a/src/transport/ws-http-server.c
+++ b/src/transport/ws-http-server.c
@@ -13,21 +13,21 @@
 #define MAX_BODY_BYTES (4u << 20)
 /* Memory per connection. A request's headers must fit into it; bodies are received in parts. */
 #define CONNECTION_MEMORY_BYTES 4096
-#define RETRY_AFTER_BYTES 16
+#define RETRY_AFTER_BUFFER_BYTES 16
 
 struct _WsHttpServer {
   struct MHD_Daemon *daemon;
   WsHttpHandler handler;
   gpointer data;
   guint epoll_source;
-  guint idle_source; /* the scheduled call of MHD_run(); 0: none */
+  guint scheduled_run_source; /* the scheduled call of MHD_run(); 0: none */
 };
 
 typedef struct {
   WsHttpRequest base;
   WsHttpServer *server;
   struct MHD_Connection *connection;
-  GByteArray *bytes;
+  GByteArray *body_bytes;
   struct MHD_Response *response;
   guint status;
   gboolean is_in_handler;
@@ -40,7 +40,7 @@
   Request *request = g_new0(Request, 1);
   request->server = server;
   request->connection = connection;
-  request->bytes = g_byte_array_new();
+  request->body_bytes = g_byte_array_new();
   request->base.method = g_strdup(method);
   request->base.path = g_strdup(path);
   return request;
@@ -51,7 +51,7 @@
 {
   if (request->response != NULL)
     MHD_destroy_response(request->response);
-  g_byte_array_unref(request->bytes);
+  g_byte_array_unref(request->body_bytes);
   g_free((char *)request->base.method);
   g_free((char *)request->base.path);
   g_free(request);
@@ -59,11 +59,11 @@
 
 static void
 on_completed(void *data, struct MHD_Connection *connection, void **state,
-             enum MHD_RequestTerminationCode why)
+             enum MHD_RequestTerminationCode reason)
 {
   (void)data;
   (void)connection;
-  (void)why;
+  (void)reason;
   if (*state != NULL)
     request_free(*state);
   *state = NULL;
@@ -73,8 +73,8 @@
 handle_request(Request *request)
 {
   WsHttpServer *server = request->server;
-  request->base.body = (const char *)request->bytes->data;
-  request->base.length = request->bytes->len;
+  request->base.body = (const char *)request->body_bytes->data;
+  request->base.length = request->body_bytes->len;
   request->is_in_handler = TRUE;
   server->handler(&request->base, server->data);
   request->is_in_handler = FALSE;
@@ -100,48 +100,49 @@
     return MHD_queue_response(connection, request->status, request->response);
   if (*length == 0)
     return handle_request(request);
-  if (request->bytes->len + *length > MAX_BODY_BYTES)
+  if (request->body_bytes->len + *length > MAX_BODY_BYTES)
     return MHD_NO; /* closes the connection; no valid request is that large */
-  g_byte_array_append(request->bytes, (const guint8 *)part, (guint)*length);
+  g_byte_array_append(request->body_bytes, (const guint8 *)part, (guint)*length);
   *length = 0;
   return MHD_YES;
 }
 
-static gboolean on_wakeup(gpointer data);
+static gboolean on_scheduled_run(gpointer data);
 
 static void
-wake_up(WsHttpServer *server)
+schedule_run(WsHttpServer *server)
 {
-  if (server->idle_source == 0)
-    server->idle_source = g_idle_add_full(G_PRIORITY_DEFAULT, on_wakeup, server, NULL);
+  if (server->scheduled_run_source == 0)
+    server->scheduled_run_source
+        = g_idle_add_full(G_PRIORITY_DEFAULT, on_scheduled_run, server, NULL);
 }
 
 /* MHD_run() may leave pending input unread, for which the epoll descriptor isn't signalled again.
    Another run is scheduled in that case. */
 static void
-process_events(WsHttpServer *server)
+run_daemon(WsHttpServer *server)
 {
   MHD_UNSIGNED_LONG_LONG timeout_ms;
   MHD_run(server->daemon);
   if (MHD_get_timeout(server->daemon, &timeout_ms) == MHD_YES && timeout_ms == 0)
-    wake_up(server);
+    schedule_run(server);
 }
 
 static gboolean
-on_ready(gint fd, GIOCondition condition, gpointer data)
+on_epoll_ready(gint fd, GIOCondition condition, gpointer data)
 {
   (void)fd;
   (void)condition;
-  process_events(data);
+  run_daemon(data);
   return G_SOURCE_CONTINUE;
 }
 
 static gboolean
-on_wakeup(gpointer data)
+on_scheduled_run(gpointer data)
 {
   WsHttpServer *server = data;
-  server->idle_source = 0;
-  process_events(server);
+  server->scheduled_run_source = 0;
+  run_daemon(server);
   return G_SOURCE_REMOVE;
 }
 
@@ -194,7 +195,7 @@
     return NULL;
   }
   const union MHD_DaemonInfo *info = MHD_get_daemon_info(server->daemon, MHD_DAEMON_INFO_EPOLL_FD);
-  server->epoll_source = g_unix_fd_add(info->epoll_fd, G_IO_IN, on_ready, server);
+  server->epoll_source = g_unix_fd_add(info->epoll_fd, G_IO_IN, on_epoll_ready, server);
   return server;
 }
 
@@ -202,8 +203,8 @@
 ws_http_server_free(WsHttpServer *server)
 {
   g_source_remove(server->epoll_source);
-  if (server->idle_source != 0)
-    g_source_remove(server->idle_source);
+  if (server->scheduled_run_source != 0)
+    g_source_remove(server->scheduled_run_source);
   MHD_stop_daemon(server->daemon);
   g_free(server);
 }
@@ -218,12 +219,12 @@
       = MHD_create_response_from_buffer(strlen(text), (void *)text, MHD_RESPMEM_MUST_COPY);
   MHD_add_response_header(request->response, "Content-Type", "application/json");
   if (retry_after_s > 0) {
-    char seconds[RETRY_AFTER_BYTES];
+    char seconds[RETRY_AFTER_BUFFER_BYTES];
     g_snprintf(seconds, sizeof seconds, "%u", retry_after_s);
     MHD_add_response_header(request->response, "Retry-After", seconds);
   }
   if (request->is_in_handler)
     return;
   MHD_resume_connection(request->connection);
-  wake_up(request->server);
+  schedule_run(request->server);
 }
--- a/src/transport/ws-rate.c
+++ b/src/transport/ws-rate.c
@@ -1,23 +1,23 @@
 /* A token bucket for rate limiting. */
 #include "transport/ws-rate.h"
 
-#define MIN_BURST 1.0
+#define MIN_BURST_TOKENS 1.0
 
 void
 ws_rate_init(WsRate *rate, double per_second, double burst)
 {
-  double size = MAX(burst, MIN_BURST);
-  *rate = (WsRate){ .per_second = per_second, .burst = size, .tokens = size };
+  double capacity = MAX(burst, MIN_BURST_TOKENS);
+  *rate = (WsRate){ .per_second = per_second, .burst = capacity, .tokens = capacity };
 }
 
 /* A count above the burst needs a full bucket, and overdraws it when taken. */
 gboolean
 ws_rate_ready(WsRate *rate, double count, gint64 now_ms)
 {
-  if (now_ms > rate->at_ms) {
-    double earned = (double)(now_ms - rate->at_ms) / 1000.0 * rate->per_second;
-    rate->tokens = MIN(rate->burst, rate->tokens + earned);
-    rate->at_ms = now_ms;
+  if (now_ms > rate->refilled_ms) {
+    double refill = (double)(now_ms - rate->refilled_ms) / 1000.0 * rate->per_second;
+    rate->tokens = MIN(rate->burst, rate->tokens + refill);
+    rate->refilled_ms = now_ms;
   }
   return rate->tokens >= MIN(count, rate->burst);
 }
--- a/src/transport/ws-rate.h
+++ b/src/transport/ws-rate.h
@@ -8,10 +8,10 @@
 
 /** A token bucket. */
 typedef struct {
-  double per_second; /**< tokens added per second; may be changed at any time */
-  double burst;      /**< capacity in tokens, at least 1 */
-  double tokens;     /**< available tokens; negative: overdrawn */
-  gint64 at_ms;      /**< time of the last refill */
+  double per_second;  /**< tokens added per second; may be changed at any time */
+  double burst;       /**< capacity in tokens, at least 1 */
+  double tokens;      /**< available tokens; negative: overdrawn */
+  gint64 refilled_ms; /**< time of the last refill */
 } WsRate;
 
 /** Initializes a full bucket. A burst below 1 is raised to 1. */
