--- a/src/commit/ws-assignments.c
+++ b/src/commit/ws-assignments.c
@@ -309,7 +309,7 @@
   assignments->is_writing = TRUE;
   ws_batch_collect_jobs(batch, assignments->jobs);
   WsTxn *txn = ws_batch_build_txn(batch, assignments->ended_jobs);
-  ws_txn_commit(core, txn, WS_REQUEST_TASK, on_written, NULL);
+  ws_txn_commit(core, txn, WS_REQUEST_SCHEDULING, on_written, NULL);
 }
 
 void
--- a/src/commit/ws-garbage.c
+++ b/src/commit/ws-garbage.c
@@ -86,5 +86,5 @@
   gboolean may_write = count > MAX_GARBAGE_RECORDS || writing_is_idle(core);
   core->garbage->next_ms = core->now + (count > 0 ? BUSY_PAUSE_MS : IDLE_PAUSE_MS);
   if (count > 0 && may_write)
-    ws_txn_commit(core, g_steal_pointer(&txn), WS_REQUEST_OTHER, on_collected, NULL);
+    ws_txn_commit(core, g_steal_pointer(&txn), WS_REQUEST_BACKGROUND, on_collected, NULL);
 }
--- a/src/fleet/ws-termination.c
+++ b/src/fleet/ws-termination.c
@@ -212,7 +212,7 @@
          && ws_txn_operation_count(txn) < core->settings->state_txn_ops)
     write_first_request(core, txn);
   if (termination->writing->len > 0)
-    ws_txn_commit(core, g_steal_pointer(&txn), WS_REQUEST_TASK, on_marked, NULL);
+    ws_txn_commit(core, g_steal_pointer(&txn), WS_REQUEST_SCHEDULING, on_marked, NULL);
 }
 
 gboolean
--- a/src/store/ws-store-private.h
+++ b/src/store/ws-store-private.h
@@ -11,9 +11,9 @@
 
 /** The queued requests, and the token buckets that limit the rate at which they are sent. */
 typedef struct {
-  GQueue queues[WS_REQUEST_CLASSES]; /**< of StoreRequest */
-  WsRate request_rate;
-  WsRate write_rate;
+  GQueue queues[WS_REQUEST_CLASS_COUNT]; /**< of StoreRequest */
+  WsTokenBucket request_rate;
+  WsTokenBucket write_rate;
   gint64 rate_limited_until_ms; /**< nothing is sent before: the store rejected the request rate */
   gint64 unavailable_since_ms;  /**< when the current outage began; 0: there is none */
 } WsStoreRequests;
--- a/src/store/ws-store.h
+++ b/src/store/ws-store.h
@@ -14,12 +14,12 @@
 
 /** The priority classes of requests, from the highest priority to the lowest. */
 typedef enum {
-  WS_REQUEST_LEASE,  /**< leases, election and epochs */
-  WS_REQUEST_READ,   /**< load, watch and linearizable reads */
-  WS_REQUEST_USER,   /**< submissions and cancellations, whose users wait for the response */
-  WS_REQUEST_TASK,   /**< assignments, releases, rentals, terminations and mailboxes */
-  WS_REQUEST_OTHER,  /**< background work, e.g. garbage collection */
-  WS_REQUEST_CLASSES /**< the number of classes */
+  WS_REQUEST_LEASE,      /**< leases, election and epochs */
+  WS_REQUEST_READ,       /**< load, watch and linearizable reads */
+  WS_REQUEST_USER,       /**< submissions and cancellations, whose users wait for the response */
+  WS_REQUEST_SCHEDULING, /**< assignments, releases, rentals, terminations and mailboxes */
+  WS_REQUEST_BACKGROUND, /**< background work, e.g. garbage collection */
+  WS_REQUEST_CLASS_COUNT /**< the number of classes */
 } WsRequestClass;
 
 /** The outcome of a transaction. */
--- a/src/transport/ws-http-client.h
+++ b/src/transport/ws-http-client.h
@@ -16,7 +16,7 @@
  * @status: HTTP status; 0: no response within the timeout, or the request failed
  * @body: @length bytes, valid until the callback returns; never NULL
  */
-typedef void (*WsHttpDone)(guint status, const char *body, gsize length, gpointer data);
+typedef void (*WsHttpResponseFunc)(guint status, const char *body, gsize length, gpointer data);
 
 /**
  * Creates a client. The caller frees it.
@@ -36,6 +36,7 @@
  * @timeout_ms: until the whole response has been received
  */
 void ws_http_client_send(WsHttpClient *client, const char *method, const char *url,
-                         const char *body, guint timeout_ms, WsHttpDone done, gpointer data);
+                         const char *body, guint timeout_ms, WsHttpResponseFunc done,
+                         gpointer data);
 
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsHttpClient, ws_http_client_free)
