--- a/src/transport/ws-rate.c
+++ b/src/transport/ws-rate.c
@@ -4,39 +4,39 @@
 #define MIN_BURST_TOKENS 1.0
 
 void
-ws_token_bucket_init(WsTokenBucket *rate, double per_second, double burst)
+ws_token_bucket_init(WsTokenBucket *bucket, double per_second, double burst)
 {
   double capacity = MAX(burst, MIN_BURST_TOKENS);
-  *rate = (WsTokenBucket){ .per_second = per_second, .burst = capacity, .tokens = capacity };
+  *bucket = (WsTokenBucket){ .per_second = per_second, .burst = capacity, .tokens = capacity };
 }
 
 /* A count above the burst needs a full bucket, and overdraws it when taken. */
 gboolean
-ws_token_bucket_can_take(WsTokenBucket *rate, double count, gint64 now_ms)
+ws_token_bucket_can_take(WsTokenBucket *bucket, double count, gint64 now_ms)
 {
-  if (now_ms > rate->refilled_ms) {
-    double refill = (double)(now_ms - rate->refilled_ms) / 1000.0 * rate->per_second;
-    rate->tokens = MIN(rate->burst, rate->tokens + refill);
-    rate->refilled_ms = now_ms;
+  if (now_ms > bucket->refilled_ms) {
+    double refill = (double)(now_ms - bucket->refilled_ms) / 1000.0 * bucket->per_second;
+    bucket->tokens = MIN(bucket->burst, bucket->tokens + refill);
+    bucket->refilled_ms = now_ms;
   }
-  return rate->tokens >= MIN(count, rate->burst);
+  return bucket->tokens >= MIN(count, bucket->burst);
 }
 
 gboolean
-ws_token_bucket_take(WsTokenBucket *rate, double count, gint64 now_ms)
+ws_token_bucket_take(WsTokenBucket *bucket, double count, gint64 now_ms)
 {
-  if (!ws_token_bucket_can_take(rate, count, now_ms))
+  if (!ws_token_bucket_can_take(bucket, count, now_ms))
     return FALSE;
-  rate->tokens -= count;
+  bucket->tokens -= count;
   return TRUE;
 }
 
 gboolean
-ws_token_bucket_overdraw(WsTokenBucket *rate, double count, gint64 now_ms)
+ws_token_bucket_overdraw(WsTokenBucket *bucket, double count, gint64 now_ms)
 {
-  (void)ws_token_bucket_can_take(rate, count, now_ms);
-  if (rate->tokens <= -rate->burst)
+  (void)ws_token_bucket_can_take(bucket, count, now_ms);
+  if (bucket->tokens <= -bucket->burst)
     return FALSE;
-  rate->tokens -= count;
+  bucket->tokens -= count;
   return TRUE;
 }
