--- a/tests/test-http.c
+++ b/tests/test-http.c
@@ -1,6 +1,6 @@
 /**
- * The real program's runtime on loopback, against simulated services: answers to good and bad
- * requests, and connections that are used again.
+ * Runs a node with real HTTP on loopback against simulated services. Checks the responses to valid
+ * and invalid requests, and that the node reuses its connections.
  */
 #include "protocol/ws-json.h"
 #include "runtime/ws-runtime.h"
@@ -13,7 +13,7 @@
 
 typedef struct {
   SimStore *store;
-  SoupServer *server; /* both services */
+  SoupServer *server; /* the key-value store and the cloud */
   GHashTable *connections;
   WsSettings *settings;
   WsProperties *properties;
@@ -22,7 +22,7 @@
   char *api;
 } Stand;
 
-/* The stand-in services. */
+/* The simulated services. */
 
 typedef struct {
   SoupServerMessage *message;
@@ -88,7 +88,7 @@
   return G_SOURCE_CONTINUE;
 }
 
-/* The program. */
+/* The node under test. */
 
 static guint
 free_port(void)
@@ -141,7 +141,7 @@
   return stand;
 }
 
-/* A request of ours. */
+/* Requests to the node. */
 
 typedef struct {
   GMainLoop *loop;
@@ -259,7 +259,7 @@
 check_job(Stand *stand)
 {
   json_t *answer = NULL;
-  g_assert_cmpuint(submit(stand, "druh", json_string("sweep")), ==, 200); /* known by now */
+  g_assert_cmpuint(submit(stand, "druh", json_string("sweep")), ==, 200); /* submitted before */
   g_assert_cmpuint(ask(stand, "GET", "/api/jobs/req-000001", NULL, 0, &answer), ==, 200);
   g_assert_cmpstr(json_string_value(json_object_get(answer, "stav")), ==, "queued");
   json_decref(answer);
@@ -274,11 +274,11 @@
 {
   Stand *stand = stand_new();
   wait_ready(stand);
-  pass(500); /* the catalog is there */
+  pass(500); /* until the node has loaded the catalog */
   check_refusals(stand);
   check_job(stand);
-  /* Polls and transactions by the dozen went over a handful of connections: libsoup opens one for
-     each POST that isn't flagged as repeatable, and the peers' sockets ran out. */
+  /* The node sends dozens of polls and transactions to the services. libsoup opens a new connection
+     for each POST that isn't flagged as idempotent, which used up the sockets of the peers. */
   pass(2500);
   g_assert_cmpuint(g_hash_table_size(stand->connections), <=, 8);
   g_autoptr(GError) error = NULL;
