--- a/tests/test-http.c
+++ b/tests/test-http.c
@@ -19,27 +19,27 @@
   WsProperties *properties;
   WsRuntime *runtime;
   SoupSession *session;
-  char *api;
-} Stand;
+  char *api_url;
+} Fixture;
 
 /* The simulated services. */
 
 typedef struct {
   SoupServerMessage *message;
-} Held;
+} PendingStoreRequest;
 
 static void
-on_state(gpointer data, guint status, json_t *body)
+on_store_response(gpointer data, guint status, json_t *body)
 {
-  Held *held = data;
+  PendingStoreRequest *pending = data;
   g_autofree char *text = ws_json_text(body);
-  soup_server_message_set_status(held->message, status, NULL);
-  soup_server_message_set_response(held->message, "application/json", SOUP_MEMORY_COPY, text,
+  soup_server_message_set_status(pending->message, status, NULL);
+  soup_server_message_set_response(pending->message, "application/json", SOUP_MEMORY_COPY, text,
                                    strlen(text));
-  soup_server_message_unpause(held->message);
-  g_object_unref(held->message);
+  soup_server_message_unpause(pending->message);
+  g_object_unref(pending->message);
   json_decref(body);
-  g_free(held);
+  g_free(pending);
 }
 
 static const char CATALOG[]
@@ -52,8 +52,8 @@
 {
   (void)server;
   (void)query;
-  Stand *stand = data;
-  g_hash_table_add(stand->connections, soup_server_message_get_socket(message));
+  Fixture *fixture = data;
+  g_hash_table_add(fixture->connections, soup_server_message_get_socket(message));
   g_autoptr(GBytes) bytes
       = soup_message_body_flatten(soup_server_message_get_request_body(message));
   gsize length;
@@ -73,25 +73,26 @@
                               ? g_strdup_printf("%s?%s", path, g_uri_get_query(uri))
                               : g_strdup(path);
   g_autoptr(json_t) body = ws_json_parse(text, length);
-  Held *held = g_new0(Held, 1);
-  held->message = g_object_ref(message);
+  PendingStoreRequest *pending = g_new0(PendingStoreRequest, 1);
+  pending->message = g_object_ref(message);
   soup_server_message_pause(message);
-  sim_store_request(stand->store, g_get_monotonic_time() / 1000,
-                    soup_server_message_get_method(message), full, body, on_state, held);
+  sim_store_request(fixture->store, g_get_monotonic_time() / 1000,
+                    soup_server_message_get_method(message), full, body, on_store_response,
+                    pending);
 }
 
 static gboolean
-on_tick(gpointer data)
+on_store_tick(gpointer data)
 {
-  Stand *stand = data;
-  sim_store_tick(stand->store, g_get_monotonic_time() / 1000, FALSE);
+  Fixture *fixture = data;
+  sim_store_tick(fixture->store, g_get_monotonic_time() / 1000, FALSE);
   return G_SOURCE_CONTINUE;
 }
 
 /* The node under test. */
 
 static guint
-free_port(void)
+find_free_port(void)
 {
   g_autoptr(GSocketListener) listener = g_socket_listener_new();
   guint port = g_socket_listener_add_any_inet_port(listener, NULL, NULL);
@@ -100,11 +101,11 @@
 }
 
 static json_t *
-settings_message(guint api, guint mesh, guint services)
+settings_message(guint api_port, guint peer_port, guint service_port)
 {
-  g_autofree char *api_addr = g_strdup_printf("127.0.0.1:%u", api);
-  g_autofree char *mesh_addr = g_strdup_printf("127.0.0.1:%u", mesh);
-  g_autofree char *service = g_strdup_printf("127.0.0.1:%u", services);
+  g_autofree char *api_addr = g_strdup_printf("127.0.0.1:%u", api_port);
+  g_autofree char *peer_addr = g_strdup_printf("127.0.0.1:%u", peer_port);
+  g_autofree char *service = g_strdup_printf("127.0.0.1:%u", service_port);
   json_t *params = json_pack(
       "{s:[s], s:[{s:s,s:f,s:f,s:f,s:f}], s:{s:f,s:f,s:f}, s:{s:f,s:f,s:f,s:i}, s:{s:f,s:f},"
       " s:{s:i}}",
@@ -113,32 +114,32 @@
       "rps", 200.0, "write_rps", 80.0, "value_kb", 16.0, "txn_ops", 16, "cloud", "rps", 4.0,
       "list_lag_s", 4.0, "limits", "max_sockets", 1000);
   return json_pack("{s:s, s:s, s:s, s:s, s:[], s:{s:s, s:s}, s:o}", "node_name", "n0", "zone", "a",
-                   "api_addr", api_addr, "mesh_addr", mesh_addr, "peers", "services", "cloud",
+                   "api_addr", api_addr, "mesh_addr", peer_addr, "peers", "services", "cloud",
                    service, "state", service, "params", params);
 }
 
-static Stand *
-stand_new(void)
+static Fixture *
+fixture_new(void)
 {
-  Stand *stand = g_new0(Stand, 1);
-  guint services = free_port(), api = free_port(), mesh = free_port();
+  Fixture *fixture = g_new0(Fixture, 1);
+  guint service_port = find_free_port(), api_port = find_free_port(), peer_port = find_free_port();
   g_autoptr(GError) error = NULL;
-  stand->store = sim_store_new();
-  stand->connections = g_hash_table_new(NULL, NULL);
-  stand->server = soup_server_new(NULL, NULL);
-  soup_server_add_handler(stand->server, NULL, on_request, stand, NULL);
-  g_assert_true(
-      soup_server_listen_local(stand->server, services, SOUP_SERVER_LISTEN_IPV4_ONLY, &error));
-  g_autoptr(json_t) message = settings_message(api, mesh, services);
-  stand->settings = ws_settings_parse(message, &error);
+  fixture->store = sim_store_new();
+  fixture->connections = g_hash_table_new(NULL, NULL);
+  fixture->server = soup_server_new(NULL, NULL);
+  soup_server_add_handler(fixture->server, NULL, on_request, fixture, NULL);
+  g_assert_true(soup_server_listen_local(fixture->server, service_port,
+                                         SOUP_SERVER_LISTEN_IPV4_ONLY, &error));
+  g_autoptr(json_t) message = settings_message(api_port, peer_port, service_port);
+  fixture->settings = ws_settings_parse(message, &error);
   g_assert_no_error(error);
-  stand->properties = ws_properties_new();
-  stand->runtime = ws_runtime_new(stand->settings, stand->properties, &error);
+  fixture->properties = ws_properties_new();
+  fixture->runtime = ws_runtime_new(fixture->settings, fixture->properties, &error);
   g_assert_no_error(error);
-  stand->session = soup_session_new();
-  stand->api = g_strdup_printf("http://127.0.0.1:%u", api);
-  g_timeout_add(50, on_tick, stand);
-  return stand;
+  fixture->session = soup_session_new();
+  fixture->api_url = g_strdup_printf("http://127.0.0.1:%u", api_port);
+  g_timeout_add(50, on_store_tick, fixture);
+  return fixture;
 }
 
 /* Requests to the node. */
@@ -146,67 +147,67 @@
 typedef struct {
   GMainLoop *loop;
   GBytes *bytes;
-} Wait;
+} PendingResponse;
 
 static void
-on_answer(GObject *source, GAsyncResult *result, gpointer data)
+on_response(GObject *source, GAsyncResult *result, gpointer data)
 {
-  Wait *wait = data;
-  wait->bytes = soup_session_send_and_read_finish(SOUP_SESSION(source), result, NULL);
-  g_main_loop_quit(wait->loop);
+  PendingResponse *pending = data;
+  pending->bytes = soup_session_send_and_read_finish(SOUP_SESSION(source), result, NULL);
+  g_main_loop_quit(pending->loop);
 }
 
 static guint
-ask(Stand *stand, const char *method, const char *path, const char *body, gsize length,
-    json_t **answer)
+send_request(Fixture *fixture, const char *method, const char *path, const char *body, gsize length,
+             json_t **response)
 {
-  g_autofree char *url = g_strconcat(stand->api, path, NULL);
+  g_autofree char *url = g_strconcat(fixture->api_url, path, NULL);
   g_autoptr(SoupMessage) message = soup_message_new(method, url);
   if (body != NULL) {
     g_autoptr(GBytes) bytes = g_bytes_new(body, length);
     soup_message_set_request_body_from_bytes(message, "application/json", bytes);
   }
-  Wait wait = { g_main_loop_new(NULL, FALSE), NULL };
-  soup_session_send_and_read_async(stand->session, message, G_PRIORITY_DEFAULT, NULL, on_answer,
-                                   &wait);
-  g_main_loop_run(wait.loop);
-  g_main_loop_unref(wait.loop);
-  g_assert_nonnull(wait.bytes);
+  PendingResponse pending = { g_main_loop_new(NULL, FALSE), NULL };
+  soup_session_send_and_read_async(fixture->session, message, G_PRIORITY_DEFAULT, NULL, on_response,
+                                   &pending);
+  g_main_loop_run(pending.loop);
+  g_main_loop_unref(pending.loop);
+  g_assert_nonnull(pending.bytes);
   gsize size;
-  const char *text = g_bytes_get_data(wait.bytes, &size);
-  if (answer != NULL)
-    *answer = ws_json_parse(text, size);
-  g_bytes_unref(wait.bytes);
+  const char *text = g_bytes_get_data(pending.bytes, &size);
+  if (response != NULL)
+    *response = ws_json_parse(text, size);
+  g_bytes_unref(pending.bytes);
   return soup_message_get_status(message);
 }
 
 static guint
-send_text(Stand *stand, const char *method, const char *path, const char *body)
+send_text(Fixture *fixture, const char *method, const char *path, const char *body)
 {
-  return ask(stand, method, path, body, body != NULL ? strlen(body) : 0, NULL);
+  return send_request(fixture, method, path, body, body != NULL ? strlen(body) : 0, NULL);
 }
 
 static gboolean
-on_late(gpointer data)
+on_delay_elapsed(gpointer data)
 {
   g_main_loop_quit(data);
   return G_SOURCE_REMOVE;
 }
 
 static void
-pass(guint ms)
+run_main_loop_for(guint ms)
 {
   g_autoptr(GMainLoop) loop = g_main_loop_new(NULL, FALSE);
-  g_timeout_add(ms, on_late, loop);
+  g_timeout_add(ms, on_delay_elapsed, loop);
   g_main_loop_run(loop);
 }
 
 static void
-wait_ready(Stand *stand)
+wait_until_ready(Fixture *fixture)
 {
-  for (guint i = 0; i < 100 && send_text(stand, "GET", "/ready", NULL) != 200; i++)
-    pass(50);
-  g_assert_cmpuint(send_text(stand, "GET", "/ready", NULL), ==, 200);
+  for (guint i = 0; i < 100 && send_text(fixture, "GET", "/ready", NULL) != 200; i++)
+    run_main_loop_for(50);
+  g_assert_cmpuint(send_text(fixture, "GET", "/ready", NULL), ==, 200);
 }
 
 static char *
@@ -226,68 +227,70 @@
 }
 
 static guint
-submit(Stand *stand, const char *name, json_t *value)
+submit(Fixture *fixture, const char *name, json_t *value)
 {
   char *text = job_text(name, value);
-  guint status = send_text(stand, "POST", "/api/jobs", text);
+  guint status = send_text(fixture, "POST", "/api/jobs", text);
   free(text);
   return status;
 }
 
 static void
-check_refusals(Stand *stand)
+check_rejected_requests(Fixture *fixture)
 {
   g_autofree char *long_body = g_strnfill(70000, ' ');
-  g_assert_cmpuint(send_text(stand, "POST", "/api/jobs", "no json"), ==, 400);
-  g_assert_cmpuint(send_text(stand, "POST", "/api/jobs", "[]"), ==, 400);
-  g_assert_cmpuint(send_text(stand, "POST", "/api/jobs", long_body), ==, 400);
-  g_assert_cmpuint(submit(stand, "id", json_string("x")), ==, 400);
-  g_assert_cmpuint(submit(stand, "kusy", json_integer(0)), ==, 400);
-  g_assert_cmpuint(submit(stand, "dilna", json_string("nobody")), ==, 422);
-  g_assert_cmpuint(submit(stand, "cpus", json_real(64.0)), ==, 422);
-  g_assert_cmpuint(submit(stand, "druh", json_string("service")), ==, 201);
-  g_assert_cmpuint(send_text(stand, "GET", "/nowhere", NULL), ==, 404);
-  g_assert_cmpuint(send_text(stand, "GET", "/api/jobs/req-999999", NULL), ==, 404);
-  g_assert_cmpuint(send_text(stand, "GET", "/api/jobs/x%20y", NULL), ==, 404);
-  g_assert_cmpuint(send_text(stand, "DELETE", "/api/jobs", NULL), ==, 405);
-  g_assert_cmpuint(send_text(stand, "POST", "/api/jobs/req-000001", "{}"), ==, 405);
-  g_assert_cmpuint(send_text(stand, "POST", "/v1/report", "{}"), ==, 400);
-  g_assert_cmpuint(send_text(stand, "GET", "/v1/report", NULL), ==, 405);
+  g_assert_cmpuint(send_text(fixture, "POST", "/api/jobs", "no json"), ==, 400);
+  g_assert_cmpuint(send_text(fixture, "POST", "/api/jobs", "[]"), ==, 400);
+  g_assert_cmpuint(send_text(fixture, "POST", "/api/jobs", long_body), ==, 400);
+  g_assert_cmpuint(submit(fixture, "id", json_string("x")), ==, 400);
+  g_assert_cmpuint(submit(fixture, "kusy", json_integer(0)), ==, 400);
+  g_assert_cmpuint(submit(fixture, "dilna", json_string("nobody")), ==, 422);
+  g_assert_cmpuint(submit(fixture, "cpus", json_real(64.0)), ==, 422);
+  g_assert_cmpuint(submit(fixture, "druh", json_string("service")), ==, 201);
+  g_assert_cmpuint(send_text(fixture, "GET", "/nowhere", NULL), ==, 404);
+  g_assert_cmpuint(send_text(fixture, "GET", "/api/jobs/req-999999", NULL), ==, 404);
+  g_assert_cmpuint(send_text(fixture, "GET", "/api/jobs/x%20y", NULL), ==, 404);
+  g_assert_cmpuint(send_text(fixture, "DELETE", "/api/jobs", NULL), ==, 405);
+  g_assert_cmpuint(send_text(fixture, "POST", "/api/jobs/req-000001", "{}"), ==, 405);
+  g_assert_cmpuint(send_text(fixture, "POST", "/v1/report", "{}"), ==, 400);
+  g_assert_cmpuint(send_text(fixture, "GET", "/v1/report", NULL), ==, 405);
 }
 
 static void
-check_job(Stand *stand)
+check_resubmission_and_withdrawal(Fixture *fixture)
 {
-  json_t *answer = NULL;
-  g_assert_cmpuint(submit(stand, "druh", json_string("sweep")), ==, 200); /* submitted before */
-  g_assert_cmpuint(ask(stand, "GET", "/api/jobs/req-000001", NULL, 0, &answer), ==, 200);
-  g_assert_cmpstr(json_string_value(json_object_get(answer, "stav")), ==, "queued");
-  json_decref(answer);
-  g_assert_cmpuint(send_text(stand, "POST", "/api/jobs/req-000001/withdraw", NULL), ==, 200);
-  g_assert_cmpuint(ask(stand, "GET", "/api/jobs/req-000001", NULL, 0, &answer), ==, 200);
-  g_assert_cmpstr(json_string_value(json_object_get(answer, "stav")), ==, "cancelled");
-  json_decref(answer);
+  json_t *response = NULL;
+  g_assert_cmpuint(submit(fixture, "druh", json_string("sweep")), ==, 200); /* submitted before */
+  g_assert_cmpuint(send_request(fixture, "GET", "/api/jobs/req-000001", NULL, 0, &response), ==,
+                   200);
+  g_assert_cmpstr(json_string_value(json_object_get(response, "stav")), ==, "queued");
+  json_decref(response);
+  g_assert_cmpuint(send_text(fixture, "POST", "/api/jobs/req-000001/withdraw", NULL), ==, 200);
+  g_assert_cmpuint(send_request(fixture, "GET", "/api/jobs/req-000001", NULL, 0, &response), ==,
+                   200);
+  g_assert_cmpstr(json_string_value(json_object_get(response, "stav")), ==, "cancelled");
+  json_decref(response);
 }
 
 static void
-test_all(void)
+test_requests_get_expected_status_over_reused_connections(void)
 {
-  Stand *stand = stand_new();
-  wait_ready(stand);
-  pass(500); /* until the node has loaded the catalog */
-  check_refusals(stand);
-  check_job(stand);
+  Fixture *fixture = fixture_new();
+  wait_until_ready(fixture);
+  run_main_loop_for(500); /* until the node has loaded the catalog */
+  check_rejected_requests(fixture);
+  check_resubmission_and_withdrawal(fixture);
   /* The node sends dozens of polls and transactions to the services. libsoup opens a new connection
      for each POST that isn't flagged as idempotent, which used up the sockets of the peers. */
-  pass(2500);
-  g_assert_cmpuint(g_hash_table_size(stand->connections), <=, 8);
+  run_main_loop_for(2500);
+  g_assert_cmpuint(g_hash_table_size(fixture->connections), <=, 8);
   g_autoptr(GError) error = NULL;
-  g_assert_null(ws_runtime_new(stand->settings, stand->properties, &error));
+  g_assert_null(ws_runtime_new(fixture->settings, fixture->properties, &error));
   g_assert_error(error, G_IO_ERROR, G_IO_ERROR_ADDRESS_IN_USE);
 }
 
 static const WsTest TESTS[] = {
-  { "/http/all", test_all },
+  { "/http/all", test_requests_get_expected_status_over_reused_connections },
 };
 
 int
