--- a/src/transport/ws-http-client.c
+++ b/src/transport/ws-http-client.c
@@ -28,7 +28,7 @@
 ws_http_client_new(guint max_connections)
 {
   WsHttpClient *client = g_new0(WsHttpClient, 1);
-  /* No proxy resolver: all addresses are numeric, and resolving a proxy costs time and memory. */
+  /* No proxy resolver: the peers have numeric addresses, and the lookup costs time and memory. */
   client->session = soup_session_new_with_options(
       "proxy-resolver", NULL, "max-conns", (int)MAX(max_connections, MIN_CONNECTIONS),
       "max-conns-per-host", MAX_CONNECTIONS_PER_HOST, "idle-timeout", IDLE_CONNECTION_TIMEOUT_S,
