--- a/src/commit/ws-garbage.c
+++ b/src/commit/ws-garbage.c
@@ -61,7 +61,7 @@
     if (!((const WsKeyVersion *)value)->is_present || !is_garbage(core->replica, key))
       continue;
     count++;
-    if (ws_txn_operation_count(txn) < core->settings->state_txn_ops)
+    if (ws_txn_operation_count(txn) < core->settings->kv_max_txn_ops)
       ws_txn_delete(txn, key);
   }
   return count;
@@ -72,7 +72,7 @@
 writing_is_idle(WsCore *core)
 {
   return !ws_assignments_have_backlog(core)
-         && ws_store_has_write_budget(core, core->settings->state_txn_ops / 2);
+         && ws_store_has_write_budget(core, core->settings->kv_max_txn_ops / 2);
 }
 
 void
--- a/src/store/ws-store-reads.c
+++ b/src/store/ws-store-reads.c
@@ -7,7 +7,7 @@
 #define LINEARIZABLE_READ_TIMEOUT_MS 1500
 #define REVISION_REQUEST_TIMEOUT_MS 800
 /* No key has this prefix: a page of it carries the store's revision and no items. */
-#define NO_KEYS_PREFIX WS_PREFIX "~"
+#define NO_KEYS_PREFIX WS_KEY_PREFIX "~"
 #define REVISION_PAGE_KEYS 1
 
 typedef struct {
--- a/src/store/ws-store-requests.c
+++ b/src/store/ws-store-requests.c
@@ -36,8 +36,8 @@
 void
 ws_store_requests_init(WsStoreRequests *requests, const WsSettings *settings)
 {
-  ws_token_bucket_init(&requests->request_rate, 1.0, settings->state_rps * BUDGET_BURST_S);
-  ws_token_bucket_init(&requests->write_rate, 1.0, settings->state_write_rps * BUDGET_BURST_S);
+  ws_token_bucket_init(&requests->request_rate, 1.0, settings->kv_requests_per_s * BUDGET_BURST_S);
+  ws_token_bucket_init(&requests->write_rate, 1.0, settings->kv_writes_per_s * BUDGET_BURST_S);
 }
 
 static void
@@ -84,8 +84,8 @@
   double read_share
       = is_leader ? LEADER_READ_SHARE : (TOTAL_READ_SHARE - LEADER_READ_SHARE) / followers;
   double write_share = is_leader ? LEADER_WRITE_SHARE : FOLLOWERS_WRITE_SHARE / followers;
-  requests->request_rate.per_second = core->settings->state_rps * read_share;
-  requests->write_rate.per_second = core->settings->state_write_rps * write_share;
+  requests->request_rate.per_second = core->settings->kv_requests_per_s * read_share;
+  requests->write_rate.per_second = core->settings->kv_writes_per_s * write_share;
   requests->write_rate.burst
       = MAX(requests->write_rate.per_second * BUDGET_BURST_S, MIN_WRITE_BURST_OPERATIONS);
 }
@@ -161,8 +161,8 @@
 static void
 send_request(WsCore *core, StoreRequest *request)
 {
-  ws_call(core, request->method, core->settings->state_addr, request->path,
-          json_incref(request->body), request->timeout_ms, on_reply, request);
+  ws_call(core, request->method, core->settings->kv_addr, request->path, json_incref(request->body),
+          request->timeout_ms, on_reply, request);
 }
 
 /* Takes the request's cost from the budgets. Leases, reads and users' requests may overdraw the
--- a/src/store/ws-store.h
+++ b/src/store/ws-store.h
@@ -5,8 +5,8 @@
  * Called by every package that reads or writes durable state. The client owns the request queues,
  * this node's request and write budgets, the watch, and the initial load of the replica.
  *
- * Callbacks run from ws_core_reply(), ws_core_stop(), ws_store_tick() or ws_store_pump(), never
- * before the function that they were passed to has returned.
+ * Callbacks run from ws_core_handle_reply(), ws_core_stop(), ws_store_tick() or ws_store_pump(),
+ * never before the function that they were passed to has returned.
  */
 #pragma once
 
