--- a/src/main.c
+++ b/src/main.c
@@ -11,11 +11,11 @@
 typedef struct {
   char *config;
   char *properties;
-  gboolean only_check;
+  gboolean check_only;
   gboolean show_version;
 } Options;
 
-/* Checks the command line without the options that were parsed. */
+/* Checks the parsed options, and that no other arguments are left on the command line. */
 static gboolean
 check_arguments(int argc, char **argv, const Options *options)
 {
@@ -37,7 +37,7 @@
                                "settings of the platform (JSON)", "FILE" },
                              { "properties", 0, 0, G_OPTION_ARG_FILENAME, &options->properties,
                                "operators' own settings (properties)", "FILE" },
-                             { "check", 0, 0, G_OPTION_ARG_NONE, &options->only_check,
+                             { "check", 0, 0, G_OPTION_ARG_NONE, &options->check_only,
                                "check both files and end", NULL },
                              { "version", 0, 0, G_OPTION_ARG_NONE, &options->show_version,
                                "show the version and end", NULL },
@@ -61,14 +61,14 @@
   g_autofree char *text = NULL;
   g_autoptr(GError) error = NULL;
   gsize length;
-  json_error_t where;
+  json_error_t parse_error;
   if (!g_file_get_contents(path, &text, &length, &error)) {
     fprintf(stderr, "wrenshore: %s\n", error->message);
     return NULL;
   }
-  g_autoptr(json_t) message = json_loadb(text, length, JSON_REJECT_DUPLICATES, &where);
+  g_autoptr(json_t) message = json_loadb(text, length, JSON_REJECT_DUPLICATES, &parse_error);
   if (message == NULL) {
-    fprintf(stderr, "wrenshore: %s: line %d: %s\n", path, where.line, where.text);
+    fprintf(stderr, "wrenshore: %s: line %d: %s\n", path, parse_error.line, parse_error.text);
     return NULL;
   }
   WsSettings *settings = ws_settings_parse(message, &error);
@@ -96,7 +96,7 @@
   return g_steal_pointer(&properties);
 }
 
-/* Libraries log every connection: messages below a warning are shown of this program only. */
+/* Whether the message comes from this program rather than from a library. */
 static gboolean
 is_from_this_program(const GLogField *fields, gsize count)
 {
@@ -106,19 +106,22 @@
   return FALSE;
 }
 
+/* Writes info and debug messages only if they come from this program: libraries log every
+   connection at these levels. */
 static GLogWriterOutput
 write_log(GLogLevelFlags level, const GLogField *fields, gsize count, gpointer data)
 {
   GLogLevelFlags max_level = GPOINTER_TO_UINT(data);
-  gboolean is_detail = (level & G_LOG_LEVEL_MASK) > G_LOG_LEVEL_MESSAGE;
-  if ((level & G_LOG_LEVEL_MASK) > max_level || (is_detail && !is_from_this_program(fields, count)))
+  gboolean is_info_or_debug = (level & G_LOG_LEVEL_MASK) > G_LOG_LEVEL_MESSAGE;
+  if ((level & G_LOG_LEVEL_MASK) > max_level
+      || (is_info_or_debug && !is_from_this_program(fields, count)))
     return G_LOG_WRITER_HANDLED;
   g_autofree char *line = g_log_writer_format_fields(level, fields, count, FALSE);
   fprintf(stderr, "%s\n", line);
   return G_LOG_WRITER_HANDLED;
 }
 
-/* Warnings are shown at every level: each needs an operator's attention. */
+/* Warnings are logged at every LOG_LEVEL, since each needs an operator's attention. */
 static GLogLevelFlags
 log_level(void)
 {
@@ -135,14 +138,14 @@
   g_autoptr(GMainLoop) loop = g_main_loop_new(NULL, FALSE);
   g_autoptr(WsRuntime) runtime = ws_runtime_new(settings, properties, &error);
   if (runtime == NULL) {
-    fprintf(stderr, "wrenshore: can't listen: %s\n", error->message);
+    fprintf(stderr, "wrenshore: cannot start the HTTP servers: %s\n", error->message);
     return EXIT_FAILURE;
   }
   g_main_loop_run(loop);
   return EXIT_SUCCESS;
 }
 
-/* Carries out the command line. Returns the exit status. */
+/* Runs the program as the command line says. Returns the exit status. */
 static int
 run_command(int argc, char **argv, Options *options)
 {
@@ -159,7 +162,7 @@
   g_autoptr(WsProperties) properties = read_properties(options->properties, settings);
   if (properties == NULL)
     return EXIT_USAGE;
-  if (options->only_check) {
+  if (options->check_only) {
     printf("wrenshore: the settings are good\n");
     return EXIT_SUCCESS;
   }
--- a/src/store/ws-store.c
+++ b/src/store/ws-store.c
@@ -1,4 +1,4 @@
-/* The client of the key-value store: drives its parts, and catches up after an outage. */
+/* The client of the key-value store: calls its parts, and refreshes the replica after an outage. */
 #include "store/ws-store.h"
 
 #include "store/ws-store-private.h"
@@ -36,7 +36,7 @@
 }
 
 static void
-on_caught_up(WsCore *core, gboolean is_current, gpointer data)
+on_catch_up_read(WsCore *core, gboolean is_current, gpointer data)
 {
   (void)data;
   core->store->is_catching_up = FALSE;
@@ -44,8 +44,8 @@
     core->store->is_stale = FALSE;
 }
 
-/* While the store was unavailable to this node, others may have written: the replica is stale until
-   this node has read once more. */
+/* Other nodes may have written while this node could not reach the store. The replica therefore
+   counts as stale after an outage until a linearizable read has succeeded. */
 static void
 catch_up_after_outage(WsCore *core)
 {
@@ -57,13 +57,13 @@
   if (!store->is_stale || store->is_catching_up || !ws_store_is_loaded(core))
     return;
   store->is_catching_up = TRUE;
-  ws_store_linearizable_read(core, on_caught_up, NULL);
+  ws_store_linearizable_read(core, on_catch_up_read, NULL);
 }
 
 void
-ws_store_tick(WsCore *core, gboolean leads)
+ws_store_tick(WsCore *core, gboolean is_leader)
 {
-  ws_store_requests_set_shares(core, leads);
+  ws_store_requests_set_shares(core, is_leader);
   ws_store_load_tick(core);
   ws_store_reads_finish(core);
   catch_up_after_outage(core);
--- a/src/transport/ws-http-client.c
+++ b/src/transport/ws-http-client.c
@@ -5,10 +5,10 @@
 #include <string.h>
 
 #define MIN_CONNECTIONS 16u
-/* A host that doesn't respond may use up its own connections only. */
+/* Keeps a host that doesn't respond from using up all connections. */
 #define MAX_CONNECTIONS_PER_HOST 12
 #define IDLE_CONNECTION_TIMEOUT_S 30
-/* Timeouts are kept by a timer for each call. */
+/* Disables libsoup's timeout: each request has a timer instead. */
 #define NO_SOCKET_TIMEOUT 0
 #define STATUS_NO_RESPONSE 0
 
@@ -22,14 +22,13 @@
   guint timer;
   WsHttpResponseFunc done;
   gpointer data;
-} PendingCall;
+} PendingRequest;
 
 WsHttpClient *
 ws_http_client_new(guint max_connections)
 {
   WsHttpClient *client = g_new0(WsHttpClient, 1);
-  /* No proxy resolver: the peers are numeric addresses, and looking for one costs time and memory.
-   */
+  /* No proxy resolver: the peers have numeric addresses, and the lookup costs time and memory. */
   client->session = soup_session_new_with_options(
       "proxy-resolver", NULL, "max-conns", (int)MAX(max_connections, MIN_CONNECTIONS),
       "max-conns-per-host", MAX_CONNECTIONS_PER_HOST, "idle-timeout", IDLE_CONNECTION_TIMEOUT_S,
@@ -46,7 +45,7 @@
 }
 
 static void
-pending_call_free(PendingCall *pending)
+pending_request_free(PendingRequest *pending)
 {
   g_object_unref(pending->message);
   g_object_unref(pending->cancellable);
@@ -56,16 +55,16 @@
 static gboolean
 on_timeout(gpointer data)
 {
-  PendingCall *pending = data;
+  PendingRequest *pending = data;
   pending->timer = 0;
   g_cancellable_cancel(pending->cancellable);
   return G_SOURCE_REMOVE;
 }
 
 static void
-on_sent(GObject *source, GAsyncResult *result, gpointer data)
+on_response(GObject *source, GAsyncResult *result, gpointer data)
 {
-  PendingCall *pending = data;
+  PendingRequest *pending = data;
   g_autoptr(GError) error = NULL;
   g_autoptr(GBytes) bytes = soup_session_send_and_read_finish(SOUP_SESSION(source), result, &error);
   if (pending->timer != 0)
@@ -74,7 +73,7 @@
   const char *body = bytes != NULL ? g_bytes_get_data(bytes, &length) : NULL;
   guint status = bytes != NULL ? soup_message_get_status(pending->message) : STATUS_NO_RESPONSE;
   pending->done(status, body != NULL ? body : "", length, pending->data);
-  pending_call_free(pending);
+  pending_request_free(pending);
 }
 
 void
@@ -83,23 +82,24 @@
 {
   g_autoptr(SoupMessage) message = soup_message_new(method, url);
   if (message == NULL) {
-    g_warning("unusable address %s", url);
+    g_warning("HTTP request not sent: invalid URL %s", url);
     done(STATUS_NO_RESPONSE, "", 0, data);
     return;
   }
-  /* Without the second flag libsoup opens a connection for every POST. Every request of ours may
-     be carried out twice: it is conditional, has an idempotency key, or no lasting effect. */
+  /* Without SOUP_MESSAGE_IDEMPOTENT libsoup opens a new connection for every POST. The flag allows
+     it to repeat a request, which is safe: each request of this program is conditional, has an
+     idempotency key, or has no lasting effect. */
   soup_message_add_flags(message, SOUP_MESSAGE_NO_REDIRECT | SOUP_MESSAGE_IDEMPOTENT);
   if (body != NULL) {
     g_autoptr(GBytes) bytes = g_bytes_new(body, strlen(body));
     soup_message_set_request_body_from_bytes(message, "application/json", bytes);
   }
-  PendingCall *pending = g_new0(PendingCall, 1);
+  PendingRequest *pending = g_new0(PendingRequest, 1);
   pending->message = g_steal_pointer(&message);
   pending->cancellable = g_cancellable_new();
   pending->done = done;
   pending->data = data;
   pending->timer = g_timeout_add(timeout_ms, on_timeout, pending);
   soup_session_send_and_read_async(client->session, pending->message, G_PRIORITY_DEFAULT,
-                                   pending->cancellable, on_sent, pending);
+                                   pending->cancellable, on_response, pending);
 }
