--- a/tests/regressions/cancellation.c
+++ b/tests/regressions/cancellation.c
@@ -1,10 +1,11 @@
 /**
- * Cancellations that only some nodes know of, and the renewal of leases meanwhile.
+ * Cancellations that only some nodes know, and the renewal of worker leases until all nodes do.
  */
 #include "regressions/regressions.h"
 
-/* A peer's word that a job is cancelled counts whatever the records say: its task is halted, and
-   not launched again by a new incarnation. What can't be understood changes nothing. */
+/* A peer's cancellation takes effect whatever the job's record says: the task is halted, and not
+   launched again on a new incarnation of the worker. A malformed cancellation, or one from an
+   unknown node, is rejected and changes nothing. */
 void
 test_peer_cancellation_halts_task(void)
 {
@@ -27,7 +28,7 @@
   fixture_free(fixture);
 }
 
-/* A cancellation is sent to the peers until each has acknowledged it, and then no more. */
+/* A cancellation is sent to each peer until the peer has acknowledged it, and not after that. */
 void
 test_cancellation_is_redelivered_until_acknowledged(void)
 {
@@ -51,9 +52,9 @@
   return fixture->status;
 }
 
-/* A node that reaches neither the store nor peers, while machines of other zones reach it, stops
-   renewing their leases before cancellations that it cannot know of are due; also of those that
-   come back. */
+/* A node reaches neither the store nor its peers, while workers of other zones reach it. It can't
+   know new cancellations, so it stops renewing these workers' leases in time for the tasks of a
+   cancelled job to end within cancel_s, also if a redirected worker returns to it. */
 void
 test_isolated_node_stops_lease_renewal(void)
 {
@@ -63,14 +64,15 @@
   fixture->store_unavailable = fixture->peers_unreachable = TRUE;
   fixture_run(fixture, 5.0);
   g_assert_cmpuint(status_of_heartbeat(fixture, "m-2", 2), ==, 503);
-  g_assert_cmpuint(status_of_heartbeat(fixture, "m-2", 3), ==, 200); /* it has found nobody else */
+  g_assert_cmpuint(status_of_heartbeat(fixture, "m-2", 3), ==, 200); /* no other node was found */
   fixture_run(fixture, 13.0);
   g_assert_cmpuint(status_of_heartbeat(fixture, "m-2", 4), ==, 503);
   g_assert_cmpuint(status_of_heartbeat(fixture, "m-2", 5), ==, 503);
   fixture_free(fixture);
 }
 
-/* If only its own zone reaches it, the zone is partitioned, and its answers keep tasks alive. */
+/* A node that only workers of its own zone reach is in a partitioned zone: it goes on renewing
+   their leases, so that their tasks keep running. */
 void
 test_partitioned_zone_keeps_lease_renewal(void)
 {
@@ -82,8 +84,9 @@
   fixture_free(fixture);
 }
 
-/* In an outage for all nodes tasks are launched (again) only when the peers' cancellations are all
-   acknowledged, and leases aren't renewed for ever before that. */
+/* During a store outage that affects all nodes, a node launches tasks only when every peer has had
+   its cancellations acknowledged. Until then it renews leases only as long as they end in time for
+   cancel_s. */
 void
 test_no_launch_before_cancellations_are_acknowledged(void)
 {
@@ -105,8 +108,9 @@
   fixture_free(fixture);
 }
 
-/* A machine that doesn't confirm a cancellation while the store takes no mark is returned
-   without one, and its record is mended afterwards: nothing leaks. */
+/* A machine doesn't confirm that a cancelled task has ended, and the store is unavailable, so that
+   no termination mark can be written. The machine is returned without a mark, and its records are
+   removed after the outage: neither a machine nor a record leaks. */
 void
 test_return_without_mark_leaks_nothing(void)
 {
--- a/tests/regressions/common.c
+++ b/tests/regressions/common.c
@@ -1,5 +1,5 @@
 /**
- * What several regression tests share.
+ * Helpers shared by the regression tests.
  */
 #include "regressions/regressions.h"
 
--- a/tests/regressions/failure-detection.c
+++ b/tests/regressions/failure-detection.c
@@ -1,10 +1,10 @@
 /**
- * Which machines are recorded, declared dead and terminated, and which are not, in partitions,
- * outages and after restarts.
+ * Which machines are recorded, declared dead and terminated during partitions, outages and after
+ * restarts, and which are not.
  */
 #include "regressions/regressions.h"
 
-/* A late heartbeat of a machine that was returned must not bring it back as a new one. */
+/* A delayed heartbeat of a returned machine must not record it again as a new machine. */
 void
 test_returned_machine_is_not_recorded_again(void)
 {
@@ -18,9 +18,9 @@
   fixture_free(fixture);
 }
 
-/* A copy of an old heartbeat, from a machine that was returned before this run of the controller
-   began, names an old fencing token: nothing is recorded for it. The machine itself would show ours
-   next time. */
+/* A duplicate of an old heartbeat, from a machine that was returned before this run of the
+   controller, has an old fencing token, also when repeated: the machine isn't recorded. A live
+   machine has the current token in its next heartbeat, and is recorded then. */
 void
 test_stale_token_records_no_machine(void)
 {
@@ -36,8 +36,9 @@
   fixture_free(fixture);
 }
 
-/* A node that no worker reaches doesn't declare machines dead whose heartbeats no other node
-   relays: with hundreds of machines 290 live ones were returned. Once it is reached, it does. */
+/* A node that receives no heartbeats directly doesn't declare a machine dead because no other node
+   relays its heartbeats: in a cluster of hundreds, 290 live machines were returned. Once workers
+   reach the node again, it declares silent machines dead. */
 void
 test_no_termination_by_unreachable_node(void)
 {
@@ -58,9 +59,9 @@
   fixture_free(fixture);
 }
 
-/* The last heartbeats from behind a partition arrive at slightly different times. The machines
-   aren't declared dead before it shows that all are silent: 90 were returned whose tasks went on.
- */
+/* When a partition begins, the last heartbeats from the zone arrive at slightly different times.
+   The machines that fall silent first must not be declared dead before the partition is detected:
+   90 machines were returned while their tasks were running. */
 void
 test_no_termination_while_partition_emerges(void)
 {
@@ -82,9 +83,9 @@
   fixture_free(fixture);
 }
 
-/* Where heartbeats come 5 s apart, a machine that showed an old fencing token last time hasn't had
-   the time to show ours after 4 s: it's used all the same. After several epochs in a row the whole
-   fleet looked unreachable. */
+/* With a heartbeat interval of 5 s, a machine whose last heartbeat had an old fencing token can't
+   have shown the current one 4 s later; it stays eligible for assignments. Otherwise, after several
+   epochs in quick succession, all machines were treated as unreachable. */
 void
 test_slow_heartbeats_keep_machine_eligible(void)
 {
@@ -100,8 +101,8 @@
   fixture_free(fixture);
 }
 
-/* Machines that are silent behind a partition don't delay the detection of one that died elsewhere:
-   dozens were declared dead only after a lease. */
+/* Silent machines in a partitioned zone don't delay the detection of a machine that died in another
+   zone: dozens of dead machines were detected only after a whole lease. */
 void
 test_death_outside_partition_is_detected(void)
 {
@@ -125,10 +126,10 @@
   fixture_free(fixture);
 }
 
-/* A zone without a controller counts as partitioned when most of its machines are silent together:
-   none is rented there, and they are declared dead only after several leases. Once 85 were
-   marked and returned in the middle of a partition, which took the changes that waiting work
-   needed. */
+/* A zone without a controller is treated as partitioned when most of its machines are silent at the
+   same time: no machine is rented there, and its machines are declared dead only after several
+   leases. Otherwise 85 machines were marked and returned during a partition, and these writes used
+   up the write budget that waiting jobs needed. */
 void
 test_zone_without_controller_has_grace_period(void)
 {
@@ -147,7 +148,7 @@
   fixture_free(fixture);
 }
 
-/* Six tasks on six machines of the zone, and the controller begins anew. */
+/* A controller that was restarted while six tasks run on six machines of the zone. */
 static Fixture *
 restarted_fixture(const char *zone, gboolean peers_silent)
 {
@@ -170,8 +171,9 @@
   return fixture;
 }
 
-/* A controller that starts during a partition has never heard the machines behind it. They aren't
-   declared dead all the same: 148 were returned whose tasks went on. */
+/* A controller that starts during a partition has never received a heartbeat from the machines in
+   the partitioned zone. It must not declare them dead: 148 machines were returned while their tasks
+   were running. */
 void
 test_no_termination_after_restart_in_partition(void)
 {
@@ -181,21 +183,21 @@
   fixture_free(fixture);
 }
 
-/* Without a partition they have the time to wait for their old node in vain and to find this one;
-   then they are declared dead. */
+/* Without a partition, a new owner gives workers the time to run into timeouts at their previous
+   node and to find the new one; only then does it declare silent machines dead. */
 void
 test_new_owner_waits_before_termination(void)
 {
   Fixture *fixture = restarted_fixture("a", FALSE);
-  fixture_run(fixture, 14.5); /* the first of them are in the lease of its last run */
+  fixture_run(fixture, 14.5); /* includes the rest of the lease held before the restart */
   g_assert_cmpuint(sim_store_count(fixture->store, "w/mark/"), ==, 0);
   fixture_run(fixture, 6.0);
   g_assert_cmpuint(sim_store_count(fixture->store, "w/mark/"), ==, 16);
   fixture_free(fixture);
 }
 
-/* A node whose process was paused while its clocks ran on takes nothing for granted: it answers no
-   worker and marks nothing, before it has renewed its lease and read. */
+/* After its process was paused while its clocks ran on, a node neither accepts heartbeats nor marks
+   machines until it has renewed its lease and read the store. */
 void
 test_stalled_node_renews_before_it_answers(void)
 {
@@ -212,7 +214,8 @@
   fixture_free(fixture);
 }
 
-/* A machine that is empty during an outage isn't idle: nothing could be placed on it. */
+/* The time of an outage doesn't count towards a machine's idle timeout, since no task could be
+   placed on it meanwhile. */
 void
 test_no_idle_timeout_during_outage(void)
 {
--- a/tests/regressions/regressions.h
+++ b/tests/regressions/regressions.h
@@ -1,28 +1,31 @@
 /**
- * The regression tests: one controller and one scripted worker, for invariants that random
- * schedules rarely rest on. Each test is named for the invariant that it holds, and fails when what
- * upholds it is taken out of the controller.
+ * Regression tests with one controller and scripted workers. They cover invariants that random
+ * schedules rarely exercise. Each test is named after its invariant, and fails if the code that
+ * enforces the invariant is removed from the controller.
  */
 #pragma once
 
 #include "protocol/ws-json.h"
 #include "sim/fixture.h"
 
-/** The list of a heartbeat with the first attempt of the fixture's task. */
+/** The task list of a heartbeat that reports the first attempt of task req-1/0 in this state. */
 json_t *one_task_in_state(const char *state, const char *why);
 
-/** Whether the list of the transaction has an item whose field names the key. */
+/** Whether an item of the transaction's list has the key as the value of the field. */
 gboolean transaction_names_key(const json_t *txn, const char *list, const char *field,
                                const char *key);
 
-/** Whether the transaction is conditional on the version of the key. */
+/** Whether one of the transaction's conditions refers to the key. */
 gboolean transaction_has_condition(const json_t *txn, const char *key);
 
-/** Heartbeats of sixteen machines, less the first few, passed on by another node or sent here. */
+/**
+ * Sends a heartbeat for each of the machines numbered @first to 15: directly, or relayed by another
+ * node.
+ */
 void send_all_heartbeats(Fixture *fixture, guint first, guint64 fencing_token, guint64 sequence,
                          gboolean is_relayed);
 
-/** Empty machines send heartbeats until they have shown the fencing token. */
+/** Sends heartbeats of idle machines until each has shown the current fencing token. */
 void register_machines(Fixture *fixture, const char *const *names, guint count);
 
 /* writes.c */
--- a/tests/regressions/scheduling.c
+++ b/tests/regressions/scheduling.c
@@ -1,11 +1,11 @@
 /**
- * Placement, preemption, reservations, and the share of transactions that assignments get.
+ * Placement, preemption, reservations, and the order of assignments and releases in transactions.
  */
 #include "regressions/regressions.h"
 
 #define JOBS_AT_ONCE 12
 
-/* Twelve machines, and twelve jobs of which each has one to itself. */
+/* Registers twelve machines and submits twelve jobs, each of which occupies one machine. */
 static void
 fill_machines(Fixture *fixture)
 {
@@ -26,8 +26,8 @@
   }
 }
 
-/* When the ends of many tasks come at once, as after a partition, the assignment of a critical task
-   isn't written after all of them. */
+/* When many completions arrive at once, as after a partition, the assignment of a critical task is
+   written before the releases that are queued. */
 void
 test_critical_assignment_precedes_releases(void)
 {
@@ -57,8 +57,9 @@
   fixture_free(fixture);
 }
 
-/* Where a smaller type has capacity for it, a task leaves the larger machine to larger tasks: each
-   small one kept a large one out, on a day of armor-releves with half of the processors unused. */
+/* A task that fits a machine of a smaller type isn't placed on a larger machine, which larger tasks
+   may need. Otherwise each small task kept a large one waiting while half of all CPUs were unused.
+ */
 void
 test_small_task_leaves_large_machine_free(void)
 {
@@ -77,8 +78,8 @@
   fixture_free(fixture);
 }
 
-/* Whether an urgent task of seconds has a large one stopped that fills the only machine, if that
-   has run for so long. */
+/* Whether an urgent task estimated at 10 s preempts a larger task that has run for @run_s and
+   occupies the only machine. */
 static gboolean
 is_preempted_after(double run_s)
 {
@@ -102,8 +103,8 @@
   return is_stopped;
 }
 
-/* Minutes of a large task's work aren't thrown away for seconds of a small one's: nearly a third of
-   what was paid for on armor-releves went that way. */
+/* A large task that has run for long isn't preempted for a small task of a few seconds, since its
+   progress would be lost: nearly a third of the paid machine time was lost in this way. */
 void
 test_no_preemption_of_long_work_for_short_task(void)
 {
@@ -111,8 +112,8 @@
   g_assert_false(is_preempted_after(20.0));
 }
 
-/* Whether a less urgent task of a team at its limit is stopped for an urgent job of the team that
-   is bound to the zone; all machines are in zone a. */
+/* Whether a best-effort task of a team at its limit is preempted for an urgent job of the same team
+   that may run only in @zone. All machines are in zone a. */
 static gboolean
 is_preempted_for_zone(const char *zone)
 {
@@ -137,8 +138,8 @@
   return is_stopped;
 }
 
-/* Nothing is stopped for a job that couldn't start with what the stop frees: tasks of a team at its
-   limit were stopped and placed again, over and over, for a job bound to a zone without a machine.
+/* No task is preempted for a job that couldn't use the freed capacity. Tasks of a team at its limit
+   were preempted and placed again in an endless loop, for a job bound to a zone without machines.
  */
 void
 test_no_preemption_without_usable_slot(void)
@@ -147,8 +148,9 @@
   g_assert_false(is_preempted_for_zone("b"));
 }
 
-/* What was freed for a job isn't given to a less urgent one, until it is clear that the job doesn't
-   take it: two nodes took it from each other in turn, and neither job ran. */
+/* Capacity that was freed for a job stays reserved for it, and isn't assigned to a less urgent job,
+   until it is clear that the job doesn't use it. Otherwise two nodes took the capacity from each
+   other in turn, and neither job ran. */
 void
 test_reservation_holds_until_declined(void)
 {
@@ -176,7 +178,7 @@
 
 #define JOBS_TO_COMPLETE 8
 
-/* The record of the only task of job number i. */
+/* The recorded assignment of the only task of job req-i; NULL: none. */
 static const json_t *
 only_assignment(const Fixture *fixture, guint i)
 {
@@ -204,7 +206,7 @@
   fixture_post(fixture, "/api/jobs", job);
 }
 
-/* Every task of the machine is done. */
+/* Sends a heartbeat that reports every task assigned to the machine as completed. */
 static void
 report_completions(Fixture *fixture, const char *machine)
 {
@@ -218,14 +220,14 @@
   fixture_post_heartbeat(fixture, machine, 1, 9, tasks);
 }
 
-/* Where a transaction holds few changes, the ends of tasks don't fill one after another while a job
-   waits beside free capacity: 13 to 26 jobs waited so on a day of armor-releves. */
+/* With a small limit of operations in a transaction, releases must not fill one transaction after
+   another while a job waits although there is free capacity: 13 to 26 jobs waited in this way. */
 void
 test_releases_leave_space_for_assignments(void)
 {
   static const char *const MACHINES[] = { "m-1", "m-2", "m-3" };
   Fixture *fixture = fixture_new(TRUE);
-  fixture->settings->state_txn_ops = 3; /* the teams' use and two jobs that end */
+  fixture->settings->state_txn_ops = 3; /* the teams' use and two completed jobs */
   fixture_lift_quotas(fixture);
   register_machines(fixture, MACHINES, G_N_ELEMENTS(MACHINES));
   for (guint i = 1; i <= JOBS_TO_COMPLETE; i++)
--- a/tests/regressions/writes.c
+++ b/tests/regressions/writes.c
@@ -1,9 +1,10 @@
 /**
- * What is written, and under which lease, epoch and fencing token.
+ * Which records are written, and under which lease, epoch and fencing token.
  */
 #include "regressions/regressions.h"
 
-/* Every write of assignments carries the epoch, the job and the team as conditions. */
+/* Every transaction that changes assignments is conditional on the records of the epoch, the job,
+   the chunk of tasks and the team's use; one that assigns tasks also on the machine's record. */
 void
 test_assignment_writes_are_conditional(void)
 {
@@ -16,7 +17,8 @@
   fixture_free(fixture);
 }
 
-/* The end of a task is written before the worker may forget it. */
+/* The completion of a task is stored before the worker is told to reap the task, that is, to
+   discard its own record of it. */
 void
 test_end_is_stored_before_reap(void)
 {
@@ -30,7 +32,8 @@
   fixture_free(fixture);
 }
 
-/* A heartbeat without our fencing token may be a late copy: completions in it don't count. */
+/* A heartbeat without the current fencing token may be a delayed duplicate: completions in it are
+   ignored. */
 void
 test_no_release_without_current_fencing_token(void)
 {
@@ -41,7 +44,8 @@
   fixture_free(fixture);
 }
 
-/* An older message is answered, but changes nothing and orders nothing. */
+/* A heartbeat with an old sequence number is answered, but changes no state, and the answer has no
+   commands. */
 void
 test_stale_sequence_changes_nothing(void)
 {
@@ -54,8 +58,9 @@
   fixture_free(fixture);
 }
 
-/* A cancelled task whose direct launch had no answer isn't released for being absent, nor may the
-   worker forget an attempt, until the worker has seen a higher fencing token. */
+/* A direct launch that timed out is indeterminate: it may still be carried out later. Absence of
+   the cancelled task from heartbeats doesn't release it until the worker has shown a higher fencing
+   token, since the worker rejects the late launch from then on. */
 void
 test_no_release_while_launch_is_indeterminate(void)
 {
@@ -70,14 +75,15 @@
     fixture_run(fixture, 1.5);
   }
   g_assert_true(fixture_task_is_assigned(fixture));
-  fixture_send_heartbeat(fixture, 2, json_array()); /* the leader has raised the token meanwhile */
+  fixture_send_heartbeat(fixture, 2, json_array()); /* the leader has started a new epoch */
   fixture_run(fixture, 1.0);
   g_assert_false(fixture_task_is_assigned(fixture));
   fixture_free(fixture);
 }
 
-/* A machine that cannot be reached doesn't learn a higher fencing token: no epoch is begun to
-   settle its indeterminate launch. Epochs followed one another every 10 s during a partition. */
+/* No epoch is started to settle the indeterminate launch of an unreachable machine, since its
+   worker can't receive the higher fencing token. Otherwise a new epoch started every 10 s during a
+   partition. */
 void
 test_no_epoch_for_unreachable_machine(void)
 {
@@ -89,6 +95,8 @@
   fixture_free(fixture);
 }
 
+/* While a launch is indeterminate, the worker isn't told to reap the attempt: having no record of
+   it any more, the worker would run the late launch as a new one. */
 void
 test_no_reap_while_launch_is_indeterminate(void)
 {
@@ -99,8 +107,8 @@
   fixture_free(fixture);
 }
 
-/* After an acknowledged launch the same absence releases it at once, if the heartbeat carries our
-   fencing token. */
+/* After an acknowledged launch, absence of the cancelled task releases it at once if the heartbeat
+   has the current fencing token. */
 void
 test_absence_releases_after_acknowledged_launch(void)
 {
@@ -114,7 +122,8 @@
   fixture_free(fixture);
 }
 
-/* A higher fencing token than ours means that we don't know the newest epoch. */
+/* A heartbeat with a higher fencing token shows that this node doesn't know the newest epoch: the
+   node doesn't renew the worker's lease. */
 void
 test_no_renewal_under_newer_fencing_token(void)
 {
@@ -124,9 +133,9 @@
   fixture_free(fixture);
 }
 
-/* The leader asks again for a task whose assignment is on its way, on another machine, and then
-   that transaction fails: the task must still be assigned once. It was assigned twice in one
-   transaction, which broke ran_twice on a rough day of dvorak-lodni. */
+/* The leader requests the assignment of a task again, on another machine, while the transaction
+   that assigns it is in flight; then that transaction fails. The task must still be assigned only
+   once: it was assigned twice in one transaction, which violated the invariant ran_twice. */
 void
 test_task_is_assigned_once(void)
 {
@@ -150,7 +159,8 @@
   fixture_free(fixture);
 }
 
-/* The tasks of a gang share their attempt, and when one ends early the others are stopped. */
+/* The tasks of a gang have the same attempt number, and when one task fails the others are halted.
+ */
 void
 test_gang_shares_attempt_and_halts_together(void)
 {
@@ -173,8 +183,9 @@
   fixture_free(fixture);
 }
 
-/* A late transaction of an earlier run must not replace the member's record, so it's written on a
-   condition; and a node whose record is gone all the same writes it again. */
+/* A node writes its member record conditionally, so that a delayed transaction of an earlier run
+   can't replace the record of the current one. If its record is removed, the node writes it again.
+ */
 void
 test_member_record_is_conditional_and_restored(void)
 {
@@ -186,8 +197,8 @@
   fixture_free(fixture);
 }
 
-/* What is recorded for a machine that no rental batch names any more is released once its lease
-   must be over: two jobs waited for ever for a machine that had been returned. */
+/* The tasks on a machine that is no longer in any rental batch are released once the machine's
+   lease must have expired. Without this, two jobs waited indefinitely for a returned machine. */
 void
 test_unrecorded_machine_is_released_after_lease(void)
 {
@@ -200,8 +211,9 @@
   fixture_free(fixture);
 }
 
-/* A new leader assigns nothing before its replica has reached the epoch that it wrote: what was
-   written until then may have come and gone again, and conditions on its absence would hold. */
+/* A new leader assigns no task before its replica has reached the revision of the epoch that it
+   wrote. A record that was written and removed before that revision is unknown to it, so conditions
+   on the record's absence would hold although the decision is stale. */
 void
 test_new_leader_reads_before_assignment(void)
 {
--- a/tests/test-regressions.c
+++ b/tests/test-regressions.c
@@ -1,5 +1,6 @@
 /**
- * The regression tests, in the order in which they run; regressions/ holds them by subject.
+ * Registers the regression tests in the order in which they run. The tests themselves are in
+ * regressions/, one file for each subject.
  */
 #include "regressions/regressions.h"
 #include "ws-suite.h"
