--- a/tests/regressions/cancellation.c
+++ b/tests/regressions/cancellation.c
@@ -16,12 +16,12 @@
   fixture_send_peer_message(fixture, "/cancelled",
                             json_pack("{s:s, s:[[s, i]]}", "node", "n9", "jobs", "req-1", 0));
   g_assert_cmpuint(fixture->status, ==, 400);
-  fixture_send_heartbeat(fixture, 1, one_task_in_state("running", ""));
+  fixture_send_heartbeat(fixture, 1, heartbeat_task_in_state("running", ""));
   g_assert_false(fixture_has_command(fixture, "halt"));
   fixture_send_peer_message(fixture, "/cancelled",
                             json_pack("{s:s, s:[[s, i]]}", "node", "n1", "jobs", "req-1", 0));
   g_assert_cmpuint(fixture->status, ==, 200);
-  fixture_send_heartbeat(fixture, 1, one_task_in_state("running", ""));
+  fixture_send_heartbeat(fixture, 1, heartbeat_task_in_state("running", ""));
   g_assert_true(fixture_has_command(fixture, "halt"));
   fixture_send_heartbeat(fixture, 1, json_array());
   g_assert_false(fixture_has_command(fixture, "launch"));
@@ -39,14 +39,14 @@
   g_assert_cmpuint(fixture->cancellations_sent, >=, 8);
   fixture->peers_acknowledge = TRUE;
   fixture_run(fixture, 1.0);
-  guint told = fixture->cancellations_sent;
+  guint sent_when_acknowledged = fixture->cancellations_sent;
   fixture_run(fixture, 3.0);
-  g_assert_cmpuint(fixture->cancellations_sent, ==, told);
+  g_assert_cmpuint(fixture->cancellations_sent, ==, sent_when_acknowledged);
   fixture_free(fixture);
 }
 
 static guint
-status_of_heartbeat(Fixture *fixture, const char *machine, guint64 sequence)
+heartbeat_status(Fixture *fixture, const char *machine, guint64 sequence)
 {
   fixture_post_heartbeat(fixture, machine, 1, sequence, json_array());
   return fixture->status;
@@ -60,14 +60,14 @@
 {
   Fixture *fixture = fixture_new_with_job(TRUE);
   fixture->zone = "b";
-  g_assert_cmpuint(status_of_heartbeat(fixture, "m-2", 1), ==, 200);
+  g_assert_cmpuint(heartbeat_status(fixture, "m-2", 1), ==, 200);
   fixture->store_unavailable = fixture->peers_unreachable = TRUE;
   fixture_run(fixture, 5.0);
-  g_assert_cmpuint(status_of_heartbeat(fixture, "m-2", 2), ==, 503);
-  g_assert_cmpuint(status_of_heartbeat(fixture, "m-2", 3), ==, 200); /* no other node was found */
+  g_assert_cmpuint(heartbeat_status(fixture, "m-2", 2), ==, 503);
+  g_assert_cmpuint(heartbeat_status(fixture, "m-2", 3), ==, 200); /* no other node was found */
   fixture_run(fixture, 13.0);
-  g_assert_cmpuint(status_of_heartbeat(fixture, "m-2", 4), ==, 503);
-  g_assert_cmpuint(status_of_heartbeat(fixture, "m-2", 5), ==, 503);
+  g_assert_cmpuint(heartbeat_status(fixture, "m-2", 4), ==, 503);
+  g_assert_cmpuint(heartbeat_status(fixture, "m-2", 5), ==, 503);
   fixture_free(fixture);
 }
 
@@ -79,7 +79,7 @@
   Fixture *fixture = fixture_new_with_job(TRUE);
   fixture->store_unavailable = fixture->peers_unreachable = TRUE;
   fixture_run(fixture, 25.0);
-  fixture_send_heartbeat(fixture, 1, one_task_in_state("running", ""));
+  fixture_send_heartbeat(fixture, 1, heartbeat_task_in_state("running", ""));
   g_assert_cmpuint(fixture->status, ==, 200);
   fixture_free(fixture);
 }
@@ -98,7 +98,7 @@
   g_assert_cmpuint(fixture->status, ==, 200);
   g_assert_false(fixture_has_command(fixture, "launch"));
   fixture_run(fixture, 13.0);
-  fixture_send_heartbeat(fixture, 1, one_task_in_state("running", ""));
+  fixture_send_heartbeat(fixture, 1, heartbeat_task_in_state("running", ""));
   g_assert_cmpuint(fixture->status, ==, 503);
   fixture->unacknowledged_by_peers = 0;
   fixture_run(fixture, 2.0);
--- a/tests/regressions/common.c
+++ b/tests/regressions/common.c
@@ -4,14 +4,14 @@
 #include "regressions/regressions.h"
 
 json_t *
-one_task_in_state(const char *state, const char *why)
+heartbeat_task_in_state(const char *state, const char *reason)
 {
   return json_pack("[{s:s, s:i, s:s, s:s}]", "kus", "req-1/0", "pokus", 1, "stav", state, "duvod",
-                   why);
+                   reason);
 }
 
 gboolean
-transaction_names_key(const json_t *txn, const char *list, const char *field, const char *key)
+transaction_list_has_key(const json_t *txn, const char *list, const char *field, const char *key)
 {
   size_t i;
   const json_t *item;
@@ -26,14 +26,14 @@
 gboolean
 transaction_has_condition(const json_t *txn, const char *key)
 {
-  return transaction_names_key(txn, "if", "k", key);
+  return transaction_list_has_key(txn, "if", "k", key);
 }
 
 void
-send_all_heartbeats(Fixture *fixture, guint first, guint64 fencing_token, guint64 sequence,
-                    gboolean is_relayed)
+send_machine_heartbeats(Fixture *fixture, guint first_machine, guint64 fencing_token,
+                        guint64 sequence, gboolean is_relayed)
 {
-  for (guint m = first; m < 16; m++) {
+  for (guint m = first_machine; m < 16; m++) {
     g_autofree char *name = g_strdup_printf("m-1%02u", m);
     if (!is_relayed) {
       fixture_post_heartbeat(fixture, name, fencing_token, sequence, json_array());
--- a/tests/regressions/failure-detection.c
+++ b/tests/regressions/failure-detection.c
@@ -45,15 +45,15 @@
   Fixture *fixture = fixture_new(TRUE);
   guint64 sequence = 0;
   for (guint i = 0; i < 3; i++) {
-    send_all_heartbeats(fixture, 0, i == 0 ? 0 : 1, ++sequence, FALSE);
+    send_machine_heartbeats(fixture, 0, i == 0 ? 0 : 1, ++sequence, FALSE);
     fixture_run(fixture, 1.5);
   }
   for (guint i = 0; i < 5; i++) {
-    send_all_heartbeats(fixture, 2, 1, ++sequence, TRUE);
+    send_machine_heartbeats(fixture, 2, 1, ++sequence, TRUE);
     fixture_run(fixture, 1.5);
   }
   g_assert_cmpuint(sim_store_count(fixture->store, "w/mark/"), ==, 0);
-  send_all_heartbeats(fixture, 2, 1, ++sequence, FALSE);
+  send_machine_heartbeats(fixture, 2, 1, ++sequence, FALSE);
   fixture_run(fixture, 1.2);
   g_assert_cmpuint(sim_store_count(fixture->store, "w/mark/"), ==, 2);
   fixture_free(fixture);
@@ -68,11 +68,11 @@
   Fixture *fixture = fixture_new(TRUE);
   fixture->zone = "b";
   fixture->spot = TRUE;
-  send_all_heartbeats(fixture, 0, 0, 1, FALSE);
+  send_machine_heartbeats(fixture, 0, 0, 1, FALSE);
   fixture_run(fixture, 1.5);
-  send_all_heartbeats(fixture, 0, 1, 2, FALSE);
+  send_machine_heartbeats(fixture, 0, 1, 2, FALSE);
   fixture_run(fixture, 2.3);
-  send_all_heartbeats(fixture, 8, 1, 3, FALSE);
+  send_machine_heartbeats(fixture, 8, 1, 3, FALSE);
   fixture->peers_unreachable = TRUE;
   fixture->zone = "a";
   for (guint64 sequence = 1; sequence <= 11; sequence++) {
@@ -92,7 +92,7 @@
   Fixture *fixture = fixture_new_with_job(TRUE);
   fixture->settings->report_s = 5.0;
   fixture->settings->lease_s = 26.0;
-  fixture_send_heartbeat(fixture, 0, one_task_in_state("running", ""));
+  fixture_send_heartbeat(fixture, 0, heartbeat_task_in_state("running", ""));
   fixture_run(fixture, 4.5);
   json_t *second = fixture_submission_of("req-2");
   fixture_call(fixture, "POST", "/api/jobs", second);
@@ -109,7 +109,7 @@
   Fixture *fixture = fixture_new(TRUE);
   fixture->zone = "b";
   for (guint64 sequence = 1; sequence <= 2; sequence++) {
-    send_all_heartbeats(fixture, 0, sequence == 1 ? 0 : 1, sequence, FALSE);
+    send_machine_heartbeats(fixture, 0, sequence == 1 ? 0 : 1, sequence, FALSE);
     fixture->zone = "a";
     fixture_post_heartbeat(fixture, "m-2", sequence == 1 ? 0 : 1, sequence, json_array());
     fixture->zone = "b";
@@ -138,7 +138,7 @@
   fixture_restart(fixture);
   fixture->zone = "d";
   for (guint64 sequence = 1; sequence <= 3; sequence++) {
-    send_all_heartbeats(fixture, 0, sequence == 1 ? 1 : 2, sequence, FALSE);
+    send_machine_heartbeats(fixture, 0, sequence == 1 ? 1 : 2, sequence, FALSE);
     fixture_run(fixture, 1.5);
   }
   fixture_run(fixture, 2.0 * fixture->settings->lease_s);
@@ -150,13 +150,13 @@
 
 /* A controller that was restarted while six tasks run on six machines of the zone. */
 static Fixture *
-restarted_fixture(const char *zone, gboolean peers_silent)
+fixture_restarted_with_tasks(const char *zone, gboolean peers_unreachable)
 {
   Fixture *fixture = fixture_new(TRUE);
   fixture->zone = zone;
   fixture->spot = TRUE;
   for (guint64 sequence = 1; sequence <= 3; sequence++) {
-    send_all_heartbeats(fixture, 0, sequence == 1 ? 0 : 1, sequence, FALSE);
+    send_machine_heartbeats(fixture, 0, sequence == 1 ? 0 : 1, sequence, FALSE);
     fixture_run(fixture, 1.5);
   }
   json_t *job = fixture_submission();
@@ -166,7 +166,7 @@
   fixture_call(fixture, "POST", "/api/jobs", job);
   fixture_run(fixture, 1.0);
   g_assert_cmpuint(json_array_size(fixture_assignments(fixture, "req-1")), ==, 6);
-  fixture->peers_unreachable = peers_silent;
+  fixture->peers_unreachable = peers_unreachable;
   fixture_restart(fixture);
   return fixture;
 }
@@ -177,7 +177,7 @@
 void
 test_no_termination_after_restart_in_partition(void)
 {
-  Fixture *fixture = restarted_fixture("b", TRUE);
+  Fixture *fixture = fixture_restarted_with_tasks("b", TRUE);
   fixture_run(fixture, 40.0);
   g_assert_cmpuint(sim_store_count(fixture->store, "w/mark/"), ==, 0);
   fixture_free(fixture);
@@ -188,7 +188,7 @@
 void
 test_new_owner_waits_before_termination(void)
 {
-  Fixture *fixture = restarted_fixture("a", FALSE);
+  Fixture *fixture = fixture_restarted_with_tasks("a", FALSE);
   fixture_run(fixture, 14.5); /* includes the rest of the lease held before the restart */
   g_assert_cmpuint(sim_store_count(fixture->store, "w/mark/"), ==, 0);
   fixture_run(fixture, 6.0);
@@ -203,10 +203,10 @@
 {
   Fixture *fixture = fixture_new_with_job(TRUE);
   fixture->now_ms += 30000;
-  fixture_post_heartbeat(fixture, "m-1", 1, 50, one_task_in_state("running", ""));
+  fixture_post_heartbeat(fixture, "m-1", 1, 50, heartbeat_task_in_state("running", ""));
   g_assert_cmpuint(fixture->status, ==, 503);
   fixture_run(fixture, 2.0);
-  fixture_post_heartbeat(fixture, "m-1", 1, 51, one_task_in_state("running", ""));
+  fixture_post_heartbeat(fixture, "m-1", 1, 51, heartbeat_task_in_state("running", ""));
   g_assert_cmpuint(fixture->status, ==, 200);
   fixture_run(fixture, 2.0);
   g_assert_true(fixture_task_is_assigned(fixture));
--- a/tests/regressions/regressions.h
+++ b/tests/regressions/regressions.h
@@ -9,11 +9,11 @@
 #include "sim/fixture.h"
 
 /** The task list of a heartbeat that reports the first attempt of task req-1/0 in this state. */
-json_t *one_task_in_state(const char *state, const char *why);
+json_t *heartbeat_task_in_state(const char *state, const char *reason);
 
 /** Whether an item of the transaction's list has the key as the value of the field. */
-gboolean transaction_names_key(const json_t *txn, const char *list, const char *field,
-                               const char *key);
+gboolean transaction_list_has_key(const json_t *txn, const char *list, const char *field,
+                                  const char *key);
 
 /** Whether one of the transaction's conditions refers to the key. */
 gboolean transaction_has_condition(const json_t *txn, const char *key);
@@ -22,8 +22,8 @@
  * Sends a heartbeat for each of the machines numbered @first to 15: directly, or relayed by another
  * node.
  */
-void send_all_heartbeats(Fixture *fixture, guint first, guint64 fencing_token, guint64 sequence,
-                         gboolean is_relayed);
+void send_machine_heartbeats(Fixture *fixture, guint first_machine, guint64 fencing_token,
+                             guint64 sequence, gboolean is_relayed);
 
 /** Sends heartbeats of idle machines until each has shown the current fencing token. */
 void register_machines(Fixture *fixture, const char *const *names, guint count);
--- a/tests/regressions/writes.c
+++ b/tests/regressions/writes.c
@@ -9,11 +9,12 @@
 test_assignment_writes_are_conditional(void)
 {
   Fixture *fixture = fixture_new_with_job(TRUE);
-  static const char *const KEYS[] = { "w/epoch", "w/job/req-1", "w/task/req-1/0", "w/team-use/0" };
+  static const char *const CONDITION_KEYS[]
+      = { "w/epoch", "w/job/req-1", "w/task/req-1/0", "w/team-use/0" };
   g_assert_true(transaction_has_condition(fixture->assignment_transaction, "w/lot/a-1-0-1"));
-  fixture_send_heartbeat(fixture, 1, one_task_in_state("exited", "error"));
-  for (guint k = 0; k < G_N_ELEMENTS(KEYS); k++)
-    g_assert_true(transaction_has_condition(fixture->last_transaction, KEYS[k]));
+  fixture_send_heartbeat(fixture, 1, heartbeat_task_in_state("exited", "error"));
+  for (guint k = 0; k < G_N_ELEMENTS(CONDITION_KEYS); k++)
+    g_assert_true(transaction_has_condition(fixture->last_transaction, CONDITION_KEYS[k]));
   fixture_free(fixture);
 }
 
@@ -23,11 +24,11 @@
 test_end_is_stored_before_reap(void)
 {
   Fixture *fixture = fixture_new_with_job(TRUE);
-  fixture_send_heartbeat(fixture, 1, one_task_in_state("exited", "done"));
+  fixture_send_heartbeat(fixture, 1, heartbeat_task_in_state("exited", "done"));
   g_assert_false(fixture_has_command(fixture, "reap"));
   fixture_call(fixture, "GET", "/api/jobs/req-1", NULL);
   g_assert_cmpstr(json_string_value(json_object_get(fixture->answer, "stav")), ==, "done");
-  fixture_send_heartbeat(fixture, 1, one_task_in_state("exited", "done"));
+  fixture_send_heartbeat(fixture, 1, heartbeat_task_in_state("exited", "done"));
   g_assert_true(fixture_has_command(fixture, "reap"));
   fixture_free(fixture);
 }
@@ -38,7 +39,7 @@
 test_no_release_without_current_fencing_token(void)
 {
   Fixture *fixture = fixture_new_with_job(TRUE);
-  fixture_send_heartbeat(fixture, 0, one_task_in_state("exited", "done"));
+  fixture_send_heartbeat(fixture, 0, heartbeat_task_in_state("exited", "done"));
   fixture_call(fixture, "GET", "/api/jobs/req-1", NULL);
   g_assert_cmpstr(json_string_value(json_object_get(fixture->answer, "stav")), !=, "done");
   fixture_free(fixture);
@@ -50,7 +51,7 @@
 test_stale_sequence_changes_nothing(void)
 {
   Fixture *fixture = fixture_new_with_job(TRUE);
-  fixture_send_heartbeat(fixture, 1, one_task_in_state("running", ""));
+  fixture_send_heartbeat(fixture, 1, heartbeat_task_in_state("running", ""));
   fixture_call(fixture, "POST", "/v1/report",
                fixture_heartbeat(fixture, "m-1", 1, 1, json_array()));
   g_assert_cmpuint(fixture->status, ==, 200);
@@ -101,8 +102,8 @@
 test_no_reap_while_launch_is_indeterminate(void)
 {
   Fixture *fixture = fixture_new_with_job(FALSE);
-  fixture_send_heartbeat(fixture, 1, one_task_in_state("exited", "done"));
-  fixture_send_heartbeat(fixture, 1, one_task_in_state("exited", "done"));
+  fixture_send_heartbeat(fixture, 1, heartbeat_task_in_state("exited", "done"));
+  fixture_send_heartbeat(fixture, 1, heartbeat_task_in_state("exited", "done"));
   g_assert_false(fixture_has_command(fixture, "reap"));
   fixture_free(fixture);
 }
@@ -144,9 +145,9 @@
                fixture_heartbeat(fixture, "m-2", 0, 1, json_array()));
   fixture_call(fixture, "POST", "/v1/report",
                fixture_heartbeat(fixture, "m-2", 1, 2, json_array()));
-  json_t *second = fixture_submission_of("req-2");
+  json_t *second_job = fixture_submission_of("req-2");
   fixture->hold_assignment = TRUE;
-  fixture_call(fixture, "POST", "/api/jobs", second);
+  fixture_call(fixture, "POST", "/api/jobs", second_job);
   g_assert_cmpuint(fixture->held_call, !=, 0);
   fixture_request(fixture, WS_LISTENER_MESH, "POST", "/ask",
                   json_pack("{s:i, s:[[s, i, s], [s, i, s]], s:[]}", "epoch", 1, "picks", "req-2",
@@ -170,10 +171,10 @@
   json_object_set_new(gang, "kusy", json_integer(2));
   fixture_call(fixture, "POST", "/api/jobs", gang);
   fixture_run(fixture, 1.0);
-  const json_t *on = fixture_assignments(fixture, "req-2");
-  g_assert_cmpuint(json_array_size(on), ==, 2);
+  const json_t *assignments = fixture_assignments(fixture, "req-2");
+  g_assert_cmpuint(json_array_size(assignments), ==, 2);
   for (guint i = 0; i < 2; i++)
-    g_assert_cmpint(json_integer_value(json_array_get(json_array_get(on, i), 2)), ==, 1);
+    g_assert_cmpint(json_integer_value(json_array_get(json_array_get(assignments, i), 2)), ==, 1);
   for (guint i = 0; i < 2; i++)
     fixture_send_heartbeat(fixture, 1,
                            json_pack("[{s:s, s:i, s:s, s:s}, {s:s, s:i, s:s}]", "kus", "req-2/0",
