--- a/tests/core/random-faults.c
+++ b/tests/core/random-faults.c
@@ -1,5 +1,7 @@
 /**
- * Random jobs and random faults: each draws from the generator of the simulated cluster.
+ * Random jobs and random faults, drawn from the random generator of the simulated cluster.
+ *
+ * The order of the draws determines what a seed does, and must not change.
  */
 #include "core/random-faults.h"
 
@@ -20,7 +22,7 @@
   }
 }
 
-/* A bit for one node or zone at random. */
+/* The bit of a random node or zone. */
 static guint
 random_bit(Sim *sim)
 {
@@ -135,7 +137,7 @@
   sim_block_outbound_of_any(sim, g_rand_double_range(sim_rand(sim), 2.0, 40.0));
 }
 
-/* In this order: what a seed plays depends on it. */
+/* The order and the number of entries determine which faults a seed selects. */
 static void (*const RANDOM_FAULTS[])(Sim *sim) = {
   crash_random_node,
   crash_all_nodes,
--- a/tests/core/random-faults.h
+++ b/tests/core/random-faults.h
@@ -1,12 +1,12 @@
 /**
- * Random jobs and random faults of the tests of whole controllers.
+ * Random jobs and random faults for the tests of whole controllers.
  */
 #pragma once
 
 #include "sim/sim.h"
 
-/** Submits so many jobs of random size, kind, team and priority. */
+/** Submits @count jobs of random size, kind, team and priority. */
 void submit_random_jobs(Sim *sim, guint count);
 
-/** Injects a fault drawn at random, or ends it where it lasts until then. */
+/** Injects a random fault. A fault that lasts until it is drawn again ends if it is in force. */
 void inject_random_fault(Sim *sim);
--- a/tests/regressions/cancellation.c
+++ b/tests/regressions/cancellation.c
@@ -54,7 +54,7 @@
 
 /* A node reaches neither the store nor its peers, while workers of other zones reach it. It can't
    know new cancellations, so it stops renewing these workers' leases in time for the tasks of a
-   cancelled job to end within cancel_s, also if a redirected worker returns to it. */
+   cancelled job to end within cancel_s, also if a worker that it rejected returns. */
 void
 test_isolated_node_stops_lease_renewal(void)
 {
--- a/tests/test-core.c
+++ b/tests/test-core.c
@@ -1,13 +1,13 @@
 /**
- * Whole controllers in a simulated cluster: generated schedules of faults, with the invariants
- * checked at every start of a task and every answer to a user.
+ * Whole controllers in a simulated cluster with generated schedules of faults. The invariants are
+ * checked whenever a task starts and whenever a user gets an answer.
  */
 #include "core/random-faults.h"
 #include "sim/fault-injection.h"
 #include "ws-suite.h"
 
-/* Without faults everything is done, services run until they are cancelled, and in the end the
-   machines are terminated. */
+/* Without faults all jobs complete; then all machines are terminated, and no termination mark is
+   left in the store. */
 static void
 play_without_faults(guint32 seed)
 {
@@ -32,7 +32,7 @@
     play_without_faults(seed);
 }
 
-/* Two services that need machines in several zones ran, and are cancelled. */
+/* A cluster with idle machines in several zones, left by two cancelled services. */
 static Sim *
 sim_with_idle_machines(guint32 seed)
 {
@@ -40,7 +40,7 @@
   static const SimJob BLUE
       = { .tasks = 8, .service = TRUE, .team = "blue", .priority = "standard" };
   Sim *sim = sim_new(seed);
-  sim_properties(sim)->idle_timeout_s = 600.0; /* until the test sets another */
+  sim_properties(sim)->idle_timeout_s = 600.0; /* until the test lowers it */
   sim_run(sim, 3.0);
   sim_submit(sim, &RED);
   sim_submit(sim, &BLUE);
@@ -60,7 +60,8 @@
   g_ptr_array_add(sim_properties(sim)->budgets, budget);
 }
 
-/* Budgets limit terminations, and no longer than they are set. */
+/* Disruption budgets limit the termination of idle machines; once the budgets are removed, the
+   remaining machines are terminated too. */
 static void
 test_budget_limits_termination(void)
 {
@@ -81,8 +82,8 @@
   sim_free(sim);
 }
 
-/* While a zone is partitioned no machine is terminated there, by an owner outside or inside; once
-   it has healed, all are. Returns how many machines were in it. */
+/* While a zone is partitioned, no idle machine in it is terminated, whether its owner is inside or
+   outside the zone; after the partition all are. Returns how many machines were in the zone. */
 static guint
 play_partition(guint32 seed)
 {
@@ -91,7 +92,7 @@
   sim_faults(sim)->partitioned_zones = 1;
   sim_run(sim, 3.0);
   sim_properties(sim)->idle_timeout_s = 5.0;
-  sim_run(sim, 6.0); /* with the pause before it, less than the lease less one report */
+  sim_run(sim, 6.0); /* 9 s in all: less than the lease less one interval */
   g_assert_cmpuint(sim_machines_in(sim, "a"), ==, in_a);
   sim_faults(sim)->partitioned_zones = 0;
   sim_run(sim, 60.0);
@@ -109,7 +110,8 @@
   g_assert_cmpuint(in_a, >, 4);
 }
 
-/* A job of several chunks is done with its last task, and leaves no records of tasks behind. */
+/* A job whose tasks take several chunk records completes with its last task, and leaves no task
+   records behind. */
 static void
 test_large(void)
 {
@@ -138,7 +140,7 @@
     inject_random_fault(sim);
     sim_run(sim, g_rand_double_range(rand, 0.05, 6.0));
   }
-  /* All faults end: what was accepted is done or can be cancelled, and no machine leaks. */
+  /* After all faults every accepted job completes or can be cancelled, and no machine leaks. */
   sim_end_faults(sim);
   sim_cancel_until_closed(sim, 400, 1.0);
   if (sim_open_jobs(sim) > 0)
@@ -162,15 +164,16 @@
   }
 }
 
-/* A node asked for a machine's mark, lost the machine to another node, and led: it refused what the
-   new owner asked for, and the machine, which had died, was never returned. */
+/* A node had requested a termination mark for a dead machine, lost the ownership of the machine to
+   another node, and then became the leader. It rejected the new owner's request for the mark, so
+   that the machine was never returned. */
 static void
 test_mark_survives_change_of_owner(void)
 {
   play_random_faults(821, 2.0, 12.0);
 }
 
-/* The same with longer heartbeat intervals and leases, and with shorter ones. */
+/* Random faults with longer heartbeat intervals and leases than above, and with shorter ones. */
 static void
 test_rough_paces(void)
 {
@@ -181,7 +184,7 @@
   }
 }
 
-/* Two crashes of every controller within a second, in the middle of an election too. */
+/* All controllers crash twice within a second, the second time possibly during an election. */
 static void
 test_jobs_survive_repeated_crashes(void)
 {
@@ -204,8 +207,9 @@
 static const SimJob SPREAD_SERVICE
     = { .tasks = 6, .service = TRUE, .team = "red", .priority = "critical", .scatter = TRUE };
 
-/* A node that reaches neither the store nor the others, while all workers reach it, sends
-   them away: the others act without it, and no task is lost with a lease. */
+/* A node that all workers reach, but that reaches neither the store nor its peers, rejects
+   heartbeats, so that workers switch to the other nodes. These serve jobs without it, and no worker
+   loses a task with an expired lease. */
 static void
 test_isolated_node_loses_no_task(void)
 {
@@ -225,10 +229,10 @@
   }
 }
 
-/* The neighbouring case: a whole zone is partitioned, from the store too, for several leases. Its
-   node is all that its workers have, and its answers keep their tasks alive; the others don't
-   return its machines, neither meanwhile nor in the moments after the partition when workers look
-   for their owner. */
+/* A whole zone is partitioned for several leases, from the store too: its workers reach only the
+   node in the zone. That node renews their leases, and their tasks keep running. The nodes outside
+   don't return the zone's machines, neither during the partition nor right after it, when workers
+   look for their owner. */
 static void
 test_partitioned_zone_keeps_its_tasks(void)
 {
@@ -240,7 +244,7 @@
     sim_faults(sim)->isolated_nodes = 1u << (seed % SIM_NODES);
     sim_faults(sim)->partitioned_zones = 1u << (seed % SIM_NODES);
     sim_run(sim, 14.0);
-    /* Whoever waited for two nodes outside, one after the other, has lost its lease by now. */
+    /* Workers that waited for two nodes outside the zone in turn have lost their leases by now. */
     guint lost = sim_lost_tasks(sim);
     sim_run(sim, 31.0);
     g_assert_cmpuint(sim_lost_tasks(sim), ==, lost);
@@ -252,7 +256,8 @@
   }
 }
 
-/* A machine whose outbound direction is blocked is returned, and its tasks start elsewhere. */
+/* A machine that receives neither answers nor commands, while its heartbeats arrive, is returned,
+   and its tasks start on other machines. */
 static void
 test_deaf(void)
 {
@@ -270,7 +275,8 @@
   }
 }
 
-/* Small jobs never stop coming, and there are too few machines: a large one begins all the same. */
+/* While users keep submitting small jobs and the cloud has too few machines, a large job of lower
+   priority isn't starved. */
 static void
 test_large_job_starts_among_small_jobs(void)
 {
@@ -290,8 +296,8 @@
   sim_free(sim);
 }
 
-/* Bursts of jobs of every size, priority and team, few machines, and faults in the middle: within
-   four minutes every job has begun, whatever it is, and in the end each is done. */
+/* Bursts of jobs of different sizes, priorities and teams on few machines, with random faults:
+   every job starts within four minutes and completes in the end. */
 static void
 play_overload(guint32 seed)
 {
@@ -318,10 +324,10 @@
   sim_run(sim, 210.0);
   for (guint i = 0; i < jobs; i++)
     if (!sim_has_started(sim, i))
-      g_error("seed %u: job %u has not begun", seed, i);
+      g_error("seed %u: job %u has not started", seed, i);
   sim_run_until_closed(sim, 400);
   if (sim_open_jobs(sim) > 0)
-    g_error("seed %u: %u jobs are not served", seed, sim_open_jobs(sim));
+    g_error("seed %u: %u jobs are still open", seed, sim_open_jobs(sim));
   sim_free(sim);
 }
 
