--- a/tests/core/random-faults.c
+++ b/tests/core/random-faults.c
@@ -24,7 +24,7 @@
 
 /* The bit of a random node or zone. */
 static guint
-random_bit(Sim *sim)
+random_node_bit(Sim *sim)
 {
   return 1u << g_rand_int_range(sim_rand(sim), 0, SIM_NODES);
 }
@@ -62,28 +62,28 @@
 toggle_store_refusal(Sim *sim)
 {
   guint *nodes = &sim_faults(sim)->store_refuses_nodes;
-  *nodes = *nodes ? 0 : random_bit(sim);
+  *nodes = *nodes ? 0 : random_node_bit(sim);
 }
 
 static void
 toggle_partition(Sim *sim)
 {
   guint *zones = &sim_faults(sim)->partitioned_zones;
-  *zones = *zones ? 0 : random_bit(sim);
+  *zones = *zones ? 0 : random_node_bit(sim);
 }
 
 static void
 toggle_isolation(Sim *sim)
 {
   guint *nodes = &sim_faults(sim)->isolated_nodes;
-  *nodes = *nodes ? 0 : random_bit(sim);
+  *nodes = *nodes ? 0 : random_node_bit(sim);
 }
 
 static void
 toggle_unreachable_node(Sim *sim)
 {
   guint *nodes = &sim_faults(sim)->unreachable_nodes;
-  *nodes = *nodes ? 0 : random_bit(sim);
+  *nodes = *nodes ? 0 : random_node_bit(sim);
 }
 
 static void
@@ -113,26 +113,26 @@
 }
 
 static void
-stall_machine(Sim *sim)
+stall_random_machine(Sim *sim)
 {
   sim_stall_any_machine(sim, g_rand_double_range(sim_rand(sim), 1.0, 20.0));
 }
 
 static void
-stall_machines(Sim *sim)
+stall_random_machines(Sim *sim)
 {
   for (guint i = 0; i < 4; i++)
     sim_stall_any_machine(sim, g_rand_double_range(sim_rand(sim), 6.0, 18.0));
 }
 
 static void
-interrupt_machine(Sim *sim)
+interrupt_random_machine(Sim *sim)
 {
   sim_interrupt_any_machine(sim, g_rand_double_range(sim_rand(sim), 1.0, 10.0));
 }
 
 static void
-block_outbound(Sim *sim)
+block_outbound_of_random_machine(Sim *sim)
 {
   sim_block_outbound_of_any(sim, g_rand_double_range(sim_rand(sim), 2.0, 40.0));
 }
@@ -147,16 +147,16 @@
   toggle_cloud_outage,
   toggle_full_cloud,
   sim_kill_any_machine,
-  stall_machine,
-  interrupt_machine,
+  stall_random_machine,
+  interrupt_random_machine,
   toggle_lossy_network,
   toggle_isolation,
   toggle_duplicated_heartbeats,
-  block_outbound,
+  block_outbound_of_random_machine,
   sim_restart_any_machine,
   pause_random_node,
   toggle_unreachable_node,
-  stall_machines,
+  stall_random_machines,
   sim_cancel_any,
 };
 G_STATIC_ASSERT(G_N_ELEMENTS(RANDOM_FAULTS) == 19);
--- a/tests/test-core.c
+++ b/tests/test-core.c
@@ -9,7 +9,7 @@
 /* Without faults all jobs complete; then all machines are terminated, and no termination mark is
    left in the store. */
 static void
-play_without_faults(guint32 seed)
+run_seed_without_faults(guint32 seed)
 {
   Sim *sim = sim_new(seed);
   static const SimJob ARRAY = { .tasks = 5, .team = "red", .priority = "standard", .run_s = 5.0 };
@@ -26,10 +26,10 @@
 }
 
 static void
-test_quiet(void)
+test_jobs_complete_without_faults(void)
 {
   for (guint32 seed = 1; seed <= 3; seed++)
-    play_without_faults(seed);
+    run_seed_without_faults(seed);
 }
 
 /* A cluster with idle machines in several zones, left by two cancelled services. */
@@ -66,15 +66,15 @@
 test_budget_limits_termination(void)
 {
   Sim *sim = sim_with_idle_machines(21);
-  guint in_a = sim_machines_in(sim, "a"), in_b = sim_machines_in(sim, "b");
-  g_assert_cmpuint(in_a, >, 0);
-  g_assert_cmpuint(in_b, >, 0);
+  guint machines_in_a = sim_machines_in(sim, "a"), machines_in_b = sim_machines_in(sim, "b");
+  g_assert_cmpuint(machines_in_a, >, 0);
+  g_assert_cmpuint(machines_in_b, >, 0);
   add_budget(sim, "a", TRUE, TRUE, 100);
   add_budget(sim, "b", FALSE, FALSE, 0);
   sim_properties(sim)->idle_timeout_s = 5.0;
   sim_run(sim, 60.0);
-  g_assert_cmpuint(sim_machines_in(sim, "a"), ==, in_a);
-  g_assert_cmpuint(sim_machines_in(sim, "b"), ==, in_b);
+  g_assert_cmpuint(sim_machines_in(sim, "a"), ==, machines_in_a);
+  g_assert_cmpuint(sim_machines_in(sim, "b"), ==, machines_in_b);
   g_assert_cmpuint(sim_machines_in(sim, "c"), ==, 0);
   g_ptr_array_set_size(sim_properties(sim)->budgets, 0);
   sim_run(sim, 60.0);
@@ -85,35 +85,35 @@
 /* While a zone is partitioned, no idle machine in it is terminated, whether its owner is inside or
    outside the zone; after the partition all are. Returns how many machines were in the zone. */
 static guint
-play_partition(guint32 seed)
+run_seed_with_partition(guint32 seed)
 {
   Sim *sim = sim_with_idle_machines(seed);
-  guint in_a = sim_machines_in(sim, "a");
+  guint machines_in_a = sim_machines_in(sim, "a");
   sim_faults(sim)->partitioned_zones = 1;
   sim_run(sim, 3.0);
   sim_properties(sim)->idle_timeout_s = 5.0;
   sim_run(sim, 6.0); /* 9 s in all: less than the lease less one interval */
-  g_assert_cmpuint(sim_machines_in(sim, "a"), ==, in_a);
+  g_assert_cmpuint(sim_machines_in(sim, "a"), ==, machines_in_a);
   sim_faults(sim)->partitioned_zones = 0;
   sim_run(sim, 60.0);
   g_assert_cmpuint(sim_machines(sim), ==, 0);
   sim_free(sim);
-  return in_a;
+  return machines_in_a;
 }
 
 static void
 test_no_termination_in_partitioned_zone(void)
 {
-  guint in_a = 0;
+  guint machines_in_a = 0;
   for (guint32 seed = 21; seed < 29; seed++)
-    in_a += play_partition(seed);
-  g_assert_cmpuint(in_a, >, 4);
+    machines_in_a += run_seed_with_partition(seed);
+  g_assert_cmpuint(machines_in_a, >, 4);
 }
 
 /* A job whose tasks take several chunk records completes with its last task, and leaves no task
    records behind. */
 static void
-test_large(void)
+test_job_of_several_chunks_completes(void)
 {
   Sim *sim = sim_new(7);
   static const SimJob LARGE
@@ -129,7 +129,7 @@
 }
 
 static void
-play_random_faults(guint32 seed, double report_s, double lease_s)
+run_seed_with_random_faults(guint32 seed, double report_s, double lease_s)
 {
   Sim *sim = sim_new(seed);
   GRand *rand = sim_rand(sim);
@@ -153,14 +153,14 @@
 }
 
 static void
-test_rough(void)
+test_random_faults_violate_no_invariant(void)
 {
-  const char *only = g_getenv("WS_SEED");
-  guint32 first = only != NULL ? (guint32)g_ascii_strtoull(only, NULL, 10) : 1;
-  guint32 last = only != NULL ? first : 20;
-  for (guint32 seed = first; seed <= last; seed++) {
+  const char *only_seed = g_getenv("WS_SEED");
+  guint32 first_seed = only_seed != NULL ? (guint32)g_ascii_strtoull(only_seed, NULL, 10) : 1;
+  guint32 last_seed = only_seed != NULL ? first_seed : 20;
+  for (guint32 seed = first_seed; seed <= last_seed; seed++) {
     g_test_message("seed %u", seed);
-    play_random_faults(seed, 2.0, 12.0);
+    run_seed_with_random_faults(seed, 2.0, 12.0);
   }
 }
 
@@ -170,17 +170,17 @@
 static void
 test_mark_survives_change_of_owner(void)
 {
-  play_random_faults(821, 2.0, 12.0);
+  run_seed_with_random_faults(821, 2.0, 12.0);
 }
 
 /* Random faults with longer heartbeat intervals and leases than above, and with shorter ones. */
 static void
-test_rough_paces(void)
+test_random_faults_at_other_intervals_violate_no_invariant(void)
 {
   for (guint32 seed = 300; seed < 306; seed++) {
     g_test_message("seed %u", seed);
-    play_random_faults(seed, 6.0, 31.0);
-    play_random_faults(seed, 1.0, 8.0);
+    run_seed_with_random_faults(seed, 6.0, 31.0);
+    run_seed_with_random_faults(seed, 1.0, 8.0);
   }
 }
 
@@ -245,12 +245,12 @@
     sim_faults(sim)->partitioned_zones = 1u << (seed % SIM_NODES);
     sim_run(sim, 14.0);
     /* Workers that waited for two nodes outside the zone in turn have lost their leases by now. */
-    guint lost = sim_lost_tasks(sim);
+    guint lost_before = sim_lost_tasks(sim);
     sim_run(sim, 31.0);
-    g_assert_cmpuint(sim_lost_tasks(sim), ==, lost);
+    g_assert_cmpuint(sim_lost_tasks(sim), ==, lost_before);
     sim_end_faults(sim);
     sim_run(sim, 30.0);
-    g_assert_cmpuint(sim_lost_tasks(sim), ==, lost);
+    g_assert_cmpuint(sim_lost_tasks(sim), ==, lost_before);
     g_assert_cmpuint(sim_returned_tasks(sim), ==, 0);
     sim_free(sim);
   }
@@ -259,7 +259,7 @@
 /* A machine that receives neither answers nor commands, while its heartbeats arrive, is returned,
    and its tasks start on other machines. */
 static void
-test_deaf(void)
+test_tasks_leave_machine_with_blocked_outbound(void)
 {
   static const SimJob ARRAY = { .tasks = 4, .team = "blue", .priority = "standard", .run_s = 15.0 };
   for (guint32 seed = 60; seed < 64; seed++) {
@@ -299,7 +299,7 @@
 /* Bursts of jobs of different sizes, priorities and teams on few machines, with random faults:
    every job starts within four minutes and completes in the end. */
 static void
-play_overload(guint32 seed)
+run_seed_with_overload(guint32 seed)
 {
   static const SimJob LARGE[]
       = { { .tasks = 40, .team = "red", .priority = "best_effort", .spot = TRUE, .run_s = 8.0 },
@@ -336,22 +336,22 @@
 {
   for (guint32 seed = 200; seed < 206; seed++) {
     g_test_message("seed %u", seed);
-    play_overload(seed);
+    run_seed_with_overload(seed);
   }
 }
 
 static const WsTest TESTS[] = {
-  { "/core/quiet", test_quiet },
+  { "/core/quiet", test_jobs_complete_without_faults },
   { "/core/budget-limits-termination", test_budget_limits_termination },
   { "/core/no-termination-in-partitioned-zone", test_no_termination_in_partitioned_zone },
-  { "/core/large", test_large },
-  { "/core/rough", test_rough },
+  { "/core/large", test_job_of_several_chunks_completes },
+  { "/core/rough", test_random_faults_violate_no_invariant },
   { "/core/mark-survives-change-of-owner", test_mark_survives_change_of_owner },
-  { "/core/rough-paces", test_rough_paces },
+  { "/core/rough-paces", test_random_faults_at_other_intervals_violate_no_invariant },
   { "/core/jobs-survive-repeated-crashes", test_jobs_survive_repeated_crashes },
   { "/core/isolated-node-loses-no-task", test_isolated_node_loses_no_task },
   { "/core/partitioned-zone-keeps-its-tasks", test_partitioned_zone_keeps_its_tasks },
-  { "/core/deaf", test_deaf },
+  { "/core/deaf", test_tasks_leave_machine_with_blocked_outbound },
   { "/core/large-job-starts-among-small-jobs", test_large_job_starts_among_small_jobs },
   { "/core/every-job-starts-and-completes", test_every_job_starts_and_completes },
 };
