--- a/tests/combined-faults/cancellation.c
+++ b/tests/combined-faults/cancellation.c
@@ -1,5 +1,6 @@
 /**
- * Cancellations while the leader alone is refused by the store, and then an outage for all nodes.
+ * Cancellations while the store rejects the requests of the leader only, followed by a store outage
+ * that affects all nodes.
  */
 #include "combined-faults/combined-faults.h"
 #include "sim/fault-injection.h"
@@ -19,20 +20,22 @@
   }
 }
 
-/* Two jobs run on many machines; the leader alone is refused, both jobs are cancelled through the
-   others, and the store becomes unavailable for all, for longer than cancel_s. */
+/* A variant of this scenario: two jobs run on many machines, the leader loses the store, both jobs
+   are cancelled through the other nodes, and then the store becomes unavailable for all nodes, for
+   longer than cancel_s. */
 typedef struct {
   const char *name;
-  gboolean acknowledging_nodes_crash; /* every other controller ends right after */
-  gboolean leader_isolated;           /* the leader can't reach its peers either */
+  gboolean acknowledging_nodes_crash; /* all other nodes crash as the outage begins */
+  gboolean leader_isolated;           /* the leader doesn't reach its peers either */
   gboolean cloud_unavailable;
-  gboolean one_node_restarted; /* one of the others was restarted before, and can't read */
+  gboolean one_node_restarted; /* another node restarts in the outage and can't read the store */
   SimMachineFault inject;
   double fault_s;
-  gboolean launch_in_flight; /* the cancellation comes while launches are on their way */
+  gboolean launch_in_flight; /* the jobs are cancelled while launches are in flight */
 } CancellationCase;
 
-/* A simulated cluster in which both jobs run or, if launches are to be in flight, one begins to. */
+/* A simulated cluster in which both jobs run or, with @launch_in_flight, the first job has just
+   started its first tasks. */
 static Sim *
 sim_with_two_jobs(guint32 seed, gboolean launch_in_flight)
 {
@@ -48,7 +51,8 @@
   return sim;
 }
 
-/* Both jobs end as cancelled, none of their tasks starts late, and no machine leaks. */
+/* Ends all faults; then both jobs must be closed, no task may have started after its user was told
+   of the cancellation, and no machine or termination mark may leak. */
 static void
 expect_cancelled(Sim *sim)
 {
--- a/tests/combined-faults/checker.c
+++ b/tests/combined-faults/checker.c
@@ -1,10 +1,11 @@
 /**
- * The checker itself: an invariant that is violated on purpose is reported.
+ * Tests of the invariant checker: it must report an invariant that is violated on purpose.
  */
 #include "combined-faults/combined-faults.h"
 #include "sim/sim.h"
 
-/* TRUE in the parent, which sees that its child ends with the objection. */
+/* In the parent process: runs the test in a subprocess, asserts that it aborts with a message that
+   matches the pattern, and returns TRUE. Returns FALSE in the subprocess. */
 static gboolean
 expects_abort_in_child(const char *pattern)
 {
@@ -16,7 +17,7 @@
   return TRUE;
 }
 
-/* A simulated cluster in which the jobs run. */
+/* A simulated cluster in which @tasks tasks of the two jobs run. */
 static Sim *
 running_world(guint32 seed, const SimJob *first, const SimJob *second, guint tasks)
 {
@@ -29,7 +30,7 @@
   return sim;
 }
 
-/* The task of the first job begins on every machine but its own. */
+/* Starts the task of the first job on every machine but the one that runs it already. */
 static void
 start_everywhere(Sim *sim, guint task)
 {
--- a/tests/combined-faults/combined-faults.h
+++ b/tests/combined-faults/combined-faults.h
@@ -1,9 +1,9 @@
 /**
- * The tests of combined faults that stand in files of their own.
+ * The tests of combined faults that are in files of their own.
  */
 #pragma once
 
-/** Adds the cases of cancellation.c. */
+/** Adds a test for each case of cancellation.c. */
 void add_cancellation_tests(void);
 
 /* checker.c */
--- a/tests/test-combined-faults.c
+++ b/tests/test-combined-faults.c
@@ -1,6 +1,6 @@
 /**
- * Faults that coincide: each combination that users have seen break an invariant, and pairs and
- * triples of faults drawn at random, in a simulated cluster whose checker knows the invariants.
+ * Faults that coincide, in a simulated cluster whose invariants are checked: the combinations that
+ * have violated an invariant for users, and random pairs and triples of faults.
  */
 #include "combined-faults/combined-faults.h"
 #include "sim/fault-injection.h"
@@ -8,8 +8,8 @@
 
 #include <glib/gstdio.h>
 
-/* Machines whose heartbeats reach nobody, while calls reach them: what was started there would end
-   with their leases again and again, so new work goes elsewhere. */
+/* Machines whose heartbeats reach no controller, while direct commands reach them, get no new
+   tasks: each task started there would be lost when the machine's lease expires, repeatedly. */
 static void
 test_no_work_on_inbound_unreachable_machine(void)
 {
@@ -31,8 +31,8 @@
   }
 }
 
-/* Each combination is a script of faults over the same load: arrays and services of both teams,
-   more than there is capacity for, some of them bound to one zone. */
+/* The combinations. Each injects its faults under the same load: array jobs and services of both
+   teams that exceed the capacity, some of them bound to one zone. */
 
 typedef struct {
   const char *name;
@@ -108,7 +108,7 @@
 {
   static const SimJob PAIR = { .tasks = 2, .team = "red", .priority = "standard", .run_s = 11.0 };
   for (guint i = 0; i < 5; i++) {
-    sim_faults(sim)->max_machines = 1 + i; /* the second task begins when the first has ended */
+    sim_faults(sim)->max_machines = 1 + i; /* the second task starts when the first has ended */
     sim_submit(sim, &PAIR);
     sim_run(sim, 9.0);
     sim_crash_node(sim, sim_leader_or_first(sim), 3.0);
@@ -182,7 +182,7 @@
 {
   sim_faults(sim)->duplicated_heartbeats = 0.5;
   for (guint i = 0; i < 6; i++) {
-    sim_inject_machine_faults(sim, 1, sim_stall_machine, 14.0); /* a new incarnation */
+    sim_inject_machine_faults(sim, 1, sim_stall_machine, 14.0); /* starts a new incarnation */
     sim_restart_any_machine(sim);
     sim_run(sim, 8.0);
   }
@@ -299,8 +299,9 @@
   sim_play_seeds(1000, 40, play_drawn_faults);
 }
 
-/* Tasks of a team at its limit were stopped for a more urgent job of the team that is bound to a
-   zone without a machine; another node placed them again, over and over, and neither job ran. */
+/* Tasks of a team at its limit were preempted for a more urgent job of the team that may run only
+   in a zone without machines. Another node placed them again, in an endless loop, and neither job
+   ran. */
 static void
 test_no_preemption_loop_for_zone_bound_job(void)
 {
@@ -310,8 +311,8 @@
   sim_free(sim);
 }
 
-/* Two plays with the same seeds put out the same, to the byte, in two processes whose addresses
-   differ: so that a change that means to leave the behaviour alone can be held to it. */
+/* Runs of the same seeds in two processes, whose memory addresses differ, write byte-identical
+   traces. Comparing traces can therefore show that a change leaves the behaviour as it was. */
 
 static void
 play_traced_faults(void)
@@ -320,7 +321,7 @@
     play_drawn_faults(seed);
 }
 
-/* What a process of its own traces of these days. */
+/* The trace that a subprocess writes while it runs play_traced_faults(). */
 static char *
 trace_of_own_process(const char *directory, const char *name, gsize *length)
 {
