--- a/tests/combined-faults/cancellation.c
+++ b/tests/combined-faults/cancellation.c
@@ -5,9 +5,9 @@
 #include "combined-faults/combined-faults.h"
 #include "sim/fault-injection.h"
 
-static const SimJob LONG
+static const SimJob RED_JOB
     = { .tasks = 5, .team = "red", .priority = "standard", .spot = TRUE, .run_s = 300.0 };
-static const SimJob BLUE_LONG
+static const SimJob BLUE_JOB
     = { .tasks = 6, .team = "blue", .priority = "standard", .spot = TRUE, .run_s = 300.0 };
 
 static void
@@ -37,13 +37,13 @@
 /* A simulated cluster in which both jobs run or, with @launch_in_flight, the first job has just
    started its first tasks. */
 static Sim *
-sim_with_two_jobs(guint32 seed, gboolean launch_in_flight)
+sim_with_two_running_jobs(guint32 seed, gboolean launch_in_flight)
 {
   Sim *sim = sim_new(seed);
   sim_properties(sim)->idle_timeout_s = 60.0;
   sim_run(sim, 3.0);
-  sim_submit(sim, &LONG);
-  sim_submit(sim, &BLUE_LONG);
+  sim_submit(sim, &RED_JOB);
+  sim_submit(sim, &BLUE_JOB);
   sim_run(sim, launch_in_flight ? 1.0 : 40.0);
   for (guint i = 0; launch_in_flight && i < 400 && sim_count_running(sim, 0) == 0; i++)
     sim_run(sim, 0.05);
@@ -54,7 +54,7 @@
 /* Ends all faults; then both jobs must be closed, no task may have started after its user was told
    of the cancellation, and no machine or termination mark may leak. */
 static void
-expect_cancelled(Sim *sim)
+expect_jobs_cancelled(Sim *sim)
 {
   sim_end_faults(sim);
   sim_cancel_until_closed(sim, 200, 1.0);
@@ -66,37 +66,37 @@
 }
 
 static void
-play_cancellation_before_outage(guint32 seed, const CancellationCase *spec)
+run_cancellation_before_outage(guint32 seed, const CancellationCase *variant)
 {
-  g_test_message("%s, seed %u", spec->name, seed);
-  Sim *sim = sim_with_two_jobs(seed, spec->launch_in_flight);
+  g_test_message("%s, seed %u", variant->name, seed);
+  Sim *sim = sim_with_two_running_jobs(seed, variant->launch_in_flight);
   guint leader = sim_leader(sim);
   g_assert_cmpuint(leader, <, SIM_NODES);
-  if (spec->inject != NULL)
-    spec->inject(sim, sim_machine_running(sim, 0), spec->fault_s);
-  *(spec->leader_isolated ? &sim_faults(sim)->isolated_nodes
-                          : &sim_faults(sim)->store_refuses_nodes)
+  if (variant->inject != NULL)
+    variant->inject(sim, sim_machine_running(sim, 0), variant->fault_s);
+  *(variant->leader_isolated ? &sim_faults(sim)->isolated_nodes
+                             : &sim_faults(sim)->store_refuses_nodes)
       = 1u << leader;
   sim_run(sim, 0.5);
   sim_cancel(sim, 0);
   sim_cancel(sim, 1);
   wait_until_cancelled(sim, 2.0);
   sim_faults(sim)->store_unavailable = TRUE;
-  sim_faults(sim)->cloud_unavailable = spec->cloud_unavailable;
-  if (spec->acknowledging_nodes_crash || spec->one_node_restarted)
+  sim_faults(sim)->cloud_unavailable = variant->cloud_unavailable;
+  if (variant->acknowledging_nodes_crash || variant->one_node_restarted)
     sim_crash_node(sim, (leader + 1) % SIM_NODES, 2.0);
-  if (spec->acknowledging_nodes_crash)
+  if (variant->acknowledging_nodes_crash)
     sim_crash_node(sim, (leader + 2) % SIM_NODES, 2.0);
   sim_run(sim, 50.0);
-  expect_cancelled(sim);
+  expect_jobs_cancelled(sim);
   sim_free(sim);
 }
 
 static void
-test_cancellation_before_outage(gconstpointer data)
+test_cancellation_before_outage_takes_effect(gconstpointer data)
 {
   for (guint32 seed = 500; seed < 505; seed++)
-    play_cancellation_before_outage(seed, data);
+    run_cancellation_before_outage(seed, data);
 }
 
 static const CancellationCase CANCELLATION_CASES[] = {
@@ -117,6 +117,7 @@
   for (gsize i = 0; i < G_N_ELEMENTS(CANCELLATION_CASES); i++) {
     g_autofree char *path = g_strconcat("/combined-faults/cancellation-before-outage/",
                                         CANCELLATION_CASES[i].name, NULL);
-    g_test_add_data_func(path, &CANCELLATION_CASES[i], test_cancellation_before_outage);
+    g_test_add_data_func(path, &CANCELLATION_CASES[i],
+                         test_cancellation_before_outage_takes_effect);
   }
 }
--- a/tests/combined-faults/checker.c
+++ b/tests/combined-faults/checker.c
@@ -19,7 +19,7 @@
 
 /* A simulated cluster in which @tasks tasks of the two jobs run. */
 static Sim *
-running_world(guint32 seed, const SimJob *first, const SimJob *second, guint tasks)
+sim_with_running_jobs(guint32 seed, const SimJob *first, const SimJob *second, guint tasks)
 {
   Sim *sim = sim_new(seed);
   sim_run(sim, 3.0);
@@ -32,7 +32,7 @@
 
 /* Starts the task of the first job on every machine but the one that runs it already. */
 static void
-start_everywhere(Sim *sim, guint task)
+start_on_all_other_machines(Sim *sim, guint task)
 {
   for (guint machine = 0; machine < sim_machines(sim); machine++)
     if (machine != sim_machine_running(sim, 0))
@@ -40,28 +40,31 @@
   sim_run(sim, 1.0);
 }
 
-static const SimJob ONE = { .tasks = 1, .team = "red", .priority = "standard", .run_s = 90.0 };
-static const SimJob FOUR = { .tasks = 4, .team = "blue", .priority = "standard", .run_s = 90.0 };
+static const SimJob ONE_TASK_JOB
+    = { .tasks = 1, .team = "red", .priority = "standard", .run_s = 90.0 };
+static const SimJob FOUR_TASK_JOB
+    = { .tasks = 4, .team = "blue", .priority = "standard", .run_s = 90.0 };
 
 void
 test_checker_detects_duplicate_run(void)
 {
   if (expects_abort_in_child("*ran_twice*"))
     return;
-  Sim *sim = running_world(700, &ONE, &FOUR, 5);
-  start_everywhere(sim, 0);
+  Sim *sim = sim_with_running_jobs(700, &ONE_TASK_JOB, &FOUR_TASK_JOB, 5);
+  start_on_all_other_machines(sim, 0);
   sim_free(sim);
 }
 
 void
 test_checker_detects_exceeded_quota(void)
 {
-  static const SimJob WIDE = { .tasks = 9, .team = "blue", .priority = "standard", .run_s = 60.0 };
+  static const SimJob NINE_TASK_JOB
+      = { .tasks = 9, .team = "blue", .priority = "standard", .run_s = 60.0 };
   if (expects_abort_in_child("*quota of blue*"))
     return;
   Sim *sim = sim_new(701);
   sim_run(sim, 3.0);
-  sim_submit(sim, &WIDE);
+  sim_submit(sim, &NINE_TASK_JOB);
   for (guint i = 0; i < 60 && sim_count_running(sim, 0) < 8; i++)
     sim_run(sim, 1.0);
   for (guint machine = 0; machine < sim_machines(sim); machine++)
@@ -73,17 +76,17 @@
 void
 test_checker_detects_wrong_placement(void)
 {
-  static const SimJob IN_A
+  static const SimJob JOB_IN_A
       = { .tasks = 2, .team = "blue", .priority = "standard", .zone = "a", .run_s = 90.0 };
-  static const SimJob IN_B
+  static const SimJob JOB_IN_B
       = { .tasks = 1, .team = "red", .priority = "standard", .zone = "b", .run_s = 90.0 };
   if (expects_abort_in_child("*wrong_place*"))
     return;
-  Sim *sim = running_world(702, &IN_A, &FOUR, 6);
-  guint in_a = sim_machine_running(sim, 0);
-  g_assert_cmpuint(in_a, !=, G_MAXUINT);
-  sim_submit(sim, &IN_B);
-  sim_force_start(sim, in_a, 2, 0);
+  Sim *sim = sim_with_running_jobs(702, &JOB_IN_A, &FOUR_TASK_JOB, 6);
+  guint machine_in_a = sim_machine_running(sim, 0);
+  g_assert_cmpuint(machine_in_a, !=, G_MAXUINT);
+  sim_submit(sim, &JOB_IN_B);
+  sim_force_start(sim, machine_in_a, 2, 0);
   sim_run(sim, 1.0);
   sim_free(sim);
 }
@@ -93,7 +96,7 @@
 {
   if (expects_abort_in_child("*ran_cancelled*"))
     return;
-  Sim *sim = running_world(703, &ONE, &FOUR, 5);
+  Sim *sim = sim_with_running_jobs(703, &ONE_TASK_JOB, &FOUR_TASK_JOB, 5);
   sim_cancel(sim, 0);
   sim_run(sim, 35.0);
   g_assert_true(sim_is_told_cancelled(sim, 0));
@@ -107,7 +110,7 @@
 {
   if (expects_abort_in_child("*forgotten: nothing is heard*"))
     return;
-  Sim *sim = running_world(704, &ONE, &FOUR, 5);
+  Sim *sim = sim_with_running_jobs(704, &ONE_TASK_JOB, &FOUR_TASK_JOB, 5);
   sim_end_faults(sim);
   for (guint node = 0; node < SIM_NODES; node++)
     sim_crash_node(sim, node, 1000.0);
--- a/tests/test-combined-faults.c
+++ b/tests/test-combined-faults.c
@@ -36,11 +36,11 @@
 
 typedef struct {
   const char *name;
-  void (*play)(Sim *sim);
-} CombinedFaults;
+  void (*inject)(Sim *sim);
+} FaultCombination;
 
 static void
-play_repeated_leader_failover(Sim *sim)
+inject_repeated_leader_failover(Sim *sim)
 {
   for (guint i = 0; i < 10; i++) {
     sim_faults(sim)->store_unavailable = i == 4 || i == 5;
@@ -51,7 +51,7 @@
 }
 
 static void
-play_machines_stall_and_resume(Sim *sim)
+inject_machines_stall_and_resume(Sim *sim)
 {
   for (guint i = 0; i < 6; i++) {
     sim_inject_machine_faults(sim, 2, sim_stall_machine,
@@ -63,7 +63,7 @@
 }
 
 static void
-play_leader_crash_while_machines_unreachable(Sim *sim)
+inject_leader_crash_while_machines_unreachable(Sim *sim)
 {
   sim_inject_machine_faults(sim, 2, sim_stall_machine, 8.0);
   sim_inject_machine_faults(sim, 2, sim_block_outbound, 15.0);
@@ -74,7 +74,7 @@
 }
 
 static void
-play_machines_inbound_unreachable(Sim *sim)
+inject_machines_inbound_unreachable(Sim *sim)
 {
   for (guint i = 0; i < 5; i++)
     sim_inject_machine_faults(sim, 1, sim_block_inbound, 45.0);
@@ -83,7 +83,7 @@
 }
 
 static void
-play_partitioned_zone_with_controller(Sim *sim)
+inject_partitioned_zone_with_controller(Sim *sim)
 {
   guint zone = (guint)g_rand_int_range(sim_rand(sim), 0, SIM_NODES);
   sim_faults(sim)->partitioned_zones = 1u << zone;
@@ -94,7 +94,7 @@
 }
 
 static void
-play_no_free_capacity(Sim *sim)
+inject_no_free_capacity(Sim *sim)
 {
   sim_faults(sim)->max_machines = 3;
   sim_add_load(sim, 2);
@@ -104,7 +104,7 @@
 }
 
 static void
-play_completions_across_failovers(Sim *sim)
+inject_completions_across_failovers(Sim *sim)
 {
   static const SimJob PAIR = { .tasks = 2, .team = "red", .priority = "standard", .run_s = 11.0 };
   for (guint i = 0; i < 5; i++) {
@@ -117,7 +117,7 @@
 }
 
 static void
-play_all_nodes_down_longer_than_lease(Sim *sim)
+inject_all_nodes_down_longer_than_lease(Sim *sim)
 {
   for (guint n = 0; n < SIM_NODES; n++)
     sim_crash_node(sim, n, 14.0 + n);
@@ -127,7 +127,7 @@
 }
 
 static void
-play_cancellation_at_completion(Sim *sim)
+inject_cancellation_at_completion(Sim *sim)
 {
   sim_cancel_at_completion(sim, 0.7);
   sim_add_load(sim, 2);
@@ -135,7 +135,7 @@
 }
 
 static void
-play_slow_store_then_outage(Sim *sim)
+inject_slow_store_then_outage(Sim *sim)
 {
   sim_faults(sim)->store_delay_ms = 1500;
   sim_cancel_many(sim, 2);
@@ -149,7 +149,7 @@
 }
 
 static void
-play_leadership_handed_over_and_back(Sim *sim)
+inject_leadership_handed_over_and_back(Sim *sim)
 {
   guint leader = sim_leader_or_first(sim);
   sim_crash_node(sim, leader, 6.0);
@@ -165,7 +165,7 @@
 }
 
 static void
-play_delayed_transactions(Sim *sim)
+inject_delayed_transactions(Sim *sim)
 {
   sim_faults(sim)->delayed_transactions = 0.3;
   for (guint i = 0; i < 6; i++) {
@@ -178,7 +178,7 @@
 }
 
 static void
-play_duplicated_heartbeats(Sim *sim)
+inject_duplicated_heartbeats(Sim *sim)
 {
   sim_faults(sim)->duplicated_heartbeats = 0.5;
   for (guint i = 0; i < 6; i++) {
@@ -189,7 +189,7 @@
 }
 
 static void
-play_team_at_limit(Sim *sim)
+inject_team_at_limit(Sim *sim)
 {
   static const SimJob FULL
       = { .tasks = 12, .team = "red", .priority = "standard", .spot = TRUE, .run_s = 20.0 };
@@ -204,7 +204,7 @@
 }
 
 static void
-play_delayed_heartbeats(Sim *sim)
+inject_delayed_heartbeats(Sim *sim)
 {
   for (guint i = 0; i < 5; i++) {
     sim_faults(sim)->net.late = 0.4;
@@ -216,7 +216,7 @@
 }
 
 static void
-play_zone_bound_jobs_lose_machines(Sim *sim)
+inject_zone_bound_jobs_lose_machines(Sim *sim)
 {
   sim_add_load(sim, 2);
   sim_run(sim, 10.0);
@@ -229,7 +229,7 @@
 }
 
 static void
-play_isolated_leader(Sim *sim)
+inject_isolated_leader(Sim *sim)
 {
   guint leader = sim_leader_or_first(sim);
   sim_faults(sim)->isolated_nodes = 1u << leader;
@@ -239,7 +239,7 @@
 }
 
 static void
-play_leader_stalls(Sim *sim)
+inject_leader_stalls(Sim *sim)
 {
   guint leader = sim_leader_or_first(sim);
   sim_pause_node(sim, leader, 40.0);
@@ -249,42 +249,42 @@
   sim_run(sim, 25.0);
 }
 
-static const CombinedFaults COMBINED_FAULTS[] = {
-  { "repeated-leader-failover", play_repeated_leader_failover },
-  { "machines-stall-and-resume", play_machines_stall_and_resume },
-  { "leader-crash-while-machines-unreachable", play_leader_crash_while_machines_unreachable },
-  { "machines-inbound-unreachable", play_machines_inbound_unreachable },
-  { "partitioned-zone-with-controller", play_partitioned_zone_with_controller },
-  { "no-free-capacity", play_no_free_capacity },
-  { "completions-across-failovers", play_completions_across_failovers },
-  { "all-nodes-down-longer-than-lease", play_all_nodes_down_longer_than_lease },
-  { "cancellation-at-completion", play_cancellation_at_completion },
-  { "slow-store-then-outage", play_slow_store_then_outage },
-  { "leadership-handed-over-and-back", play_leadership_handed_over_and_back },
-  { "delayed-transactions", play_delayed_transactions },
-  { "duplicated-heartbeats", play_duplicated_heartbeats },
-  { "team-at-limit", play_team_at_limit },
-  { "delayed-heartbeats", play_delayed_heartbeats },
-  { "zone-bound-jobs-lose-machines", play_zone_bound_jobs_lose_machines },
-  { "isolated-leader", play_isolated_leader },
-  { "leader-stalls", play_leader_stalls },
+static const FaultCombination FAULT_COMBINATIONS[] = {
+  { "repeated-leader-failover", inject_repeated_leader_failover },
+  { "machines-stall-and-resume", inject_machines_stall_and_resume },
+  { "leader-crash-while-machines-unreachable", inject_leader_crash_while_machines_unreachable },
+  { "machines-inbound-unreachable", inject_machines_inbound_unreachable },
+  { "partitioned-zone-with-controller", inject_partitioned_zone_with_controller },
+  { "no-free-capacity", inject_no_free_capacity },
+  { "completions-across-failovers", inject_completions_across_failovers },
+  { "all-nodes-down-longer-than-lease", inject_all_nodes_down_longer_than_lease },
+  { "cancellation-at-completion", inject_cancellation_at_completion },
+  { "slow-store-then-outage", inject_slow_store_then_outage },
+  { "leadership-handed-over-and-back", inject_leadership_handed_over_and_back },
+  { "delayed-transactions", inject_delayed_transactions },
+  { "duplicated-heartbeats", inject_duplicated_heartbeats },
+  { "team-at-limit", inject_team_at_limit },
+  { "delayed-heartbeats", inject_delayed_heartbeats },
+  { "zone-bound-jobs-lose-machines", inject_zone_bound_jobs_lose_machines },
+  { "isolated-leader", inject_isolated_leader },
+  { "leader-stalls", inject_leader_stalls },
 };
 
 static void
-test_combined_faults(gconstpointer data)
+test_cluster_recovers_from_combined_faults(gconstpointer data)
 {
-  const CombinedFaults *faults = data;
+  const FaultCombination *combination = data;
   for (guint32 seed = 600; seed < 600 + sim_seed_count(3); seed++) {
-    g_test_message("%s, seed %u", faults->name, seed);
+    g_test_message("%s, seed %u", combination->name, seed);
     Sim *sim = sim_new_with_load(seed);
-    faults->play(sim);
+    combination->inject(sim);
     sim_expect_recovery(sim);
     sim_free(sim);
   }
 }
 
 static void
-play_drawn_faults(guint32 seed)
+run_random_fault_combination(guint32 seed)
 {
   Sim *sim = sim_new_with_load(seed);
   sim_inject_random_faults(sim);
@@ -294,9 +294,9 @@
 }
 
 static void
-test_drawn(void)
+test_random_fault_combinations_recover(void)
 {
-  sim_play_seeds(1000, 40, play_drawn_faults);
+  sim_play_seeds(1000, 40, run_random_fault_combination);
 }
 
 /* Tasks of a team at its limit were preempted for a more urgent job of the team that may run only
@@ -306,7 +306,7 @@
 test_no_preemption_loop_for_zone_bound_job(void)
 {
   Sim *sim = sim_new_with_load(602);
-  play_machines_stall_and_resume(sim);
+  inject_machines_stall_and_resume(sim);
   sim_expect_recovery(sim);
   sim_free(sim);
 }
@@ -315,15 +315,15 @@
    traces. Comparing traces can therefore show that a change leaves the behaviour as it was. */
 
 static void
-play_traced_faults(void)
+run_traced_fault_combinations(void)
 {
   for (guint32 seed = 1000; seed < 1003; seed++)
-    play_drawn_faults(seed);
+    run_random_fault_combination(seed);
 }
 
-/* The trace that a subprocess writes while it runs play_traced_faults(). */
+/* The trace that a subprocess writes while it runs run_traced_fault_combinations(). */
 static char *
-trace_of_own_process(const char *directory, const char *name, gsize *length)
+trace_of_subprocess(const char *directory, const char *name, gsize *length)
 {
   char *text;
   g_autofree char *path = g_build_filename(directory, name, NULL);
@@ -342,8 +342,8 @@
   gsize first_length, second_length;
   g_autofree char *directory = g_dir_make_tmp("wrenshore-trace-XXXXXX", NULL);
   g_assert_nonnull(directory);
-  g_autofree char *first = trace_of_own_process(directory, "first", &first_length);
-  g_autofree char *second = trace_of_own_process(directory, "second", &second_length);
+  g_autofree char *first = trace_of_subprocess(directory, "first", &first_length);
+  g_autofree char *second = trace_of_subprocess(directory, "second", &second_length);
   g_rmdir(directory);
   g_assert_cmpuint(first_length, >, 0);
   g_assert_cmpmem(first, first_length, second, second_length);
@@ -360,9 +360,9 @@
   { "/combined-faults/checker-detects-forgotten-job", test_checker_detects_forgotten_job },
   { "/combined-faults/no-preemption-loop-for-zone-bound-job",
     test_no_preemption_loop_for_zone_bound_job },
-  { "/combined-faults/drawn", test_drawn },
+  { "/combined-faults/drawn", test_random_fault_combinations_recover },
   { "/combined-faults/trace/is-deterministic", test_trace_is_deterministic },
-  { "/combined-faults/trace/subprocess/days", play_traced_faults },
+  { "/combined-faults/trace/subprocess/days", run_traced_fault_combinations },
 };
 
 int
@@ -370,9 +370,9 @@
 {
   ws_suite_init(&argc, &argv);
   add_cancellation_tests();
-  for (gsize i = 0; i < G_N_ELEMENTS(COMBINED_FAULTS); i++) {
-    g_autofree char *path = g_strconcat("/combined-faults/", COMBINED_FAULTS[i].name, NULL);
-    g_test_add_data_func(path, &COMBINED_FAULTS[i], test_combined_faults);
+  for (gsize i = 0; i < G_N_ELEMENTS(FAULT_COMBINATIONS); i++) {
+    g_autofree char *path = g_strconcat("/combined-faults/", FAULT_COMBINATIONS[i].name, NULL);
+    g_test_add_data_func(path, &FAULT_COMBINATIONS[i], test_cluster_recovers_from_combined_faults);
   }
   ws_suite_add(TESTS, G_N_ELEMENTS(TESTS));
   return g_test_run();
