--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -1,6 +1,7 @@
 /**
- * Two versions of the program on the same records, and limits of the store that are lowered. The
- * records here were written by the encoders of the version in production, commit ee59907.
+ * Upgrades: this version and the production version use the same records and messages; and limits
+ * of the store are lowered. The records in this file were written by the encoders of the production
+ * version, commit ee59907.
  */
 #include "commit/ws-release-order.h"
 #include "sim/fixture.h"
@@ -69,7 +70,7 @@
   g_assert_not_reached();
 }
 
-/* All that production has acknowledged is known to the new version. */
+/* This version reads every record that the production version has stored. */
 static void
 test_reads_stored_records(void)
 {
@@ -100,8 +101,8 @@
   json_decref(value);
 }
 
-/* What the new version writes while production may read it is, byte for byte, what production would
-   have written. */
+/* During an upgrade the production version may read what this version writes. So this version
+   encodes each record byte for byte as the production version does. */
 static void
 test_writes_records_byte_for_byte(void)
 {
@@ -125,7 +126,8 @@
   ws_replica_free(replica);
 }
 
-/* Both versions count a team's use in the same record, whatever the limits to come are. */
+/* A team's use is stored in the same record whether or not lower limits are announced, so that both
+   versions update the same record. */
 static void
 test_team_record_is_independent_of_limits(void)
 {
@@ -141,7 +143,7 @@
     g_assert_cmpuint(ws_team_use_group(next, team), ==, ws_team_use_group(present, team));
 }
 
-/* Peer messages of production: taken as they are. */
+/* This version accepts the peer messages of the production version and acts on them. */
 static void
 test_accepts_peer_messages(void)
 {
@@ -170,8 +172,8 @@
   fixture_free(fixture);
 }
 
-/* The new version's gossip has each field of production's, of the same type, and one more, which
-   production doesn't read. */
+/* The gossip of this version has every field of the production version's gossip, with the same
+   type, and one more field, which the production version ignores. */
 static void
 test_gossip_is_compatible(void)
 {
@@ -195,7 +197,7 @@
   fixture_free(fixture);
 }
 
-/* Limits to come. */
+/* Lowered limits of the store. */
 
 static WsChunk *
 generate_chunk(GRand *rand, WsReplica *replica, guint tasks)
@@ -211,7 +213,9 @@
   return chunk;
 }
 
-/* Whatever a record says to fit fits, and what places it has left can be filled. */
+/* A chunk that is said to fit the record limit does fit, and one that is said not to fit is at most
+   one byte below it. Free slots are reported only for a chunk that fits, and not more than a record
+   could hold. */
 static void
 test_chunks_fit_record_limit(void)
 {
@@ -226,7 +230,7 @@
     g_autofree char *text = ws_json_text(value);
     gboolean fits = ws_chunk_fits_record(chunk, replica);
     g_assert_true(!fits || strlen(text) <= NEXT_BYTES);
-    g_assert_true(fits || strlen(text) + 1 > NEXT_BYTES); /* the count is one comma too high */
+    g_assert_true(fits || strlen(text) + 1 > NEXT_BYTES); /* one comma too many is counted */
     g_assert_true(ws_chunk_free_slots(chunk, replica) == 0 || ws_chunk_fits_record(chunk, replica));
     g_assert_cmpuint(ws_chunk_free_slots(chunk, replica), <=, NEXT_BYTES / 20);
     ws_chunk_free(chunk);
@@ -234,7 +238,8 @@
   }
 }
 
-/* A rental whose machines have long names has several records. */
+/* Long machine names limit how many machines a rental batch record takes: the record stays within
+   the limit. */
 static void
 test_rental_batches_fit_record_limit(void)
 {
@@ -260,8 +265,8 @@
   ws_replica_free(replica);
 }
 
-/* The lower limits come into force at any moment, during faults: nothing is rejected for its size,
-   which the end of each day checks, and all is served. */
+/* Announced lower limits take effect at a random time during faults. The store rejects no
+   transaction for its size, and all jobs complete: sim_expect_recovery() checks both. */
 static void
 test_limits_lowered_at_runtime(void)
 {
@@ -288,8 +293,8 @@
   g_hash_table_insert(pending, GUINT_TO_POINTER(task + 1), known);
 }
 
-/* A record that production left larger than may be written now: its ends wait until what is left
-   fits, and are then written together. */
+/* A chunk record that the production version wrote exceeds the lower limit. Its releases are held
+   back until the assignments that remain fit the limit, and are then written together. */
 static void
 test_oversized_records_are_reduced_at_once(void)
 {
@@ -322,7 +327,8 @@
   ws_replica_free(replica);
 }
 
-/* A job that production has accepted is known, whatever this version would have said of it. */
+/* A repeated submission of a job that the production version has accepted isn't rejected, even if
+   this version would reject the job as a new one. */
 static void
 test_accepted_job_is_never_rejected(void)
 {
@@ -330,7 +336,7 @@
   fixture->settings->state_record_bytes = 300;
   fixture_call(fixture, "POST", "/api/jobs", fixture_submission());
   g_assert_cmpuint(fixture->status, ==, 422);
-  fixture->hold_watch = TRUE; /* this node doesn't hear of it by itself */
+  fixture->hold_watch = TRUE; /* the record that follows doesn't reach the replica */
   fixture_run(fixture, 10.0);
   g_autoptr(json_t) submission = fixture_submission();
   fixture_write_key(
@@ -343,12 +349,13 @@
   fixture_free(fixture);
 }
 
-/* A refusal for size that nobody announced holds up only what is refused. */
+/* When lower limits take effect without announcement, only transactions that the store rejects for
+   their size are delayed. */
 static void
 test_unannounced_limits_delay_only_what_is_refused(void)
 {
   Sim *sim = sim_new_with_load(930);
-  sim_lower_limits(sim, 2, NEXT_BYTES); /* one job and its team's use */
+  sim_lower_limits(sim, 2, NEXT_BYTES); /* two operations: a job and its team's use */
   sim_add_load(sim, 1);
   sim_run_until_closed(sim, 300);
   g_assert_cmpuint(sim_open_jobs(sim), ==, 0);
