--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -12,8 +12,8 @@
 
 #include <string.h>
 
-#define NEXT_OPS 5
-#define NEXT_BYTES 1900
+#define LOWERED_TXN_OPERATIONS 5
+#define LOWERED_RECORD_BYTES 1900
 
 static const struct {
   const char *key;
@@ -50,7 +50,7 @@
 };
 
 static WsReplica *
-read_records(const WsSettings *settings)
+replica_with_stored_records(const WsSettings *settings)
 {
   WsReplica *replica = ws_replica_new(settings);
   for (guint i = 0; i < G_N_ELEMENTS(RECORDS); i++) {
@@ -62,7 +62,7 @@
 }
 
 static const char *
-record(const char *key)
+stored_record(const char *key)
 {
   for (guint i = 0; i < G_N_ELEMENTS(RECORDS); i++)
     if (strcmp(RECORDS[i].key, key) == 0)
@@ -75,7 +75,7 @@
 test_reads_stored_records(void)
 {
   g_autoptr(WsSettings) settings = ws_test_settings(1);
-  WsReplica *replica = read_records(settings);
+  WsReplica *replica = replica_with_stored_records(settings);
   const WsJob *job = ws_replica_find_job(replica, "req-000001");
   const WsMachine *machine = ws_replica_find_machine(replica, "m-000000");
   g_assert_cmpint(ws_replica_find_job(replica, "req-000000")->state, ==, WS_JOB_DONE);
@@ -94,53 +94,55 @@
 }
 
 static void
-assert_written_as(json_t *value /* taken */, const char *key)
+assert_encoded_as(json_t *value /* taken */, const char *key)
 {
   g_autofree char *text = ws_json_text(value);
-  g_assert_cmpstr(text, ==, record(key));
+  g_assert_cmpstr(text, ==, stored_record(key));
   json_decref(value);
 }
 
 /* During an upgrade the production version may read what this version writes. So this version
    encodes each record byte for byte as the production version does. */
 static void
-test_writes_records_byte_for_byte(void)
+test_encodes_records_byte_for_byte(void)
 {
   g_autoptr(WsSettings) settings = ws_test_settings(1);
-  WsReplica *replica = read_records(settings);
+  WsReplica *replica = replica_with_stored_records(settings);
   const WsJob *job = ws_replica_find_job(replica, "req-000001");
-  assert_written_as(ws_job_encode(job, WS_JOB_ACTIVE, ""), "w/job/req-000001");
-  assert_written_as(ws_job_encode_final(ws_replica_find_job(replica, "req-000000"), WS_JOB_DONE),
+  assert_encoded_as(ws_job_encode(job, WS_JOB_ACTIVE, ""), "w/job/req-000001");
+  assert_encoded_as(ws_job_encode_final(ws_replica_find_job(replica, "req-000000"), WS_JOB_DONE),
                     "w/job/req-000000");
-  assert_written_as(ws_chunk_encode(ws_job_chunk(job, 0), replica), "w/task/req-000001/0");
-  assert_written_as(ws_team_use_encode(settings, 0, replica->team_use), "w/team-use/0");
-  assert_written_as(ws_epoch_encode(&replica->epoch, settings), "w/epoch");
-  assert_written_as(ws_rental_batch_encode(g_ptr_array_index(replica->rental_batches, 0), replica),
+  assert_encoded_as(ws_chunk_encode(ws_job_chunk(job, 0), replica), "w/task/req-000001/0");
+  assert_encoded_as(ws_team_use_encode(settings, 0, replica->team_use), "w/team-use/0");
+  assert_encoded_as(ws_epoch_encode(&replica->epoch, settings), "w/epoch");
+  assert_encoded_as(ws_rental_batch_encode(g_ptr_array_index(replica->rental_batches, 0), replica),
                     "w/lot/r-1-1");
-  assert_written_as(ws_rental_intent_encode(g_ptr_array_index(replica->rental_intents, 0)),
+  assert_encoded_as(ws_rental_intent_encode(g_ptr_array_index(replica->rental_intents, 0)),
                     "w/rent/r-1-4");
-  assert_written_as(ws_mark_encode("notice", FALSE), "w/mark/m-000000");
-  assert_written_as(ws_leader_encode(replica->leader_incarnation, "n0"), "w/leader");
+  assert_encoded_as(ws_mark_encode("notice", FALSE), "w/mark/m-000000");
+  assert_encoded_as(ws_leader_encode(replica->leader_incarnation, "n0"), "w/leader");
   const WsMember *member = &g_array_index(replica->members, WsMember, 1);
-  assert_written_as(ws_member_encode(member->incarnation), "w/member/n1");
+  assert_encoded_as(ws_member_encode(member->incarnation), "w/member/n1");
   ws_replica_free(replica);
 }
 
 /* A team's use is stored in the same record whether or not lower limits are announced, so that both
    versions update the same record. */
 static void
-test_team_record_is_independent_of_limits(void)
+test_team_use_record_is_independent_of_limits(void)
 {
   g_autoptr(json_t) message = ws_test_message(0);
   json_t *state = json_object_get(json_object_get(message, "params"), "state");
   json_object_set_new(state, "next", json_pack("{s:f, s:i}", "value_kb", 1.0, "txn_ops", 4));
   g_autoptr(GError) error = NULL;
-  g_autoptr(WsSettings) next = ws_settings_parse(message, &error);
-  g_autoptr(WsSettings) present = ws_test_settings(0);
-  g_assert_nonnull(next);
-  g_assert_cmpuint(ws_team_use_groups(next), ==, ws_team_use_groups(present));
-  for (guint team = 0; team < next->teams->len; team++)
-    g_assert_cmpuint(ws_team_use_group(next, team), ==, ws_team_use_group(present, team));
+  g_autoptr(WsSettings) announced_settings = ws_settings_parse(message, &error);
+  g_autoptr(WsSettings) current_settings = ws_test_settings(0);
+  g_assert_nonnull(announced_settings);
+  g_assert_cmpuint(ws_team_use_groups(announced_settings), ==,
+                   ws_team_use_groups(current_settings));
+  for (guint team = 0; team < announced_settings->teams->len; team++)
+    g_assert_cmpuint(ws_team_use_group(announced_settings, team), ==,
+                     ws_team_use_group(current_settings, team));
 }
 
 /* This version accepts the peer messages of the production version and acts on them. */
@@ -188,10 +190,10 @@
   json_t *value;
   json_object_foreach(production, name, value)
   {
-    const json_t *ours = json_object_get(fixture->answer, name);
-    g_assert_nonnull(ours);
-    g_assert_true(json_is_boolean(value) ? json_is_boolean(ours)
-                                         : json_typeof(ours) == json_typeof(value));
+    const json_t *current_value = json_object_get(fixture->answer, name);
+    g_assert_nonnull(current_value);
+    g_assert_true(json_is_boolean(value) ? json_is_boolean(current_value)
+                                         : json_typeof(current_value) == json_typeof(value));
   }
   g_assert_cmpuint(json_object_size(fixture->answer), ==, json_object_size(production) + 1);
   fixture_free(fixture);
@@ -220,7 +222,7 @@
 test_chunks_fit_record_limit(void)
 {
   g_autoptr(WsSettings) settings = ws_test_settings(0);
-  settings->state_record_bytes = NEXT_BYTES;
+  settings->state_record_bytes = LOWERED_RECORD_BYTES;
   for (guint32 seed = 1; seed <= 128; seed++) {
     g_test_message("seed %u", seed);
     g_autoptr(GRand) rand = g_rand_new_with_seed(seed);
@@ -229,10 +231,11 @@
     g_autoptr(json_t) value = ws_chunk_encode(chunk, replica);
     g_autofree char *text = ws_json_text(value);
     gboolean fits = ws_chunk_fits_record(chunk, replica);
-    g_assert_true(!fits || strlen(text) <= NEXT_BYTES);
-    g_assert_true(fits || strlen(text) + 1 > NEXT_BYTES); /* one comma too many is counted */
+    g_assert_true(!fits || strlen(text) <= LOWERED_RECORD_BYTES);
+    g_assert_true(fits
+                  || strlen(text) + 1 > LOWERED_RECORD_BYTES); /* one comma too many is counted */
     g_assert_true(ws_chunk_free_slots(chunk, replica) == 0 || ws_chunk_fits_record(chunk, replica));
-    g_assert_cmpuint(ws_chunk_free_slots(chunk, replica), <=, NEXT_BYTES / 20);
+    g_assert_cmpuint(ws_chunk_free_slots(chunk, replica), <=, LOWERED_RECORD_BYTES / 20);
     ws_chunk_free(chunk);
     ws_replica_free(replica);
   }
@@ -244,7 +247,7 @@
 test_rental_batches_fit_record_limit(void)
 {
   g_autoptr(WsSettings) settings = ws_test_settings(0);
-  settings->state_record_bytes = NEXT_BYTES;
+  settings->state_record_bytes = LOWERED_RECORD_BYTES;
   WsReplica *replica = ws_replica_new(settings);
   g_autoptr(GArray) machines = g_array_new(FALSE, FALSE, sizeof(guint));
   WsRentalBatch rental_batch = {
@@ -259,7 +262,7 @@
   }
   g_autoptr(json_t) value = ws_rental_batch_encode(&rental_batch, replica);
   g_autofree char *text = ws_json_text(value);
-  g_assert_cmpuint(strlen(text), <=, NEXT_BYTES);
+  g_assert_cmpuint(strlen(text), <=, LOWERED_RECORD_BYTES);
   g_assert_cmpuint(machines->len, >, 15);
   g_assert_cmpuint(ws_rental_batch_max_machines(settings), ==, 50);
   ws_replica_free(replica);
@@ -268,16 +271,16 @@
 /* Announced lower limits take effect at a random time during faults. The store rejects no
    transaction for its size, and all jobs complete: sim_expect_recovery() checks both. */
 static void
-test_limits_lowered_at_runtime(void)
+test_announced_limits_take_effect_at_runtime(void)
 {
   for (guint32 seed = 900; seed < 900 + sim_seed_count(12); seed++) {
     g_test_message("seed %u", seed);
     Sim *sim = sim_new(seed);
-    sim_announce_limits(sim, NEXT_OPS, NEXT_BYTES);
+    sim_announce_limits(sim, LOWERED_TXN_OPERATIONS, LOWERED_RECORD_BYTES);
     sim_run(sim, 3.0);
     sim_add_load(sim, 1);
     sim_run(sim, g_rand_double_range(sim_rand(sim), 0.0, 20.0));
-    sim_lower_limits(sim, NEXT_OPS, NEXT_BYTES);
+    sim_lower_limits(sim, LOWERED_TXN_OPERATIONS, LOWERED_RECORD_BYTES);
     sim_add_load(sim, 1);
     sim_inject_random_faults(sim);
     sim_expect_recovery(sim);
@@ -286,11 +289,12 @@
 }
 
 static void
-add_pending(GHashTable *pending, const WsChunk *chunk, guint task)
+add_pending_release(GHashTable *pending, const WsChunk *chunk, guint task)
 {
-  WsPendingRelease *known = g_new0(WsPendingRelease, 1);
-  known->release = (WsRelease){ .task = task, .attempt = ws_chunk_find(chunk, task)->attempt };
-  g_hash_table_insert(pending, GUINT_TO_POINTER(task + 1), known);
+  WsPendingRelease *pending_release = g_new0(WsPendingRelease, 1);
+  pending_release->release
+      = (WsRelease){ .task = task, .attempt = ws_chunk_find(chunk, task)->attempt };
+  g_hash_table_insert(pending, GUINT_TO_POINTER(task + 1), pending_release);
 }
 
 /* A chunk record that the production version wrote exceeds the lower limit. Its releases are held
@@ -300,10 +304,10 @@
 {
   g_autoptr(GRand) rand = g_rand_new_with_seed(920);
   g_autoptr(WsSettings) settings = ws_test_settings(0);
-  settings->state_record_bytes = NEXT_BYTES;
-  WsReplica *replica = read_records(settings);
+  settings->state_record_bytes = LOWERED_RECORD_BYTES;
+  WsReplica *replica = replica_with_stored_records(settings);
   g_autoptr(json_t) value
-      = ws_json_parse(record("w/job/req-000001"), strlen(record("w/job/req-000001")));
+      = ws_json_parse(stored_record("w/job/req-000001"), strlen(stored_record("w/job/req-000001")));
   json_object_set_new(json_object_get(value, "spec"), "kusy", json_integer(WS_CHUNK_TASKS));
   ws_replica_apply(replica, "w/job/req-7", value, 100);
   WsJob *job = ws_replica_find_job(replica, "req-7");
@@ -312,25 +316,25 @@
   g_assert_false(ws_chunk_fits_record(chunk, replica));
   WsCore core = { .settings = settings, .replica = replica };
   g_autoptr(GHashTable) pending = g_hash_table_new_full(NULL, NULL, NULL, g_free);
-  guint known = 0;
-  for (; known < WS_CHUNK_TASKS; known++) {
-    add_pending(pending, chunk, known);
-    ((WsPendingRelease *)g_hash_table_lookup(pending, GUINT_TO_POINTER(known + 1)))->release.job
+  guint last_task = 0;
+  for (; last_task < WS_CHUNK_TASKS; last_task++) {
+    add_pending_release(pending, chunk, last_task);
+    ((WsPendingRelease *)g_hash_table_lookup(pending, GUINT_TO_POINTER(last_task + 1)))->release.job
         = job->index;
-    g_autoptr(GArray) ends = ws_releases_sort(&core, pending);
-    g_assert_true(ends->len == 0 || ends->len == known + 1);
-    if (ends->len > 0)
+    g_autoptr(GArray) releases = ws_releases_sort(&core, pending);
+    g_assert_true(releases->len == 0 || releases->len == last_task + 1);
+    if (releases->len > 0)
       break;
   }
-  g_assert_cmpuint(known, >, 10);
-  g_assert_cmpuint(known, <, 64);
+  g_assert_cmpuint(last_task, >, 10);
+  g_assert_cmpuint(last_task, <, 64);
   ws_replica_free(replica);
 }
 
 /* A repeated submission of a job that the production version has accepted isn't rejected, even if
    this version would reject the job as a new one. */
 static void
-test_accepted_job_is_never_rejected(void)
+test_job_accepted_by_old_version_is_never_rejected(void)
 {
   Fixture *fixture = fixture_new_with_machine(TRUE);
   fixture->settings->state_record_bytes = 300;
@@ -355,7 +359,7 @@
 test_unannounced_limits_delay_only_what_is_refused(void)
 {
   Sim *sim = sim_new_with_load(930);
-  sim_lower_limits(sim, 2, NEXT_BYTES); /* two operations: a job and its team's use */
+  sim_lower_limits(sim, 2, LOWERED_RECORD_BYTES); /* two operations: a job and its team's use */
   sim_add_load(sim, 1);
   sim_run_until_closed(sim, 300);
   g_assert_cmpuint(sim_open_jobs(sim), ==, 0);
@@ -366,15 +370,16 @@
 
 static const WsTest TESTS[] = {
   { "/upgrade/reads-stored-records", test_reads_stored_records },
-  { "/upgrade/writes-records-byte-for-byte", test_writes_records_byte_for_byte },
-  { "/upgrade/team-record-is-independent-of-limits", test_team_record_is_independent_of_limits },
+  { "/upgrade/writes-records-byte-for-byte", test_encodes_records_byte_for_byte },
+  { "/upgrade/team-record-is-independent-of-limits",
+    test_team_use_record_is_independent_of_limits },
   { "/upgrade/accepts-peer-messages", test_accepts_peer_messages },
   { "/upgrade/gossip-is-compatible", test_gossip_is_compatible },
   { "/upgrade/chunks-fit-record-limit", test_chunks_fit_record_limit },
   { "/upgrade/rental-batches-fit-record-limit", test_rental_batches_fit_record_limit },
-  { "/upgrade/limits-lowered-at-runtime", test_limits_lowered_at_runtime },
+  { "/upgrade/limits-lowered-at-runtime", test_announced_limits_take_effect_at_runtime },
   { "/upgrade/oversized-records-are-reduced-at-once", test_oversized_records_are_reduced_at_once },
-  { "/upgrade/accepted-job-is-never-rejected", test_accepted_job_is_never_rejected },
+  { "/upgrade/accepted-job-is-never-rejected", test_job_accepted_by_old_version_is_never_rejected },
   { "/upgrade/unannounced-limits-delay-only-what-is-refused",
     test_unannounced_limits_delay_only_what_is_refused },
 };
