--- a/tests/test-size.c
+++ b/tests/test-size.c
@@ -1,7 +1,7 @@
 /**
- * What a controller does for one heartbeat, tick, gossip, plan and failover, counted at several
- * cluster sizes: it may not grow with the number of machines, or no faster than stated. Steps and
- * messages, not seconds.
+ * Scalability: the work of a controller for a heartbeat, a tick, a gossip message, a plan and a
+ * failover, at several cluster sizes. It must not grow with the number of machines, or no faster
+ * than the test states. Work is counted in steps and messages, not in time.
  */
 #include "storage/ws-replica.h"
 #include "sim/fixture.h"
@@ -10,7 +10,7 @@
 #define SMALL 80u
 #define LARGE 640u
 #define HUGE 4000u
-/* What one node bears that is the last one standing. */
+/* The machines that one node must be able to serve when it is the only one left. */
 #define ALONE 6000u
 
 static void
@@ -27,7 +27,7 @@
     report(fixture, m, fencing_token, sequence);
 }
 
-/* All machines have shown the fencing token, and the peers know of them. */
+/* A controller whose machines have all shown the fencing token and are known to the peers. */
 static Fixture *
 fixture_with_machines(guint machines)
 {
@@ -50,7 +50,7 @@
   return outputs;
 }
 
-/* A plain heartbeat is answered, and nothing else comes of it. */
+/* A heartbeat without changes causes its answer, and no other message. */
 static void
 test_report(void)
 {
@@ -59,13 +59,13 @@
   g_assert_cmpuint(outputs_of_report(HUGE), ==, 1);
 }
 
-/* The controller has begun anew, and every worker sends it its first heartbeat. */
+/* The messages of a restarted controller while every worker sends it its first heartbeat. */
 static guint
 outputs_of_takeover(guint machines)
 {
   Fixture *fixture = fixture_with_machines(machines);
   fixture_restart(fixture);
-  fixture_run(fixture, 6.0); /* the lease of its last run ends meanwhile */
+  fixture_run(fixture, 6.0); /* the lease of its previous run ends */
   guint before = fixture->outputs;
   report_each(fixture, machines, 1, 30);
   guint outputs = fixture->outputs - before;
@@ -74,7 +74,7 @@
   return outputs;
 }
 
-/* Taking every machine over costs an answer for each, and a few messages more. */
+/* Taking over all machines takes one answer per machine, and a few more messages. */
 static void
 test_takeover(void)
 {
@@ -96,7 +96,8 @@
   return outputs;
 }
 
-/* Twenty ticks in which nothing happens say as much, whatever the number of machines. */
+/* Twenty ticks without events cause a number of messages that is independent of the number of
+   machines. */
 static void
 test_tick(void)
 {
@@ -116,13 +117,13 @@
   return bytes;
 }
 
-/* When nothing has changed, gossip says so in a few words. */
+/* The size of a gossip message without changes is independent of the number of machines. */
 static void
 test_gossip(void)
 {
   gsize small = quiet_gossip(SMALL), large = quiet_gossip(LARGE), huge = quiet_gossip(HUGE);
   g_assert_cmpuint(small, >, 0);
-  g_assert_cmpuint(large, <=, small + 8); /* a longer count */
+  g_assert_cmpuint(large, <=, small + 8); /* longer numbers */
   g_assert_cmpuint(huge, <=, small + 12);
 }
 
@@ -139,7 +140,7 @@
   return steps;
 }
 
-/* A plan grows with the machines, not with tasks times machines. */
+/* The steps of a plan grow with the number of machines, not with tasks times machines. */
 static void
 test_plan(void)
 {
@@ -161,7 +162,7 @@
   fixture_post(fixture, "/api/jobs", job);
 }
 
-/* Every machine shows the task of the first job that is assigned to it. */
+/* Sends heartbeats in which each machine reports its task of the first job as running. */
 static void
 report_tasks(Fixture *fixture, guint machines, guint64 sequence)
 {
@@ -189,8 +190,8 @@
   }
 }
 
-/* A full cluster, with something left on each machine that is of no use, and so many waiting jobs.
-   Returns the steps of a plan. */
+/* The steps of a plan in a full cluster with @jobs waiting jobs. Each machine has free capacity,
+   but too little for a task of these jobs. */
 static guint64
 steps_when_full(guint machines, guint jobs)
 {
@@ -211,8 +212,8 @@
   return steps / MAX(plans, 1u);
 }
 
-/* When the cluster is full a plan doesn't grow with waiting jobs times machines: at 1,800 machines
-   there were seconds between two plans, and places stood empty meanwhile. */
+/* In a full cluster the steps of a plan don't grow with waiting jobs times machines. Otherwise two
+   plans were seconds apart at 1,800 machines, and free capacity stayed unused meanwhile. */
 static void
 test_full(void)
 {
@@ -221,7 +222,8 @@
   g_assert_cmpuint(many, <=, few * 4);
 }
 
-/* What every so many of the jobs have assigned is reported as running, machine by machine. */
+/* Sends heartbeats of all machines that report the assigned tasks of every job whose number is a
+   multiple of @step as running. */
 static void
 report_jobs(Fixture *fixture, guint machines, guint step, guint64 sequence)
 {
@@ -248,7 +250,7 @@
   }
 }
 
-/* Runs for a while, and notes when the first mark is there. */
+/* Runs for the time, and sets *marked_ms to the time of the first termination mark. */
 static void
 run_to_marks(Fixture *fixture, double seconds, gint64 *marked_ms)
 {
@@ -260,17 +262,17 @@
   }
 }
 
-/* Half-empty machines with services are consolidated a few at a time, more of them where there are
-   more machines: one at a time, a hundred stood half empty for minutes at the end of a day. A node
-   begins only in its turn, here in the first of every two seconds, so that no two count on the
-   same free capacity. */
+/* Half-empty machines with services are consolidated a few at a time, and more of them in a larger
+   cluster: with one at a time, a hundred machines stayed half empty for minutes. A node selects
+   machines only in its turn, here in the first of every two seconds, so that no two nodes rely on
+   the same free capacity. Returns the highest number of machines with a mark at the same time. */
 static guint
 max_concurrent_consolidations(guint machines)
 {
   Fixture *fixture = fixture_with_machines(machines);
   guint most = 0;
   gint64 marked_ms = 0;
-  fixture_run(fixture, 0.4); /* else the idle timeout would end in our turn anyway */
+  fixture_run(fixture, 0.4); /* otherwise the idle timeout would end in the node's turn anyway */
   fixture_lift_quotas(fixture);
   for (guint j = 0; j < machines; j++) {
     json_t *job = fixture_submission();
@@ -287,7 +289,7 @@
   }
   for (guint j = 0; j < machines; j++) {
     if (j % 4 == 0)
-      continue; /* one in four stays: one task on each machine */
+      continue; /* one job in four stays: one task on each machine */
     g_autofree char *path = g_strdup_printf("/api/jobs/req-%06u/withdraw", j);
     fixture_post(fixture, path, json_object());
   }
@@ -310,8 +312,8 @@
   g_assert_cmpuint(many, <=, 5);
 }
 
-/* Hundreds of jobs cancelled within a fifth of a second on as many machines: the peers are told in
-   a few messages, and halts go at a bounded pace, while no worker answers any. */
+/* Hundreds of jobs on as many machines are cancelled within 0.2 s, and no worker answers. The peers
+   are notified in a few messages, and halts are sent at a bounded rate. */
 static void
 test_cancelled_in_bulk(void)
 {
