--- a/src/fleet/ws-headroom.c
+++ b/src/fleet/ws-headroom.c
@@ -70,7 +70,7 @@
 }
 
 gboolean
-ws_headroom_remains_without(const WsCore *core, const WsMachine *machine)
+ws_headroom_suffices_without(const WsCore *core, const WsMachine *machine)
 {
   const WsJob *job = ws_headroom_job(core->replica);
   if (job == NULL || core->properties->headroom_tasks == 0)
--- a/tests/sim/sim-network.c
+++ b/tests/sim/sim-network.c
@@ -96,9 +96,9 @@
     } else if (call->expected != 0) {
       check_malformed_reply(sim, call);
     } else if (sim->nodes[call->node].core != NULL && sim->nodes[call->node].run == call->run) {
-      g_autofree char *text = ws_json_text(call->answer);
-      ws_core_reply(sim->nodes[call->node].core, sim->now_ms, sim_wall(sim), call->call,
-                    call->status, text, text != NULL ? strlen(text) : 0);
+      g_autofree char *text = ws_json_serialize(call->answer);
+      ws_core_handle_reply(sim->nodes[call->node].core, sim->now_ms, sim_wall(sim), call->call,
+                           call->status, text, text != NULL ? strlen(text) : 0);
       sim_pump(sim, call->node);
     }
   }
@@ -142,13 +142,13 @@
 static void
 send_to_node(Sim *sim, Call *call, guint node, WsListener door)
 {
-  g_autofree char *text = ws_json_text(call->body);
+  g_autofree char *text = ws_json_serialize(call->body);
   if (sim->nodes[node].core == NULL) {
     sim_call_unref(call);
     return;
   }
-  ws_core_request(sim->nodes[node].core, sim->now_ms, sim_wall(sim), door, call->method, call->path,
-                  text, text != NULL ? strlen(text) : 0, call);
+  ws_core_handle_request(sim->nodes[node].core, sim->now_ms, sim_wall(sim), door, call->method,
+                         call->path, text, text != NULL ? strlen(text) : 0, call);
   sim_pump(sim, node);
 }
 
@@ -363,7 +363,7 @@
 sim_pump(Sim *sim, guint node)
 {
   WsOutput *output;
-  while ((output = ws_core_pop(sim->nodes[node].core)) != NULL) {
+  while ((output = ws_core_pop_output(sim->nodes[node].core)) != NULL) {
     trace(sim, node, output);
     if (output->is_answer) {
       sim_reply_to(output->request, output->status, parse(output->body));
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -96,7 +96,7 @@
 static void
 assert_encoded_as(json_t *value /* taken */, const char *key)
 {
-  g_autofree char *text = ws_json_text(value);
+  g_autofree char *text = ws_json_serialize(value);
   g_assert_cmpstr(text, ==, stored_record(key));
   json_decref(value);
 }
@@ -138,8 +138,8 @@
   g_autoptr(WsSettings) announced_settings = ws_settings_parse(message, &error);
   g_autoptr(WsSettings) current_settings = ws_test_settings(0);
   g_assert_nonnull(announced_settings);
-  g_assert_cmpuint(ws_team_use_groups(announced_settings), ==,
-                   ws_team_use_groups(current_settings));
+  g_assert_cmpuint(ws_team_use_group_count(announced_settings), ==,
+                   ws_team_use_group_count(current_settings));
   for (guint team = 0; team < announced_settings->teams->len; team++)
     g_assert_cmpuint(ws_team_use_group(announced_settings, team), ==,
                      ws_team_use_group(current_settings, team));
@@ -209,7 +209,7 @@
     g_autofree char *name = g_strdup_printf("m-%06d", g_rand_int_range(rand, 0, 1000000));
     WsAssignment assignment
         = { .task = task, .attempt = ++chunk->last_attempt, .assigned_ms = 1234567890123 };
-    assignment.machine = ws_replica_get_machine(replica, name)->index;
+    assignment.machine = ws_replica_ensure_machine(replica, name)->index;
     ws_chunk_add(chunk, &assignment);
   }
   return chunk;
@@ -222,14 +222,14 @@
 test_chunks_fit_record_limit(void)
 {
   g_autoptr(WsSettings) settings = ws_test_settings(0);
-  settings->state_record_bytes = LOWERED_RECORD_BYTES;
+  settings->kv_max_record_bytes = LOWERED_RECORD_BYTES;
   for (guint32 seed = 1; seed <= 128; seed++) {
     g_test_message("seed %u", seed);
     g_autoptr(GRand) rand = g_rand_new_with_seed(seed);
     WsReplica *replica = ws_replica_new(settings);
     WsChunk *chunk = generate_chunk(rand, replica, seed);
     g_autoptr(json_t) value = ws_chunk_encode(chunk, replica);
-    g_autofree char *text = ws_json_text(value);
+    g_autofree char *text = ws_json_serialize(value);
     gboolean fits = ws_chunk_fits_record(chunk, replica);
     g_assert_true(!fits || strlen(text) <= LOWERED_RECORD_BYTES);
     g_assert_true(fits
@@ -247,7 +247,7 @@
 test_rental_batches_fit_record_limit(void)
 {
   g_autoptr(WsSettings) settings = ws_test_settings(0);
-  settings->state_record_bytes = LOWERED_RECORD_BYTES;
+  settings->kv_max_record_bytes = LOWERED_RECORD_BYTES;
   WsReplica *replica = ws_replica_new(settings);
   g_autoptr(GArray) machines = g_array_new(FALSE, FALSE, sizeof(guint));
   WsRentalBatch rental_batch = {
@@ -257,11 +257,11 @@
     g_autofree char *name = g_strdup_printf("machine-with-a-long-name-%060u", i);
     if (!ws_rental_batch_has_space(&rental_batch, replica, name))
       break;
-    guint index = ws_replica_get_machine(replica, name)->index;
+    guint index = ws_replica_ensure_machine(replica, name)->index;
     g_array_append_val(machines, index);
   }
   g_autoptr(json_t) value = ws_rental_batch_encode(&rental_batch, replica);
-  g_autofree char *text = ws_json_text(value);
+  g_autofree char *text = ws_json_serialize(value);
   g_assert_cmpuint(strlen(text), <=, LOWERED_RECORD_BYTES);
   g_assert_cmpuint(machines->len, >, 15);
   g_assert_cmpuint(ws_rental_batch_max_machines(settings), ==, 50);
@@ -304,7 +304,7 @@
 {
   g_autoptr(GRand) rand = g_rand_new_with_seed(920);
   g_autoptr(WsSettings) settings = ws_test_settings(0);
-  settings->state_record_bytes = LOWERED_RECORD_BYTES;
+  settings->kv_max_record_bytes = LOWERED_RECORD_BYTES;
   WsReplica *replica = replica_with_stored_records(settings);
   g_autoptr(json_t) value
       = ws_json_parse(stored_record("w/job/req-000001"), strlen(stored_record("w/job/req-000001")));
@@ -337,7 +337,7 @@
 test_job_accepted_by_old_version_is_never_rejected(void)
 {
   Fixture *fixture = fixture_new_with_machine(TRUE);
-  fixture->settings->state_record_bytes = 300;
+  fixture->settings->kv_max_record_bytes = 300;
   fixture_call(fixture, "POST", "/api/jobs", fixture_submission());
   g_assert_cmpuint(fixture->status, ==, 422);
   fixture->hold_watch = TRUE; /* the record that follows doesn't reach the replica */
