--- a/tests/regressions/writes.c
+++ b/tests/regressions/writes.c
@@ -1,52 +1,57 @@
 /**
- * What is written, and under which lease, epoch and fencing token.
+ * Which records are written, and under which lease, epoch and fencing token.
  */
 #include "regressions/regressions.h"
 
-/* Every write of assignments carries the epoch, the job and the team as conditions. */
+/* Every transaction that changes assignments is conditional on the records of the epoch, the job,
+   the chunk of tasks and the team's use; one that assigns tasks also on the machine's record. */
 void
 test_assignment_writes_are_conditional(void)
 {
   Fixture *fixture = fixture_new_with_job(TRUE);
-  static const char *const KEYS[] = { "w/epoch", "w/job/req-1", "w/task/req-1/0", "w/team-use/0" };
+  static const char *const CONDITION_KEYS[]
+      = { "w/epoch", "w/job/req-1", "w/task/req-1/0", "w/team-use/0" };
   g_assert_true(transaction_has_condition(fixture->assignment_transaction, "w/lot/a-1-0-1"));
-  fixture_send_heartbeat(fixture, 1, one_task_in_state("exited", "error"));
-  for (guint k = 0; k < G_N_ELEMENTS(KEYS); k++)
-    g_assert_true(transaction_has_condition(fixture->last_transaction, KEYS[k]));
+  fixture_send_heartbeat(fixture, 1, heartbeat_task_in_state("exited", "error"));
+  for (guint k = 0; k < G_N_ELEMENTS(CONDITION_KEYS); k++)
+    g_assert_true(transaction_has_condition(fixture->last_transaction, CONDITION_KEYS[k]));
   fixture_free(fixture);
 }
 
-/* The end of a task is written before the worker may forget it. */
+/* The completion of a task is stored before the worker is told to reap the task, that is, to
+   discard its own record of it. */
 void
 test_end_is_stored_before_reap(void)
 {
   Fixture *fixture = fixture_new_with_job(TRUE);
-  fixture_send_heartbeat(fixture, 1, one_task_in_state("exited", "done"));
+  fixture_send_heartbeat(fixture, 1, heartbeat_task_in_state("exited", "done"));
   g_assert_false(fixture_has_command(fixture, "reap"));
   fixture_call(fixture, "GET", "/api/jobs/req-1", NULL);
   g_assert_cmpstr(json_string_value(json_object_get(fixture->answer, "stav")), ==, "done");
-  fixture_send_heartbeat(fixture, 1, one_task_in_state("exited", "done"));
+  fixture_send_heartbeat(fixture, 1, heartbeat_task_in_state("exited", "done"));
   g_assert_true(fixture_has_command(fixture, "reap"));
   fixture_free(fixture);
 }
 
-/* A heartbeat without our fencing token may be a late copy: completions in it don't count. */
+/* A heartbeat without the current fencing token may be a delayed duplicate: completions in it are
+   ignored. */
 void
 test_no_release_without_current_fencing_token(void)
 {
   Fixture *fixture = fixture_new_with_job(TRUE);
-  fixture_send_heartbeat(fixture, 0, one_task_in_state("exited", "done"));
+  fixture_send_heartbeat(fixture, 0, heartbeat_task_in_state("exited", "done"));
   fixture_call(fixture, "GET", "/api/jobs/req-1", NULL);
   g_assert_cmpstr(json_string_value(json_object_get(fixture->answer, "stav")), !=, "done");
   fixture_free(fixture);
 }
 
-/* An older message is answered, but changes nothing and orders nothing. */
+/* A heartbeat with an old sequence number is answered, but changes no state, and the answer has no
+   commands. */
 void
 test_stale_sequence_changes_nothing(void)
 {
   Fixture *fixture = fixture_new_with_job(TRUE);
-  fixture_send_heartbeat(fixture, 1, one_task_in_state("running", ""));
+  fixture_send_heartbeat(fixture, 1, heartbeat_task_in_state("running", ""));
   fixture_call(fixture, "POST", "/v1/report",
                fixture_heartbeat(fixture, "m-1", 1, 1, json_array()));
   g_assert_cmpuint(fixture->status, ==, 200);
@@ -54,8 +59,9 @@
   fixture_free(fixture);
 }
 
-/* A cancelled task whose direct launch had no answer isn't released for being absent, nor may the
-   worker forget an attempt, until the worker has seen a higher fencing token. */
+/* A direct launch that timed out is indeterminate: it may still be carried out later. Absence of
+   the cancelled task from heartbeats doesn't release it until the worker has shown a higher fencing
+   token, since the worker rejects the late launch from then on. */
 void
 test_no_release_while_launch_is_indeterminate(void)
 {
@@ -70,14 +76,15 @@
     fixture_run(fixture, 1.5);
   }
   g_assert_true(fixture_task_is_assigned(fixture));
-  fixture_send_heartbeat(fixture, 2, json_array()); /* the leader has raised the token meanwhile */
+  fixture_send_heartbeat(fixture, 2, json_array()); /* the leader has started a new epoch */
   fixture_run(fixture, 1.0);
   g_assert_false(fixture_task_is_assigned(fixture));
   fixture_free(fixture);
 }
 
-/* A machine that cannot be reached doesn't learn a higher fencing token: no epoch is begun to
-   settle its indeterminate launch. Epochs followed one another every 10 s during a partition. */
+/* No epoch is started to settle the indeterminate launch of an unreachable machine, since its
+   worker can't receive the higher fencing token. Otherwise a new epoch started every 10 s during a
+   partition. */
 void
 test_no_epoch_for_unreachable_machine(void)
 {
@@ -89,18 +96,20 @@
   fixture_free(fixture);
 }
 
+/* While a launch is indeterminate, the worker isn't told to reap the attempt: having no record of
+   it any more, the worker would run the late launch as a new one. */
 void
 test_no_reap_while_launch_is_indeterminate(void)
 {
   Fixture *fixture = fixture_new_with_job(FALSE);
-  fixture_send_heartbeat(fixture, 1, one_task_in_state("exited", "done"));
-  fixture_send_heartbeat(fixture, 1, one_task_in_state("exited", "done"));
+  fixture_send_heartbeat(fixture, 1, heartbeat_task_in_state("exited", "done"));
+  fixture_send_heartbeat(fixture, 1, heartbeat_task_in_state("exited", "done"));
   g_assert_false(fixture_has_command(fixture, "reap"));
   fixture_free(fixture);
 }
 
-/* After an acknowledged launch the same absence releases it at once, if the heartbeat carries our
-   fencing token. */
+/* After an acknowledged launch, absence of the cancelled task releases it at once if the heartbeat
+   has the current fencing token. */
 void
 test_absence_releases_after_acknowledged_launch(void)
 {
@@ -114,7 +123,8 @@
   fixture_free(fixture);
 }
 
-/* A higher fencing token than ours means that we don't know the newest epoch. */
+/* A heartbeat with a higher fencing token shows that this node doesn't know the newest epoch: the
+   node doesn't renew the worker's lease. */
 void
 test_no_renewal_under_newer_fencing_token(void)
 {
@@ -124,9 +134,9 @@
   fixture_free(fixture);
 }
 
-/* The leader asks again for a task whose assignment is on its way, on another machine, and then
-   that transaction fails: the task must still be assigned once. It was assigned twice in one
-   transaction, which broke ran_twice on a rough day of dvorak-lodni. */
+/* The leader requests the assignment of a task again, on another machine, while the transaction
+   that assigns it is in flight; then that transaction fails. The task must still be assigned only
+   once: it was assigned twice in one transaction, which violated the invariant ran_twice. */
 void
 test_task_is_assigned_once(void)
 {
@@ -135,9 +145,9 @@
                fixture_heartbeat(fixture, "m-2", 0, 1, json_array()));
   fixture_call(fixture, "POST", "/v1/report",
                fixture_heartbeat(fixture, "m-2", 1, 2, json_array()));
-  json_t *second = fixture_submission_of("req-2");
+  json_t *second_job = fixture_submission_of("req-2");
   fixture->hold_assignment = TRUE;
-  fixture_call(fixture, "POST", "/api/jobs", second);
+  fixture_call(fixture, "POST", "/api/jobs", second_job);
   g_assert_cmpuint(fixture->held_call, !=, 0);
   fixture_request(fixture, WS_LISTENER_MESH, "POST", "/ask",
                   json_pack("{s:i, s:[[s, i, s], [s, i, s]], s:[]}", "epoch", 1, "picks", "req-2",
@@ -150,7 +160,8 @@
   fixture_free(fixture);
 }
 
-/* The tasks of a gang share their attempt, and when one ends early the others are stopped. */
+/* The tasks of a gang have the same attempt number, and when one task fails the others are halted.
+ */
 void
 test_gang_shares_attempt_and_halts_together(void)
 {
@@ -160,10 +171,10 @@
   json_object_set_new(gang, "kusy", json_integer(2));
   fixture_call(fixture, "POST", "/api/jobs", gang);
   fixture_run(fixture, 1.0);
-  const json_t *on = fixture_assignments(fixture, "req-2");
-  g_assert_cmpuint(json_array_size(on), ==, 2);
+  const json_t *assignments = fixture_assignments(fixture, "req-2");
+  g_assert_cmpuint(json_array_size(assignments), ==, 2);
   for (guint i = 0; i < 2; i++)
-    g_assert_cmpint(json_integer_value(json_array_get(json_array_get(on, i), 2)), ==, 1);
+    g_assert_cmpint(json_integer_value(json_array_get(json_array_get(assignments, i), 2)), ==, 1);
   for (guint i = 0; i < 2; i++)
     fixture_send_heartbeat(fixture, 1,
                            json_pack("[{s:s, s:i, s:s, s:s}, {s:s, s:i, s:s}]", "kus", "req-2/0",
@@ -173,8 +184,9 @@
   fixture_free(fixture);
 }
 
-/* A late transaction of an earlier run must not replace the member's record, so it's written on a
-   condition; and a node whose record is gone all the same writes it again. */
+/* A node writes its member record conditionally, so that a delayed transaction of an earlier run
+   can't replace the record of the current one. If its record is removed, the node writes it again.
+ */
 void
 test_member_record_is_conditional_and_restored(void)
 {
@@ -186,8 +198,8 @@
   fixture_free(fixture);
 }
 
-/* What is recorded for a machine that no rental batch names any more is released once its lease
-   must be over: two jobs waited for ever for a machine that had been returned. */
+/* The tasks on a machine that is no longer in any rental batch are released once the machine's
+   lease must have expired. Without this, two jobs waited indefinitely for a returned machine. */
 void
 test_unrecorded_machine_is_released_after_lease(void)
 {
@@ -200,8 +212,9 @@
   fixture_free(fixture);
 }
 
-/* A new leader assigns nothing before its replica has reached the epoch that it wrote: what was
-   written until then may have come and gone again, and conditions on its absence would hold. */
+/* A new leader assigns no task before its replica has reached the revision of the epoch that it
+   wrote. A record that was written and removed before that revision is unknown to it, so conditions
+   on the record's absence would hold although the decision is stale. */
 void
 test_new_leader_reads_before_assignment(void)
 {
