--- a/src/scheduling/ws-demand-private.h
+++ b/src/scheduling/ws-demand-private.h
@@ -55,7 +55,7 @@
 /** Returns whether the job can wait for capacity that running tasks will free. */
 gboolean ws_demand_can_wait_for_running_tasks(const WsDemand *demand, const WsJob *job);
 
-/* ws-demand-choice.c: the type and the zone of the machines to rent. */
+/* ws-demand-rental-choice.c: the type and the zone of the machines to rent. */
 
 /**
  * Adds a new machine for the job, of the cheapest type that can be requested, and subtracts @need
