--- a/src/fleet/ws-headroom.c
+++ b/src/fleet/ws-headroom.c
@@ -9,14 +9,14 @@
 #include "membership/ws-membership.h"
 
 /* A machine without a heartbeat counts as booting for this multiple of its type's boot time. */
-#define BOOTING_TIME_FACTOR 1.6
+#define BOOTING_PERIOD_FACTOR 1.6
 
 gboolean
 ws_machine_is_booting(const WsCore *core, const WsMachine *machine)
 {
   return machine->worker.heard_ms == 0
          && ws_fleet_machine_age_s(core, machine)
-                < BOOTING_TIME_FACTOR * ws_replica_type(core->replica, machine->type)->boot_s;
+                < BOOTING_PERIOD_FACTOR * ws_replica_type(core->replica, machine->type)->boot_s;
 }
 
 const WsJob *
--- a/src/scheduling/ws-candidates.c
+++ b/src/scheduling/ws-candidates.c
@@ -8,7 +8,7 @@
 #include "workers/ws-workers.h"
 
 /* A boot takes up to this multiple of the boot time stated for the machine type. */
-#define BOOT_TIME_FACTOR 1.5
+#define BOOT_TIME_SAFETY_FACTOR 1.5
 
 typedef struct {
   WsMachineIndex machine;
@@ -121,8 +121,8 @@
     return FALSE;
   for (WsTypeIndex t = 0; t < replica->catalog->len; t++) {
     const WsType *type = ws_replica_type(replica, t);
-    if (ws_constraints_task_fits_type(job->spec, type) && left_s >= BOOT_TIME_FACTOR * type->boot_s
-        && can_be_requested(core, job, t))
+    if (ws_constraints_task_fits_type(job->spec, type)
+        && left_s >= BOOT_TIME_SAFETY_FACTOR * type->boot_s && can_be_requested(core, job, t))
       return TRUE;
   }
   return FALSE;
--- a/src/scheduling/ws-demand-sizing.c
+++ b/src/scheduling/ws-demand-sizing.c
@@ -26,7 +26,7 @@
 #define USED_CLASS_SLACK_SHARE 0.4
 /* The share of the slack until the time by which tasks should start. That time isn't an estimate,
    but many jobs may be submitted at once. */
-#define USED_BEGIN_SLACK_SHARE 0.5
+#define USED_START_SLACK_SHARE 0.5
 /* A job without a deadline may wait for the slots of running tasks if its slack is at least this
    share of its run time. */
 #define MIN_SLACK_PER_RUN_TIME 0.5
@@ -38,16 +38,16 @@
 {
   const WsCore *core = demand->core;
   double allowed_s = ws_job_time_limit_s(core->replica, job);
-  double begin_s = ws_settings_start_objective_s(core->settings, job->spec->class_name);
-  double used_s = (double)(core->wall - job->accepted_ms) / 1000.0
-                  + ws_replica_type(core->replica, 0)->boot_s;
-  double end_s = RUN_TIME_SAFETY_FACTOR * ws_estimator_run_time_s(core, job)
-                 + ws_job_image_fetch_s(core->replica, job);
+  double start_objective_s = ws_settings_start_objective_s(core->settings, job->spec->class_name);
+  double earliest_start_s = (double)(core->wall - job->accepted_ms) / 1000.0
+                            + ws_replica_type(core->replica, 0)->boot_s;
+  double run_and_fetch_s = RUN_TIME_SAFETY_FACTOR * ws_estimator_run_time_s(core, job)
+                           + ws_job_image_fetch_s(core->replica, job);
   double used_share = job->spec->deadline_s >= 0.0 ? USED_JOB_SLACK_SHARE : USED_CLASS_SLACK_SHARE;
-  double slack_s
-      = allowed_s >= 0.0 ? used_share * (allowed_s - used_s - end_s) : DEFAULT_ARRAY_SLACK_S;
-  if (begin_s >= 0.0)
-    slack_s = MIN(slack_s, USED_BEGIN_SLACK_SHARE * (begin_s - used_s));
+  double slack_s = allowed_s >= 0.0 ? used_share * (allowed_s - earliest_start_s - run_and_fetch_s)
+                                    : DEFAULT_ARRAY_SLACK_S;
+  if (start_objective_s >= 0.0)
+    slack_s = MIN(slack_s, USED_START_SLACK_SHARE * (start_objective_s - earliest_start_s));
   return MAX(0.0, slack_s);
 }
 
--- a/src/scheduling/ws-placement-score.c
+++ b/src/scheduling/ws-placement-score.c
@@ -21,7 +21,7 @@
 #define SAME_MACHINE_PENALTY 25.0
 /* For a gang that has to fetch its image. The gang waits for its slowest fetch, and machines that
    have the images of other gangs should stay free for those gangs. */
-#define FETCH_HEADROOM_WEIGHT 150.0
+#define FETCH_FREE_CPUS_WEIGHT 150.0
 #define CONCURRENT_FETCH_PENALTY 60.0
 #define OTHER_GANG_IMAGE_PENALTY 30.0
 /* For a machine of a larger type than the smallest that fits the task. Larger tasks fit only these
@@ -75,7 +75,7 @@
 /* Returns the share of the machine's CPUs that are free, not counting the proportional share of its
    free accelerators. The larger it is, the more later gangs can use the image fetched there. */
 static double
-fetch_headroom(const WsResources *capacity, const WsResources *free)
+free_cpu_share(const WsResources *capacity, const WsResources *free)
 {
   gint64 reserved = capacity->gpus > 0 ? free->gpus * capacity->cpus / capacity->gpus : 0;
   return capacity->cpus > 0 ? (double)MAX(free->cpus - reserved, 0) / (double)capacity->cpus : 0.0;
@@ -88,7 +88,7 @@
   const WsReplica *replica = scorer->map->core->replica;
   const WsResources *capacity = &ws_replica_type(replica, machine->type)->capacity;
   const WsResources *free = &ws_capacity_map_at(scorer->map, machine->index)->free;
-  double score = FETCH_HEADROOM_WEIGHT * fetch_headroom(capacity, free);
+  double score = FETCH_FREE_CPUS_WEIGHT * free_cpu_share(capacity, free);
   for (guint i = 0; i < machine->worker.images->len; i++) {
     WsImageIndex image = g_array_index(machine->worker.images, WsImageIndex, i);
     if (g_hash_table_contains(scorer->gang_images, GUINT_TO_POINTER(image)))
--- a/src/workers/ws-workers.c
+++ b/src/workers/ws-workers.c
@@ -37,7 +37,7 @@
 
 /* Whether all nodes of the zone, except the owner itself, reach the owner. */
 static gboolean
-zone_nodes_reach(const WsCore *core, WsZoneIndex zone, WsNodeIndex owner)
+zone_nodes_reach_owner(const WsCore *core, WsZoneIndex zone, WsNodeIndex owner)
 {
   for (WsNodeIndex n = 0; n < core->settings->nodes->len; n++)
     if (n != owner && zone != WS_NO_ZONE
@@ -54,7 +54,7 @@
   if (machine->worker.redirected_ms > 0
       && core->now - machine->worker.redirected_ms < REDIRECT_INTERVAL_MS)
     return FALSE;
-  return ws_peer_is_reachable(core, owner) && zone_nodes_reach(core, machine->zone, owner);
+  return ws_peer_is_reachable(core, owner) && zone_nodes_reach_owner(core, machine->zone, owner);
 }
 
 /* Returns whether a worker may be redirected to the owner now. If so, records the time of the
