--- a/src/api/ws-job-api.c
+++ b/src/api/ws-job-api.c
@@ -100,7 +100,7 @@
 }
 
 /* Answers at once if the job has ended, since a final state never changes. Otherwise, also before a
-   request is refused, a linearizable read brings the replica up to date, since another node may
+   request is rejected, a linearizable read brings the replica up to date, since another node may
    have changed the job. */
 static void
 process_after_read(WsCore *core, UserRequest *user_request)
@@ -237,10 +237,10 @@
     finish_with_job_status(core, user_request, WS_HTTP_OK, job);
 }
 
-/* Starts processing a request, after a linearizable read if one is necessary. */
+/* Starts processing a request, after a linearizable read if one is necessary. Takes ownership of
+   @spec. */
 static void
-start_request(WsCore *core, RequestKind kind, const char *id, WsJobSpec *spec /* taken */,
-              gpointer request)
+start_request(WsCore *core, RequestKind kind, const char *id, WsJobSpec *spec, gpointer request)
 {
   const WsJob *job = ws_replica_find_job(core->replica, id);
   gboolean is_final = job != NULL && job->state != WS_JOB_ACTIVE;
--- a/src/context/ws-context.h
+++ b/src/context/ws-context.h
@@ -169,19 +169,19 @@
  * and the body of the response (NULL if the body isn't JSON), or status 0 if no response was
  * received within the timeout.
  *
- * The method must be a string literal, since it isn't copied. The other strings are copied.
+ * The method must be a string literal, since it isn't copied. The other strings are copied. Takes
+ * ownership of @body.
  *
  * @address: HOST:PORT
  * @path: begins with a slash
- * @body: ownership is taken; NULL: no body
+ * @body: NULL: no body
  */
 void ws_call(WsCore *core, const char *method, const char *address, const char *path, json_t *body,
              guint timeout_ms, WsReplyFunc reply, gpointer data);
 
 /**
- * Answers a request. Each request must be answered exactly once.
+ * Answers a request. Each request must be answered exactly once. Takes ownership of @body.
  *
- * @body: ownership is taken
  * @retry_after_s: the value of the Retry-After header, in seconds; 0: no header
  */
 void ws_answer(WsCore *core, gpointer request, guint status, json_t *body, guint retry_after_s);
--- a/src/fleet/ws-cloud-list.c
+++ b/src/fleet/ws-cloud-list.c
@@ -86,8 +86,8 @@
   return rental_batch;
 }
 
-/* Returns a new rental batch with the machines that wait for a record and are of the same kind and
-   in the same zone as @first. Appends them to @machines. */
+/* Returns a new rental batch with the machines that wait for a record and have the same type and
+   zone as @first and the same price model (spot or on-demand). Appends them to @machines. */
 static WsRentalBatch *
 fill_rental_batch(WsCore *core, const WsMachine *first, GArray *machines)
 {
--- a/src/fleet/ws-consolidation.c
+++ b/src/fleet/ws-consolidation.c
@@ -109,7 +109,7 @@
 }
 
 /* Plans a target for each task of the machine. Returns FALSE if a task has no target. In that case
-   the targets planned for the other tasks aren't undone: their capacity counts as taken until the
+   the targets planned for the other tasks aren't undone: their capacity stays reserved until the
    next tick. */
 static gboolean
 plan_moves(const WsCore *core, MovePlan *plan, const WsMachine *machine)
@@ -135,7 +135,7 @@
   ws_termination_request_mark(core, machine, WS_MARK_REASON_CONSOLIDATION, FALSE);
 }
 
-/* Whether the machine is an ordinary (not spot) machine, is up, isn't marked, and is underused. */
+/* Whether the machine is an on-demand (not spot) machine, is up, isn't marked, and is underused. */
 static gboolean
 is_underused(const WsCore *core, const WsMachine *machine)
 {
--- a/src/fleet/ws-fleet-private.h
+++ b/src/fleet/ws-fleet-private.h
@@ -20,9 +20,9 @@
 
 /** The state of this package. Owns the state of each module. */
 struct _WsFleet {
-  WsRate calls; /**< rate limit of calls to the cloud */
-  gint64 next_catalog_ms;
-  gboolean catalog_in_flight;
+  WsRate calls;               /**< rate limit of calls to the cloud */
+  gint64 next_catalog_ms;     /**< when the catalog is requested again */
+  gboolean catalog_in_flight; /**< a request for the catalog is in flight */
   WsRentals *rentals;
   WsReturns *returns;
   WsCloudList *cloud_list;
@@ -88,8 +88,8 @@
 void ws_returns_tick(WsCore *core);
 
 /**
- * Whether the replica has every assignment to the marked machine, so that the machine is empty if
- * the replica shows no task on it.
+ * Returns whether the replica has every assignment to the marked machine, so that the machine is
+ * empty if the replica shows no task on it.
  */
 gboolean ws_returns_has_all_assignments(const WsCore *core, const WsMachine *machine);
 
@@ -97,8 +97,8 @@
 void ws_mark_cleanup_tick(WsCore *core);
 
 /**
- * Returns the machines of ws_returns_request_unmarked(), and requests their marks afterwards. Runs
- * on every node.
+ * Returns to the cloud the machines that ws_returns_request_unmarked() has added, and requests
+ * their marks once the cloud has confirmed the return. Runs on every node.
  */
 void ws_returns_tick_unmarked(WsCore *core);
 
@@ -106,12 +106,12 @@
 void ws_cloud_list_tick(WsCore *core);
 
 /**
- * Whether a healthy machine may be terminated: the disruption budget allows it, its zone isn't
- * partitioned, and enough headroom for critical jobs remains.
+ * Returns whether a healthy machine may be terminated: the disruption budget allows it, its zone
+ * isn't partitioned, and enough headroom for critical jobs remains.
  */
 gboolean ws_termination_is_allowed(const WsCore *core, const WsMachine *machine);
 
-/** Whether the required headroom for critical jobs remains without the machine. */
+/** Returns whether the required headroom for critical jobs remains without the machine. */
 gboolean ws_headroom_suffices_without(const WsCore *core, const WsMachine *machine);
 
 /** Requests termination marks for underused machines if it is this node's turn. */
--- a/src/fleet/ws-fleet.h
+++ b/src/fleet/ws-fleet.h
@@ -53,7 +53,7 @@
                                  gboolean immediately);
 
 /**
- * Whether a task on a marked machine may be stopped now.
+ * Returns whether a task on a marked machine may be stopped now.
  *
  * The tasks of a service are stopped one at a time. While another task of the service has no
  * machine the stop backs off, and each call after the end of the back-off doubles it and returns
@@ -68,7 +68,8 @@
  */
 
 /**
- * Whether the machine was rented recently and has sent no heartbeat yet. Its type must be known.
+ * Returns whether the machine was rented recently and has sent no heartbeat yet. Its type must be
+ * known.
  */
 gboolean ws_machine_is_booting(const WsCore *core, const WsMachine *machine);
 
@@ -81,8 +82,8 @@
 /**
  * Counts slots for one task with the resources @need each, up to the number of slots to be kept.
  *
- * Slots are counted on ordinary (not spot) machines that are up or booting and aren't marked.
- * Capacity that tasks of services use is left out.
+ * Only on-demand (not spot) machines that are up or booting and aren't marked are counted. Capacity
+ * that tasks of services use is left out.
  *
  * @except: a machine that isn't counted, or NULL
  */
@@ -95,7 +96,8 @@
  * has rented the machines, one transaction replaces the intent by a rental batch with them. So a
  * new leader knows which requests to repeat under the same names, and no machine is charged without
  * being known to the cluster. If the cloud lacks capacity for a kind of machine (type, zone, spot
- * or ordinary), that kind is requested again after a back-off.
+ * or on-demand; the log calls on-demand machines "ordinary"), that kind is requested again after a
+ * back-off.
  */
 
 /**
@@ -109,7 +111,7 @@
 /** Writes the intents that ws_rentals_request() has added since the last call. */
 void ws_rentals_record_intents(WsCore *core);
 
-/** Whether requests for the kind back off because the cloud lacked capacity for it. */
+/** Returns whether requests for the kind back off because the cloud lacked capacity for it. */
 gboolean ws_rentals_is_backing_off(const WsCore *core, WsTypeIndex type, WsZoneIndex zone,
                                    gboolean spot);
 
@@ -117,7 +119,7 @@
  * Returns.
  */
 
-/** Whether the cloud has confirmed the return of the machine with this name. */
+/** Returns whether the cloud has confirmed the return of the machine with this name. */
 gboolean ws_returns_is_confirmed(const WsCore *core, const char *machine);
 
 /**
@@ -134,7 +136,13 @@
  * failed gets a termination mark.
  */
 
-/** Schedules a record for a machine that exists without one. @at_ms: time of rental (wall clock) */
+/**
+ * Schedules a record for a machine that exists without one. Does nothing if the machine's type or
+ * zone is unknown, its return is confirmed, a transaction with the machine is pending, or this node
+ * isn't an active member.
+ *
+ * @at_ms: time of rental (wall clock)
+ */
 void ws_cloud_list_note_unrecorded(WsCore *core, WsMachine *machine, gint64 at_ms);
 
 /** Writes the scheduled records. Runs on every active member. */
--- a/src/fleet/ws-mark-cleanup.c
+++ b/src/fleet/ws-mark-cleanup.c
@@ -75,9 +75,10 @@
 }
 
 /* Clears the marks of the machines and removes the machines from their rental batches, in one
-   transaction. Machines that don't fit into it are left for a later tick. */
+   transaction. Machines that don't fit into the transaction are left for a later tick. Takes
+   ownership of @machines. */
 static void
-clear_marks(WsCore *core, GArray *machines /* taken */)
+clear_marks(WsCore *core, GArray *machines)
 {
   while (machines->len > 1
          && machines->len + count_batches_with_any(core, machines) > core->settings->kv_max_txn_ops)
--- a/src/fleet/ws-rentals.c
+++ b/src/fleet/ws-rentals.c
@@ -15,7 +15,7 @@
    store's write rate limit. */
 #define FAILED_RENTALS_WRITE_SHARE 0.03
 #define WRITES_PER_FAILED_RENTAL 2.0
-/* Spot and ordinary machines are different kinds. */
+/* Spot and on-demand machines are different kinds. */
 #define KINDS_PER_TYPE_AND_ZONE 2.0
 #define RENTAL_RETRY_MS 1500
 #define RENTAL_TIMEOUT_MS 4000
--- a/src/fleet/ws-returns.c
+++ b/src/fleet/ws-returns.c
@@ -12,9 +12,9 @@
 #define RETURN_TIMEOUT_MS 4000
 
 struct _WsReturns {
-  GHashTable *confirmed; /* names of machines */
+  GHashTable *confirmed; /* names of machines whose return the cloud has confirmed */
   GHashTable *unmarked;  /* names of machines to be returned, or already returned, without a mark */
-  gboolean call_in_flight; /* to the cloud */
+  gboolean call_in_flight; /* a return request to the cloud is in flight */
   gint64 next_call_ms;
   guint backoff_ms;
 };
@@ -76,8 +76,10 @@
     note_returned(core, g_ptr_array_index(names, i));
 }
 
+/* Requests the return of the machines unless a call is in flight, a back-off hasn't ended, or no
+   call is left in the budget. Takes ownership of @machine_names. */
 static void
-send_return(WsCore *core, GPtrArray *machine_names /* taken */)
+send_return(WsCore *core, GPtrArray *machine_names)
 {
   WsReturns *returns = core->fleet->returns;
   g_autoptr(GPtrArray) names = machine_names;
@@ -101,7 +103,7 @@
 
 /* Returns machines without a mark. Once the store is available the mark is written after the return
    and is cleared in the usual way, which corrects the records. If this process ends before that,
-   the failure detector detects the machine, which sends no heartbeats but has recorded tasks. */
+   the failure detector finds the machine, which sends no heartbeats but has recorded tasks. */
 void
 ws_returns_tick_unmarked(WsCore *core)
 {
--- a/src/scheduling/ws-candidates.h
+++ b/src/scheduling/ws-candidates.h
@@ -15,7 +15,7 @@
   WS_SLOT_FREEING_WITH_IMAGE, /**< as WS_SLOT_FREEING, with the job's image cached on the machine */
   WS_SLOT_BY_PREEMPTION,      /**< once less urgent tasks there are stopped */
   WS_SLOT_BY_PREEMPTION_WITH_IMAGE, /**< as WS_SLOT_BY_PREEMPTION, with the job's image cached */
-  WS_SLOT_KINDS
+  WS_SLOT_KINDS                     /**< number of kinds */
 } WsSlotKind;
 
 /** The search for candidate machines for the tasks of one job. */
@@ -48,7 +48,8 @@
 WsMachine *ws_candidates_take(WsCandidates *candidates, WsSlotKind kind);
 
 /**
- * Takes the capacity for one more task on @machine, which was taken before.
+ * Subtracts the capacity for one more task on @machine, which an earlier call of
+ * ws_candidates_take() has returned.
  *
  * Returns FALSE if the task doesn't fit, if it would block the machine's free accelerators, or if
  * the job allows no further task in the machine's zone.
--- a/src/scheduling/ws-capacity-map.c
+++ b/src/scheduling/ws-capacity-map.c
@@ -75,7 +75,8 @@
 }
 
 /* Records the lowest priority of the array jobs with assigned tasks, and whether any of these jobs
-   is outside its team's guarantee. A job that could preempt none of them makes no victim search. */
+   is outside its team's guarantee. No victims are searched for a job that could preempt none of
+   these jobs. */
 static void
 summarize_array_jobs(WsCapacityMap *map)
 {
--- a/src/scheduling/ws-capacity-map.h
+++ b/src/scheduling/ws-capacity-map.h
@@ -24,9 +24,11 @@
   GArray *open;                 /**< of WsMachineIndex: machines with at least min_need free */
   GArray *freeing;              /**< of WsMachineIndex: machines where a task is being stopped */
   GArray *machines_with_arrays; /**< of WsMachineIndex: machines with tasks of array jobs */
-  guint lowest_array_priority;  /**< lowest priority of the array jobs with assigned tasks */
-  gboolean has_unguaranteed_arrays; /**< whether one of them is outside its team's guarantee */
-  guint machines_examined;          /**< by this plan so far, a measure of its cost */
+  /** The lowest priority (largest number) of the array jobs with assigned tasks. */
+  guint lowest_array_priority;
+  /** Whether an array job with assigned tasks is outside its team's guarantee. */
+  gboolean has_unguaranteed_arrays;
+  guint machines_examined;    /**< by this plan so far, a measure of its cost */
   guint victim_searches_left; /**< number of non-critical jobs that may still search for victims */
 } WsCapacityMap;
 
--- a/src/scheduling/ws-gang-reservation.h
+++ b/src/scheduling/ws-gang-reservation.h
@@ -6,7 +6,8 @@
 #include "scheduling/ws-capacity-map.h"
 
 /**
- * Reserves machines for a gang that doesn't fit yet. Only critical jobs can get a slot on them.
+ * Reserves machines for a gang that doesn't fit yet. Only critical jobs and older overdue jobs can
+ * get a slot on them.
  *
  * Without the reservation small tasks would take each slot as it becomes free, and the gang would
  * never find all of its slots at the same time. The machines with the most free slots are reserved,
--- a/src/scheduling/ws-placement-score.c
+++ b/src/scheduling/ws-placement-score.c
@@ -6,7 +6,7 @@
 
 /* Image locality. */
 #define CACHED_IMAGE_WEIGHT 100.0
-#define FETCHING_SAME_IMAGE_WEIGHT 50.0 /* for each task that is fetching it on the machine */
+#define FETCHING_SAME_IMAGE_WEIGHT 50.0 /* for each task that is fetching the image there */
 #define FETCHING_OTHER_IMAGE_PENALTY 20.0
 #define VICTIM_CACHED_IMAGE_WEIGHT 20.0 /* if tasks must be preempted first */
 /* Price. A service keeps its machine rented, so other tasks on that machine cost nothing extra. */
--- a/src/scheduling/ws-placement-score.h
+++ b/src/scheduling/ws-placement-score.h
@@ -26,7 +26,7 @@
 /** Returns the score of a machine where the task fits without preemption. */
 double ws_placement_score(const WsPlacementScorer *scorer, const WsMachine *machine);
 
-/** Returns the score of a machine where preemption at @cost (ws_preempt_cost()) comes first. */
+/** Returns the score of a machine where tasks must be preempted, at @cost (ws_preempt_cost()). */
 double ws_placement_score_preemption(const WsPlacementScorer *scorer, const WsMachine *machine,
                                      double cost);
 
--- a/src/workers/ws-cancelled-tasks.c
+++ b/src/workers/ws-cancelled-tasks.c
@@ -15,13 +15,13 @@
 
 #include <string.h>
 
-/* The owner halts at once. Other nodes wait for this time, and halt if the task is still recorded.
- */
+/* The owner of the machine halts a cancelled task at once. Other nodes wait for this time, and halt
+   the task if it is still recorded. */
 #define NON_OWNER_HALT_DELAY_MS 1500
 #define HALT_RETRY_MS 1000
 #define HALT_CALL_TIMEOUT_MS 2000
-/* Retry time after a call without an answer. It is longer than HALT_RETRY_MS so that unreachable
-   machines don't use up MAX_HALTS_IN_FLIGHT. */
+/* Delay of the retry after a call without an answer. It is longer than HALT_RETRY_MS so that
+   unreachable machines don't use up MAX_HALTS_IN_FLIGHT. */
 #define UNREACHABLE_HALT_RETRY_MS 4000
 #define MAX_HALTS_IN_FLIGHT 24
 /* Deadlines for a machine to confirm that its cancelled tasks have exited, as shares of cancel_s.
@@ -51,7 +51,7 @@
   g_free(cancelled_tasks);
 }
 
-/* Halts. */
+/* Calls that halt tasks. */
 
 /* Whether no attempt of the task remains on the machine. All attempts are checked: one attempt may
    have exited because the machine was busy while another one is running. */
@@ -179,7 +179,7 @@
          && (at_ms == NULL || core->now >= *at_ms);
 }
 
-/* Returns. */
+/* Return of machines whose tasks aren't confirmed as exited. */
 
 /* Whether this node may return a machine without a termination mark: no node that it reaches can
    write to the store, and it has the lowest node index of the reachable nodes with a loaded
@@ -245,7 +245,8 @@
   request_return_if_late(core, machine, age_ms);
 }
 
-/* @seen: set of the machines (WsMachineIndex) handled in this tick; each is handled once */
+/* Calls halt_tasks_on_machine() for each machine with remaining tasks of the job.
+   @seen: set of the machines (WsMachineIndex) handled in this tick; each is handled once */
 static void
 halt_tasks_of_job(WsCore *core, const WsJob *job, GHashTable *seen)
 {
--- a/src/workers/ws-reconciliation.c
+++ b/src/workers/ws-reconciliation.c
@@ -46,7 +46,7 @@
 }
 
 /* Whether to stop the task now in order to drain its machine, which is marked for termination. A
-   running gang is stopped as a whole, see ws_gang_stop(). */
+   running gang is stopped as a whole, see ws_gang_tick(). */
 static gboolean
 may_stop_for_drain(WsCore *core, WsMachine *machine, WsJob *job, const WsAssignment *assignment)
 {
--- a/src/workers/ws-relay.c
+++ b/src/workers/ws-relay.c
@@ -2,8 +2,8 @@
  * Relays heartbeats to the owner of their machine, and the owner's answers back to the workers.
  *
  * If the owner can't be reached directly, the heartbeat is sent through a third node that reaches
- * it. If neither answers in time, this node answers itself, with the current fencing token and
- * without launches. That answer renews the lease of the worker's tasks.
+ * it. If neither answers in time, this node answers without the owner, with the current fencing
+ * token and without launches. That answer renews the lease of the worker's tasks.
  */
 #include "workers/ws-workers-private.h"
 
@@ -17,7 +17,7 @@
 #define FORWARD_TIMEOUT_MS 900
 /* Limit of heartbeats in flight to one owner. Between a crash of the owner and its detection,
    hundreds of its workers send their heartbeats to this node instead. Above the limit this node
-   renews the leases itself. */
+   renews the leases without the owner. */
 #define MAX_RELAYS_PER_OWNER 12
 /* Retry-After header for a heartbeat that is answered with 503. */
 #define HEARTBEAT_RETRY_AFTER_S 1
@@ -38,7 +38,7 @@
 
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(Relay, relay_free)
 
-static void send_relay(WsCore *core, Relay *relay /* taken */);
+static void send_relay(WsCore *core, Relay *relay);
 
 /* Returns a node that this node reaches and that reaches the owner, or WS_NO_NODE. */
 static WsNodeIndex
@@ -105,8 +105,9 @@
     answer_without_owner(core, relay->heartbeat, relay->request);
 }
 
+/* Sends the heartbeat to the node relay->via. Takes ownership of @relay. */
 static void
-send_relay(WsCore *core, Relay *relay /* taken */)
+send_relay(WsCore *core, Relay *relay)
 {
   WsRelayMessage message
       = { core->replica->epoch.number, ws_settings_node(core->settings, relay->owner)->name,
--- a/src/workers/ws-worker-rpc.c
+++ b/src/workers/ws-worker-rpc.c
@@ -59,8 +59,9 @@
   machine->worker.indeterminate_incarnation = call->incarnation;
 }
 
+/* Sends the commands with the current fencing token. Takes ownership of @commands. */
 static void
-send_commands(WsCore *core, WsMachine *machine, json_t *commands /* taken */, gboolean has_launches)
+send_commands(WsCore *core, WsMachine *machine, json_t *commands, gboolean has_launches)
 {
   CommandCall *call = g_new0(CommandCall, 1);
   *call = (CommandCall){ machine->index, core->replica->epoch.number, machine->worker.incarnation,
--- a/src/workers/ws-workers.h
+++ b/src/workers/ws-workers.h
@@ -30,8 +30,8 @@
 /**
  * Updates the machine and its tasks from the status with which a worker answered a call.
  *
- * Tasks in the status are taken as present. A task that is missing from it is not taken as gone.
- * Returns FALSE, without any change, if the status is not newer than the last one applied.
+ * Tasks in the status are considered present. Tasks that are missing from it aren't considered
+ * gone. Returns FALSE, without any change, if the status is not newer than the last one applied.
  */
 gboolean ws_workers_note_status(WsCore *core, WsMachine *machine, const WsHeartbeat *heartbeat);
 
@@ -57,8 +57,8 @@
  */
 
 /**
- * Whether this node may send the worker commands: the worker is up and reachable, and has reported
- * the current fencing token.
+ * Returns whether this node may send the worker commands: the worker is up and reachable, and has
+ * reported the current fencing token.
  */
 gboolean ws_worker_rpc_is_allowed(const WsCore *core, const WsMachine *machine);
 
