--- a/src/fleet/ws-fleet-private.h
+++ b/src/fleet/ws-fleet-private.h
@@ -20,7 +20,7 @@
 
 /** The state of this package. Owns the state of each module. */
 struct _WsFleet {
-  WsRate calls;               /**< rate limit of calls to the cloud */
+  WsTokenBucket calls;        /**< rate limit of calls to the cloud */
   gint64 next_catalog_ms;     /**< when the catalog is requested again */
   gboolean catalog_in_flight; /**< a request for the catalog is in flight */
   WsRentals *rentals;
