--- a/tests/combined-faults/cancellation.c
+++ b/tests/combined-faults/cancellation.c
@@ -14,7 +14,7 @@
 wait_until_cancelled(Sim *sim, double max_s)
 {
   for (guint i = 0; i < max_s * 20.0; i++) {
-    if (sim_is_told_cancelled(sim, 0) && sim_is_told_cancelled(sim, 1))
+    if (sim_is_reported_cancelled(sim, 0) && sim_is_reported_cancelled(sim, 1))
       return;
     sim_run(sim, 0.05);
   }
@@ -57,12 +57,12 @@
 expect_jobs_cancelled(Sim *sim)
 {
   sim_end_faults(sim);
-  sim_cancel_until_closed(sim, 200, 1.0);
-  g_assert_cmpuint(sim_open_jobs(sim), ==, 0);
-  g_assert_cmpuint(sim_late_starts(sim), ==, 0);
+  sim_cancel_until_jobs_end(sim, 200, 1.0);
+  g_assert_cmpuint(sim_count_open_jobs(sim), ==, 0);
+  g_assert_cmpuint(sim_count_late_starts(sim), ==, 0);
   sim_run(sim, 200.0);
-  g_assert_cmpuint(sim_machines(sim), ==, 0);
-  g_assert_cmpuint(sim_marks(sim), ==, 0);
+  g_assert_cmpuint(sim_count_machines(sim), ==, 0);
+  g_assert_cmpuint(sim_count_termination_marks(sim), ==, 0);
 }
 
 static void
@@ -73,7 +73,7 @@
   guint leader = sim_leader(sim);
   g_assert_cmpuint(leader, <, SIM_NODES);
   if (variant->inject != NULL)
-    variant->inject(sim, sim_machine_running(sim, 0), variant->fault_s);
+    variant->inject(sim, sim_find_machine_running_job(sim, 0), variant->fault_s);
   *(variant->leader_isolated ? &sim_faults(sim)->isolated_nodes
                              : &sim_faults(sim)->store_refuses_nodes)
       = 1u << leader;
--- a/tests/combined-faults/checker.c
+++ b/tests/combined-faults/checker.c
@@ -34,8 +34,8 @@
 static void
 start_on_all_other_machines(Sim *sim, guint task)
 {
-  for (guint machine = 0; machine < sim_machines(sim); machine++)
-    if (machine != sim_machine_running(sim, 0))
+  for (guint machine = 0; machine < sim_count_machines(sim); machine++)
+    if (machine != sim_find_machine_running_job(sim, 0))
       sim_force_start(sim, machine, 0, task);
   sim_run(sim, 1.0);
 }
@@ -67,7 +67,7 @@
   sim_submit(sim, &NINE_TASK_JOB);
   for (guint i = 0; i < 60 && sim_count_running(sim, 0) < 8; i++)
     sim_run(sim, 1.0);
-  for (guint machine = 0; machine < sim_machines(sim); machine++)
+  for (guint machine = 0; machine < sim_count_machines(sim); machine++)
     sim_force_start(sim, machine, 0, 8);
   sim_run(sim, 1.0);
   sim_free(sim);
@@ -83,7 +83,7 @@
   if (expects_abort_in_child("*wrong_place*"))
     return;
   Sim *sim = sim_with_running_jobs(702, &JOB_IN_A, &FOUR_TASK_JOB, 6);
-  guint machine_in_a = sim_machine_running(sim, 0);
+  guint machine_in_a = sim_find_machine_running_job(sim, 0);
   g_assert_cmpuint(machine_in_a, !=, G_MAXUINT);
   sim_submit(sim, &JOB_IN_B);
   sim_force_start(sim, machine_in_a, 2, 0);
@@ -99,7 +99,7 @@
   Sim *sim = sim_with_running_jobs(703, &ONE_TASK_JOB, &FOUR_TASK_JOB, 5);
   sim_cancel(sim, 0);
   sim_run(sim, 35.0);
-  g_assert_true(sim_is_told_cancelled(sim, 0));
+  g_assert_true(sim_is_reported_cancelled(sim, 0));
   sim_force_start(sim, sim_draw_machine(sim), 0, 0);
   sim_run(sim, 1.0);
   sim_free(sim);
--- a/tests/test-size.c
+++ b/tests/test-size.c
@@ -136,7 +136,7 @@
   json_t *job = fixture_submission();
   json_object_set_new(job, "kusy", json_integer(tasks));
   guint64 before = ws_core_machines_examined(fixture->core);
-  fixture_call(fixture, "POST", "/api/jobs", job);
+  fixture_send_request(fixture, "POST", "/api/jobs", job);
   guint64 steps = ws_core_machines_examined(fixture->core) - before;
   fixture_free(fixture);
   return steps;
@@ -199,7 +199,7 @@
 plan_steps_in_full_cluster(guint machines, guint jobs)
 {
   Fixture *fixture = fixture_with_machines(machines);
-  fixture_lift_quotas(fixture);
+  fixture_remove_quotas(fixture);
   submit_job(fixture, 1, machines, 24.0);
   fixture_run(fixture, 2.0);
   run_with_heartbeats(fixture, machines, 11);
@@ -262,7 +262,7 @@
   for (gint64 until_ms = fixture->now_ms + (gint64)(seconds * 1000.0);
        fixture->now_ms < until_ms;) {
     fixture_run(fixture, 0.05);
-    if (*marked_ms == 0 && sim_store_count(fixture->store, "w/mark/") > 0)
+    if (*marked_ms == 0 && sim_store_count_keys(fixture->store, "w/mark/") > 0)
       *marked_ms = fixture->now_ms;
   }
 }
@@ -278,7 +278,7 @@
   guint max_marks = 0;
   gint64 marked_ms = 0;
   fixture_run(fixture, 0.4); /* otherwise the idle timeout would end in the node's turn anyway */
-  fixture_lift_quotas(fixture);
+  fixture_remove_quotas(fixture);
   for (guint j = 0; j < machines; j++) {
     json_t *job = fixture_submission();
     g_autofree char *id = g_strdup_printf("req-%06u", j);
@@ -301,7 +301,7 @@
   for (guint i = 0; i < 30; i++) {
     run_and_record_first_mark(fixture, 1.5, &marked_ms);
     send_heartbeats_with_jobs(fixture, machines, 4, ++sequence);
-    max_marks = MAX(max_marks, sim_store_count(fixture->store, "w/mark/"));
+    max_marks = MAX(max_marks, sim_store_count_keys(fixture->store, "w/mark/"));
   }
   g_assert_cmpint(marked_ms % 2000, <, 1100);
   fixture_free(fixture);
@@ -324,7 +324,7 @@
 {
   enum { CANCELLED_JOBS = 200 };
   Fixture *fixture = fixture_with_machines(HUGE_CLUSTER_MACHINES);
-  fixture_lift_quotas(fixture);
+  fixture_remove_quotas(fixture);
   for (guint i = 0; i < CANCELLED_JOBS; i++) {
     json_t *job = fixture_submission();
     g_autofree char *id = g_strdup_printf("req-%u", i);
@@ -332,13 +332,13 @@
     json_object_set_new(job, "cpus", json_real(32.0));
     fixture_post(fixture, "/api/jobs", job);
   }
-  for (guint round = 0; round < 20 && sim_store_count(fixture->store, "w/task/") < CANCELLED_JOBS;
-       round++) {
+  for (guint round = 0;
+       round < 20 && sim_store_count_keys(fixture->store, "w/task/") < CANCELLED_JOBS; round++) {
     for (guint m = 0; m < HUGE_CLUSTER_MACHINES; m++)
       send_idle_heartbeat(fixture, m, 1, 10 + round);
     fixture_run(fixture, 1.0);
   }
-  g_assert_cmpuint(sim_store_count(fixture->store, "w/task/"), ==, CANCELLED_JOBS);
+  g_assert_cmpuint(sim_store_count_keys(fixture->store, "w/task/"), ==, CANCELLED_JOBS);
   fixture->workers_answer = FALSE;
   fixture->peers_acknowledge = TRUE;
   guint commands_before = fixture->direct_commands;
