--- a/tests/sim/fault-injection.h
+++ b/tests/sim/fault-injection.h
@@ -5,43 +5,47 @@
 
 #include "sim/sim.h"
 
-/** Submits arrays of both teams, more than there is capacity for, some of them bound to one zone.
+/**
+ * Submits @rounds sets of five jobs of both teams, more than the quotas allow to run at once. Some
+ * are bound to one zone.
  */
 void sim_add_load(Sim *sim, guint rounds);
 
-/** A simulated cluster in which such a load has begun to run. */
+/** Creates a simulated cluster, adds load, runs for 18 s and adds the same load again. */
 Sim *sim_new_with_load(guint32 seed);
 
-/** Cancels as many random jobs. */
+/** Cancels @count random jobs, as sim_cancel_any() does. */
 void sim_cancel_many(Sim *sim, guint count);
 
-/** The node that leads, or node 0 while none does. */
+/** The leader according to its record in the store, or node 0 if there is none. */
 guint sim_leader_or_first(const Sim *sim);
 
-/** The node after this one. */
+/** The node with the next number, modulo SIM_NODES. */
 guint sim_other_node(guint node);
 
-/** Injects the fault into random machines that are up. */
+/** Injects the fault into up to @count random machines that are up. */
 void sim_inject_machine_faults(Sim *sim, guint count, SimMachineFault inject, double seconds);
 
-/** Injects two or three faults drawn at random, with overlapping times, for a minute. */
+/** Runs for 60 s with two or three faults, whose kinds and overlapping times are random. */
 void sim_inject_random_faults(Sim *sim);
 
-/** Runs until no job is open, or for so many seconds. */
+/** Runs until no job is open, but at most for @max_seconds. */
 void sim_run_until_closed(Sim *sim, guint max_seconds);
 
-/** Cancels a random job at a time until none is open, or so many times, with a pause after each. */
+/** Cancels one random job and runs for @pause_s, until no job is open or @max_rounds times. */
 void sim_cancel_until_closed(Sim *sim, guint max_rounds, double pause_s);
 
-/** Ends all faults; fails unless then every job completes, and no machine leaks. */
+/** Ends all faults, and fails unless every job then ends and no machine, mark or record leaks. */
 void sim_expect_recovery(Sim *sim);
 
-/** Sends malformed requests five times within a few seconds. */
+/** Sends malformed requests five times within 3.5 s. */
 void sim_repeat_malformed_requests(Sim *sim);
 
-/** How many seeds a test plays: as usual, or WS_SEEDS. */
+/** The number of seeds that a test runs: the value of WS_SEEDS if it is set, else @usual. */
 guint sim_seed_count(guint usual);
 
-/** Plays the seeds from @first on, as many as usual or WS_SEEDS; with WS_SEED set, that one alone.
+/**
+ * Calls @play with each of sim_seed_count(@usual) seeds from @first on. If WS_SEED is set, it calls
+ * @play with this seed only.
  */
 void sim_play_seeds(guint32 first, guint usual, void (*play)(guint32 seed));
--- a/tests/sim/fixture.h
+++ b/tests/sim/fixture.h
@@ -1,106 +1,106 @@
 /**
- * The one-node harness: a controller alone in its epoch, with a simulated store and scripted peers,
- * workers and cloud. For invariants that random schedules rarely rest on, and for counting
- * messages.
+ * The one-node harness: the only controller of its epoch, with a simulated store and scripted
+ * peers, workers and cloud. It serves tests of conditions that random schedules rarely reach, and
+ * tests that count messages.
  */
 #pragma once
 
 #include "core/ws-core.h"
 #include "sim/store.h"
 
-/** A controller, what it talks to, and what a test sets or looks at. */
+/** A controller, its simulated surroundings, and what a test sets or reads. */
 typedef struct Fixture {
   WsSettings *settings;
   WsProperties *properties;
   SimStore *store;
   WsCore *core;
-  guint run; /* counts its restarts */
+  guint run; /* the number of restarts of the controller */
   gint64 now_ms;
-  const char *zone;           /* of the machines that send heartbeats */
-  gboolean spot;              /* what kind they are */
-  gboolean peers_unreachable; /* the other controllers aren't there */
-  gboolean store_unavailable; /* the store answers 503 */
-  gboolean workers_answer;    /* direct commands */
-  json_t *status_report;      /* what workers answer to /status; NULL: nothing */
-  gboolean hold_watch;        /* the next watch gets no answer until it is released */
-  guint64 held_watch;
-  gboolean has_small_type;         /* the cloud has a smaller type too */
-  gboolean cloud_confirms_returns; /* it answers returns */
-  gboolean peers_lack_store;
-  guint unacknowledged_by_peers; /* cancellations that a peer has not got acknowledged */
-  gboolean peers_acknowledge;    /* cancellations that they are sent */
-  guint cancellations_sent;      /* to peers, repetitions too */
-  guint returns_requested;       /* returns asked of the cloud */
-  guint direct_commands;         /* direct commands seen */
-  guint64 sequence;
-  guint status; /* the last answer to a request of ours */
-  json_t *answer;
-  gboolean hold_assignment; /* the next transaction that assigns a task waits for held's answer */
-  guint64 held_call;
-  json_t *last_transaction;
-  json_t *assignment_transaction; /* the last one that wrote a task's record */
-  guint outputs;                  /* answers and calls of the core */
-  gsize gossip_bytes;             /* of the last gossip; a peer acknowledges it */
-  json_t *member_transaction;     /* the last one that wrote the member's own record */
+  const char *zone;                /* of the machines that send heartbeats */
+  gboolean spot;                   /* whether these machines are spot machines */
+  gboolean peers_unreachable;      /* gossip to the other controllers fails */
+  gboolean store_unavailable;      /* the store answers 503 */
+  gboolean workers_answer;         /* workers answer direct commands, with 409 */
+  json_t *status_report;           /* the workers' answer to /status; NULL: the request fails */
+  gboolean hold_watch;             /* watches get no answer until fixture_release_watch() */
+  guint64 held_watch;              /* the last call that hold_watch held back */
+  gboolean has_small_type;         /* the catalog also has a type with one accelerator */
+  gboolean cloud_confirms_returns; /* the cloud acknowledges return requests */
+  gboolean peers_lack_store;       /* peers report in gossip that they don't reach the store */
+  guint unacknowledged_by_peers;   /* unacknowledged cancellations that each peer reports */
+  gboolean peers_acknowledge;      /* peers acknowledge forwarded cancellations */
+  guint cancellations_sent;        /* forwarded to peers, including retries */
+  guint returns_requested;         /* return requests that the cloud acknowledged */
+  guint direct_commands;           /* requests to workers with direct commands */
+  guint64 sequence;                /* of the last heartbeat of the machine m-1 */
+  guint status;                    /* of the controller's last answer to a request of the test */
+  json_t *answer;                  /* the body of this answer */
+  gboolean hold_assignment;        /* the next transaction with a task record gets no answer */
+  guint64 held_call;               /* this transaction; the test answers it with fixture_reply() */
+  json_t *last_transaction;        /* that was sent to the store */
+  json_t *assignment_transaction;  /* the last transaction that wrote a task record */
+  guint outputs;                   /* the number of answers and calls that the core has put out */
+  gsize gossip_bytes;         /* the size of the last gossip message that a peer acknowledged */
+  json_t *member_transaction; /* the last transaction that wrote the record of member n0 */
 } Fixture;
 
-/** A call of the controller that the store answers, by the run that made it. */
+/** A call to the store that awaits its reply, and the run of the controller that made it. */
 typedef struct {
   Fixture *fixture;
   guint64 call;
   guint run;
 } StoreCall;
 
-/** A controller in its first epoch, without machines. */
+/** Creates a controller in its first epoch, without machines. */
 Fixture *fixture_new(gboolean workers_answer);
-/** The same with the machine m-1, which has shown the fencing token. */
+/** Does the same, and adds the machine m-1, which has reported the current fencing token. */
 Fixture *fixture_new_with_machine(gboolean workers_answer);
-/** The same with the job req-1, whose task is assigned to the machine. */
+/** Does the same, and submits the job req-1, whose task is assigned to the machine. */
 Fixture *fixture_new_with_job(gboolean workers_answer);
-/** A controller without machines, where the cloud has a small type beside the large one. */
+/** Creates a controller without machines; the catalog has a small type besides the large one. */
 Fixture *fixture_new_with_two_types(void);
-/** Ends the controller and what it talks to. */
+/** Frees the controller and its surroundings. */
 void fixture_free(Fixture *fixture);
-/** The controller ends and begins anew, with the same store. */
+/** Ends the controller and starts a new one with the same store. */
 void fixture_restart(Fixture *fixture);
-/** Ends the hold on watches, and gives the one that is held back an empty answer. */
+/** Stops holding watches back, and lets the one that is held back time out. */
 void fixture_release_watch(Fixture *fixture);
-/** Takes the answers and calls that the controller has put out. */
+/** Handles the answers and calls that the controller has put out. */
 void fixture_pump(Fixture *fixture);
-/** Lets time pass, in ticks of 50 ms. */
+/** Advances the time by @seconds, in ticks of 50 ms. */
 void fixture_run(Fixture *fixture, double seconds);
-/** A request, and no pause after it. */
+/** Sends the controller a request, without advancing the time. */
 void fixture_request(Fixture *fixture, WsListener door, const char *method, const char *path,
                      json_t *body /* taken, may be NULL */);
-/** The teams have no limits. */
+/** Removes the quotas of the teams from the settings. */
 void fixture_lift_quotas(Fixture *fixture);
-/** A POST, and no pause after it. */
+/** Sends a POST to the API listener, without advancing the time. */
 void fixture_post(Fixture *fixture, const char *path, json_t *body /* taken */);
-/** A request, and a moment for its answer. */
+/** Sends a request to the API listener, and runs for 0.3 s so that its answer arrives. */
 void fixture_call(Fixture *fixture, const char *method, const char *path, json_t *body /* taken */);
-/** The body of a heartbeat; @tasks is taken. */
+/** Returns the body of a heartbeat; @tasks is taken. */
 json_t *fixture_heartbeat(const Fixture *fixture, const char *machine, guint64 fencing_token,
                           guint64 sequence, json_t *tasks);
-/** What another controller says, and a moment for the answer. */
+/** Sends a POST to the peer listener, and runs for 0.3 s so that its answer arrives. */
 void fixture_send_peer_message(Fixture *fixture, const char *path, json_t *body /* taken */);
-/** A heartbeat of any machine, and no pause after it. */
+/** Sends a heartbeat of the machine, without advancing the time. */
 void fixture_post_heartbeat(Fixture *fixture, const char *machine, guint64 fencing_token,
                             guint64 sequence, json_t *tasks /* taken */);
-/** A heartbeat of the machine m-1, and a moment for its answer. */
+/** Sends the next heartbeat of the machine m-1, and runs for 0.3 s so that its answer arrives. */
 void fixture_send_heartbeat(Fixture *fixture, guint64 fencing_token, json_t *tasks);
-/** The submission of a job of one task, req-1 or the one named. */
+/** Returns the submission of the job req-1, which has one task. */
 json_t *fixture_submission(void);
-/** The same for the job named. */
+/** Returns the same submission with another job id. */
 json_t *fixture_submission_of(const char *id);
-/** What is recorded as assigned of the first tasks of the job; NULL: no record. */
+/** The assignments in the job's first task record; NULL if there is no such record. */
 const json_t *fixture_assignments(const Fixture *fixture, const char *job);
-/** Whether the task of the job req-1 is assigned. */
+/** Whether the store has an assignment of the job req-1. */
 gboolean fixture_task_is_assigned(const Fixture *fixture);
-/** Whether the last answer to a heartbeat has the command. */
+/** Whether the controller's last answer contains a command of the kind @op. */
 gboolean fixture_has_command(const Fixture *fixture, const char *op);
-/** What somebody else writes to the store; value NULL: removes the key, which is there. */
+/** Writes a key to the store as another client; NULL as the value removes the existing key. */
 void fixture_write_key(Fixture *fixture, const char *key, json_t *value /* taken */);
-/** Gives a call of the controller its reply; status 0: it has timed out. */
+/** Gives the controller the reply to one of its calls; status 0 means a timeout. */
 void fixture_reply(Fixture *fixture, guint64 call, guint status, const json_t *body);
-/** The store's reply to a StoreCall. */
+/** Passes the store's reply to the controller, if it is still in the run of the StoreCall @data. */
 void fixture_on_store_reply(gpointer data, guint status, json_t *body);
--- a/tests/sim/sim-private.h
+++ b/tests/sim/sim-private.h
@@ -1,5 +1,5 @@
 /**
- * What the parts of the simulated cluster share.
+ * Declarations that the source files of the simulated cluster share.
  */
 #pragma once
 
@@ -9,70 +9,74 @@
 #include "sim/worker.h"
 #include "ws-site.h"
 
-/** The tick of the simulation, the protocol's limits and the checker's, in milliseconds. */
+/**
+ * The tick of the simulation, the time by which a cancelled task must have stopped (cancel_s of the
+ * settings), the boot time of a machine, and the checker's limits for the time that an accepted job
+ * may go without an answer or wait beside free capacity; in milliseconds.
+ */
 #define TICK_MS 50
 #define CANCEL_MS 30000
 #define BOOT_MS 8000
 #define UNHEARD_JOB_LIMIT_MS 75000
 #define IDLE_CAPACITY_LIMIT_MS 90000
 
-/** What its user was last told of a job. */
+/** The state of a job according to the last answer that its user got. */
 typedef enum { TOLD_NOTHING, TOLD_ACCEPTED, TOLD_DONE, TOLD_CANCELLED } Told;
 
-/** What the simulation knows of a gang's attempt that has started. */
+/** The last attempt of a gang that started, and the counts of its attempts. */
 typedef struct {
-  guint64 attempt;    /* 0: none has started */
-  gint64 started_ms;  /* when its tasks began to run together */
-  gint64 stopped_ms;  /* when the first of them was halted; 0: none was */
-  gint64 lost_ms;     /* when one of them was gone; 0: none is */
-  gint64 progress_ms; /* that is safe, of all attempts */
+  guint64 attempt;    /* 0: no attempt has started */
+  gint64 started_ms;  /* when all its tasks started to run */
+  gint64 stopped_ms;  /* when the first of its tasks began to save; 0: none has */
+  gint64 lost_ms;     /* when the loss of a task was found; 0: none is lost */
+  gint64 progress_ms; /* saved or checkpointed by all attempts so far */
   gboolean is_over;
   guint starts;
   guint losses;
   guint saves;
 } Gang;
 
-/** A job, as its user and the checker know it. */
+/** A job, with its user's view of it and the checker's data. */
 typedef struct {
   char *id;
   SimJob spec;
-  json_t *message;
+  json_t *message; /* the submission */
   Told told;
-  gboolean cancelling;
-  gint64 cancelled_ms;
-  gint64 next_ms; /* when its user asks again */
-  gint64 answered_ms;
-  gint64 beside_capacity_ms; /* since when a task of it waits beside free capacity; 0: none does */
+  gboolean cancelling; /* its user has decided to cancel it */
+  gint64 cancelled_ms; /* when its user got the answer that it is cancelled */
+  gint64 next_ms;      /* when its user sends the next request; G_MAXINT64: one is in flight */
+  gint64 answered_ms;  /* when its user last got a successful answer */
+  gint64 beside_capacity_ms; /* since when it waits although free capacity fits it; 0: it doesn't */
   gboolean has_started;
-  guint8 *completed;
+  guint8 *completed; /* for each task: whether it is done */
   Gang gang;
 } Job;
 
-/** A rented machine, and the faults that it suffers. */
+/** A rented machine, and the faults injected into it. */
 typedef struct {
   SimWorker *worker;
-  gint64 up_ms;
+  gint64 up_ms; /* when it has booted; G_MAXINT64: never */
   gboolean returned;
   gboolean dead;
   gint64 stalled_until_ms;
   gint64 outbound_unreachable_until_ms;
   gint64 inbound_unreachable_until_ms;
   gint64 next_heartbeat_ms;
-  guint node; /* where it sends its heartbeats */
+  guint node; /* the node to which it sends its heartbeats */
 } Machine;
 
 /** A node; its controller is NULL while it is down. */
 typedef struct {
   WsCore *core;
-  guint run; /* counts its lives */
-  gint64 back_ms;
+  guint run;      /* the number of times that its controller has started */
+  gint64 back_ms; /* when a crashed controller starts again */
   gint64 paused_until_ms;
 } Node;
 
-/** What an event does. */
+/** Carries out an event. */
 typedef void (*Run)(Sim *sim, gpointer data);
 
-/** An event; those of the same time happen in the order in which they were added. */
+/** A scheduled event. Events of the same time are carried out in the order of their scheduling. */
 typedef struct {
   gint64 at_ms;
   guint64 order;
@@ -80,18 +84,18 @@
   gpointer data;
 } Event;
 
-/** The simulated cluster. */
+/** The state of the simulated cluster. */
 struct _Sim {
   guint32 seed;
   gint64 heartbeat_interval_ms;
   gint64 lease_ms;
   GRand *rand;
   gint64 now_ms;
-  guint64 order;
-  guint64 lives;
+  guint64 order; /* of the last event scheduled */
+  guint64 lives; /* the number of controllers started, to give each its own seed */
   GSequence *events;
   SimStore *store;
-  gint64 faults_ended_ms; /* since when all faults are over; 0: they aren't */
+  gint64 faults_ended_ms; /* when sim_end_faults() was called; 0: it wasn't */
   guint lost_tasks;
   guint returned_tasks;
   guint late_starts;
@@ -102,20 +106,21 @@
   WsProperties *properties;
   GPtrArray *machines;
   GPtrArray *jobs;
-  GHashTable *rentals; /* request -> names */
+  GHashTable *rentals; /* rental request id -> JSON array of machine names */
 };
 
-/** The names of the zones; a node in each. */
+/** The names of the zones. Node n is in zone n. */
 extern const char *const SIM_ZONES[SIM_NODES];
 
-/* Calls in flight. A call lives until its answer was taken or has timed out. */
-
-/** A call in flight, with its caller, request and answer. */
+/**
+ * A call in flight, with its caller, request and answer. Each event or callee that still holds it
+ * has a reference.
+ */
 typedef struct {
   Sim *sim;
   guint refs;
-  gboolean over; /* the caller has its reply or gave up */
-  /* the caller: a node in one of its lives, a machine, or a user */
+  gboolean over; /* the caller has got its reply or timed out */
+  /* the caller: a run of a node's controller, a machine, or a user */
   guint node;
   guint run;
   guint64 call;
@@ -123,9 +128,9 @@
   gint64 sent_ms;
   guint64 incarnation;
   Job *job;
-  guint expected; /* of a malformed request: the status */
+  guint expected; /* status of the answer to a malformed request; 0: another call */
   const char *expected_state;
-  /* what is asked */
+  /* the request */
   char *method;
   char *address;
   char *path;
@@ -133,62 +138,63 @@
   /* the answer */
   guint status;
   json_t *answer;
-  json_t *held; /* an answer that hasn't set off yet */
+  json_t *held; /* an answer of the store that hasn't been sent yet */
 } Call;
-/** The tasks that occupy slots beside one that starts. */
+
+/** Counts of the tasks that occupy slots when another task starts. */
 typedef struct {
   guint same_task;
   guint same_job;
-  guint team;
-  guint in_zone;
-  guint on_machine;
+  guint team;       /* of the same team */
+  guint in_zone;    /* of the same job in the same zone */
+  guint on_machine; /* of any job on the same machine */
 } Running;
 
-/** Delivers the call to the cloud, which answers. */
+/** Delivers the call to the cloud, which answers it. */
 void sim_send_to_cloud(Sim *sim, Call *call);
-/** Gives up a reference; the last one frees the call. */
+/** Drops a reference; the call is freed with the last one. */
 void sim_call_unref(Call *call);
-/** The user cancels an accepted job, at once. */
+/** Has the user of an accepted job cancel it at once. */
 void sim_user_cancels(Sim *sim, Job *job);
-/** Whether something of this probability happens. */
+/** Returns TRUE with the probability @part; draws a random number only if that is above 0. */
 gboolean sim_chance(Sim *sim, double part);
 /** Fails if another attempt of the task's gang occupies slots. */
 void sim_check_one_attempt(const Sim *sim, const SimTask *task);
-/** The task has its image, and waits for the others of its gang. */
+/** Has a task that has its image wait for the other tasks of its gang. */
 void sim_gang_task_is_ready(const Sim *sim, Machine *machine, SimTask *task);
-/** Starts, stops or completes the gang as far as its tasks allow. */
+/** Advances the gang: starts, stops, completes or loses its attempt, by the state of its tasks. */
 void sim_step_gang(Sim *sim, Job *job);
-/** Fails if an accepted job has gone unanswered for too long without faults. */
+/** Fails if an accepted job's user has got no answer for too long since the faults ended. */
 void sim_check_answered(const Sim *sim, const Job *job);
-/** Fails if the job waits for too long beside free capacity without faults. */
+/** Fails if the job has waited beside free capacity for too long since the faults ended. */
 void sim_check_waiting(const Sim *sim, Job *job);
-/** A SimDescribe for the jobs of the simulation. */
+/** The SimDescribe of the simulated cluster, whose @world is the Sim. */
 gboolean sim_describe(gpointer world, const char *id, guint task, double *run_s);
-/** The job of the id, or NULL. */
+/** Returns the job with the id, or NULL. */
 Job *sim_find_job(const Sim *sim, const char *id);
-/** The machine of the name, or NULL. */
+/** Returns the machine with the name, or NULL. */
 Machine *sim_find_machine(const Sim *sim, const char *name);
 /** Whether the machine is stalled now. */
 gboolean sim_is_stalled(const Sim *sim, const Machine *machine);
-/** Whether the machine has booted, and neither died nor was returned. */
+/** Whether the machine has booted, and is neither dead nor returned. */
 gboolean sim_is_up(const Sim *sim, const Machine *machine);
-/** Adds an event. */
+/** Schedules an event. */
 void sim_later(Sim *sim, gint64 after_ms, Run run, gpointer data);
 /** The simulated time in seconds. */
 double sim_now_s(const Sim *sim);
-/** Takes the answers and calls that the node's controller has put out. */
+/** Delivers the answers and calls that the node's controller has put out. */
 void sim_pump(Sim *sim, guint node);
-/** The callee's answer to the call, whose reference is taken. */
+/** Sends the callee's answer to the call @data, whose reference is taken; @body is taken too. */
 void sim_reply_to(gpointer data, guint status, json_t *body);
-/** Sends a call, which may be lost, delayed or duplicated, and times out. */
+/** Sends a call, which may be lost, delayed or duplicated, and times out after @timeout_ms. */
 void sim_send_call(Sim *sim, Call *call, guint timeout_ms);
-/** Ends expired leases, lets tasks go on and sends a heartbeat that is due. */
+/** Checks the machine's lease, advances its tasks and sends a heartbeat that is due. */
 void sim_step_machine(Sim *sim, Machine *machine);
-/** Starts the task once it has its image, or completes it. */
+/** Starts the task when its image is fetched, or completes it when its run time is over. */
 void sim_step_task(Sim *sim, Machine *machine, SimTask *task);
-/** The job's user submits, queries or cancels it when the next request is due. */
+/** Has the job's user submit, query or cancel it if the next request is due. */
 void sim_step_user(Sim *sim, Job *job);
-/** The user takes the reply; fails if it contradicts what was said before. */
+/** Handles the reply to a user; fails if it contradicts an earlier one or the tasks' state. */
 void sim_user_replied(Sim *sim, Call *call);
 /** The wall clock in milliseconds. */
 gint64 sim_wall(const Sim *sim);
--- a/tests/sim/sim.h
+++ b/tests/sim/sim.h
@@ -1,52 +1,56 @@
 /**
- * A simulated cluster in memory: whole controllers, a store, a cloud, workers and users that follow
- * their published protocols, and a network that loses, delays and duplicates messages. The
- * invariants are checked whenever a task starts and whenever a user is answered.
+ * A simulated cluster in memory: three complete controllers, a key-value store, a cloud, workers
+ * and users that follow their published protocols, and a network that loses, delays and duplicates
+ * messages. The invariants are checked whenever a task starts and whenever a user gets an answer; a
+ * violation ends the program with g_error().
  *
- * Everything follows from one seed.
+ * Time is simulated, and every random number is drawn from one generator: a run is determined by
+ * its seed.
  */
 #pragma once
 
 #include "core/ws-core.h"
 
 /**
- * The number of nodes and of zones; and how often gangs save, and how long that takes, in seconds.
+ * The number of nodes, which is also the number of zones; the interval of a gang's checkpoints and
+ * the time to save its progress when it is stopped, in seconds.
  */
 #define SIM_NODES 3
 #define SIM_CHECKPOINT_S 10.0
 #define SIM_SAVE_S 2.0
 
+/** A simulated cluster. */
 typedef struct _Sim Sim;
 
-/** What befalls a machine for so many seconds. */
+/** Injects a fault into the machine, which lasts for @seconds. */
 typedef void (*SimMachineFault)(Sim *sim, guint machine, double seconds);
 
-/** What the network does to messages. */
+/** Faults of the network, which apply to every message. */
 typedef struct {
-  double lose;   /* chance that a request or its answer is lost */
-  double repeat; /* chance that a request arrives twice */
-  double late;   /* chance that a request arrives long after its caller gave up */
+  double lose;   /* probability that a request, or its answer, is lost */
+  double repeat; /* probability that a request arrives twice */
+  double late;   /* probability that a request arrives 2 s to 60 s late, often after its timeout */
 } SimNet;
 
-/** Faults may be set and ended at any time. */
+/** The faults in force. Tests may set and clear them at any time. */
 typedef struct {
   SimNet net;
-  gboolean store_unavailable; /* the store answers 503 */
-  guint store_refuses_nodes;  /* bit for each node that alone is refused */
-  guint partitioned_zones;    /* bit for each zone that is partitioned from the others */
-  guint unreachable_nodes;    /* bit for each node that no worker reaches, nor it them */
-  double
-      delayed_transactions; /* chance that a transaction gets no answer and is carried out late */
-  gint64 store_delay_ms;    /* by which an answer of the store may be delayed */
-  guint isolated_nodes;     /* bit for each node that reaches neither the store nor other nodes */
-  double duplicated_heartbeats; /* chance that a copy of a heartbeat arrives late, up to several
-                                   leases */
-  guint max_machines;           /* that the cloud has in all; 0: any number */
-  gboolean cloud_unavailable;
-  gboolean cloud_is_full;
+  gboolean store_unavailable; /* the store answers every node with 503 */
+  guint store_refuses_nodes;  /* bit mask of the nodes that the store answers with 503 */
+  guint partitioned_zones;    /* bit mask of the zones that are cut off from those without a bit */
+  guint unreachable_nodes;    /* bit mask of the nodes that have no connection to any worker */
+  /* probability that a transaction gets no answer and is applied 2 s to 12 s late */
+  double delayed_transactions;
+  gint64 store_delay_ms; /* the longest delay of an answer of the store */
+  guint isolated_nodes;  /* bit mask of the nodes that reach neither the store nor other nodes */
+  /* probability that a copy of a heartbeat arrives up to four leases later */
+  double duplicated_heartbeats;
+  guint max_machines; /* that the cloud rents out in total, returned ones excluded; 0: no limit */
+  gboolean cloud_unavailable; /* the cloud answers every request with 503 */
+  gboolean cloud_is_full;     /* the cloud answers rental requests with 503 */
 } SimFaults;
 
-/** A job to submit. */
+/** A job to submit. Each of its tasks needs one accelerator. */
 typedef struct {
   guint tasks;
   gboolean service;
@@ -55,118 +59,119 @@
   gboolean scatter;
   gboolean spot;
   gboolean one_zone;
-  gboolean gang;    /* it saves every SIM_CHECKPOINT_S, and takes SIM_SAVE_S to save when stopped */
-  const char *zone; /* the only one allowed; NULL: any */
-  double run_s;
+  gboolean gang;    /* checkpoints every SIM_CHECKPOINT_S; takes SIM_SAVE_S to save when stopped */
+  const char *zone; /* the only zone allowed; NULL: any */
+  double run_s;     /* of each task; a service runs until it is stopped */
 } SimJob;
 
-/** A cluster without machines and jobs, whose controllers start. */
+/** Creates a cluster without machines or jobs. Its controllers start with the first sim_run(). */
 Sim *sim_new(guint32 seed);
-/** Ends the cluster. */
+/** Frees the cluster and everything in flight. */
 void sim_free(Sim *sim);
-/** The heartbeat interval and the lease of workers; to be set before anything runs. */
+/** Sets the heartbeat interval and the lease of workers. Must be called before sim_run(). */
 void sim_set_pace(Sim *sim, double report_s, double lease_s);
-/** The faults in force, to be changed. */
+/** The faults in force, which the caller may change. */
 SimFaults *sim_faults(Sim *sim);
-/** The generator that all of the simulation draws from. */
+/** The generator from which the whole simulation draws its random numbers. */
 GRand *sim_rand(Sim *sim);
-/** The properties, of all nodes. */
+/** The properties that all nodes share. */
 WsProperties *sim_properties(Sim *sim);
 /** The simulated time in milliseconds. */
 gint64 sim_now(const Sim *sim);
-/** Lets time pass. */
+/** Advances the simulated time by @seconds and runs the events that are due. */
 void sim_run(Sim *sim, double seconds);
-/** The controller ends, and starts anew after the time. */
+/** Ends the node's controller; a new one starts after @back_after_s. */
 void sim_crash_node(Sim *sim, guint node, double back_after_s);
-/** The process is paused while its clocks run on. */
+/** Pauses the node's process for @seconds, while its clocks advance. */
 void sim_pause_node(Sim *sim, guint node, double seconds);
-/** Whether the node's controller runs. */
+/** Whether the node's controller is running. */
 gboolean sim_node_up(const Sim *sim, guint node);
-/** A user submits a job; jobs are numbered in this order. */
+/** Adds a user who submits the job. Jobs are numbered in the order of these calls, from 0. */
 void sim_submit(Sim *sim, const SimJob *job);
-/** The user of a random job cancels it, with the next request. */
+/** Has the user of a random job cancel it with the next request, if the job is accepted. */
 void sim_cancel_any(Sim *sim);
-/** The user of the job cancels it at once. */
+/** Has the user of the job cancel it at once, if it is accepted. */
 void sim_cancel(Sim *sim, guint job);
-/** Users cancel this part of the jobs at the end of a task of theirs. */
+/** Sets the probability with which a user cancels a job when one of its tasks completes. */
 void sim_cancel_at_completion(Sim *sim, double part);
 /**
- * Users ask about jobs that nobody submitted, cancel what is done, repeat submissions, and send
- * some that can't run or lack a field: each must get its answer, or a refusal for now.
+ * Sends requests for unknown jobs, submissions that lack a field or can't run, and, for a job that
+ * has ended, a cancellation and a repeated submission. Each must get the expected status, or 503.
  */
 void sim_send_malformed_requests(Sim *sim);
-/** How often an attempt of the gang started. */
+/** The number of attempts of the gang that started. */
 guint sim_gang_starts(const Sim *sim, guint job);
-/** How often an attempt of the gang lost a task while it ran. */
+/** The number of attempts that ended unsaved: a task was lost, or saving took too long. */
 guint sim_gang_losses(const Sim *sim, guint job);
-/** How often an attempt of the gang was stopped with its progress saved. */
+/** The number of attempts of the gang that were stopped with their progress saved. */
 guint sim_gang_saves(const Sim *sim, guint job);
-/** Violates an invariant on purpose: the task starts on the machine, whatever anybody decided. */
+/** Starts the task on the machine without a controller's decision, to violate an invariant. */
 void sim_force_start(Sim *sim, guint machine, guint job, guint task);
-/** A machine with a running task of the job, by its place; G_MAXUINT: there is none. */
+/** The index of the first machine that runs a task of the job; G_MAXUINT if there is none. */
 guint sim_machine_running(const Sim *sim, guint job);
-/** A random machine that is up, by its place; G_MAXUINT: none. */
+/** Draws the index of a random machine that is up; G_MAXUINT if there is none. */
 guint sim_draw_machine(Sim *sim);
-/** The machine neither sends, takes nor does anything for so long. */
+/** Stalls the machine: it sends and handles nothing for @seconds, while its lease runs on. */
 void sim_stall_machine(Sim *sim, guint machine, double seconds);
 /**
- * Outbound and inbound are seen from the controllers: its heartbeats arrive, but neither answers
- * nor commands reach it.
+ * Blocks messages from the controllers to the machine: its heartbeats arrive, but neither answers
+ * nor direct commands reach it. "Outbound" and "inbound" are as the controllers see them.
  */
 void sim_block_outbound(Sim *sim, guint machine, double seconds);
-/** Its heartbeats reach no controller, while direct commands reach it. */
+/** Blocks messages from the machine to the controllers; direct commands still reach it. */
 void sim_block_inbound(Sim *sim, guint machine, double seconds);
-/** The settings announce lower limits of the store, which nodes keep to from now on. */
+/** Changes the store's limits in the settings of all nodes, but not those that it enforces. */
 void sim_announce_limits(Sim *sim, guint ops, gsize bytes);
-/** The store has such limits from now on. */
+/** Changes the limits that the store enforces, but not those in the settings of the nodes. */
 void sim_lower_limits(Sim *sim, guint ops, gsize bytes);
-/** Transactions that it has refused for their size. */
+/** The number of transactions that the store has refused for their size. */
 guint sim_rejected_for_size(const Sim *sim);
-/** The node that leads, as the store has it; G_MAXUINT: none. */
+/** The leader according to its record in the store; G_MAXUINT if there is none. */
 guint sim_leader(const Sim *sim);
-/** Whether its user was told that the job is cancelled. */
+/** Whether the job's user got the answer that it is cancelled. */
 gboolean sim_is_told_cancelled(const Sim *sim, guint job);
-/** The job's tasks that run now. */
+/** The number of the job's tasks that are running on machines that are up. */
 guint sim_count_running(const Sim *sim, guint job);
-/** A random machine that is up dies, or stalls for a while. */
+/** Kills a random machine that is up. */
 void sim_kill_any_machine(Sim *sim);
-/** A random machine that is up stalls. */
+/** Stalls a random machine that is up. */
 void sim_stall_any_machine(Sim *sim, double seconds);
-/** A random machine that is up gets an interruption notice of so long, if it is a spot machine. */
+/** Draws a random machine that is up and, if it is a spot machine, interrupts it after @seconds. */
 void sim_interrupt_any_machine(Sim *sim, double seconds);
-/** The machine gets an interruption notice of so long, if it is a spot machine. */
+/** Gives a spot machine an interruption notice: the cloud takes it back after @seconds. */
 void sim_interrupt_machine(Sim *sim, guint machine, double seconds);
-/** Its heartbeats arrive, but neither answers nor commands reach it. */
+/** Does the same as sim_block_outbound() to a random machine that is up. */
 void sim_block_outbound_of_any(Sim *sim, double seconds);
-/** A random machine is back within a fraction of a second, as a new incarnation. */
+/** Restarts a random machine that is up: it drops its tasks and reports anew after 0.3 s. */
 void sim_restart_any_machine(Sim *sim);
 /**
- * All faults end: from now on no accepted job may go unanswered for long, or wait for long while
- * there is free capacity that fits it.
+ * Clears sim_faults() and the probability of sim_cancel_at_completion(), and starts the liveness
+ * checks: from now on no accepted job may go without an answer, or wait beside free capacity that
+ * fits it, for longer than the checker's limits.
  */
 void sim_end_faults(Sim *sim);
 
-/** Tasks that started more than a moment after their user was told that they are cancelled. */
+/** The number of tasks that started over 1.5 s after the answer that their job is cancelled. */
 guint sim_late_starts(const Sim *sim);
-/** Jobs submitted so far. */
+/** The number of jobs submitted so far. */
 guint sim_count_jobs(const Sim *sim);
-/** Jobs that are neither done nor cancelled, as their users were told. */
+/** The number of jobs whose users have got neither the answer "done" nor "cancelled". */
 guint sim_open_jobs(const Sim *sim);
-/** Jobs whose users were told that they are done. */
+/** The number of jobs whose users have got the answer "done". */
 guint sim_done_jobs(const Sim *sim);
-/** Tasks that ended with a worker's lease. */
+/** The number of tasks that workers have dropped because their lease expired. */
 guint sim_lost_tasks(const Sim *sim);
-/** Tasks that were on machines when these were returned. */
+/** The number of tasks that were still on machines when a controller returned these. */
 guint sim_returned_tasks(const Sim *sim);
-/** Whether a task of the job has run, or its user wants it no more. */
+/** Whether a task of the job has started, or its user has decided to cancel it. */
 gboolean sim_has_started(const Sim *sim, guint index);
-/** Machines that are rented and not returned: charged for. */
+/** The number of machines that are rented and not returned, for which the cloud charges. */
 guint sim_machines(const Sim *sim);
-/** The same in one zone. */
+/** The number of such machines in the zone. */
 guint sim_machines_in(const Sim *sim, const char *zone);
-/** Records of tasks in the store. */
+/** The number of task records in the store. */
 guint sim_task_records(const Sim *sim);
-/** Termination marks in the store. */
+/** The number of termination marks in the store. */
 guint sim_marks(const Sim *sim);
-/** Machines that are charged for without being in a rental batch of the store. */
+/** The number of machines that are charged for, but are in no rental batch in the store. */
 guint sim_unrecorded(const Sim *sim);
--- a/tests/sim/store.h
+++ b/tests/sim/store.h
@@ -6,29 +6,32 @@
 #include <glib.h>
 #include <jansson.h>
 
-/** The store. */
+/** A key-value store with transactions, leases and watches. */
 typedef struct _SimStore SimStore;
-/** Takes the answer to a request. */
+/** Handles the answer to a request. */
 typedef void (*SimStoreReply)(gpointer data, guint status, json_t *body /* taken */);
 
-/** An empty store. */
+/** Creates an empty store. */
 SimStore *sim_store_new(void);
-/** Ends the store; open watches get a refusal. */
+/** Frees the store. Open watches are answered with 503. */
 void sim_store_free(SimStore *store);
-/** Ends leases that have expired and answers watches; out: leases are kept and watches end. */
+/**
+ * Ends the leases that have expired and answers the watches that are due. With @out, the store is
+ * unavailable: all leases are renewed and all watches end.
+ */
 void sim_store_tick(SimStore *store, gint64 now_ms, gboolean out);
-/** The watch is answered when something changes; everything else at once. */
+/** Handles a request. A watch is answered at the next change or its timeout, the rest at once. */
 void sim_store_request(SimStore *store, gint64 now_ms, const char *method, const char *path,
                        const json_t *body, SimStoreReply reply, gpointer data);
-/** From now on larger transactions and values get 400; what is stored stays readable. */
+/** Sets limits: larger transactions and values get 400. What is stored stays readable. */
 void sim_store_set_limits(SimStore *store, guint max_operations, gsize max_value_bytes);
-/** Transactions that were refused for their size. */
+/** The number of transactions that were refused for their size. */
 guint sim_store_rejected_for_size(const SimStore *store);
-/** Keys with the prefix. */
+/** The number of keys with the prefix. */
 guint sim_store_count(const SimStore *store, const char *prefix);
-/** Whether a record below the prefix lists the name. */
+/** Whether a record whose key has the prefix contains @name in its list "names". */
 gboolean sim_store_lists_name(const SimStore *store, const char *prefix, const char *name);
 /** Whether the key exists. */
 gboolean sim_store_has(const SimStore *store, const char *key);
-/** The value of the key; NULL: there is none. */
+/** The value of the key; NULL if the key doesn't exist. */
 const json_t *sim_store_get(const SimStore *store, const char *key);
--- a/tests/sim/worker.h
+++ b/tests/sim/worker.h
@@ -6,7 +6,7 @@
 #include <glib.h>
 #include <jansson.h>
 
-/** Tasks that a machine has slots for; each takes one GPU. */
+/** The number of task slots of a machine; each has one accelerator. */
 #define SIM_SLOTS 4
 
 /** A task on a worker. */
@@ -14,18 +14,18 @@
   char *job;
   guint task;
   guint64 attempt;
-  const char *state; /* fetching, gathering, running, flushing, exited */
-  const char *why;
-  gint64 next_ms;     /* when it has its image, is done, or has saved */
-  gint64 save_ms;     /* of a gang that runs: how long it saves when it is stopped; else 0 */
-  gint64 gathered_ms; /* of a gang: since when it waits for the others */
-  gboolean saved;     /* exited, and its progress is safe */
+  const char *state;  /* fetching, gathering, running, flushing, exited */
+  const char *why;    /* the reason for its exit, or NULL */
+  gint64 next_ms;     /* when its image is fetched, its run is over, or its progress is saved */
+  gint64 save_ms;     /* of a running task of a gang: time to save when it is stopped; else 0 */
+  gint64 gathered_ms; /* of a task of a gang: since when it waits for the others */
+  gboolean saved;     /* it has exited with its progress saved */
 } SimTask;
 
-/** Whether the task occupies its slot and counts for the invariants: it has its image. */
+/** Whether the task counts for the invariants: its image is fetched and it hasn't exited. */
 gboolean sim_task_occupies_slot(const SimTask *task);
 
-/** A worker, in its present incarnation. */
+/** A worker, in its current incarnation. */
 typedef struct {
   char *name;
   const char *type;
@@ -35,27 +35,27 @@
   guint64 sequence;
   guint64 fencing_token;
   gint64 renewed_ms;      /* when the last acknowledged heartbeat was sent */
-  gint64 interruption_ms; /* 0: none */
+  gint64 interruption_ms; /* when the cloud takes the machine back; 0: no notice */
   GArray *tasks;          /* of SimTask */
 } SimWorker;
 
-/** What a start needs to know of a job; negative run_s: a service. */
+/** Gives the run time of a job's tasks, negative for a service; FALSE: there is no such task. */
 typedef gboolean (*SimDescribe)(gpointer world, const char *job, guint task, double *run_s);
 
-/** A worker without tasks. */
+/** Creates a worker without tasks. */
 SimWorker *sim_worker_new(const char *name, const char *type, const char *zone, gboolean spot,
                           gint64 now_ms);
 /** Frees the worker and its tasks. */
 void sim_worker_free(SimWorker *worker);
-/** The body of its next heartbeat. */
+/** Returns the body of the worker's next heartbeat, and advances its sequence number. */
 json_t *sim_worker_heartbeat(SimWorker *worker, gint64 now_ms);
-/** Takes the answer to a heartbeat that was sent at the time given, by the incarnation given. */
+/** Handles the answer to a heartbeat that @incarnation sent at @sent_ms: renews the lease. */
 void sim_worker_handle_answer(SimWorker *worker, gint64 now_ms, gint64 sent_ms, guint64 incarnation,
                               const json_t *answer, SimDescribe describe, gpointer world);
-/** Direct commands: returns the status, and the body is the worker's heartbeat. */
+/** Handles direct commands. Returns the status of the answer; its body is @report, a heartbeat. */
 guint sim_worker_handle_commands(SimWorker *worker, gint64 now_ms, const json_t *message,
                                  json_t **report, SimDescribe describe, gpointer world);
-/** Begins a new incarnation without tasks when the lease has expired. */
+/** Drops all tasks and begins a new incarnation if the lease has expired. */
 void sim_worker_check_lease(SimWorker *worker, gint64 now_ms, gint64 lease_ms);
-/** The task on the worker, or NULL. */
+/** Returns the task on the worker, or NULL. */
 SimTask *sim_worker_find(SimWorker *worker, const char *job, guint task);
--- a/tests/ws-gen.h
+++ b/tests/ws-gen.h
@@ -1,5 +1,5 @@
 /**
- * Generated inputs. Each case has a seed of its own, which is printed when the case fails.
+ * Generated inputs for tests. Each case has its own seed, which is written to the test log.
  */
 #pragma once
 
@@ -8,7 +8,7 @@
 /** Checks one generated case. */
 typedef void (*WsCase)(GRand *rand);
 
-/** Checks so many cases, of seeds from the first on. */
+/** Checks @count generated cases, with the seeds from @first on. */
 static inline void
 ws_cases(guint count, guint32 first, WsCase check)
 {
@@ -19,14 +19,14 @@
   }
 }
 
-/** A number below @most of at most three decimals. */
+/** Draws a number of at most three decimals from 0 to below @most. */
 static inline double
 ws_gen_decimal(GRand *rand, double most)
 {
   return g_rand_int_range(rand, 0, (gint32)(most * 1000)) / 1000.0;
 }
 
-/** A valid submission. */
+/** Generates a valid submission. */
 static inline json_t *
 ws_gen_submission(GRand *rand)
 {
--- a/tests/ws-site.h
+++ b/tests/ws-site.h
@@ -1,11 +1,11 @@
 /**
- * Settings of a made-up deployment, for tests.
+ * Settings of a deployment with three nodes, for tests.
  */
 #pragma once
 
 #include "protocol/ws-settings.h"
 
-/** The settings message of node number @self of three. */
+/** Returns the settings message of node @self, which is 0, 1 or 2. */
 static inline json_t *
 ws_test_message(guint self)
 {
@@ -32,7 +32,7 @@
                    "services", "cloud", "cloud:1", "state", "state:1", "params", params);
 }
 
-/** The same, parsed. */
+/** Returns the parsed settings of node @self. */
 static inline WsSettings *
 ws_test_settings(guint self)
 {
--- a/tests/ws-suite.h
+++ b/tests/ws-suite.h
@@ -1,17 +1,17 @@
 /**
- * What the main functions of test programs share.
+ * Helpers for the main functions of the test programs.
  */
 #pragma once
 
 #include <glib.h>
 
-/** A test without data, and the path that names it. */
+/** A test without data, and its GLib test path. */
 typedef struct {
   const char *path;
   void (*run)(void);
 } WsTest;
 
-/** Begins the program. Warnings, which controllers under faults do log, don't end it. */
+/** Initializes GLib's tests. Warnings aren't fatal, because controllers log them under faults. */
 static inline void
 ws_suite_init(int *argc, char ***argv)
 {
@@ -19,7 +19,7 @@
   g_log_set_always_fatal(G_LOG_LEVEL_ERROR);
 }
 
-/** Adds the tests, which run in the order of the table. */
+/** Adds the tests, in the order of the table. */
 static inline void
 ws_suite_add(const WsTest *tests, gsize count)
 {
