--- a/tests/sim/drawn-faults.c
+++ b/tests/sim/drawn-faults.c
@@ -1,8 +1,9 @@
 /**
- * Pairs and triples of faults that overlap, drawn at random.
+ * Two or three faults of random kinds, whose times mostly overlap.
  */
 #include "sim/fault-injection.h"
 
+/* A kind of fault; end is NULL if the fault ends by itself. */
 typedef struct {
   const char *name;
   void (*begin)(Sim *sim, double seconds);
--- a/tests/sim/fault-injection.c
+++ b/tests/sim/fault-injection.c
@@ -1,5 +1,5 @@
 /**
- * Load, fault injection and the final check that tests of the simulated cluster share.
+ * Load, fault injection and the final check, shared by the tests of the simulated cluster.
  */
 #include "sim/fault-injection.h"
 
@@ -69,13 +69,13 @@
   sim_end_faults(sim);
   sim_run_until_closed(sim, 400);
   if (sim_open_jobs(sim) > 0)
-    g_error("%u jobs are not served", sim_open_jobs(sim));
+    g_error("%u jobs have not ended after all faults were over", sim_open_jobs(sim));
   if (sim_rejected_for_size(sim) > 0)
-    g_error("%u transactions were refused for their size", sim_rejected_for_size(sim));
+    g_error("the store refused %u transactions for their size", sim_rejected_for_size(sim));
   sim_run(sim, 150.0);
   if (sim_machines(sim) > 0 || sim_marks(sim) > 0 || sim_unrecorded(sim) > 0)
-    g_error("%u machines leaked, %u without a record, %u marks", sim_machines(sim),
-            sim_unrecorded(sim), sim_marks(sim));
+    g_error("leaked: %u machines, %u of them in no rental batch; %u termination marks",
+            sim_machines(sim), sim_unrecorded(sim), sim_marks(sim));
 }
 
 Sim *
--- a/tests/sim/fault-injection.h
+++ b/tests/sim/fault-injection.h
@@ -1,5 +1,5 @@
 /**
- * Load, fault injection and the final check that tests of the simulated cluster share.
+ * Load, fault injection and the final check, shared by the tests of the simulated cluster.
  */
 #pragma once
 
@@ -26,7 +26,7 @@
 /** Injects the fault into up to @count random machines that are up. */
 void sim_inject_machine_faults(Sim *sim, guint count, SimMachineFault inject, double seconds);
 
-/** Runs for 60 s with two or three faults, whose kinds and overlapping times are random. */
+/** Runs for 60 s with two or three faults of random kinds, whose random times mostly overlap. */
 void sim_inject_random_faults(Sim *sim);
 
 /** Runs until no job is open, but at most for @max_seconds. */
--- a/tests/sim/fixture.c
+++ b/tests/sim/fixture.c
@@ -11,7 +11,7 @@
 
 #include <string.h>
 
-/* How the node is called in traces; versions are compared by them, so the name stays. */
+/* The node's name in traces. Traces of several versions are compared, so it must not change. */
 #define TRACE_NODE "rig"
 
 void
@@ -26,7 +26,7 @@
 fixture_on_store_reply(gpointer data, guint status, json_t *body)
 {
   StoreCall *store_call = data;
-  if (store_call->run == store_call->fixture->run) /* or whoever store_call has ended */
+  if (store_call->run == store_call->fixture->run) /* else the caller has ended */
     fixture_reply(store_call->fixture, store_call->call, status, body);
   json_decref(body);
   g_free(store_call);
@@ -48,7 +48,7 @@
   return message;
 }
 
-/* The answer of a peer that isn't a member, but acknowledges all gossip. */
+/* Answers as a peer that isn't a member of the epoch, but acknowledges all gossip. */
 static void
 answer_gossip(Fixture *fixture, const WsOutput *output, const json_t *body)
 {
@@ -63,7 +63,7 @@
   fixture_reply(fixture, output->call, 200, answer);
 }
 
-/* Keeps the transaction for tests to look at. */
+/* Keeps the last transaction, also of certain kinds, so that tests can examine it. */
 static void
 note_transaction(Fixture *fixture, const WsOutput *output, json_t *body)
 {
@@ -80,7 +80,7 @@
   }
 }
 
-/* Whether the request to the store gets no answer until the test gives one. */
+/* Whether the call to the store gets no answer until the test gives one. */
 static gboolean
 hold_store_call(Fixture *fixture, const WsOutput *output, const char *path)
 {
@@ -113,7 +113,7 @@
                     fixture_on_store_reply, store_call);
 }
 
-/* Calls to the cloud, to workers and to other nodes. */
+/* Answers a call to the cloud, to a worker or to another node. */
 static void
 answer_other_call(Fixture *fixture, const WsOutput *output, const char *path, const json_t *body)
 {
@@ -255,8 +255,8 @@
 gboolean
 fixture_task_is_assigned(const Fixture *fixture)
 {
-  /* The final record of a job, which names no submission, is written only when nothing of the job
-     is on a machine; its records of tasks are removed later. */
+  /* The final record of a job has no submission ("spec"). It is written when no task of the job is
+     on a machine any more, but the task records are removed later. */
   const json_t *job = sim_store_get(fixture->store, "w/job/req-1");
   return json_object_get(job, "spec") != NULL && sim_store_has(fixture->store, "w/task/req-1/0");
 }
@@ -282,7 +282,7 @@
                                  : json_pack("{s:s}", "remove", key);
   g_autoptr(json_t) transaction = json_pack("{s:[], s:[o]}", "if", "apply", change);
   StoreCall *store_call = g_new0(StoreCall, 1);
-  *store_call = (StoreCall){ fixture, 0, 0 }; /* no call of the controller's */
+  *store_call = (StoreCall){ fixture, 0, 0 }; /* call 0 isn't a call of the controller */
   sim_store_request(fixture->store, fixture->now_ms, "POST", "/multi", transaction,
                     fixture_on_store_reply, store_call);
 }
@@ -384,7 +384,7 @@
 void
 fixture_free(Fixture *fixture)
 {
-  sim_store_free(fixture->store); /* which ends the watch */
+  sim_store_free(fixture->store); /* answers the open watch, which needs the core */
   end_core(fixture);
   ws_properties_free(fixture->properties);
   ws_settings_free(fixture->settings);
--- a/tests/sim/sim-checker.c
+++ b/tests/sim/sim-checker.c
@@ -1,5 +1,6 @@
 /**
- * The invariants, checked by what workers run and what users were told; and counts for tests.
+ * Checks the invariants against the tasks that workers run and the answers that users got, and
+ * counts objects and events for the tests.
  */
 #include "sim/sim-private.h"
 
@@ -13,7 +14,8 @@
   return job != NULL && task < job->spec.tasks;
 }
 
-/* Counts one task that occupies a slot, as a neighbour of task @number of the job. */
+/* Adds a task that occupies a slot to the counts for task @number of the job, which starts on
+   @where. */
 static void
 count_task(const Sim *sim, const Machine *machine, const SimTask *task, const Machine *where,
            const Job *job, guint number, Running *count)
@@ -39,7 +41,7 @@
   }
 }
 
-/* How long a launch may have been in flight when the user was told. */
+/* How long a launch may still be in flight after its user got the answer "cancelled". */
 #define ON_ITS_WAY_MS 1500
 
 static void
@@ -149,7 +151,8 @@
             job->id);
 }
 
-/* Tasks of the job that are on machines or done, and those of its team on machines. */
+/* Counts the job's tasks that are done or on a machine, and adds its team's tasks on machines to
+   @team. */
 static guint
 count_placed(const Sim *sim, const Job *job, guint *team)
 {
@@ -183,9 +186,9 @@
          && (job->spec.spot || !machine->worker->spot) && taken < SIM_SLOTS;
 }
 
-/* Once the faults are over no job waits for long while a machine that fits has free capacity and
-   its team is under its limit. Jobs bound to zones are left out: where they fit depends on their
-   other tasks. */
+/* Once the faults are over, no job may wait for long while a machine that fits it has free capacity
+   and its team is below its quota. Jobs with zone constraints are excluded: where their tasks fit
+   depends on the placement of their other tasks. */
 void
 sim_check_waiting(const Sim *sim, Job *job)
 {
@@ -203,7 +206,7 @@
   else if (job->beside_capacity_ms == 0)
     job->beside_capacity_ms = sim->now_ms;
   else if (sim->now_ms - job->beside_capacity_ms > IDLE_CAPACITY_LIMIT_MS)
-    g_error("seed %u, %.1f s: %s waits beside room", sim->seed, sim_now_s(sim), job->id);
+    g_error("seed %u, %.1f s: %s waits beside free capacity", sim->seed, sim_now_s(sim), job->id);
 }
 
 void
--- a/tests/sim/sim-cloud.c
+++ b/tests/sim/sim-cloud.c
@@ -22,9 +22,11 @@
   for (guint z = 0; z < G_N_ELEMENTS(SIM_ZONES); z++)
     if (strcmp(SIM_ZONES[z], name) == 0)
       return SIM_ZONES[z];
-  g_error("no zone %s", name);
+  g_error("unknown zone %s", name);
 }
 
+/* Rents machines. A repeated request gets the machines of the first one. Of the machines 3 % never
+   boot. */
 static json_t *
 rent(Sim *sim, const json_t *body)
 {
--- a/tests/sim/sim-faults.c
+++ b/tests/sim/sim-faults.c
@@ -3,7 +3,7 @@
  */
 #include "sim/sim-private.h"
 
-/* Nothing that a crashed node would still have sent or answered gets out. */
+/* Frees the controller of a crashed node, and drops the answers and calls that it hasn't sent. */
 static void
 free_core(WsCore *core)
 {
--- a/tests/sim/sim-gangs.c
+++ b/tests/sim/sim-gangs.c
@@ -5,15 +5,18 @@
 
 #include <string.h>
 
+/* How long a task waits until all tasks of its attempt are ready, and the longest time in which a
+   running attempt notices a lost task or saves its progress. */
 #define GANG_WAIT_MS 30000
 #define GANG_PEER_MS 5000
 
+/* A task of a gang, and the machine that it is on. */
 typedef struct {
   Machine *machine;
   SimTask *task;
 } Member;
 
-/* The tasks of the gang that are on machines, or fetch their image. */
+/* The gang's tasks on machines that haven't exited, including those that fetch their image. */
 static GArray *
 find_members(const Sim *sim, const Job *job)
 {
@@ -49,7 +52,7 @@
   return sim_is_up(sim, member->machine) && !sim_is_stalled(sim, member->machine);
 }
 
-/* An invariant beside those of the protocol: one attempt at a time occupies slots. */
+/* Checks an invariant that the protocol doesn't state: one attempt at a time occupies slots. */
 void
 sim_check_one_attempt(const Sim *sim, const SimTask *task)
 {
@@ -130,7 +133,7 @@
   return gang->progress_ms + until_ms - gang->started_ms;
 }
 
-/* What was done since the last checkpoint is lost. */
+/* Ends the attempt with the progress of its last checkpoint. */
 static void
 lose_attempt(const Sim *sim, Job *job)
 {
@@ -153,7 +156,8 @@
   job->gang.is_over = TRUE;
 }
 
-/* Saved together, or not at all. */
+/* Ends an attempt that is being stopped once all its tasks have saved, or at the timeout. Its
+   progress is saved only if all tasks have saved. */
 static void
 step_stop(Sim *sim, Job *job, const GArray *members)
 {
@@ -182,7 +186,8 @@
   }
 }
 
-/* The others notice a loss after a while. */
+/* Ends an attempt that has lost a task. The other tasks exit after half of GANG_PEER_MS, as if they
+   needed this time to notice the loss. */
 static void
 step_loss(Sim *sim, Job *job, const GArray *members)
 {
--- a/tests/sim/sim-network.c
+++ b/tests/sim/sim-network.c
@@ -64,7 +64,8 @@
   return call->machine == NULL && call->job == NULL && call->expected == 0;
 }
 
-/* Not now, or lost, is an answer too. */
+/* Fails if a malformed request got an unexpected answer. Status 503 and a timeout (0) are allowed.
+ */
 static void
 check_malformed_reply(const Sim *sim, const Call *call)
 {
@@ -122,7 +123,7 @@
   return g_rand_int_range(sim->rand, 1, 6);
 }
 
-/* The answer sets off; it may be lost, and then only the caller's patience ends the call. */
+/* Sends the answer to the caller. If the answer is lost, the call ends with its timeout. */
 void
 sim_reply_to(gpointer data, guint status, json_t *body)
 {
@@ -137,7 +138,8 @@
   sim_later(call->sim, latency(call->sim), deliver_reply, call);
 }
 
-/* Requests to nodes: the core answers by the handle, which is the call. */
+/* Requests to nodes. The core is given the Call as the handle of the request, and answers with it.
+ */
 
 static void
 send_to_node(Sim *sim, Call *call, guint node, WsListener door)
@@ -176,7 +178,7 @@
 
 static void arrive(Sim *sim, gpointer data);
 
-/* Users, the cloud and the store are in no zone. */
+/* Users, the cloud and the store are in no zone, so that partitions don't affect their messages. */
 static const char *
 zone_of_caller(const Call *call)
 {
@@ -197,7 +199,7 @@
   } else if (sim_is_stalled(sim, machine)) {
     sim_later(sim, machine->stalled_until_ms - sim->now_ms, arrive, call);
   } else if (is_partitioned(sim, zone_of_caller(call), machine->worker->zone)) {
-    sim_later(sim, 1000, arrive, call); /* held back until the partition ends */
+    sim_later(sim, 1000, arrive, call); /* retries until the partition ends */
   } else {
     send_to_worker(sim, call, machine);
   }
@@ -248,7 +250,8 @@
     release_slow(sim, data);
 }
 
-/* The open watches of a node that the store refuses wait as they do in an outage. */
+/* Handles the store's reply to a call. A reply to a watch is held back while the store refuses the
+   caller's node, as it is in an outage. */
 static void
 store_replied(gpointer data, guint status, json_t *body)
 {
@@ -278,7 +281,7 @@
   sim_call_unref(data);
 }
 
-/* It gets no answer, and is carried out after newer ones. */
+/* Applies a delayed transaction, which gets no answer, possibly after newer ones. */
 static void
 commit_delayed(Sim *sim, gpointer data)
 {
--- a/tests/sim/sim-users.c
+++ b/tests/sim/sim-users.c
@@ -1,5 +1,5 @@
 /**
- * Simulated users: they submit, query and cancel jobs, and remember what they were told.
+ * Simulated users: they submit, query and cancel jobs, and check each answer against earlier ones.
  */
 #include "sim/sim-private.h"
 
@@ -16,7 +16,7 @@
   return NULL;
 }
 
-/* Its user asks at once. */
+/* The user sends the next request in the next tick, unless one is in flight. */
 void
 sim_user_cancels(Sim *sim, Job *job)
 {
@@ -54,7 +54,7 @@
 }
 
 static json_t *
-changed(const Job *job, const char *field, json_t *value /* taken; NULL: without it */)
+changed(const Job *job, const char *field, json_t *value /* taken; NULL: removes the field */)
 {
   json_t *message = json_deep_copy(job->message);
   json_object_set_new(message, "id", json_string("req-999999"));
--- a/tests/sim/sim.c
+++ b/tests/sim/sim.c
@@ -1,5 +1,5 @@
 /**
- * The simulated cluster: its nodes and its clock.
+ * The simulated cluster: its nodes, its clock and its events.
  */
 #include "sim/sim-private.h"
 
@@ -111,7 +111,7 @@
   }
 }
 
-/* What is still on its way is given up, so that everything allocated ends. */
+/* Drops all calls in flight, so that their memory is freed. */
 static void
 drain(Sim *sim)
 {
--- a/tests/sim/store.c
+++ b/tests/sim/store.c
@@ -17,6 +17,7 @@
   gint64 ends_ms;
 } Lease;
 
+/* A watch that awaits a revision above @from. */
 typedef struct {
   guint64 from;
   gint64 until_ms;
@@ -33,7 +34,7 @@
   guint64 next_lease;
   gint64 ticked_ms;
   guint max_operations;
-  gsize max_value_bytes; /* of a value */
+  gsize max_value_bytes;
   guint rejected_for_size;
 };
 
@@ -61,7 +62,7 @@
 sim_store_new(void)
 {
   SimStore *store = g_new0(SimStore, 1);
-  store->max_operations = 16; /* as the settings of the tests say */
+  store->max_operations = 16; /* as in ws_test_message() */
   store->max_value_bytes = (gsize)16 * 1024;
   store->entries = g_tree_new_full(compare, NULL, g_free, entry_free);
   store->leases = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
@@ -128,6 +129,7 @@
   }
 }
 
+/* The keys that are attached to a lease. */
 typedef struct {
   guint64 lease;
   GPtrArray *keys;
@@ -180,7 +182,7 @@
   return entry != NULL ? entry->version : 0;
 }
 
-/* Why the transaction is refused for its size, or NULL. */
+/* The reason why the transaction is too large, or NULL. */
 static const char *
 find_oversize(const SimStore *store, const json_t *body)
 {
@@ -290,6 +292,7 @@
   return NULL;
 }
 
+/* The entries with a prefix whose keys come after @from; pairs is NULL to count them only. */
 typedef struct {
   const char *prefix;
   const char *from;
@@ -367,7 +370,7 @@
       lease->ends_ms = now_ms + lease->ttl_ms;
     reply(data, lease != NULL ? 200 : 404, json_object());
   } else {
-    g_error("the store has no %s", path);
+    g_error("the simulated store has no path %s", path);
   }
 }
 
--- a/tests/sim/trace.c
+++ b/tests/sim/trace.c
@@ -1,4 +1,6 @@
-/* Writes outputs of controllers to the file that WS_TRACE names. */
+/**
+ * Writes the outputs of controllers to the file that WS_TRACE names.
+ */
 #include "sim/trace.h"
 
 #include "protocol/ws-json.h"
@@ -6,7 +8,7 @@
 #include <stdio.h>
 #include <string.h>
 
-/* The file of this process; NULL: no trace is wanted. */
+/* The trace file of this process; NULL if WS_TRACE isn't set. */
 static FILE *
 trace_file(void)
 {
@@ -22,7 +24,8 @@
   return file;
 }
 
-/* The body with sorted keys; text that isn't JSON stays as it is. jansson's, or NULL. */
+/* The body with sorted keys, or a copy of it if it isn't JSON; NULL if there is none. The caller
+   releases it with free(), as jansson allocates it. */
 static char *
 sorted(const char *body)
 {
--- a/tests/sim/worker.c
+++ b/tests/sim/worker.c
@@ -1,5 +1,6 @@
 /**
- * A simulated worker: it launches, halts and reaps tasks, and loses them with its lease.
+ * A simulated worker: it executes the commands launch, halt and reap, and drops its tasks when its
+ * lease expires.
  */
 #include "sim/worker.h"
 
@@ -80,7 +81,7 @@
   return strcmp(task->state, "fetching") != 0 && strcmp(task->state, "exited") != 0;
 }
 
-/* Fetching tasks count. */
+/* Counts the slots that are taken, including those of tasks that fetch their image. */
 static guint
 slots_taken(const SimWorker *worker)
 {
@@ -115,7 +116,8 @@
   g_array_append_val(worker->tasks, task);
 }
 
-/* A task that runs saves if it may take so long; one that saves already goes on. */
+/* Stops a task. If the grace period suffices to save, a running task of a gang starts saving, and
+   one that is already saving continues. */
 static void
 halt(SimTask *task, gint64 now_ms, double grace_s)
 {
