--- a/tests/sim/drawn-faults.c
+++ b/tests/sim/drawn-faults.c
@@ -8,7 +8,7 @@
   const char *name;
   void (*begin)(Sim *sim, double seconds);
   void (*end)(Sim *sim);
-} FaultType;
+} FaultKind;
 
 static void
 begin_store_refusal(Sim *sim, double seconds)
@@ -91,27 +91,27 @@
 }
 
 static void
-begin_partition(Sim *sim, double seconds)
+begin_zone_partition(Sim *sim, double seconds)
 {
   (void)seconds;
   sim_faults(sim)->partitioned_zones = 1u << g_rand_int_range(sim_rand(sim), 0, SIM_NODES);
 }
 
 static void
-end_partition(Sim *sim)
+end_zone_partition(Sim *sim)
 {
   sim_faults(sim)->partitioned_zones = 0;
 }
 
 static void
-begin_isolation(Sim *sim, double seconds)
+begin_leader_isolation(Sim *sim, double seconds)
 {
   (void)seconds;
   sim_faults(sim)->isolated_nodes = 1u << sim_leader_or_first(sim);
 }
 
 static void
-end_isolation(Sim *sim)
+end_leader_isolation(Sim *sim)
 {
   sim_faults(sim)->isolated_nodes = 0;
 }
@@ -188,7 +188,7 @@
 }
 
 static void
-begin_crash_of_all(Sim *sim, double seconds)
+begin_crash_of_all_nodes(Sim *sim, double seconds)
 {
   for (guint n = 0; n < SIM_NODES; n++)
     sim_crash_node(sim, n, g_rand_double_range(sim_rand(sim), 0.1, MIN(seconds, 14.0)));
@@ -219,7 +219,7 @@
   }
 }
 
-static const FaultType FAULTS[] = {
+static const FaultKind FAULT_KINDS[] = {
   { "malformed-requests", begin_malformed_requests, NULL },
   { "store-refusal", begin_store_refusal, end_store_refusal },
   { "store-outage", begin_store_outage, end_store_outage },
@@ -227,8 +227,8 @@
   { "delayed-transactions", begin_delayed_transactions, end_delayed_transactions },
   { "duplicated-heartbeats", begin_duplicated_heartbeats, end_duplicated_heartbeats },
   { "lossy-network", begin_lossy_network, end_lossy_network },
-  { "partition", begin_partition, end_partition },
-  { "isolated-leader", begin_isolation, end_isolation },
+  { "partition", begin_zone_partition, end_zone_partition },
+  { "isolated-leader", begin_leader_isolation, end_leader_isolation },
   { "unreachable-node", begin_unreachable_node, end_unreachable_node },
   { "cloud-outage", begin_cloud_outage, end_cloud_outage },
   { "cancellation-at-completion", begin_cancellation_at_completion,
@@ -238,30 +238,30 @@
   { "inbound-unreachable", begin_inbound_unreachable, NULL },
   { "machine-stall", begin_machine_stall, NULL },
   { "leader-crash", begin_leader_crash, NULL },
-  { "crash-of-all", begin_crash_of_all, NULL },
+  { "crash-of-all", begin_crash_of_all_nodes, NULL },
   { "node-pause", begin_node_pause, NULL },
   { "machine-loss", begin_machine_loss, NULL },
 };
 
 typedef struct {
-  const FaultType *type;
-  double at_s;
-  double for_s;
-  gboolean is_begun;
-  gboolean is_over;
+  const FaultKind *kind;
+  double start_s;
+  double duration_s;
+  gboolean has_begun;
+  gboolean has_ended;
 } ScheduledFault;
 
 static void
-step_scheduled_fault(Sim *sim, ScheduledFault *drawn, double now_s)
+step_scheduled_fault(Sim *sim, ScheduledFault *fault, double now_s)
 {
-  if (!drawn->is_begun && now_s >= drawn->at_s) {
-    drawn->is_begun = TRUE;
-    drawn->type->begin(sim, drawn->for_s);
+  if (!fault->has_begun && now_s >= fault->start_s) {
+    fault->has_begun = TRUE;
+    fault->kind->begin(sim, fault->duration_s);
   }
-  if (drawn->is_begun && !drawn->is_over && now_s >= drawn->at_s + drawn->for_s) {
-    drawn->is_over = TRUE;
-    if (drawn->type->end != NULL)
-      drawn->type->end(sim);
+  if (fault->has_begun && !fault->has_ended && now_s >= fault->start_s + fault->duration_s) {
+    fault->has_ended = TRUE;
+    if (fault->kind->end != NULL)
+      fault->kind->end(sim);
   }
 }
 
@@ -272,10 +272,11 @@
   ScheduledFault drawn[3];
   guint count = 2 + (guint)g_rand_int_range(rand, 0, 2);
   for (guint i = 0; i < count; i++) {
-    guint which = (guint)g_rand_int_range(rand, 0, G_N_ELEMENTS(FAULTS));
-    drawn[i] = (ScheduledFault){ &FAULTS[which], g_rand_double_range(rand, 0.0, 8.0),
+    guint which = (guint)g_rand_int_range(rand, 0, G_N_ELEMENTS(FAULT_KINDS));
+    drawn[i] = (ScheduledFault){ &FAULT_KINDS[which], g_rand_double_range(rand, 0.0, 8.0),
                                  g_rand_double_range(rand, 2.0, 50.0), FALSE, FALSE };
-    g_test_message("%s at %.1f s for %.1f s", drawn[i].type->name, drawn[i].at_s, drawn[i].for_s);
+    g_test_message("%s at %.1f s for %.1f s", drawn[i].kind->name, drawn[i].start_s,
+                   drawn[i].duration_s);
   }
   for (guint step = 0; step < 120; step++) {
     double now_s = 0.5 * step;
--- a/tests/sim/fixture.c
+++ b/tests/sim/fixture.c
@@ -33,7 +33,7 @@
 }
 
 static json_t *
-catalog(const Fixture *fixture)
+make_catalog(const Fixture *fixture)
 {
   json_t *message
       = json_pack("{s:[{s:s, s:i, s:i, s:i, s:i, s:f, s:f, s:f, s:i, s:[s]}]}", "typy", "sku", "g4",
@@ -65,7 +65,7 @@
 
 /* Keeps the last transaction, also of certain kinds, so that tests can examine it. */
 static void
-note_transaction(Fixture *fixture, const WsOutput *output, json_t *body)
+record_transaction(Fixture *fixture, const WsOutput *output, json_t *body)
 {
   g_assert_nonnull(output->body);
   json_decref(fixture->last_transaction);
@@ -104,7 +104,7 @@
     return;
   }
   if (strcmp(path, "/multi") == 0)
-    note_transaction(fixture, output, body);
+    record_transaction(fixture, output, body);
   if (hold_store_call(fixture, output, path))
     return;
   StoreCall *store_call = g_new0(StoreCall, 1);
@@ -115,10 +115,10 @@
 
 /* Answers a call to the cloud, to a worker or to another node. */
 static void
-answer_other_call(Fixture *fixture, const WsOutput *output, const char *path, const json_t *body)
+answer_service_call(Fixture *fixture, const WsOutput *output, const char *path, const json_t *body)
 {
   if (strcmp(path, "/catalog") == 0) {
-    g_autoptr(json_t) message = catalog(fixture);
+    g_autoptr(json_t) message = make_catalog(fixture);
     fixture_reply(fixture, output->call, 200, message);
   } else if (strcmp(path, "/commands") == 0) {
     fixture->direct_commands++;
@@ -148,7 +148,7 @@
   if (strstr(output->url, "//state") != NULL)
     answer_store_call(fixture, output, path, body);
   else
-    answer_other_call(fixture, output, path, body);
+    answer_service_call(fixture, output, path, body);
 }
 
 void
@@ -363,7 +363,7 @@
 }
 
 static void
-end_core(Fixture *fixture)
+stop_core(Fixture *fixture)
 {
   WsOutput *output;
   ws_core_stop(fixture->core);
@@ -376,7 +376,7 @@
 fixture_restart(Fixture *fixture)
 {
   fixture->run++;
-  end_core(fixture);
+  stop_core(fixture);
   fixture->core = ws_core_new(fixture->settings, fixture->properties, 8);
   fixture_run(fixture, 1.0);
 }
@@ -385,7 +385,7 @@
 fixture_free(Fixture *fixture)
 {
   sim_store_free(fixture->store); /* answers the open watch, which needs the core */
-  end_core(fixture);
+  stop_core(fixture);
   ws_properties_free(fixture->properties);
   ws_settings_free(fixture->settings);
   json_decref(fixture->answer);
--- a/tests/sim/sim-checker.c
+++ b/tests/sim/sim-checker.c
@@ -7,7 +7,7 @@
 #include <string.h>
 
 gboolean
-sim_describe(gpointer world, const char *id, guint task, double *run_s)
+sim_describe_task(gpointer world, const char *id, guint task, double *run_s)
 {
   const Job *job = sim_find_job(world, id);
   *run_s = job != NULL && !job->spec.service ? job->spec.run_s : -1.0;
@@ -17,8 +17,8 @@
 /* Adds a task that occupies a slot to the counts for task @number of the job, which starts on
    @where. */
 static void
-count_task(const Sim *sim, const Machine *machine, const SimTask *task, const Machine *where,
-           const Job *job, guint number, Running *count)
+count_occupied_slot(const Sim *sim, const Machine *machine, const SimTask *task,
+                    const Machine *where, const Job *job, guint number, SlotCounts *count)
 {
   const Job *other = sim_find_job(sim, task->job);
   count->same_task += other == job && task->task == number ? 1 : 0;
@@ -29,29 +29,30 @@
 }
 
 static void
-count_running(const Sim *sim, const Machine *where, const Job *job, guint number, Running *count)
+count_occupied_slots(const Sim *sim, const Machine *where, const Job *job, guint number,
+                     SlotCounts *count)
 {
   for (guint i = 0; i < sim->machines->len; i++) {
     const Machine *machine = g_ptr_array_index(sim->machines, i);
     for (guint k = 0; k < machine->worker->tasks->len; k++) {
       const SimTask *task = &g_array_index(machine->worker->tasks, SimTask, k);
       if (sim_task_occupies_slot(task))
-        count_task(sim, machine, task, where, job, number, count);
+        count_occupied_slot(sim, machine, task, where, job, number, count);
     }
   }
 }
 
 /* How long a launch may still be in flight after its user got the answer "cancelled". */
-#define ON_ITS_WAY_MS 1500
+#define LAUNCH_IN_FLIGHT_MS 1500
 
 static void
 check_start(Sim *sim, const Machine *machine, const SimTask *task)
 {
   const Job *job = sim_find_job(sim, task->job);
-  if (job->told == TOLD_CANCELLED && sim->now_ms > job->cancelled_ms + ON_ITS_WAY_MS)
+  if (job->reported == REPORTED_CANCELLED && sim->now_ms > job->cancelled_ms + LAUNCH_IN_FLIGHT_MS)
     sim->late_starts++;
-  Running count = { 0 };
-  count_running(sim, machine, job, task->task, &count);
+  SlotCounts count = { 0 };
+  count_occupied_slots(sim, machine, job, task->task, &count);
   if (count.same_task != 0)
     g_error("seed %u, %.1f s: ran_twice: %s/%u", sim->seed, sim_now_s(sim), job->id, task->task);
   if (count.team + 1 > (strcmp(job->spec.team, "red") == 0 ? 6 : 8))
@@ -61,15 +62,15 @@
       || (job->spec.one_zone && count.in_zone < count.same_job)
       || (job->spec.scatter && count.in_zone + 1 > (job->spec.tasks + 1) / 2))
     g_error("seed %u, %.1f s: wrong_place: %s/%u", sim->seed, sim_now_s(sim), job->id, task->task);
-  g_assert_cmpuint(count.on_machine, <, SIM_SLOTS);
+  g_assert_cmpuint(count.on_machine, <, SIM_MACHINE_SLOTS);
 }
 
 static void
 check_cancelled(Sim *sim, const SimTask *task)
 {
   const Job *job = sim_find_job(sim, task->job);
-  if (job->told == TOLD_CANCELLED && sim_task_occupies_slot(task)
-      && sim->now_ms > job->cancelled_ms + CANCEL_MS)
+  if (job->reported == REPORTED_CANCELLED && sim_task_occupies_slot(task)
+      && sim->now_ms > job->cancelled_ms + CANCEL_LIMIT_MS)
     g_error("seed %u, %.1f s: ran_cancelled: %s/%u", sim->seed, sim_now_s(sim), job->id,
             task->task);
 }
@@ -79,7 +80,7 @@
 {
   double run_s;
   check_cancelled(sim, task);
-  if (sim->now_ms < task->next_ms || !sim_describe(sim, task->job, task->task, &run_s))
+  if (sim->now_ms < task->next_step_ms || !sim_describe_task(sim, task->job, task->task, &run_s))
     return;
   if (strcmp(task->state, "fetching") == 0) {
     gboolean is_gang = sim_find_job(sim, task->job)->spec.gang;
@@ -87,26 +88,26 @@
       sim_check_one_attempt(sim, task);
     check_start(sim, machine, task);
     if (is_gang) {
-      sim_gang_task_is_ready(sim, machine, task);
+      sim_gang_handle_ready_task(sim, machine, task);
       return;
     }
     sim_find_job(sim, task->job)->has_started = TRUE;
     task->state = "running";
-    task->next_ms = run_s < 0.0 ? G_MAXINT64 : sim->now_ms + (gint64)(run_s * 1000.0);
+    task->next_step_ms = run_s < 0.0 ? G_MAXINT64 : sim->now_ms + (gint64)(run_s * 1000.0);
     machine->next_heartbeat_ms = MIN(machine->next_heartbeat_ms, sim->now_ms + 500);
   } else if (strcmp(task->state, "running") == 0 && !sim_find_job(sim, task->job)->spec.gang) {
     task->state = "exited";
     task->why = "done";
     Job *job = sim_find_job(sim, task->job);
     job->completed[task->task] = 1;
-    if (sim_chance(sim, sim->cancel_at_completion))
-      sim_user_cancels(sim, job);
+    if (sim_draw_chance(sim, sim->cancel_at_completion))
+      sim_user_cancel(sim, job);
     machine->next_heartbeat_ms = MIN(machine->next_heartbeat_ms, sim->now_ms + 500);
   }
 }
 
 static guint
-running_on(const Sim *sim, const Machine *machine, const Job *job)
+count_running_on(const Sim *sim, const Machine *machine, const Job *job)
 {
   guint count = 0;
   for (guint k = 0; sim_is_up(sim, machine) && k < machine->worker->tasks->len; k++) {
@@ -121,8 +122,8 @@
 {
   guint count = 0;
   for (guint i = 0; i < sim->machines->len; i++)
-    count
-        += running_on(sim, g_ptr_array_index(sim->machines, i), g_ptr_array_index(sim->jobs, job));
+    count += count_running_on(sim, g_ptr_array_index(sim->machines, i),
+                              g_ptr_array_index(sim->jobs, job));
   return count;
 }
 
@@ -130,7 +131,9 @@
 sim_machine_running(const Sim *sim, guint job)
 {
   for (guint i = 0; i < sim->machines->len; i++)
-    if (running_on(sim, g_ptr_array_index(sim->machines, i), g_ptr_array_index(sim->jobs, job)) > 0)
+    if (count_running_on(sim, g_ptr_array_index(sim->machines, i),
+                         g_ptr_array_index(sim->jobs, job))
+        > 0)
       return i;
   return G_MAXUINT;
 }
@@ -145,8 +148,8 @@
 sim_check_answered(const Sim *sim, const Job *job)
 {
   gint64 since_ms = MAX(job->answered_ms, sim->faults_ended_ms);
-  if (sim->faults_ended_ms > 0 && job->told == TOLD_ACCEPTED
-      && sim->now_ms - since_ms > UNHEARD_JOB_LIMIT_MS)
+  if (sim->faults_ended_ms > 0 && job->reported == REPORTED_ACCEPTED
+      && sim->now_ms - since_ms > UNANSWERED_JOB_LIMIT_MS)
     g_error("seed %u, %.1f s: forgotten: nothing is heard of %s", sim->seed, sim_now_s(sim),
             job->id);
 }
@@ -183,18 +186,18 @@
          && machine->worker->interruption_ms == 0
          && sim->now_ms >= machine->outbound_unreachable_until_ms
          && sim->now_ms >= machine->inbound_unreachable_until_ms
-         && (job->spec.spot || !machine->worker->spot) && taken < SIM_SLOTS;
+         && (job->spec.spot || !machine->worker->spot) && taken < SIM_MACHINE_SLOTS;
 }
 
 /* Once the faults are over, no job may wait for long while a machine that fits it has free capacity
    and its team is below its quota. Jobs with zone constraints are excluded: where their tasks fit
    depends on the placement of their other tasks. */
 void
-sim_check_waiting(const Sim *sim, Job *job)
+sim_check_idle_capacity(const Sim *sim, Job *job)
 {
   gboolean any = FALSE;
   guint team = 0;
-  if (sim->faults_ended_ms == 0 || job->told != TOLD_ACCEPTED || job->cancelling
+  if (sim->faults_ended_ms == 0 || job->reported != REPORTED_ACCEPTED || job->cancelling
       || job->spec.scatter || job->spec.one_zone || job->spec.zone != NULL)
     return;
   for (guint i = 0; i < sim->machines->len && !any; i++)
@@ -202,10 +205,10 @@
   any = any && count_placed(sim, job, &team) < job->spec.tasks
         && team < (strcmp(job->spec.team, "red") == 0 ? 6u : 8u);
   if (!any)
-    job->beside_capacity_ms = 0;
-  else if (job->beside_capacity_ms == 0)
-    job->beside_capacity_ms = sim->now_ms;
-  else if (sim->now_ms - job->beside_capacity_ms > IDLE_CAPACITY_LIMIT_MS)
+    job->beside_capacity_since_ms = 0;
+  else if (job->beside_capacity_since_ms == 0)
+    job->beside_capacity_since_ms = sim->now_ms;
+  else if (sim->now_ms - job->beside_capacity_since_ms > IDLE_CAPACITY_LIMIT_MS)
     g_error("seed %u, %.1f s: %s waits beside free capacity", sim->seed, sim_now_s(sim), job->id);
 }
 
@@ -217,16 +220,16 @@
                     .task = task,
                     .attempt = 99,
                     .state = "fetching",
-                    .next_ms = sim->now_ms };
+                    .next_step_ms = sim->now_ms };
   g_array_append_val(((Machine *)g_ptr_array_index(sim->machines, machine))->worker->tasks, begun);
 }
 
 static guint
-count_told(const Sim *sim, Told told)
+count_reported(const Sim *sim, ReportedState reported)
 {
   guint count = 0;
   for (guint i = 0; i < sim->jobs->len; i++)
-    count += ((Job *)g_ptr_array_index(sim->jobs, i))->told == told ? 1 : 0;
+    count += ((Job *)g_ptr_array_index(sim->jobs, i))->reported == reported ? 1 : 0;
   return count;
 }
 
@@ -239,13 +242,13 @@
 guint
 sim_open_jobs(const Sim *sim)
 {
-  return count_told(sim, TOLD_ACCEPTED) + count_told(sim, TOLD_NOTHING);
+  return count_reported(sim, REPORTED_ACCEPTED) + count_reported(sim, REPORTED_NONE);
 }
 
 guint
 sim_done_jobs(const Sim *sim)
 {
-  return count_told(sim, TOLD_DONE);
+  return count_reported(sim, REPORTED_DONE);
 }
 
 guint
--- a/tests/sim/sim-cloud.c
+++ b/tests/sim/sim-cloud.c
@@ -17,7 +17,7 @@
 }
 
 static const char *
-zone_named(const char *name)
+find_zone(const char *name)
 {
   for (guint z = 0; z < G_N_ELEMENTS(SIM_ZONES); z++)
     if (strcmp(SIM_ZONES[z], name) == 0)
@@ -28,7 +28,7 @@
 /* Rents machines. A repeated request gets the machines of the first one. Of the machines 3 % never
    boot. */
 static json_t *
-rent(Sim *sim, const json_t *body)
+rent_machines(Sim *sim, const json_t *body)
 {
   const char *request = json_string_value(json_object_get(body, "objednavka"));
   json_t *names = g_hash_table_lookup(sim->rentals, request);
@@ -39,13 +39,13 @@
          i--) {
       g_autofree char *name = g_strdup_printf("m-%06u", sim->machines->len);
       Machine *machine = g_new0(Machine, 1);
-      machine->up_ms = sim->now_ms + BOOT_MS / 2 + g_rand_int_range(sim->rand, 0, BOOT_MS);
-      if (sim_chance(sim, 0.03))
-        machine->up_ms = G_MAXINT64;
+      machine->booted_ms = sim->now_ms + BOOT_MS / 2 + g_rand_int_range(sim->rand, 0, BOOT_MS);
+      if (sim_draw_chance(sim, 0.03))
+        machine->booted_ms = G_MAXINT64;
       machine->worker
-          = sim_worker_new(name, "g4", zone_named(json_string_value(json_object_get(body, "hala"))),
+          = sim_worker_new(name, "g4", find_zone(json_string_value(json_object_get(body, "hala"))),
                            json_is_true(json_object_get(body, "vypujcky")), sim->now_ms);
-      machine->next_heartbeat_ms = machine->up_ms;
+      machine->next_heartbeat_ms = machine->booted_ms;
       machine->node = (guint)g_rand_int_range(sim->rand, 0, SIM_NODES);
       g_ptr_array_add(sim->machines, machine);
       json_array_append_new(names, json_string(name));
@@ -92,30 +92,31 @@
 sim_send_to_cloud(Sim *sim, Call *call)
 {
   if (sim->faults.cloud_unavailable) {
-    sim_reply_to(call, 503, json_pack("{s:s}", "error", "trouble"));
+    sim_reply_to_call(call, 503, json_pack("{s:s}", "error", "trouble"));
   } else if (g_str_has_prefix(call->path, "/catalog")) {
-    sim_reply_to(call, 200,
-                 json_pack("{s:[{s:s, s:f, s:f, s:f, s:f, s:f, s:f, s:f, s:f, s:[s,s,s]}]}", "typy",
-                           "sku", "g4", "cpus", 32.0, "accelerators", (double)SIM_SLOTS, "mem_gb",
-                           64.0, "local_gb", 100.0, "pull_gb_per_s", 1.0, "price", 8.0, "low_price",
-                           3.0, "boot_s", 8.0, "haly", "a", "b", "c"));
+    sim_reply_to_call(call, 200,
+                      json_pack("{s:[{s:s, s:f, s:f, s:f, s:f, s:f, s:f, s:f, s:f, s:[s,s,s]}]}",
+                                "typy", "sku", "g4", "cpus", 32.0, "accelerators",
+                                (double)SIM_MACHINE_SLOTS, "mem_gb", 64.0, "local_gb", 100.0,
+                                "pull_gb_per_s", 1.0, "price", 8.0, "low_price", 3.0, "boot_s", 8.0,
+                                "haly", "a", "b", "c"));
   } else if (strcmp(call->path, "/machines/return") == 0) {
     return_machines(sim, call->body);
-    sim_reply_to(call, 200, json_object());
+    sim_reply_to_call(call, 200, json_object());
   } else if (strcmp(call->path, "/machines") == 0) {
     if (sim->faults.cloud_is_full)
-      sim_reply_to(call, 503, json_pack("{s:s}", "error", "no capacity"));
+      sim_reply_to_call(call, 503, json_pack("{s:s}", "error", "no capacity"));
     else
-      sim_reply_to(call, 200, rent(sim, call->body));
+      sim_reply_to_call(call, 200, rent_machines(sim, call->body));
   } else {
-    sim_reply_to(call, 200, list_machines(sim));
+    sim_reply_to_call(call, 200, list_machines(sim));
   }
 }
 
 gboolean
 sim_is_up(const Sim *sim, const Machine *machine)
 {
-  return !machine->returned && !machine->dead && sim->now_ms >= machine->up_ms;
+  return !machine->returned && !machine->dead && sim->now_ms >= machine->booted_ms;
 }
 
 gboolean
@@ -144,7 +145,7 @@
   if (!sim_is_up(sim, machine))
     return;
   if (machine->worker->sequence == 0)
-    machine->worker->renewed_ms = MAX(machine->worker->renewed_ms, machine->up_ms);
+    machine->worker->renewed_ms = MAX(machine->worker->renewed_ms, machine->booted_ms);
   guint tasks = machine->worker->tasks->len;
   sim_worker_check_lease(machine->worker, sim->now_ms, sim->lease_ms);
   sim->lost_tasks += tasks - machine->worker->tasks->len;
--- a/tests/sim/sim-faults.c
+++ b/tests/sim/sim-faults.c
@@ -5,7 +5,7 @@
 
 /* Frees the controller of a crashed node, and drops the answers and calls that it hasn't sent. */
 static void
-free_core(WsCore *core)
+stop_core(WsCore *core)
 {
   WsOutput *output;
   ws_core_stop(core);
@@ -23,8 +23,8 @@
   WsCore *core = sim->nodes[node].core;
   sim->nodes[node].core = NULL;
   if (core != NULL)
-    free_core(core);
-  sim->nodes[node].back_ms = sim->now_ms + (gint64)(back_after_s * 1000.0);
+    stop_core(core);
+  sim->nodes[node].restart_ms = sim->now_ms + (gint64)(back_after_s * 1000.0);
   sim->nodes[node].paused_until_ms = 0;
 }
 
@@ -66,7 +66,7 @@
 }
 
 static void
-interrupt(const Sim *sim, Machine *machine, double seconds)
+interrupt_spot_machine(const Sim *sim, Machine *machine, double seconds)
 {
   if (machine->worker->spot && machine->worker->interruption_ms == 0)
     machine->worker->interruption_ms = sim->now_ms + (gint64)(seconds * 1000.0);
@@ -77,13 +77,13 @@
 {
   Machine *machine = draw_running_machine(sim);
   if (machine != NULL)
-    interrupt(sim, machine, seconds);
+    interrupt_spot_machine(sim, machine, seconds);
 }
 
 void
 sim_interrupt_machine(Sim *sim, guint machine, double seconds)
 {
-  interrupt(sim, g_ptr_array_index(sim->machines, machine), seconds);
+  interrupt_spot_machine(sim, g_ptr_array_index(sim->machines, machine), seconds);
 }
 
 void
@@ -95,7 +95,7 @@
 }
 
 static void
-set_until(Sim *sim, gint64 *until_ms, double seconds)
+set_fault_end(Sim *sim, gint64 *until_ms, double seconds)
 {
   *until_ms = sim->now_ms + (gint64)(seconds * 1000.0);
 }
@@ -103,24 +103,24 @@
 void
 sim_stall_machine(Sim *sim, guint machine, double seconds)
 {
-  set_until(sim, &((Machine *)g_ptr_array_index(sim->machines, machine))->stalled_until_ms,
-            seconds);
+  set_fault_end(sim, &((Machine *)g_ptr_array_index(sim->machines, machine))->stalled_until_ms,
+                seconds);
 }
 
 void
 sim_block_outbound(Sim *sim, guint machine, double seconds)
 {
-  set_until(sim,
-            &((Machine *)g_ptr_array_index(sim->machines, machine))->outbound_unreachable_until_ms,
-            seconds);
+  set_fault_end(
+      sim, &((Machine *)g_ptr_array_index(sim->machines, machine))->outbound_unreachable_until_ms,
+      seconds);
 }
 
 void
 sim_block_inbound(Sim *sim, guint machine, double seconds)
 {
-  set_until(sim,
-            &((Machine *)g_ptr_array_index(sim->machines, machine))->inbound_unreachable_until_ms,
-            seconds);
+  set_fault_end(
+      sim, &((Machine *)g_ptr_array_index(sim->machines, machine))->inbound_unreachable_until_ms,
+      seconds);
 }
 
 guint
--- a/tests/sim/sim-gangs.c
+++ b/tests/sim/sim-gangs.c
@@ -7,8 +7,8 @@
 
 /* How long a task waits until all tasks of its attempt are ready, and the longest time in which a
    running attempt notices a lost task or saves its progress. */
-#define GANG_WAIT_MS 30000
-#define GANG_PEER_MS 5000
+#define GANG_GATHER_TIMEOUT_MS 30000
+#define GANG_PEER_TIMEOUT_MS 5000
 
 /* A task of a gang, and the machine that it is on. */
 typedef struct {
@@ -47,7 +47,7 @@
 }
 
 static gboolean
-can_act(const Sim *sim, const Member *member)
+is_responsive(const Sim *sim, const Member *member)
 {
   return sim_is_up(sim, member->machine) && !sim_is_stalled(sim, member->machine);
 }
@@ -66,7 +66,7 @@
 }
 
 void
-sim_gang_task_is_ready(const Sim *sim, Machine *machine, SimTask *task)
+sim_gang_handle_ready_task(const Sim *sim, Machine *machine, SimTask *task)
 {
   task->state = "gathering";
   task->gathered_ms = sim->now_ms;
@@ -80,7 +80,7 @@
   for (guint i = 0; i < members->len; i++) {
     const Member *member = &g_array_index(members, Member, i);
     count += member->task->attempt == attempt && strcmp(member->task->state, state) == 0
-                     && can_act(sim, member)
+                     && is_responsive(sim, member)
                  ? 1
                  : 0;
   }
@@ -109,24 +109,24 @@
 }
 
 static void
-step_waiting(Sim *sim, Job *job, const GArray *members)
+step_gathering(Sim *sim, Job *job, const GArray *members)
 {
   for (guint i = 0; i < members->len; i++) {
     const Member *member = &g_array_index(members, Member, i);
-    if (strcmp(member->task->state, "gathering") != 0 || !can_act(sim, member))
+    if (strcmp(member->task->state, "gathering") != 0 || !is_responsive(sim, member))
       continue;
     guint64 attempt = member->task->attempt;
     if (count_members(sim, members, attempt, "gathering") == job->spec.tasks) {
       start_attempt(sim, job, members, attempt);
       return;
     }
-    if (sim->now_ms - member->task->gathered_ms > GANG_WAIT_MS)
+    if (sim->now_ms - member->task->gathered_ms > GANG_GATHER_TIMEOUT_MS)
       exit_member(sim, member, "incomplete");
   }
 }
 
 static gint64
-progress(const Sim *sim, const Job *job)
+progress_until_now(const Sim *sim, const Job *job)
 {
   const Gang *gang = &job->gang;
   gint64 until_ms = gang->stopped_ms > 0 ? gang->stopped_ms : sim->now_ms;
@@ -139,13 +139,13 @@
 {
   gint64 checkpoint_ms = (gint64)(SIM_CHECKPOINT_S * 1000.0);
   job->gang.progress_ms
-      = MAX(job->gang.progress_ms, progress(sim, job) / checkpoint_ms * checkpoint_ms);
+      = MAX(job->gang.progress_ms, progress_until_now(sim, job) / checkpoint_ms * checkpoint_ms);
   job->gang.is_over = TRUE;
   job->gang.losses++;
 }
 
 static void
-finish(Sim *sim, Job *job, const GArray *members)
+complete_attempt(Sim *sim, Job *job, const GArray *members)
 {
   for (guint i = 0; i < members->len; i++) {
     const Member *member = &g_array_index(members, Member, i);
@@ -159,18 +159,18 @@
 /* Ends an attempt that is being stopped once all its tasks have saved, or at the timeout. Its
    progress is saved only if all tasks have saved. */
 static void
-step_stop(Sim *sim, Job *job, const GArray *members)
+step_stopping(Sim *sim, Job *job, const GArray *members)
 {
   Gang *gang = &job->gang;
   guint saving = count_members(sim, members, gang->attempt, "flushing");
-  gboolean is_late = sim->now_ms - gang->stopped_ms > GANG_PEER_MS;
+  gboolean is_late = sim->now_ms - gang->stopped_ms > GANG_PEER_TIMEOUT_MS;
   gboolean all_saved = saving == job->spec.tasks;
   for (guint i = 0; all_saved && i < members->len; i++)
-    all_saved = sim->now_ms >= g_array_index(members, Member, i).task->next_ms;
+    all_saved = sim->now_ms >= g_array_index(members, Member, i).task->next_step_ms;
   if (!all_saved && !is_late)
     return;
   if (all_saved) {
-    gang->progress_ms = progress(sim, job);
+    gang->progress_ms = progress_until_now(sim, job);
     gang->is_over = TRUE;
     gang->saves++;
   } else {
@@ -178,7 +178,7 @@
   }
   for (guint i = 0; i < members->len; i++) {
     const Member *member = &g_array_index(members, Member, i);
-    if (member->task->attempt != gang->attempt || !can_act(sim, member))
+    if (member->task->attempt != gang->attempt || !is_responsive(sim, member))
       continue;
     gboolean was_saving = strcmp(member->task->state, "flushing") == 0;
     member->task->saved = all_saved;
@@ -186,21 +186,21 @@
   }
 }
 
-/* Ends an attempt that has lost a task. The other tasks exit after half of GANG_PEER_MS, as if they
-   needed this time to notice the loss. */
+/* Ends an attempt that has lost a task. The other tasks exit after half of GANG_PEER_TIMEOUT_MS, as
+   if they needed this time to notice the loss. */
 static void
 step_loss(Sim *sim, Job *job, const GArray *members)
 {
   Gang *gang = &job->gang;
   if (gang->lost_ms == 0)
     gang->lost_ms = sim->now_ms;
-  if (sim->now_ms - gang->lost_ms < GANG_PEER_MS / 2)
+  if (sim->now_ms - gang->lost_ms < GANG_PEER_TIMEOUT_MS / 2)
     return;
   if (!gang->is_over)
     lose_attempt(sim, job);
   for (guint i = 0; i < members->len; i++) {
     const Member *member = &g_array_index(members, Member, i);
-    if (member->task->attempt == gang->attempt && can_act(sim, member))
+    if (member->task->attempt == gang->attempt && is_responsive(sim, member))
       exit_member(sim, member, "peers");
   }
 }
@@ -218,9 +218,9 @@
   if (saving > 0 && gang->stopped_ms == 0)
     gang->stopped_ms = sim->now_ms;
   if (gang->stopped_ms > 0)
-    step_stop(sim, job, members);
-  else if (progress(sim, job) >= (gint64)(job->spec.run_s * 1000.0))
-    finish(sim, job, members);
+    step_stopping(sim, job, members);
+  else if (progress_until_now(sim, job) >= (gint64)(job->spec.run_s * 1000.0))
+    complete_attempt(sim, job, members);
 }
 
 void
@@ -235,11 +235,11 @@
   if (job->gang.attempt > 0 && (!job->gang.is_over || left > 0))
     step_running(sim, job, members);
   else
-    step_waiting(sim, job, members);
+    step_gathering(sim, job, members);
 }
 
 static const Gang *
-gang_of(const Sim *sim, guint job)
+find_gang(const Sim *sim, guint job)
 {
   return &((const Job *)g_ptr_array_index(sim->jobs, job))->gang;
 }
@@ -247,17 +247,17 @@
 guint
 sim_gang_starts(const Sim *sim, guint job)
 {
-  return gang_of(sim, job)->starts;
+  return find_gang(sim, job)->starts;
 }
 
 guint
 sim_gang_losses(const Sim *sim, guint job)
 {
-  return gang_of(sim, job)->losses;
+  return find_gang(sim, job)->losses;
 }
 
 guint
 sim_gang_saves(const Sim *sim, guint job)
 {
-  return gang_of(sim, job)->saves;
+  return find_gang(sim, job)->saves;
 }
--- a/tests/sim/sim-network.c
+++ b/tests/sim/sim-network.c
@@ -13,7 +13,7 @@
 }
 
 static gint
-event_order(gconstpointer a, gconstpointer b, gpointer data)
+compare_events(gconstpointer a, gconstpointer b, gpointer data)
 {
   (void)data;
   const Event *first = a, *second = b;
@@ -23,21 +23,21 @@
 }
 
 void
-sim_later(Sim *sim, gint64 after_ms, Run run, gpointer data)
+sim_schedule(Sim *sim, gint64 after_ms, EventHandler handler, gpointer data)
 {
   Event *event = g_new0(Event, 1);
-  *event = (Event){ sim->now_ms + MAX(after_ms, 0), ++sim->order, run, data };
-  g_sequence_insert_sorted(sim->events, event, event_order, NULL);
+  *event = (Event){ sim->now_ms + MAX(after_ms, 0), ++sim->order, handler, data };
+  g_sequence_insert_sorted(sim->events, event, compare_events, NULL);
 }
 
 gboolean
-sim_chance(Sim *sim, double part)
+sim_draw_chance(Sim *sim, double part)
 {
   return part > 0.0 && g_rand_double(sim->rand) < part;
 }
 
 gint64
-sim_wall(const Sim *sim)
+sim_wall_clock_ms(const Sim *sim)
 {
   return sim->now_ms + 1000000;
 }
@@ -52,16 +52,16 @@
   g_free(call->path);
   json_decref(call->body);
   json_decref(call->answer);
-  json_decref(call->held);
+  json_decref(call->held_answer);
   g_free(call);
 }
 
-static void worker_replied(Sim *sim, Call *call);
+static void handle_worker_reply(Sim *sim, Call *call);
 
 static gboolean
 is_from_node(const Call *call)
 {
-  return call->machine == NULL && call->job == NULL && call->expected == 0;
+  return call->machine == NULL && call->job == NULL && call->expected_status == 0;
 }
 
 /* Fails if a malformed request got an unexpected answer. Status 503 and a timeout (0) are allowed.
@@ -72,10 +72,10 @@
   const char *state = json_string_value(json_object_get(call->answer, "stav"));
   if (call->status == 503 || call->status == 0)
     return;
-  if (call->status != call->expected
+  if (call->status != call->expected_status
       || (call->expected_state != NULL && g_strcmp0(state, call->expected_state) != 0))
     g_error("seed %u, %.1f s: %s %s got %u (%s) instead of %u", sim->seed, sim_now_s(sim),
-            call->method, call->path, call->status, state, call->expected);
+            call->method, call->path, call->status, state, call->expected_status);
 }
 
 static void
@@ -84,33 +84,33 @@
   Call *call = data;
   gboolean is_for_node = is_from_node(call);
   gint64 paused_ms = is_for_node ? sim->nodes[call->node].paused_until_ms - sim->now_ms : 0;
-  if (!call->over && paused_ms > 0) {
-    sim_later(sim, paused_ms, deliver_reply, call);
+  if (!call->is_finished && paused_ms > 0) {
+    sim_schedule(sim, paused_ms, deliver_reply, call);
     return;
   }
-  if (!call->over) {
-    call->over = TRUE;
+  if (!call->is_finished) {
+    call->is_finished = TRUE;
     if (call->machine != NULL) {
-      worker_replied(sim, call);
+      handle_worker_reply(sim, call);
     } else if (call->job != NULL) {
-      sim_user_replied(sim, call);
-    } else if (call->expected != 0) {
+      sim_user_handle_reply(sim, call);
+    } else if (call->expected_status != 0) {
       check_malformed_reply(sim, call);
     } else if (sim->nodes[call->node].core != NULL && sim->nodes[call->node].run == call->run) {
       g_autofree char *text = ws_json_text(call->answer);
-      ws_core_reply(sim->nodes[call->node].core, sim->now_ms, sim_wall(sim), call->call,
+      ws_core_reply(sim->nodes[call->node].core, sim->now_ms, sim_wall_clock_ms(sim), call->call,
                     call->status, text, text != NULL ? strlen(text) : 0);
-      sim_pump(sim, call->node);
+      sim_deliver_outputs(sim, call->node);
     }
   }
   sim_call_unref(call);
 }
 
 static void
-give_up(Sim *sim, gpointer data)
+time_out_call(Sim *sim, gpointer data)
 {
   Call *call = data;
-  if (!call->over) {
+  if (!call->is_finished) {
     call->status = 0;
     g_clear_pointer(&call->answer, json_decref);
   }
@@ -118,53 +118,54 @@
 }
 
 static gint64
-latency(Sim *sim)
+draw_latency_ms(Sim *sim)
 {
   return g_rand_int_range(sim->rand, 1, 6);
 }
 
 /* Sends the answer to the caller. If the answer is lost, the call ends with its timeout. */
 void
-sim_reply_to(gpointer data, guint status, json_t *body)
+sim_reply_to_call(gpointer data, guint status, json_t *body)
 {
   Call *call = data;
-  if (call->over || call->answer != NULL || sim_chance(call->sim, call->sim->faults.net.lose)) {
+  if (call->is_finished || call->answer != NULL
+      || sim_draw_chance(call->sim, call->sim->faults.net.lose)) {
     json_decref(body);
     sim_call_unref(call);
     return;
   }
   call->status = status;
   call->answer = body;
-  sim_later(call->sim, latency(call->sim), deliver_reply, call);
+  sim_schedule(call->sim, draw_latency_ms(call->sim), deliver_reply, call);
 }
 
 /* Requests to nodes. The core is given the Call as the handle of the request, and answers with it.
  */
 
 static void
-send_to_node(Sim *sim, Call *call, guint node, WsListener door)
+deliver_to_node(Sim *sim, Call *call, guint node, WsListener door)
 {
   g_autofree char *text = ws_json_text(call->body);
   if (sim->nodes[node].core == NULL) {
     sim_call_unref(call);
     return;
   }
-  ws_core_request(sim->nodes[node].core, sim->now_ms, sim_wall(sim), door, call->method, call->path,
-                  text, text != NULL ? strlen(text) : 0, call);
-  sim_pump(sim, node);
+  ws_core_request(sim->nodes[node].core, sim->now_ms, sim_wall_clock_ms(sim), door, call->method,
+                  call->path, text, text != NULL ? strlen(text) : 0, call);
+  sim_deliver_outputs(sim, node);
 }
 
 static void
-send_to_worker(Sim *sim, Call *call, Machine *machine)
+deliver_to_worker(Sim *sim, Call *call, Machine *machine)
 {
   json_t *report = NULL;
   if (strcmp(call->path, "/status") == 0) {
-    sim_reply_to(call, 200, sim_worker_heartbeat(machine->worker, sim->now_ms));
+    sim_reply_to_call(call, 200, sim_worker_heartbeat(machine->worker, sim->now_ms));
     return;
   }
   guint status = sim_worker_handle_commands(machine->worker, sim->now_ms, call->body, &report,
-                                            sim_describe, sim);
-  sim_reply_to(call, status, report);
+                                            sim_describe_task, sim);
+  sim_reply_to_call(call, status, report);
 }
 
 static gboolean
@@ -176,7 +177,7 @@
          != (sim->faults.partitioned_zones >> (other[0] - 'a') & 1);
 }
 
-static void arrive(Sim *sim, gpointer data);
+static void route_call(Sim *sim, gpointer data);
 
 /* Users, the cloud and the store are in no zone, so that partitions don't affect their messages. */
 static const char *
@@ -188,7 +189,7 @@
 }
 
 static void
-arrive_at_machine(Sim *sim, Call *call)
+route_to_machine(Sim *sim, Call *call)
 {
   g_autofree char *name = g_strndup(call->address + 2, strcspn(call->address + 2, ":"));
   Machine *machine = sim_find_machine(sim, name);
@@ -197,16 +198,16 @@
       || (sim->faults.unreachable_nodes >> call->node & 1) != 0) {
     sim_call_unref(call);
   } else if (sim_is_stalled(sim, machine)) {
-    sim_later(sim, machine->stalled_until_ms - sim->now_ms, arrive, call);
+    sim_schedule(sim, machine->stalled_until_ms - sim->now_ms, route_call, call);
   } else if (is_partitioned(sim, zone_of_caller(call), machine->worker->zone)) {
-    sim_later(sim, 1000, arrive, call); /* retries until the partition ends */
+    sim_schedule(sim, 1000, route_call, call); /* retries until the partition ends */
   } else {
-    send_to_worker(sim, call, machine);
+    deliver_to_worker(sim, call, machine);
   }
 }
 
 static void
-arrive_at_node(Sim *sim, Call *call)
+route_to_node(Sim *sim, Call *call)
 {
   guint node = (guint)(strchr(call->address, '-')[1] - '0');
   gboolean is_node = is_from_node(call);
@@ -220,61 +221,61 @@
   if (is_isolated || is_unreachable)
     sim_call_unref(call);
   else if (is_partitioned(sim, zone_of_caller(call), SIM_ZONES[node]))
-    sim_later(sim, 1000, arrive, call);
+    sim_schedule(sim, 1000, route_call, call);
   else if (sim->now_ms < sim->nodes[node].paused_until_ms)
-    sim_later(sim, sim->nodes[node].paused_until_ms - sim->now_ms, arrive, call);
+    sim_schedule(sim, sim->nodes[node].paused_until_ms - sim->now_ms, route_call, call);
   else
-    send_to_node(sim, call, node, call->address[0] == 'm' ? WS_LISTENER_MESH : WS_LISTENER_API);
+    deliver_to_node(sim, call, node, call->address[0] == 'm' ? WS_LISTENER_MESH : WS_LISTENER_API);
 }
 
 static gboolean
-is_refused(const Sim *sim, const Call *call)
+is_refused_by_store(const Sim *sim, const Call *call)
 {
   return sim->faults.store_unavailable || (sim->faults.store_refuses_nodes >> call->node & 1) != 0;
 }
 
 static void
-release_slow(Sim *sim, gpointer data)
+send_held_answer(Sim *sim, gpointer data)
 {
   (void)sim;
   Call *call = data;
-  sim_reply_to(call, call->status, g_steal_pointer(&call->held));
+  sim_reply_to_call(call, call->status, g_steal_pointer(&call->held_answer));
 }
 
 static void
-release_held(Sim *sim, gpointer data)
+send_held_answer_when_available(Sim *sim, gpointer data)
 {
-  if (is_refused(sim, data))
-    sim_later(sim, 100, release_held, data);
+  if (is_refused_by_store(sim, data))
+    sim_schedule(sim, 100, send_held_answer_when_available, data);
   else
-    release_slow(sim, data);
+    send_held_answer(sim, data);
 }
 
 /* Handles the store's reply to a call. A reply to a watch is held back while the store refuses the
    caller's node, as it is in an outage. */
 static void
-store_replied(gpointer data, guint status, json_t *body)
+handle_store_reply(gpointer data, guint status, json_t *body)
 {
   Call *call = data;
   Sim *sim = call->sim;
-  if (call->over || call->held != NULL) {
+  if (call->is_finished || call->held_answer != NULL) {
     json_decref(body);
     sim_call_unref(call);
     return;
   }
   call->status = status;
-  call->held = body;
-  if (is_refused(sim, call) && g_str_has_prefix(call->path, "/follow"))
-    sim_later(sim, 100, release_held, call);
+  call->held_answer = body;
+  if (is_refused_by_store(sim, call) && g_str_has_prefix(call->path, "/follow"))
+    sim_schedule(sim, 100, send_held_answer_when_available, call);
   else if (sim->faults.store_delay_ms > 0)
-    sim_later(sim, g_rand_int_range(sim->rand, 0, (gint32)sim->faults.store_delay_ms), release_slow,
-              call);
+    sim_schedule(sim, g_rand_int_range(sim->rand, 0, (gint32)sim->faults.store_delay_ms),
+                 send_held_answer, call);
   else
-    release_slow(sim, call);
+    send_held_answer(sim, call);
 }
 
 static void
-ignored(gpointer data, guint status, json_t *body)
+ignore_store_reply(gpointer data, guint status, json_t *body)
 {
   (void)status;
   json_decref(body);
@@ -283,41 +284,43 @@
 
 /* Applies a delayed transaction, which gets no answer, possibly after newer ones. */
 static void
-commit_delayed(Sim *sim, gpointer data)
+apply_delayed_transaction(Sim *sim, gpointer data)
 {
   Call *call = data;
   if (sim->faults.store_unavailable)
-    sim_later(sim, 1000, commit_delayed, call);
+    sim_schedule(sim, 1000, apply_delayed_transaction, call);
   else
-    sim_store_request(sim->store, sim->now_ms, call->method, call->path, call->body, ignored, call);
+    sim_store_request(sim->store, sim->now_ms, call->method, call->path, call->body,
+                      ignore_store_reply, call);
 }
 
 static void
-send_to_store(Sim *sim, Call *call)
+deliver_to_store(Sim *sim, Call *call)
 {
   if ((sim->faults.isolated_nodes >> call->node & 1) != 0)
     sim_call_unref(call);
-  else if (is_refused(sim, call))
-    sim_reply_to(call, 503, json_object());
-  else if (strcmp(call->path, "/multi") == 0 && sim_chance(sim, sim->faults.delayed_transactions))
-    sim_later(sim, g_rand_int_range(sim->rand, 2000, 12000), commit_delayed, call);
+  else if (is_refused_by_store(sim, call))
+    sim_reply_to_call(call, 503, json_object());
+  else if (strcmp(call->path, "/multi") == 0
+           && sim_draw_chance(sim, sim->faults.delayed_transactions))
+    sim_schedule(sim, g_rand_int_range(sim->rand, 2000, 12000), apply_delayed_transaction, call);
   else
-    sim_store_request(sim->store, sim->now_ms, call->method, call->path, call->body, store_replied,
-                      call);
+    sim_store_request(sim->store, sim->now_ms, call->method, call->path, call->body,
+                      handle_store_reply, call);
 }
 
 static void
-arrive(Sim *sim, gpointer data)
+route_call(Sim *sim, gpointer data)
 {
   Call *call = data;
   if (strcmp(call->address, "state:1") == 0) {
-    send_to_store(sim, call);
+    deliver_to_store(sim, call);
   } else if (strcmp(call->address, "cloud:1") == 0) {
     sim_send_to_cloud(sim, call);
   } else if (g_str_has_prefix(call->address, "w-")) {
-    arrive_at_machine(sim, call);
+    route_to_machine(sim, call);
   } else {
-    arrive_at_node(sim, call);
+    route_to_node(sim, call);
   }
 }
 
@@ -328,33 +331,33 @@
   call->sim = sim;
   call->refs = 1;
   call->sent_ms = sim->now_ms;
-  sim_later(sim, timeout_ms, give_up, call);
-  if (sim_chance(sim, sim->faults.net.lose))
+  sim_schedule(sim, timeout_ms, time_out_call, call);
+  if (sim_draw_chance(sim, sim->faults.net.lose))
     return;
   call->refs++;
-  gint64 after_ms = latency(sim);
-  if (sim_chance(sim, sim->faults.net.late))
+  gint64 after_ms = draw_latency_ms(sim);
+  if (sim_draw_chance(sim, sim->faults.net.late))
     after_ms += g_rand_int_range(sim->rand, 2000, 60000);
-  sim_later(sim, after_ms, arrive, call);
-  if (sim_chance(sim, sim->faults.net.repeat)) {
+  sim_schedule(sim, after_ms, route_call, call);
+  if (sim_draw_chance(sim, sim->faults.net.repeat)) {
     call->refs++;
-    sim_later(sim, after_ms + g_rand_int_range(sim->rand, 1, 3000), arrive, call);
+    sim_schedule(sim, after_ms + g_rand_int_range(sim->rand, 1, 3000), route_call, call);
   }
-  if (call->machine != NULL && sim_chance(sim, sim->faults.duplicated_heartbeats)) {
+  if (call->machine != NULL && sim_draw_chance(sim, sim->faults.duplicated_heartbeats)) {
     call->refs++;
-    sim_later(sim, after_ms + g_rand_int_range(sim->rand, 1000, 4 * (gint32)sim->lease_ms), arrive,
-              call);
+    sim_schedule(sim, after_ms + g_rand_int_range(sim->rand, 1000, 4 * (gint32)sim->lease_ms),
+                 route_call, call);
   }
 }
 
 static json_t *
-parse(const char *text)
+parse_body(const char *text)
 {
   return text != NULL ? ws_json_parse(text, strlen(text)) : NULL;
 }
 
 static void
-trace(const Sim *sim, guint node, const WsOutput *output)
+trace_output(const Sim *sim, guint node, const WsOutput *output)
 {
   const Call *request = output->request;
   sim_trace_output(sim->now_ms, ws_settings_node(sim->settings[node], node)->name,
@@ -363,13 +366,13 @@
 }
 
 void
-sim_pump(Sim *sim, guint node)
+sim_deliver_outputs(Sim *sim, guint node)
 {
   WsOutput *output;
   while ((output = ws_core_pop(sim->nodes[node].core)) != NULL) {
-    trace(sim, node, output);
+    trace_output(sim, node, output);
     if (output->is_answer) {
-      sim_reply_to(output->request, output->status, parse(output->body));
+      sim_reply_to_call(output->request, output->status, parse_body(output->body));
     } else {
       Call *call = g_new0(Call, 1);
       const char *rest = output->url + strlen("http://");
@@ -380,7 +383,7 @@
       call->method = g_strdup(output->method);
       call->address = g_strndup(rest, (gsize)(slash - rest));
       call->path = g_strdup(slash);
-      call->body = parse(output->body);
+      call->body = parse_body(output->body);
       sim_send_call(sim, call, output->timeout_ms);
     }
     ws_output_free(output);
@@ -388,7 +391,7 @@
 }
 
 static void
-worker_replied(Sim *sim, Call *call)
+handle_worker_reply(Sim *sim, Call *call)
 {
   Machine *machine = call->machine;
   machine->next_heartbeat_ms
@@ -401,7 +404,7 @@
   if (call->status == 200) {
     if (!sim_is_stalled(sim, machine))
       sim_worker_handle_answer(machine->worker, sim->now_ms, call->sent_ms, call->incarnation,
-                               call->answer, sim_describe, sim);
+                               call->answer, sim_describe_task, sim);
     return;
   }
   const char *to = call->status == 421
--- a/tests/sim/sim-private.h
+++ b/tests/sim/sim-private.h
@@ -15,13 +15,13 @@
  * may go without an answer or wait beside free capacity; in milliseconds.
  */
 #define TICK_MS 50
-#define CANCEL_MS 30000
+#define CANCEL_LIMIT_MS 30000
 #define BOOT_MS 8000
-#define UNHEARD_JOB_LIMIT_MS 75000
+#define UNANSWERED_JOB_LIMIT_MS 75000
 #define IDLE_CAPACITY_LIMIT_MS 90000
 
 /** The state of a job according to the last answer that its user got. */
-typedef enum { TOLD_NOTHING, TOLD_ACCEPTED, TOLD_DONE, TOLD_CANCELLED } Told;
+typedef enum { REPORTED_NONE, REPORTED_ACCEPTED, REPORTED_DONE, REPORTED_CANCELLED } ReportedState;
 
 /** The last attempt of a gang that started, and the counts of its attempts. */
 typedef struct {
@@ -41,12 +41,13 @@
   char *id;
   SimJob spec;
   json_t *message; /* the submission */
-  Told told;
-  gboolean cancelling; /* its user has decided to cancel it */
-  gint64 cancelled_ms; /* when its user got the answer that it is cancelled */
-  gint64 next_ms;      /* when its user sends the next request; G_MAXINT64: one is in flight */
-  gint64 answered_ms;  /* when its user last got a successful answer */
-  gint64 beside_capacity_ms; /* since when it waits although free capacity fits it; 0: it doesn't */
+  ReportedState reported;
+  gboolean cancelling;    /* its user has decided to cancel it */
+  gint64 cancelled_ms;    /* when its user got the answer that it is cancelled */
+  gint64 next_request_ms; /* when its user sends the next request; G_MAXINT64: one is in flight */
+  gint64 answered_ms;     /* when its user last got a successful answer */
+  gint64 beside_capacity_since_ms; /* since when it waits although free capacity fits it; 0: it
+                                      doesn't */
   gboolean has_started;
   guint8 *completed; /* for each task: whether it is done */
   Gang gang;
@@ -55,7 +56,7 @@
 /** A rented machine, and the faults injected into it. */
 typedef struct {
   SimWorker *worker;
-  gint64 up_ms; /* when it has booted; G_MAXINT64: never */
+  gint64 booted_ms; /* when it has booted; G_MAXINT64: never */
   gboolean returned;
   gboolean dead;
   gint64 stalled_until_ms;
@@ -68,19 +69,19 @@
 /** A node; its controller is NULL while it is down. */
 typedef struct {
   WsCore *core;
-  guint run;      /* the number of times that its controller has started */
-  gint64 back_ms; /* when a crashed controller starts again */
+  guint run;         /* the number of times that its controller has started */
+  gint64 restart_ms; /* when a crashed controller starts again */
   gint64 paused_until_ms;
 } Node;
 
 /** Carries out an event. */
-typedef void (*Run)(Sim *sim, gpointer data);
+typedef void (*EventHandler)(Sim *sim, gpointer data);
 
 /** A scheduled event. Events of the same time are carried out in the order of their scheduling. */
 typedef struct {
   gint64 at_ms;
   guint64 order;
-  Run run;
+  EventHandler handler;
   gpointer data;
 } Event;
 
@@ -91,8 +92,8 @@
   gint64 lease_ms;
   GRand *rand;
   gint64 now_ms;
-  guint64 order; /* of the last event scheduled */
-  guint64 lives; /* the number of controllers started, to give each its own seed */
+  guint64 order;             /* of the last event scheduled */
+  guint64 controller_starts; /* the number of controllers started, to give each its own seed */
   GSequence *events;
   SimStore *store;
   gint64 faults_ended_ms; /* when sim_end_faults() was called; 0: it wasn't */
@@ -119,7 +120,7 @@
 typedef struct {
   Sim *sim;
   guint refs;
-  gboolean over; /* the caller has got its reply or timed out */
+  gboolean is_finished; /* the caller has got its reply or timed out */
   /* the caller: a run of a node's controller, a machine, or a user */
   guint node;
   guint run;
@@ -128,7 +129,7 @@
   gint64 sent_ms;
   guint64 incarnation;
   Job *job;
-  guint expected; /* status of the answer to a malformed request; 0: another call */
+  guint expected_status; /* status of the answer to a malformed request; 0: another call */
   const char *expected_state;
   /* the request */
   char *method;
@@ -138,7 +139,7 @@
   /* the answer */
   guint status;
   json_t *answer;
-  json_t *held; /* an answer of the store that hasn't been sent yet */
+  json_t *held_answer; /* an answer of the store that hasn't been sent yet */
 } Call;
 
 /** Counts of the tasks that occupy slots when another task starts. */
@@ -148,28 +149,28 @@
   guint team;       /* of the same team */
   guint in_zone;    /* of the same job in the same zone */
   guint on_machine; /* of any job on the same machine */
-} Running;
+} SlotCounts;
 
 /** Delivers the call to the cloud, which answers it. */
 void sim_send_to_cloud(Sim *sim, Call *call);
 /** Drops a reference; the call is freed with the last one. */
 void sim_call_unref(Call *call);
 /** Has the user of an accepted job cancel it at once. */
-void sim_user_cancels(Sim *sim, Job *job);
+void sim_user_cancel(Sim *sim, Job *job);
 /** Returns TRUE with the probability @part; draws a random number only if that is above 0. */
-gboolean sim_chance(Sim *sim, double part);
+gboolean sim_draw_chance(Sim *sim, double part);
 /** Fails if another attempt of the task's gang occupies slots. */
 void sim_check_one_attempt(const Sim *sim, const SimTask *task);
 /** Has a task that has its image wait for the other tasks of its gang. */
-void sim_gang_task_is_ready(const Sim *sim, Machine *machine, SimTask *task);
+void sim_gang_handle_ready_task(const Sim *sim, Machine *machine, SimTask *task);
 /** Advances the gang: starts, stops, completes or loses its attempt, by the state of its tasks. */
 void sim_step_gang(Sim *sim, Job *job);
 /** Fails if an accepted job's user has got no answer for too long since the faults ended. */
 void sim_check_answered(const Sim *sim, const Job *job);
 /** Fails if the job has waited beside free capacity for too long since the faults ended. */
-void sim_check_waiting(const Sim *sim, Job *job);
-/** The SimDescribe of the simulated cluster, whose @world is the Sim. */
-gboolean sim_describe(gpointer world, const char *id, guint task, double *run_s);
+void sim_check_idle_capacity(const Sim *sim, Job *job);
+/** The SimDescribeTask of the simulated cluster, whose @world is the Sim. */
+gboolean sim_describe_task(gpointer world, const char *id, guint task, double *run_s);
 /** Returns the job with the id, or NULL. */
 Job *sim_find_job(const Sim *sim, const char *id);
 /** Returns the machine with the name, or NULL. */
@@ -179,13 +180,13 @@
 /** Whether the machine has booted, and is neither dead nor returned. */
 gboolean sim_is_up(const Sim *sim, const Machine *machine);
 /** Schedules an event. */
-void sim_later(Sim *sim, gint64 after_ms, Run run, gpointer data);
+void sim_schedule(Sim *sim, gint64 after_ms, EventHandler handler, gpointer data);
 /** The simulated time in seconds. */
 double sim_now_s(const Sim *sim);
 /** Delivers the answers and calls that the node's controller has put out. */
-void sim_pump(Sim *sim, guint node);
+void sim_deliver_outputs(Sim *sim, guint node);
 /** Sends the callee's answer to the call @data, whose reference is taken; @body is taken too. */
-void sim_reply_to(gpointer data, guint status, json_t *body);
+void sim_reply_to_call(gpointer data, guint status, json_t *body);
 /** Sends a call, which may be lost, delayed or duplicated, and times out after @timeout_ms. */
 void sim_send_call(Sim *sim, Call *call, guint timeout_ms);
 /** Checks the machine's lease, advances its tasks and sends a heartbeat that is due. */
@@ -195,6 +196,6 @@
 /** Has the job's user submit, query or cancel it if the next request is due. */
 void sim_step_user(Sim *sim, Job *job);
 /** Handles the reply to a user; fails if it contradicts an earlier one or the tasks' state. */
-void sim_user_replied(Sim *sim, Call *call);
+void sim_user_handle_reply(Sim *sim, Call *call);
 /** The wall clock in milliseconds. */
-gint64 sim_wall(const Sim *sim);
+gint64 sim_wall_clock_ms(const Sim *sim);
--- a/tests/sim/sim-users.c
+++ b/tests/sim/sim-users.c
@@ -18,17 +18,17 @@
 
 /* The user sends the next request in the next tick, unless one is in flight. */
 void
-sim_user_cancels(Sim *sim, Job *job)
+sim_user_cancel(Sim *sim, Job *job)
 {
-  if (job->told != TOLD_ACCEPTED)
+  if (job->reported != REPORTED_ACCEPTED)
     return;
   job->cancelling = TRUE;
-  if (job->next_ms != G_MAXINT64)
-    job->next_ms = sim->now_ms;
+  if (job->next_request_ms != G_MAXINT64)
+    job->next_request_ms = sim->now_ms;
 }
 
 static void
-ask(Sim *sim, Job *job, const char *method, const char *path, json_t *body)
+send_user_request(Sim *sim, Job *job, const char *method, const char *path, json_t *body)
 {
   Call *call = g_new0(Call, 1);
   call->job = job;
@@ -40,11 +40,11 @@
 }
 
 static void
-send_malformed(Sim *sim, const char *method, const char *path, json_t *body /* taken */,
-               guint expected, const char *state)
+send_malformed_request(Sim *sim, const char *method, const char *path, json_t *body /* taken */,
+                       guint expected_status, const char *state)
 {
   Call *call = g_new0(Call, 1);
-  call->expected = expected;
+  call->expected_status = expected_status;
   call->expected_state = state;
   call->method = g_strdup(method);
   call->address = g_strdup_printf("api-%d:1", g_rand_int_range(sim->rand, 0, SIM_NODES));
@@ -54,7 +54,8 @@
 }
 
 static json_t *
-changed(const Job *job, const char *field, json_t *value /* taken; NULL: removes the field */)
+changed_submission(const Job *job, const char *field,
+                   json_t *value /* taken; NULL: removes the field */)
 {
   json_t *message = json_deep_copy(job->message);
   json_object_set_new(message, "id", json_string("req-999999"));
@@ -72,19 +73,24 @@
     return;
   const Job *any
       = g_ptr_array_index(sim->jobs, (guint)g_rand_int_range(sim->rand, 0, (gint32)sim->jobs->len));
-  send_malformed(sim, "GET", "/api/jobs/req-999999", NULL, 404, NULL);
-  send_malformed(sim, "POST", "/api/jobs/req-999999/withdraw", NULL, 404, NULL);
-  send_malformed(sim, "POST", "/api/jobs", changed(any, "kusy", NULL), 400, NULL);
-  send_malformed(sim, "POST", "/api/jobs", changed(any, "dilna", json_integer(7)), 400, NULL);
-  send_malformed(sim, "POST", "/api/jobs", changed(any, "dilna", json_string("green")), 422, NULL);
-  send_malformed(sim, "POST", "/api/jobs", changed(any, "hala", json_string("z")), 422, NULL);
-  send_malformed(sim, "POST", "/api/jobs", changed(any, "cpus", json_real(500.0)), 422, NULL);
-  if (any->told != TOLD_DONE && any->told != TOLD_CANCELLED)
+  send_malformed_request(sim, "GET", "/api/jobs/req-999999", NULL, 404, NULL);
+  send_malformed_request(sim, "POST", "/api/jobs/req-999999/withdraw", NULL, 404, NULL);
+  send_malformed_request(sim, "POST", "/api/jobs", changed_submission(any, "kusy", NULL), 400,
+                         NULL);
+  send_malformed_request(sim, "POST", "/api/jobs",
+                         changed_submission(any, "dilna", json_integer(7)), 400, NULL);
+  send_malformed_request(sim, "POST", "/api/jobs",
+                         changed_submission(any, "dilna", json_string("green")), 422, NULL);
+  send_malformed_request(sim, "POST", "/api/jobs",
+                         changed_submission(any, "hala", json_string("z")), 422, NULL);
+  send_malformed_request(sim, "POST", "/api/jobs",
+                         changed_submission(any, "cpus", json_real(500.0)), 422, NULL);
+  if (any->reported != REPORTED_DONE && any->reported != REPORTED_CANCELLED)
     return;
   g_autofree char *withdraw = g_strdup_printf("/api/jobs/%s/withdraw", any->id);
-  const char *state = any->told == TOLD_DONE ? "done" : "cancelled";
-  send_malformed(sim, "POST", withdraw, NULL, 200, state);
-  send_malformed(sim, "POST", "/api/jobs", json_deep_copy(any->message), 200, state);
+  const char *state = any->reported == REPORTED_DONE ? "done" : "cancelled";
+  send_malformed_request(sim, "POST", withdraw, NULL, 200, state);
+  send_malformed_request(sim, "POST", "/api/jobs", json_deep_copy(any->message), 200, state);
 }
 
 void
@@ -92,48 +98,48 @@
 {
   g_autofree char *path = g_strdup_printf("/api/jobs/%s", job->id);
   g_autofree char *withdraw = g_strconcat(path, "/withdraw", NULL);
-  if (sim->now_ms < job->next_ms)
+  if (sim->now_ms < job->next_request_ms)
     return;
-  job->next_ms = G_MAXINT64;
-  if (job->told == TOLD_NOTHING || sim_chance(sim, 0.1))
-    ask(sim, job, "POST", "/api/jobs", job->message);
-  else if (job->cancelling && job->told == TOLD_ACCEPTED)
-    ask(sim, job, "POST", withdraw, NULL);
+  job->next_request_ms = G_MAXINT64;
+  if (job->reported == REPORTED_NONE || sim_draw_chance(sim, 0.1))
+    send_user_request(sim, job, "POST", "/api/jobs", job->message);
+  else if (job->cancelling && job->reported == REPORTED_ACCEPTED)
+    send_user_request(sim, job, "POST", withdraw, NULL);
   else
-    ask(sim, job, "GET", path, NULL);
+    send_user_request(sim, job, "GET", path, NULL);
 }
 
 static void
-told_state(Sim *sim, Job *job, const char *state)
+record_reported_state(Sim *sim, Job *job, const char *state)
 {
-  Told told = strcmp(state, "done") == 0        ? TOLD_DONE
-              : strcmp(state, "cancelled") == 0 ? TOLD_CANCELLED
-                                                : TOLD_ACCEPTED;
-  if (told < job->told || (job->told == TOLD_DONE && told != TOLD_DONE))
+  ReportedState reported = strcmp(state, "done") == 0        ? REPORTED_DONE
+                           : strcmp(state, "cancelled") == 0 ? REPORTED_CANCELLED
+                                                             : REPORTED_ACCEPTED;
+  if (reported < job->reported || (job->reported == REPORTED_DONE && reported != REPORTED_DONE))
     g_error("seed %u, %.1f s: went_back: %s is %s", sim->seed, sim_now_s(sim), job->id, state);
-  if (told == TOLD_CANCELLED && !job->cancelling)
+  if (reported == REPORTED_CANCELLED && !job->cancelling)
     g_error("seed %u: nobody cancelled %s", sim->seed, job->id);
-  for (guint i = 0; told == TOLD_DONE && i < job->spec.tasks; i++)
+  for (guint i = 0; reported == REPORTED_DONE && i < job->spec.tasks; i++)
     if (!job->completed[i])
       g_error("seed %u, %.1f s: not_done: %s/%u", sim->seed, sim_now_s(sim), job->id, i);
-  if (told == TOLD_CANCELLED && job->told != TOLD_CANCELLED)
+  if (reported == REPORTED_CANCELLED && job->reported != REPORTED_CANCELLED)
     job->cancelled_ms = sim->now_ms;
-  job->told = told;
+  job->reported = reported;
 }
 
 void
-sim_user_replied(Sim *sim, Call *call)
+sim_user_handle_reply(Sim *sim, Call *call)
 {
   Job *job = call->job;
-  job->next_ms = sim->now_ms + 1500;
+  job->next_request_ms = sim->now_ms + 1500;
   if (call->status == 400 || call->status == 422
-      || (call->status == 404 && job->told > TOLD_NOTHING))
+      || (call->status == 404 && job->reported > REPORTED_NONE))
     g_error("seed %u, %.1f s: forgotten: %s got %u", sim->seed, sim_now_s(sim), job->id,
             call->status);
   if (call->status == 200 || call->status == 201)
     job->answered_ms = sim->now_ms;
   if (call->status == 200 || call->status == 201)
-    told_state(sim, job, json_string_value(json_object_get(call->answer, "stav")));
+    record_reported_state(sim, job, json_string_value(json_object_get(call->answer, "stav")));
 }
 
 void
@@ -156,14 +162,14 @@
       spec->service ? 0.0 : spec->run_s, "zaloha_s", spec->gang ? SIM_CHECKPOINT_S : 0.0,
       "ulozeni_s", spec->gang ? SIM_SAVE_S : 0.0, "termin_s");
   g_assert_nonnull(job->message);
-  job->next_ms = sim->now_ms;
+  job->next_request_ms = sim->now_ms;
   g_ptr_array_add(sim->jobs, job);
 }
 
 void
 sim_cancel(Sim *sim, guint job)
 {
-  sim_user_cancels(sim, g_ptr_array_index(sim->jobs, job));
+  sim_user_cancel(sim, g_ptr_array_index(sim->jobs, job));
 }
 
 void
@@ -175,7 +181,7 @@
 gboolean
 sim_is_told_cancelled(const Sim *sim, guint job)
 {
-  return ((Job *)g_ptr_array_index(sim->jobs, job))->told == TOLD_CANCELLED;
+  return ((Job *)g_ptr_array_index(sim->jobs, job))->reported == REPORTED_CANCELLED;
 }
 
 void
@@ -185,5 +191,5 @@
     return;
   Job *job
       = g_ptr_array_index(sim->jobs, (guint)g_rand_int_range(sim->rand, 0, (gint32)sim->jobs->len));
-  job->cancelling = job->told == TOLD_ACCEPTED || job->cancelling;
+  job->cancelling = job->reported == REPORTED_ACCEPTED || job->cancelling;
 }
--- a/tests/sim/sim.c
+++ b/tests/sim/sim.c
@@ -18,22 +18,22 @@
 {
   sim->nodes[node].run++;
   sim->nodes[node].core = ws_core_new(sim->settings[node], sim->properties,
-                                      (guint64)sim->now_ms * 1000 + ++sim->lives);
+                                      (guint64)sim->now_ms * 1000 + ++sim->controller_starts);
 }
 
 static void
 step_node(Sim *sim, guint node)
 {
-  if (sim->nodes[node].core == NULL && sim->now_ms >= sim->nodes[node].back_ms)
+  if (sim->nodes[node].core == NULL && sim->now_ms >= sim->nodes[node].restart_ms)
     start_node(sim, node);
   if (sim->nodes[node].core == NULL || sim->now_ms < sim->nodes[node].paused_until_ms)
     return;
-  ws_core_tick(sim->nodes[node].core, sim->now_ms, sim_wall(sim));
-  sim_pump(sim, node);
+  ws_core_tick(sim->nodes[node].core, sim->now_ms, sim_wall_clock_ms(sim));
+  sim_deliver_outputs(sim, node);
 }
 
 gboolean
-sim_node_up(const Sim *sim, guint node)
+sim_node_is_up(const Sim *sim, guint node)
 {
   return sim->nodes[node].core != NULL;
 }
@@ -52,9 +52,9 @@
     sim_step_gang(sim, g_ptr_array_index(sim->jobs, i));
     sim_check_answered(sim, g_ptr_array_index(sim->jobs, i));
     if (sim->now_ms % 1000 == 0)
-      sim_check_waiting(sim, g_ptr_array_index(sim->jobs, i));
+      sim_check_idle_capacity(sim, g_ptr_array_index(sim->jobs, i));
   }
-  sim_later(sim, TICK_MS, tick, NULL);
+  sim_schedule(sim, TICK_MS, tick, NULL);
 }
 
 void
@@ -68,7 +68,7 @@
       break;
     g_sequence_remove(first);
     sim->now_ms = event.at_ms;
-    event.run(sim, event.data);
+    event.handler(sim, event.data);
   }
   sim->now_ms = until_ms;
 }
@@ -96,7 +96,7 @@
   for (guint n = 0; n < SIM_NODES; n++)
     sim->settings[n] = ws_test_settings(n);
   sim_set_pace(sim, sim->settings[0]->report_s, sim->settings[0]->lease_s);
-  sim_later(sim, 0, tick, NULL);
+  sim_schedule(sim, 0, tick, NULL);
   return sim;
 }
 
@@ -113,7 +113,7 @@
 
 /* Drops all calls in flight, so that their memory is freed. */
 static void
-drain(Sim *sim)
+drop_calls_in_flight(Sim *sim)
 {
   for (guint n = 0; n < SIM_NODES; n++)
     sim_crash_node(sim, n, 1e9);
@@ -122,7 +122,7 @@
     GSequenceIter *first = g_sequence_get_begin_iter(sim->events);
     Event event = *(Event *)g_sequence_get(first);
     g_sequence_remove(first);
-    if (event.run != tick)
+    if (event.handler != tick)
       sim_call_unref(event.data);
   }
 }
@@ -130,7 +130,7 @@
 void
 sim_free(Sim *sim)
 {
-  drain(sim);
+  drop_calls_in_flight(sim);
   for (guint i = 0; i < sim->machines->len; i++) {
     Machine *machine = g_ptr_array_index(sim->machines, i);
     sim_worker_free(machine->worker);
@@ -167,7 +167,7 @@
 }
 
 gint64
-sim_now(const Sim *sim)
+sim_now_ms(const Sim *sim)
 {
   return sim->now_ms;
 }
--- a/tests/sim/sim.h
+++ b/tests/sim/sim.h
@@ -77,7 +77,7 @@
 /** The properties that all nodes share. */
 WsProperties *sim_properties(Sim *sim);
 /** The simulated time in milliseconds. */
-gint64 sim_now(const Sim *sim);
+gint64 sim_now_ms(const Sim *sim);
 /** Advances the simulated time by @seconds and runs the events that are due. */
 void sim_run(Sim *sim, double seconds);
 /** Ends the node's controller; a new one starts after @back_after_s. */
@@ -85,7 +85,7 @@
 /** Pauses the node's process for @seconds, while its clocks advance. */
 void sim_pause_node(Sim *sim, guint node, double seconds);
 /** Whether the node's controller is running. */
-gboolean sim_node_up(const Sim *sim, guint node);
+gboolean sim_node_is_up(const Sim *sim, guint node);
 /** Adds a user who submits the job. Jobs are numbered in the order of these calls, from 0. */
 void sim_submit(Sim *sim, const SimJob *job);
 /** Has the user of a random job cancel it with the next request, if the job is accepted. */
--- a/tests/sim/store.c
+++ b/tests/sim/store.c
@@ -14,7 +14,7 @@
 
 typedef struct {
   gint64 ttl_ms;
-  gint64 ends_ms;
+  gint64 expires_ms;
 } Lease;
 
 /* A watch that awaits a revision above @from. */
@@ -46,7 +46,7 @@
 }
 
 static gint
-compare(gconstpointer a, gconstpointer b, gpointer data)
+compare_keys(gconstpointer a, gconstpointer b, gpointer data)
 {
   (void)data;
   return strcmp(a, b);
@@ -64,7 +64,7 @@
   SimStore *store = g_new0(SimStore, 1);
   store->max_operations = 16; /* as in ws_test_message() */
   store->max_value_bytes = (gsize)16 * 1024;
-  store->entries = g_tree_new_full(compare, NULL, g_free, entry_free);
+  store->entries = g_tree_new_full(compare_keys, NULL, g_free, entry_free);
   store->leases = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
   store->log = g_ptr_array_new_with_free_func(event_free);
   store->watches = g_array_new(FALSE, FALSE, sizeof(Watch));
@@ -86,7 +86,7 @@
 }
 
 static void
-put(SimStore *store, const char *key, json_t *value, guint64 lease)
+put_entry(SimStore *store, const char *key, json_t *value, guint64 lease)
 {
   Entry *entry = g_new0(Entry, 1);
   *entry = (Entry){ json_incref(value), store->revision, lease };
@@ -96,7 +96,7 @@
 }
 
 static void
-drop(SimStore *store, const char *key)
+remove_entry(SimStore *store, const char *key)
 {
   if (g_tree_lookup(store->entries, key) == NULL)
     return;
@@ -118,11 +118,11 @@
 }
 
 static void
-wake(SimStore *store, gint64 now_ms, gboolean out)
+answer_watches(SimStore *store, gint64 now_ms, gboolean is_unavailable)
 {
   for (guint i = store->watches->len; i-- > 0;) {
     Watch watch = g_array_index(store->watches, Watch, i);
-    if (out || (watch.from >= store->revision && now_ms < watch.until_ms))
+    if (is_unavailable || (watch.from >= store->revision && now_ms < watch.until_ms))
       continue;
     g_array_remove_index(store->watches, i);
     watch.reply(watch.data, 200, events_since(store, watch.from));
@@ -133,14 +133,14 @@
 typedef struct {
   guint64 lease;
   GPtrArray *keys;
-} Attached;
+} LeaseKeys;
 
 static gboolean
-collect(gpointer key, gpointer value, gpointer data)
+collect_lease_key(gpointer key, gpointer value, gpointer data)
 {
-  Attached *attached = data;
-  if (((Entry *)value)->lease == attached->lease)
-    g_ptr_array_add(attached->keys, g_strdup(key));
+  LeaseKeys *lease_keys = data;
+  if (((Entry *)value)->lease == lease_keys->lease)
+    g_ptr_array_add(lease_keys->keys, g_strdup(key));
   return FALSE;
 }
 
@@ -148,31 +148,31 @@
 end_lease(SimStore *store, guint64 lease)
 {
   g_autoptr(GPtrArray) keys = g_ptr_array_new_with_free_func(g_free);
-  Attached attached = { lease, keys };
-  g_tree_foreach(store->entries, collect, &attached);
+  LeaseKeys lease_keys = { lease, keys };
+  g_tree_foreach(store->entries, collect_lease_key, &lease_keys);
   if (keys->len > 0)
     store->revision++;
   for (guint i = 0; i < keys->len; i++)
-    drop(store, g_ptr_array_index(keys, i));
+    remove_entry(store, g_ptr_array_index(keys, i));
 }
 
 void
-sim_store_tick(SimStore *store, gint64 now_ms, gboolean out)
+sim_store_tick(SimStore *store, gint64 now_ms, gboolean is_unavailable)
 {
   GHashTableIter iter;
   gpointer key, value;
   g_hash_table_iter_init(&iter, store->leases);
   while (g_hash_table_iter_next(&iter, &key, &value)) {
     Lease *lease = value;
-    if (out)
-      lease->ends_ms = now_ms + lease->ttl_ms;
-    if (now_ms < lease->ends_ms)
+    if (is_unavailable)
+      lease->expires_ms = now_ms + lease->ttl_ms;
+    if (now_ms < lease->expires_ms)
       continue;
     guint64 ended = *(guint64 *)key;
     g_hash_table_iter_remove(&iter);
     end_lease(store, ended);
   }
-  wake(store, now_ms, out);
+  answer_watches(store, now_ms, is_unavailable);
 }
 
 static guint64
@@ -244,15 +244,15 @@
   {
     const char *key = json_string_value(json_object_get(item, "set"));
     if (key != NULL)
-      put(store, key, json_object_get(item, "value"),
-          (guint64)json_integer_value(json_object_get(item, "najem")));
+      put_entry(store, key, json_object_get(item, "value"),
+                (guint64)json_integer_value(json_object_get(item, "najem")));
     else
-      drop(store, json_string_value(json_object_get(item, "remove")));
+      remove_entry(store, json_string_value(json_object_get(item, "remove")));
   }
 }
 
 static json_t *
-transact(SimStore *store, const json_t *body, guint *status)
+commit_transaction(SimStore *store, const json_t *body, guint *status)
 {
   const json_t *changes = json_object_get(body, "apply");
   const char *failed = find_failed_condition(store, body);
@@ -277,7 +277,7 @@
 
 /* A parameter of the query, or NULL. */
 static char *
-parameter(const char *path, const char *name)
+query_parameter(const char *path, const char *name)
 {
   g_autofree char *marked = g_strconcat(name, "=", NULL);
   const char *at = strchr(path, '?');
@@ -317,10 +317,10 @@
 }
 
 static json_t *
-list(SimStore *store, const char *path)
+list_pairs(SimStore *store, const char *path)
 {
-  g_autofree char *prefix = parameter(path, "starts");
-  g_autofree char *from = parameter(path, "from");
+  g_autofree char *prefix = query_parameter(path, "starts");
+  g_autofree char *from = query_parameter(path, "from");
   Listing listing = { prefix, from, json_array(), 0 };
   g_tree_foreach(store->entries, list_entry, &listing);
   return json_pack("{s:o, s:b, s:I}", "pairs", listing.pairs, "more", 0, "zmena",
@@ -328,22 +328,22 @@
 }
 
 static void
-watch(SimStore *store, gint64 now_ms, const char *path, SimStoreReply reply, gpointer data)
+add_watch(SimStore *store, gint64 now_ms, const char *path, SimStoreReply reply, gpointer data)
 {
-  g_autofree char *from = parameter(path, "from");
-  g_autofree char *wait = parameter(path, "wait_ms");
+  g_autofree char *from = query_parameter(path, "from");
+  g_autofree char *wait = query_parameter(path, "wait_ms");
   Watch watch = { g_ascii_strtoull(from, NULL, 10), now_ms + atoi(wait), reply, data };
   g_array_append_val(store->watches, watch);
 }
 
 static json_t *
-make_lease(SimStore *store, gint64 now_ms, const json_t *body)
+create_lease(SimStore *store, gint64 now_ms, const json_t *body)
 {
   guint64 *id = g_new(guint64, 1);
   *id = ++store->next_lease;
   Lease *lease = g_new0(Lease, 1);
   lease->ttl_ms = json_integer_value(json_object_get(body, "ttl_ms"));
-  lease->ends_ms = now_ms + lease->ttl_ms;
+  lease->expires_ms = now_ms + lease->ttl_ms;
   g_hash_table_insert(store->leases, id, lease);
   return json_pack("{s:I}", "najem", (json_int_t)*id);
 }
@@ -355,19 +355,19 @@
   guint status = 200;
   (void)method;
   if (g_str_has_prefix(path, "/follow")) {
-    watch(store, now_ms, path, reply, data);
+    add_watch(store, now_ms, path, reply, data);
   } else if (g_str_has_prefix(path, "/kv?")) {
-    reply(data, 200, list(store, path));
+    reply(data, 200, list_pairs(store, path));
   } else if (strcmp(path, "/multi") == 0) {
-    json_t *answer = transact(store, body, &status);
+    json_t *answer = commit_transaction(store, body, &status);
     reply(data, status, answer);
   } else if (strcmp(path, "/holds") == 0) {
-    reply(data, 200, make_lease(store, now_ms, body));
+    reply(data, 200, create_lease(store, now_ms, body));
   } else if (g_str_has_suffix(path, "/renew")) {
     guint64 id = g_ascii_strtoull(path + strlen("/holds/"), NULL, 10);
     Lease *lease = g_hash_table_lookup(store->leases, &id);
     if (lease != NULL)
-      lease->ends_ms = now_ms + lease->ttl_ms;
+      lease->expires_ms = now_ms + lease->ttl_ms;
     reply(data, lease != NULL ? 200 : 404, json_object());
   } else {
     g_error("the simulated store has no path %s", path);
--- a/tests/sim/store.h
+++ b/tests/sim/store.h
@@ -16,10 +16,10 @@
 /** Frees the store. Open watches are answered with 503. */
 void sim_store_free(SimStore *store);
 /**
- * Ends the leases that have expired and answers the watches that are due. With @out, the store is
- * unavailable: all leases are renewed and all watches end.
+ * Ends the leases that have expired and answers the watches that are due. With @is_unavailable, the
+ * store is unavailable: all leases are renewed and all watches end.
  */
-void sim_store_tick(SimStore *store, gint64 now_ms, gboolean out);
+void sim_store_tick(SimStore *store, gint64 now_ms, gboolean is_unavailable);
 /** Handles a request. A watch is answered at the next change or its timeout, the rest at once. */
 void sim_store_request(SimStore *store, gint64 now_ms, const char *method, const char *path,
                        const json_t *body, SimStoreReply reply, gpointer data);
--- a/tests/sim/trace.c
+++ b/tests/sim/trace.c
@@ -10,7 +10,7 @@
 
 /* The trace file of this process; NULL if WS_TRACE isn't set. */
 static FILE *
-trace_file(void)
+open_trace_file(void)
 {
   static gsize is_open = 0;
   static FILE *file = NULL;
@@ -27,7 +27,7 @@
 /* The body with sorted keys, or a copy of it if it isn't JSON; NULL if there is none. The caller
    releases it with free(), as jansson allocates it. */
 static char *
-sorted(const char *body)
+sorted_json(const char *body)
 {
   g_autoptr(json_t) value = body != NULL ? ws_json_parse(body, strlen(body)) : NULL;
   if (value != NULL)
@@ -39,10 +39,10 @@
 sim_trace_output(gint64 now_ms, const char *node, const char *method, const char *url,
                  const WsOutput *output)
 {
-  FILE *file = trace_file();
+  FILE *file = open_trace_file();
   if (file == NULL)
     return;
-  char *body = sorted(output->body);
+  char *body = sorted_json(output->body);
   if (output->is_answer)
     fprintf(file, "%" G_GINT64_FORMAT " %s answer %u retry-after %u", now_ms, node, output->status,
             output->retry_after_s);
--- a/tests/sim/worker.c
+++ b/tests/sim/worker.c
@@ -7,7 +7,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define FETCH_MS 2000
+#define IMAGE_FETCH_MS 2000
 
 static void
 task_clear(gpointer data)
@@ -83,7 +83,7 @@
 
 /* Counts the slots that are taken, including those of tasks that fetch their image. */
 static guint
-slots_taken(const SimWorker *worker)
+count_taken_slots(const SimWorker *worker)
 {
   guint count = 0;
   for (guint i = 0; i < worker->tasks->len; i++)
@@ -92,8 +92,8 @@
 }
 
 static void
-launch(SimWorker *worker, gint64 now_ms, const char *job, guint number, guint64 attempt,
-       SimDescribe describe, gpointer world)
+launch_task(SimWorker *worker, gint64 now_ms, const char *job, guint number, guint64 attempt,
+            SimDescribeTask describe, gpointer world)
 {
   double run_s;
   SimTask *held = sim_worker_find(worker, job, number);
@@ -101,7 +101,7 @@
                    .task = number,
                    .attempt = attempt,
                    .state = "fetching",
-                   .next_ms = now_ms + FETCH_MS };
+                   .next_step_ms = now_ms + IMAGE_FETCH_MS };
   if (held != NULL && held->attempt == attempt) {
     g_free(task.job);
     return;
@@ -109,7 +109,7 @@
   if (held != NULL || !describe(world, job, number, &run_s)) {
     task.state = "exited";
     task.why = held != NULL ? "busy" : "no_such";
-  } else if (slots_taken(worker) >= SIM_SLOTS) {
+  } else if (count_taken_slots(worker) >= SIM_MACHINE_SLOTS) {
     task.state = "exited";
     task.why = "full";
   }
@@ -119,14 +119,14 @@
 /* Stops a task. If the grace period suffices to save, a running task of a gang starts saving, and
    one that is already saving continues. */
 static void
-halt(SimTask *task, gint64 now_ms, double grace_s)
+halt_task(SimTask *task, gint64 now_ms, double grace_s)
 {
   gboolean may_save = task->save_ms > 0 && grace_s * 1000.0 >= (double)task->save_ms;
   if (may_save && strcmp(task->state, "flushing") == 0)
     return;
   if (may_save && strcmp(task->state, "running") == 0) {
     task->state = "flushing";
-    task->next_ms = now_ms + task->save_ms;
+    task->next_step_ms = now_ms + task->save_ms;
     return;
   }
   task->state = "exited";
@@ -134,8 +134,8 @@
 }
 
 static void
-execute(SimWorker *worker, gint64 now_ms, const json_t *command, SimDescribe describe,
-        gpointer world)
+execute_command(SimWorker *worker, gint64 now_ms, const json_t *command, SimDescribeTask describe,
+                gpointer world)
 {
   const char *op = json_string_value(json_object_get(command, "ukon"));
   const char *name = json_string_value(json_object_get(command, "kus"));
@@ -144,7 +144,7 @@
   g_autofree char *job = g_strndup(name, (gsize)(slash - name));
   guint number = (guint)atoi(slash + 1);
   if (strcmp(op, "launch") == 0) {
-    launch(worker, now_ms, job, number, attempt, describe, world);
+    launch_task(worker, now_ms, job, number, attempt, describe, world);
     return;
   }
   for (guint i = 0; i < worker->tasks->len; i++) {
@@ -155,25 +155,25 @@
     if (strcmp(op, "reap") == 0 && exited) {
       g_array_remove_index(worker->tasks, i);
     } else if (strcmp(op, "halt") == 0 && !exited) {
-      halt(task, now_ms, json_number_value(json_object_get(command, "lhuta_s")));
+      halt_task(task, now_ms, json_number_value(json_object_get(command, "lhuta_s")));
     }
     return;
   }
 }
 
 static void
-execute_all(SimWorker *worker, gint64 now_ms, const json_t *message, SimDescribe describe,
-            gpointer world)
+execute_commands(SimWorker *worker, gint64 now_ms, const json_t *message, SimDescribeTask describe,
+                 gpointer world)
 {
   size_t i;
   const json_t *command;
   json_array_foreach(json_object_get(message, "prikazy"), i, command)
-      execute(worker, now_ms, command, describe, world);
+      execute_command(worker, now_ms, command, describe, world);
 }
 
 void
 sim_worker_handle_answer(SimWorker *worker, gint64 now_ms, gint64 sent_ms, guint64 incarnation,
-                         const json_t *answer, SimDescribe describe, gpointer world)
+                         const json_t *answer, SimDescribeTask describe, gpointer world)
 {
   const json_t *fencing_token = json_object_get(answer, "pecet");
   if (incarnation != worker->incarnation || !json_is_integer(fencing_token)
@@ -181,12 +181,12 @@
     return;
   worker->fencing_token = (guint64)json_integer_value(fencing_token);
   worker->renewed_ms = sent_ms;
-  execute_all(worker, now_ms, answer, describe, world);
+  execute_commands(worker, now_ms, answer, describe, world);
 }
 
 guint
 sim_worker_handle_commands(SimWorker *worker, gint64 now_ms, const json_t *message, json_t **report,
-                           SimDescribe describe, gpointer world)
+                           SimDescribeTask describe, gpointer world)
 {
   guint64 fencing_token = (guint64)json_integer_value(json_object_get(message, "pecet"));
   guint64 incarnation = (guint64)json_integer_value(json_object_get(message, "smena"));
@@ -194,7 +194,7 @@
       = fencing_token < worker->fencing_token || incarnation != worker->incarnation ? 409 : 200;
   if (status == 200) {
     worker->fencing_token = fencing_token;
-    execute_all(worker, now_ms, message, describe, world);
+    execute_commands(worker, now_ms, message, describe, world);
   }
   *report = sim_worker_heartbeat(worker, now_ms);
   return status;
--- a/tests/ws-gen.h
+++ b/tests/ws-gen.h
@@ -19,11 +19,11 @@
   }
 }
 
-/** Draws a number of at most three decimals from 0 to below @most. */
+/** Draws a number of at most three decimals from 0 to below @limit. */
 static inline double
-ws_gen_decimal(GRand *rand, double most)
+ws_gen_decimal(GRand *rand, double limit)
 {
-  return g_rand_int_range(rand, 0, (gint32)(most * 1000)) / 1000.0;
+  return g_rand_int_range(rand, 0, (gint32)(limit * 1000)) / 1000.0;
 }
 
 /** Generates a valid submission. */
