--- a/tests/sim/fault-injection.h
+++ b/tests/sim/fault-injection.h
@@ -14,14 +14,14 @@
 /** Creates a simulated cluster, adds load, runs for 18 s and adds the same load again. */
 Sim *sim_new_with_load(guint32 seed);
 
-/** Cancels @count random jobs, as sim_cancel_any() does. */
-void sim_cancel_many(Sim *sim, guint count);
+/** Cancels @count random jobs, as sim_cancel_random_job() does. */
+void sim_cancel_random_jobs(Sim *sim, guint count);
 
 /** The leader according to its record in the store, or node 0 if there is none. */
 guint sim_leader_or_first(const Sim *sim);
 
 /** The node with the next number, modulo SIM_NODES. */
-guint sim_other_node(guint node);
+guint sim_next_node(guint node);
 
 /** Injects the fault into up to @count random machines that are up. */
 void sim_inject_machine_faults(Sim *sim, guint count, SimMachineFault inject, double seconds);
@@ -30,16 +30,16 @@
 void sim_inject_random_faults(Sim *sim);
 
 /** Runs until no job is open, but at most for @max_seconds. */
-void sim_run_until_closed(Sim *sim, guint max_seconds);
+void sim_run_until_jobs_end(Sim *sim, guint max_seconds);
 
 /** Cancels one random job and runs for @pause_s, until no job is open or @max_rounds times. */
-void sim_cancel_until_closed(Sim *sim, guint max_rounds, double pause_s);
+void sim_cancel_until_jobs_end(Sim *sim, guint max_rounds, double pause_s);
 
 /** Ends all faults, and fails unless every job then ends and no machine, mark or record leaks. */
 void sim_expect_recovery(Sim *sim);
 
 /** Sends malformed requests five times within 3.5 s. */
-void sim_repeat_malformed_requests(Sim *sim);
+void sim_send_malformed_requests_repeatedly(Sim *sim);
 
 /** The number of seeds that a test runs: the value of WS_SEEDS if it is set, else @usual. */
 guint sim_seed_count(guint usual);
--- a/tests/sim/fixture.h
+++ b/tests/sim/fixture.h
@@ -58,7 +58,7 @@
 /** Does the same, and submits the job req-1, whose task is assigned to the machine. */
 Fixture *fixture_new_with_job(gboolean workers_answer);
 /** Creates a controller without machines; the catalog has a small type besides the large one. */
-Fixture *fixture_new_with_two_types(void);
+Fixture *fixture_new_with_two_machine_types(void);
 /** Frees the controller and its surroundings. */
 void fixture_free(Fixture *fixture);
 /** Ends the controller and starts a new one with the same store. */
@@ -66,18 +66,19 @@
 /** Stops holding watches back, and lets the one that is held back time out. */
 void fixture_release_watch(Fixture *fixture);
 /** Handles the answers and calls that the controller has put out. */
-void fixture_pump(Fixture *fixture);
+void fixture_handle_outputs(Fixture *fixture);
 /** Advances the time by @seconds, in ticks of 50 ms. */
 void fixture_run(Fixture *fixture, double seconds);
 /** Sends the controller a request, without advancing the time. */
 void fixture_request(Fixture *fixture, WsListener door, const char *method, const char *path,
                      json_t *body /* taken, may be NULL */);
 /** Removes the quotas of the teams from the settings. */
-void fixture_lift_quotas(Fixture *fixture);
+void fixture_remove_quotas(Fixture *fixture);
 /** Sends a POST to the API listener, without advancing the time. */
 void fixture_post(Fixture *fixture, const char *path, json_t *body /* taken */);
 /** Sends a request to the API listener, and runs for 0.3 s so that its answer arrives. */
-void fixture_call(Fixture *fixture, const char *method, const char *path, json_t *body /* taken */);
+void fixture_send_request(Fixture *fixture, const char *method, const char *path,
+                          json_t *body /* taken */);
 /** Returns the body of a heartbeat; @tasks is taken. */
 json_t *fixture_heartbeat(const Fixture *fixture, const char *machine, guint64 fencing_token,
                           guint64 sequence, json_t *tasks);
@@ -91,7 +92,7 @@
 /** Returns the submission of the job req-1, which has one task. */
 json_t *fixture_submission(void);
 /** Returns the same submission with another job id. */
-json_t *fixture_submission_of(const char *id);
+json_t *fixture_submission_with_id(const char *id);
 /** The assignments in the job's first task record; NULL if there is no such record. */
 const json_t *fixture_assignments(const Fixture *fixture, const char *job);
 /** Whether the store has an assignment of the job req-1. */
--- a/tests/sim/sim-checker.c
+++ b/tests/sim/sim-checker.c
@@ -128,7 +128,7 @@
 }
 
 guint
-sim_machine_running(const Sim *sim, guint job)
+sim_find_machine_running_job(const Sim *sim, guint job)
 {
   for (guint i = 0; i < sim->machines->len; i++)
     if (count_running_on(sim, g_ptr_array_index(sim->machines, i),
@@ -139,7 +139,7 @@
 }
 
 guint
-sim_late_starts(const Sim *sim)
+sim_count_late_starts(const Sim *sim)
 {
   return sim->late_starts;
 }
@@ -240,38 +240,38 @@
 }
 
 guint
-sim_open_jobs(const Sim *sim)
+sim_count_open_jobs(const Sim *sim)
 {
   return count_reported(sim, REPORTED_ACCEPTED) + count_reported(sim, REPORTED_NONE);
 }
 
 guint
-sim_done_jobs(const Sim *sim)
+sim_count_done_jobs(const Sim *sim)
 {
   return count_reported(sim, REPORTED_DONE);
 }
 
 guint
-sim_lost_tasks(const Sim *sim)
+sim_count_lost_tasks(const Sim *sim)
 {
   return sim->lost_tasks;
 }
 
 guint
-sim_returned_tasks(const Sim *sim)
+sim_count_returned_tasks(const Sim *sim)
 {
   return sim->returned_tasks;
 }
 
 gboolean
-sim_has_started(const Sim *sim, guint index)
+sim_job_has_started(const Sim *sim, guint index)
 {
   const Job *job = g_ptr_array_index(sim->jobs, index);
   return job->has_started || job->cancelling;
 }
 
 guint
-sim_machines_in(const Sim *sim, const char *zone)
+sim_count_machines_in_zone(const Sim *sim, const char *zone)
 {
   guint count = 0;
   for (guint i = 0; i < sim->machines->len; i++) {
@@ -282,28 +282,28 @@
 }
 
 guint
-sim_machines(const Sim *sim)
+sim_count_machines(const Sim *sim)
 {
   guint count = 0;
   for (guint z = 0; z < G_N_ELEMENTS(SIM_ZONES); z++)
-    count += sim_machines_in(sim, SIM_ZONES[z]);
+    count += sim_count_machines_in_zone(sim, SIM_ZONES[z]);
   return count;
 }
 
 guint
-sim_marks(const Sim *sim)
+sim_count_termination_marks(const Sim *sim)
 {
-  return sim_store_count(sim->store, "w/mark/");
+  return sim_store_count_keys(sim->store, "w/mark/");
 }
 
 guint
-sim_task_records(const Sim *sim)
+sim_count_task_records(const Sim *sim)
 {
-  return sim_store_count(sim->store, "w/task/");
+  return sim_store_count_keys(sim->store, "w/task/");
 }
 
 guint
-sim_unrecorded(const Sim *sim)
+sim_count_unrecorded_machines(const Sim *sim)
 {
   guint count = 0;
   for (guint i = 0; i < sim->machines->len; i++) {
--- a/tests/sim/sim-cloud.c
+++ b/tests/sim/sim-cloud.c
@@ -35,7 +35,8 @@
   if (names == NULL) {
     names = json_array();
     for (json_int_t i = json_integer_value(json_object_get(body, "how_many"));
-         i > 0 && (sim->faults.max_machines == 0 || sim_machines(sim) < sim->faults.max_machines);
+         i > 0
+         && (sim->faults.max_machines == 0 || sim_count_machines(sim) < sim->faults.max_machines);
          i--) {
       g_autofree char *name = g_strdup_printf("m-%06u", sim->machines->len);
       Machine *machine = g_new0(Machine, 1);
--- a/tests/sim/sim-gangs.c
+++ b/tests/sim/sim-gangs.c
@@ -103,7 +103,7 @@
     if (member->task->attempt != attempt)
       continue;
     member->task->state = "running";
-    member->task->save_ms = (gint64)(SIM_SAVE_S * 1000.0);
+    member->task->save_ms = (gint64)(SIM_SAVE_DURATION_S * 1000.0);
     send_heartbeat_soon(sim, member->machine);
   }
 }
@@ -137,7 +137,7 @@
 static void
 lose_attempt(const Sim *sim, Job *job)
 {
-  gint64 checkpoint_ms = (gint64)(SIM_CHECKPOINT_S * 1000.0);
+  gint64 checkpoint_ms = (gint64)(SIM_CHECKPOINT_INTERVAL_S * 1000.0);
   job->gang.progress_ms
       = MAX(job->gang.progress_ms, progress_until_now(sim, job) / checkpoint_ms * checkpoint_ms);
   job->gang.is_over = TRUE;
--- a/tests/sim/sim-users.c
+++ b/tests/sim/sim-users.c
@@ -159,8 +159,8 @@
       "prednost", spec->priority, "kusy", (int)spec->tasks, "cpus", 8.0, "accelerators", 1.0,
       "mem_gb", 16.0, "obraz", "img-1", "pull_gb", 2.0, "typy", "hala", spec->zone, "one_zone",
       spec->one_zone, "scatter", spec->scatter, "vypujcky", spec->spot, "odhad_s",
-      spec->service ? 0.0 : spec->run_s, "zaloha_s", spec->gang ? SIM_CHECKPOINT_S : 0.0,
-      "ulozeni_s", spec->gang ? SIM_SAVE_S : 0.0, "termin_s");
+      spec->service ? 0.0 : spec->run_s, "zaloha_s", spec->gang ? SIM_CHECKPOINT_INTERVAL_S : 0.0,
+      "ulozeni_s", spec->gang ? SIM_SAVE_DURATION_S : 0.0, "termin_s");
   g_assert_nonnull(job->message);
   job->next_request_ms = sim->now_ms;
   g_ptr_array_add(sim->jobs, job);
@@ -179,13 +179,13 @@
 }
 
 gboolean
-sim_is_told_cancelled(const Sim *sim, guint job)
+sim_is_reported_cancelled(const Sim *sim, guint job)
 {
   return ((Job *)g_ptr_array_index(sim->jobs, job))->reported == REPORTED_CANCELLED;
 }
 
 void
-sim_cancel_any(Sim *sim)
+sim_cancel_random_job(Sim *sim)
 {
   if (sim->jobs->len == 0)
     return;
--- a/tests/sim/sim.c
+++ b/tests/sim/sim.c
@@ -95,13 +95,13 @@
   sim->rentals = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, names_free);
   for (guint n = 0; n < SIM_NODES; n++)
     sim->settings[n] = ws_test_settings(n);
-  sim_set_pace(sim, sim->settings[0]->report_s, sim->settings[0]->lease_s);
+  sim_set_heartbeat_timing(sim, sim->settings[0]->report_s, sim->settings[0]->lease_s);
   sim_schedule(sim, 0, tick, NULL);
   return sim;
 }
 
 void
-sim_set_pace(Sim *sim, double report_s, double lease_s)
+sim_set_heartbeat_timing(Sim *sim, double report_s, double lease_s)
 {
   sim->heartbeat_interval_ms = (gint64)(report_s * 1000.0);
   sim->lease_ms = (gint64)(lease_s * 1000.0);
--- a/tests/sim/sim.h
+++ b/tests/sim/sim.h
@@ -16,8 +16,8 @@
  * the time to save its progress when it is stopped, in seconds.
  */
 #define SIM_NODES 3
-#define SIM_CHECKPOINT_S 10.0
-#define SIM_SAVE_S 2.0
+#define SIM_CHECKPOINT_INTERVAL_S 10.0
+#define SIM_SAVE_DURATION_S 2.0
 
 /** A simulated cluster. */
 typedef struct _Sim Sim;
@@ -30,11 +30,11 @@
   double lose;   /* probability that a request, or its answer, is lost */
   double repeat; /* probability that a request arrives twice */
   double late;   /* probability that a request arrives 2 s to 60 s late, often after its timeout */
-} SimNet;
+} SimNetworkFaults;
 
 /** The faults in force. Tests may set and clear them at any time. */
 typedef struct {
-  SimNet net;
+  SimNetworkFaults net;
   gboolean store_unavailable; /* the store answers every node with 503 */
   guint store_refuses_nodes;  /* bit mask of the nodes that the store answers with 503 */
   guint partitioned_zones;    /* bit mask of the zones that are cut off from those without a bit */
@@ -59,7 +59,8 @@
   gboolean scatter;
   gboolean spot;
   gboolean one_zone;
-  gboolean gang;    /* checkpoints every SIM_CHECKPOINT_S; takes SIM_SAVE_S to save when stopped */
+  gboolean gang; /* checkpoints every SIM_CHECKPOINT_INTERVAL_S; takes SIM_SAVE_DURATION_S to save
+                    when stopped */
   const char *zone; /* the only zone allowed; NULL: any */
   double run_s;     /* of each task; a service runs until it is stopped */
 } SimJob;
@@ -69,7 +70,7 @@
 /** Frees the cluster and everything in flight. */
 void sim_free(Sim *sim);
 /** Sets the heartbeat interval and the lease of workers. Must be called before sim_run(). */
-void sim_set_pace(Sim *sim, double report_s, double lease_s);
+void sim_set_heartbeat_timing(Sim *sim, double report_s, double lease_s);
 /** The faults in force, which the caller may change. */
 SimFaults *sim_faults(Sim *sim);
 /** The generator from which the whole simulation draws its random numbers. */
@@ -89,7 +90,7 @@
 /** Adds a user who submits the job. Jobs are numbered in the order of these calls, from 0. */
 void sim_submit(Sim *sim, const SimJob *job);
 /** Has the user of a random job cancel it with the next request, if the job is accepted. */
-void sim_cancel_any(Sim *sim);
+void sim_cancel_random_job(Sim *sim);
 /** Has the user of the job cancel it at once, if it is accepted. */
 void sim_cancel(Sim *sim, guint job);
 /** Sets the probability with which a user cancels a job when one of its tasks completes. */
@@ -108,7 +109,7 @@
 /** Starts the task on the machine without a controller's decision, to violate an invariant. */
 void sim_force_start(Sim *sim, guint machine, guint job, guint task);
 /** The index of the first machine that runs a task of the job; G_MAXUINT if there is none. */
-guint sim_machine_running(const Sim *sim, guint job);
+guint sim_find_machine_running_job(const Sim *sim, guint job);
 /** Draws the index of a random machine that is up; G_MAXUINT if there is none. */
 guint sim_draw_machine(Sim *sim);
 /** Stalls the machine: it sends and handles nothing for @seconds, while its lease runs on. */
@@ -125,25 +126,25 @@
 /** Changes the limits that the store enforces, but not those in the settings of the nodes. */
 void sim_lower_limits(Sim *sim, guint ops, gsize bytes);
 /** The number of transactions that the store has refused for their size. */
-guint sim_rejected_for_size(const Sim *sim);
+guint sim_count_rejected_for_size(const Sim *sim);
 /** The leader according to its record in the store; G_MAXUINT if there is none. */
 guint sim_leader(const Sim *sim);
 /** Whether the job's user got the answer that it is cancelled. */
-gboolean sim_is_told_cancelled(const Sim *sim, guint job);
+gboolean sim_is_reported_cancelled(const Sim *sim, guint job);
 /** The number of the job's tasks that are running on machines that are up. */
 guint sim_count_running(const Sim *sim, guint job);
 /** Kills a random machine that is up. */
-void sim_kill_any_machine(Sim *sim);
+void sim_kill_random_machine(Sim *sim);
 /** Stalls a random machine that is up. */
-void sim_stall_any_machine(Sim *sim, double seconds);
+void sim_stall_random_machine(Sim *sim, double seconds);
 /** Draws a random machine that is up and, if it is a spot machine, interrupts it after @seconds. */
-void sim_interrupt_any_machine(Sim *sim, double seconds);
+void sim_interrupt_random_machine(Sim *sim, double seconds);
 /** Gives a spot machine an interruption notice: the cloud takes it back after @seconds. */
 void sim_interrupt_machine(Sim *sim, guint machine, double seconds);
 /** Does the same as sim_block_outbound() to a random machine that is up. */
-void sim_block_outbound_of_any(Sim *sim, double seconds);
+void sim_block_outbound_of_random_machine(Sim *sim, double seconds);
 /** Restarts a random machine that is up: it drops its tasks and reports anew after 0.3 s. */
-void sim_restart_any_machine(Sim *sim);
+void sim_restart_random_machine(Sim *sim);
 /**
  * Clears sim_faults() and the probability of sim_cancel_at_completion(), and starts the liveness
  * checks: from now on no accepted job may go without an answer, or wait beside free capacity that
@@ -152,26 +153,26 @@
 void sim_end_faults(Sim *sim);
 
 /** The number of tasks that started over 1.5 s after the answer that their job is cancelled. */
-guint sim_late_starts(const Sim *sim);
+guint sim_count_late_starts(const Sim *sim);
 /** The number of jobs submitted so far. */
 guint sim_count_jobs(const Sim *sim);
 /** The number of jobs whose users have got neither the answer "done" nor "cancelled". */
-guint sim_open_jobs(const Sim *sim);
+guint sim_count_open_jobs(const Sim *sim);
 /** The number of jobs whose users have got the answer "done". */
-guint sim_done_jobs(const Sim *sim);
+guint sim_count_done_jobs(const Sim *sim);
 /** The number of tasks that workers have dropped because their lease expired. */
-guint sim_lost_tasks(const Sim *sim);
+guint sim_count_lost_tasks(const Sim *sim);
 /** The number of tasks that were still on machines when a controller returned these. */
-guint sim_returned_tasks(const Sim *sim);
+guint sim_count_returned_tasks(const Sim *sim);
 /** Whether a task of the job has started, or its user has decided to cancel it. */
-gboolean sim_has_started(const Sim *sim, guint index);
+gboolean sim_job_has_started(const Sim *sim, guint index);
 /** The number of machines that are rented and not returned, for which the cloud charges. */
-guint sim_machines(const Sim *sim);
+guint sim_count_machines(const Sim *sim);
 /** The number of such machines in the zone. */
-guint sim_machines_in(const Sim *sim, const char *zone);
+guint sim_count_machines_in_zone(const Sim *sim, const char *zone);
 /** The number of task records in the store. */
-guint sim_task_records(const Sim *sim);
+guint sim_count_task_records(const Sim *sim);
 /** The number of termination marks in the store. */
-guint sim_marks(const Sim *sim);
+guint sim_count_termination_marks(const Sim *sim);
 /** The number of machines that are charged for, but are in no rental batch in the store. */
-guint sim_unrecorded(const Sim *sim);
+guint sim_count_unrecorded_machines(const Sim *sim);
--- a/tests/sim/store.c
+++ b/tests/sim/store.c
@@ -62,7 +62,7 @@
 sim_store_new(void)
 {
   SimStore *store = g_new0(SimStore, 1);
-  store->max_operations = 16; /* as in ws_test_message() */
+  store->max_operations = 16; /* as in ws_test_settings_message() */
   store->max_value_bytes = (gsize)16 * 1024;
   store->entries = g_tree_new_full(compare_keys, NULL, g_free, entry_free);
   store->leases = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
@@ -382,13 +382,13 @@
 }
 
 guint
-sim_store_rejected_for_size(const SimStore *store)
+sim_store_count_rejected_for_size(const SimStore *store)
 {
   return store->rejected_for_size;
 }
 
 guint
-sim_store_count(const SimStore *store, const char *prefix)
+sim_store_count_keys(const SimStore *store, const char *prefix)
 {
   Listing listing = { prefix, NULL, NULL, 0 };
   g_tree_foreach(store->entries, list_entry, &listing);
--- a/tests/sim/store.h
+++ b/tests/sim/store.h
@@ -26,9 +26,9 @@
 /** Sets limits: larger transactions and values get 400. What is stored stays readable. */
 void sim_store_set_limits(SimStore *store, guint max_operations, gsize max_value_bytes);
 /** The number of transactions that were refused for their size. */
-guint sim_store_rejected_for_size(const SimStore *store);
+guint sim_store_count_rejected_for_size(const SimStore *store);
 /** The number of keys with the prefix. */
-guint sim_store_count(const SimStore *store, const char *prefix);
+guint sim_store_count_keys(const SimStore *store, const char *prefix);
 /** Whether a record whose key has the prefix contains @name in its list "names". */
 gboolean sim_store_lists_name(const SimStore *store, const char *prefix, const char *name);
 /** Whether the key exists. */
--- a/tests/test-coordination.c
+++ b/tests/test-coordination.c
@@ -75,7 +75,7 @@
 static void
 test_limits(void)
 {
-  json_t *crowd = ws_test_message(0);
+  json_t *crowd = ws_test_settings_message(0);
   for (guint n = 0; n < 40; n++) {
     g_autofree char *name = g_strdup_printf("extra-%u", n);
     json_array_append_new(
@@ -83,7 +83,7 @@
         json_pack("{s:s, s:s, s:s}", "node_name", name, "zone", "a", "endpoint", "mesh-9:1"));
   }
   check_refused(crowd, "31 nodes");
-  json_t *narrow = ws_test_message(0);
+  json_t *narrow = ws_test_settings_message(0);
   json_object_set_new(json_object_get(json_object_get(narrow, "params"), "state"), "value_kb",
                       json_real(2.0));
   check_refused(narrow, "value_kb");
--- a/tests/test-protocol.c
+++ b/tests/test-protocol.c
@@ -59,8 +59,8 @@
 static void
 test_submissions(void)
 {
-  ws_cases(300, 1, submission_round_trip);
-  ws_cases(300, 1000, submission_damaged);
+  ws_check_cases(300, 1, submission_round_trip);
+  ws_check_cases(300, 1000, submission_damaged);
 }
 
 static void
@@ -209,7 +209,7 @@
 static void
 test_damaged_reports(void)
 {
-  ws_cases(2000, 1, report_damaged);
+  ws_check_cases(2000, 1, report_damaged);
 }
 
 static void
@@ -262,7 +262,7 @@
     { "workers", "{\"gang_peer_s\":true}", "params.workers.gang_peer_s" },
   };
   for (guint i = 0; i < G_N_ELEMENTS(CASES); i++) {
-    g_autoptr(json_t) message = ws_test_message(0);
+    g_autoptr(json_t) message = ws_test_settings_message(0);
     g_autoptr(json_t) more = ws_json_parse(CASES[i].json, strlen(CASES[i].json));
     json_object_update(json_object_get(json_object_get(message, "params"), CASES[i].section), more);
     g_autoptr(GError) error = NULL;
--- a/tests/test-storage.c
+++ b/tests/test-storage.c
@@ -119,7 +119,7 @@
 static void
 test_early(void)
 {
-  ws_cases(200, 1, early_and_again);
+  ws_check_cases(200, 1, early_and_again);
 }
 
 /* After the state was read again, keys that are no longer there are gone. */
--- a/tests/ws-gen.h
+++ b/tests/ws-gen.h
@@ -10,7 +10,7 @@
 
 /** Checks @count generated cases, with the seeds from @first on. */
 static inline void
-ws_cases(guint count, guint32 first, WsCase check)
+ws_check_cases(guint count, guint32 first, WsCase check)
 {
   for (guint i = 0; i < count; i++) {
     g_test_message("seed %u", first + i);
