--- a/tests/sim/fixture.c
+++ b/tests/sim/fixture.c
@@ -190,11 +190,11 @@
 }
 
 void
-fixture_request(Fixture *fixture, WsListener door, const char *method, const char *path,
+fixture_request(Fixture *fixture, WsListener listener, const char *method, const char *path,
                 json_t *body)
 {
   g_autofree char *text = ws_json_text(body);
-  ws_core_request(fixture->core, fixture->now_ms, fixture->now_ms, door, method, path, text,
+  ws_core_request(fixture->core, fixture->now_ms, fixture->now_ms, listener, method, path, text,
                   text != NULL ? strlen(text) : 0, fixture);
   json_decref(body);
   fixture_handle_outputs(fixture);
--- a/tests/sim/fixture.h
+++ b/tests/sim/fixture.h
@@ -70,7 +70,7 @@
 /** Advances the time by @seconds, in ticks of 50 ms. */
 void fixture_run(Fixture *fixture, double seconds);
 /** Sends the controller a request, without advancing the time. */
-void fixture_request(Fixture *fixture, WsListener door, const char *method, const char *path,
+void fixture_request(Fixture *fixture, WsListener listener, const char *method, const char *path,
                      json_t *body /* taken, may be NULL */);
 /** Removes the quotas of the teams from the settings. */
 void fixture_remove_quotas(Fixture *fixture);
--- a/tests/sim/sim-network.c
+++ b/tests/sim/sim-network.c
@@ -143,15 +143,15 @@
  */
 
 static void
-deliver_to_node(Sim *sim, Call *call, guint node, WsListener door)
+deliver_to_node(Sim *sim, Call *call, guint node, WsListener listener)
 {
   g_autofree char *text = ws_json_text(call->body);
   if (sim->nodes[node].core == NULL) {
     sim_call_unref(call);
     return;
   }
-  ws_core_request(sim->nodes[node].core, sim->now_ms, sim_wall_clock_ms(sim), door, call->method,
-                  call->path, text, text != NULL ? strlen(text) : 0, call);
+  ws_core_request(sim->nodes[node].core, sim->now_ms, sim_wall_clock_ms(sim), listener,
+                  call->method, call->path, text, text != NULL ? strlen(text) : 0, call);
   sim_deliver_outputs(sim, node);
 }
 
