--- a/tests/sim/fault-injection.h
+++ b/tests/sim/fault-injection.h
@@ -32,10 +32,14 @@
 /** Runs until no job is open, but at most for @max_seconds. */
 void sim_run_until_jobs_end(Sim *sim, guint max_seconds);
 
-/** Cancels one random job and runs for @pause_s, until no job is open or @max_rounds times. */
+/** Cancels a random job and runs for @pause_s, repeatedly until no job is open, at most
+    @max_rounds times. */
 void sim_cancel_until_jobs_end(Sim *sim, guint max_rounds, double pause_s);
 
-/** Ends all faults, and fails unless every job then ends and no machine, mark or record leaks. */
+/**
+ * Ends all faults. Fails unless every job then ends and neither a rented machine nor a termination
+ * mark is left, or if the store has refused a transaction for its size.
+ */
 void sim_expect_recovery(Sim *sim);
 
 /** Sends malformed requests five times within 3.5 s. */
--- a/tests/sim/fixture.h
+++ b/tests/sim/fixture.h
@@ -1,7 +1,8 @@
 /**
  * The one-node harness: the only controller of its epoch, with a simulated store and scripted
  * peers, workers and cloud. It serves tests of conditions that random schedules rarely reach, and
- * tests that count messages.
+ * tests that count messages. The functions fixture_send_...() run for 0.3 s after the message, so
+ * that its answer arrives; the other functions that send a message don't advance the time.
  */
 #pragma once
 
@@ -76,18 +77,18 @@
 void fixture_remove_quotas(Fixture *fixture);
 /** Sends a POST to the API listener, without advancing the time. */
 void fixture_post(Fixture *fixture, const char *path, json_t *body /* taken */);
-/** Sends a request to the API listener, and runs for 0.3 s so that its answer arrives. */
+/** Sends a request to the API listener, and runs for 0.3 s. */
 void fixture_send_request(Fixture *fixture, const char *method, const char *path,
                           json_t *body /* taken */);
 /** Returns the body of a heartbeat; @tasks is taken. */
 json_t *fixture_heartbeat(const Fixture *fixture, const char *machine, guint64 fencing_token,
                           guint64 sequence, json_t *tasks);
-/** Sends a POST to the peer listener, and runs for 0.3 s so that its answer arrives. */
+/** Sends a POST to the peer listener, and runs for 0.3 s. */
 void fixture_send_peer_message(Fixture *fixture, const char *path, json_t *body /* taken */);
 /** Sends a heartbeat of the machine, without advancing the time. */
 void fixture_post_heartbeat(Fixture *fixture, const char *machine, guint64 fencing_token,
                             guint64 sequence, json_t *tasks /* taken */);
-/** Sends the next heartbeat of the machine m-1, and runs for 0.3 s so that its answer arrives. */
+/** Sends the next heartbeat of the machine m-1, and runs for 0.3 s. */
 void fixture_send_heartbeat(Fixture *fixture, guint64 fencing_token, json_t *tasks);
 /** Returns the submission of the job req-1, which has one task. */
 json_t *fixture_submission(void);
--- a/tests/sim/sim-checker.c
+++ b/tests/sim/sim-checker.c
@@ -42,9 +42,11 @@
   }
 }
 
-/* How long a launch may still be in flight after its user got the answer "cancelled". */
+/* How long a launch may still be in flight after the job's user got the answer "cancelled". */
 #define LAUNCH_IN_FLIGHT_MS 1500
 
+/* Checks the invariants ran_twice, quota and wrong_place, and the capacity of the machine, when the
+   task starts to occupy a slot. The quotas are those of ws_test_settings_message(). */
 static void
 check_start(Sim *sim, const Machine *machine, const SimTask *task)
 {
@@ -65,6 +67,8 @@
   g_assert_cmpuint(count.on_machine, <, SIM_MACHINE_SLOTS);
 }
 
+/* Checks the invariant ran_cancelled: a task must have stopped CANCEL_LIMIT_MS after the answer
+   that its job is cancelled. */
 static void
 check_cancelled(Sim *sim, const SimTask *task)
 {
--- a/tests/sim/sim-network.c
+++ b/tests/sim/sim-network.c
@@ -64,8 +64,7 @@
   return call->machine == NULL && call->job == NULL && call->expected_status == 0;
 }
 
-/* Fails if a malformed request got an unexpected answer. Status 503 and a timeout (0) are allowed.
- */
+/* Fails if a malformed request got any answer but the expected one, 503 or a timeout (status 0). */
 static void
 check_malformed_reply(const Sim *sim, const Call *call)
 {
@@ -139,8 +138,7 @@
   sim_schedule(call->sim, draw_latency_ms(call->sim), deliver_reply, call);
 }
 
-/* Requests to nodes. The core is given the Call as the handle of the request, and answers with it.
- */
+/* Requests to nodes. The Call is the handle by which the core answers a request. */
 
 static void
 deliver_to_node(Sim *sim, Call *call, guint node, WsListener listener)
--- a/tests/sim/sim-users.c
+++ b/tests/sim/sim-users.c
@@ -109,6 +109,8 @@
     send_user_request(sim, job, "GET", path, NULL);
 }
 
+/* Records the state in an answer. Checks that a job's state never goes back (went_back), that it is
+   cancelled only by its user, and that all its tasks are done when it is (not_done). */
 static void
 record_reported_state(Sim *sim, Job *job, const char *state)
 {
--- a/tests/sim/sim.h
+++ b/tests/sim/sim.h
@@ -56,13 +56,12 @@
   gboolean service;
   const char *team;
   const char *priority;
-  gboolean scatter;
-  gboolean spot;
-  gboolean one_zone;
-  gboolean gang; /* checkpoints every SIM_CHECKPOINT_INTERVAL_S; takes SIM_SAVE_DURATION_S to save
-                    when stopped */
-  const char *zone; /* the only zone allowed; NULL: any */
-  double run_s;     /* of each task; a service runs until it is stopped */
+  gboolean scatter;  /* at most half of its tasks, rounded up, may run in the same zone */
+  gboolean spot;     /* its tasks may run on spot machines */
+  gboolean one_zone; /* all its tasks must run in the same zone */
+  gboolean gang;     /* its tasks run together, checkpoint, and save when they are stopped */
+  const char *zone;  /* the only zone allowed; NULL: any */
+  double run_s;      /* of each task; a service runs until it is stopped */
 } SimJob;
 
 /** Creates a cluster without machines or jobs. Its controllers start with the first sim_run(). */
