--- a/tests/sim/trace.h
+++ b/tests/sim/trace.h
@@ -11,6 +11,6 @@
 
 #include "core/ws-core.h"
 
-/** Writes an output, if WS_TRACE is set. @method and @url of an answer are those of its request. */
+/** Writes an output, if WS_TRACE is set. An answer has the method and URL of its request. */
 void sim_trace_output(gint64 now_ms, const char *node, const char *method, const char *url,
                       const WsOutput *output);
