--- a/src/api/ws-admission.c
+++ b/src/api/ws-admission.c
@@ -14,8 +14,8 @@
 fits_record(const WsCore *core, const WsJobSpec *spec)
 {
   g_autoptr(json_t) value = ws_job_spec_encode(spec);
-  g_autofree char *text = ws_json_text(value);
-  return strlen(text) + JOB_RECORD_OVERHEAD_BYTES <= core->settings->state_record_bytes;
+  g_autofree char *text = ws_json_serialize(value);
+  return strlen(text) + JOB_RECORD_OVERHEAD_BYTES <= core->settings->kv_max_record_bytes;
 }
 
 /* Whether all tasks of a gang could ever run at once. */
@@ -40,7 +40,7 @@
 {
   WsResources need = { 0 };
   ws_resources_add(&need, &spec->need, spec->kind == WS_KIND_ARRAY ? 1 : (gint64)spec->tasks);
-  return ws_team_allows(team, &need);
+  return ws_team_is_within_limit(team, &need);
 }
 
 static gboolean
@@ -48,14 +48,14 @@
 {
   for (WsTypeIndex t = 0; t < core->replica->catalog->len; t++) {
     const WsType *type = ws_replica_type(core->replica, t);
-    if (ws_constraints_type_fits(spec, type))
+    if (ws_constraints_task_fits_type(spec, type))
       return TRUE;
   }
   return FALSE;
 }
 
 const char *
-ws_admission_refusal(const WsCore *core, const WsJobSpec *spec)
+ws_admission_rejection_reason(const WsCore *core, const WsJobSpec *spec)
 {
   WsTeamIndex team = ws_replica_find_team(core->replica, spec->team);
   if (team == WS_NO_TEAM)
--- a/src/api/ws-admission.h
+++ b/src/api/ws-admission.h
@@ -11,4 +11,4 @@
  *
  * It depends on settings and the cloud's catalog, which must be known.
  */
-const char *ws_admission_refusal(const WsCore *core, const WsJobSpec *spec);
+const char *ws_admission_rejection_reason(const WsCore *core, const WsJobSpec *spec);
--- a/src/api/ws-job-api.c
+++ b/src/api/ws-job-api.c
@@ -55,26 +55,26 @@
 static void
 finish_later(WsCore *core, UserRequest *user_request)
 {
-  ws_answer_later(core, user_request->handle,
-                  ws_store_is_available(core) ? RETRY_AFTER_S : RETRY_AFTER_OUTAGE_S);
+  ws_answer_retry_later(core, user_request->handle,
+                        ws_store_is_available(core) ? RETRY_AFTER_S : RETRY_AFTER_OUTAGE_S);
   user_request_free(user_request);
 }
 
 static void
 finish_with_reason(WsCore *core, UserRequest *user_request, guint status, const char *reason)
 {
-  ws_answer_reason(core, user_request->handle, status, reason);
+  ws_answer_error(core, user_request->handle, status, reason);
   user_request_free(user_request);
 }
 
-static WsUserState
+static WsReportedJobState
 user_state(const WsJob *job)
 {
   if (job->state == WS_JOB_DONE)
-    return WS_USER_STATE_DONE;
+    return WS_REPORTED_STATE_DONE;
   if (job->state == WS_JOB_CANCELLED)
-    return WS_USER_STATE_CANCELLED;
-  return job->assigned_count > 0 ? WS_USER_STATE_RUNNING : WS_USER_STATE_QUEUED;
+    return WS_REPORTED_STATE_CANCELLED;
+  return job->assigned_count > 0 ? WS_REPORTED_STATE_RUNNING : WS_REPORTED_STATE_QUEUED;
 }
 
 static void
@@ -150,7 +150,7 @@
     return;
   log_accepted(user_request->spec);
   core->replan_is_needed = TRUE;
-  WsJobSummary summary = { .job_id = user_request->id, .state = WS_USER_STATE_QUEUED };
+  WsJobSummary summary = { .job_id = user_request->id, .state = WS_REPORTED_STATE_QUEUED };
   finish(core, user_request, WS_HTTP_CREATED, ws_job_summary_encode(&summary, FALSE));
 }
 
@@ -180,7 +180,7 @@
     finish_later(core, user_request);
     return;
   }
-  const char *reason = ws_admission_refusal(core, user_request->spec);
+  const char *reason = ws_admission_rejection_reason(core, user_request->spec);
   /* Another node, perhaps of an older version with other rules, may have accepted the job. */
   if (reason != NULL && !user_request->has_read)
     ws_store_linearizable_read(core, on_read, user_request);
@@ -244,7 +244,7 @@
   const WsJob *job = ws_replica_find_job(core->replica, id);
   gboolean is_final = job != NULL && job->state != WS_JOB_ACTIVE;
   if (!ws_store_is_loaded(core) || (!is_final && !ws_store_is_available(core))) {
-    ws_answer_later(core, request, RETRY_AFTER_OUTAGE_S);
+    ws_answer_retry_later(core, request, RETRY_AFTER_OUTAGE_S);
     ws_job_spec_free(spec);
     return;
   }
@@ -262,14 +262,14 @@
 submit(WsCore *core, const char *body, gsize length, gpointer request)
 {
   if (length > MAX_BODY_BYTES) {
-    ws_answer_reason(core, request, WS_HTTP_BAD_REQUEST, "longer than 64 KiB");
+    ws_answer_error(core, request, WS_HTTP_BAD_REQUEST, "longer than 64 KiB");
     return;
   }
   g_autoptr(json_t) message = ws_json_parse(body, length);
   g_autoptr(GError) error = NULL;
   WsJobSpec *spec = ws_job_spec_parse(message, &error);
   if (spec == NULL) {
-    ws_answer_reason(core, request, WS_HTTP_BAD_REQUEST, error->message);
+    ws_answer_error(core, request, WS_HTTP_BAD_REQUEST, error->message);
     return;
   }
   begin(core, REQUEST_SUBMIT, spec->id, spec, request);
@@ -295,13 +295,13 @@
   gboolean is_submission = strcmp(path, JOBS_PATH) == 0;
   g_autofree char *id = job_id_in_path(path, &is_cancellation);
   if (!is_submission && id == NULL)
-    ws_answer_reason(core, request, WS_HTTP_NOT_FOUND, "no such path");
+    ws_answer_error(core, request, WS_HTTP_NOT_FOUND, "no such path");
   else if (strcmp(method, is_submission || is_cancellation ? "POST" : "GET") != 0)
-    ws_answer_reason(core, request, WS_HTTP_METHOD_NOT_ALLOWED, "not with this method");
+    ws_answer_error(core, request, WS_HTTP_METHOD_NOT_ALLOWED, "not with this method");
   else if (is_submission)
     submit(core, body, length, request);
-  else if (!ws_job_id_valid(id))
-    ws_answer_reason(core, request, WS_HTTP_NOT_FOUND, "no such job");
+  else if (!ws_job_id_is_valid(id))
+    ws_answer_error(core, request, WS_HTTP_NOT_FOUND, "no such job");
   else
     begin(core, is_cancellation ? REQUEST_CANCEL : REQUEST_POLL, id, NULL, request);
 }
--- a/src/commit/ws-assignments.c
+++ b/src/commit/ws-assignments.c
@@ -91,7 +91,7 @@
   gint64 oldest_ms = core->now;
   for (guint i = 0; i < core->assignments->proposals->len; i++)
     oldest_ms
-        = MIN(oldest_ms, g_array_index(core->assignments->proposals, WsProposal, i).planned_ms);
+        = MIN(oldest_ms, g_array_index(core->assignments->proposals, WsProposal, i).proposed_ms);
   return core->now - oldest_ms;
 }
 
@@ -205,7 +205,7 @@
     g_hash_table_remove(assignments->pending, ws_task_key(proposal->job, proposal->task));
   }
   if (result == WS_TXN_INVALID)
-    ws_job_quarantine_add(assignments->quarantine, core->now, assignments->jobs);
+    ws_job_quarantine_record_rejection(assignments->quarantine, core->now, assignments->jobs);
   if (result == WS_TXN_COMMITTED)
     log_ended_jobs(core);
   else
@@ -221,9 +221,9 @@
     const WsRelease *release = &ordered->release;
     if (filter == RELEASES_ENDING_JOBS && !ordered->ends_job)
       break;
-    if (ws_job_quarantine_has(core->assignments->quarantine, core->now, release->job))
+    if (ws_job_quarantine_contains(core->assignments->quarantine, core->now, release->job))
       continue;
-    if (ws_batch_release(batch, release) == WS_BATCH_REJECTED)
+    if (ws_batch_add_release(batch, release) == WS_BATCH_REJECTED)
       ws_releases_remove(core, release);
   }
 }
@@ -238,11 +238,11 @@
 static WsBatchResult
 batch_proposal(WsCore *core, WsBatch *batch, const WsProposal *proposal, ProposalFilter filter)
 {
-  if (ws_job_quarantine_has(core->assignments->quarantine, core->now, proposal->job))
+  if (ws_job_quarantine_contains(core->assignments->quarantine, core->now, proposal->job))
     return WS_BATCH_REJECTED;
   if (filter == CRITICAL_PROPOSALS && !is_critical(core, proposal))
     return WS_BATCH_FULL;
-  return ws_batch_assign(batch, proposal);
+  return ws_batch_add_assignment(batch, proposal);
 }
 
 static void
@@ -270,10 +270,10 @@
 static void
 fill_batch(WsCore *core, WsBatch *batch)
 {
-  guint max_operations = core->settings->state_txn_ops;
+  guint max_operations = core->settings->kv_max_txn_ops;
   guint max_with_ending_releases = max_operations / 2;
   guint max_with_proposals = max_operations * 5 / 6;
-  g_autoptr(GArray) releases = ws_releases_in_order(core);
+  g_autoptr(GArray) releases = ws_releases_in_commit_order(core);
   if (ws_job_quarantine_is_isolating(core->assignments->quarantine, core->now))
     ws_batch_restrict_to_one_job(batch);
   batch_proposals(core, batch, CRITICAL_PROPOSALS);
@@ -309,7 +309,7 @@
   assignments->is_writing = TRUE;
   ws_batch_collect_jobs(batch, assignments->jobs);
   WsTxn *txn = ws_batch_build_txn(batch, assignments->ended_jobs);
-  ws_txn_commit(core, txn, WS_REQUEST_TASK, on_written, NULL);
+  ws_txn_commit(core, txn, WS_REQUEST_SCHEDULING, on_written, NULL);
 }
 
 void
--- a/src/commit/ws-batch-check.c
+++ b/src/commit/ws-batch-check.c
@@ -93,7 +93,7 @@
 }
 
 gboolean
-ws_batch_allows(WsBatch *batch, const WsProposal *proposal)
+ws_batch_allows_assignment(WsBatch *batch, const WsProposal *proposal)
 {
   const WsCore *core = batch->core;
   const WsJob *job = ws_replica_job(core->replica, proposal->job);
--- a/src/commit/ws-batch-private.h
+++ b/src/commit/ws-batch-private.h
@@ -52,4 +52,4 @@
 gboolean ws_batch_depends_on_all_chunks(const WsJob *job);
 
 /** Whether the records, as the batch leaves them, allow the assignment. */
-gboolean ws_batch_allows(WsBatch *batch, const WsProposal *proposal);
+gboolean ws_batch_allows_assignment(WsBatch *batch, const WsProposal *proposal);
--- a/src/commit/ws-batch-txn.c
+++ b/src/commit/ws-batch-txn.c
@@ -78,7 +78,7 @@
 put_team_use(const WsBatch *batch, WsTxn *txn)
 {
   const WsSettings *settings = batch->core->settings;
-  for (guint group = 0; group < ws_team_use_groups(settings); group++) {
+  for (guint group = 0; group < ws_team_use_group_count(settings); group++) {
     if (!batch->is_team_use_edited[group])
       continue;
     g_autofree char *key = ws_team_use_key(group);
--- a/src/commit/ws-batch.c
+++ b/src/commit/ws-batch.c
@@ -37,11 +37,11 @@
   batch->core = core;
   batch->edits = g_ptr_array_new_with_free_func(chunk_edit_free);
   batch->team_use = g_memdup2(core->replica->team_use, sizeof(WsResources) * MAX(teams, 1u));
-  batch->is_team_use_edited = g_new0(gboolean, ws_team_use_groups(core->settings));
+  batch->is_team_use_edited = g_new0(gboolean, ws_team_use_group_count(core->settings));
   batch->machine_use = g_hash_table_new_full(NULL, NULL, NULL, g_free);
   batch->machines = g_hash_table_new(NULL, NULL);
   batch->rental_batches = g_ptr_array_new();
-  batch->max_operations = core->settings->state_txn_ops;
+  batch->max_operations = core->settings->kv_max_txn_ops;
   batch->conditions = 1; /* the epoch */
   return batch;
 }
@@ -221,7 +221,7 @@
   guint conditions = batch->conditions + cost.conditions;
   guint bytes = batch->bytes + cost.bytes;
   if (operations > (gint)batch->max_operations
-      || conditions > CONDITIONS_PER_OPERATION * batch->core->settings->state_txn_ops
+      || conditions > CONDITIONS_PER_OPERATION * batch->core->settings->kv_max_txn_ops
       || bytes > MAX_TXN_BYTES)
     return FALSE;
   batch->operations = (guint)operations;
@@ -263,7 +263,7 @@
       = { .completed_count = (gint64)counts.completed_count + (is_completed ? 1 : 0),
           .assigned_count = (gint64)counts.assigned_count - 1,
           .has_completed = is_completed };
-  return ws_job_is_complete_after(job, &progress);
+  return ws_job_ends_after(job, &progress);
 }
 
 /* The highest attempt of the job as the batch leaves it. */
@@ -307,7 +307,7 @@
 }
 
 WsBatchResult
-ws_batch_release(WsBatch *batch, const WsRelease *release)
+ws_batch_add_release(WsBatch *batch, const WsRelease *release)
 {
   const WsJob *job = ws_replica_job(batch->core->replica, release->job);
   if (!ws_release_is_valid(batch->core->replica, release))
@@ -353,12 +353,12 @@
 }
 
 WsBatchResult
-ws_batch_assign(WsBatch *batch, const WsProposal *proposal)
+ws_batch_add_assignment(WsBatch *batch, const WsProposal *proposal)
 {
   WsCore *core = batch->core;
   const WsJob *job = ws_replica_job(core->replica, proposal->job);
   const WsMachine *machine = ws_replica_machine(core->replica, proposal->machine);
-  if (!ws_batch_allows(batch, proposal))
+  if (!ws_batch_allows_assignment(batch, proposal))
     return WS_BATCH_REJECTED;
   if (!reserve_cost(batch, job, proposal->task, machine, FALSE))
     return WS_BATCH_FULL;
@@ -371,6 +371,6 @@
   ws_chunk_add(chunk, &assignment);
   change_use(batch, job, proposal->machine, 1);
   add_machine(batch, machine);
-  core->handlers->note_assignment(core, job, proposal->machine);
+  core->handlers->on_assignment_added(core, job, proposal->machine);
   return WS_BATCH_ADDED;
 }
--- a/src/commit/ws-batch.h
+++ b/src/commit/ws-batch.h
@@ -15,7 +15,7 @@
   WsJobIndex job;
   guint task;
   WsMachineIndex machine;
-  gint64 planned_ms; /**< when it was proposed, on the clock of core->now */
+  gint64 proposed_ms; /**< when it was proposed, on the clock of core->now */
 } WsProposal;
 
 /** What became of a release or an assignment that was to be added. */
@@ -47,10 +47,10 @@
 gboolean ws_batch_is_empty(const WsBatch *batch);
 
 /** Adds the release, if its evidence still holds. It is copied. */
-WsBatchResult ws_batch_release(WsBatch *batch, const WsRelease *release);
+WsBatchResult ws_batch_add_release(WsBatch *batch, const WsRelease *release);
 
 /** Adds the assignment, if the records as the batch leaves them allow it. It is copied. */
-WsBatchResult ws_batch_assign(WsBatch *batch, const WsProposal *proposal);
+WsBatchResult ws_batch_add_assignment(WsBatch *batch, const WsProposal *proposal);
 
 /**
  * Builds the transaction. The caller owns it.
--- a/src/commit/ws-commit.h
+++ b/src/commit/ws-commit.h
@@ -70,7 +70,7 @@
                               WsEvidenceKind kind, gboolean is_completed);
 
 /** Drops the release of the attempt: the worker shows it, so the evidence was wrong. */
-void ws_releases_refute(WsCore *core, const WsJob *job, const WsAssignment *assignment);
+void ws_releases_invalidate(WsCore *core, const WsJob *job, const WsAssignment *assignment);
 
 /** Whether the attempt's release waits to be written: until then nobody may launch it. */
 gboolean ws_releases_is_pending(const WsCore *core, const WsJob *job,
@@ -108,7 +108,7 @@
 void ws_estimator_free(WsEstimator *estimator);
 
 /** The job's estimated run time in seconds, corrected by what tasks of its class have taken. */
-double ws_estimator_run_s(const WsCore *core, const WsJob *job);
+double ws_estimator_run_time_s(const WsCore *core, const WsJob *job);
 
 /* Garbage collection. */
 
--- a/src/commit/ws-estimator.c
+++ b/src/commit/ws-estimator.c
@@ -39,7 +39,7 @@
 }
 
 void
-ws_estimator_add(WsCore *core, const WsJob *job, const WsAssignment *assignment)
+ws_estimator_add_run_time(WsCore *core, const WsJob *job, const WsAssignment *assignment)
 {
   /* A large record leaves out when its tasks were assigned. */
   gboolean is_timed = assignment->assigned_ms > 0;
@@ -58,7 +58,7 @@
 }
 
 double
-ws_estimator_run_s(const WsCore *core, const WsJob *job)
+ws_estimator_run_time_s(const WsCore *core, const WsJob *job)
 {
   const ClassRunTimes *run_times
       = g_hash_table_lookup(core->estimator->classes, job->spec->class_name);
--- a/src/commit/ws-garbage.c
+++ b/src/commit/ws-garbage.c
@@ -61,7 +61,7 @@
     if (!((const WsKeyVersion *)value)->is_present || !is_garbage(core->replica, key))
       continue;
     count++;
-    if (ws_txn_operation_count(txn) < core->settings->state_txn_ops)
+    if (ws_txn_operation_count(txn) < core->settings->kv_max_txn_ops)
       ws_txn_delete(txn, key);
   }
   return count;
@@ -72,7 +72,7 @@
 writing_is_idle(WsCore *core)
 {
   return !ws_assignments_have_backlog(core)
-         && ws_store_has_write_budget(core, core->settings->state_txn_ops / 2);
+         && ws_store_has_write_budget(core, core->settings->kv_max_txn_ops / 2);
 }
 
 void
@@ -86,5 +86,5 @@
   gboolean may_write = count > MAX_GARBAGE_RECORDS || writing_is_idle(core);
   core->garbage->next_ms = core->now + (count > 0 ? BUSY_PAUSE_MS : IDLE_PAUSE_MS);
   if (count > 0 && may_write)
-    ws_txn_commit(core, g_steal_pointer(&txn), WS_REQUEST_OTHER, on_collected, NULL);
+    ws_txn_commit(core, g_steal_pointer(&txn), WS_REQUEST_BACKGROUND, on_collected, NULL);
 }
--- a/src/commit/ws-job-completion.c
+++ b/src/commit/ws-job-completion.c
@@ -4,7 +4,7 @@
 #include "storage/ws-gang-phase.h"
 
 gboolean
-ws_job_is_complete_after(const WsJob *job, const WsJobProgress *progress)
+ws_job_ends_after(const WsJob *job, const WsJobProgress *progress)
 {
   if (job->state != WS_JOB_ACTIVE)
     return progress->assigned_count == 0;
--- a/src/commit/ws-job-completion.h
+++ b/src/commit/ws-job-completion.h
@@ -16,4 +16,4 @@
  * Whether the releases leave the job with nothing to do: all tasks are completed, or, of a
  * cancelled job, none is assigned any more. The tasks of a gang complete together.
  */
-gboolean ws_job_is_complete_after(const WsJob *job, const WsJobProgress *progress);
+gboolean ws_job_ends_after(const WsJob *job, const WsJobProgress *progress);
--- a/src/commit/ws-job-quarantine.c
+++ b/src/commit/ws-job-quarantine.c
@@ -27,7 +27,7 @@
 }
 
 void
-ws_job_quarantine_add(WsJobQuarantine *quarantine, gint64 now_ms, const GArray *jobs)
+ws_job_quarantine_record_rejection(WsJobQuarantine *quarantine, gint64 now_ms, const GArray *jobs)
 {
   quarantine->isolating_until_ms = now_ms + ISOLATION_MS;
   if (jobs->len != 1)
@@ -45,7 +45,7 @@
 }
 
 gboolean
-ws_job_quarantine_has(const WsJobQuarantine *quarantine, gint64 now_ms, WsJobIndex job)
+ws_job_quarantine_contains(const WsJobQuarantine *quarantine, gint64 now_ms, WsJobIndex job)
 {
   const gint64 *until_ms = g_hash_table_lookup(quarantine->until_ms, GUINT_TO_POINTER(job));
   return until_ms != NULL && now_ms < *until_ms;
--- a/src/commit/ws-job-quarantine.h
+++ b/src/commit/ws-job-quarantine.h
@@ -19,12 +19,14 @@
 void ws_job_quarantine_free(WsJobQuarantine *quarantine);
 
 /** Notes that a transaction was rejected. @jobs: of guint, the indices of its jobs */
-void ws_job_quarantine_add(WsJobQuarantine *quarantine, gint64 now_ms, const GArray *jobs);
+void ws_job_quarantine_record_rejection(WsJobQuarantine *quarantine, gint64 now_ms,
+                                        const GArray *jobs);
 
 /** Whether transactions hold one job each for now. */
 gboolean ws_job_quarantine_is_isolating(const WsJobQuarantine *quarantine, gint64 now_ms);
 
 /** Whether the job is left out for now. */
-gboolean ws_job_quarantine_has(const WsJobQuarantine *quarantine, gint64 now_ms, WsJobIndex job);
+gboolean ws_job_quarantine_contains(const WsJobQuarantine *quarantine, gint64 now_ms,
+                                    WsJobIndex job);
 
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsJobQuarantine, ws_job_quarantine_free)
--- a/src/commit/ws-legacy-releases.c
+++ b/src/commit/ws-legacy-releases.c
@@ -105,7 +105,7 @@
   if (assignment == NULL)
     return;
   WsMachine *machine = ws_replica_machine(core->replica, assignment->machine);
-  if (release->is_completed || assignment->since_version > machine->owner_since_version) {
+  if (release->is_completed || assignment->assigned_version > machine->owner_since_epoch_version) {
     add_with_evidence(core, release, machine,
                       release->is_completed ? WS_EVIDENCE_EXITED : WS_EVIDENCE_ABSENT);
     return;
--- a/src/commit/ws-release-order.c
+++ b/src/commit/ws-release-order.c
@@ -42,7 +42,7 @@
   sums->chunk_weight = g_hash_table_new(NULL, NULL);
   sums->pending_count = g_hash_table_new(NULL, NULL);
   sums->completed_count = g_hash_table_new(NULL, NULL);
-  sums->team_use_weight = g_new0(gint64, ws_team_use_groups(settings));
+  sums->team_use_weight = g_new0(gint64, ws_team_use_group_count(settings));
 }
 
 static void
@@ -77,7 +77,7 @@
       = { .completed_count = job->completed_count + completed,
           .assigned_count = job->assigned_count - get_sum(sums->pending_count, key),
           .has_completed = completed > 0 };
-  return job->spec != NULL && ws_job_is_complete_after(job, &progress);
+  return job->spec != NULL && ws_job_ends_after(job, &progress);
 }
 
 static gint
--- a/src/commit/ws-releases-private.h
+++ b/src/commit/ws-releases-private.h
@@ -13,7 +13,7 @@
 guint ws_releases_count(const WsCore *core);
 
 /** The releases (of WsOrderedRelease) in the order in which to write them. The caller frees it. */
-GArray *ws_releases_in_order(const WsCore *core);
+GArray *ws_releases_in_commit_order(const WsCore *core);
 
 /** Forwards to the leader what is new, or has not been written for a while. */
 void ws_releases_forward(WsCore *core);
@@ -25,4 +25,4 @@
 void ws_releases_begin_epoch(WsCore *core);
 
 /** Adds the run time of a completed task to what is known of its class. */
-void ws_estimator_add(WsCore *core, const WsJob *job, const WsAssignment *assignment);
+void ws_estimator_add_run_time(WsCore *core, const WsJob *job, const WsAssignment *assignment);
--- a/src/commit/ws-releases.c
+++ b/src/commit/ws-releases.c
@@ -45,7 +45,7 @@
 }
 
 GArray *
-ws_releases_in_order(const WsCore *core)
+ws_releases_in_commit_order(const WsCore *core)
 {
   return ws_releases_sort(core, core->releases->pending);
 }
@@ -71,7 +71,7 @@
 {
   const WsAssignment *assignment = ws_release_assignment(core->replica, release);
   if (release->is_completed && assignment != NULL && ws_is_leader(core))
-    ws_estimator_add(core, ws_replica_job(core->replica, release->job), assignment);
+    ws_estimator_add_run_time(core, ws_replica_job(core->replica, release->job), assignment);
 }
 
 /* Evidence is never replaced by weaker evidence of the same attempt: a completed task stays
@@ -115,7 +115,7 @@
 }
 
 void
-ws_releases_refute(WsCore *core, const WsJob *job, const WsAssignment *assignment)
+ws_releases_invalidate(WsCore *core, const WsJob *job, const WsAssignment *assignment)
 {
   gpointer key = ws_task_key(job->index, assignment->task);
   const WsPendingRelease *pending = g_hash_table_lookup(core->releases->pending, key);
--- a/src/context/ws-context.c
+++ b/src/context/ws-context.c
@@ -18,7 +18,7 @@
 }
 
 void
-ws_context_clear_calls(WsCore *core)
+ws_context_free_calls(WsCore *core)
 {
   WsOutput *output;
   while ((output = g_queue_pop_head(&core->outputs)) != NULL)
@@ -63,13 +63,13 @@
         guint timeout_ms, WsReplyFunc reply, gpointer data)
 {
   PendingCall *call = g_new0(PendingCall, 1);
-  *call = (PendingCall){ ++core->next_call, reply, data };
+  *call = (PendingCall){ ++core->last_call_id, reply, data };
   g_hash_table_insert(core->calls, &call->id, call);
   WsOutput *output = g_new0(WsOutput, 1);
   output->call = call->id;
   output->method = method;
   output->url = g_strdup_printf("http://%s%s", address, path);
-  output->body = ws_json_text(body);
+  output->body = ws_json_serialize(body);
   output->timeout_ms = timeout_ms;
   json_decref(body);
   g_queue_push_tail(&core->outputs, output);
@@ -82,20 +82,20 @@
   output->is_answer = TRUE;
   output->request = request;
   output->status = status;
-  output->body = ws_json_text(body);
+  output->body = ws_json_serialize(body);
   output->retry_after_s = retry_after_s;
   json_decref(body);
   g_queue_push_tail(&core->outputs, output);
 }
 
 void
-ws_answer_reason(WsCore *core, gpointer request, guint status, const char *reason)
+ws_answer_error(WsCore *core, gpointer request, guint status, const char *reason)
 {
   ws_answer(core, request, status, json_pack("{s:s}", "error", reason), 0);
 }
 
 void
-ws_answer_later(WsCore *core, gpointer request, guint retry_after_s)
+ws_answer_retry_later(WsCore *core, gpointer request, guint retry_after_s)
 {
   ws_answer(core, request, WS_HTTP_SERVICE_UNAVAILABLE,
             json_pack("{s:s}", "error", "not now, please come back"), retry_after_s);
--- a/src/context/ws-context.h
+++ b/src/context/ws-context.h
@@ -70,7 +70,7 @@
   void (*request_termination)(WsCore *core, WsMachine *machine, const char *reason,
                               gboolean immediately);
   /** Applies a worker's status; FALSE: it is older than what is known. For workers. */
-  gboolean (*note_worker_status)(WsCore *core, WsMachine *machine, const WsHeartbeat *heartbeat);
+  gboolean (*apply_worker_status)(WsCore *core, WsMachine *machine, const WsHeartbeat *heartbeat);
   /** Sends the worker the fencing token of the present epoch. For workers. */
   void (*raise_fencing_token)(WsCore *core, WsMachine *machine);
   /** Stops the task for other work. For workers. */
@@ -92,7 +92,7 @@
                                 WsMachineIndex machine, const WsResources *machine_free,
                                 const WsResources *team_use);
   /** An assignment was added to a transaction. For scheduling. */
-  void (*note_assignment)(WsCore *core, const WsJob *job, WsMachineIndex machine);
+  void (*on_assignment_added)(WsCore *core, const WsJob *job, WsMachineIndex machine);
 } WsHandlers;
 
 /**
@@ -113,7 +113,7 @@
   /* Outputs and calls; ws-context.c. */
   GQueue outputs;    /**< of WsOutput: what was not popped yet */
   GHashTable *calls; /**< by id: those without a reply */
-  guint64 next_call;
+  guint64 last_call_id;
 
   WsReplica *replica;
 
@@ -146,7 +146,7 @@
 void ws_context_init_calls(WsCore *core);
 
 /** Frees what was not popped, and forgets the calls without a reply. */
-void ws_context_clear_calls(WsCore *core);
+void ws_context_free_calls(WsCore *core);
 
 /** Ends every call as if no response had come. Returns whether there was any. */
 gboolean ws_context_stop_calls(WsCore *core);
@@ -185,7 +185,7 @@
 void ws_answer(WsCore *core, gpointer request, guint status, json_t *body, guint retry_after_s);
 
 /** Answers with an error and its reason in words. */
-void ws_answer_reason(WsCore *core, gpointer request, guint status, const char *reason);
+void ws_answer_error(WsCore *core, gpointer request, guint status, const char *reason);
 
 /** Answers that the request should be made again after some seconds (503). */
-void ws_answer_later(WsCore *core, gpointer request, guint retry_after_s);
+void ws_answer_retry_later(WsCore *core, gpointer request, guint retry_after_s);
--- a/src/context/ws-output.h
+++ b/src/context/ws-output.h
@@ -1,7 +1,7 @@
 /**
  * What the core puts out: answers to requests, and calls to other processes.
  *
- * Made by ws_call() and ws_answer(), taken with ws_core_pop() by whoever runs the core.
+ * Made by ws_call() and ws_answer(), taken with ws_core_pop_output() by whoever runs the core.
  */
 #pragma once
 
--- a/src/coordination/ws-epoch.c
+++ b/src/coordination/ws-epoch.c
@@ -43,7 +43,7 @@
     const char *name;
     WsMember member;
     if (!ws_json_string(item, FIELD_NODE, &name)
-        || !ws_json_count(item, FIELD_INCARNATION, &member.incarnation))
+        || !ws_json_uint64(item, FIELD_INCARNATION, &member.incarnation))
       return FALSE;
     member.node = ws_settings_find_node(settings, name);
     if (member.node == WS_NO_NODE)
@@ -58,7 +58,7 @@
 {
   const char *leader;
   const json_t *members = json_object_get(value, FIELD_MEMBERS);
-  if (!ws_json_count(value, FIELD_NUMBER, &epoch->number)
+  if (!ws_json_uint64(value, FIELD_NUMBER, &epoch->number)
       || !ws_json_string(value, FIELD_LEADER, &leader) || !json_is_array(members))
     return FALSE;
   epoch->leader = ws_settings_find_node(settings, leader);
@@ -91,7 +91,7 @@
 }
 
 gboolean
-ws_epoch_has(const WsEpoch *epoch, WsNodeIndex node, guint64 incarnation)
+ws_epoch_has_member(const WsEpoch *epoch, WsNodeIndex node, guint64 incarnation)
 {
   const WsMember *member = find_member(epoch, node);
   return member != NULL && member->incarnation == incarnation;
@@ -104,21 +104,21 @@
 }
 
 gboolean
-ws_epoch_continues(const WsEpoch *last, const WsEpoch *next, WsNodeIndex node)
+ws_epoch_member_continues(const WsEpoch *last, const WsEpoch *next, WsNodeIndex node)
 {
   const WsMember *member = find_member(last, node);
   return member != NULL && next->number == last->number + 1
-         && ws_epoch_has(next, node, member->incarnation);
+         && ws_epoch_has_member(next, node, member->incarnation);
 }
 
 gboolean
-ws_epoch_same_members(const WsEpoch *epoch, const GArray *members)
+ws_epoch_has_same_members(const WsEpoch *epoch, const GArray *members)
 {
   if (epoch->members->len != members->len)
     return FALSE;
   for (guint i = 0; i < members->len; i++) {
     const WsMember *member = &g_array_index(members, WsMember, i);
-    if (!ws_epoch_has(epoch, member->node, member->incarnation))
+    if (!ws_epoch_has_member(epoch, member->node, member->incarnation))
       return FALSE;
   }
   return TRUE;
--- a/src/coordination/ws-epoch.h
+++ b/src/coordination/ws-epoch.h
@@ -34,7 +34,7 @@
 json_t *ws_epoch_encode(const WsEpoch *epoch, const WsSettings *settings);
 
 /** Whether this run of the node is a member. */
-gboolean ws_epoch_has(const WsEpoch *epoch, WsNodeIndex node, guint64 incarnation);
+gboolean ws_epoch_has_member(const WsEpoch *epoch, WsNodeIndex node, guint64 incarnation);
 
 /** Whether any run of the node is a member. */
 gboolean ws_epoch_has_node(const WsEpoch *epoch, WsNodeIndex node);
@@ -43,10 +43,10 @@
  * Whether the same run of the node is a member of both epochs, and no epoch lies between them: what
  * it was entitled to under the first one, nobody else was entitled to until the second one began.
  */
-gboolean ws_epoch_continues(const WsEpoch *last, const WsEpoch *next, WsNodeIndex node);
+gboolean ws_epoch_member_continues(const WsEpoch *last, const WsEpoch *next, WsNodeIndex node);
 
 /** Whether the epoch has exactly these members, an array of WsMember. */
-gboolean ws_epoch_same_members(const WsEpoch *epoch, const GArray *members);
+gboolean ws_epoch_has_same_members(const WsEpoch *epoch, const GArray *members);
 
 /** The machine's owner, by rendezvous hashing over the members; WS_NO_NODE: there are none. */
 WsNodeIndex ws_epoch_owner(const WsEpoch *epoch, const char *machine, const WsSettings *settings);
--- a/src/core/ws-core.c
+++ b/src/core/ws-core.c
@@ -24,7 +24,7 @@
 /* The functions of higher packages that lower ones call. */
 static const WsHandlers HANDLERS = {
   .request_termination = ws_termination_request_mark,
-  .note_worker_status = ws_workers_note_status,
+  .apply_worker_status = ws_workers_note_status,
   .raise_fencing_token = ws_worker_rpc_raise_fencing_token,
   .halt_task = ws_worker_rpc_halt,
   .handle_relay = ws_relay_handle_request,
@@ -34,7 +34,7 @@
   .handle_reservation = ws_reservations_renew,
   .has_reservations = ws_reservations_exist,
   .allows_assignment = ws_reservations_allow,
-  .note_assignment = ws_reservations_consume,
+  .on_assignment_added = ws_reservations_consume,
 };
 
 WsCore *
@@ -82,7 +82,7 @@
 void
 ws_core_free(WsCore *core)
 {
-  ws_context_clear_calls(core);
+  ws_context_free_calls(core);
   ws_store_free(core->store);
   ws_authority_free(core->authority);
   ws_election_free(core->election);
@@ -118,7 +118,7 @@
 }
 
 WsOutput *
-ws_core_pop(WsCore *core)
+ws_core_pop_output(WsCore *core)
 {
   return g_queue_pop_head(&core->outputs);
 }
@@ -131,8 +131,8 @@
     return;
   for (guint i = 0; i < core->replica->machines->len; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, i);
-    machine->fleet.empty_ms = 0;
-    machine->fleet.underused_ms = 0;
+    machine->fleet.empty_since_ms = 0;
+    machine->fleet.underused_since_ms = 0;
   }
 }
 
@@ -161,9 +161,9 @@
 static void
 update_cancellations(WsCore *core)
 {
-  ws_authority_note_cancellations(core);
+  ws_authority_record_known_cancellations(core);
   if (ws_cancellations_pump(core))
-    ws_cancelled_tasks_enforce(core);
+    ws_cancelled_tasks_tick(core);
 }
 
 /* Processes the consequences of an input. Each step may create work for the following ones, and the
@@ -219,18 +219,18 @@
 answer_readiness(WsCore *core, const char *method, gpointer request)
 {
   if (strcmp(method, "GET") != 0)
-    ws_answer_reason(core, request, WS_HTTP_METHOD_NOT_ALLOWED, "only GET here");
+    ws_answer_error(core, request, WS_HTTP_METHOD_NOT_ALLOWED, "only GET here");
   else if (ws_authority_check_readiness(core) == WS_REFUSAL_NONE)
     ws_answer(core, request, WS_HTTP_OK, json_pack("{s:b}", "ready", 1), 0);
   else
-    ws_answer_later(core, request, READY_RETRY_AFTER_S);
+    ws_answer_retry_later(core, request, READY_RETRY_AFTER_S);
 }
 
 static void
 handle_heartbeat(WsCore *core, const char *method, const char *body, gsize length, gpointer request)
 {
   if (strcmp(method, "POST") != 0)
-    ws_answer_reason(core, request, WS_HTTP_METHOD_NOT_ALLOWED, "only POST here");
+    ws_answer_error(core, request, WS_HTTP_METHOD_NOT_ALLOWED, "only POST here");
   else
     ws_workers_handle_heartbeat(core, body, length, request);
 }
@@ -248,9 +248,9 @@
 }
 
 void
-ws_core_request(WsCore *core, gint64 now_ms, gint64 wall_ms, WsListener listener,
-                const char *method, const char *path, const char *body, gsize length,
-                gpointer request)
+ws_core_handle_request(WsCore *core, gint64 now_ms, gint64 wall_ms, WsListener listener,
+                       const char *method, const char *path, const char *body, gsize length,
+                       gpointer request)
 {
   set_time(core, now_ms, wall_ms);
   if (listener == WS_LISTENER_API)
@@ -261,8 +261,8 @@
 }
 
 void
-ws_core_reply(WsCore *core, gint64 now_ms, gint64 wall_ms, guint64 call, guint status,
-              const char *body, gsize length)
+ws_core_handle_reply(WsCore *core, gint64 now_ms, gint64 wall_ms, guint64 call, guint status,
+                     const char *body, gsize length)
 {
   set_time(core, now_ms, wall_ms);
   if (ws_context_handle_reply(core, call, status, body, length))
--- a/src/core/ws-core.h
+++ b/src/core/ws-core.h
@@ -2,7 +2,7 @@
  * The core: a state machine that inputs are handed to and outputs are taken from.
  *
  * It has no clock, no socket and no randomness: every input names the time, and what is to be sent
- * or answered is taken from ws_core_pop() after each input. The same inputs lead to the same
+ * or answered is taken from ws_core_pop_output() after each input. The same inputs lead to the same
  * outputs. All functions are to be called from one thread.
  */
 #pragma once
@@ -47,9 +47,9 @@
  * @body: as received, of @length bytes; not kept
  * @request: the caller's name for the request; must be valid until the answer was popped
  */
-void ws_core_request(WsCore *core, gint64 now_ms, gint64 wall_ms, WsListener listener,
-                     const char *method, const char *path, const char *body, gsize length,
-                     gpointer request);
+void ws_core_handle_request(WsCore *core, gint64 now_ms, gint64 wall_ms, WsListener listener,
+                            const char *method, const char *path, const char *body, gsize length,
+                            gpointer request);
 
 /**
  * Handles the response to a call that an output has asked for. Responses to unknown calls are
@@ -59,8 +59,8 @@
  * @status: HTTP status; 0: no response came in time, or the connection failed
  * @body: as received, of @length bytes; not kept
  */
-void ws_core_reply(WsCore *core, gint64 now_ms, gint64 wall_ms, guint64 call, guint status,
-                   const char *body, gsize length);
+void ws_core_handle_reply(WsCore *core, gint64 now_ms, gint64 wall_ms, guint64 call, guint status,
+                          const char *body, gsize length);
 
 /** How many machines all plans so far have examined: the cost of planning. */
 guint64 ws_core_machines_examined(const WsCore *core);
@@ -69,4 +69,4 @@
 guint64 ws_core_plan_count(const WsCore *core);
 
 /** Takes the oldest output, to be freed with ws_output_free(); NULL: there is none. */
-WsOutput *ws_core_pop(WsCore *core);
+WsOutput *ws_core_pop_output(WsCore *core);
--- a/src/fleet/ws-cloud-list.c
+++ b/src/fleet/ws-cloud-list.c
@@ -101,7 +101,7 @@
       continue;
     machine->fleet.needs_record = FALSE;
     machine->fleet.mark_is_pending = TRUE;
-    machine->fleet.mark_pending_ms = core->now;
+    machine->fleet.mark_pending_since_ms = core->now;
     g_array_append_val(rental_batch->machines, machine->index);
     g_array_append_val(machines, machine->index);
   }
@@ -130,11 +130,11 @@
     WsMachine *machine = ws_replica_machine(core->replica, i);
     if (machine->is_recorded || ws_returns_is_confirmed(core, machine->name))
       machine->fleet.needs_record = FALSE;
-    if (machine->fleet.needs_record && ws_txn_operation_count(txn) < core->settings->state_txn_ops)
+    if (machine->fleet.needs_record && ws_txn_operation_count(txn) < core->settings->kv_max_txn_ops)
       record_rental_batch(core, txn, machine, machines);
   }
   if (machines->len > 0)
-    ws_txn_commit(core, g_steal_pointer(&txn), WS_REQUEST_OTHER, on_recorded,
+    ws_txn_commit(core, g_steal_pointer(&txn), WS_REQUEST_BACKGROUND, on_recorded,
                   g_steal_pointer(&machines));
 }
 
@@ -148,11 +148,12 @@
 static void
 handle_unrecorded(WsCore *core, WsMachine *machine, const WsListedMachine *listed)
 {
-  if (machine->fleet.listed_ms == 0)
-    machine->fleet.listed_ms = core->now;
-  if (core->now - machine->fleet.listed_ms < unrecorded_grace_ms(core))
+  if (machine->fleet.unrecorded_since_ms == 0)
+    machine->fleet.unrecorded_since_ms = core->now;
+  if (core->now - machine->fleet.unrecorded_since_ms < unrecorded_grace_ms(core))
     return;
-  ws_replica_describe_machine(core->replica, machine, listed->type, listed->zone, listed->is_spot);
+  ws_replica_set_machine_attributes(core->replica, machine, listed->type, listed->zone,
+                                    listed->is_spot);
   ws_cloud_list_note_unrecorded(core, machine, core->wall - (gint64)(listed->age_s * 1000.0));
 }
 
@@ -170,7 +171,7 @@
 {
   if (ws_returns_is_confirmed(core, listed->id))
     return;
-  WsMachine *machine = ws_replica_get_machine(core->replica, listed->id);
+  WsMachine *machine = ws_replica_ensure_machine(core->replica, listed->id);
   if (machine->is_recorded)
     handle_recorded(core, machine, listed);
   else
--- a/src/fleet/ws-consolidation.c
+++ b/src/fleet/ws-consolidation.c
@@ -55,7 +55,7 @@
 {
   guint zones = core->settings->zones->len;
   g_autofree guint *counts = g_new0(guint, zones);
-  ws_job_count_zones(core->replica, job, counts);
+  ws_job_count_tasks_by_zone(core->replica, job, counts);
   if (counts[from] > 0)
     counts[from]--;
   return ws_constraints_allow_zone(job, counts, zones, to);
@@ -149,12 +149,12 @@
 is_due(const WsCore *core, WsMachine *machine)
 {
   if (!is_underused(core, machine)) {
-    machine->fleet.underused_ms = 0;
+    machine->fleet.underused_since_ms = 0;
     return FALSE;
   }
-  if (machine->fleet.underused_ms == 0)
-    machine->fleet.underused_ms = core->now;
-  return core->now - machine->fleet.underused_ms
+  if (machine->fleet.underused_since_ms == 0)
+    machine->fleet.underused_since_ms = core->now;
+  return core->now - machine->fleet.underused_since_ms
          >= (gint64)(core->properties->idle_timeout_s * 1000.0);
 }
 
@@ -184,7 +184,7 @@
       continue;
     }
     failed++;
-    machine->fleet.underused_ms = core->now; /* the other candidates come first */
+    machine->fleet.underused_since_ms = core->now; /* the other candidates come first */
   }
 }
 
--- a/src/fleet/ws-fleet-private.h
+++ b/src/fleet/ws-fleet-private.h
@@ -20,7 +20,7 @@
 
 /** The state of this package. Owns the state of each module. */
 struct _WsFleet {
-  WsRate calls; /**< to the cloud */
+  WsTokenBucket calls; /**< to the cloud */
   gint64 next_catalog_ms;
   gboolean catalog_in_flight;
   WsRentals *rentals;
@@ -84,7 +84,7 @@
  * Whether the replica has all that was assigned to the marked machine, so that it is empty if no
  * task is known there.
  */
-gboolean ws_returns_knows_assignments(const WsCore *core, const WsMachine *machine);
+gboolean ws_returns_has_all_assignments(const WsCore *core, const WsMachine *machine);
 
 /** Releases the tasks of returned machines, and clears the marks of those that are empty. */
 void ws_mark_cleanup_tick(WsCore *core);
@@ -102,7 +102,7 @@
 gboolean ws_termination_is_allowed(const WsCore *core, const WsMachine *machine);
 
 /** Whether as many slots as are to be kept for critical jobs are there without the machine. */
-gboolean ws_headroom_remains_without(const WsCore *core, const WsMachine *machine);
+gboolean ws_headroom_suffices_without(const WsCore *core, const WsMachine *machine);
 
 /** Requests marks for underused machines when it is this node's turn. */
 void ws_consolidation_tick(WsCore *core);
--- a/src/fleet/ws-fleet.h
+++ b/src/fleet/ws-fleet.h
@@ -51,8 +51,8 @@
  * Tasks of a service are stopped one at a time, with a back-off while another one of it has no
  * machine: a call that returns FALSE prolongs the back-off.
  */
-gboolean ws_termination_may_stop(WsCore *core, WsMachine *machine, WsJob *job,
-                                 const WsAssignment *assignment);
+gboolean ws_termination_may_stop_task(WsCore *core, WsMachine *machine, WsJob *job,
+                                      const WsAssignment *assignment);
 
 /*
  * Headroom: placement slots kept for the next critical job, which can't wait for a machine to boot.
@@ -62,7 +62,7 @@
 gboolean ws_machine_is_booting(const WsCore *core, const WsMachine *machine);
 
 /** The critical job after which headroom is measured: the largest active one, or NULL. */
-const WsJob *ws_headroom_job(const WsReplica *replica);
+const WsJob *ws_headroom_reference_job(const WsReplica *replica);
 
 /**
  * Counts slots for one task each that needs @need, up to as many as are to be kept: on machines
--- a/src/fleet/ws-mark-cleanup.c
+++ b/src/fleet/ws-mark-cleanup.c
@@ -79,7 +79,7 @@
 clear_marks(WsCore *core, GArray *machines /* taken */)
 {
   while (machines->len > 1
-         && machines->len + count_batches_of(core, machines) > core->settings->state_txn_ops)
+         && machines->len + count_batches_of(core, machines) > core->settings->kv_max_txn_ops)
     g_array_set_size(machines, machines->len - 1);
   WsTxn *txn = ws_txn_new();
   ws_txn_compare(txn, core->replica, WS_KEY_EPOCH);
@@ -88,13 +88,13 @@
         = ws_replica_machine(core->replica, g_array_index(machines, WsMachineIndex, i));
     g_autofree char *mark = ws_key(WS_KEYS_MARK, machine->name);
     machine->fleet.mark_is_pending = TRUE;
-    machine->fleet.mark_pending_ms = core->now;
+    machine->fleet.mark_pending_since_ms = core->now;
     ws_txn_delete(txn, mark);
   }
   for (guint i = 0; i < core->replica->rental_batches->len; i++)
     shrink_rental_batch(core, txn, g_ptr_array_index(core->replica->rental_batches, i), machines);
   core->fleet->is_clearing_marks = TRUE;
-  ws_txn_commit(core, txn, WS_REQUEST_OTHER, on_marks_cleared, machines);
+  ws_txn_commit(core, txn, WS_REQUEST_BACKGROUND, on_marks_cleared, machines);
 }
 
 /* Releases all tasks recorded on the machine, which is gone for good. */
@@ -131,10 +131,10 @@
       release_tasks(core, machine);
     if (!machine->is_marked || machine->fleet.mark_is_pending
         || !ws_returns_is_confirmed(core, machine->name)
-        || !ws_returns_knows_assignments(core, machine))
+        || !ws_returns_has_all_assignments(core, machine))
       continue;
     release_tasks(core, machine);
-    if (machine->tasks->len == 0 && empty->len < core->settings->state_txn_ops)
+    if (machine->tasks->len == 0 && empty->len < core->settings->kv_max_txn_ops)
       g_array_append_val(empty, machine->index);
   }
   if (empty->len > 0 && !core->fleet->is_clearing_marks)
--- a/src/fleet/ws-rentals.c
+++ b/src/fleet/ws-rentals.c
@@ -80,7 +80,7 @@
   double kinds = 0.0;
   for (WsTypeIndex t = 0; core->replica->catalog != NULL && t < core->replica->catalog->len; t++)
     kinds += KINDS_PER_TYPE_AND_ZONE * g_strv_length(ws_replica_type(core->replica, t)->zones);
-  double per_second = FAILED_RENTALS_WRITE_SHARE * core->settings->state_write_rps;
+  double per_second = FAILED_RENTALS_WRITE_SHARE * core->settings->kv_writes_per_s;
   double period_ms = 1000.0 * WRITES_PER_RENTAL * kinds / per_second;
   return MAX(1.0, period_ms / MAX_CAPACITY_BACKOFF_MS);
 }
@@ -155,7 +155,7 @@
   }
   guint max_machines = ws_rental_batch_max_machines(core->settings);
   for (guint left = machines;
-       left > 0 && ws_txn_operation_count(rentals->intents) < core->settings->state_txn_ops;
+       left > 0 && ws_txn_operation_count(rentals->intents) < core->settings->kv_max_txn_ops;
        left -= MIN(left, max_machines))
     add_intent(core, type, zone, spot, MIN(left, max_machines));
 }
@@ -167,7 +167,7 @@
   if (rentals->intents == NULL)
     return;
   rentals->is_writing = TRUE;
-  ws_txn_commit(core, g_steal_pointer(&rentals->intents), WS_REQUEST_TASK, on_intents_written,
+  ws_txn_commit(core, g_steal_pointer(&rentals->intents), WS_REQUEST_SCHEDULING, on_intents_written,
                 NULL);
 }
 
@@ -218,7 +218,7 @@
   guint next = first;
   for (; next < names->len; next++) {
     const char *machine = g_ptr_array_index(names, next);
-    WsMachineIndex index = ws_replica_get_machine(core->replica, machine)->index;
+    WsMachineIndex index = ws_replica_ensure_machine(core->replica, machine)->index;
     if (ws_returns_is_confirmed(core, machine))
       continue;
     if (!ws_rental_batch_has_space(&rental_batch, core->replica, machine))
@@ -245,12 +245,12 @@
   ws_txn_delete(txn, key);
   guint consumed = 0, added = 1;
   for (guint number = 0; names != NULL && added > 0 && consumed < names->len
-                         && ws_txn_operation_count(txn) < core->settings->state_txn_ops;
+                         && ws_txn_operation_count(txn) < core->settings->kv_max_txn_ops;
        number++) {
     added = add_rental_batch(core, txn, intent, number, names, consumed);
     consumed += added;
   }
-  ws_txn_commit(core, txn, WS_REQUEST_TASK, on_intent_closed, g_strdup(intent->request));
+  ws_txn_commit(core, txn, WS_REQUEST_SCHEDULING, on_intent_closed, g_strdup(intent->request));
 }
 
 static void
--- a/src/fleet/ws-returns.c
+++ b/src/fleet/ws-returns.c
@@ -83,7 +83,7 @@
   if (names->len == 0 || returns->call_in_flight || core->now < returns->next_call_ms
       || !ws_fleet_take_call_budget(core))
     return;
-  json_t *body = ws_return_encode(names);
+  json_t *body = ws_machine_return_encode(names);
   returns->call_in_flight = TRUE;
   ws_call(core, "POST", core->settings->cloud_addr, "/machines/return", body, RETURN_TIMEOUT_MS,
           on_returned, g_steal_pointer(&names));
@@ -127,7 +127,7 @@
    replica once the watch has passed the mark's revision. Without this check a machine was once
    returned as empty whose tasks had just been assigned. */
 gboolean
-ws_returns_knows_assignments(const WsCore *core, const WsMachine *machine)
+ws_returns_has_all_assignments(const WsCore *core, const WsMachine *machine)
 {
   g_autofree char *key = ws_key(WS_KEYS_MARK, machine->name);
   return core->replica->revision >= ws_replica_version(core->replica, key);
@@ -139,7 +139,7 @@
   if (!machine->is_marked || ws_returns_is_confirmed(core, machine->name))
     return FALSE;
   return machine->mark_is_immediate
-         || (machine->tasks->len == 0 && ws_returns_knows_assignments(core, machine));
+         || (machine->tasks->len == 0 && ws_returns_has_all_assignments(core, machine));
 }
 
 static void
--- a/src/fleet/ws-termination.c
+++ b/src/fleet/ws-termination.c
@@ -17,11 +17,11 @@
 /* A request for a mark that hasn't been written after so long counts as lost. */
 #define MARK_REQUEST_TIMEOUT_MS 5000
 
-static const WsBudget *
+static const WsDisruptionBudget *
 budget_for(const WsCore *core, const WsMachine *machine)
 {
   for (guint i = 0; i < core->properties->budgets->len; i++) {
-    const WsBudget *budget = g_ptr_array_index(core->properties->budgets, i);
+    const WsDisruptionBudget *budget = g_ptr_array_index(core->properties->budgets, i);
     if (g_strcmp0(budget->type, machine->type_name) == 0
         && ws_replica_find_zone(core->replica, budget->zone) == machine->zone)
       return budget;
@@ -39,7 +39,7 @@
 static gboolean
 budget_allows(const WsCore *core, const WsMachine *machine)
 {
-  const WsBudget *budget = budget_for(core, machine);
+  const WsDisruptionBudget *budget = budget_for(core, machine);
   guint total = 0, unavailable = 0;
   if (budget == NULL)
     return TRUE;
@@ -51,7 +51,7 @@
     total++;
     unavailable += is_unavailable(core, other) ? 1 : 0;
   }
-  return unavailable + 1 <= ws_budget_allowed(budget, total + 1);
+  return unavailable + 1 <= ws_budget_max_unavailable(budget, total + 1);
 }
 
 /* Whether the zone's members and all other members reach one another. A partition makes every
@@ -161,7 +161,7 @@
   if (machine->is_marked && ws_returns_is_confirmed(core, machine->name))
     return;
   machine->fleet.mark_is_pending = TRUE;
-  machine->fleet.mark_pending_ms = core->now;
+  machine->fleet.mark_pending_since_ms = core->now;
   if (!ws_is_leader(core)) {
     ws_peer_request_mark(core, machine, reason, immediately);
     return;
@@ -209,15 +209,15 @@
   g_autoptr(WsTxn) txn = ws_txn_new();
   ws_txn_compare(txn, core->replica, WS_KEY_EPOCH);
   while (termination->requested->len > 0
-         && ws_txn_operation_count(txn) < core->settings->state_txn_ops)
+         && ws_txn_operation_count(txn) < core->settings->kv_max_txn_ops)
     write_first_request(core, txn);
   if (termination->writing->len > 0)
-    ws_txn_commit(core, g_steal_pointer(&txn), WS_REQUEST_TASK, on_marked, NULL);
+    ws_txn_commit(core, g_steal_pointer(&txn), WS_REQUEST_SCHEDULING, on_marked, NULL);
 }
 
 gboolean
-ws_termination_may_stop(WsCore *core, WsMachine *machine, WsJob *job,
-                        const WsAssignment *assignment)
+ws_termination_may_stop_task(WsCore *core, WsMachine *machine, WsJob *job,
+                             const WsAssignment *assignment)
 {
   if (job->spec->kind != WS_KIND_SERVICE || assignment->state < WS_TASK_RUNNING)
     return TRUE;
@@ -239,7 +239,7 @@
 ws_termination_is_allowed(const WsCore *core, const WsMachine *machine)
 {
   return zone_is_connected(core, machine->zone) && budget_allows(core, machine)
-         && (machine->is_spot || ws_headroom_remains_without(core, machine));
+         && (machine->is_spot || ws_headroom_suffices_without(core, machine));
 }
 
 /* Requests a mark for a machine that has been empty for the idle timeout. The time of an outage of
@@ -249,12 +249,13 @@
 mark_if_idle(WsCore *core, WsMachine *machine)
 {
   if (machine->tasks->len > 0 || !ws_machine_is_up(core, machine) || !ws_store_is_available(core)) {
-    machine->fleet.empty_ms = 0;
+    machine->fleet.empty_since_ms = 0;
     return;
   }
-  if (machine->fleet.empty_ms == 0)
-    machine->fleet.empty_ms = core->now;
-  if (core->now - machine->fleet.empty_ms < (gint64)(core->properties->idle_timeout_s * 1000.0))
+  if (machine->fleet.empty_since_ms == 0)
+    machine->fleet.empty_since_ms = core->now;
+  if (core->now - machine->fleet.empty_since_ms
+      < (gint64)(core->properties->idle_timeout_s * 1000.0))
     return;
   if (ws_termination_is_allowed(core, machine))
     ws_termination_request_mark(core, machine, WS_MARK_REASON_IDLE, FALSE);
@@ -281,7 +282,7 @@
     /* Also on machines that this node no longer owns: a node that had requested a mark and then
        became leader refused all other requests for that machine, and it was never returned. */
     if (machine->fleet.mark_is_pending
-        && core->now - machine->fleet.mark_pending_ms > MARK_REQUEST_TIMEOUT_MS)
+        && core->now - machine->fleet.mark_pending_since_ms > MARK_REQUEST_TIMEOUT_MS)
       machine->fleet.mark_is_pending = FALSE;
     if (machine->is_recorded && ws_owns_machine(core, machine))
       mark_if_due(core, machine);
--- a/src/membership/ws-authority.c
+++ b/src/membership/ws-authority.c
@@ -38,14 +38,14 @@
 {
   static const char *const TEXTS[] = {
     [WS_REFUSAL_NONE] = "allowed",
-    [WS_REFUSAL_STATE_NOT_READ] = "the state is not read yet",
+    [WS_REFUSAL_REPLICA_NOT_LOADED] = "the state is not read yet",
     [WS_REFUSAL_STALLED] = "this node has not renewed its lease and read since a process pause",
     [WS_REFUSAL_NOT_A_MEMBER] = "this node is not a member of the epoch",
     [WS_REFUSAL_NOT_SHARD_OWNER] = "another node owns the machine",
-    [WS_REFUSAL_BEHIND_EPOCH] = "the replica has not caught up with the epoch",
+    [WS_REFUSAL_REPLICA_BEHIND_EPOCH] = "the replica has not caught up with the epoch",
     [WS_REFUSAL_EPOCH_SUPERSEDED] = "there is a newer epoch",
     [WS_REFUSAL_CANCELLATIONS_UNKNOWN] = "confirmed cancellations may be missing",
-    [WS_REFUSAL_REFUSED_BY_STORE] = "the store is unavailable to this node only",
+    [WS_REFUSAL_STORE_UNAVAILABLE] = "the store is unavailable to this node only",
     [WS_REFUSAL_ISOLATED] = "neither the store nor a peer is reached",
     [WS_REFUSAL_NO_CATALOG] = "the cloud's catalog is not known yet",
     [WS_REFUSAL_MACHINE_UNREACHABLE] = "the machine is not reached",
@@ -60,7 +60,7 @@
 check_awake(const WsCore *core)
 {
   if (!ws_store_is_loaded(core))
-    return WS_REFUSAL_STATE_NOT_READ;
+    return WS_REFUSAL_REPLICA_NOT_LOADED;
   return core->authority->is_stalled ? WS_REFUSAL_STALLED : WS_REFUSAL_NONE;
 }
 
@@ -70,7 +70,7 @@
   WsRefusal refusal = check_awake(core);
   if (refusal != WS_REFUSAL_NONE)
     return refusal;
-  return ws_epoch_has(&core->replica->epoch, core->settings->self, core->incarnation)
+  return ws_epoch_has_member(&core->replica->epoch, core->settings->self, core->incarnation)
              ? WS_REFUSAL_NONE
              : WS_REFUSAL_NOT_A_MEMBER;
 }
@@ -135,8 +135,8 @@
   ws_epoch_restart_clock(core, now_ms);
   for (guint i = 0; i < core->replica->machines->len; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, i);
-    machine->worker.owned_ms = now_ms;
-    machine->worker.unacknowledged_ms = 0;
+    machine->worker.owned_since_ms = now_ms;
+    machine->worker.unacknowledged_since_ms = 0;
   }
   ws_election_resume(core, now_ms);
   return TRUE;
@@ -175,7 +175,7 @@
 }
 
 gboolean
-ws_authority_is_reached_from_other_zones(const WsCore *core)
+ws_authority_has_heartbeat_from_other_zone(const WsCore *core)
 {
   return core->authority->is_reached_from_other_zones;
 }
@@ -235,7 +235,7 @@
 {
   const WsSettings *settings = core->settings;
   if (has_all_cancellations(core)
-      || (ws_is_isolated(core) && !ws_authority_is_reached_from_other_zones(core)))
+      || (ws_is_isolated(core) && !ws_authority_has_heartbeat_from_other_zone(core)))
     return TRUE;
   return (double)(core->now - core->authority->cancellations_known_ms)
          < (settings->cancel_s - settings->lease_s) * 1000.0 - LEASE_RENEWAL_MARGIN_MS;
@@ -251,7 +251,7 @@
 }
 
 void
-ws_authority_note_cancellations(WsCore *core)
+ws_authority_record_known_cancellations(WsCore *core)
 {
   if (has_all_cancellations(core))
     core->authority->cancellations_known_ms = core->now;
@@ -275,7 +275,7 @@
   if (core->replica->catalog == NULL)
     return WS_REFUSAL_NO_CATALOG;
   if (is_refused_by_store_alone(core))
-    return WS_REFUSAL_REFUSED_BY_STORE;
+    return WS_REFUSAL_STORE_UNAVAILABLE;
   return ws_is_isolated(core) ? WS_REFUSAL_ISOLATED : WS_REFUSAL_NONE;
 }
 
@@ -298,7 +298,7 @@
     return refusal;
   if (peer_knows_newer_epoch(core))
     return WS_REFUSAL_EPOCH_SUPERSEDED;
-  return is_refused_by_store_alone(core) ? WS_REFUSAL_REFUSED_BY_STORE : WS_REFUSAL_NONE;
+  return is_refused_by_store_alone(core) ? WS_REFUSAL_STORE_UNAVAILABLE : WS_REFUSAL_NONE;
 }
 
 WsRefusal
@@ -308,7 +308,7 @@
   if (refusal != WS_REFUSAL_NONE)
     return refusal;
   if (!ws_has_caught_up_with_epoch(core))
-    return WS_REFUSAL_BEHIND_EPOCH;
+    return WS_REFUSAL_REPLICA_BEHIND_EPOCH;
   return has_all_cancellations(core) ? WS_REFUSAL_NONE : WS_REFUSAL_CANCELLATIONS_UNKNOWN;
 }
 
@@ -316,7 +316,7 @@
 ws_authority_check_command(const WsCore *core, const WsMachine *machine)
 {
   if (machine->worker.endpoint == NULL || !ws_machine_is_up(core, machine)
-      || ws_is_unreached_by_workers(core))
+      || ws_receives_no_heartbeats(core))
     return WS_REFUSAL_MACHINE_UNREACHABLE;
   if (machine->worker.fencing_token != core->replica->epoch.number)
     return WS_REFUSAL_TOKEN_UNACKNOWLEDGED;
--- a/src/membership/ws-cancellation-message.c
+++ b/src/membership/ws-cancellation-message.c
@@ -30,7 +30,7 @@
     const WsCancellationNotice *notice = &g_array_index(message->notices, WsCancellationNotice, i);
     json_array_append_new(jobs, json_pack("[s, I]", notice->job, (json_int_t)notice->age_ms));
   }
-  return json_pack("{s:s, s:o}", MESH_NODE, message->node, MESH_CANCELLED_JOBS, jobs);
+  return json_pack("{s:s, s:o}", WIRE_NODE, message->node, WIRE_CANCELLED_JOBS, jobs);
 }
 
 static gboolean
@@ -48,10 +48,10 @@
 gboolean
 ws_cancellation_message_parse(const json_t *body, WsCancellationMessage *message)
 {
-  const json_t *jobs = json_object_get(body, MESH_CANCELLED_JOBS);
+  const json_t *jobs = json_object_get(body, WIRE_CANCELLED_JOBS);
   size_t i;
   const json_t *item;
-  (void)ws_json_string(body, MESH_NODE, &message->node);
+  (void)ws_json_string(body, WIRE_NODE, &message->node);
   json_array_foreach(jobs, i, item)
   {
     WsCancellationNotice notice;
--- a/src/membership/ws-cancellations.c
+++ b/src/membership/ws-cancellations.c
@@ -69,7 +69,7 @@
 }
 
 gboolean
-ws_cancellations_has(const WsCore *core, const WsJob *job)
+ws_cancellations_has_job(const WsCore *core, const WsJob *job)
 {
   return job->state == WS_JOB_CANCELLED
          || (core->cancellations->list->len > 0 && job->state == WS_JOB_ACTIVE
@@ -189,7 +189,7 @@
   message.node = ws_settings_node(core->settings, core->settings->self)->name;
   add_notices(core, notification, message.notices);
   core->cancellations->is_notifying[node] = TRUE;
-  ws_call(core, "POST", ws_settings_node(core->settings, node)->endpoint, MESH_PATH_CANCELLATIONS,
+  ws_call(core, "POST", ws_settings_node(core->settings, node)->endpoint, WIRE_PATH_CANCELLATIONS,
           ws_cancellation_message_encode(&message), NOTIFY_TIMEOUT_MS, on_notified, notification);
 }
 
@@ -201,7 +201,7 @@
   gboolean is_well_formed = ws_cancellation_message_parse(body, &message);
   WsNodeIndex node = ws_settings_find_node(core->settings, message.node);
   if (!is_well_formed || node == WS_NO_NODE || node == core->settings->self) {
-    ws_answer_reason(core, request, WS_HTTP_BAD_REQUEST, "malformed");
+    ws_answer_error(core, request, WS_HTTP_BAD_REQUEST, "malformed");
     return;
   }
   for (guint i = 0; i < message.notices->len; i++) {
--- a/src/membership/ws-election.c
+++ b/src/membership/ws-election.c
@@ -240,7 +240,7 @@
 static gboolean
 new_epoch_is_due(WsCore *core)
 {
-  if (!ws_epoch_new_one_is_needed(core) || core->now < core->election->requested_epoch_ms)
+  if (!ws_epoch_bump_is_requested(core) || core->now < core->election->requested_epoch_ms)
     return FALSE;
   core->election->requested_epoch_ms = core->now + REQUESTED_EPOCH_INTERVAL_MS;
   g_info("a new epoch is needed: a launch stays indeterminate");
@@ -253,7 +253,7 @@
 {
   const WsEpoch *epoch = &core->replica->epoch;
   return epoch->number > 0 && epoch->leader == core->settings->self
-         && ws_epoch_same_members(epoch, core->replica->members);
+         && ws_epoch_has_same_members(epoch, core->replica->members);
 }
 
 static void
--- a/src/membership/ws-epoch-tracker.c
+++ b/src/membership/ws-epoch-tracker.c
@@ -41,13 +41,13 @@
 }
 
 gboolean
-ws_epoch_new_one_is_needed(const WsCore *core)
+ws_epoch_bump_is_requested(const WsCore *core)
 {
   return core->epoch_tracker->needs_new_one;
 }
 
 void
-ws_epoch_request_new_one(WsCore *core)
+ws_epoch_request_bump(WsCore *core)
 {
   core->epoch_tracker->needs_new_one = TRUE;
 }
@@ -57,9 +57,9 @@
 {
   machine->worker.redirected_ms = 0;
   machine->worker.failed_probes = 0;
-  machine->worker.unacknowledged_ms = 0;
+  machine->worker.unacknowledged_since_ms = 0;
   if (machine->worker.handled_owner != machine->owner)
-    machine->worker.owned_ms = core->now;
+    machine->worker.owned_since_ms = core->now;
   machine->worker.handled_owner = machine->owner;
 }
 
--- a/src/membership/ws-failure-detection.h
+++ b/src/membership/ws-failure-detection.h
@@ -9,12 +9,12 @@
 /** The state of the failure detector, by the module that keeps it. Times are in ms. */
 struct _WsFailureDetector {
   /* ws-liveness.c */
-  gint64 heartbeat_ms;              /**< when a worker last reached this node itself */
-  gboolean is_unreached_by_workers; /**< none does, although there are some for it */
+  gint64 last_heartbeat_ms;        /**< when a worker last reached this node itself */
+  gboolean receives_no_heartbeats; /**< none does, although there are some for it */
 
   /* ws-partitions.c, both by zone */
-  gint64 *partition_ms;           /**< when it last seemed to be partitioned; 0: never */
-  gint64 *confirmed_partition_ms; /**< when that was last sure; 0: never */
+  gint64 *last_partition_ms;           /**< when it last seemed to be partitioned; 0: never */
+  gint64 *last_confirmed_partition_ms; /**< when that was last sure; 0: never */
 
   /* ws-failure-detector.c */
   guint probes_in_flight;
@@ -25,7 +25,7 @@
  * The longest pause between two heartbeats of a machine that is up, with what a slow moment here or
  * there may add, in ms.
  */
-gint64 ws_liveness_patience_ms(const WsCore *core);
+gint64 ws_liveness_heartbeat_timeout_ms(const WsCore *core);
 
 /**
  * Since when nothing was heard of the machine although something should have been, in ms; 0:
@@ -46,7 +46,7 @@
 gboolean ws_zone_has_node(const WsCore *core, WsZoneIndex zone);
 
 /** Whether the zone is partitioned, or was until a lease ago. */
-gboolean ws_zone_is_or_was_partitioned(const WsCore *core, WsZoneIndex zone);
+gboolean ws_zone_is_partitioned_or_recovering(const WsCore *core, WsZoneIndex zone);
 
 /** Whether it is the way to the zone's machines that is interrupted, rather than they. */
 gboolean ws_zone_links_are_suspected(const WsCore *core, WsZoneIndex zone);
--- a/src/membership/ws-failure-detector.c
+++ b/src/membership/ws-failure-detector.c
@@ -36,16 +36,16 @@
 ws_failure_detector_new(const WsSettings *settings)
 {
   WsFailureDetector *detector = g_new0(WsFailureDetector, 1);
-  detector->partition_ms = g_new0(gint64, MAX(settings->zones->len, 1u));
-  detector->confirmed_partition_ms = g_new0(gint64, MAX(settings->zones->len, 1u));
+  detector->last_partition_ms = g_new0(gint64, MAX(settings->zones->len, 1u));
+  detector->last_confirmed_partition_ms = g_new0(gint64, MAX(settings->zones->len, 1u));
   return detector;
 }
 
 void
 ws_failure_detector_free(WsFailureDetector *detector)
 {
-  g_free(detector->partition_ms);
-  g_free(detector->confirmed_partition_ms);
+  g_free(detector->last_partition_ms);
+  g_free(detector->last_confirmed_partition_ms);
   g_free(detector);
 }
 
@@ -59,7 +59,7 @@
   core->failure_detector->probes_in_flight--;
   /* An answer older than the last known status comes from a worker that was restarted. */
   if (heartbeat == NULL || !ws_owns_machine(core, machine)
-      || !core->handlers->note_worker_status(core, machine, heartbeat)) {
+      || !core->handlers->apply_worker_status(core, machine, heartbeat)) {
     machine->worker.failed_probes++;
     return;
   }
@@ -113,7 +113,7 @@
 {
   for (guint i = 0; i < machine->tasks->len; i++) {
     const WsTaskRef *ref = &g_array_index(machine->tasks, WsTaskRef, i);
-    if (ws_cancellations_has(core, ws_replica_job(core->replica, ref->job)))
+    if (ws_cancellations_has_job(core, ws_replica_job(core->replica, ref->job)))
       return TRUE;
   }
   return FALSE;
@@ -126,11 +126,11 @@
 {
   const WsSettings *settings = core->settings;
   gboolean is_interrupted
-      = ws_is_unreached_by_workers(core) || interruptions->machines_are_suspected_together
+      = ws_receives_no_heartbeats(core) || interruptions->machines_are_suspected_together
         || (machine->zone != WS_NO_ZONE && interruptions->links_are_suspected[machine->zone]);
   gint64 timeout_ms = is_interrupted ? (gint64)(settings->lease_s * 1000.0) + LEASE_MARGIN_MS
-                                     : ws_liveness_patience_ms(core) + SUSPICION_MARGIN_MS;
-  if (ws_zone_is_or_was_partitioned(core, machine->zone)) {
+                                     : ws_liveness_heartbeat_timeout_ms(core) + SUSPICION_MARGIN_MS;
+  if (ws_zone_is_partitioned_or_recovering(core, machine->zone)) {
     double leases
         = ws_zone_has_node(core, machine->zone) ? PARTITION_LEASES : PARTITION_LEASES_WITHOUT_NODE;
     timeout_ms = (gint64)(settings->lease_s * leases * 1000.0);
@@ -146,7 +146,7 @@
 {
   gint64 since_ms = ws_liveness_suspected_since_ms(machine);
   gint64 suspected_ms = since_ms > 0 ? core->now - since_ms : 0;
-  if (suspected_ms <= ws_liveness_patience_ms(core))
+  if (suspected_ms <= ws_liveness_heartbeat_timeout_ms(core))
     return;
   find_interruptions(core, interruptions);
   probe_machine(core, machine);
@@ -214,9 +214,9 @@
 check_indeterminate_launches(WsCore *core, const WsMachine *machine)
 {
   if (machine->worker.indeterminate_launches > 0
-      && core->now - machine->worker.indeterminate_ms > INDETERMINATE_TIMEOUT_MS
+      && core->now - machine->worker.indeterminate_since_ms > INDETERMINATE_TIMEOUT_MS
       && ws_machine_is_up(core, machine))
-    ws_epoch_request_new_one(core);
+    ws_epoch_request_bump(core);
 }
 
 static void
--- a/src/membership/ws-gossip-message.c
+++ b/src/membership/ws-gossip-message.c
@@ -35,11 +35,11 @@
   for (guint i = 0; i < machine->images->len; i++)
     json_array_append_new(images, json_string(g_ptr_array_index(machine->images, i)));
   return json_pack("{s:s, s:b, s:s, s:b, s:o}",                                 //
-                   MESH_MACHINE_NAME, machine->name,                            //
-                   MESH_MACHINE_IS_UP, machine->is_up,                          //
-                   MESH_MACHINE_ENDPOINT, machine->endpoint,                    //
-                   MESH_MACHINE_INTERRUPTION, machine->has_interruption_notice, //
-                   MESH_MACHINE_IMAGES, images);
+                   WIRE_MACHINE_NAME, machine->name,                            //
+                   WIRE_MACHINE_IS_UP, machine->is_up,                          //
+                   WIRE_MACHINE_ENDPOINT, machine->endpoint,                    //
+                   WIRE_MACHINE_INTERRUPTION, machine->has_interruption_notice, //
+                   WIRE_MACHINE_IMAGES, images);
 }
 
 json_t *
@@ -50,20 +50,20 @@
     json_array_append_new(machines,
                           encode_machine(&g_array_index(message->machines, WsGossipMachine, i)));
   return json_pack("{s:s, s:s, s:I, s:b, s:i, s:b, s:b, s:I, s:I, s:I, s:I, s:b, s:i, s:o}",      //
-                   MESH_NODE, message->node,                                                      //
-                   MESH_VERSION, message->version,                                                //
-                   MESH_EPOCH, (json_int_t)message->epoch,                                        //
-                   MESH_STORE_IS_AVAILABLE, message->store_is_available,                          //
-                   MESH_REACHABLE_NODES, (int)message->reachable_nodes,                           //
-                   MESH_NEEDS_NEW_EPOCH, message->needs_new_epoch,                                //
-                   MESH_UNREACHED_BY_WORKERS, message->is_unreached_by_workers,                   //
-                   MESH_BASE_REVISION, (json_int_t)message->base_revision,                        //
-                   MESH_REVISION, (json_int_t)message->revision,                                  //
-                   MESH_ACKNOWLEDGED_REVISION, (json_int_t)message->acknowledged_revision,        //
-                   MESH_INCARNATION, (json_int_t)message->incarnation,                            //
-                   MESH_REPLICA_IS_LOADED, message->replica_is_loaded,                            //
-                   MESH_UNACKNOWLEDGED_CANCELLATIONS, (int)message->unacknowledged_cancellations, //
-                   MESH_MACHINES, machines);
+                   WIRE_NODE, message->node,                                                      //
+                   WIRE_VERSION, message->version,                                                //
+                   WIRE_EPOCH, (json_int_t)message->epoch,                                        //
+                   WIRE_STORE_IS_AVAILABLE, message->store_is_available,                          //
+                   WIRE_REACHABLE_NODES, (int)message->reachable_nodes,                           //
+                   WIRE_NEEDS_NEW_EPOCH, message->needs_new_epoch,                                //
+                   WIRE_RECEIVES_NO_HEARTBEATS, message->receives_no_heartbeats,                  //
+                   WIRE_BASE_REVISION, (json_int_t)message->base_revision,                        //
+                   WIRE_REVISION, (json_int_t)message->revision,                                  //
+                   WIRE_ACKNOWLEDGED_REVISION, (json_int_t)message->acknowledged_revision,        //
+                   WIRE_INCARNATION, (json_int_t)message->incarnation,                            //
+                   WIRE_REPLICA_IS_LOADED, message->replica_is_loaded,                            //
+                   WIRE_UNACKNOWLEDGED_CANCELLATIONS, (int)message->unacknowledged_cancellations, //
+                   WIRE_MACHINES, machines);
 }
 
 /* Parsing. */
@@ -84,30 +84,30 @@
 parse_machine(const json_t *item, GArray *machines)
 {
   WsGossipMachine machine = { 0 };
-  if (!ws_json_string(item, MESH_MACHINE_NAME, &machine.name)
-      || !ws_json_bool(item, MESH_MACHINE_IS_UP, &machine.is_up)
-      || !ws_json_string(item, MESH_MACHINE_ENDPOINT, &machine.endpoint)
-      || !ws_json_bool(item, MESH_MACHINE_INTERRUPTION, &machine.has_interruption_notice))
+  if (!ws_json_string(item, WIRE_MACHINE_NAME, &machine.name)
+      || !ws_json_bool(item, WIRE_MACHINE_IS_UP, &machine.is_up)
+      || !ws_json_string(item, WIRE_MACHINE_ENDPOINT, &machine.endpoint)
+      || !ws_json_bool(item, WIRE_MACHINE_INTERRUPTION, &machine.has_interruption_notice))
     return;
   machine.images = g_ptr_array_new();
-  parse_images(json_object_get(item, MESH_MACHINE_IMAGES), machine.images);
+  parse_images(json_object_get(item, WIRE_MACHINE_IMAGES), machine.images);
   g_array_append_val(machines, machine);
 }
 
 static gboolean
 parse_header(const json_t *body, WsGossipMessage *message)
 {
-  (void)ws_json_string_or_null(body, MESH_VERSION, &message->version);
-  return ws_json_string(body, MESH_NODE, &message->node)
-         && ws_json_count(body, MESH_EPOCH, &message->epoch)
-         && ws_json_bool(body, MESH_STORE_IS_AVAILABLE, &message->store_is_available)
-         && ws_json_count(body, MESH_REACHABLE_NODES, &message->reachable_nodes)
-         && ws_json_bool(body, MESH_NEEDS_NEW_EPOCH, &message->needs_new_epoch)
-         && ws_json_bool(body, MESH_UNREACHED_BY_WORKERS, &message->is_unreached_by_workers)
-         && ws_json_count(body, MESH_INCARNATION, &message->incarnation)
-         && ws_json_bool(body, MESH_REPLICA_IS_LOADED, &message->replica_is_loaded)
-         && ws_json_count(body, MESH_UNACKNOWLEDGED_CANCELLATIONS,
-                          &message->unacknowledged_cancellations);
+  (void)ws_json_string_or_null(body, WIRE_VERSION, &message->version);
+  return ws_json_string(body, WIRE_NODE, &message->node)
+         && ws_json_uint64(body, WIRE_EPOCH, &message->epoch)
+         && ws_json_bool(body, WIRE_STORE_IS_AVAILABLE, &message->store_is_available)
+         && ws_json_uint64(body, WIRE_REACHABLE_NODES, &message->reachable_nodes)
+         && ws_json_bool(body, WIRE_NEEDS_NEW_EPOCH, &message->needs_new_epoch)
+         && ws_json_bool(body, WIRE_RECEIVES_NO_HEARTBEATS, &message->receives_no_heartbeats)
+         && ws_json_uint64(body, WIRE_INCARNATION, &message->incarnation)
+         && ws_json_bool(body, WIRE_REPLICA_IS_LOADED, &message->replica_is_loaded)
+         && ws_json_uint64(body, WIRE_UNACKNOWLEDGED_CANCELLATIONS,
+                           &message->unacknowledged_cancellations);
 }
 
 gboolean
@@ -116,14 +116,14 @@
   if (!parse_header(body, message))
     return FALSE;
   message->has_revisions
-      = ws_json_count(body, MESH_BASE_REVISION, &message->base_revision)
-        && ws_json_count(body, MESH_REVISION, &message->revision)
-        && ws_json_count(body, MESH_ACKNOWLEDGED_REVISION, &message->acknowledged_revision);
+      = ws_json_uint64(body, WIRE_BASE_REVISION, &message->base_revision)
+        && ws_json_uint64(body, WIRE_REVISION, &message->revision)
+        && ws_json_uint64(body, WIRE_ACKNOWLEDGED_REVISION, &message->acknowledged_revision);
   if (!message->has_revisions)
     return TRUE;
   size_t i;
   const json_t *item;
-  json_array_foreach(json_object_get(body, MESH_MACHINES), i, item)
+  json_array_foreach(json_object_get(body, WIRE_MACHINES), i, item)
   {
     parse_machine(item, message->machines);
   }
@@ -134,6 +134,6 @@
 ws_gossip_message_sender(const json_t *body)
 {
   const char *node = NULL;
-  (void)ws_json_string(body, MESH_NODE, &node);
+  (void)ws_json_string(body, WIRE_NODE, &node);
   return node;
 }
--- a/src/membership/ws-gossip-message.h
+++ b/src/membership/ws-gossip-message.h
@@ -29,7 +29,7 @@
   gboolean replica_is_loaded;
   guint64 reachable_nodes; /**< bit for each node that it hears */
   gboolean needs_new_epoch;
-  gboolean is_unreached_by_workers;
+  gboolean receives_no_heartbeats;
   guint64 unacknowledged_cancellations;
 
   gboolean has_revisions;        /**< the rest is there */
--- a/src/membership/ws-gossip.c
+++ b/src/membership/ws-gossip.c
@@ -110,8 +110,8 @@
   message.store_is_available = ws_store_is_loaded(core) && ws_store_is_available(core);
   message.replica_is_loaded = ws_store_is_loaded(core);
   message.reachable_nodes = reachable_nodes(core);
-  message.needs_new_epoch = ws_epoch_new_one_is_needed(core);
-  message.is_unreached_by_workers = ws_is_unreached_by_workers(core);
+  message.needs_new_epoch = ws_epoch_bump_is_requested(core);
+  message.receives_no_heartbeats = ws_receives_no_heartbeats(core);
   message.unacknowledged_cancellations = ws_cancellations_count_unacknowledged(core, node);
   message.base_revision = peer->acknowledged_revision;
   message.revision = core->peers->announced_revision;
@@ -215,7 +215,7 @@
   peer->heard_ms = core->now;
   peer->epoch = message->epoch;
   peer->store_is_available = message->store_is_available;
-  peer->is_unreached_by_workers = message->is_unreached_by_workers;
+  peer->receives_no_heartbeats = message->receives_no_heartbeats;
   peer->reachable_nodes = (guint)message->reachable_nodes;
 }
 
@@ -233,7 +233,7 @@
   if (message.epoch != core->replica->epoch.number || ws_epoch_has_changed(core))
     return;
   if (message.needs_new_epoch && ws_is_leader(core))
-    ws_epoch_request_new_one(core);
+    ws_epoch_request_bump(core);
   apply_machines(core, node, &message);
 }
 
@@ -271,7 +271,7 @@
     WsPeer *peer = ws_peer(core, n);
     peer->gossip_is_in_flight = TRUE;
     peer->gossip_sent_ms = core->now;
-    ws_call(core, "POST", ws_settings_node(core->settings, n)->endpoint, MESH_PATH_GOSSIP,
+    ws_call(core, "POST", ws_settings_node(core->settings, n)->endpoint, WIRE_PATH_GOSSIP,
             encode_gossip(core, n), GOSSIP_TIMEOUT_MS, on_gossip_answered, GUINT_TO_POINTER(n));
   }
 }
@@ -281,7 +281,7 @@
 {
   WsNodeIndex node = ws_settings_find_node(core->settings, ws_gossip_message_sender(body));
   if (node == WS_NO_NODE || node == core->settings->self) {
-    ws_answer_reason(core, request, WS_HTTP_BAD_REQUEST, "node is missing or unknown");
+    ws_answer_error(core, request, WS_HTTP_BAD_REQUEST, "node is missing or unknown");
     return;
   }
   handle_gossip(core, body);
@@ -293,15 +293,15 @@
                         gpointer request)
 {
   g_autoptr(json_t) message = ws_json_parse(body, length);
-  if (strcmp(path, MESH_PATH_GOSSIP) == 0) {
+  if (strcmp(path, WIRE_PATH_GOSSIP) == 0) {
     answer_gossip(core, message, request);
-  } else if (strcmp(path, MESH_PATH_CANCELLATIONS) == 0) {
+  } else if (strcmp(path, WIRE_PATH_CANCELLATIONS) == 0) {
     ws_cancellations_handle_message(core, message, request);
-  } else if (strcmp(path, MESH_PATH_PEER_REQUESTS) == 0) {
+  } else if (strcmp(path, WIRE_PATH_PEER_REQUESTS) == 0) {
     ws_peer_requests_handle(core, message, request);
   } else if (strcmp(path, WS_RELAY_PATH) == 0) {
     core->handlers->handle_relay(core, message, request);
   } else {
-    ws_answer_reason(core, request, WS_HTTP_NOT_FOUND, "no such path");
+    ws_answer_error(core, request, WS_HTTP_NOT_FOUND, "no such path");
   }
 }
--- a/src/membership/ws-liveness.c
+++ b/src/membership/ws-liveness.c
@@ -16,7 +16,7 @@
 #define MIN_UNREACHED_MS 1500
 
 gint64
-ws_liveness_patience_ms(const WsCore *core)
+ws_liveness_heartbeat_timeout_ms(const WsCore *core)
 {
   return (gint64)(core->settings->report_s * PATIENCE_MS_PER_INTERVAL_S) + PATIENCE_MARGIN_MS;
 }
@@ -25,7 +25,7 @@
 ws_machine_is_up(const WsCore *core, const WsMachine *machine)
 {
   return machine->worker.heard_ms > 0
-         && core->now - machine->worker.heard_ms <= ws_liveness_patience_ms(core);
+         && core->now - machine->worker.heard_ms <= ws_liveness_heartbeat_timeout_ms(core);
 }
 
 /* When the owner of a machine changes, its worker may first wait for an answer of the old one.
@@ -36,8 +36,9 @@
 {
   if (machine->worker.heard_ms == 0 && machine->tasks->len == 0)
     return 0;
-  gint64 discovered_ms
-      = machine->worker.owned_ms > 0 ? machine->worker.owned_ms + OWNER_DISCOVERY_MS : 0;
+  gint64 discovered_ms = machine->worker.owned_since_ms > 0
+                             ? machine->worker.owned_since_ms + OWNER_DISCOVERY_MS
+                             : 0;
   return MAX(machine->worker.heard_ms, discovered_ms);
 }
 
@@ -45,13 +46,15 @@
 ws_machine_is_suspected(const WsCore *core, const WsMachine *machine)
 {
   gint64 since_ms = ws_liveness_suspected_since_ms(machine);
-  return since_ms > 0 && core->now - since_ms > ws_liveness_patience_ms(core);
+  return since_ms > 0 && core->now - since_ms > ws_liveness_heartbeat_timeout_ms(core);
 }
 
 gint64
 ws_liveness_unacknowledged_for_ms(const WsCore *core, const WsMachine *machine)
 {
-  return machine->worker.unacknowledged_ms > 0 ? core->now - machine->worker.unacknowledged_ms : 0;
+  return machine->worker.unacknowledged_since_ms > 0
+             ? core->now - machine->worker.unacknowledged_since_ms
+             : 0;
 }
 
 /* A machine that is not up is suspected instead, whatever it has not acknowledged. */
@@ -59,7 +62,8 @@
 ws_machine_is_outbound_unreachable(const WsCore *core, const WsMachine *machine)
 {
   return ws_machine_is_up(core, machine)
-         && ws_liveness_unacknowledged_for_ms(core, machine) > ws_liveness_patience_ms(core);
+         && ws_liveness_unacknowledged_for_ms(core, machine)
+                > ws_liveness_heartbeat_timeout_ms(core);
 }
 
 /* A call to the worker has shown that its lease expired, and no heartbeat has arrived since. Tasks
@@ -68,21 +72,22 @@
 gboolean
 ws_machine_is_inbound_unreachable(const WsCore *core, const WsMachine *machine)
 {
-  return machine->worker.incarnation_changed_ms > machine->worker.reported_ms
+  return machine->worker.incarnation_changed_ms > machine->worker.last_heartbeat_ms
          && ws_machine_is_up(core, machine)
-         && core->now - machine->worker.incarnation_changed_ms > ws_liveness_patience_ms(core);
+         && core->now - machine->worker.incarnation_changed_ms
+                > ws_liveness_heartbeat_timeout_ms(core);
 }
 
 void
 ws_liveness_note_heartbeat(WsCore *core)
 {
-  core->failure_detector->heartbeat_ms = core->now;
+  core->failure_detector->last_heartbeat_ms = core->now;
 }
 
 gboolean
-ws_is_unreached_by_workers(const WsCore *core)
+ws_receives_no_heartbeats(const WsCore *core)
 {
-  return core->failure_detector->is_unreached_by_workers;
+  return core->failure_detector->receives_no_heartbeats;
 }
 
 static guint
@@ -105,10 +110,10 @@
   WsFailureDetector *detector = core->failure_detector;
   guint count = count_heard_machines(core);
   double usual_ms = UNREACHED_HEARTBEATS * core->settings->report_s * 1000.0 / MAX(count, 1u);
-  gint64 since_ms = MAX(detector->heartbeat_ms, ws_epoch_known_since_ms(core));
+  gint64 since_ms = MAX(detector->last_heartbeat_ms, ws_epoch_known_since_ms(core));
   gboolean is_unreached
       = count > 0 && (double)(core->now - since_ms) > MAX(usual_ms, MIN_UNREACHED_MS);
-  if (is_unreached && !detector->is_unreached_by_workers)
+  if (is_unreached && !detector->receives_no_heartbeats)
     g_info("no worker reaches this node");
-  detector->is_unreached_by_workers = is_unreached;
+  detector->receives_no_heartbeats = is_unreached;
 }
--- a/src/membership/ws-membership-private.h
+++ b/src/membership/ws-membership-private.h
@@ -15,10 +15,10 @@
 void ws_epoch_restart_clock(WsCore *core, gint64 now_ms);
 
 /** Whether a new epoch was requested in this one. */
-gboolean ws_epoch_new_one_is_needed(const WsCore *core);
+gboolean ws_epoch_bump_is_requested(const WsCore *core);
 
 /** Requests a new epoch, whose fencing token ends what is indeterminate. */
-void ws_epoch_request_new_one(WsCore *core);
+void ws_epoch_request_bump(WsCore *core);
 
 /** In a new epoch machines have other owners: announcements begin with all of them. */
 void ws_gossip_begin_epoch(WsCore *core);
--- a/src/membership/ws-membership.h
+++ b/src/membership/ws-membership.h
@@ -18,14 +18,14 @@
 /** Why this node may not do something. */
 typedef enum {
   WS_REFUSAL_NONE,                  /**< it may */
-  WS_REFUSAL_STATE_NOT_READ,        /**< the replica has not been loaded since the start */
+  WS_REFUSAL_REPLICA_NOT_LOADED,    /**< the replica has not been loaded since the start */
   WS_REFUSAL_STALLED,               /**< after a process pause: lease and replica are unconfirmed */
   WS_REFUSAL_NOT_A_MEMBER,          /**< no lease, or the epoch does not have this incarnation */
   WS_REFUSAL_NOT_SHARD_OWNER,       /**< the machine belongs to another node's shard */
-  WS_REFUSAL_BEHIND_EPOCH,          /**< the records are older than the epoch */
+  WS_REFUSAL_REPLICA_BEHIND_EPOCH,  /**< the records are older than the epoch */
   WS_REFUSAL_EPOCH_SUPERSEDED,      /**< a worker or a peer knows a newer epoch */
   WS_REFUSAL_CANCELLATIONS_UNKNOWN, /**< a confirmed cancellation may be missing here */
-  WS_REFUSAL_REFUSED_BY_STORE,      /**< the store is unavailable here, but not to a peer */
+  WS_REFUSAL_STORE_UNAVAILABLE,     /**< the store is unavailable here, but not to a peer */
   WS_REFUSAL_ISOLATED,              /**< neither the store nor any peer is reached */
   WS_REFUSAL_NO_CATALOG,            /**< the cloud's catalog is not known yet */
   WS_REFUSAL_MACHINE_UNREACHABLE,   /**< no address, not up, or no worker reaches this node */
@@ -46,7 +46,7 @@
 void ws_authority_tick(WsCore *core);
 
 /** Notes the time, if this node knows all confirmed cancellations now. After each input. */
-void ws_authority_note_cancellations(WsCore *core);
+void ws_authority_record_known_cancellations(WsCore *core);
 
 /** Whether this node is a member of the present epoch, with a lease that it may rely on. */
 WsRefusal ws_authority_check_member(const WsCore *core);
@@ -103,7 +103,7 @@
 gboolean ws_is_isolated(const WsCore *core);
 
 /** Whether a machine of another zone has reached this node while it is isolated. */
-gboolean ws_authority_is_reached_from_other_zones(const WsCore *core);
+gboolean ws_authority_has_heartbeat_from_other_zone(const WsCore *core);
 
 /**
  * Notes that a machine of another zone has reached this node, until the next tick without
@@ -175,7 +175,7 @@
 gboolean ws_peer_replica_is_loaded(const WsCore *core, WsNodeIndex node);
 
 /** Whether no worker reaches the peer, by its own account. */
-gboolean ws_peer_is_unreached_by_workers(const WsCore *core, WsNodeIndex node);
+gboolean ws_peer_receives_no_heartbeats(const WsCore *core, WsNodeIndex node);
 
 /** When a worker was last redirected to the peer, in ms; 0: never. */
 gint64 ws_peer_last_redirect_ms(const WsCore *core, WsNodeIndex node);
@@ -251,7 +251,7 @@
 void ws_liveness_note_heartbeat(WsCore *core);
 
 /** Whether no worker reaches this node, although there are some for it. As of the last tick. */
-gboolean ws_is_unreached_by_workers(const WsCore *core);
+gboolean ws_receives_no_heartbeats(const WsCore *core);
 
 /** Whether the zone is partitioned, as far as its machines' silence shows. As of the last tick. */
 gboolean ws_zone_is_partitioned(const WsCore *core, WsZoneIndex zone);
@@ -278,7 +278,7 @@
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsCancellations, ws_cancellations_free)
 
 /** Whether the job's cancellation was confirmed to its user, by the records or by a peer. */
-gboolean ws_cancellations_has(const WsCore *core, const WsJob *job);
+gboolean ws_cancellations_has_job(const WsCore *core, const WsJob *job);
 
 /** How many cancellations are known whose jobs aren't over. */
 guint ws_cancellations_count(const WsCore *core);
--- a/src/membership/ws-mesh-names.h
+++ b/src/membership/ws-mesh-names.h
@@ -7,46 +7,46 @@
 #pragma once
 
 /** Paths to which the messages are posted. */
-#define MESH_PATH_GOSSIP "/gossip"
-#define MESH_PATH_CANCELLATIONS "/cancelled"
-#define MESH_PATH_PEER_REQUESTS "/ask"
+#define WIRE_PATH_GOSSIP "/gossip"
+#define WIRE_PATH_CANCELLATIONS "/cancelled"
+#define WIRE_PATH_PEER_REQUESTS "/ask"
 /* That of relayed heartbeats is WS_RELAY_PATH, in ws-relay-message.h. */
 
 /** In several messages. */
-#define MESH_NODE "node"
-#define MESH_EPOCH "epoch"
+#define WIRE_NODE "node"
+#define WIRE_EPOCH "epoch"
 
 /** Gossip. */
-#define MESH_VERSION "version"
-#define MESH_INCARNATION "incarnation"
-#define MESH_STORE_IS_AVAILABLE "store"
-#define MESH_REPLICA_IS_LOADED "loaded"
-#define MESH_REACHABLE_NODES "reaches"
-#define MESH_NEEDS_NEW_EPOCH "wants_epoch"
-#define MESH_UNREACHED_BY_WORKERS "unheard"
-#define MESH_UNACKNOWLEDGED_CANCELLATIONS "untold"
-#define MESH_BASE_REVISION "base"
-#define MESH_REVISION "rev"
-#define MESH_ACKNOWLEDGED_REVISION "ack"
-#define MESH_MACHINES "machines"
+#define WIRE_VERSION "version"
+#define WIRE_INCARNATION "incarnation"
+#define WIRE_STORE_IS_AVAILABLE "store"
+#define WIRE_REPLICA_IS_LOADED "loaded"
+#define WIRE_REACHABLE_NODES "reaches"
+#define WIRE_NEEDS_NEW_EPOCH "wants_epoch"
+#define WIRE_RECEIVES_NO_HEARTBEATS "unheard"
+#define WIRE_UNACKNOWLEDGED_CANCELLATIONS "untold"
+#define WIRE_BASE_REVISION "base"
+#define WIRE_REVISION "rev"
+#define WIRE_ACKNOWLEDGED_REVISION "ack"
+#define WIRE_MACHINES "machines"
 
 /** A machine in a gossip message. */
-#define MESH_MACHINE_NAME "name"
-#define MESH_MACHINE_IS_UP "up"
-#define MESH_MACHINE_ENDPOINT "endpoint"
-#define MESH_MACHINE_INTERRUPTION "notice"
-#define MESH_MACHINE_IMAGES "images"
+#define WIRE_MACHINE_NAME "name"
+#define WIRE_MACHINE_IS_UP "up"
+#define WIRE_MACHINE_ENDPOINT "endpoint"
+#define WIRE_MACHINE_INTERRUPTION "notice"
+#define WIRE_MACHINE_IMAGES "images"
 
 /** Cancellations. */
-#define MESH_CANCELLED_JOBS "jobs"
+#define WIRE_CANCELLED_JOBS "jobs"
 
 /** Peer requests: one list for each kind. */
-#define MESH_STOPS "stops"
-#define MESH_RELEASES "releases"
-#define MESH_RESERVATIONS "reservations"
-#define MESH_ASSIGNMENTS "picks"
-#define MESH_MARKS "marks"
+#define WIRE_STOPS "stops"
+#define WIRE_RELEASES "releases"
+#define WIRE_RESERVATIONS "reservations"
+#define WIRE_ASSIGNMENTS "picks"
+#define WIRE_MARKS "marks"
 
 /** Relay. */
-#define MESH_RELAY_OWNER "owner"
-#define MESH_RELAY_HEARTBEAT "report"
+#define WIRE_RELAY_OWNER "owner"
+#define WIRE_RELAY_HEARTBEAT "report"
--- a/src/membership/ws-partitions.c
+++ b/src/membership/ws-partitions.c
@@ -82,17 +82,17 @@
 gboolean
 ws_zone_is_partitioned(const WsCore *core, WsZoneIndex zone)
 {
-  const gint64 *partition_ms = core->failure_detector->partition_ms;
-  return zone < core->settings->zones->len && partition_ms[zone] > 0
-         && core->now - partition_ms[zone] < PARTITION_VALID_MS;
+  const gint64 *last_partition_ms = core->failure_detector->last_partition_ms;
+  return zone < core->settings->zones->len && last_partition_ms[zone] > 0
+         && core->now - last_partition_ms[zone] < PARTITION_VALID_MS;
 }
 
 /* When a partition has healed, workers still have to find their owners: for the time of a lease
    they aren't declared dead. */
 gboolean
-ws_zone_is_or_was_partitioned(const WsCore *core, WsZoneIndex zone)
+ws_zone_is_partitioned_or_recovering(const WsCore *core, WsZoneIndex zone)
 {
-  const gint64 *confirmed_ms = core->failure_detector->confirmed_partition_ms;
+  const gint64 *confirmed_ms = core->failure_detector->last_confirmed_partition_ms;
   if (ws_zone_is_partitioned(core, zone))
     return TRUE;
   return zone < core->settings->zones->len && confirmed_ms[zone] > 0
@@ -140,7 +140,7 @@
     const WsMachine *machine = ws_replica_machine(core->replica, i);
     if (machine->is_spot || !machine->is_recorded || ws_liveness_suspected_since_ms(machine) == 0
         || (machine->is_marked && g_strcmp0(machine->mark_reason, WS_MARK_REASON_SILENT) != 0)
-        || ws_zone_is_or_was_partitioned(core, machine->zone))
+        || ws_zone_is_partitioned_or_recovering(core, machine->zone))
       continue;
     count_machine(core, machine, &count);
   }
@@ -181,9 +181,9 @@
   gboolean most_are = most_are_suspected(&count);
   gboolean all_are = count.all > 0 && count.suspected == count.all;
   if (most_are || (has_node && all_are))
-    detector->partition_ms[zone] = core->now;
+    detector->last_partition_ms[zone] = core->now;
   if (most_are || (has_node && all_are && outlasts_restart))
-    detector->confirmed_partition_ms[zone] = core->now;
+    detector->last_confirmed_partition_ms[zone] = core->now;
 }
 
 void
--- a/src/membership/ws-peer-request-message.c
+++ b/src/membership/ws-peer-request-message.c
@@ -23,11 +23,11 @@
 #define ITEM_IS_COMPLETED 3
 
 static const char *const LIST_NAMES[] = {
-  [WS_PEER_REQUEST_STOP] = MESH_STOPS,
-  [WS_PEER_REQUEST_RELEASE] = MESH_RELEASES,
-  [WS_PEER_REQUEST_RESERVATION] = MESH_RESERVATIONS,
-  [WS_PEER_REQUEST_ASSIGNMENT] = MESH_ASSIGNMENTS,
-  [WS_PEER_REQUEST_MARK] = MESH_MARKS,
+  [WS_PEER_REQUEST_STOP] = WIRE_STOPS,
+  [WS_PEER_REQUEST_RELEASE] = WIRE_RELEASES,
+  [WS_PEER_REQUEST_RESERVATION] = WIRE_RESERVATIONS,
+  [WS_PEER_REQUEST_ASSIGNMENT] = WIRE_ASSIGNMENTS,
+  [WS_PEER_REQUEST_MARK] = WIRE_MARKS,
 };
 
 void
@@ -118,7 +118,7 @@
       json_array_append_new(list, encode_request(replica, g_ptr_array_index(requests, i)));
     json_object_set_new(body, LIST_NAMES[batch->order[k]], list);
   }
-  json_object_set_new(body, MESH_EPOCH, json_integer((json_int_t)batch->epoch));
+  json_object_set_new(body, WIRE_EPOCH, json_integer((json_int_t)batch->epoch));
   return body;
 }
 
@@ -173,7 +173,7 @@
 ws_peer_request_batch_parse(const WsReplica *replica, const json_t *body)
 {
   guint64 epoch;
-  if (!ws_json_count(body, MESH_EPOCH, &epoch))
+  if (!ws_json_uint64(body, WIRE_EPOCH, &epoch))
     return NULL;
   WsPeerRequestBatch *batch = ws_peer_request_batch_new();
   batch->epoch = epoch;
@@ -247,7 +247,7 @@
 {
   json_t *body = encode_mailbox(mailbox, replica);
   for (guint left = MAX_REQUESTS_PER_KIND; left > 0; left /= 2) {
-    g_autofree char *text = ws_json_text(body);
+    g_autofree char *text = ws_json_serialize(body);
     if (strlen(text) <= max_bytes)
       break;
     halve_batches(mailbox);
--- a/src/membership/ws-peer-requests.c
+++ b/src/membership/ws-peer-requests.c
@@ -244,7 +244,7 @@
   if (handle_batch(core, batch))
     ws_answer(core, request, WS_HTTP_OK, json_object(), 0);
   else
-    ws_answer_later(core, request, RETRY_AFTER_S);
+    ws_answer_retry_later(core, request, RETRY_AFTER_S);
 }
 
 static void
@@ -273,7 +273,7 @@
 static void
 send_batch(WsCore *core, WsNodeIndex node, const WsPeerRequestBatch *batch)
 {
-  ws_call(core, "POST", ws_settings_node(core->settings, node)->endpoint, MESH_PATH_PEER_REQUESTS,
+  ws_call(core, "POST", ws_settings_node(core->settings, node)->endpoint, WIRE_PATH_PEER_REQUESTS,
           ws_peer_request_batch_encode(batch, core->replica), REQUEST_TIMEOUT_MS, on_batch_answered,
           GUINT_TO_POINTER(node));
 }
@@ -291,14 +291,14 @@
 write_mailbox(WsCore *core, WsMailbox *mailbox)
 {
   json_t *value
-      = ws_mailbox_encode_within(mailbox, core->replica, core->settings->state_record_bytes);
+      = ws_mailbox_encode_within(mailbox, core->replica, core->settings->kv_max_record_bytes);
   g_autofree char *key
       = ws_key(WS_KEYS_MAILBOX, ws_settings_node(core->settings, core->settings->self)->name);
   WsTxn *txn = ws_txn_new();
   core->peer_requests->next_mailbox_ms = core->now + MAILBOX_INTERVAL_MS;
   ws_txn_compare(txn, core->replica, WS_KEY_EPOCH);
   ws_txn_put(txn, key, value);
-  ws_txn_commit(core, txn, WS_REQUEST_TASK, on_mailbox_written, NULL);
+  ws_txn_commit(core, txn, WS_REQUEST_SCHEDULING, on_mailbox_written, NULL);
 }
 
 /* Each mailbox replaces the previous one, so requests to unreachable nodes wait until the next may
--- a/src/membership/ws-peers.c
+++ b/src/membership/ws-peers.c
@@ -59,9 +59,9 @@
 }
 
 gboolean
-ws_peer_is_unreached_by_workers(const WsCore *core, WsNodeIndex node)
+ws_peer_receives_no_heartbeats(const WsCore *core, WsNodeIndex node)
 {
-  return ws_peer(core, node)->is_unreached_by_workers;
+  return ws_peer(core, node)->receives_no_heartbeats;
 }
 
 gint64
--- a/src/membership/ws-peers.h
+++ b/src/membership/ws-peers.h
@@ -22,9 +22,9 @@
                                            notified this node of all */
 
   /* Workers. */
-  gboolean is_unreached_by_workers; /**< it announces that no worker reaches it */
-  gint64 last_redirect_ms;          /**< when a worker was last redirected there all the same */
-  guint relays_in_flight;           /**< heartbeats on their way to it */
+  gboolean receives_no_heartbeats; /**< it announces that no worker reaches it */
+  gint64 last_redirect_ms;         /**< when a worker was last redirected there all the same */
+  guint relays_in_flight;          /**< heartbeats on their way to it */
 
   /* Gossip. */
   gboolean gossip_is_in_flight;
--- a/src/protocol/ws-cloud.c
+++ b/src/protocol/ws-cloud.c
@@ -64,7 +64,7 @@
       || !ws_amount_parse_capacity(item, WS_FIELD_GPUS, &type->capacity.gpus)
       || !ws_amount_parse_capacity(item, WS_FIELD_MEMORY_GB, &type->capacity.memory)
       || !ws_json_number(item, WS_FIELD_CACHE_GB, &type->cache_gb)
-      || !ws_json_number(item, WS_FIELD_FETCH_RATE, &type->fetch_gb_per_s)
+      || !ws_json_number(item, WS_FIELD_FETCH_GB_PER_S, &type->fetch_gb_per_s)
       || !ws_json_number(item, WS_FIELD_PRICE, &type->price)
       || !ws_json_number(item, WS_FIELD_SPOT_PRICE, &type->spot_price)
       || !ws_json_number(item, WS_FIELD_BOOT_S, &type->boot_s)
@@ -147,12 +147,13 @@
 ws_rental_encode(const char *request, const char *type, const char *zone, gboolean spot,
                  guint count)
 {
-  return json_pack("{s:s, s:s, s:s, s:b, s:i}", WS_FIELD_REQUEST, request, WS_FIELD_MACHINE_TYPE,
-                   type, WS_FIELD_ZONE, zone, WS_FIELD_SPOT, spot, WS_FIELD_COUNT, (int)count);
+  return json_pack("{s:s, s:s, s:s, s:b, s:i}", WS_FIELD_IDEMPOTENCY_KEY, request,
+                   WS_FIELD_MACHINE_TYPE, type, WS_FIELD_ZONE, zone, WS_FIELD_SPOT, spot,
+                   WS_FIELD_MACHINE_COUNT, (int)count);
 }
 
 json_t *
-ws_return_encode(const GPtrArray *machines)
+ws_machine_return_encode(const GPtrArray *machines)
 {
   json_t *list = json_array();
   for (guint i = 0; i < machines->len; i++)
--- a/src/protocol/ws-cloud.h
+++ b/src/protocol/ws-cloud.h
@@ -65,4 +65,4 @@
                          guint count);
 
 /** Encodes the return of machines. @machines: of char *, their names */
-json_t *ws_return_encode(const GPtrArray *machines);
+json_t *ws_machine_return_encode(const GPtrArray *machines);
--- a/src/protocol/ws-heartbeat.c
+++ b/src/protocol/ws-heartbeat.c
@@ -55,11 +55,11 @@
     WsExitReason reason;
   } REASONS[] = { { "done", WS_EXIT_DONE },
                   { "stopped", WS_EXIT_STOPPED },
-                  { "full", WS_EXIT_REFUSED },
-                  { "busy", WS_EXIT_REFUSED },
-                  { "no_such", WS_EXIT_REFUSED },
-                  { "peers", WS_EXIT_PEERS },
-                  { "incomplete", WS_EXIT_INCOMPLETE } };
+                  { "full", WS_EXIT_LAUNCH_REJECTED },
+                  { "busy", WS_EXIT_LAUNCH_REJECTED },
+                  { "no_such", WS_EXIT_LAUNCH_REJECTED },
+                  { "peers", WS_EXIT_GANG_PEER_LOST },
+                  { "incomplete", WS_EXIT_GANG_INCOMPLETE } };
   for (gsize i = 0; i < G_N_ELEMENTS(REASONS); i++)
     if (g_strcmp0(REASONS[i].name, name) == 0)
       return REASONS[i].reason;
@@ -71,7 +71,7 @@
 {
   const char *name, *state, *reason = NULL;
   if (!ws_json_string(item, WS_FIELD_TASK, &name)
-      || !ws_json_count(item, WS_FIELD_ATTEMPT, &task->attempt)
+      || !ws_json_uint64(item, WS_FIELD_ATTEMPT, &task->attempt)
       || !ws_json_string(item, WS_FIELD_STATE, &state)
       || !ws_json_string_or_null(item, WS_FIELD_EXIT_REASON, &reason)
       || !parse_task_state(state, &task->state) || !parse_task_name(name, &task->job, &task->task))
@@ -123,11 +123,11 @@
     return WS_FIELD_ZONE;
   if (!ws_json_bool(message, WS_FIELD_SPOT, &heartbeat->is_spot))
     return WS_FIELD_SPOT;
-  if (!ws_json_count(message, WS_FIELD_INCARNATION, &heartbeat->incarnation))
+  if (!ws_json_uint64(message, WS_FIELD_INCARNATION, &heartbeat->incarnation))
     return WS_FIELD_INCARNATION;
-  if (!ws_json_count(message, WS_FIELD_SEQUENCE, &heartbeat->sequence))
+  if (!ws_json_uint64(message, WS_FIELD_SEQUENCE, &heartbeat->sequence))
     return WS_FIELD_SEQUENCE;
-  if (!ws_json_count(message, WS_FIELD_FENCING_TOKEN, &heartbeat->fencing_token))
+  if (!ws_json_uint64(message, WS_FIELD_FENCING_TOKEN, &heartbeat->fencing_token))
     return WS_FIELD_FENCING_TOKEN;
   if (!ws_json_number_or_null(message, WS_FIELD_INTERRUPTION_S, &heartbeat->interruption_s))
     return WS_FIELD_INTERRUPTION_S;
@@ -222,20 +222,20 @@
 }
 
 json_t *
-ws_heartbeat_answer_encode(guint64 fencing_token, json_t *commands)
+ws_heartbeat_response_encode(guint64 fencing_token, json_t *commands)
 {
   return json_pack("{s:I, s:o}", WS_FIELD_FENCING_TOKEN, (json_int_t)fencing_token,
                    WS_FIELD_COMMANDS, commands);
 }
 
 json_t *
-ws_heartbeat_answer_commands(const json_t *answer)
+ws_heartbeat_response_commands(const json_t *answer)
 {
   return json_object_get(answer, WS_FIELD_COMMANDS);
 }
 
 json_t *
-ws_commands_encode(guint64 fencing_token, guint64 incarnation, json_t *commands)
+ws_command_request_encode(guint64 fencing_token, guint64 incarnation, json_t *commands)
 {
   return json_pack("{s:I, s:I, s:o}", WS_FIELD_FENCING_TOKEN, (json_int_t)fencing_token,
                    WS_FIELD_INCARNATION, (json_int_t)incarnation, WS_FIELD_COMMANDS, commands);
--- a/src/protocol/ws-heartbeat.h
+++ b/src/protocol/ws-heartbeat.h
@@ -21,13 +21,13 @@
 
 /** Why a task has exited. */
 typedef enum {
-  WS_EXIT_NONE,      /**< it hasn't */
-  WS_EXIT_DONE,      /**< completed */
-  WS_EXIT_STOPPED,   /**< stopped on request */
-  WS_EXIT_ERROR,     /**< failed, or for a reason that this version doesn't know */
-  WS_EXIT_REFUSED,   /**< the machine didn't take it */
-  WS_EXIT_PEERS,     /**< of a gang: another of its tasks is gone */
-  WS_EXIT_INCOMPLETE /**< of a gang: the others didn't come in time */
+  WS_EXIT_NONE,            /**< it hasn't */
+  WS_EXIT_DONE,            /**< completed */
+  WS_EXIT_STOPPED,         /**< stopped on request */
+  WS_EXIT_ERROR,           /**< failed, or for a reason that this version doesn't know */
+  WS_EXIT_LAUNCH_REJECTED, /**< the machine didn't take it */
+  WS_EXIT_GANG_PEER_LOST,  /**< of a gang: another of its tasks is gone */
+  WS_EXIT_GANG_INCOMPLETE  /**< of a gang: the others didn't come in time */
 } WsExitReason;
 
 /** A task's attempt as its worker reports it. */
@@ -93,13 +93,13 @@
 json_t *ws_command_encode(WsOp op, const char *job, guint task, guint64 attempt, double grace_s);
 
 /** Encodes the answer to a heartbeat. @commands: taken */
-json_t *ws_heartbeat_answer_encode(guint64 fencing_token, json_t *commands);
+json_t *ws_heartbeat_response_encode(guint64 fencing_token, json_t *commands);
 
 /** The commands of an answer to a heartbeat, borrowed; NULL: it has none. */
-json_t *ws_heartbeat_answer_commands(const json_t *answer);
+json_t *ws_heartbeat_response_commands(const json_t *answer);
 
 /** Encodes a call to the worker, which only this incarnation carries out. @commands: taken */
-json_t *ws_commands_encode(guint64 fencing_token, guint64 incarnation, json_t *commands);
+json_t *ws_command_request_encode(guint64 fencing_token, guint64 incarnation, json_t *commands);
 
 /** Encodes the redirection of a worker to a controller. @node: its name; NULL: none is known */
 json_t *ws_redirect_encode(const char *node);
--- a/src/protocol/ws-job-spec.c
+++ b/src/protocol/ws-job-spec.c
@@ -17,7 +17,7 @@
 #define MAX_JOB_ID_BYTES 64
 
 gboolean
-ws_job_id_valid(const char *id)
+ws_job_id_is_valid(const char *id)
 {
   if (id == NULL || !g_str_has_prefix(id, JOB_ID_PREFIX) || strlen(id) > MAX_JOB_ID_BYTES)
     return FALSE;
@@ -75,7 +75,7 @@
 parse_tasks(const json_t *message, guint *value)
 {
   guint64 count;
-  if (!ws_json_count(message, WS_FIELD_TASKS, &count) || count < 1 || count > WS_MAX_TASKS)
+  if (!ws_json_uint64(message, WS_FIELD_TASKS, &count) || count < 1 || count > WS_MAX_TASKS)
     return FALSE;
   *value = (guint)count;
   return TRUE;
@@ -84,7 +84,7 @@
 static gboolean
 parse_id(const json_t *message, char **value)
 {
-  return parse_text(message, WS_FIELD_ID, value) && ws_job_id_valid(*value);
+  return parse_text(message, WS_FIELD_ID, value) && ws_job_id_is_valid(*value);
 }
 
 static gboolean
@@ -163,10 +163,10 @@
 {
   if (!parse_non_negative(message, WS_FIELD_ESTIMATE_S, &spec->estimate_s))
     return WS_FIELD_ESTIMATE_S;
-  if (!parse_non_negative(message, WS_FIELD_CHECKPOINT_S, &spec->checkpoint_s))
-    return WS_FIELD_CHECKPOINT_S;
-  if (!parse_non_negative(message, WS_FIELD_SAVE_S, &spec->save_s))
-    return WS_FIELD_SAVE_S;
+  if (!parse_non_negative(message, WS_FIELD_CHECKPOINT_INTERVAL_S, &spec->checkpoint_interval_s))
+    return WS_FIELD_CHECKPOINT_INTERVAL_S;
+  if (!parse_non_negative(message, WS_FIELD_CHECKPOINT_SAVE_S, &spec->checkpoint_save_s))
+    return WS_FIELD_CHECKPOINT_SAVE_S;
   if (!parse_deadline(message, &spec->deadline_s))
     return WS_FIELD_DEADLINE_S;
   return NULL;
@@ -233,8 +233,9 @@
   json_object_set_new(message, WS_FIELD_SPREAD, json_boolean(spec->must_spread));
   json_object_set_new(message, WS_FIELD_SPOT, json_boolean(spec->allows_spot));
   json_object_set_new(message, WS_FIELD_ESTIMATE_S, json_real(spec->estimate_s));
-  json_object_set_new(message, WS_FIELD_CHECKPOINT_S, json_real(spec->checkpoint_s));
-  json_object_set_new(message, WS_FIELD_SAVE_S, json_real(spec->save_s));
+  json_object_set_new(message, WS_FIELD_CHECKPOINT_INTERVAL_S,
+                      json_real(spec->checkpoint_interval_s));
+  json_object_set_new(message, WS_FIELD_CHECKPOINT_SAVE_S, json_real(spec->checkpoint_save_s));
   json_object_set_new(message, WS_FIELD_DEADLINE_S,
                       spec->deadline_s >= 0.0 ? json_real(spec->deadline_s) : json_null());
   return message;
--- a/src/protocol/ws-job-spec.h
+++ b/src/protocol/ws-job-spec.h
@@ -35,10 +35,10 @@
   gboolean allows_spot;    /**< may run on spot machines */
   char *image;
   double image_gb;
-  double estimate_s;   /**< run time of a task */
-  double checkpoint_s; /**< checkpoint interval */
-  double save_s;       /**< how long a checkpoint at a stop takes */
-  double deadline_s;   /**< in all; negative: none */
+  double estimate_s;            /**< run time of a task */
+  double checkpoint_interval_s; /**< checkpoint interval */
+  double checkpoint_save_s;     /**< how long a checkpoint at a stop takes */
+  double deadline_s;            /**< in all; negative: none */
 } WsJobSpec;
 
 /** Reads a submission, which the caller frees. NULL with @error set: it is invalid. */
@@ -51,6 +51,6 @@
 void ws_job_spec_free(WsJobSpec *spec);
 
 /** Whether the text, which may be NULL, is of the form of a job's id. */
-gboolean ws_job_id_valid(const char *id);
+gboolean ws_job_id_is_valid(const char *id);
 
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsJobSpec, ws_job_spec_free)
--- a/src/protocol/ws-job-summary.c
+++ b/src/protocol/ws-job-summary.c
@@ -9,10 +9,10 @@
 json_t *
 ws_job_summary_encode(const WsJobSummary *summary, gboolean with_tasks)
 {
-  static const char *const STATES[] = { [WS_USER_STATE_QUEUED] = "queued",
-                                        [WS_USER_STATE_RUNNING] = "running",
-                                        [WS_USER_STATE_DONE] = "done",
-                                        [WS_USER_STATE_CANCELLED] = "cancelled" };
+  static const char *const STATES[] = { [WS_REPORTED_STATE_QUEUED] = "queued",
+                                        [WS_REPORTED_STATE_RUNNING] = "running",
+                                        [WS_REPORTED_STATE_DONE] = "done",
+                                        [WS_REPORTED_STATE_CANCELLED] = "cancelled" };
   json_t *message = json_pack("{s:s, s:s}", WS_FIELD_ID, summary->job_id, WS_FIELD_STATE,
                               STATES[summary->state]);
   if (with_tasks) {
--- a/src/protocol/ws-job-summary.h
+++ b/src/protocol/ws-job-summary.h
@@ -9,16 +9,16 @@
 
 /** The state of a job, as its user is told. */
 typedef enum {
-  WS_USER_STATE_QUEUED, /**< no task has a machine */
-  WS_USER_STATE_RUNNING,
-  WS_USER_STATE_DONE,
-  WS_USER_STATE_CANCELLED
-} WsUserState;
+  WS_REPORTED_STATE_QUEUED, /**< no task has a machine */
+  WS_REPORTED_STATE_RUNNING,
+  WS_REPORTED_STATE_DONE,
+  WS_REPORTED_STATE_CANCELLED
+} WsReportedJobState;
 
 /** What a user is told of a job. */
 typedef struct {
   const char *job_id; /**< borrowed */
-  WsUserState state;
+  WsReportedJobState state;
   guint done_tasks;
   guint running_tasks;
 } WsJobSummary;
--- a/src/protocol/ws-json.c
+++ b/src/protocol/ws-json.c
@@ -11,7 +11,7 @@
 }
 
 char *
-ws_json_text(const json_t *value)
+ws_json_serialize(const json_t *value)
 {
   return value == NULL ? NULL : json_dumps(value, JSON_COMPACT | JSON_REAL_PRECISION(REAL_DIGITS));
 }
@@ -37,7 +37,7 @@
 }
 
 gboolean
-ws_json_count(const json_t *object, const char *name, guint64 *value)
+ws_json_uint64(const json_t *object, const char *name, guint64 *value)
 {
   const json_t *member = json_object_get(object, name);
   if (!json_is_integer(member) || json_integer_value(member) < 0)
--- a/src/protocol/ws-json.h
+++ b/src/protocol/ws-json.h
@@ -18,7 +18,7 @@
 json_t *ws_json_parse(const char *body, gsize length);
 
 /** The value's compact text, which the caller frees; NULL for NULL. */
-char *ws_json_text(const json_t *value);
+char *ws_json_serialize(const json_t *value);
 
 /** A string. */
 gboolean ws_json_string(const json_t *object, const char *name, const char **value);
@@ -27,7 +27,7 @@
 gboolean ws_json_number(const json_t *object, const char *name, double *value);
 
 /** An integer that isn't negative. */
-gboolean ws_json_count(const json_t *object, const char *name, guint64 *value);
+gboolean ws_json_uint64(const json_t *object, const char *name, guint64 *value);
 
 /** A boolean. */
 gboolean ws_json_bool(const json_t *object, const char *name, gboolean *value);
--- a/src/protocol/ws-kv.c
+++ b/src/protocol/ws-kv.c
@@ -41,7 +41,7 @@
 gboolean
 ws_kv_revision_parse(const json_t *message, guint64 *revision)
 {
-  return ws_json_count(message, WS_FIELD_REVISION, revision);
+  return ws_json_uint64(message, WS_FIELD_REVISION, revision);
 }
 
 static WsKvPage *
@@ -78,7 +78,7 @@
   {
     WsKvItem item = { .value = json_object_get(entry, FIELD_VALUE) };
     if (ws_json_string(entry, FIELD_ITEM_KEY, &item.key)
-        && ws_json_count(entry, WS_FIELD_VERSION, &item.version))
+        && ws_json_uint64(entry, WS_FIELD_VERSION, &item.version))
       g_array_append_val(page->items, item);
   }
   return page;
@@ -87,7 +87,7 @@
 static gboolean
 event_parse(const json_t *event, WsKvItem *item)
 {
-  if (!ws_json_count(event, WS_FIELD_VERSION, &item->version))
+  if (!ws_json_uint64(event, WS_FIELD_VERSION, &item->version))
     return FALSE;
   if (ws_json_string(event, FIELD_PUT, &item->key))
     item->value = json_object_get(event, FIELD_VALUE);
@@ -123,7 +123,7 @@
 gboolean
 ws_kv_lease_parse(const json_t *message, guint64 *lease)
 {
-  return ws_json_count(message, WS_FIELD_LEASE, lease);
+  return ws_json_uint64(message, WS_FIELD_LEASE, lease);
 }
 
 static json_t *
@@ -168,7 +168,7 @@
 }
 
 gboolean
-ws_kv_error_is_lease_ended(const json_t *message)
+ws_kv_error_is_lease_expired(const json_t *message)
 {
   return g_strcmp0(ws_kv_error_parse(message), ERROR_LEASE_ENDED) == 0;
 }
--- a/src/protocol/ws-kv.h
+++ b/src/protocol/ws-kv.h
@@ -101,7 +101,7 @@
 const char *ws_kv_error_parse(const json_t *message);
 
 /** Whether a transaction was rejected because the lease that it names has ended. */
-gboolean ws_kv_error_is_lease_ended(const json_t *message);
+gboolean ws_kv_error_is_lease_expired(const json_t *message);
 
 /** Frees what the condition holds, not the condition itself. */
 void ws_kv_condition_clear(WsKvCondition *condition);
--- a/src/protocol/ws-names.c
+++ b/src/protocol/ws-names.c
@@ -20,7 +20,7 @@
 {
   gpointer value;
   if (name == NULL || !g_hash_table_lookup_extended(names->index, name, NULL, &value))
-    return WS_NONE;
+    return WS_NO_INDEX;
   return GPOINTER_TO_UINT(value);
 }
 
@@ -28,7 +28,7 @@
 ws_names_intern(WsNames *names, const char *name)
 {
   guint index = ws_names_find(names, name);
-  if (index != WS_NONE)
+  if (index != WS_NO_INDEX)
     return index;
   char *copy = g_strdup(name);
   index = names->names->len;
--- a/src/protocol/ws-names.h
+++ b/src/protocol/ws-names.h
@@ -22,7 +22,7 @@
 /** The name's index; a new name is copied and gets the next one. */
 guint ws_names_intern(WsNames *names, const char *name);
 
-/** The name's index; WS_NONE: it was never interned. @name: may be NULL */
+/** The name's index; WS_NO_INDEX: it was never interned. @name: may be NULL */
 guint ws_names_find(const WsNames *names, const char *name);
 
 /** The name, owned by the table; "?" if there is no such index. */
--- a/src/protocol/ws-properties.c
+++ b/src/protocol/ws-properties.c
@@ -24,7 +24,7 @@
 static void
 budget_free(gpointer data)
 {
-  WsBudget *budget = data;
+  WsDisruptionBudget *budget = data;
   g_free(budget->type);
   g_free(budget->zone);
   g_free(budget);
@@ -70,7 +70,7 @@
 }
 
 static gboolean
-parse_amount(const char *text, WsBudget *budget)
+parse_amount(const char *text, WsDisruptionBudget *budget)
 {
   gsize length = strlen(text);
   budget->is_percent = length > 1 && text[length - 1] == '%';
@@ -89,7 +89,7 @@
 has_budget(const WsProperties *properties, const char *type, const char *zone)
 {
   for (guint i = 0; i < properties->budgets->len; i++) {
-    const WsBudget *budget = g_ptr_array_index(properties->budgets, i);
+    const WsDisruptionBudget *budget = g_ptr_array_index(properties->budgets, i);
     if (strcmp(budget->type, type) == 0 && strcmp(budget->zone, zone) == 0)
       return TRUE;
   }
@@ -112,7 +112,7 @@
     return "unknown zone";
   if (has_budget(properties, type, zone))
     return "minAvailable and maxUnavailable can't both be given for a type and zone";
-  WsBudget *budget = g_new0(WsBudget, 1);
+  WsDisruptionBudget *budget = g_new0(WsDisruptionBudget, 1);
   budget->type = g_strdup(type);
   budget->zone = g_strdup(zone);
   budget->is_minimum = is_minimum;
@@ -185,7 +185,7 @@
 
 /* Percentages are rounded towards fewer unavailable machines. */
 guint
-ws_budget_allowed(const WsBudget *budget, guint total)
+ws_budget_max_unavailable(const WsDisruptionBudget *budget, guint total)
 {
   if (!budget->is_minimum)
     return budget->is_percent ? total * budget->value / MAX_PERCENT : budget->value;
--- a/src/protocol/ws-properties.h
+++ b/src/protocol/ws-properties.h
@@ -12,7 +12,7 @@
   gboolean is_minimum; /**< minAvailable, else maxUnavailable */
   gboolean is_percent; /**< the value is a percentage of the machines, else a number of them */
   guint value;
-} WsBudget;
+} WsDisruptionBudget;
 
 /** The operators' settings. */
 typedef struct {
@@ -20,7 +20,7 @@
   double backoff_min_s;  /**< first pause after a refused return or a put-off stop */
   double backoff_max_s;  /**< longest such pause */
   guint headroom_tasks;  /**< capacity for so many of the largest tasks seen is kept rented */
-  GPtrArray *budgets;    /**< of WsBudget */
+  GPtrArray *budgets;    /**< of WsDisruptionBudget */
 } WsProperties;
 
 /** The defaults. The caller frees them. */
@@ -39,6 +39,6 @@
 void ws_properties_free(WsProperties *properties);
 
 /** How many of @total machines may be unavailable at once. */
-guint ws_budget_allowed(const WsBudget *budget, guint total);
+guint ws_budget_max_unavailable(const WsDisruptionBudget *budget, guint total);
 
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsProperties, ws_properties_free)
--- a/src/protocol/ws-settings.c
+++ b/src/protocol/ws-settings.c
@@ -131,8 +131,8 @@
   WsObjective objective = { 0 };
   if (!ws_json_string(item, "kind", &kind))
     return;
-  objective.is_begin = strcmp(kind, OBJECTIVE_BEGIN) == 0;
-  if ((!objective.is_begin && strcmp(kind, OBJECTIVE_END) != 0)
+  objective.is_for_task_start = strcmp(kind, OBJECTIVE_BEGIN) == 0;
+  if ((!objective.is_for_task_start && strcmp(kind, OBJECTIVE_END) != 0)
       || !parse_positive(item, "within_s", &objective.within_s)
       || !copy_text(item, "class", &objective.class_name))
     return;
@@ -184,19 +184,19 @@
 static const char *
 parse_next_limits(WsSettings *settings, const json_t *next)
 {
-  double value_kb = settings->state_value_kb, ops = (double)settings->state_txn_ops;
+  double value_kb = settings->kv_current_value_kb, ops = (double)settings->kv_max_txn_ops;
   if (next != NULL && !json_is_null(next) && !json_is_object(next))
     return "params.state.next";
-  if (!lower_limit(next, "rps", 0.0, &settings->state_rps))
+  if (!lower_limit(next, "rps", 0.0, &settings->kv_requests_per_s))
     return "params.state.next.rps";
-  if (!lower_limit(next, "write_rps", 0.0, &settings->state_write_rps))
+  if (!lower_limit(next, "write_rps", 0.0, &settings->kv_writes_per_s))
     return "params.state.next.write_rps";
   if (!lower_limit(next, "value_kb", MIN_NEXT_VALUE_KB, &value_kb))
     return "params.state.next.value_kb (1 is the least)";
   if (!lower_limit(next, "txn_ops", MIN_TXN_OPERATIONS, &ops))
     return "params.state.next.txn_ops (4 is the least)";
-  settings->state_txn_ops = (guint64)ops;
-  settings->state_record_bytes = (guint64)(value_kb * BYTES_PER_KB * (1.0 - RECORD_MARGIN_RATIO));
+  settings->kv_max_txn_ops = (guint64)ops;
+  settings->kv_max_record_bytes = (guint64)(value_kb * BYTES_PER_KB * (1.0 - RECORD_MARGIN_RATIO));
   return NULL;
 }
 
@@ -229,15 +229,15 @@
 static const char *
 parse_state_limits(WsSettings *settings, const json_t *state)
 {
-  if (!parse_positive(state, "rps", &settings->state_rps))
+  if (!parse_positive(state, "rps", &settings->kv_requests_per_s))
     return "params.state.rps";
-  if (!parse_positive(state, "write_rps", &settings->state_write_rps))
+  if (!parse_positive(state, "write_rps", &settings->kv_writes_per_s))
     return "params.state.write_rps";
-  if (!parse_positive(state, "value_kb", &settings->state_value_kb)
-      || settings->state_value_kb < MIN_VALUE_KB)
+  if (!parse_positive(state, "value_kb", &settings->kv_current_value_kb)
+      || settings->kv_current_value_kb < MIN_VALUE_KB)
     return "params.state.value_kb (8 is the least)";
-  if (!ws_json_count(state, "txn_ops", &settings->state_txn_ops)
-      || settings->state_txn_ops < MIN_TXN_OPERATIONS)
+  if (!ws_json_uint64(state, "txn_ops", &settings->kv_max_txn_ops)
+      || settings->kv_max_txn_ops < MIN_TXN_OPERATIONS)
     return "params.state.txn_ops";
   return NULL;
 }
@@ -267,7 +267,7 @@
     invalid = parse_state_limits(settings, state);
   if (invalid == NULL)
     invalid = parse_cloud_limits(settings, json_object_get(params, "cloud"));
-  if (invalid == NULL && !ws_json_count(limits, "max_sockets", &settings->max_sockets))
+  if (invalid == NULL && !ws_json_uint64(limits, "max_sockets", &settings->max_sockets))
     invalid = "params.limits.max_sockets";
   if (invalid == NULL)
     invalid = parse_next_limits(settings, json_object_get(state, "next"));
@@ -289,7 +289,7 @@
     return "mesh_addr";
   if (!copy_text(services, "cloud", &settings->cloud_addr))
     return "services.cloud";
-  if (!copy_text(services, "state", &settings->state_addr))
+  if (!copy_text(services, "state", &settings->kv_addr))
     return "services.state";
   return parse_params(settings, json_object_get(message, "params"));
 }
@@ -315,7 +315,7 @@
 }
 
 gboolean
-ws_team_allows(const WsTeamSettings *team, const WsResources *use)
+ws_team_is_within_limit(const WsTeamSettings *team, const WsResources *use)
 {
   return (team->limit.cpus == 0 || use->cpus <= team->limit.cpus)
          && (team->limit.gpus == 0 || use->gpus <= team->limit.gpus);
@@ -327,7 +327,7 @@
 {
   WsResources more = *use;
   ws_resources_add(&more, need, 1);
-  return ws_team_allows(g_ptr_array_index(settings->teams, team), &more);
+  return ws_team_is_within_limit(g_ptr_array_index(settings->teams, team), &more);
 }
 
 void
@@ -342,7 +342,7 @@
   g_free(settings->api_addr);
   g_free(settings->mesh_addr);
   g_free(settings->cloud_addr);
-  g_free(settings->state_addr);
+  g_free(settings->kv_addr);
   g_free(settings);
 }
 
@@ -364,12 +364,13 @@
 /* The shortest time of the class's objectives about the beginning, or else the end; or
    NO_OBJECTIVE_S. */
 static double
-shortest_objective_s(const WsSettings *settings, const char *class_name, gboolean is_begin)
+shortest_objective_s(const WsSettings *settings, const char *class_name, gboolean is_for_task_start)
 {
   double within_s = NO_OBJECTIVE_S;
   for (guint i = 0; i < settings->objectives->len; i++) {
     const WsObjective *objective = g_ptr_array_index(settings->objectives, i);
-    if (objective->is_begin == is_begin && strcmp(objective->class_name, class_name) == 0
+    if (objective->is_for_task_start == is_for_task_start
+        && strcmp(objective->class_name, class_name) == 0
         && (within_s < 0.0 || objective->within_s < within_s))
       within_s = objective->within_s;
   }
@@ -377,13 +378,13 @@
 }
 
 double
-ws_settings_finish_within(const WsSettings *settings, const char *class_name)
+ws_settings_completion_objective_s(const WsSettings *settings, const char *class_name)
 {
   return shortest_objective_s(settings, class_name, FALSE);
 }
 
 double
-ws_settings_begin_within(const WsSettings *settings, const char *class_name)
+ws_settings_start_objective_s(const WsSettings *settings, const char *class_name)
 {
   return shortest_objective_s(settings, class_name, TRUE);
 }
--- a/src/protocol/ws-settings.h
+++ b/src/protocol/ws-settings.h
@@ -24,7 +24,7 @@
 /** How soon the tasks of a class are expected to begin, or its jobs to be complete. */
 typedef struct {
   char *class_name;
-  gboolean is_begin; /**< the tasks' beginning, else the jobs' end */
+  gboolean is_for_task_start; /**< the tasks' beginning, else the jobs' end */
   double within_s;
 } WsObjective;
 
@@ -37,7 +37,7 @@
   char *api_addr;   /**< on which to listen for users and workers */
   char *mesh_addr;  /**< on which to listen for the other controllers */
   char *cloud_addr; /**< the cloud */
-  char *state_addr; /**< the key-value store */
+  char *kv_addr;    /**< the key-value store */
 
   GPtrArray *zones;      /**< of char *; WsZoneIndex is an index into it */
   GPtrArray *teams;      /**< of WsTeamSettings; WsTeamIndex is an index into it */
@@ -51,13 +51,13 @@
 
   /* Limits of the key-value store. Where the settings announce lower ones (state.next), these are
      the lower ones already: nothing is written that couldn't be rewritten under them. */
-  double state_rps;           /**< requests per second */
-  double state_write_rps;     /**< writes per second */
-  guint64 state_txn_ops;      /**< operations per transaction */
-  guint64 state_record_bytes; /**< the largest value */
-  double state_value_kb;      /**< the largest value before state.next. The grouping of records is
-                                 computed from it, alike by all versions of the program that share the
-                                 store */
+  double kv_requests_per_s;    /**< requests per second */
+  double kv_writes_per_s;      /**< writes per second */
+  guint64 kv_max_txn_ops;      /**< operations per transaction */
+  guint64 kv_max_record_bytes; /**< the largest value */
+  double kv_current_value_kb;  /**< the largest value before state.next. The grouping of records is
+                             computed from it, alike by all versions of the program that share the
+                             store */
 
   /* The cloud. */
   double cloud_rps;  /**< requests per second */
@@ -77,7 +77,7 @@
                               const WsResources *need);
 
 /** Whether the use is within the team's limit. */
-gboolean ws_team_allows(const WsTeamSettings *team, const WsResources *use);
+gboolean ws_team_is_within_limit(const WsTeamSettings *team, const WsResources *use);
 
 /** The controller, owned by the settings. */
 const WsNode *ws_settings_node(const WsSettings *settings, WsNodeIndex node);
@@ -86,9 +86,9 @@
 WsNodeIndex ws_settings_find_node(const WsSettings *settings, const char *name);
 
 /** Seconds within which the class's tasks should begin; negative: nothing is said. */
-double ws_settings_begin_within(const WsSettings *settings, const char *class_name);
+double ws_settings_start_objective_s(const WsSettings *settings, const char *class_name);
 
 /** Seconds within which the class's jobs should be complete; negative: nothing is said. */
-double ws_settings_finish_within(const WsSettings *settings, const char *class_name);
+double ws_settings_completion_objective_s(const WsSettings *settings, const char *class_name);
 
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsSettings, ws_settings_free)
--- a/src/runtime/ws-runtime.c
+++ b/src/runtime/ws-runtime.c
@@ -45,7 +45,7 @@
 {
   g_autofree PendingCall *pending = data;
   WsRuntime *runtime = pending->runtime;
-  ws_core_reply(runtime->core, now_ms(), wall_ms(), pending->call, status, body, length);
+  ws_core_handle_reply(runtime->core, now_ms(), wall_ms(), pending->call, status, body, length);
   send_outputs(runtime);
 }
 
@@ -62,7 +62,7 @@
 send_outputs(WsRuntime *runtime)
 {
   WsOutput *output;
-  while ((output = ws_core_pop(runtime->core)) != NULL) {
+  while ((output = ws_core_pop_output(runtime->core)) != NULL) {
     if (output->is_answer)
       ws_http_request_answer(output->request, output->status, output->body, output->retry_after_s);
     else
@@ -74,8 +74,8 @@
 static void
 handle_request(WsRuntime *runtime, WsListener listener, WsHttpRequest *request)
 {
-  ws_core_request(runtime->core, now_ms(), wall_ms(), listener, request->method, request->path,
-                  request->body, request->length, request);
+  ws_core_handle_request(runtime->core, now_ms(), wall_ms(), listener, request->method,
+                         request->path, request->body, request->length, request);
   send_outputs(runtime);
 }
 
--- a/src/scheduling/ws-candidates.c
+++ b/src/scheduling/ws-candidates.c
@@ -35,7 +35,7 @@
 static gboolean
 needs_cached_image(WsSlotKind kind)
 {
-  return kind == WS_SLOT_WITH_IMAGE || kind == WS_SLOT_BY_PREEMPTION_WITH_IMAGE;
+  return kind == WS_SLOT_FREEING_WITH_IMAGE || kind == WS_SLOT_BY_PREEMPTION_WITH_IMAGE;
 }
 
 static WsMachine *
@@ -114,12 +114,12 @@
   const WsReplica *replica = core->replica;
   double allowed_s = ws_job_time_limit_s(replica, job);
   double left_s = allowed_s - (double)(core->wall - job->accepted_ms) / 1000.0
-                  - ws_estimator_run_s(core, job) - ws_job_image_fetch_s(replica, job);
+                  - ws_estimator_run_time_s(core, job) - ws_job_image_fetch_s(replica, job);
   if (allowed_s < 0.0)
     return FALSE;
   for (WsTypeIndex t = 0; t < replica->catalog->len; t++) {
     const WsType *type = ws_replica_type(replica, t);
-    if (ws_constraints_type_fits(job->spec, type) && left_s >= BOOT_TIME_FACTOR * type->boot_s
+    if (ws_constraints_task_fits_type(job->spec, type) && left_s >= BOOT_TIME_FACTOR * type->boot_s
         && is_available(core, job, t))
       return TRUE;
   }
@@ -129,8 +129,8 @@
 static gboolean
 may_have_victims(const WsCapacityMap *map, const WsJob *job)
 {
-  return (guint)job->spec->priority < map->lowest_priority
-         || (job->status.is_guaranteed && map->has_unguaranteed);
+  return (guint)job->spec->priority < map->lowest_array_priority
+         || (job->status.is_guaranteed && map->has_unguaranteed_arrays);
 }
 
 /* Whether to search for victims for the job: always for critical ones; of the others for the first
@@ -183,7 +183,7 @@
 {
   if (kind == WS_SLOT_FREE)
     return map->open;
-  return is_by_preemption(kind) ? map->with_arrays : map->freeing;
+  return is_by_preemption(kind) ? map->machines_with_arrays : map->freeing;
 }
 
 static void
@@ -339,7 +339,7 @@
 }
 
 gboolean
-ws_candidates_take_another(WsCandidates *candidates, const WsMachine *machine)
+ws_candidates_take_on_machine(WsCandidates *candidates, const WsMachine *machine)
 {
   const WsResources *free = &ws_capacity_map_at(candidates->map, machine->index)->free;
   const WsResources *need = &candidates->job->spec->need;
--- a/src/scheduling/ws-candidates.h
+++ b/src/scheduling/ws-candidates.h
@@ -12,7 +12,7 @@
 typedef enum {
   WS_SLOT_FREE,                     /**< now */
   WS_SLOT_FREEING,                  /**< now, or once the tasks that are being stopped there end */
-  WS_SLOT_WITH_IMAGE,               /**< the same, and the image is in the machine's cache */
+  WS_SLOT_FREEING_WITH_IMAGE,       /**< the same, and the image is in the machine's cache */
   WS_SLOT_BY_PREEMPTION,            /**< once less urgent tasks are stopped */
   WS_SLOT_BY_PREEMPTION_WITH_IMAGE, /**< the same, and the image is in the machine's cache */
   WS_SLOT_KINDS
@@ -49,7 +49,7 @@
  *
  * Returns FALSE if there is none, or if the task would block the machine's free accelerators.
  */
-gboolean ws_candidates_take_another(WsCandidates *candidates, const WsMachine *machine);
+gboolean ws_candidates_take_on_machine(WsCandidates *candidates, const WsMachine *machine);
 
 /** Returns the capacity for one task on each of the machines (of WsMachineIndex). */
 void ws_candidates_release(WsCandidates *candidates, const GArray *machines);
--- a/src/scheduling/ws-capacity-map.c
+++ b/src/scheduling/ws-capacity-map.c
@@ -32,7 +32,8 @@
 static gboolean
 is_stopping(const WsCore *core, const WsJob *job, const WsAssignment *assignment)
 {
-  return assignment != NULL && (assignment->is_stop_requested || ws_cancellations_has(core, job));
+  return assignment != NULL
+         && (assignment->is_stop_requested || ws_cancellations_has_job(core, job));
 }
 
 static void
@@ -55,7 +56,7 @@
     is_freeing = TRUE;
   }
   if (has_array)
-    g_array_append_val(map->with_arrays, machine->index);
+    g_array_append_val(map->machines_with_arrays, machine->index);
   if (is_freeing)
     g_array_append_val(map->freeing, machine->index);
 }
@@ -82,8 +83,8 @@
     const WsJob *job = g_ptr_array_index(replica->active_jobs, i);
     if (job->assigned_count == 0 || job->spec->kind != WS_KIND_ARRAY)
       continue;
-    map->lowest_priority = MAX(map->lowest_priority, (guint)job->spec->priority);
-    map->has_unguaranteed = map->has_unguaranteed || !job->status.is_guaranteed;
+    map->lowest_array_priority = MAX(map->lowest_array_priority, (guint)job->spec->priority);
+    map->has_unguaranteed_arrays = map->has_unguaranteed_arrays || !job->status.is_guaranteed;
   }
 }
 
@@ -97,7 +98,7 @@
   map->machines = g_new0(WsMachineCapacity, MAX(replica->machines->len, 1u));
   map->open = g_array_new(FALSE, FALSE, sizeof(WsMachineIndex));
   map->freeing = g_array_new(FALSE, FALSE, sizeof(WsMachineIndex));
-  map->with_arrays = g_array_new(FALSE, FALSE, sizeof(WsMachineIndex));
+  map->machines_with_arrays = g_array_new(FALSE, FALSE, sizeof(WsMachineIndex));
   for (WsMachineIndex i = 0; i < replica->machines->len; i++) {
     const WsMachine *machine = ws_replica_machine(replica, i);
     if (is_usable(core, machine))
@@ -114,7 +115,7 @@
 {
   g_array_unref(map->open);
   g_array_unref(map->freeing);
-  g_array_unref(map->with_arrays);
+  g_array_unref(map->machines_with_arrays);
   g_free(map->machines);
 }
 
--- a/src/scheduling/ws-capacity-map.h
+++ b/src/scheduling/ws-capacity-map.h
@@ -19,15 +19,15 @@
 /** The capacity of all machines, and the lists by which a plan finds those that matter. */
 typedef struct {
   WsCore *core;
-  WsMachineCapacity *machines; /**< by index of the machine */
-  WsResources min_need;        /**< every waiting task needs at least this much */
-  GArray *open;                /**< of WsMachineIndex: with at least min_need free */
-  GArray *freeing;             /**< of WsMachineIndex: where a task is being stopped */
-  GArray *with_arrays;         /**< of WsMachineIndex: with tasks of array jobs */
-  guint lowest_priority;       /**< of the array jobs that have tasks on machines */
-  gboolean has_unguaranteed;   /**< one of those is outside its team's guarantee */
-  guint machines_examined;     /**< the cost of the plan so far */
-  guint victim_searches_left;  /**< for so many more jobs victims are searched for */
+  WsMachineCapacity *machines;      /**< by index of the machine */
+  WsResources min_need;             /**< every waiting task needs at least this much */
+  GArray *open;                     /**< of WsMachineIndex: with at least min_need free */
+  GArray *freeing;                  /**< of WsMachineIndex: where a task is being stopped */
+  GArray *machines_with_arrays;     /**< of WsMachineIndex: with tasks of array jobs */
+  guint lowest_array_priority;      /**< of the array jobs that have tasks on machines */
+  gboolean has_unguaranteed_arrays; /**< one of those is outside its team's guarantee */
+  guint machines_examined;          /**< the cost of the plan so far */
+  guint victim_searches_left;       /**< for so many more jobs victims are searched for */
 } WsCapacityMap;
 
 /** Builds the map. @min_need: the least that any task to be placed needs of each resource */
--- a/src/scheduling/ws-coordinator.c
+++ b/src/scheduling/ws-coordinator.c
@@ -12,7 +12,7 @@
 #define MAX_ESCALATIONS_PER_TRANSACTION 4
 
 WsNodeIndex
-ws_coordinator_acting(const WsReplica *replica, const WsJob *job)
+ws_coordinator_current(const WsReplica *replica, const WsJob *job)
 {
   return job->coordinator != WS_NO_NODE && ws_epoch_has_node(&replica->epoch, job->coordinator)
              ? job->coordinator
@@ -75,8 +75,8 @@
 must_escalate(const WsCore *core, const WsJob *job)
 {
   return job->state == WS_JOB_ACTIVE && job->coordinator == core->settings->self
-         && job->status.unplaced_ms != 0
-         && core->now - job->status.unplaced_ms >= ESCALATION_DELAY_MS;
+         && job->status.unplaced_since_ms != 0
+         && core->now - job->status.unplaced_since_ms >= ESCALATION_DELAY_MS;
 }
 
 /* Adds an update of the job's record that leaves it without a coordinating node. */
@@ -105,5 +105,5 @@
   }
   core->plan->escalation_is_in_flight = ws_txn_operation_count(txn) > 0;
   if (core->plan->escalation_is_in_flight)
-    ws_txn_commit(core, g_steal_pointer(&txn), WS_REQUEST_TASK, on_escalated, NULL);
+    ws_txn_commit(core, g_steal_pointer(&txn), WS_REQUEST_SCHEDULING, on_escalated, NULL);
 }
--- a/src/scheduling/ws-coordinator.h
+++ b/src/scheduling/ws-coordinator.h
@@ -10,7 +10,7 @@
 #include "scheduling/ws-scheduling.h"
 
 /** The node that plans the job in the present epoch. */
-WsNodeIndex ws_coordinator_acting(const WsReplica *replica, const WsJob *job);
+WsNodeIndex ws_coordinator_current(const WsReplica *replica, const WsJob *job);
 
 /** Passes jobs of this node to the leader that have not fitted its shard for a while. */
 void ws_coordinator_escalate(WsCore *core);
--- a/src/scheduling/ws-demand-choice.c
+++ b/src/scheduling/ws-demand-choice.c
@@ -40,7 +40,7 @@
   WsTypeIndex best = WS_NO_TYPE;
   for (WsTypeIndex t = 0; t < replica->catalog->len; t++) {
     const WsType *type = ws_replica_type(replica, t);
-    if (!ws_constraints_type_fits(job->spec, type))
+    if (!ws_constraints_task_fits_type(job->spec, type))
       continue;
     WsZoneIndex type_zone = choose_zone(demand, job, t, is_spot);
     if (type_zone == WS_NO_ZONE
@@ -74,7 +74,7 @@
 {
   guint count = 0;
   for (guint i = 0; i < demand->machines->len; i++) {
-    const WsVirtualMachine *machine = ws_demand_machine(demand, i);
+    const WsVirtualMachine *machine = ws_demand_machine_at(demand, i);
     const WsType *type = ws_replica_type(demand->core->replica, machine->type);
     if (machine->source == WS_VIRTUAL_RUNNING || machine->zone != zone
         || (machine->is_spot && !job->spec->allows_spot)
@@ -103,7 +103,7 @@
   const WsReplica *replica = demand->core->replica;
   WsZoneIndex zone = find_zone_with_machines(demand, job, tasks);
   for (WsTypeIndex t = 0; zone == WS_NO_ZONE && t < replica->catalog->len; t++) {
-    if (!ws_constraints_type_fits(job->spec, ws_replica_type(replica, t)))
+    if (!ws_constraints_task_fits_type(job->spec, ws_replica_type(replica, t)))
       continue;
     zone = choose_zone(demand, job, t, FALSE);
     if (zone == WS_NO_ZONE && job->spec->allows_spot)
--- a/src/scheduling/ws-demand-private.h
+++ b/src/scheduling/ws-demand-private.h
@@ -7,10 +7,10 @@
 
 /** Why a virtual machine will have capacity. */
 typedef enum {
-  WS_VIRTUAL_BOOTING, /**< it boots */
-  WS_VIRTUAL_ORDERED, /**< it is on order: a rental was intended */
-  WS_VIRTUAL_RUNNING, /**< its array tasks will end some time soon */
-  WS_VIRTUAL_NEW      /**< it is to be rented */
+  WS_VIRTUAL_BOOTING,   /**< it boots */
+  WS_VIRTUAL_REQUESTED, /**< it is on order: a rental was intended */
+  WS_VIRTUAL_RUNNING,   /**< its array tasks will end some time soon */
+  WS_VIRTUAL_NEW        /**< it is to be rented */
 } WsVirtualSource;
 
 /** Capacity that isn't there yet, on one machine. */
@@ -32,7 +32,7 @@
 
 /** The virtual machine by its place from 0 on; valid until the next one is added. */
 static inline WsVirtualMachine *
-ws_demand_machine(const WsDemand *demand, guint i)
+ws_demand_machine_at(const WsDemand *demand, guint i)
 {
   return &g_array_index(demand->machines, WsVirtualMachine, i);
 }
@@ -46,13 +46,13 @@
  * What the task takes of a slot that is there for a while: less than it needs, if other tasks can
  * follow it there and still be on time.
  */
-WsResources ws_demand_share(const WsDemand *demand, const WsJob *job);
+WsResources ws_demand_amortized_need(const WsDemand *demand, const WsJob *job);
 
 /** For how many tasks slots are wanted, if so many wait: more for critical jobs. */
-guint ws_demand_with_spares(const WsDemand *demand, const WsJob *job, guint tasks);
+guint ws_demand_count_slots_wanted(const WsDemand *demand, const WsJob *job, guint tasks);
 
 /** Whether the job may count on slots that running tasks will leave. */
-gboolean ws_demand_can_wait_for_running(const WsDemand *demand, const WsJob *job);
+gboolean ws_demand_can_wait_for_running_tasks(const WsDemand *demand, const WsJob *job);
 
 /* ws-demand-choice.c: of which type and in which zone machines are rented. */
 
--- a/src/scheduling/ws-demand-sizing.c
+++ b/src/scheduling/ws-demand-sizing.c
@@ -37,11 +37,11 @@
 {
   const WsCore *core = demand->core;
   double allowed_s = ws_job_time_limit_s(core->replica, job);
-  double begin_s = ws_settings_begin_within(core->settings, job->spec->class_name);
+  double begin_s = ws_settings_start_objective_s(core->settings, job->spec->class_name);
   double used_s = (double)(core->wall - job->accepted_ms) / 1000.0
                   + ws_replica_type(core->replica, 0)->boot_s;
-  double end_s
-      = RUN_TIME_MARGIN * ws_estimator_run_s(core, job) + ws_job_image_fetch_s(core->replica, job);
+  double end_s = RUN_TIME_MARGIN * ws_estimator_run_time_s(core, job)
+                 + ws_job_image_fetch_s(core->replica, job);
   double used_share = job->spec->deadline_s >= 0.0 ? USED_JOB_SLACK : USED_CLASS_SLACK;
   double slack_s = allowed_s >= 0.0 ? used_share * (allowed_s - used_s - end_s) : DEFAULT_SLACK_S;
   if (begin_s >= 0.0)
@@ -50,7 +50,7 @@
 }
 
 guint
-ws_demand_with_spares(const WsDemand *demand, const WsJob *job, guint tasks)
+ws_demand_count_slots_wanted(const WsDemand *demand, const WsJob *job, guint tasks)
 {
   if (job->spec->priority != WS_CRITICAL)
     return tasks;
@@ -60,12 +60,12 @@
 }
 
 WsResources
-ws_demand_share(const WsDemand *demand, const WsJob *job)
+ws_demand_amortized_need(const WsDemand *demand, const WsJob *job)
 {
   WsResources need = job->spec->need;
   if (job->spec->kind != WS_KIND_ARRAY)
     return need;
-  double run_s = ws_estimator_run_s(demand->core, job) + TASK_OVERHEAD_S;
+  double run_s = ws_estimator_run_time_s(demand->core, job) + TASK_OVERHEAD_S;
   double share = MAX(MIN_SHARE, run_s / (run_s + slack_s(demand, job)));
   need.cpus = (gint64)((double)need.cpus * share);
   need.gpus = (gint64)((double)need.gpus * share);
@@ -74,10 +74,10 @@
 }
 
 gboolean
-ws_demand_can_wait_for_running(const WsDemand *demand, const WsJob *job)
+ws_demand_can_wait_for_running_tasks(const WsDemand *demand, const WsJob *job)
 {
   if (job->spec->kind != WS_KIND_ARRAY)
     return FALSE;
   return job->spec->deadline_s >= 0.0
-         || slack_s(demand, job) >= MIN_WAIT_SHARE * ws_estimator_run_s(demand->core, job);
+         || slack_s(demand, job) >= MIN_WAIT_SHARE * ws_estimator_run_time_s(demand->core, job);
 }
--- a/src/scheduling/ws-demand.c
+++ b/src/scheduling/ws-demand.c
@@ -49,7 +49,7 @@
     if (type == WS_NO_TYPE || zone == WS_NO_ZONE)
       continue;
     for (guint n = 0; n < rental->count; n++)
-      add_virtual(demand, WS_VIRTUAL_ORDERED, type, zone, rental->is_spot,
+      add_virtual(demand, WS_VIRTUAL_REQUESTED, type, zone, rental->is_spot,
                   &ws_replica_type(replica, type)->capacity);
   }
 }
@@ -117,11 +117,11 @@
 static guint
 fill_machines(WsDemand *demand, const WsJob *job, const WsResources *need, guint tasks)
 {
-  gboolean can_wait = ws_demand_can_wait_for_running(demand, job);
+  gboolean can_wait = ws_demand_can_wait_for_running_tasks(demand, job);
   gint64 smallest = ws_type_smallest_fitting_cpus(demand->core->replica, job->spec);
   guint placed = 0;
   for (guint i = 0; i < demand->machines->len && placed < tasks; i++) {
-    WsVirtualMachine *machine = ws_demand_machine(demand, i);
+    WsVirtualMachine *machine = ws_demand_machine_at(demand, i);
     if (is_allowed(demand, job, machine, can_wait, smallest))
       placed += subtract_tasks(&machine->free, need, tasks - placed);
   }
@@ -131,8 +131,8 @@
 void
 ws_demand_add(WsDemand *demand, const WsJob *job, guint tasks)
 {
-  WsResources need = ws_demand_share(demand, job);
-  guint wanted = ws_demand_with_spares(demand, job, tasks);
+  WsResources need = ws_demand_amortized_need(demand, job);
+  guint wanted = ws_demand_count_slots_wanted(demand, job, tasks);
   guint left = wanted - fill_machines(demand, job, &need, wanted);
   while (left > 0) {
     guint added = demand->machines->len;
@@ -141,7 +141,7 @@
       return;
     left--;
     /* The new machine takes as many of the other tasks as fit. */
-    left -= subtract_tasks(&ws_demand_machine(demand, added)->free, &need, left);
+    left -= subtract_tasks(&ws_demand_machine_at(demand, added)->free, &need, left);
   }
 }
 
@@ -162,7 +162,7 @@
 fill_new_machine(WsDemand *demand, const WsJob *job)
 {
   for (guint i = 0; i < demand->machines->len; i++) {
-    WsVirtualMachine *machine = ws_demand_machine(demand, i);
+    WsVirtualMachine *machine = ws_demand_machine_at(demand, i);
     if (machine->source != WS_VIRTUAL_NEW || machine->is_spot
         || !ws_resources_fit(&job->spec->need, &machine->free))
       continue;
@@ -178,14 +178,14 @@
 add_headroom(WsDemand *demand)
 {
   const WsCore *core = demand->core;
-  const WsJob *job = ws_headroom_job(core->replica);
+  const WsJob *job = ws_headroom_reference_job(core->replica);
   if (job == NULL)
     return;
   guint wanted = core->properties->headroom_tasks;
   guint slots = ws_headroom_count_slots(core, &job->spec->need, NULL);
   for (guint i = 0; i < demand->machines->len && slots < wanted; i++) {
-    WsVirtualMachine *machine = ws_demand_machine(demand, i);
-    if (machine->source == WS_VIRTUAL_ORDERED && !machine->is_spot)
+    WsVirtualMachine *machine = ws_demand_machine_at(demand, i);
+    if (machine->source == WS_VIRTUAL_REQUESTED && !machine->is_spot)
       slots += subtract_tasks(&machine->free, &job->spec->need, G_MAXUINT);
   }
   for (; slots < wanted; slots++)
@@ -205,13 +205,13 @@
 static void
 request_kind(WsDemand *demand, guint i)
 {
-  const WsVirtualMachine *first = ws_demand_machine(demand, i);
+  const WsVirtualMachine *first = ws_demand_machine_at(demand, i);
   guint count = 0;
   for (guint k = i; k < demand->machines->len; k++) {
-    WsVirtualMachine *machine = ws_demand_machine(demand, k);
+    WsVirtualMachine *machine = ws_demand_machine_at(demand, k);
     if (machine->source != WS_VIRTUAL_NEW || !is_same_kind(first, machine))
       continue;
-    machine->source = WS_VIRTUAL_ORDERED;
+    machine->source = WS_VIRTUAL_REQUESTED;
     count++;
   }
   ws_rentals_request(demand->core, first->type, first->zone, first->is_spot, count);
@@ -222,7 +222,7 @@
 {
   add_headroom(demand);
   for (guint i = 0; i < demand->machines->len; i++)
-    if (ws_demand_machine(demand, i)->source == WS_VIRTUAL_NEW)
+    if (ws_demand_machine_at(demand, i)->source == WS_VIRTUAL_NEW)
       request_kind(demand, i);
   ws_rentals_record_intents(demand->core);
   g_array_unref(demand->machines);
--- a/src/scheduling/ws-gang-placement.c
+++ b/src/scheduling/ws-gang-placement.c
@@ -21,7 +21,7 @@
   const WsMachine *machine = NULL;
   guint left_here = 0;
   for (guint i = 0; i < tasks; i++) {
-    if (left_here == 0 || !ws_candidates_take_another(candidates, machine)) {
+    if (left_here == 0 || !ws_candidates_take_on_machine(candidates, machine)) {
       machine = ws_candidates_take(candidates, WS_SLOT_FREE);
       if (machine == NULL) {
         ws_candidates_release(candidates, machines);
@@ -143,7 +143,7 @@
     return;
   ws_gang_reservation_renew(&placement->map, job, tasks, tasks_by_zone);
   ws_reservations_renew(placement->core, job, WS_NO_MACHINE, tasks);
-  ws_placement_use_team(placement, job, tasks);
+  ws_placement_add_team_use(placement, job, tasks);
 }
 
 void
@@ -159,12 +159,12 @@
   gboolean team_allows = ws_placement_team_allows(placement, job, tasks->len);
   if (team_allows)
     machines = find_machines(&placement->map, job, tasks->len, tasks_by_zone);
-  ws_placement_note_unplaced(core, job, machines == NULL);
+  ws_placement_record_unplaced(core, job, machines == NULL);
   if (machines == NULL) {
     gather_capacity(placement, job, tasks->len, tasks_by_zone, team_allows);
     return;
   }
-  ws_placement_use_team(placement, job, tasks->len);
+  ws_placement_add_team_use(placement, job, tasks->len);
   for (guint i = 0; i < tasks->len; i++)
     ws_assignments_propose(core, job->index, g_array_index(tasks, guint, i),
                            g_array_index(machines, WsMachineIndex, i));
--- a/src/scheduling/ws-gang.c
+++ b/src/scheduling/ws-gang.c
@@ -14,7 +14,7 @@
 is_reachable(const WsCore *core, const WsMachine *machine)
 {
   if (ws_owns_machine(core, machine))
-    return ws_worker_rpc_is_possible(core, machine)
+    return ws_worker_rpc_is_allowed(core, machine)
            && !ws_machine_is_outbound_unreachable(core, machine);
   return machine->owner != WS_NO_NODE && ws_peer_is_reachable(core, machine->owner)
          && ws_machine_is_up(core, machine);
@@ -135,7 +135,7 @@
   for (guint i = 0; i < core->replica->active_jobs->len; i++) {
     WsJob *job = g_ptr_array_index(core->replica->active_jobs, i);
     if (ws_job_is_gang(job) && job->assigned_count > 0 && job->state == WS_JOB_ACTIVE
-        && !ws_cancellations_has(core, job))
+        && !ws_cancellations_has_job(core, job))
       advance(core, job);
   }
 }
--- a/src/scheduling/ws-placement.c
+++ b/src/scheduling/ws-placement.c
@@ -36,18 +36,18 @@
 }
 
 void
-ws_placement_use_team(WsPlacement *placement, const WsJob *job, guint tasks)
+ws_placement_add_team_use(WsPlacement *placement, const WsJob *job, guint tasks)
 {
   ws_resources_add(&placement->team_use[job->team], &job->spec->need, tasks);
 }
 
 void
-ws_placement_note_unplaced(const WsCore *core, WsJob *job, gboolean is_unplaced)
+ws_placement_record_unplaced(const WsCore *core, WsJob *job, gboolean is_unplaced)
 {
   if (!is_unplaced)
-    job->status.unplaced_ms = 0;
-  else if (job->status.unplaced_ms == 0)
-    job->status.unplaced_ms = core->now;
+    job->status.unplaced_since_ms = 0;
+  else if (job->status.unplaced_since_ms == 0)
+    job->status.unplaced_since_ms = core->now;
 }
 
 static gboolean
@@ -99,7 +99,7 @@
   if (tasks->len == 0)
     return 0;
   g_autofree guint *tasks_by_zone = g_new0(guint, core->settings->zones->len);
-  ws_job_count_zones(core->replica, job, tasks_by_zone);
+  ws_job_count_tasks_by_zone(core->replica, job, tasks_by_zone);
   if (is_gang)
     ws_gang_placement_place(placement, job, tasks, tasks_by_zone);
   else
--- a/src/scheduling/ws-placement.h
+++ b/src/scheduling/ws-placement.h
@@ -34,7 +34,7 @@
 gboolean ws_placement_team_allows(const WsPlacement *placement, const WsJob *job, guint tasks);
 
 /** Counts so many tasks of the job as used by its team. */
-void ws_placement_use_team(WsPlacement *placement, const WsJob *job, guint tasks);
+void ws_placement_add_team_use(WsPlacement *placement, const WsJob *job, guint tasks);
 
 /** Notes since when some of the job's tasks haven't found a machine. */
-void ws_placement_note_unplaced(const WsCore *core, WsJob *job, gboolean is_unplaced);
+void ws_placement_record_unplaced(const WsCore *core, WsJob *job, gboolean is_unplaced);
--- a/src/scheduling/ws-plan.c
+++ b/src/scheduling/ws-plan.c
@@ -61,7 +61,7 @@
   for (guint i = 0; i < core->replica->active_jobs->len; i++) {
     const WsJob *job = g_ptr_array_index(core->replica->active_jobs, i);
     if (job->state == WS_JOB_ACTIVE && has_unassigned_tasks(job)
-        && ws_coordinator_acting(core->replica, job) == core->settings->self)
+        && ws_coordinator_current(core->replica, job) == core->settings->self)
       return TRUE;
   }
   return FALSE;
@@ -71,7 +71,7 @@
 is_to_be_placed(const WsCore *core, const WsJob *job)
 {
   return has_unassigned_tasks(job) && core->now >= job->status.retry_ms
-         && ws_coordinator_acting(core->replica, job) == core->settings->self;
+         && ws_coordinator_current(core->replica, job) == core->settings->self;
 }
 
 /* Of each resource, the least that any task which is to be placed needs. */
@@ -100,7 +100,7 @@
        preempted again and again by the more urgent jobs that come after it in the queue. */
     guint max_tasks = left;
     if (entry->is_overdue)
-      max_tasks = MIN(left, ws_queue_protected_tasks(entry->job));
+      max_tasks = MIN(left, ws_queue_count_protected_tasks(entry->job));
     if (is_to_be_placed(placement->core, entry->job))
       left -= ws_placement_place_job(placement, entry->job, max_tasks);
   }
@@ -120,7 +120,7 @@
 static void
 make_plan(WsCore *core)
 {
-  g_autoptr(GArray) queue = ws_queue_jobs(core);
+  g_autoptr(GArray) queue = ws_queue_build(core);
   WsResources min_need = find_min_need(core, queue);
   WsPlacement placement;
   ws_placement_init(&placement, core, &min_need);
--- a/src/scheduling/ws-preempt.c
+++ b/src/scheduling/ws-preempt.c
@@ -34,11 +34,12 @@
 is_protected_start(const WsCore *core, const WsJob *victim, guint victim_tasks)
 {
   return core->wall - victim->accepted_ms > (gint64)(WS_QUEUE_MAX_START_DELAY_S * 1000.0)
-         && victim->completed_count == 0 && victim_tasks <= ws_queue_protected_tasks(victim);
+         && victim->completed_count == 0 && victim_tasks <= ws_queue_count_protected_tasks(victim);
 }
 
 gboolean
-ws_preempt_outranks(const WsCore *core, const WsJob *job, const WsJob *victim, guint victim_tasks)
+ws_preempt_allowed_at_task_count(const WsCore *core, const WsJob *job, const WsJob *victim,
+                                 guint victim_tasks)
 {
   if (victim->state != WS_JOB_ACTIVE || victim->spec->kind != WS_KIND_ARRAY)
     return FALSE;
@@ -59,7 +60,7 @@
 gboolean
 ws_preempt_allowed(const WsCore *core, const WsJob *job, const WsJob *victim)
 {
-  return ws_preempt_outranks(core, job, victim, victim->assigned_count);
+  return ws_preempt_allowed_at_task_count(core, job, victim, victim->assigned_count);
 }
 
 /* Whether the lost work is no more than a few times the work that would be done instead: a large
@@ -70,7 +71,7 @@
 {
   gint64 left = job->tasks - job->completed_count - job->assigned_count;
   gint64 cpus = MIN(left * job->spec->need.cpus, victim->spec->need.cpus);
-  double gain = (double)cpus * MAX(ws_estimator_run_s(core, job), 1.0);
+  double gain = (double)cpus * MAX(ws_estimator_run_time_s(core, job), 1.0);
   double lost
       = (double)victim->spec->need.cpus * (double)(core->wall - assignment->assigned_ms) / 1000.0;
   return lost <= MAX_LOST_WORK_RATIO * gain;
@@ -133,7 +134,8 @@
 }
 
 void
-ws_preempt(WsCore *core, const WsJob *job, WsMachine *machine, WsMachineCapacity *capacity)
+ws_preempt_on_machine(WsCore *core, const WsJob *job, WsMachine *machine,
+                      WsMachineCapacity *capacity)
 {
   WsResources available = capacity->free;
   ws_resources_add(&available, &capacity->freeing, 1);
@@ -170,7 +172,7 @@
 add_team_victims(const WsCore *core, const WsJob *job, WsJob *candidate, GArray *victims,
                  WsResources *freeing)
 {
-  gboolean is_cancelled = ws_cancellations_has(core, candidate);
+  gboolean is_cancelled = ws_cancellations_has_job(core, candidate);
   gboolean may_stop = !is_cancelled && ws_preempt_allowed(core, job, candidate);
   WsAssignmentIter iter;
   ws_assignment_iter_init(&iter, candidate);
@@ -230,7 +232,7 @@
   }
 }
 
-WsTeamCapacity
+WsTeamPreemptResult
 ws_preempt_in_team(WsCore *core, const WsJob *job, const WsResources *team_use, gboolean has_slot,
                    WsPreemptFitFunc fits, gpointer data, GArray *machines)
 {
@@ -246,7 +248,7 @@
     return WS_TEAM_CAPACITY_FREEING;
   g_array_sort(victims, compare_youngest_first);
   if (count_victims_needed(core, job, &use_left, victims) == 0)
-    return WS_TEAM_FULL;
+    return WS_TEAM_LIMIT_REACHED;
   if (!has_slot && !move_fitting_victim_to_front(core, victims, fits, data))
     return WS_TEAM_NO_SLOT;
   stop_victims(core, victims, count_victims_needed(core, job, &use_left, victims), machines);
--- a/src/scheduling/ws-preempt.h
+++ b/src/scheduling/ws-preempt.h
@@ -13,8 +13,8 @@
 gboolean ws_preempt_allowed(const WsCore *core, const WsJob *job, const WsJob *victim);
 
 /** The same once @victim_tasks of the other job's tasks are on machines. */
-gboolean ws_preempt_outranks(const WsCore *core, const WsJob *job, const WsJob *victim,
-                             guint victim_tasks);
+gboolean ws_preempt_allowed_at_task_count(const WsCore *core, const WsJob *job, const WsJob *victim,
+                                          guint victim_tasks);
 
 /**
  * The work that would be lost, in seconds with a fixed part for each stop, if the cheapest tasks
@@ -24,7 +24,8 @@
                        const WsMachineCapacity *capacity);
 
 /** Stops those tasks; what they will leave is added to @capacity. */
-void ws_preempt(WsCore *core, const WsJob *job, WsMachine *machine, WsMachineCapacity *capacity);
+void ws_preempt_on_machine(WsCore *core, const WsJob *job, WsMachine *machine,
+                           WsMachineCapacity *capacity);
 
 /** Whether a task of the job could start on the machine if @freed more of it were free. */
 typedef gboolean (*WsPreemptFitFunc)(const WsMachine *machine, const WsResources *freed,
@@ -32,10 +33,11 @@
 
 /** What preemption within a team came to. */
 typedef enum {
-  WS_TEAM_FULL,    /**< the team's limit is used up by tasks that may not be stopped for the job */
-  WS_TEAM_NO_SLOT, /**< stops would free enough of the limit, but no machine has a slot */
+  WS_TEAM_LIMIT_REACHED,   /**< the team's limit is used up by tasks that may not be stopped for the
+                              job */
+  WS_TEAM_NO_SLOT,         /**< stops would free enough of the limit, but no machine has a slot */
   WS_TEAM_CAPACITY_FREEING /**< tasks are being stopped */
-} WsTeamCapacity;
+} WsTeamPreemptResult;
 
 /**
  * Stops less urgent tasks of the job's own team, the youngest first, until the team's limit allows
@@ -49,6 +51,6 @@
  * @fits: says whether the end of a stopped task leaves the task a slot; called with @data
  * @machines: of WsMachineIndex; the machines of the stopped tasks are appended
  */
-WsTeamCapacity ws_preempt_in_team(WsCore *core, const WsJob *job, const WsResources *team_use,
-                                  gboolean has_slot, WsPreemptFitFunc fits, gpointer data,
-                                  GArray *machines);
+WsTeamPreemptResult ws_preempt_in_team(WsCore *core, const WsJob *job, const WsResources *team_use,
+                                       gboolean has_slot, WsPreemptFitFunc fits, gpointer data,
+                                       GArray *machines);
--- a/src/scheduling/ws-queue.c
+++ b/src/scheduling/ws-queue.c
@@ -54,11 +54,11 @@
   if (team->limit.cpus > 0 && need->cpus > 0)
     parallelism = MIN(parallelism, team->limit.cpus / need->cpus);
   guint rounds = (tasks + (guint)parallelism - 1) / MAX((guint)parallelism, 1u);
-  return ws_estimator_run_s(core, job) * rounds;
+  return ws_estimator_run_time_s(core, job) * rounds;
 }
 
 guint
-ws_queue_protected_tasks(const WsJob *job)
+ws_queue_count_protected_tasks(const WsJob *job)
 {
   return 1 + job->tasks / TASKS_PER_PROTECTED_TASK;
 }
@@ -92,8 +92,8 @@
     .job = job,
     .lateness = predict_lateness(core, job),
     .is_overdue = ws_queue_is_overdue(core, job),
-    .remaining_work_s
-    = ws_estimator_run_s(core, job) * unassigned - WORK_CREDIT_PER_WAITED_S * waited_s(core, job),
+    .remaining_work_s = ws_estimator_run_time_s(core, job) * unassigned
+                        - WORK_CREDIT_PER_WAITED_S * waited_s(core, job),
   };
 }
 
@@ -121,7 +121,8 @@
   GArray *entries = g_array_new(FALSE, FALSE, sizeof(WsQueueEntry));
   for (guint i = 0; i < replica->active_jobs->len; i++) {
     WsJob *job = g_ptr_array_index(replica->active_jobs, i);
-    if (job->state != WS_JOB_ACTIVE || ws_cancellations_has(core, job) || job->team == WS_NO_TEAM)
+    if (job->state != WS_JOB_ACTIVE || ws_cancellations_has_job(core, job)
+        || job->team == WS_NO_TEAM)
       continue;
     WsQueueEntry entry = make_entry(core, job);
     g_array_append_val(entries, entry);
@@ -158,7 +159,7 @@
 }
 
 GArray *
-ws_queue_jobs(const WsCore *core)
+ws_queue_build(const WsCore *core)
 {
   GArray *entries = collect_open_jobs(core);
   note_guarantees(core, entries);
--- a/src/scheduling/ws-queue.h
+++ b/src/scheduling/ws-queue.h
@@ -30,7 +30,7 @@
  * The open jobs, the most urgent first, as an array of WsQueueEntry that the caller frees. Also
  * notes in each job's status whether it is within its team's guarantee.
  */
-GArray *ws_queue_jobs(const WsCore *core);
+GArray *ws_queue_build(const WsCore *core);
 
 /** Whether the job has waited too long for its first task. */
 gboolean ws_queue_is_overdue(const WsCore *core, const WsJob *job);
@@ -39,4 +39,4 @@
  * So many tasks of an overdue job are placed before all else, and aren't preempted again by
  * anything but critical jobs.
  */
-guint ws_queue_protected_tasks(const WsJob *job);
+guint ws_queue_count_protected_tasks(const WsJob *job);
--- a/src/scheduling/ws-reservations.c
+++ b/src/scheduling/ws-reservations.c
@@ -119,7 +119,7 @@
 static gboolean
 has_precedence(const WsCore *core, const WsJob *job, const WsJob *other, guint other_tasks)
 {
-  if (ws_preempt_outranks(core, job, other, other_tasks))
+  if (ws_preempt_allowed_at_task_count(core, job, other, other_tasks))
     return TRUE;
   gboolean is_older = ws_queue_is_overdue(core, other) && other->accepted_ms <= job->accepted_ms;
   return ws_job_is_gang(job) && ws_queue_is_overdue(core, job)
@@ -133,7 +133,7 @@
 {
   const WsJob *job = ws_replica_job(core->replica, entry->job);
   if (core->now >= entry->expiry_ms || job == other || job->state != WS_JOB_ACTIVE
-      || job->spec == NULL || ws_cancellations_has(core, job)
+      || job->spec == NULL || ws_cancellations_has_job(core, job)
       || !has_precedence(core, job, other, other_tasks))
     return 0;
   guint assigned_or_done = job->completed_count + job->assigned_count;
--- a/src/scheduling/ws-task-placement.c
+++ b/src/scheduling/ws-task-placement.c
@@ -52,7 +52,7 @@
   g_info("job %s preempts tasks on %s", job->id, machine->name);
   /* The candidate search has subtracted the task already. */
   ws_resources_add(&capacity.free, &job->spec->need, 1);
-  ws_preempt(core, job, machine, &capacity);
+  ws_preempt_on_machine(core, job, machine, &capacity);
   planned->freeing = capacity.freeing;
   ws_stop_requests_send(core, machine);
 }
@@ -85,8 +85,8 @@
   const WsMachine *slot = ws_candidates_peek(candidates, WS_SLOT_FREE);
   if (slot == NULL)
     slot = ws_candidates_peek(candidates, WS_SLOT_FREEING);
-  WsTeamCapacity capacity = ws_preempt_in_team(core, job, &placement->team_use[job->team],
-                                               slot != NULL, would_fit, candidates, machines);
+  WsTeamPreemptResult capacity = ws_preempt_in_team(core, job, &placement->team_use[job->team],
+                                                    slot != NULL, would_fit, candidates, machines);
   if (slot == NULL && machines->len > 0) /* the first victim is on a machine that fits the job */
     slot = machine_at(placement, machines, 0);
   if (capacity == WS_TEAM_CAPACITY_FREEING)
@@ -130,7 +130,7 @@
   const WsMachine *machine = ws_candidates_peek(candidates, WS_SLOT_FREE);
   gboolean has_image = machine != NULL && ws_machine_has_image(machine, job->image);
   if (!has_image && prefers_cached_image(placement, job)
-      && take_freeing_slot(placement, candidates, job, WS_SLOT_WITH_IMAGE,
+      && take_freeing_slot(placement, candidates, job, WS_SLOT_FREEING_WITH_IMAGE,
                            WS_SLOT_BY_PREEMPTION_WITH_IMAGE))
     return OUTCOME_FREEING;
   machine = ws_candidates_take(candidates, WS_SLOT_FREE);
@@ -154,7 +154,7 @@
       preempt_in_team(placement, candidates, job);
       break;
     }
-    ws_placement_use_team(placement, job, 1);
+    ws_placement_add_team_use(placement, job, 1);
     /* If there is no slot for one task, there is none for the next one, which needs the same. */
     Outcome outcome = without_slot == 0
                           ? place_task(placement, candidates, job, g_array_index(tasks, guint, i))
@@ -165,5 +165,5 @@
   if (placement->demand != NULL && without_slot > 0)
     ws_demand_add(placement->demand, job, without_slot);
   reserve_freeing_slots(placement, job);
-  ws_placement_note_unplaced(placement->core, job, waiting > 0);
+  ws_placement_record_unplaced(placement->core, job, waiting > 0);
 }
--- a/src/storage/ws-chunk-record.c
+++ b/src/storage/ws-chunk-record.c
@@ -61,7 +61,7 @@
 gboolean
 ws_chunk_fits_record(const WsChunk *chunk, const WsReplica *replica)
 {
-  gsize max_bytes = replica->settings->state_record_bytes;
+  gsize max_bytes = replica->settings->kv_max_record_bytes;
   return max_bytes_without_times(replica) <= max_bytes
          || bytes_without_times(chunk, replica) <= max_bytes;
 }
@@ -69,7 +69,7 @@
 guint
 ws_chunk_free_slots(const WsChunk *chunk, const WsReplica *replica)
 {
-  gsize max_bytes = replica->settings->state_record_bytes;
+  gsize max_bytes = replica->settings->kv_max_record_bytes;
   if (max_bytes_without_times(replica) <= max_bytes)
     return WS_CHUNK_TASKS;
   gsize used_bytes = chunk != NULL ? bytes_without_times(chunk, replica) : BYTES_AROUND_CHUNK;
@@ -90,7 +90,7 @@
   json_t *assignments = json_array();
   gboolean has_times
       = bytes_without_times(chunk, replica) + (gsize)BYTES_OF_TIME * chunk->assignments->len
-        <= replica->settings->state_record_bytes;
+        <= replica->settings->kv_max_record_bytes;
   for (guint i = 0; i < chunk->assignments->len; i++) {
     const WsAssignment *assignment = &g_array_index(chunk->assignments, WsAssignment, i);
     json_t *item = json_pack("[i, s, I]", (int)assignment->task,
@@ -131,7 +131,7 @@
     return FALSE;
   *assignment = (WsAssignment){
     .task = (guint)json_integer_value(json_array_get(item, ITEM_TASK)),
-    .machine = ws_replica_get_machine(replica, machine)->index,
+    .machine = ws_replica_ensure_machine(replica, machine)->index,
     .attempt = (guint64)json_integer_value(json_array_get(item, ITEM_ATTEMPT)),
     .assigned_ms = json_integer_value(json_array_get(item, ITEM_ASSIGNED)),
   };
@@ -143,7 +143,7 @@
 {
   g_autoptr(WsChunk) chunk = ws_chunk_copy(NULL);
   const char *hex = "";
-  if (!ws_json_count(value, FIELD_LAST_ATTEMPT, &chunk->last_attempt)
+  if (!ws_json_uint64(value, FIELD_LAST_ATTEMPT, &chunk->last_attempt)
       || !ws_json_string(value, FIELD_COMPLETED, &hex) || !parse_completed(chunk, hex))
     return NULL;
   size_t i;
--- a/src/storage/ws-chunk.h
+++ b/src/storage/ws-chunk.h
@@ -20,7 +20,7 @@
   gint64 assigned_ms; /**< wall clock; 0: not recorded */
 
   /* Not stored. Written by workers, and by scheduling for stops. */
-  guint64 since_version;      /**< of the record that first named it; 0: not known */
+  guint64 assigned_version;   /**< of the record that first named it; 0: not known */
   WsTaskState state;          /**< as its worker last reported it */
   gboolean is_confirmed_gone; /**< of a cancelled task: its worker has shown that it isn't there */
   gint64 stop_forwarded_ms;   /**< when another owner was last asked to stop it; 0: never */
--- a/src/storage/ws-cluster-records.c
+++ b/src/storage/ws-cluster-records.c
@@ -14,7 +14,7 @@
 gboolean
 ws_member_parse(const json_t *value, guint64 *incarnation)
 {
-  return ws_json_count(value, FIELD_INCARNATION, incarnation);
+  return ws_json_uint64(value, FIELD_INCARNATION, incarnation);
 }
 
 json_t *
@@ -29,5 +29,5 @@
 ws_leader_parse(const json_t *value, guint64 *incarnation, const char **node)
 {
   (void)ws_json_string(value, FIELD_NODE, node);
-  (void)ws_json_count(value, FIELD_INCARNATION, incarnation);
+  (void)ws_json_uint64(value, FIELD_INCARNATION, incarnation);
 }
--- a/src/storage/ws-constraints.c
+++ b/src/storage/ws-constraints.c
@@ -8,7 +8,7 @@
 }
 
 gboolean
-ws_constraints_type_fits(const WsJobSpec *spec, const WsType *type)
+ws_constraints_task_fits_type(const WsJobSpec *spec, const WsType *type)
 {
   return ws_constraints_allow_type(spec, type) && ws_resources_fit(&spec->need, &type->capacity);
 }
--- a/src/storage/ws-constraints.h
+++ b/src/storage/ws-constraints.h
@@ -15,7 +15,7 @@
 gboolean ws_constraints_allow_type(const WsJobSpec *spec, const WsType *type);
 
 /** Whether the job may run on machines of the type, and one task fits an empty one. */
-gboolean ws_constraints_type_fits(const WsJobSpec *spec, const WsType *type);
+gboolean ws_constraints_task_fits_type(const WsJobSpec *spec, const WsType *type);
 
 /**
  * Whether the rules on zones let one more task of the job be in the zone.
--- a/src/storage/ws-evidence.c
+++ b/src/storage/ws-evidence.c
@@ -39,7 +39,7 @@
     return FALSE;
   if (release->is_completed || evidence->kind == WS_EVIDENCE_RETURNED)
     return TRUE;
-  return evidence->epoch >= ws_replica_machine(replica, evidence->machine)->owner_since;
+  return evidence->epoch >= ws_replica_machine(replica, evidence->machine)->owner_since_epoch;
 }
 
 char *
--- a/src/storage/ws-job-record.c
+++ b/src/storage/ws-job-record.c
@@ -52,11 +52,11 @@
   if (!parse_state(value, &record->state))
     return FALSE;
   record->spec = json_object_get(value, FIELD_SPEC);
-  record->has_task_count = ws_json_count(value, FIELD_TASKS, &tasks);
+  record->has_task_count = ws_json_uint64(value, FIELD_TASKS, &tasks);
   record->tasks = (guint)tasks;
-  (void)ws_json_count(value, FIELD_ACCEPTED, &accepted_ms);
+  (void)ws_json_uint64(value, FIELD_ACCEPTED, &accepted_ms);
   record->accepted_ms = (gint64)accepted_ms;
-  (void)ws_json_count(value, FIELD_CANCELLED, &cancelled_ms);
+  (void)ws_json_uint64(value, FIELD_CANCELLED, &cancelled_ms);
   record->cancelled_ms = (gint64)cancelled_ms;
   (void)ws_json_string(value, FIELD_COORDINATOR, &record->coordinator);
   return TRUE;
--- a/src/storage/ws-keys.h
+++ b/src/storage/ws-keys.h
@@ -8,23 +8,23 @@
 #include <glib.h>
 
 /** What all keys begin with. */
-#define WS_PREFIX "w/"
+#define WS_KEY_PREFIX "w/"
 
 /** Single records. */
-#define WS_KEY_EPOCH WS_PREFIX "epoch"     /**< the present epoch */
-#define WS_KEY_CATALOG WS_PREFIX "catalog" /**< the cloud's catalog */
-#define WS_KEY_LEADER WS_PREFIX "leader"   /**< the leader, under its lease */
+#define WS_KEY_EPOCH WS_KEY_PREFIX "epoch"     /**< the present epoch */
+#define WS_KEY_CATALOG WS_KEY_PREFIX "catalog" /**< the cloud's catalog */
+#define WS_KEY_LEADER WS_KEY_PREFIX "leader"   /**< the leader, under its lease */
 
 /** Prefixes of records, each with what follows it. */
-#define WS_KEYS_MEMBER WS_PREFIX "member/"      /**< node: a member, under its lease */
-#define WS_KEYS_JOB WS_PREFIX "job/"            /**< job */
-#define WS_KEYS_CHUNK WS_PREFIX "task/"         /**< job, "/", number of a chunk */
-#define WS_KEYS_TEAM_USE WS_PREFIX "team-use/"  /**< number of a group of teams */
-#define WS_KEYS_TEAM WS_PREFIX "team/"          /**< team; versions before 0.2 wrote these */
-#define WS_KEYS_RENTAL_BATCH WS_PREFIX "lot/"   /**< rental batch */
-#define WS_KEYS_MARK WS_PREFIX "mark/"          /**< machine: its termination mark */
-#define WS_KEYS_RENTAL_INTENT WS_PREFIX "rent/" /**< idempotency key of a rental */
-#define WS_KEYS_MAILBOX WS_PREFIX "mail/"       /**< node: what it left for the others */
+#define WS_KEYS_MEMBER WS_KEY_PREFIX "member/"      /**< node: a member, under its lease */
+#define WS_KEYS_JOB WS_KEY_PREFIX "job/"            /**< job */
+#define WS_KEYS_CHUNK WS_KEY_PREFIX "task/"         /**< job, "/", number of a chunk */
+#define WS_KEYS_TEAM_USE WS_KEY_PREFIX "team-use/"  /**< number of a group of teams */
+#define WS_KEYS_LEGACY_TEAM WS_KEY_PREFIX "team/"   /**< team; versions before 0.2 wrote these */
+#define WS_KEYS_RENTAL_BATCH WS_KEY_PREFIX "lot/"   /**< rental batch */
+#define WS_KEYS_MARK WS_KEY_PREFIX "mark/"          /**< machine: its termination mark */
+#define WS_KEYS_RENTAL_INTENT WS_KEY_PREFIX "rent/" /**< idempotency key of a rental */
+#define WS_KEYS_MAILBOX WS_KEY_PREFIX "mail/"       /**< node: what it left for the others */
 
 /* The caller frees the keys. */
 
--- a/src/storage/ws-machine-records.c
+++ b/src/storage/ws-machine-records.c
@@ -35,13 +35,13 @@
                 + strlen(machine) + BYTES_AROUND_NAME;
   for (guint i = 0; i < rental_batch->machines->len; i++)
     bytes += strlen(machine_name(rental_batch, replica, i)) + BYTES_AROUND_NAME;
-  return bytes <= replica->settings->state_record_bytes;
+  return bytes <= replica->settings->kv_max_record_bytes;
 }
 
 guint
 ws_rental_batch_max_machines(const WsSettings *settings)
 {
-  gsize bytes = (gsize)settings->state_record_bytes - (gsize)2 * BYTES_AROUND_BATCH;
+  gsize bytes = (gsize)settings->kv_max_record_bytes - (gsize)2 * BYTES_AROUND_BATCH;
   return MIN((guint)(bytes / (BYTES_AROUND_NAME + BYTES_OF_ORDINARY_NAME)), MAX_MACHINES_PER_BATCH);
 }
 
@@ -76,7 +76,7 @@
 {
   Offer offer;
   guint64 rented_ms;
-  if (!parse_offer(value, &offer) || !ws_json_count(value, FIELD_RENTED, &rented_ms))
+  if (!parse_offer(value, &offer) || !ws_json_uint64(value, FIELD_RENTED, &rented_ms))
     return NULL;
   WsRentalBatch *rental_batch = g_new0(WsRentalBatch, 1);
   rental_batch->name = g_strdup(name);
@@ -91,7 +91,7 @@
   {
     if (!json_is_string(item))
       continue;
-    WsMachineIndex machine = ws_replica_get_machine(replica, json_string_value(item))->index;
+    WsMachineIndex machine = ws_replica_ensure_machine(replica, json_string_value(item))->index;
     g_array_append_val(rental_batch->machines, machine);
   }
   return rental_batch;
@@ -109,7 +109,7 @@
 {
   Offer offer;
   guint64 count;
-  if (!parse_offer(value, &offer) || !ws_json_count(value, FIELD_COUNT, &count))
+  if (!parse_offer(value, &offer) || !ws_json_uint64(value, FIELD_COUNT, &count))
     return NULL;
   WsRentalIntent *intent = g_new0(WsRentalIntent, 1);
   intent->request = g_strdup(request);
--- a/src/storage/ws-machine.c
+++ b/src/storage/ws-machine.c
@@ -7,7 +7,7 @@
 gboolean
 ws_machine_is_faulty(const WsMachine *machine)
 {
-  return machine->fleet.failed_jobs >= FAULTY_FAILED_JOBS;
+  return machine->fleet.consecutive_failed_jobs >= FAULTY_FAILED_JOBS;
 }
 
 gboolean
--- a/src/storage/ws-machine.h
+++ b/src/storage/ws-machine.h
@@ -12,12 +12,12 @@
 /** A machine. Owned by the replica. */
 typedef struct {
   WsMachineIndex index;
-  const char *name;    /**< owned by the replica */
-  WsNodeIndex owner;   /**< a member of the present epoch; WS_NO_NODE: there is none */
-  guint64 owner_since; /**< the epoch from which on the same run of the owner has owned it, as far
-                            as this node can tell */
-  guint64 owner_since_version; /**< of that epoch's record */
-  gboolean is_recorded;        /**< a rental batch names it: it is ours, and is charged for */
+  const char *name;          /**< owned by the replica */
+  WsNodeIndex owner;         /**< a member of the present epoch; WS_NO_NODE: there is none */
+  guint64 owner_since_epoch; /**< the epoch from which on the same run of the owner has owned it, as
+                            far as this node can tell */
+  guint64 owner_since_epoch_version; /**< of that epoch's record */
+  gboolean is_recorded;              /**< a rental batch names it: it is ours, and is charged for */
   gboolean is_returned; /**< no rental batch names it any more: the cloud has confirmed its return
                          */
   const char *rental_batch; /**< interned: the last one that named it */
--- a/src/storage/ws-replica-apply.c
+++ b/src/storage/ws-replica-apply.c
@@ -38,7 +38,7 @@
     void (*apply)(WsReplica *, const char *, const json_t *);
   } KINDS[] = { { WS_KEYS_JOB, ws_replica_apply_job },
                 { WS_KEYS_CHUNK, ws_replica_apply_chunk },
-                { WS_KEYS_TEAM, ws_team_use_apply_single },
+                { WS_KEYS_LEGACY_TEAM, ws_team_use_apply_legacy },
                 { WS_KEYS_TEAM_USE, ws_team_use_apply },
                 { WS_KEYS_RENTAL_BATCH, ws_replica_apply_rental_batch },
                 { WS_KEYS_MARK, ws_replica_apply_mark },
@@ -80,7 +80,7 @@
 }
 
 void
-ws_replica_forget_missing(WsReplica *replica, GHashTable *read, guint64 revision)
+ws_replica_remove_missing(WsReplica *replica, GHashTable *read, guint64 revision)
 {
   g_autoptr(GPtrArray) missing = g_ptr_array_new_with_free_func(g_free);
   GHashTableIter iter;
--- a/src/storage/ws-replica-cluster.c
+++ b/src/storage/ws-replica-cluster.c
@@ -16,7 +16,7 @@
   }
   replica->epoch = next;
   for (WsMachineIndex i = 0; i < replica->machines->len; i++)
-    ws_replica_find_owner(replica, ws_replica_machine(replica, i), &last);
+    ws_replica_update_owner(replica, ws_replica_machine(replica, i), &last);
   ws_epoch_clear(&last);
 }
 
--- a/src/storage/ws-replica-internal.h
+++ b/src/storage/ws-replica-internal.h
@@ -51,7 +51,7 @@
  *
  * @last: the epoch before; NULL: the machine is new to the replica
  */
-void ws_replica_find_owner(WsReplica *replica, WsMachine *machine, const WsEpoch *last);
+void ws_replica_update_owner(WsReplica *replica, WsMachine *machine, const WsEpoch *last);
 
 /** Frees a machine. */
 void ws_machine_free(WsMachine *machine);
--- a/src/storage/ws-replica-jobs.c
+++ b/src/storage/ws-replica-jobs.c
@@ -25,7 +25,7 @@
   WsTaskRef ref = { job->index, assignment->task };
   g_array_append_val(machine->tasks, ref);
   ws_resources_add(&machine->used, &job->spec->need, 1);
-  machine->fleet.empty_ms = 0;
+  machine->fleet.empty_since_ms = 0;
 }
 
 static void
@@ -67,11 +67,11 @@
       *assignment = *previous;
       continue;
     }
-    assignment->since_version = replica->is_loading ? 0 : replica->applying_version;
+    assignment->assigned_version = replica->is_loading ? 0 : replica->applying_version;
     WsTaskRef ref = { job->index, assignment->task };
     g_array_append_val(replica->new_assignments, ref);
     /* The machine's idle timeout begins anew. */
-    ws_replica_machine(replica, assignment->machine)->fleet.underused_ms = 0;
+    ws_replica_machine(replica, assignment->machine)->fleet.underused_since_ms = 0;
   }
 }
 
--- a/src/storage/ws-replica-machines.c
+++ b/src/storage/ws-replica-machines.c
@@ -16,19 +16,19 @@
 }
 
 void
-ws_replica_find_owner(WsReplica *replica, WsMachine *machine, const WsEpoch *last)
+ws_replica_update_owner(WsReplica *replica, WsMachine *machine, const WsEpoch *last)
 {
   WsNodeIndex owner = ws_epoch_owner(&replica->epoch, machine->name, replica->settings);
   if (last == NULL || owner != machine->owner
-      || !ws_epoch_continues(last, &replica->epoch, owner)) {
-    machine->owner_since = replica->epoch.number;
-    machine->owner_since_version = ws_replica_version(replica, WS_KEY_EPOCH);
+      || !ws_epoch_member_continues(last, &replica->epoch, owner)) {
+    machine->owner_since_epoch = replica->epoch.number;
+    machine->owner_since_epoch_version = ws_replica_version(replica, WS_KEY_EPOCH);
   }
   machine->owner = owner;
 }
 
 WsMachine *
-ws_replica_get_machine(WsReplica *replica, const char *name)
+ws_replica_ensure_machine(WsReplica *replica, const char *name)
 {
   WsMachine *machine = ws_replica_find_machine(replica, name);
   if (machine != NULL)
@@ -46,13 +46,13 @@
   machine->worker.images = g_array_new(FALSE, FALSE, sizeof(WsImageIndex));
   g_ptr_array_add(replica->machines, machine);
   g_hash_table_insert(replica->machine_index, copy, machine);
-  ws_replica_find_owner(replica, machine, NULL);
+  ws_replica_update_owner(replica, machine, NULL);
   return machine;
 }
 
 void
-ws_replica_describe_machine(WsReplica *replica, WsMachine *machine, const char *type,
-                            const char *zone, gboolean spot)
+ws_replica_set_machine_attributes(WsReplica *replica, WsMachine *machine, const char *type,
+                                  const char *zone, gboolean spot)
 {
   if (g_strcmp0(machine->type_name, type) != 0) {
     g_free(machine->type_name);
@@ -69,8 +69,8 @@
   for (guint i = 0; i < rental_batch->machines->len; i++) {
     WsMachineIndex index = g_array_index(rental_batch->machines, WsMachineIndex, i);
     WsMachine *machine = ws_replica_machine(replica, index);
-    ws_replica_describe_machine(replica, machine, rental_batch->type, rental_batch->zone,
-                                rental_batch->is_spot);
+    ws_replica_set_machine_attributes(replica, machine, rental_batch->type, rental_batch->zone,
+                                      rental_batch->is_spot);
     machine->is_recorded = TRUE;
     machine->rental_batches++;
     machine->rental_batch = g_intern_string(rental_batch->name);
@@ -126,7 +126,7 @@
 void
 ws_replica_apply_mark(WsReplica *replica, const char *name, const json_t *value)
 {
-  WsMachine *machine = ws_replica_get_machine(replica, name);
+  WsMachine *machine = ws_replica_ensure_machine(replica, name);
   const char *reason = "";
   machine->is_marked = value != NULL;
   machine->mark_is_immediate = FALSE;
--- a/src/storage/ws-replica.c
+++ b/src/storage/ws-replica.c
@@ -153,7 +153,7 @@
 }
 
 void
-ws_job_count_zones(const WsReplica *replica, const WsJob *job, guint *counts)
+ws_job_count_tasks_by_zone(const WsReplica *replica, const WsJob *job, guint *counts)
 {
   WsAssignmentIter iter;
   ws_assignment_iter_init(&iter, job);
@@ -170,7 +170,7 @@
 {
   return job->spec->deadline_s >= 0.0
              ? job->spec->deadline_s
-             : ws_settings_finish_within(replica->settings, job->spec->class_name);
+             : ws_settings_completion_objective_s(replica->settings, job->spec->class_name);
 }
 
 double
--- a/src/storage/ws-replica.h
+++ b/src/storage/ws-replica.h
@@ -4,7 +4,7 @@
  * Everything durable comes in through ws_replica_apply: one key, one value, one version. An older
  * version of a key never replaces a newer one, so a node's own writes may be applied as soon as
  * they are answered and the watch may repeat them later. Only ws_replica_apply and
- * ws_replica_forget_missing change stored state. What a node knows besides is in ws-status.h.
+ * ws_replica_remove_missing change stored state. What a node knows besides is in ws-status.h.
  *
  * Jobs and machines are never removed from the replica, so their indices and addresses stay good.
  */
@@ -90,7 +90,7 @@
  *
  * @read: the set of the keys that it has found
  */
-void ws_replica_forget_missing(WsReplica *replica, GHashTable *read, guint64 revision);
+void ws_replica_remove_missing(WsReplica *replica, GHashTable *read, guint64 revision);
 
 /** The key's version, for a condition of a transaction: 0 if the key doesn't exist. */
 guint64 ws_replica_version(const WsReplica *replica, const char *key);
@@ -120,11 +120,11 @@
 WsMachine *ws_replica_find_machine(const WsReplica *replica, const char *name);
 
 /** The machine of the name, which is created if the replica lacks it. */
-WsMachine *ws_replica_get_machine(WsReplica *replica, const char *name);
+WsMachine *ws_replica_ensure_machine(WsReplica *replica, const char *name);
 
 /** Sets the machine's type, zone and whether it is a spot machine. */
-void ws_replica_describe_machine(WsReplica *replica, WsMachine *machine, const char *type,
-                                 const char *zone, gboolean spot);
+void ws_replica_set_machine_attributes(WsReplica *replica, WsMachine *machine, const char *type,
+                                       const char *zone, gboolean spot);
 
 /** The job with the index, owned by the replica. */
 WsJob *ws_replica_job(const WsReplica *replica, WsJobIndex index);
@@ -136,7 +136,7 @@
 void ws_replica_replace_chunk(WsReplica *replica, WsJob *job, guint index, WsChunk *chunk);
 
 /** Counts the job's assigned tasks. @counts: by zone; they are added to it */
-void ws_job_count_zones(const WsReplica *replica, const WsJob *job, guint *counts);
+void ws_job_count_tasks_by_zone(const WsReplica *replica, const WsJob *job, guint *counts);
 
 /** Seconds that the job may take in all, by its deadline or class; negative: no limit is known. */
 double ws_job_time_limit_s(const WsReplica *replica, const WsJob *job);
--- a/src/storage/ws-team-use.c
+++ b/src/storage/ws-team-use.c
@@ -15,21 +15,21 @@
 #define FIELD_GPUS "g"
 
 guint
-ws_team_use_groups(const WsSettings *settings)
+ws_team_use_group_count(const WsSettings *settings)
 {
   double bytes = 0.0;
   for (WsTeamIndex t = 0; t < settings->teams->len; t++) {
     const WsTeamSettings *team = g_ptr_array_index(settings->teams, t);
     bytes += (double)strlen(team->name) + BYTES_PER_TEAM;
   }
-  return 1 + (guint)(bytes / (FILL_RATIO * settings->state_value_kb * BYTES_PER_KB));
+  return 1 + (guint)(bytes / (FILL_RATIO * settings->kv_current_value_kb * BYTES_PER_KB));
 }
 
 guint
 ws_team_use_group(const WsSettings *settings, WsTeamIndex team)
 {
   const WsTeamSettings *named = g_ptr_array_index(settings->teams, team);
-  return g_str_hash(named->name) % ws_team_use_groups(settings);
+  return g_str_hash(named->name) % ws_team_use_group_count(settings);
 }
 
 char *
@@ -83,7 +83,7 @@
 }
 
 void
-ws_team_use_apply_single(WsReplica *replica, const char *team_name, const json_t *value)
+ws_team_use_apply_legacy(WsReplica *replica, const char *team_name, const json_t *value)
 {
   apply_amount(replica, ws_replica_find_team(replica, team_name), value, FALSE);
 }
--- a/src/storage/ws-team-use.h
+++ b/src/storage/ws-team-use.h
@@ -10,7 +10,7 @@
 #include "storage/ws-replica.h"
 
 /** How many records there are, numbered from 0. */
-guint ws_team_use_groups(const WsSettings *settings);
+guint ws_team_use_group_count(const WsSettings *settings);
 
 /** The record that holds the team. */
 guint ws_team_use_group(const WsSettings *settings, WsTeamIndex team);
@@ -30,4 +30,4 @@
 void ws_team_use_apply(WsReplica *replica, const char *group_name, const json_t *value);
 
 /** Takes a record of one team, as versions before 0.2 wrote them. */
-void ws_team_use_apply_single(WsReplica *replica, const char *team_name, const json_t *value);
+void ws_team_use_apply_legacy(WsReplica *replica, const char *team_name, const json_t *value);
--- a/src/store/ws-store-load.c
+++ b/src/store/ws-store-load.c
@@ -27,7 +27,7 @@
 finish_loading(WsCore *core)
 {
   WsStoreLoad *load = &core->store->load;
-  ws_replica_forget_missing(core->replica, load->keys, load->revision);
+  ws_replica_remove_missing(core->replica, load->keys, load->revision);
   ws_replica_advance(core->replica, load->revision);
   load->is_loading = FALSE;
   load->is_loaded = TRUE;
@@ -73,7 +73,7 @@
 static void
 load_page(WsCore *core)
 {
-  g_autofree char *path = ws_kv_page_path(WS_PREFIX, core->store->load.last_key, PAGE_SIZE);
+  g_autofree char *path = ws_kv_page_path(WS_KEY_PREFIX, core->store->load.last_key, PAGE_SIZE);
   ws_store_get(core, path, PAGE_TIMEOUT_MS, on_page, NULL);
 }
 
--- a/src/store/ws-store-reads.c
+++ b/src/store/ws-store-reads.c
@@ -7,7 +7,7 @@
 #define READ_TIMEOUT_MS 1500
 #define REVISION_TIMEOUT_MS 800
 /* No key has this prefix, so a page of it contains the store's revision and no items. */
-#define NO_KEYS_PREFIX WS_PREFIX "~"
+#define NO_KEYS_PREFIX WS_KEY_PREFIX "~"
 #define MIN_PAGE_SIZE 1
 
 typedef struct {
--- a/src/store/ws-store-requests.c
+++ b/src/store/ws-store-requests.c
@@ -35,8 +35,8 @@
 void
 ws_store_requests_init(WsStoreRequests *requests, const WsSettings *settings)
 {
-  ws_rate_init(&requests->request_rate, 1.0, settings->state_rps * BURST_S);
-  ws_rate_init(&requests->write_rate, 1.0, settings->state_write_rps * BURST_S);
+  ws_token_bucket_init(&requests->request_rate, 1.0, settings->kv_requests_per_s * BURST_S);
+  ws_token_bucket_init(&requests->write_rate, 1.0, settings->kv_writes_per_s * BURST_S);
 }
 
 static void
@@ -51,7 +51,7 @@
 void
 ws_store_requests_clear(WsStoreRequests *requests)
 {
-  for (guint i = 0; i < WS_REQUEST_CLASSES; i++)
+  for (guint i = 0; i < WS_REQUEST_CLASS_COUNT; i++)
     g_queue_clear_full(&requests->queues[i], store_request_free);
 }
 
@@ -72,7 +72,7 @@
 gboolean
 ws_store_has_write_budget(WsCore *core, guint operations)
 {
-  return ws_rate_ready(&core->store->requests.write_rate, operations, core->now);
+  return ws_token_bucket_can_take(&core->store->requests.write_rate, operations, core->now);
 }
 
 void
@@ -83,8 +83,8 @@
   double read_share
       = leads ? LEADER_READ_SHARE : (TOTAL_READ_SHARE - LEADER_READ_SHARE) / followers;
   double write_share = leads ? LEADER_WRITE_SHARE : FOLLOWERS_WRITE_SHARE / followers;
-  requests->request_rate.per_second = core->settings->state_rps * read_share;
-  requests->write_rate.per_second = core->settings->state_write_rps * write_share;
+  requests->request_rate.per_second = core->settings->kv_requests_per_s * read_share;
+  requests->write_rate.per_second = core->settings->kv_writes_per_s * write_share;
   requests->write_rate.burst = MAX(requests->write_rate.per_second * BURST_S, MIN_WRITE_BURST);
 }
 
@@ -159,8 +159,8 @@
 static void
 send_request(WsCore *core, StoreRequest *request)
 {
-  ws_call(core, request->method, core->settings->state_addr, request->path,
-          json_incref(request->body), request->timeout_ms, on_reply, request);
+  ws_call(core, request->method, core->settings->kv_addr, request->path, json_incref(request->body),
+          request->timeout_ms, on_reply, request);
 }
 
 /* Leases, reads and users' requests may borrow from the write budget, so that they don't wait until
@@ -169,13 +169,14 @@
 may_send(WsCore *core, WsRequestClass request_class, guint write_count)
 {
   WsStoreRequests *requests = &core->store->requests;
-  if (!ws_rate_ready(&requests->request_rate, 1.0, core->now))
+  if (!ws_token_bucket_can_take(&requests->request_rate, 1.0, core->now))
     return FALSE;
   gboolean has_write_budget
       = request_class <= WS_REQUEST_USER
-            ? write_count == 0 || ws_rate_borrow(&requests->write_rate, write_count, core->now)
-            : ws_rate_take(&requests->write_rate, write_count, core->now);
-  return has_write_budget && ws_rate_take(&requests->request_rate, 1.0, core->now);
+            ? write_count == 0
+                  || ws_token_bucket_overdraw(&requests->write_rate, write_count, core->now)
+            : ws_token_bucket_take(&requests->write_rate, write_count, core->now);
+  return has_write_budget && ws_token_bucket_take(&requests->request_rate, 1.0, core->now);
 }
 
 /* In strict order of the classes: while a write waits for its budget, so do all less urgent
@@ -186,7 +187,7 @@
   WsStoreRequests *requests = &core->store->requests;
   if (core->now < requests->rate_limited_until_ms)
     return;
-  for (guint i = 0; i < WS_REQUEST_CLASSES; i++) {
+  for (guint i = 0; i < WS_REQUEST_CLASS_COUNT; i++) {
     StoreRequest *request;
     while ((request = g_queue_peek_head(&requests->queues[i])) != NULL) {
       if (!may_send(core, (WsRequestClass)i, request->write_count))
@@ -200,7 +201,7 @@
 ws_store_requests_stop(WsCore *core)
 {
   gboolean had_requests = FALSE;
-  for (guint i = 0; i < WS_REQUEST_CLASSES; i++) {
+  for (guint i = 0; i < WS_REQUEST_CLASS_COUNT; i++) {
     StoreRequest *request;
     while ((request = g_queue_pop_head(&core->store->requests.queues[i])) != NULL) {
       request->reply(core, WS_HTTP_NO_RESPONSE, NULL, request->data);
--- a/src/store/ws-store-watch.c
+++ b/src/store/ws-store-watch.c
@@ -61,6 +61,6 @@
     return;
   watch->is_open = TRUE;
   watch->opened_ms = core->now;
-  g_autofree char *path = ws_kv_watch_path(WS_PREFIX, core->replica->revision, WATCH_WAIT_MS);
+  g_autofree char *path = ws_kv_watch_path(WS_KEY_PREFIX, core->replica->revision, WATCH_WAIT_MS);
   ws_store_get(core, path, WATCH_TIMEOUT_MS, on_events, NULL);
 }
--- a/src/store/ws-txn.c
+++ b/src/store/ws-txn.c
@@ -85,12 +85,12 @@
 static void
 log_exceeded_limits(const WsCore *core, const WsTxn *txn)
 {
-  if (ws_txn_operation_count(txn) > core->settings->state_txn_ops)
+  if (ws_txn_operation_count(txn) > core->settings->kv_max_txn_ops)
     g_warning("a transaction has %u operations", ws_txn_operation_count(txn));
   for (guint i = 0; i < txn->operations->len; i++) {
     const WsKvOperation *operation = &g_array_index(txn->operations, WsKvOperation, i);
-    g_autofree char *text = ws_json_text(operation->value);
-    if (text != NULL && strlen(text) > core->settings->state_record_bytes)
+    g_autofree char *text = ws_json_serialize(operation->value);
+    if (text != NULL && strlen(text) > core->settings->kv_max_record_bytes)
       g_warning("the record %s has %zu bytes", operation->key, strlen(text));
   }
 }
@@ -98,7 +98,7 @@
 static WsTxnResult
 explain_rejection(const WsCore *core, const WsTxn *txn, const json_t *body)
 {
-  if (ws_kv_error_is_lease_ended(body)) {
+  if (ws_kv_error_is_lease_expired(body)) {
     g_info("a leased write is rejected: its lease has expired");
     return WS_TXN_UNAVAILABLE;
   }
--- a/src/store/ws-write-stats.c
+++ b/src/store/ws-write-stats.c
@@ -18,7 +18,7 @@
   { WS_KEYS_RENTAL_INTENT, "rental intents" },
   { WS_KEYS_MEMBER, "members" },
   { WS_KEYS_MAILBOX, "mailboxes" },
-  { WS_PREFIX, "other" },
+  { WS_KEY_PREFIX, "other" },
 };
 
 struct _WsWriteStats {
--- a/src/workers/ws-cancelled-tasks.c
+++ b/src/workers/ws-cancelled-tasks.c
@@ -72,7 +72,8 @@
   const WsTaskRef *ref = &g_array_index(machine->tasks, WsTaskRef, i);
   *job = ws_replica_job(core->replica, ref->job);
   WsAssignment *assignment = (*job)->spec != NULL ? ws_job_assignment(*job, ref->task) : NULL;
-  return assignment != NULL && !assignment->is_confirmed_gone && ws_cancellations_has(core, *job)
+  return assignment != NULL && !assignment->is_confirmed_gone
+                 && ws_cancellations_has_job(core, *job)
              ? assignment
              : NULL;
 }
@@ -141,9 +142,9 @@
       json_array_append_new(commands, ws_command_encode(WS_OP_HALT, job->id, assignment->task,
                                                         assignment->attempt, 0.0));
   }
-  return ws_commands_encode(MAX(machine->worker.fencing_token, machine->worker.halt_fencing_token),
-                            MAX(machine->worker.incarnation, machine->worker.halt_incarnation),
-                            commands);
+  return ws_command_request_encode(
+      MAX(machine->worker.fencing_token, machine->worker.halt_fencing_token),
+      MAX(machine->worker.incarnation, machine->worker.halt_incarnation), commands);
 }
 
 /* Sends halts, or requests the status if the worker's incarnation isn't known yet. */
@@ -251,7 +252,7 @@
 }
 
 void
-ws_cancelled_tasks_enforce(WsCore *core)
+ws_cancelled_tasks_tick(WsCore *core)
 {
   g_autoptr(GHashTable) seen = g_hash_table_new(NULL, NULL);
   if (ws_cancellations_count(core) == 0)
--- a/src/workers/ws-reconciliation.c
+++ b/src/workers/ws-reconciliation.c
@@ -51,7 +51,7 @@
 {
   if (!machine->is_marked || (ws_job_is_gang(job) && assignment->state >= WS_TASK_RUNNING))
     return FALSE;
-  return ws_termination_may_stop(core, machine, job, assignment);
+  return ws_termination_may_stop_task(core, machine, job, assignment);
 }
 
 /* A task that the records don't assign to this machine: it is halted, or reaped if it has exited.
@@ -80,7 +80,7 @@
   }
   if (task->state == WS_TASK_EXITED)
     return;
-  gboolean is_cancelled = ws_cancellations_has(core, job);
+  gboolean is_cancelled = ws_cancellations_has_job(core, job);
   if (task->state == WS_TASK_SAVING && !is_cancelled)
     return;
   if (is_cancelled || assignment->is_stop_requested || ws_gang_is_ending(job)
@@ -94,7 +94,7 @@
 static gboolean
 is_unwanted(const Reconciliation *run, WsJob *job, const WsAssignment *assignment)
 {
-  return ws_cancellations_has(run->core, job) || assignment->is_stop_requested
+  return ws_cancellations_has_job(run->core, job) || assignment->is_stop_requested
          || run->machine->is_marked || ws_gang_is_ending(job)
          || ws_releases_is_pending(run->core, job, assignment);
 }
@@ -150,9 +150,9 @@
   gboolean is_unacknowledged
       = run->repeats_launch || !run->has_present_token || machine->worker.consecutive_halts > 1;
   if (!is_unacknowledged)
-    machine->worker.unacknowledged_ms = 0;
-  else if (machine->worker.unacknowledged_ms == 0)
-    machine->worker.unacknowledged_ms = run->core->now;
+    machine->worker.unacknowledged_since_ms = 0;
+  else if (machine->worker.unacknowledged_since_ms == 0)
+    machine->worker.unacknowledged_since_ms = run->core->now;
 }
 
 /* A delayed copy of a heartbeat may come from a machine that was returned before this node started.
@@ -161,7 +161,7 @@
 note_heartbeat(Reconciliation *run)
 {
   WsCore *core = run->core;
-  run->machine->worker.reported_ms = core->now;
+  run->machine->worker.last_heartbeat_ms = core->now;
   if (!run->has_present_token)
     return;
   if (!run->machine->is_recorded)
@@ -183,9 +183,9 @@
 ws_workers_answer_heartbeat(WsCore *core, const WsHeartbeat *heartbeat)
 {
   guint64 fencing_token = core->replica->epoch.number;
-  WsMachine *machine = ws_replica_get_machine(core->replica, heartbeat->machine);
-  ws_replica_describe_machine(core->replica, machine, heartbeat->type, heartbeat->zone,
-                              heartbeat->is_spot);
+  WsMachine *machine = ws_replica_ensure_machine(core->replica, heartbeat->machine);
+  ws_replica_set_machine_attributes(core->replica, machine, heartbeat->type, heartbeat->zone,
+                                    heartbeat->is_spot);
   Reconciliation run = { .core = core,
                          .machine = machine,
                          .heartbeat = heartbeat,
@@ -198,5 +198,5 @@
     core->replan_is_needed
         = core->replan_is_needed || !was_usable || machine->worker.interruption_ms > 0;
   }
-  return ws_heartbeat_answer_encode(fencing_token, run.commands);
+  return ws_heartbeat_response_encode(fencing_token, run.commands);
 }
--- a/src/workers/ws-relay.c
+++ b/src/workers/ws-relay.c
@@ -66,13 +66,13 @@
 answer_without_owner(WsCore *core, const char *heartbeat, gpointer request)
 {
   if (ws_authority_check_lease_renewal(core, core->replica->epoch.number) != WS_REFUSAL_NONE) {
-    ws_answer_later(core, request, RETRY_AFTER_S);
+    ws_answer_retry_later(core, request, RETRY_AFTER_S);
     return;
   }
   json_t *commands = json_array();
   add_halts(core, heartbeat, commands);
   ws_answer(core, request, WS_HTTP_OK,
-            ws_heartbeat_answer_encode(core->replica->epoch.number, commands), 0);
+            ws_heartbeat_response_encode(core->replica->epoch.number, commands), 0);
 }
 
 /* Passes on the owner's answer, with halts added: this node may have learned of a cancellation
@@ -81,7 +81,7 @@
 answer_as_owner(WsCore *core, const Relay *relay, const json_t *body)
 {
   json_t *answer = json_deep_copy(body);
-  add_halts(core, relay->heartbeat, ws_heartbeat_answer_commands(answer));
+  add_halts(core, relay->heartbeat, ws_heartbeat_response_commands(answer));
   ws_answer(core, relay->request, WS_HTTP_OK, answer, 0);
 }
 
@@ -135,7 +135,7 @@
   if (status == WS_HTTP_OK)
     ws_answer(core, data, WS_HTTP_OK, json_incref((json_t *)body), 0);
   else
-    ws_answer_later(core, data, RETRY_AFTER_S);
+    ws_answer_retry_later(core, data, RETRY_AFTER_S);
 }
 
 static void
@@ -145,9 +145,9 @@
   g_autoptr(GError) error = NULL;
   g_autoptr(WsHeartbeat) heartbeat = ws_heartbeat_parse(message, &error);
   if (heartbeat == NULL)
-    ws_answer_reason(core, request, WS_HTTP_BAD_REQUEST, error->message);
+    ws_answer_error(core, request, WS_HTTP_BAD_REQUEST, error->message);
   else if (ws_authority_check_lease_renewal(core, heartbeat->fencing_token) != WS_REFUSAL_NONE)
-    ws_answer_later(core, request, RETRY_AFTER_S);
+    ws_answer_retry_later(core, request, RETRY_AFTER_S);
   else
     ws_answer(core, request, WS_HTTP_OK, ws_workers_answer_heartbeat(core, heartbeat), 0);
 }
@@ -157,13 +157,13 @@
 {
   WsRelayMessage relayed;
   if (!ws_relay_message_parse(message, &relayed)) {
-    ws_answer_reason(core, request, WS_HTTP_BAD_REQUEST, "malformed");
+    ws_answer_error(core, request, WS_HTTP_BAD_REQUEST, "malformed");
     return;
   }
   WsNodeIndex owner = ws_settings_find_node(core->settings, relayed.owner);
   if (!ws_is_active_member(core) || relayed.epoch != core->replica->epoch.number
       || owner == WS_NO_NODE)
-    ws_answer_later(core, request, RETRY_AFTER_S);
+    ws_answer_retry_later(core, request, RETRY_AFTER_S);
   else if (owner == core->settings->self)
     answer_relayed_heartbeat(core, relayed.heartbeat, request);
   else
--- a/src/workers/ws-worker-rpc.c
+++ b/src/workers/ws-worker-rpc.c
@@ -53,7 +53,7 @@
 count_indeterminate(WsCore *core, WsMachine *machine, const CommandCall *call)
 {
   if (machine->worker.indeterminate_launches == 0)
-    machine->worker.indeterminate_ms = core->now;
+    machine->worker.indeterminate_since_ms = core->now;
   machine->worker.indeterminate_launches++;
   machine->worker.indeterminate_fencing_token = call->fencing_token;
   machine->worker.indeterminate_incarnation = call->incarnation;
@@ -69,12 +69,12 @@
   if (has_launches)
     count_indeterminate(core, machine, call);
   ws_call(core, "POST", machine->worker.endpoint, "/commands",
-          ws_commands_encode(call->fencing_token, call->incarnation, commands), COMMAND_TIMEOUT_MS,
-          on_command_reply, call);
+          ws_command_request_encode(call->fencing_token, call->incarnation, commands),
+          COMMAND_TIMEOUT_MS, on_command_reply, call);
 }
 
 gboolean
-ws_worker_rpc_is_possible(const WsCore *core, const WsMachine *machine)
+ws_worker_rpc_is_allowed(const WsCore *core, const WsMachine *machine)
 {
   return ws_authority_check_command(core, machine) == WS_REFUSAL_NONE;
 }
@@ -108,7 +108,7 @@
     const WsTaskRef *ref = &g_array_index(tasks, WsTaskRef, i);
     const WsJob *job = ws_replica_job(core->replica, ref->job);
     const WsAssignment *assignment = ws_job_assignment(job, ref->task);
-    if (assignment == NULL || job->state != WS_JOB_ACTIVE || ws_cancellations_has(core, job))
+    if (assignment == NULL || job->state != WS_JOB_ACTIVE || ws_cancellations_has_job(core, job))
       continue;
     json_array_append_new(commands, ws_command_encode(WS_OP_LAUNCH, job->id, assignment->task,
                                                       assignment->attempt, 0.0));
@@ -120,21 +120,21 @@
 double
 ws_halt_grace_s(const WsCore *core, const WsJob *job, const WsAssignment *assignment)
 {
-  if (ws_cancellations_has(core, job) || job->spec->checkpoint_s <= 0.0)
+  if (ws_cancellations_has_job(core, job) || job->spec->checkpoint_interval_s <= 0.0)
     return 0.0;
   if (!ws_job_is_gang(job))
-    return job->spec->save_s + GRACE_MARGIN_S;
+    return job->spec->checkpoint_save_s + GRACE_MARGIN_S;
   /* Once a task is lost the others can save nothing. */
   if (ws_gang_is_ending(job) && !assignment->is_stop_requested)
     return 0.0;
-  return job->spec->save_s + core->settings->gang_peer_s + GRACE_MARGIN_S;
+  return job->spec->checkpoint_save_s + core->settings->gang_peer_s + GRACE_MARGIN_S;
 }
 
 void
 ws_worker_rpc_halt(WsCore *core, WsJob *job, WsAssignment *assignment)
 {
   WsMachine *machine = ws_replica_machine(core->replica, assignment->machine);
-  if (!ws_worker_rpc_is_possible(core, machine))
+  if (!ws_worker_rpc_is_allowed(core, machine))
     return;
   json_t *commands = json_array();
   json_array_append_new(commands, ws_command_encode(WS_OP_HALT, job->id, assignment->task,
