--- a/src/workers/ws-worker-status.c
+++ b/src/workers/ws-worker-status.c
@@ -46,7 +46,7 @@
   guint doublings = MIN(job->status.consecutive_errors, MAX_JOB_RETRY_DOUBLINGS);
   job->status.retry_ms = core->now + JOB_RETRY_MS * (gint64)(1u << doublings);
   if (machine->fleet.last_failed_job != job->index)
-    machine->fleet.failed_jobs++;
+    machine->fleet.consecutive_failed_jobs++;
   machine->fleet.last_failed_job = job->index;
   g_info("a task of job %s failed on %s", job->id, machine->name);
 }
@@ -72,12 +72,12 @@
   assignment->state = WS_TASK_EXITED;
   if (reason == WS_EXIT_ERROR)
     note_error(core, machine, job);
-  if (reason == WS_EXIT_REFUSED)
+  if (reason == WS_EXIT_LAUNCH_REJECTED)
     job->status.retry_ms = core->now + JOB_RETRY_MS;
-  if (reason == WS_EXIT_INCOMPLETE)
+  if (reason == WS_EXIT_GANG_INCOMPLETE)
     back_off_gang(core, job);
   if (reason == WS_EXIT_DONE) {
-    machine->fleet.failed_jobs = 0;
+    machine->fleet.consecutive_failed_jobs = 0;
     machine->fleet.last_failed_job = WS_NO_JOB;
     job->status.consecutive_errors = 0;
   }
@@ -110,7 +110,7 @@
                              task->exit_reason == WS_EXIT_DONE);
     return;
   }
-  ws_releases_refute(core, job, assignment);
+  ws_releases_invalidate(core, job, assignment);
   if (task->state != assignment->state)
     g_debug("task %s/%u on %s: state %d", job->id, assignment->task, machine->name, task->state);
   assignment->state = task->state;
--- a/src/workers/ws-workers.c
+++ b/src/workers/ws-workers.c
@@ -64,7 +64,7 @@
 static gboolean
 take_redirect(WsCore *core, WsNodeIndex owner)
 {
-  if (ws_peer_is_unreached_by_workers(core, owner)
+  if (ws_peer_receives_no_heartbeats(core, owner)
       && core->now - ws_peer_last_redirect_ms(core, owner) < UNREACHED_OWNER_RETRY_MS)
     return FALSE;
   ws_peer_note_redirect(core, owner);
@@ -122,7 +122,7 @@
     return FALSE;
   if (machine->zone != ws_replica_find_zone(core->replica, self->zone))
     ws_authority_note_heartbeat_from_other_zone(core);
-  if (!ws_authority_is_reached_from_other_zones(core) || was_turned_away(core, machine))
+  if (!ws_authority_has_heartbeat_from_other_zone(core) || was_turned_away(core, machine))
     return FALSE;
   machine->worker.turned_away_ms = core->now;
   return TRUE;
@@ -136,19 +136,19 @@
   g_autoptr(WsHeartbeat) heartbeat = ws_heartbeat_parse(message, &error);
   if (heartbeat == NULL) {
     g_warning("a heartbeat was refused: %s", error->message);
-    ws_answer_reason(core, request, WS_HTTP_BAD_REQUEST, error->message);
+    ws_answer_error(core, request, WS_HTTP_BAD_REQUEST, error->message);
     return;
   }
   ws_liveness_note_heartbeat(core);
   if (!is_accepted(core, heartbeat)) {
-    ws_answer_later(core, request, RETRY_AFTER_S);
+    ws_answer_retry_later(core, request, RETRY_AFTER_S);
     return;
   }
-  WsMachine *machine = ws_replica_get_machine(core->replica, heartbeat->machine);
-  ws_replica_describe_machine(core->replica, machine, heartbeat->type, heartbeat->zone,
-                              heartbeat->is_spot);
+  WsMachine *machine = ws_replica_ensure_machine(core->replica, heartbeat->machine);
+  ws_replica_set_machine_attributes(core->replica, machine, heartbeat->type, heartbeat->zone,
+                                    heartbeat->is_spot);
   if (turn_away_if_isolated(core, machine))
-    ws_answer_later(core, request, RETRY_AFTER_S);
+    ws_answer_retry_later(core, request, RETRY_AFTER_S);
   else if (machine->owner != core->settings->self)
     redirect_or_relay(core, machine, body, length, request);
   else
--- a/src/workers/ws-workers.h
+++ b/src/workers/ws-workers.h
@@ -40,7 +40,7 @@
 void ws_relay_handle_request(WsCore *core, const json_t *message, gpointer request);
 
 /** Halts what is left of cancelled jobs, and has machines returned that don't confirm in time. */
-void ws_cancelled_tasks_enforce(WsCore *core);
+void ws_cancelled_tasks_tick(WsCore *core);
 
 /*
  * Commands sent to a worker's own address.
@@ -52,7 +52,7 @@
  */
 
 /** Whether this node may command the worker: it is up, reached, and knows the present token. */
-gboolean ws_worker_rpc_is_possible(const WsCore *core, const WsMachine *machine);
+gboolean ws_worker_rpc_is_allowed(const WsCore *core, const WsMachine *machine);
 
 /** Sends the worker the present fencing token, so that it refuses commands under older ones. */
 void ws_worker_rpc_raise_fencing_token(WsCore *core, WsMachine *machine);
--- a/tests/evidence/validity.c
+++ b/tests/evidence/validity.c
@@ -53,7 +53,7 @@
   g_assert_true(ws_epoch_parse(&epoch, record, settings));
   guint owner = ws_epoch_owner(&epoch, machine, settings);
   ws_epoch_clear(&epoch);
-  return owner != WS_NONE ? past->incarnation[owner] : 0;
+  return owner != WS_NO_INDEX ? past->incarnation[owner] : 0;
 }
 
 /* Whether one run owned the machine from one epoch to the other, and none was missed between. */
--- a/tests/gangs/one-node.c
+++ b/tests/gangs/one-node.c
@@ -142,7 +142,7 @@
   fixture_send_request(fixture, "POST", "/api/jobs", submission);
   fixture_run(fixture, 1.0);
   g_assert_true(fixture_task_is_assigned(fixture));
-  g_autofree char *record = ws_json_text(sim_store_get(fixture->store, "w/task/req-1/0"));
+  g_autofree char *record = ws_json_serialize(sim_store_get(fixture->store, "w/task/req-1/0"));
   g_assert_null(strstr(record, "m-1"));
   fixture_free(fixture);
 }
--- a/tests/regressions/scheduling.c
+++ b/tests/regressions/scheduling.c
@@ -225,7 +225,7 @@
 {
   static const char *const MACHINES[] = { "m-1", "m-2", "m-3" };
   Fixture *fixture = fixture_new(TRUE);
-  fixture->settings->state_txn_ops = 3; /* the teams' use and two jobs that end */
+  fixture->settings->kv_max_txn_ops = 3; /* the teams' use and two jobs that end */
   fixture_remove_quotas(fixture);
   register_machines(fixture, MACHINES, G_N_ELEMENTS(MACHINES));
   for (guint i = 1; i <= JOBS_TO_COMPLETE; i++)
--- a/tests/sim/fixture.c
+++ b/tests/sim/fixture.c
@@ -17,9 +17,9 @@
 void
 fixture_reply(Fixture *fixture, guint64 call, guint status, const json_t *body)
 {
-  g_autofree char *text = ws_json_text(body);
-  ws_core_reply(fixture->core, fixture->now_ms, fixture->now_ms, call, status, text,
-                text != NULL ? strlen(text) : 0);
+  g_autofree char *text = ws_json_serialize(body);
+  ws_core_handle_reply(fixture->core, fixture->now_ms, fixture->now_ms, call, status, text,
+                       text != NULL ? strlen(text) : 0);
 }
 
 void
@@ -162,7 +162,7 @@
 fixture_handle_outputs(Fixture *fixture)
 {
   WsOutput *output;
-  while ((output = ws_core_pop(fixture->core)) != NULL) {
+  while ((output = ws_core_pop_output(fixture->core)) != NULL) {
     fixture->outputs++;
     sim_trace_output(fixture->now_ms, TRACE_NODE, output->is_answer ? "-" : output->method,
                      output->is_answer ? "-" : output->url, output);
@@ -193,9 +193,9 @@
 fixture_request(Fixture *fixture, WsListener listener, const char *method, const char *path,
                 json_t *body)
 {
-  g_autofree char *text = ws_json_text(body);
-  ws_core_request(fixture->core, fixture->now_ms, fixture->now_ms, listener, method, path, text,
-                  text != NULL ? strlen(text) : 0, fixture);
+  g_autofree char *text = ws_json_serialize(body);
+  ws_core_handle_request(fixture->core, fixture->now_ms, fixture->now_ms, listener, method, path,
+                         text, text != NULL ? strlen(text) : 0, fixture);
   json_decref(body);
   fixture_handle_outputs(fixture);
 }
@@ -368,7 +368,7 @@
 {
   WsOutput *output;
   ws_core_stop(fixture->core);
-  while ((output = ws_core_pop(fixture->core)) != NULL)
+  while ((output = ws_core_pop_output(fixture->core)) != NULL)
     ws_output_free(output);
   ws_core_free(fixture->core);
 }
--- a/tests/sim/sim-faults.c
+++ b/tests/sim/sim-faults.c
@@ -9,7 +9,7 @@
 {
   WsOutput *output;
   ws_core_stop(core);
-  while ((output = ws_core_pop(core)) != NULL) {
+  while ((output = ws_core_pop_output(core)) != NULL) {
     if (output->is_answer)
       sim_call_unref(output->request);
     ws_output_free(output);
@@ -157,8 +157,8 @@
 sim_announce_limits(Sim *sim, guint ops, gsize bytes)
 {
   for (guint n = 0; n < SIM_NODES; n++) {
-    sim->settings[n]->state_txn_ops = ops;
-    sim->settings[n]->state_record_bytes = bytes;
+    sim->settings[n]->kv_max_txn_ops = ops;
+    sim->settings[n]->kv_max_record_bytes = bytes;
   }
 }
 
--- a/tests/sim/sim-network.c
+++ b/tests/sim/sim-network.c
@@ -96,9 +96,9 @@
     } else if (call->expected_status != 0) {
       check_malformed_reply(sim, call);
     } else if (sim->nodes[call->node].core != NULL && sim->nodes[call->node].run == call->run) {
-      g_autofree char *text = ws_json_text(call->answer);
-      ws_core_reply(sim->nodes[call->node].core, sim->now_ms, sim_wall_clock_ms(sim), call->call,
-                    call->status, text, text != NULL ? strlen(text) : 0);
+      g_autofree char *text = ws_json_serialize(call->answer);
+      ws_core_handle_reply(sim->nodes[call->node].core, sim->now_ms, sim_wall_clock_ms(sim),
+                           call->call, call->status, text, text != NULL ? strlen(text) : 0);
       sim_deliver_outputs(sim, call->node);
     }
   }
@@ -143,13 +143,13 @@
 static void
 deliver_to_node(Sim *sim, Call *call, guint node, WsListener listener)
 {
-  g_autofree char *text = ws_json_text(call->body);
+  g_autofree char *text = ws_json_serialize(call->body);
   if (sim->nodes[node].core == NULL) {
     sim_call_unref(call);
     return;
   }
-  ws_core_request(sim->nodes[node].core, sim->now_ms, sim_wall_clock_ms(sim), listener,
-                  call->method, call->path, text, text != NULL ? strlen(text) : 0, call);
+  ws_core_handle_request(sim->nodes[node].core, sim->now_ms, sim_wall_clock_ms(sim), listener,
+                         call->method, call->path, text, text != NULL ? strlen(text) : 0, call);
   sim_deliver_outputs(sim, node);
 }
 
@@ -367,7 +367,7 @@
 sim_deliver_outputs(Sim *sim, guint node)
 {
   WsOutput *output;
-  while ((output = ws_core_pop(sim->nodes[node].core)) != NULL) {
+  while ((output = ws_core_pop_output(sim->nodes[node].core)) != NULL) {
     trace_output(sim, node, output);
     if (output->is_answer) {
       sim_reply_to_call(output->request, output->status, parse_body(output->body));
--- a/tests/test-commit.c
+++ b/tests/test-commit.c
@@ -27,7 +27,7 @@
   for (gsize i = 0; i < G_N_ELEMENTS(CASES); i++) {
     WsJobSpec spec = { .kind = CASES[i].kind };
     WsJob job = { .state = CASES[i].state, .tasks = 3, .spec = &spec };
-    g_assert_cmpint(ws_job_is_complete_after(&job, &CASES[i].progress), ==, CASES[i].is_complete);
+    g_assert_cmpint(ws_job_ends_after(&job, &CASES[i].progress), ==, CASES[i].is_complete);
   }
 }
 
@@ -41,15 +41,15 @@
   g_assert_false(ws_job_quarantine_is_isolating(quarantine, 1000));
   g_array_append_val(jobs, first);
   g_array_append_val(jobs, second);
-  ws_job_quarantine_add(quarantine, 1000, jobs);
+  ws_job_quarantine_record_rejection(quarantine, 1000, jobs);
   g_assert_true(ws_job_quarantine_is_isolating(quarantine, 5999));
   g_assert_false(ws_job_quarantine_is_isolating(quarantine, 6000));
-  g_assert_false(ws_job_quarantine_has(quarantine, 1000, first));
+  g_assert_false(ws_job_quarantine_contains(quarantine, 1000, first));
   g_array_remove_index(jobs, 1);
-  ws_job_quarantine_add(quarantine, 2000, jobs);
-  g_assert_true(ws_job_quarantine_has(quarantine, 11999, first));
-  g_assert_false(ws_job_quarantine_has(quarantine, 12000, first));
-  g_assert_false(ws_job_quarantine_has(quarantine, 2000, second));
+  ws_job_quarantine_record_rejection(quarantine, 2000, jobs);
+  g_assert_true(ws_job_quarantine_contains(quarantine, 11999, first));
+  g_assert_false(ws_job_quarantine_contains(quarantine, 12000, first));
+  g_assert_false(ws_job_quarantine_contains(quarantine, 2000, second));
 }
 
 int
--- a/tests/test-coordination.c
+++ b/tests/test-coordination.c
@@ -30,9 +30,9 @@
   g_autoptr(json_t) value = ws_epoch_encode(&epoch, settings);
   g_assert_true(ws_epoch_parse(&read, value, settings));
   g_assert_cmpuint(read.number, ==, 41);
-  g_assert_true(ws_epoch_same_members(&read, epoch.members));
-  g_assert_true(ws_epoch_has(&read, 2, 102));
-  g_assert_false(ws_epoch_has(&read, 2, 103)); /* another run of the node is not a member */
+  g_assert_true(ws_epoch_has_same_members(&read, epoch.members));
+  g_assert_true(ws_epoch_has_member(&read, 2, 102));
+  g_assert_false(ws_epoch_has_member(&read, 2, 103)); /* another run of the node is not a member */
   g_assert_false(ws_epoch_has_node(&read, 1));
   ws_epoch_clear(&epoch);
   ws_epoch_clear(&read);
@@ -53,7 +53,7 @@
     g_assert_cmpuint(later, !=, 1);
     if (owner != 1)
       g_assert_cmpuint(later, ==, owner);
-    g_assert_cmpuint(ws_epoch_owner(&none, name, settings), ==, WS_NONE);
+    g_assert_cmpuint(ws_epoch_owner(&none, name, settings), ==, WS_NO_INDEX);
   }
   for (guint n = 0; n < 3; n++)
     g_assert_cmpuint(owned[n], >, 850);
--- a/tests/test-core.c
+++ b/tests/test-core.c
@@ -55,8 +55,8 @@
 static void
 add_budget(Sim *sim, const char *zone, gboolean is_minimum, gboolean is_percent, guint value)
 {
-  WsBudget *budget = g_new0(WsBudget, 1);
-  *budget = (WsBudget){ g_strdup("g4"), g_strdup(zone), is_minimum, is_percent, value };
+  WsDisruptionBudget *budget = g_new0(WsDisruptionBudget, 1);
+  *budget = (WsDisruptionBudget){ g_strdup("g4"), g_strdup(zone), is_minimum, is_percent, value };
   g_ptr_array_add(sim_properties(sim)->budgets, budget);
 }
 
--- a/tests/test-http.c
+++ b/tests/test-http.c
@@ -32,7 +32,7 @@
 on_state(gpointer data, guint status, json_t *body)
 {
   Held *held = data;
-  g_autofree char *text = ws_json_text(body);
+  g_autofree char *text = ws_json_serialize(body);
   soup_server_message_set_status(held->message, status, NULL);
   soup_server_message_set_response(held->message, "application/json", SOUP_MEMORY_COPY, text,
                                    strlen(text));
@@ -222,7 +222,7 @@
   json_object_set_new(job, "typy", json_null());
   json_object_set_new(job, "kusy", json_integer(3));
   json_object_set_new(job, name, value);
-  return ws_json_text(job);
+  return ws_json_serialize(job);
 }
 
 static guint
--- a/tests/test-kv.c
+++ b/tests/test-kv.c
@@ -15,7 +15,7 @@
 static void
 assert_text(const json_t *message, const char *expected)
 {
-  g_autofree char *text = ws_json_text(message);
+  g_autofree char *text = ws_json_serialize(message);
   g_assert_cmpstr(text, ==, expected);
 }
 
@@ -158,10 +158,10 @@
   g_autoptr(json_t) ended = parse("{\"error\":\"no such lease\"}");
   g_autoptr(json_t) other = parse("{\"error\":\"too large\"}");
   g_autoptr(json_t) none = parse("{\"error\":7}");
-  g_assert_true(ws_kv_error_is_lease_ended(ended));
-  g_assert_false(ws_kv_error_is_lease_ended(other));
+  g_assert_true(ws_kv_error_is_lease_expired(ended));
+  g_assert_false(ws_kv_error_is_lease_expired(other));
   g_assert_cmpstr(ws_kv_error_parse(other), ==, "too large");
-  g_assert_false(ws_kv_error_is_lease_ended(none));
+  g_assert_false(ws_kv_error_is_lease_expired(none));
   g_assert_null(ws_kv_error_parse(none));
   g_assert_null(ws_kv_error_parse(NULL));
 }
--- a/tests/test-peer-messages.c
+++ b/tests/test-peer-messages.c
@@ -11,7 +11,7 @@
 static void
 assert_text(const json_t *body, const char *expected)
 {
-  g_autofree char *text = ws_json_text(body);
+  g_autofree char *text = ws_json_serialize(body);
   g_assert_cmpstr(text, ==, expected);
 }
 
@@ -48,7 +48,7 @@
   g_assert_cmpuint(message.reachable_nodes, ==, 5);
   g_assert_cmpuint(message.unacknowledged_cancellations, ==, 2);
   g_assert_true(message.store_is_available && message.replica_is_loaded);
-  g_assert_true(message.is_unreached_by_workers && !message.needs_new_epoch);
+  g_assert_true(message.receives_no_heartbeats && !message.needs_new_epoch);
   g_assert_true(message.has_revisions);
   g_assert_cmpuint(message.base_revision, ==, 3);
   g_assert_cmpuint(message.revision, ==, 8);
@@ -220,7 +220,7 @@
   request->release.attempt = 2;
   request->release.is_completed = TRUE;
   request->release.evidence.kind = WS_EVIDENCE_EXITED;
-  request->release.evidence.machine = ws_replica_get_machine(replica, "m1")->index;
+  request->release.evidence.machine = ws_replica_ensure_machine(replica, "m1")->index;
   request->release.evidence.epoch = 7;
   request->release.evidence.incarnation = 4;
   return request;
@@ -251,7 +251,7 @@
 {
   WsSettings *settings = ws_test_settings(0);
   WsReplica *replica = ws_replica_new(settings);
-  (void)ws_replica_get_machine(replica, "m1");
+  (void)ws_replica_ensure_machine(replica, "m1");
   g_autoptr(json_t) body
       = parse("{\"picks\":[[\"j1\",4,\"m1\"]],\"reservations\":[[\"j2\",6,\"\"]],"
               "\"releases\":[[\"j1\",3,2,true,\"m1\",\"exited\",7,4],[\"j1\",3,2,false]],"
--- a/tests/test-properties.c
+++ b/tests/test-properties.c
@@ -56,19 +56,19 @@
 static void
 test_budget(void)
 {
-  WsBudget budget = { .is_minimum = TRUE, .value = 3 };
-  g_assert_cmpuint(ws_budget_allowed(&budget, 5), ==, 2);
-  g_assert_cmpuint(ws_budget_allowed(&budget, 2), ==, 0);
-  budget = (WsBudget){ .is_minimum = TRUE, .is_percent = TRUE, .value = 100 };
-  g_assert_cmpuint(ws_budget_allowed(&budget, 5), ==, 0);
+  WsDisruptionBudget budget = { .is_minimum = TRUE, .value = 3 };
+  g_assert_cmpuint(ws_budget_max_unavailable(&budget, 5), ==, 2);
+  g_assert_cmpuint(ws_budget_max_unavailable(&budget, 2), ==, 0);
+  budget = (WsDisruptionBudget){ .is_minimum = TRUE, .is_percent = TRUE, .value = 100 };
+  g_assert_cmpuint(ws_budget_max_unavailable(&budget, 5), ==, 0);
   budget.value = 50;
-  g_assert_cmpuint(ws_budget_allowed(&budget, 5), ==, 2);
-  budget = (WsBudget){ .value = 2 };
-  g_assert_cmpuint(ws_budget_allowed(&budget, 5), ==, 2);
-  budget = (WsBudget){ .is_percent = TRUE, .value = 50 };
-  g_assert_cmpuint(ws_budget_allowed(&budget, 5), ==, 2);
+  g_assert_cmpuint(ws_budget_max_unavailable(&budget, 5), ==, 2);
+  budget = (WsDisruptionBudget){ .value = 2 };
+  g_assert_cmpuint(ws_budget_max_unavailable(&budget, 5), ==, 2);
+  budget = (WsDisruptionBudget){ .is_percent = TRUE, .value = 50 };
+  g_assert_cmpuint(ws_budget_max_unavailable(&budget, 5), ==, 2);
   budget.value = 0;
-  g_assert_cmpuint(ws_budget_allowed(&budget, 5), ==, 0);
+  g_assert_cmpuint(ws_budget_max_unavailable(&budget, 5), ==, 0);
 }
 
 int
--- a/tests/test-protocol.c
+++ b/tests/test-protocol.c
@@ -85,8 +85,8 @@
   g_assert_error(list_error, WS_ERROR, WS_ERROR_MALFORMED);
   static const char *const BAD[] = { "", "req-", "job-1", "req-a/b", "req-a b", "req-../x" };
   for (guint i = 0; i < G_N_ELEMENTS(BAD); i++)
-    g_assert_false(ws_job_id_valid(BAD[i]));
-  g_assert_true(ws_job_id_valid("req-000412"));
+    g_assert_false(ws_job_id_is_valid(BAD[i]));
+  g_assert_true(ws_job_id_is_valid("req-000412"));
 }
 
 /* Amounts: a need is rounded up, and 0.1 + 0.2 is 0.3. */
@@ -150,18 +150,18 @@
 test_job_summary(void)
 {
   static const struct {
-    WsUserState state;
+    WsReportedJobState state;
     gboolean with_tasks;
     const char *text;
-  } CASES[] = { { WS_USER_STATE_QUEUED, FALSE, "{\"id\":\"j\",\"stav\":\"queued\"}" },
-                { WS_USER_STATE_RUNNING, TRUE,
+  } CASES[] = { { WS_REPORTED_STATE_QUEUED, FALSE, "{\"id\":\"j\",\"stav\":\"queued\"}" },
+                { WS_REPORTED_STATE_RUNNING, TRUE,
                   "{\"id\":\"j\",\"stav\":\"running\",\"done\":3,\"running\":2}" },
-                { WS_USER_STATE_DONE, FALSE, "{\"id\":\"j\",\"stav\":\"done\"}" },
-                { WS_USER_STATE_CANCELLED, FALSE, "{\"id\":\"j\",\"stav\":\"cancelled\"}" } };
+                { WS_REPORTED_STATE_DONE, FALSE, "{\"id\":\"j\",\"stav\":\"done\"}" },
+                { WS_REPORTED_STATE_CANCELLED, FALSE, "{\"id\":\"j\",\"stav\":\"cancelled\"}" } };
   for (guint i = 0; i < G_N_ELEMENTS(CASES); i++) {
     WsJobSummary summary = { "j", CASES[i].state, 3, 2 };
     g_autoptr(json_t) message = ws_job_summary_encode(&summary, CASES[i].with_tasks);
-    g_autofree char *text = ws_json_text(message);
+    g_autofree char *text = ws_json_serialize(message);
     g_assert_cmpstr(text, ==, CASES[i].text);
   }
 }
@@ -216,7 +216,7 @@
 test_commands(void)
 {
   g_autoptr(json_t) command = ws_command_encode(WS_OP_HALT, "req-1", 7, 3, 2.5);
-  g_autofree char *text = ws_json_text(command);
+  g_autofree char *text = ws_json_serialize(command);
   g_assert_cmpstr(text, ==, "{\"ukon\":\"halt\",\"kus\":\"req-1/7\",\"pokus\":3,\"lhuta_s\":2.5}");
 }
 
@@ -273,13 +273,13 @@
       g_assert_true(g_str_has_prefix(error->message, CASES[i].complaint));
     }
     if (i == 0) {
-      g_assert_cmpuint(settings->state_txn_ops, ==, 5);
-      g_assert_cmpuint(settings->state_record_bytes, <=, 2048);
-      g_assert_cmpfloat(settings->state_write_rps, ==, 18.0);
-      g_assert_cmpfloat(settings->state_value_kb, ==, 16.0);
+      g_assert_cmpuint(settings->kv_max_txn_ops, ==, 5);
+      g_assert_cmpuint(settings->kv_max_record_bytes, <=, 2048);
+      g_assert_cmpfloat(settings->kv_writes_per_s, ==, 18.0);
+      g_assert_cmpfloat(settings->kv_current_value_kb, ==, 16.0);
     }
     if (i == 1)
-      g_assert_cmpuint(settings->state_txn_ops, ==, 16);
+      g_assert_cmpuint(settings->kv_max_txn_ops, ==, 16);
   }
 }
 
@@ -293,8 +293,8 @@
     WsTaskState parsed;
     WsExitReason exit;
   } CASES[] = { { "gathering", NULL, WS_TASK_GATHERING, WS_EXIT_NONE },
-                { "exited", "peers", WS_TASK_EXITED, WS_EXIT_PEERS },
-                { "exited", "incomplete", WS_TASK_EXITED, WS_EXIT_INCOMPLETE },
+                { "exited", "peers", WS_TASK_EXITED, WS_EXIT_GANG_PEER_LOST },
+                { "exited", "incomplete", WS_TASK_EXITED, WS_EXIT_GANG_INCOMPLETE },
                 { "exited", "surprise", WS_TASK_EXITED, WS_EXIT_ERROR } };
   for (guint i = 0; i < G_N_ELEMENTS(CASES); i++) {
     g_autoptr(json_t) message = ws_json_parse(REPORT, strlen(REPORT));
--- a/tests/test-storage.c
+++ b/tests/test-storage.c
@@ -106,7 +106,8 @@
   }
   for (guint m = 0; m < 3; m++) {
     g_autofree char *name = g_strdup_printf("m-%u", m);
-    WsMachine *a = ws_replica_get_machine(plain, name), *b = ws_replica_get_machine(early, name);
+    WsMachine *a = ws_replica_ensure_machine(plain, name),
+              *b = ws_replica_ensure_machine(early, name);
     g_assert_cmpint(a->is_marked, ==, b->is_marked);
     g_assert_cmpint(a->used.cpus, ==, b->used.cpus);
   }
@@ -134,7 +135,7 @@
   ws_replica_apply(replica, "w/mark/m-2", mark, 5);
   ws_replica_apply(replica, "w/mark/m-3", mark, 9);
   g_hash_table_add(read, (gpointer) "w/mark/m-2");
-  ws_replica_forget_missing(replica, read, 7);
+  ws_replica_remove_missing(replica, read, 7);
   g_assert_false(ws_replica_find_machine(replica, "m-1")->is_marked);
   g_assert_true(ws_replica_find_machine(replica, "m-2")->is_marked);
   g_assert_true(ws_replica_find_machine(replica, "m-3")->is_marked); /* newer than what was read */
@@ -187,7 +188,7 @@
   g_autoptr(GRand) rand = g_rand_new_with_seed(41);
   for (guint round = 0; round < 20; round++) {
     g_autoptr(WsSettings) settings = ws_test_settings(0);
-    settings->state_value_kb = 8.0;
+    settings->kv_current_value_kb = 8.0;
     add_teams(settings, (guint)g_rand_int_range(rand, 0, 400));
     WsReplica *replica = ws_replica_new(settings);
     g_autofree WsResources *use = g_new0(WsResources, settings->teams->len);
@@ -196,7 +197,7 @@
     g_autoptr(json_t) old = json_pack("{s:i, s:i}", "c", 1, "g", 2);
     ws_replica_apply(replica, "w/team/red", old, 1);
     g_assert_cmpint(replica->team_use[0].gpus, ==, 2);
-    for (guint group = 0; group < ws_team_use_groups(settings); group++) {
+    for (guint group = 0; group < ws_team_use_group_count(settings); group++) {
       g_autofree char *key = ws_team_use_key(group);
       g_autoptr(json_t) value = ws_team_use_encode(settings, group, use);
       g_autofree char *text = json_dumps(value, JSON_COMPACT);
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -95,7 +95,7 @@
 static void
 assert_written_as(json_t *value /* taken */, const char *key)
 {
-  g_autofree char *text = ws_json_text(value);
+  g_autofree char *text = ws_json_serialize(value);
   g_assert_cmpstr(text, ==, record(key));
   json_decref(value);
 }
@@ -136,7 +136,7 @@
   g_autoptr(WsSettings) next = ws_settings_parse(message, &error);
   g_autoptr(WsSettings) present = ws_test_settings(0);
   g_assert_nonnull(next);
-  g_assert_cmpuint(ws_team_use_groups(next), ==, ws_team_use_groups(present));
+  g_assert_cmpuint(ws_team_use_group_count(next), ==, ws_team_use_group_count(present));
   for (guint team = 0; team < next->teams->len; team++)
     g_assert_cmpuint(ws_team_use_group(next, team), ==, ws_team_use_group(present, team));
 }
@@ -205,7 +205,7 @@
     g_autofree char *name = g_strdup_printf("m-%06d", g_rand_int_range(rand, 0, 1000000));
     WsAssignment assignment
         = { .task = task, .attempt = ++chunk->last_attempt, .assigned_ms = 1234567890123 };
-    assignment.machine = ws_replica_get_machine(replica, name)->index;
+    assignment.machine = ws_replica_ensure_machine(replica, name)->index;
     ws_chunk_add(chunk, &assignment);
   }
   return chunk;
@@ -216,14 +216,14 @@
 test_chunks_fit_record_limit(void)
 {
   g_autoptr(WsSettings) settings = ws_test_settings(0);
-  settings->state_record_bytes = NEXT_BYTES;
+  settings->kv_max_record_bytes = NEXT_BYTES;
   for (guint32 seed = 1; seed <= 128; seed++) {
     g_test_message("seed %u", seed);
     g_autoptr(GRand) rand = g_rand_new_with_seed(seed);
     WsReplica *replica = ws_replica_new(settings);
     WsChunk *chunk = generate_chunk(rand, replica, seed);
     g_autoptr(json_t) value = ws_chunk_encode(chunk, replica);
-    g_autofree char *text = ws_json_text(value);
+    g_autofree char *text = ws_json_serialize(value);
     gboolean fits = ws_chunk_fits_record(chunk, replica);
     g_assert_true(!fits || strlen(text) <= NEXT_BYTES);
     g_assert_true(fits || strlen(text) + 1 > NEXT_BYTES); /* the count is one comma too high */
@@ -239,7 +239,7 @@
 test_rental_batches_fit_record_limit(void)
 {
   g_autoptr(WsSettings) settings = ws_test_settings(0);
-  settings->state_record_bytes = NEXT_BYTES;
+  settings->kv_max_record_bytes = NEXT_BYTES;
   WsReplica *replica = ws_replica_new(settings);
   g_autoptr(GArray) machines = g_array_new(FALSE, FALSE, sizeof(guint));
   WsRentalBatch rental_batch = {
@@ -249,11 +249,11 @@
     g_autofree char *name = g_strdup_printf("machine-with-a-long-name-%060u", i);
     if (!ws_rental_batch_has_space(&rental_batch, replica, name))
       break;
-    guint index = ws_replica_get_machine(replica, name)->index;
+    guint index = ws_replica_ensure_machine(replica, name)->index;
     g_array_append_val(machines, index);
   }
   g_autoptr(json_t) value = ws_rental_batch_encode(&rental_batch, replica);
-  g_autofree char *text = ws_json_text(value);
+  g_autofree char *text = ws_json_serialize(value);
   g_assert_cmpuint(strlen(text), <=, NEXT_BYTES);
   g_assert_cmpuint(machines->len, >, 15);
   g_assert_cmpuint(ws_rental_batch_max_machines(settings), ==, 50);
@@ -295,7 +295,7 @@
 {
   g_autoptr(GRand) rand = g_rand_new_with_seed(920);
   g_autoptr(WsSettings) settings = ws_test_settings(0);
-  settings->state_record_bytes = NEXT_BYTES;
+  settings->kv_max_record_bytes = NEXT_BYTES;
   WsReplica *replica = read_records(settings);
   g_autoptr(json_t) value
       = ws_json_parse(record("w/job/req-000001"), strlen(record("w/job/req-000001")));
@@ -327,7 +327,7 @@
 test_accepted_job_is_never_rejected(void)
 {
   Fixture *fixture = fixture_new_with_machine(TRUE);
-  fixture->settings->state_record_bytes = 300;
+  fixture->settings->kv_max_record_bytes = 300;
   fixture_send_request(fixture, "POST", "/api/jobs", fixture_submission());
   g_assert_cmpuint(fixture->status, ==, 422);
   fixture->hold_watch = TRUE; /* this node doesn't hear of it by itself */
