--- a/tests/sim/sim-checker.c
+++ b/tests/sim/sim-checker.c
@@ -1,5 +1,6 @@
 /**
- * The invariants, checked by what workers run and what users were told; and counts for tests.
+ * Checks the invariants against the tasks that workers run and the answers that users got, and
+ * counts objects and events for the tests.
  */
 #include "sim/sim-private.h"
 
@@ -13,10 +14,11 @@
   return job != NULL && task < job->spec.tasks;
 }
 
-/* Counts one task that occupies a slot, as a neighbour of task @number of the job. */
+/* Adds a task that occupies a slot to the counts for task @number of the job, which starts on
+   @where. */
 static void
-count_task(const Sim *sim, const Machine *machine, const SimTask *task, const Machine *where,
-           const Job *job, guint number, Running *count)
+count_occupied_slot(const Sim *sim, const Machine *machine, const SimTask *task,
+                    const Machine *where, const Job *job, guint number, SlotCounts *count)
 {
   const Job *other = sim_find_job(sim, task->job);
   count->same_task += other == job && task->task == number ? 1 : 0;
@@ -27,29 +29,32 @@
 }
 
 static void
-count_running(const Sim *sim, const Machine *where, const Job *job, guint number, Running *count)
+count_occupied_slots(const Sim *sim, const Machine *where, const Job *job, guint number,
+                     SlotCounts *count)
 {
   for (guint i = 0; i < sim->machines->len; i++) {
     const Machine *machine = g_ptr_array_index(sim->machines, i);
     for (guint k = 0; k < machine->worker->tasks->len; k++) {
       const SimTask *task = &g_array_index(machine->worker->tasks, SimTask, k);
       if (sim_task_occupies_slot(task))
-        count_task(sim, machine, task, where, job, number, count);
+        count_occupied_slot(sim, machine, task, where, job, number, count);
     }
   }
 }
 
-/* How long a launch may have been in flight when the user was told. */
-#define ON_ITS_WAY_MS 1500
+/* How long a launch may still be in flight after the job's user got the answer "cancelled". */
+#define LAUNCH_IN_FLIGHT_MS 1500
 
+/* Checks the invariants ran_twice, quota and wrong_place, and the capacity of the machine, when the
+   task starts to occupy a slot. The quotas are those of ws_test_settings_message(). */
 static void
 check_start(Sim *sim, const Machine *machine, const SimTask *task)
 {
   const Job *job = sim_find_job(sim, task->job);
-  if (job->told == REPORTED_CANCELLED && sim->now_ms > job->cancelled_ms + ON_ITS_WAY_MS)
+  if (job->reported == REPORTED_CANCELLED && sim->now_ms > job->cancelled_ms + LAUNCH_IN_FLIGHT_MS)
     sim->late_starts++;
-  Running count = { 0 };
-  count_running(sim, machine, job, task->task, &count);
+  SlotCounts count = { 0 };
+  count_occupied_slots(sim, machine, job, task->task, &count);
   if (count.same_task != 0)
     g_error("seed %u, %.1f s: ran_twice: %s/%u", sim->seed, sim_now_s(sim), job->id, task->task);
   if (count.team + 1 > (strcmp(job->spec.team, "red") == 0 ? 6 : 8))
@@ -62,12 +67,14 @@
   g_assert_cmpuint(count.on_machine, <, SIM_MACHINE_SLOTS);
 }
 
+/* Checks the invariant ran_cancelled: a task must have stopped CANCEL_LIMIT_MS after the answer
+   that its job is cancelled. */
 static void
 check_cancelled(Sim *sim, const SimTask *task)
 {
   const Job *job = sim_find_job(sim, task->job);
-  if (job->told == REPORTED_CANCELLED && sim_task_occupies_slot(task)
-      && sim->now_ms > job->cancelled_ms + CANCEL_MS)
+  if (job->reported == REPORTED_CANCELLED && sim_task_occupies_slot(task)
+      && sim->now_ms > job->cancelled_ms + CANCEL_LIMIT_MS)
     g_error("seed %u, %.1f s: ran_cancelled: %s/%u", sim->seed, sim_now_s(sim), job->id,
             task->task);
 }
@@ -77,7 +84,7 @@
 {
   double run_s;
   check_cancelled(sim, task);
-  if (sim->now_ms < task->next_ms || !sim_describe_task(sim, task->job, task->task, &run_s))
+  if (sim->now_ms < task->next_step_ms || !sim_describe_task(sim, task->job, task->task, &run_s))
     return;
   if (strcmp(task->state, "fetching") == 0) {
     gboolean is_gang = sim_find_job(sim, task->job)->spec.gang;
@@ -90,7 +97,7 @@
     }
     sim_find_job(sim, task->job)->has_started = TRUE;
     task->state = "running";
-    task->next_ms = run_s < 0.0 ? G_MAXINT64 : sim->now_ms + (gint64)(run_s * 1000.0);
+    task->next_step_ms = run_s < 0.0 ? G_MAXINT64 : sim->now_ms + (gint64)(run_s * 1000.0);
     machine->next_heartbeat_ms = MIN(machine->next_heartbeat_ms, sim->now_ms + 500);
   } else if (strcmp(task->state, "running") == 0 && !sim_find_job(sim, task->job)->spec.gang) {
     task->state = "exited";
@@ -104,7 +111,7 @@
 }
 
 static guint
-running_on(const Sim *sim, const Machine *machine, const Job *job)
+count_running_on(const Sim *sim, const Machine *machine, const Job *job)
 {
   guint count = 0;
   for (guint k = 0; sim_is_up(sim, machine) && k < machine->worker->tasks->len; k++) {
@@ -119,8 +126,8 @@
 {
   guint count = 0;
   for (guint i = 0; i < sim->machines->len; i++)
-    count
-        += running_on(sim, g_ptr_array_index(sim->machines, i), g_ptr_array_index(sim->jobs, job));
+    count += count_running_on(sim, g_ptr_array_index(sim->machines, i),
+                              g_ptr_array_index(sim->jobs, job));
   return count;
 }
 
@@ -128,7 +135,9 @@
 sim_find_machine_running_job(const Sim *sim, guint job)
 {
   for (guint i = 0; i < sim->machines->len; i++)
-    if (running_on(sim, g_ptr_array_index(sim->machines, i), g_ptr_array_index(sim->jobs, job)) > 0)
+    if (count_running_on(sim, g_ptr_array_index(sim->machines, i),
+                         g_ptr_array_index(sim->jobs, job))
+        > 0)
       return i;
   return G_MAXUINT;
 }
@@ -143,13 +152,14 @@
 sim_check_answered(const Sim *sim, const Job *job)
 {
   gint64 since_ms = MAX(job->answered_ms, sim->faults_ended_ms);
-  if (sim->faults_ended_ms > 0 && job->told == REPORTED_ACCEPTED
+  if (sim->faults_ended_ms > 0 && job->reported == REPORTED_ACCEPTED
       && sim->now_ms - since_ms > UNANSWERED_JOB_LIMIT_MS)
     g_error("seed %u, %.1f s: forgotten: nothing is heard of %s", sim->seed, sim_now_s(sim),
             job->id);
 }
 
-/* Tasks of the job that are on machines or done, and those of its team on machines. */
+/* Counts the job's tasks that are done or on a machine, and adds its team's tasks on machines to
+   @team. */
 static guint
 count_placed(const Sim *sim, const Job *job, guint *team)
 {
@@ -183,15 +193,15 @@
          && (job->spec.spot || !machine->worker->spot) && taken < SIM_MACHINE_SLOTS;
 }
 
-/* Once the faults are over no job waits for long while a machine that fits has free capacity and
-   its team is under its limit. Jobs bound to zones are left out: where they fit depends on their
-   other tasks. */
+/* Once the faults are over, no job may wait for long while a machine that fits it has free capacity
+   and its team is below its quota. Jobs with zone constraints are excluded: where their tasks fit
+   depends on the placement of their other tasks. */
 void
 sim_check_idle_capacity(const Sim *sim, Job *job)
 {
   gboolean any = FALSE;
   guint team = 0;
-  if (sim->faults_ended_ms == 0 || job->told != REPORTED_ACCEPTED || job->cancelling
+  if (sim->faults_ended_ms == 0 || job->reported != REPORTED_ACCEPTED || job->cancelling
       || job->spec.scatter || job->spec.one_zone || job->spec.zone != NULL)
     return;
   for (guint i = 0; i < sim->machines->len && !any; i++)
@@ -203,7 +213,7 @@
   else if (job->beside_capacity_since_ms == 0)
     job->beside_capacity_since_ms = sim->now_ms;
   else if (sim->now_ms - job->beside_capacity_since_ms > IDLE_CAPACITY_LIMIT_MS)
-    g_error("seed %u, %.1f s: %s waits beside room", sim->seed, sim_now_s(sim), job->id);
+    g_error("seed %u, %.1f s: %s waits beside free capacity", sim->seed, sim_now_s(sim), job->id);
 }
 
 void
@@ -214,16 +224,16 @@
                     .task = task,
                     .attempt = 99,
                     .state = "fetching",
-                    .next_ms = sim->now_ms };
+                    .next_step_ms = sim->now_ms };
   g_array_append_val(((Machine *)g_ptr_array_index(sim->machines, machine))->worker->tasks, begun);
 }
 
 static guint
-count_told(const Sim *sim, Told told)
+count_reported(const Sim *sim, ReportedState reported)
 {
   guint count = 0;
   for (guint i = 0; i < sim->jobs->len; i++)
-    count += ((Job *)g_ptr_array_index(sim->jobs, i))->told == told ? 1 : 0;
+    count += ((Job *)g_ptr_array_index(sim->jobs, i))->reported == reported ? 1 : 0;
   return count;
 }
 
@@ -236,13 +246,13 @@
 guint
 sim_count_open_jobs(const Sim *sim)
 {
-  return count_told(sim, REPORTED_ACCEPTED) + count_told(sim, REPORTED_NONE);
+  return count_reported(sim, REPORTED_ACCEPTED) + count_reported(sim, REPORTED_NONE);
 }
 
 guint
 sim_count_done_jobs(const Sim *sim)
 {
-  return count_told(sim, REPORTED_DONE);
+  return count_reported(sim, REPORTED_DONE);
 }
 
 guint
--- a/tests/sim/sim.c
+++ b/tests/sim/sim.c
@@ -1,5 +1,5 @@
 /**
- * The simulated cluster: its nodes and its clock.
+ * The simulated cluster: its nodes, its clock and its events.
  */
 #include "sim/sim-private.h"
 
@@ -18,13 +18,13 @@
 {
   sim->nodes[node].run++;
   sim->nodes[node].core = ws_core_new(sim->settings[node], sim->properties,
-                                      (guint64)sim->now_ms * 1000 + ++sim->lives);
+                                      (guint64)sim->now_ms * 1000 + ++sim->controller_starts);
 }
 
 static void
 step_node(Sim *sim, guint node)
 {
-  if (sim->nodes[node].core == NULL && sim->now_ms >= sim->nodes[node].back_ms)
+  if (sim->nodes[node].core == NULL && sim->now_ms >= sim->nodes[node].restart_ms)
     start_node(sim, node);
   if (sim->nodes[node].core == NULL || sim->now_ms < sim->nodes[node].paused_until_ms)
     return;
@@ -68,7 +68,7 @@
       break;
     g_sequence_remove(first);
     sim->now_ms = event.at_ms;
-    event.run(sim, event.data);
+    event.handler(sim, event.data);
   }
   sim->now_ms = until_ms;
 }
@@ -111,9 +111,9 @@
   }
 }
 
-/* What is still on its way is given up, so that everything allocated ends. */
+/* Drops all calls in flight, so that their memory is freed. */
 static void
-drain(Sim *sim)
+drop_calls_in_flight(Sim *sim)
 {
   for (guint n = 0; n < SIM_NODES; n++)
     sim_crash_node(sim, n, 1e9);
@@ -122,7 +122,7 @@
     GSequenceIter *first = g_sequence_get_begin_iter(sim->events);
     Event event = *(Event *)g_sequence_get(first);
     g_sequence_remove(first);
-    if (event.run != tick)
+    if (event.handler != tick)
       sim_call_unref(event.data);
   }
 }
@@ -130,7 +130,7 @@
 void
 sim_free(Sim *sim)
 {
-  drain(sim);
+  drop_calls_in_flight(sim);
   for (guint i = 0; i < sim->machines->len; i++) {
     Machine *machine = g_ptr_array_index(sim->machines, i);
     sim_worker_free(machine->worker);
