--- a/src/commit/ws-job-quarantine.c
+++ b/src/commit/ws-job-quarantine.c
@@ -4,13 +4,13 @@
 #include "context/ws-context.h"
 
 /* How long transactions are limited to one job each, after a rejection. */
-#define ISOLATION_DURATION_MS 5000
+#define SINGLE_JOB_DURATION_MS 5000
 /* How long a job that was rejected alone is excluded. */
 #define QUARANTINE_DURATION_MS 10000
 
 struct _WsJobQuarantine {
   GHashTable *end_ms_by_job; /* job index -> gint64: end of the quarantine */
-  gint64 isolation_end_ms;
+  gint64 single_job_end_ms;
 };
 
 WsJobQuarantine *
@@ -31,7 +31,7 @@
 void
 ws_job_quarantine_record_rejection(WsJobQuarantine *quarantine, gint64 now_ms, const GArray *jobs)
 {
-  quarantine->isolation_end_ms = now_ms + ISOLATION_DURATION_MS;
+  quarantine->single_job_end_ms = now_ms + SINGLE_JOB_DURATION_MS;
   if (jobs->len != 1)
     return;
   gint64 *end_ms = g_new(gint64, 1);
@@ -41,9 +41,9 @@
 }
 
 gboolean
-ws_job_quarantine_is_isolating(const WsJobQuarantine *quarantine, gint64 now_ms)
+ws_job_quarantine_restricts_to_one_job(const WsJobQuarantine *quarantine, gint64 now_ms)
 {
-  return now_ms < quarantine->isolation_end_ms;
+  return now_ms < quarantine->single_job_end_ms;
 }
 
 gboolean
--- a/src/membership/ws-election.c
+++ b/src/membership/ws-election.c
@@ -77,7 +77,7 @@
 }
 
 static void
-note_lease_renewal(WsElection *election, gboolean is_renewed)
+record_lease_renewal(WsElection *election, gboolean is_renewed)
 {
   election->lease_is_renewed = is_renewed && !election->call_predates_pause;
   election->call_predates_pause = FALSE;
@@ -112,7 +112,7 @@
   WsElection *election = core->election;
   election->lease_call_is_in_flight = FALSE;
   election->has_member_key = result == WS_TXN_COMMITTED;
-  note_lease_renewal(election, election->has_member_key);
+  record_lease_renewal(election, election->has_member_key);
   election->next_lease_call_ms
       = core->now + (election->has_member_key ? RENEW_INTERVAL_MS : MEMBER_KEY_RETRY_MS);
   if (result == WS_TXN_UNAVAILABLE)
@@ -128,7 +128,7 @@
   election->lease_call_is_in_flight = FALSE;
   election->next_lease_call_ms
       = core->now + (status == WS_KV_OK ? RENEW_INTERVAL_MS : RENEW_RETRY_MS);
-  note_lease_renewal(election, status == WS_KV_OK);
+  record_lease_renewal(election, status == WS_KV_OK);
   if (status == WS_KV_NOT_FOUND)
     lose_lease(core);
 }
@@ -161,7 +161,7 @@
 write_member_key(WsCore *core)
 {
   WsTxn *txn = ws_txn_new();
-  g_autofree char *key = ws_key(WS_KEYS_MEMBER, own_name(core));
+  g_autofree char *key = ws_key(WS_KEY_PREFIX_MEMBER, own_name(core));
   ws_txn_compare(txn, core->replica, key);
   ws_txn_put_leased(txn, key, ws_member_encode(core->incarnation), core->election->lease);
   ws_txn_commit(core, txn, WS_REQUEST_LEASE, on_member_key_written, NULL);
--- a/src/membership/ws-gossip.c
+++ b/src/membership/ws-gossip.c
@@ -168,7 +168,7 @@
   for (guint i = 0; i < core->replica->machines->len; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, i);
     if (machine->owner == node && machine->worker.is_up_at_owner)
-      machine->worker.heard_ms = core->now;
+      machine->worker.last_contact_ms = core->now;
   }
 }
 
@@ -190,7 +190,7 @@
 }
 
 static void
-note_version(const WsCore *core, WsNodeIndex node, const char *announced)
+update_version(const WsCore *core, WsNodeIndex node, const char *announced)
 {
   WsPeer *peer = ws_peer(core, node);
   const char *version = g_intern_string(announced != NULL ? announced : VERSION_IF_ABSENT);
@@ -208,13 +208,13 @@
   if (message->incarnation != peer->incarnation)
     ws_cancellations_forget_acknowledgements(core, node);
   peer->incarnation = message->incarnation;
-  note_version(core, node, message->version);
+  update_version(core, node, message->version);
   peer->replica_is_loaded = message->replica_is_loaded;
   peer->unacknowledged_cancellations = (guint)message->unacknowledged_cancellations;
   if (message->replica_is_loaded && !message->store_is_available
       && message->unacknowledged_cancellations == 0)
     peer->cancellations_complete_ms = core->now;
-  peer->heard_ms = core->now;
+  peer->last_contact_ms = core->now;
   peer->epoch = message->epoch;
   peer->store_is_available = message->store_is_available;
   peer->receives_no_heartbeats = message->receives_no_heartbeats;
@@ -260,7 +260,7 @@
       || core->now - peer->gossip_sent_ms < GOSSIP_INTERVAL_MS)
     return FALSE;
   return node > core->settings->self
-         || core->now - peer->heard_ms >= (gint64)2 * GOSSIP_INTERVAL_MS;
+         || core->now - peer->last_contact_ms >= (gint64)2 * GOSSIP_INTERVAL_MS;
 }
 
 void
--- a/src/membership/ws-peer-requests.c
+++ b/src/membership/ws-peer-requests.c
@@ -22,7 +22,7 @@
 #define MAILBOX_WRITE_INTERVAL_MS 1000
 #define PEER_REQUEST_TIMEOUT_MS 1500
 /* Time after which a peer whose batch was refused may retry. */
-#define REFUSED_BATCH_RETRY_S 1
+#define REJECTED_BATCH_RETRY_S 1
 
 struct _WsPeerRequests {
   WsPeerRequestBatch **queued; /* by node; NULL: nothing is queued */
@@ -245,7 +245,7 @@
   if (handle_batch(core, batch))
     ws_answer(core, request, WS_HTTP_OK, json_object(), 0);
   else
-    ws_answer_retry_later(core, request, REFUSED_BATCH_RETRY_S);
+    ws_answer_retry_later(core, request, REJECTED_BATCH_RETRY_S);
 }
 
 static void
@@ -294,7 +294,7 @@
   json_t *value
       = ws_mailbox_encode_within(mailbox, core->replica, core->settings->kv_max_record_bytes);
   g_autofree char *key
-      = ws_key(WS_KEYS_MAILBOX, ws_settings_node(core->settings, core->settings->self)->name);
+      = ws_key(WS_KEY_PREFIX_MAILBOX, ws_settings_node(core->settings, core->settings->self)->name);
   WsTxn *txn = ws_txn_new();
   core->peer_requests->next_mailbox_ms = core->now + MAILBOX_WRITE_INTERVAL_MS;
   ws_txn_compare(txn, core->replica, WS_KEY_EPOCH);
