--- a/src/commit/ws-batch.c
+++ b/src/commit/ws-batch.c
@@ -3,7 +3,7 @@
 #include "commit/ws-batch.h"
 
 #include "commit/ws-batch-private.h"
-#include "commit/ws-job-completion.h"
+#include "commit/ws-job-end.h"
 #include "storage/ws-gang-phase.h"
 #include "storage/ws-team-use.h"
 
--- a/src/commit/ws-job-completion.c
+++ b/src/commit/ws-job-end.c
@@ -1,5 +1,5 @@
 /* The rule that decides when a job ends. */
-#include "commit/ws-job-completion.h"
+#include "commit/ws-job-end.h"
 
 #include "storage/ws-gang-phase.h"
 
--- a/src/commit/ws-release-order.c
+++ b/src/commit/ws-release-order.c
@@ -2,7 +2,7 @@
    that share a record. */
 #include "commit/ws-release-order.h"
 
-#include "commit/ws-job-completion.h"
+#include "commit/ws-job-end.h"
 #include "storage/ws-team-use.h"
 
 /* The weight of a new release. A release's weight grows by its age in milliseconds. */
--- a/src/membership/ws-cancellation-message.c
+++ b/src/membership/ws-cancellation-message.c
@@ -3,7 +3,7 @@
  */
 #include "membership/ws-cancellation-message.h"
 
-#include "membership/ws-mesh-names.h"
+#include "membership/ws-wire-names.h"
 
 /* Positions in the JSON array that encodes a notice. */
 #define ITEM_JOB 0
--- a/src/membership/ws-cancellations.c
+++ b/src/membership/ws-cancellations.c
@@ -8,7 +8,7 @@
 #include "membership/ws-membership-private.h"
 
 #include "membership/ws-cancellation-message.h"
-#include "membership/ws-mesh-names.h"
+#include "membership/ws-wire-names.h"
 #include "protocol/ws-status-codes.h"
 
 #define NOTIFY_TIMEOUT_MS 1000
--- a/src/membership/ws-gossip-message.c
+++ b/src/membership/ws-gossip-message.c
@@ -3,7 +3,7 @@
  */
 #include "membership/ws-gossip-message.h"
 
-#include "membership/ws-mesh-names.h"
+#include "membership/ws-wire-names.h"
 
 static void
 machine_clear(gpointer data)
--- a/src/membership/ws-gossip.c
+++ b/src/membership/ws-gossip.c
@@ -9,9 +9,9 @@
 #include "membership/ws-membership-private.h"
 
 #include "membership/ws-gossip-message.h"
-#include "membership/ws-mesh-names.h"
 #include "membership/ws-peers.h"
 #include "membership/ws-relay-message.h"
+#include "membership/ws-wire-names.h"
 #include "store/ws-store.h"
 #include "protocol/ws-status-codes.h"
 
--- a/src/membership/ws-peer-request-message.c
+++ b/src/membership/ws-peer-request-message.c
@@ -3,7 +3,7 @@
  */
 #include "membership/ws-peer-request-message.h"
 
-#include "membership/ws-mesh-names.h"
+#include "membership/ws-wire-names.h"
 #include "protocol/ws-json.h"
 
 #include <string.h>
--- a/src/membership/ws-peer-requests.c
+++ b/src/membership/ws-peer-requests.c
@@ -13,8 +13,8 @@
  */
 #include "membership/ws-membership-private.h"
 
-#include "membership/ws-mesh-names.h"
 #include "membership/ws-peer-request-message.h"
+#include "membership/ws-wire-names.h"
 #include "store/ws-store.h"
 #include "protocol/ws-status-codes.h"
 
--- a/src/membership/ws-relay-message.c
+++ b/src/membership/ws-relay-message.c
@@ -3,7 +3,7 @@
  */
 #include "membership/ws-relay-message.h"
 
-#include "membership/ws-mesh-names.h"
+#include "membership/ws-wire-names.h"
 
 json_t *
 ws_relay_message_encode(const WsRelayMessage *message)
