--- a/src/commit/ws-assignments.c
+++ b/src/commit/ws-assignments.c
@@ -13,7 +13,7 @@
 /* Retry delays after a transaction that conflicted, and after one that failed otherwise. */
 #define CONFLICT_RETRY_DELAY_MS 60
 #define FAILURE_RETRY_DELAY_MS 400
-/* If a forwarded assignment has not been committed by then, the task can be proposed again. */
+/* If a forwarded assignment is not committed within this time, the task can be proposed again. */
 #define FORWARDED_TIMEOUT_MS 1500
 /* Operations that the write budget must allow before a transaction starts. Until then, more changes
    accumulate, so that fewer and larger transactions are written. */
--- a/src/commit/ws-batch-private.h
+++ b/src/commit/ws-batch-private.h
@@ -23,11 +23,11 @@
   GHashTable *machines;         /**< set of the indices of machines that are assigned a task */
   GPtrArray *rental_batches;    /**< of interned names: the rental batches of these machines, each
                                      once, in the order in which the machines were added */
-  gboolean is_restricted_to_one_job; /**< whether edits of a second job are refused */
+  gboolean is_restricted_to_one_job; /**< whether edits of a second job are excluded */
   guint max_operations;
-  guint operations; /**< used so far, as are the conditions and bytes */
-  guint conditions;
-  guint bytes; /**< estimated */
+  guint operations; /**< used so far */
+  guint conditions; /**< used so far */
+  guint bytes;      /**< used so far, estimated */
 };
 
 /** Task counts over all chunks of a job, as they will be after the batch's transaction. */
--- a/src/commit/ws-commit.h
+++ b/src/commit/ws-commit.h
@@ -23,7 +23,7 @@
 /** Frees the state and drops its uncommitted proposals. @assignments: not NULL */
 void ws_assignments_free(WsAssignments *assignments);
 
-/** Proposes to assign the task to the machine. Does nothing if an assignment is pending. */
+/** Proposes to assign the task to the machine. Does nothing if one is pending. */
 void ws_assignments_propose(WsCore *core, WsJobIndex job, guint task, WsMachineIndex machine);
 
 /** Returns whether an assignment of the task is proposed, forwarded or in flight. */
@@ -93,7 +93,7 @@
 /** Returns the age of the oldest uncommitted release in milliseconds; 0: there is none. */
 gint64 ws_releases_oldest_age_ms(const WsCore *core);
 
-/* Releases from controllers before version 0.4, which carry no evidence.
+/* Releases from nodes of versions before 0.4, which carry no evidence.
 
    Such a release is only a hint, since a former owner of the machine may have sent it. It is
    accepted if the machine has had the same owner since the attempt was assigned, so that no other
--- a/src/commit/ws-garbage.c
+++ b/src/commit/ws-garbage.c
@@ -9,8 +9,9 @@
 
 #include <string.h>
 
-/* Time until the next check: if there is no garbage or the deletion failed, and otherwise. */
+/* Time until the next check if there is no garbage or the deletion failed. */
 #define IDLE_CHECK_INTERVAL_MS 3000
+/* Time until the next check otherwise. */
 #define ACTIVE_CHECK_INTERVAL_MS 500
 /* Above this limit garbage is deleted even under load, since every starting node has to read it. */
 #define MAX_GARBAGE_RECORDS 2000
--- a/src/commit/ws-legacy-releases.c
+++ b/src/commit/ws-legacy-releases.c
@@ -1,4 +1,4 @@
-/* Releases from controllers before version 0.4, which carry no evidence. Each is treated as a hint
+/* Releases from nodes of versions before 0.4, which carry no evidence. Each is treated as a hint
    that an attempt no longer runs, and is confirmed by the status of the worker or by terminating
    the machine. */
 #include "commit/ws-commit.h"
@@ -70,7 +70,7 @@
   return task != NULL && task->state == WS_TASK_EXITED;
 }
 
-/* Handles the status of a probed worker. If the status has the present fencing token, the exit of
+/* Handles the status of a probed worker. If the status has the current fencing token, the exit of
    an attempt in it is evidence, since the worker reports the exit until the attempt is released. */
 static void
 on_worker_status(WsCore *core, guint status, const json_t *body, gpointer data)
--- a/src/commit/ws-release-order.c
+++ b/src/commit/ws-release-order.c
@@ -106,7 +106,7 @@
 }
 
 /* Returns whether the chunk's record, without the tasks that are to be released, is small enough
-   for the store. An older version of the program may have written a record above the present limit.
+   for the store. An older version of the program may have written a record above the current limit.
    Its releases then wait until there are enough of them to bring the record below the limit. */
 static gboolean
 remaining_chunk_fits(const WsCore *core, const GArray *releases, const WsOrderedRelease *ordered)
--- a/src/commit/ws-releases.c
+++ b/src/commit/ws-releases.c
@@ -4,11 +4,11 @@
 #include "commit/ws-release-order.h"
 #include "commit/ws-task-key.h"
 
-/* A forwarded release that has not been committed by then is forwarded again. */
+/* A forwarded release that is not committed within this time is forwarded again. */
 #define FORWARD_RETRY_INTERVAL_MS 2000
 
 struct _WsReleases {
-  GHashTable *pending; /* task -> WsPendingRelease */
+  GHashTable *pending; /* task key -> WsPendingRelease */
 };
 
 WsReleases *
@@ -135,9 +135,9 @@
   return pending != NULL && ws_release_is_valid(core->replica, &pending->release);
 }
 
-/* Drops releases whose machine has changed its owner since. The new owner may have launched the
-   attempt again and has to gather evidence of its own. Writing such a release would let the task be
-   assigned again while it runs, so that it runs twice. */
+/* Drops releases whose machine has had another owner since the evidence was stated. The new owner
+   may have launched the attempt again and has to gather evidence of its own. Writing such a release
+   would let the task be assigned again while it runs, so that it runs twice. */
 static void
 drop_invalid_releases(WsCore *core)
 {
@@ -157,7 +157,7 @@
   }
 }
 
-/* Updates the evidence to the present epoch if this node still owns the machine. The evidence is
+/* Updates the evidence to the current epoch if this node still owns the machine. The evidence is
    still valid, since the owner drops a release that a later heartbeat contradicts. */
 static void
 renew_evidence(const WsCore *core, WsRelease *release)
--- a/src/membership/ws-election.c
+++ b/src/membership/ws-election.c
@@ -12,7 +12,7 @@
 #define RENEW_INTERVAL_MS 900
 #define RENEW_TIMEOUT_MS 800
 #define RENEW_RETRY_MS 300
-/* Before another attempt to write the member key. */
+/* Delay before the member key is written again after a failure. */
 #define MEMBER_KEY_RETRY_MS 200
 #define EPOCH_WRITE_INTERVAL_MS 400
 #define EPOCH_WRITE_RETRY_MS 200
@@ -32,7 +32,7 @@
   gboolean call_predates_pause; /* the lease call in flight was sent before the pause */
   gboolean lease_is_renewed;    /* the lease was renewed after the pause */
   gboolean read_is_in_flight;
-  guint pause_count; /* a read requested before the last pause is ignored */
+  guint pause_count; /* identifies the last pause: reads requested before it are ignored */
 };
 
 WsElection *
@@ -213,8 +213,8 @@
 }
 
 /* Writes the leader key if it is free or belongs to an earlier incarnation of this node, whose
-   lease has not expired yet. That one is replaced at once, since two processes never run under the
-   same node name. */
+   lease has not expired yet. A key of an earlier incarnation is replaced at once, since two
+   processes never run under the same node name. */
 static void
 campaign_for_leader(WsCore *core)
 {
@@ -252,7 +252,8 @@
   return TRUE;
 }
 
-/* Whether the current epoch has this node as leader and exactly the present members. */
+/* Whether the epoch in the replica has this node as leader, and its members are exactly the nodes
+   that hold a lease. */
 static gboolean
 epoch_is_current(const WsCore *core)
 {
--- a/src/membership/ws-failure-detector.c
+++ b/src/membership/ws-failure-detector.c
@@ -11,8 +11,8 @@
 #define MAX_PROBES_IN_FLIGHT 32
 /* Consecutive failed probes before a machine may be declared dead. */
 #define MIN_FAILED_PROBES 2
-/* After a launch has been indeterminate for longer, a new epoch is requested for its higher fencing
-   token. */
+/* After a launch has been indeterminate for this time, a new epoch is requested for its higher
+   fencing token. */
 #define INDETERMINATE_LAUNCH_TIMEOUT_MS 8000
 /* Time from the heartbeat timeout until a suspected machine is declared dead. */
 #define SUSPICION_MARGIN_MS 1500
@@ -20,8 +20,8 @@
 #define LEASE_EXPIRY_MARGIN_MS 500
 /* The timeout for machines of a partitioned zone, in lease durations. */
 #define PARTITION_TIMEOUT_LEASES 10.0
-/* The same for a zone without a node that could renew its workers' leases: the tasks have ended
-   with the leases, and waiting can only save the machines. */
+/* The same for a zone without a node that could renew its workers' leases. The tasks have ended
+   with the leases, so a longer timeout would only keep machines, not work. */
 #define PARTITION_TIMEOUT_LEASES_WITHOUT_NODE 3.0
 /* The maximum timeout for a machine with a cancelled task, in ms per second of cancel_s. */
 #define CANCELLED_TIMEOUT_MS_PER_CANCEL_S 400.0
--- a/src/membership/ws-liveness.c
+++ b/src/membership/ws-liveness.c
@@ -31,8 +31,8 @@
 
 /* After a change of owner, a worker may still be waiting for an answer of the previous owner.
    Suspecting its machine during that time caused machines with running tasks to be returned, so the
-   time starts OWNER_DISCOVERY_MS after the change. A machine that this process has not heard from
-   yet is expected to send heartbeats if tasks are assigned to it. */
+   time starts OWNER_DISCOVERY_MS after the change. From a machine without any contact since this
+   process started, heartbeats are expected only if tasks are assigned to it. */
 gint64
 ws_liveness_suspected_since_ms(const WsMachine *machine)
 {
--- a/src/membership/ws-membership-private.h
+++ b/src/membership/ws-membership-private.h
@@ -17,19 +17,22 @@
 /** Restarts the time for which the epoch has been known. Called after a process pause. */
 void ws_epoch_restart_clock(WsCore *core, gint64 now_ms);
 
-/** Whether a new epoch with the same members was requested in the current epoch. */
+/** Whether a new epoch with the same members has been requested since the current one began. */
 gboolean ws_epoch_bump_is_requested(const WsCore *core);
 
 /** Requests a new epoch, whose higher fencing token resolves indeterminate launches. */
 void ws_epoch_request_bump(WsCore *core);
 
-/** Resets all acknowledged revisions: owners changed, so the next gossip has the full state. */
+/**
+ * Resets the acknowledged and received revisions of all peers. Machines may have new owners, so the
+ * next gossip contains all machines of its sender.
+ */
 void ws_gossip_begin_epoch(WsCore *core);
 
 /** Handles a batch of requests from another node and answers it. */
 void ws_peer_requests_handle(WsCore *core, const json_t *message, gpointer request);
 
-/** Drops all queued requests. Callers issue those still needed again in the next epoch. */
+/** Drops all queued requests. Callers repeat those that are still needed in the next epoch. */
 void ws_peer_requests_clear(WsCore *core);
 
 /** Returns how many cancellations the node has neither acknowledged nor sent to this node. */
--- a/src/membership/ws-membership.h
+++ b/src/membership/ws-membership.h
@@ -25,11 +25,11 @@
   WS_REFUSAL_NOT_SHARD_OWNER,       /**< the machine belongs to another node's shard */
   WS_REFUSAL_REPLICA_BEHIND_EPOCH,  /**< the replica is older than the epoch's record */
   WS_REFUSAL_EPOCH_SUPERSEDED,      /**< a worker or a peer knows a newer epoch */
-  WS_REFUSAL_CANCELLATIONS_UNKNOWN, /**< a confirmed cancellation may be unknown here */
-  WS_REFUSAL_STORE_UNAVAILABLE,     /**< the store is unavailable, but not to a peer */
+  WS_REFUSAL_CANCELLATIONS_UNKNOWN, /**< this node may not know all confirmed cancellations */
+  WS_REFUSAL_STORE_UNAVAILABLE,     /**< the store is unavailable to this node only */
   WS_REFUSAL_ISOLATED,              /**< neither the store nor any peer is reachable */
   WS_REFUSAL_NO_CATALOG,            /**< the cloud's catalog has not been loaded yet */
-  WS_REFUSAL_MACHINE_UNREACHABLE,   /**< no address, not up, or no heartbeats arrive here */
+  WS_REFUSAL_MACHINE_UNREACHABLE,   /**< no endpoint, not up, or this node gets no heartbeats */
   WS_REFUSAL_TOKEN_UNACKNOWLEDGED   /**< the worker has not reported the current fencing token */
 } WsRefusal;
 
@@ -79,7 +79,8 @@
 
 /**
  * Checks whether this node should handle a heartbeat that it received directly: the lease may be
- * renewed, no peer knows a newer epoch, and the store is not unavailable to this node only.
+ * renewed, no peer knows a newer epoch, and the store is available to this node or to no reachable
+ * peer.
  */
 WsRefusal ws_authority_check_heartbeat(const WsCore *core, guint64 fencing_token);
 
@@ -130,7 +131,7 @@
  * Detects a process pause by comparing @now_ms, the time of a new input, with that of the previous
  * input (the core's current time, not updated yet).
  *
- * Returns TRUE if the pause was long enough for this node's lease to have expired. The node is then
+ * Returns TRUE if the pause was so long that this node's lease may have expired. The node is then
  * not an active member until it has renewed its lease and read the store.
  */
 gboolean ws_authority_detect_stall(WsCore *core, gint64 now_ms);
--- a/src/membership/ws-peer-requests.c
+++ b/src/membership/ws-peer-requests.c
@@ -21,7 +21,7 @@
 #define BATCH_INTERVAL_MS 60
 #define MAILBOX_WRITE_INTERVAL_MS 1000
 #define PEER_REQUEST_TIMEOUT_MS 1500
-/* Time after which a peer whose batch was refused may retry. */
+/* Time after which a peer may retry a batch that this node rejected. */
 #define REJECTED_BATCH_RETRY_S 1
 
 struct _WsPeerRequests {
--- a/src/membership/ws-peers.h
+++ b/src/membership/ws-peers.h
@@ -17,7 +17,7 @@
   guint reachable_nodes;      /**< bit for each node whose gossip it receives */
 
   /* Cancellations. */
-  guint unacknowledged_cancellations; /**< those it knows that this node hasn't acknowledged */
+  guint unacknowledged_cancellations; /**< known to it, not acknowledged by this node */
   gint64 cancellations_complete_ms;   /**< when it last announced that the store is unavailable to
                                            it and this node has acknowledged all */
 
--- a/src/storage/ws-chunk.h
+++ b/src/storage/ws-chunk.h
@@ -19,7 +19,8 @@
   guint64 attempt;
   gint64 assigned_ms; /**< wall clock; 0 if not recorded */
 
-  /* Not stored. Written by src/workers; fields about stops also by src/scheduling. */
+  /* Not stored. The replica writes assigned_version, src/workers the other fields; src/scheduling
+   * and src/membership also write those about stops. */
   guint64 assigned_version;   /**< version of the record that first contained it; 0 if not known */
   WsTaskState state;          /**< last state that the worker reported */
   gboolean is_confirmed_gone; /**< cancelled, and its worker's status confirms its exit */
--- a/src/storage/ws-evidence.c
+++ b/src/storage/ws-evidence.c
@@ -1,9 +1,9 @@
-/* Releases and their evidence, and their encoding in messages between controllers. */
+/* Releases and their evidence, and their encoding in messages between nodes. */
 #include "storage/ws-evidence.h"
 
 #include <string.h>
 
-/* Positions in the array that encodes a release in a message between controllers. Versions before
+/* Positions in the array that encodes a release in a message between nodes. Versions before
    0.4 use only the items before ITEM_MACHINE: job, task, attempt, and whether the task is
    completed. */
 #define ITEM_MACHINE 4
--- a/src/storage/ws-evidence.h
+++ b/src/storage/ws-evidence.h
@@ -8,7 +8,7 @@
  * has taken a machine back never becomes stale.
  *
  * Code that acts on a release, including the leader's transaction, must call ws_release_is_valid
- * first. In return, a machine's owner never launches an attempt for whose release it has evidence.
+ * first. A machine's owner never launches an attempt for whose release it has evidence.
  */
 #pragma once
 
@@ -56,7 +56,7 @@
 /** Returns a one-line description for the log. The caller frees it. */
 char *ws_release_describe(const WsReplica *replica, const WsRelease *release);
 
-/** Encodes the release as an item of a message between controllers, a new JSON array. */
+/** Encodes the release as an item of a message between nodes, a new JSON array. */
 json_t *ws_release_encode(const WsReplica *replica, const WsRelease *release);
 
 /**
--- a/src/storage/ws-keys.h
+++ b/src/storage/ws-keys.h
@@ -15,7 +15,8 @@
 #define WS_KEY_CATALOG WS_KEY_PREFIX "catalog" /**< the cloud's catalog */
 #define WS_KEY_LEADER WS_KEY_PREFIX "leader"   /**< the leader, held under its lease */
 
-/* Key prefixes by kind of record. The comments name the rest of the key, and the record. */
+/* Key prefixes by kind of record. Each comment names the part of the key after the prefix, then the
+   record. */
 
 /** Node name: a member, under its lease. */
 #define WS_KEY_PREFIX_MEMBER WS_KEY_PREFIX "member/"
--- a/src/storage/ws-machine.h
+++ b/src/storage/ws-machine.h
@@ -1,8 +1,10 @@
 /**
  * A machine in the replica, rental batches and rental intents.
  *
- * Only the replica writes the stored fields, when it applies records. ws-status.h says which code
- * writes `worker` and `fleet`. All other code only reads.
+ * The replica writes the stored fields when it applies records. Workers and fleet also set the
+ * type, the zone and whether it is a spot machine, by ws_replica_set_machine_attributes(), and
+ * fleet sets rented_ms of machines without a rental batch. The code that writes `worker` and
+ * `fleet` is listed in ws-status.h. All other code only reads.
  */
 #pragma once
 
@@ -57,8 +59,8 @@
 /**
  * Machines that were rented together. All strings are owned.
  *
- * They share one record, since machines are rented by the hundred and the store's write rate is
- * limited.
+ * They share one record, since hundreds of machines may be rented at a time and the store's write
+ * rate is limited.
  */
 typedef struct {
   char *name;
--- a/src/storage/ws-mark-reasons.h
+++ b/src/storage/ws-mark-reasons.h
@@ -6,7 +6,7 @@
  */
 #pragma once
 
-/** The failure detector declared the machine dead: no heartbeats and no answers to probes. */
+/** The failure detector declared the machine dead: no heartbeats and no replies to probes. */
 #define WS_MARK_REASON_SILENT "silent"
 /** Its heartbeats arrive, but answers and commands do not reach its worker. */
 #define WS_MARK_REASON_OUTBOUND_UNREACHABLE "deaf"
@@ -26,5 +26,5 @@
 #define WS_MARK_REASON_INTERRUPTION "notice"
 /** Several jobs have failed on it in a row. */
 #define WS_MARK_REASON_FAULTY "faulty"
-/** A release without evidence, from an older version, says that a task on it is gone. */
+/** A node of a version before 0.4 has repeated a release of a task on it that lacks evidence. */
 #define WS_MARK_REASON_LEGACY_RELEASE "unproven"
--- a/src/storage/ws-replica-internal.h
+++ b/src/storage/ws-replica-internal.h
@@ -1,9 +1,9 @@
 /**
  * How the replica applies each kind of record. Included only by the ws-replica*.c files.
  *
- * Each ws_replica_apply_... function takes the part of the key after its kind's prefix, if the kind
- * has one, and the borrowed value, which is NULL if the key was removed. Unless documented
- * otherwise, a damaged value is logged and ignored.
+ * The parameters of each ws_replica_apply_... function are the part of the key after its kind's
+ * prefix, if the kind has one, and the borrowed value, which is NULL if the key was removed. Unless
+ * documented otherwise, a damaged value is logged and ignored.
  */
 #pragma once
 
--- a/src/storage/ws-replica-jobs.c
+++ b/src/storage/ws-replica-jobs.c
@@ -118,7 +118,7 @@
 }
 
 static void
-set_spec(WsReplica *replica, WsJob *job, WsJobSpec *spec /* ownership is taken */)
+set_spec(WsReplica *replica, WsJob *job, WsJobSpec *spec /* takes ownership */)
 {
   job->spec = spec;
   job->tasks = spec->tasks;
--- a/src/storage/ws-replica.h
+++ b/src/storage/ws-replica.h
@@ -40,7 +40,7 @@
   gboolean is_loading;  /**< records come from a full read, and may have been written at any time */
   guint64 applying_version; /**< version of the record that is being applied */
 
-  /* Changes that other modules have yet to process. They empty the arrays and the queue. */
+  /* Changes for other modules, which process them and then empty the arrays and the queue. */
   GArray *new_assignments; /**< of WsTaskRef: tasks with a new assignment */
   GArray *cancelled_jobs;  /**< of WsJobIndex: newly cancelled jobs */
   GQueue mailbox;          /**< of json_t: messages that nodes left for each other in the store */
@@ -99,7 +99,7 @@
 /** Records that all changes up to the revision have been applied. */
 void ws_replica_advance(WsReplica *replica, guint64 revision);
 
-/** Sets the catalog. @catalog: array of WsType; ownership is taken */
+/** Sets the catalog. @catalog: array of WsType; ownership passes to the replica */
 void ws_replica_set_catalog(WsReplica *replica, GPtrArray *catalog);
 
 /** Returns the type. The catalog must be loaded. */
@@ -137,7 +137,7 @@
  * Replaces a chunk of the job.
  *
  * @index: number of the chunk
- * @chunk: ownership is taken; NULL if the chunk's record was removed
+ * @chunk: ownership passes to the job; NULL if the chunk's record was removed
  */
 void ws_replica_replace_chunk(WsReplica *replica, WsJob *job, guint index, WsChunk *chunk);
 
--- a/src/storage/ws-status.h
+++ b/src/storage/ws-status.h
@@ -13,11 +13,11 @@
  * workers.
  */
 typedef struct {
-  char *endpoint;                /**< address for commands; NULL until known */
-  gint64 last_contact_ms;        /**< last sign of life, received here or announced by its owner */
-  gint64 last_heartbeat_ms;      /**< last heartbeat, not counting replies to calls */
+  char *endpoint;           /**< address for commands; NULL until known */
+  gint64 last_contact_ms;   /**< last heartbeat, reply to a call, or announcement by its owner */
+  gint64 last_heartbeat_ms; /**< last heartbeat, not counting replies to calls */
   gint64 incarnation_changed_ms; /**< when its incarnation was last seen to change */
-  gint64 up_ms;                  /**< first sign of life */
+  gint64 up_ms;                  /**< first such contact */
   GArray *images;         /**< of WsImageIndex: its cached images, least recently used first */
   gint64 interruption_ms; /**< when the cloud interrupts it; 0 without an interruption notice */
 
@@ -30,19 +30,19 @@
   WsNodeIndex handled_owner; /**< the owner when this node last processed an epoch */
   gint64 owned_since_ms; /**< start of that ownership, or the end of a later stall of this node */
   gint64 redirected_ms;  /**< when the worker was last redirected to its owner */
-  gint64 last_rejection_ms; /**< when this node, while isolated, last refused its heartbeat */
+  gint64 last_rejection_ms; /**< when this node, while isolated, last rejected a heartbeat */
 
   /* Launch RPCs without an answer. The worker may still carry them out later. */
   guint indeterminate_launches;
-  gint64 indeterminate_since_ms; /**< since when there has been at least one */
-  guint64 indeterminate_fencing_token;
-  guint64 indeterminate_incarnation;
+  gint64 indeterminate_since_ms;       /**< since when there has been at least one */
+  guint64 indeterminate_fencing_token; /**< with which the last of them was sent */
+  guint64 indeterminate_incarnation;   /**< for which the last of them was sent */
 
   /* Failure detection. */
   gint64 unacknowledged_since_ms; /**< since when commands have had no effect */
-  guint consecutive_halts;
-  gint64 probed_ms; /**< when its status was last requested */
-  guint failed_probes;
+  guint consecutive_halts;        /**< consecutive heartbeats whose answers halted tasks */
+  gint64 probed_ms;               /**< when its status was last requested */
+  guint failed_probes;            /**< consecutive failures, counted within an epoch */
 
   /* The worker's incarnation and fencing token, from the last status that was received while this
    * node halted cancelled tasks there. */
@@ -53,13 +53,13 @@
   gboolean is_up_at_owner;      /**< its owner has announced that it is up */
   guint announced_state;        /**< announced to the peers: bits for up and interruption notice */
   guint64 announced_revision;   /**< gossip revision of the last change of the announcement */
-  gboolean announcement_is_due; /**< its images or its endpoint have changed since */
+  gboolean announcement_is_due; /**< its images or endpoint changed since the last one */
 } WsWorkerStatus;
 
 /**
  * Rental, consolidation and failure status of a machine. Written by fleet, and by workers for
  * failed jobs. Applied records and new assignments also reset mark_is_pending and the times of low
- * use.
+ * use, and a process pause resets the latter.
  */
 typedef struct {
   gint64 empty_since_ms;         /**< since when it has had no tasks */
