--- a/src/commit/ws-assignments.c
+++ b/src/commit/ws-assignments.c
@@ -316,7 +316,7 @@
   assignments->is_txn_in_flight = TRUE;
   ws_batch_collect_jobs(batch, assignments->jobs);
   WsTxn *txn = ws_batch_build_txn(batch, assignments->ended_jobs);
-  ws_txn_commit(core, txn, WS_REQUEST_TASK, on_txn_finished, NULL);
+  ws_txn_commit(core, txn, WS_REQUEST_SCHEDULING, on_txn_finished, NULL);
 }
 
 void
--- a/src/commit/ws-garbage.c
+++ b/src/commit/ws-garbage.c
@@ -93,5 +93,5 @@
   core->garbage->next_check_ms
       = core->now + (count > 0 ? ACTIVE_CHECK_INTERVAL_MS : IDLE_CHECK_INTERVAL_MS);
   if (count > 0 && may_write)
-    ws_txn_commit(core, g_steal_pointer(&txn), WS_REQUEST_OTHER, on_garbage_deleted, NULL);
+    ws_txn_commit(core, g_steal_pointer(&txn), WS_REQUEST_BACKGROUND, on_garbage_deleted, NULL);
 }
--- a/src/fleet/ws-cloud-list.c
+++ b/src/fleet/ws-cloud-list.c
@@ -135,7 +135,7 @@
       record_rental_batch(core, txn, machine, machines);
   }
   if (machines->len > 0)
-    ws_txn_commit(core, g_steal_pointer(&txn), WS_REQUEST_OTHER, on_recorded,
+    ws_txn_commit(core, g_steal_pointer(&txn), WS_REQUEST_BACKGROUND, on_recorded,
                   g_steal_pointer(&machines));
 }
 
--- a/src/fleet/ws-fleet-private.h
+++ b/src/fleet/ws-fleet-private.h
@@ -20,7 +20,7 @@
 
 /** The state of this package. Owns the state of each module. */
 struct _WsFleet {
-  WsRate calls; /**< rate limit of calls to the cloud */
+  WsTokenBucket calls; /**< rate limit of calls to the cloud */
   gint64 next_catalog_ms;
   gboolean catalog_in_flight;
   WsRentals *rentals;
--- a/src/fleet/ws-fleet.c
+++ b/src/fleet/ws-fleet.c
@@ -25,7 +25,7 @@
 {
   WsFleet *fleet = g_new0(WsFleet, 1);
   double per_second = settings->cloud_rps * CLOUD_RATE_SHARE;
-  ws_rate_init(&fleet->calls, per_second, per_second * CLOUD_RATE_BURST_S);
+  ws_token_bucket_init(&fleet->calls, per_second, per_second * CLOUD_RATE_BURST_S);
   fleet->rentals = ws_rentals_new();
   fleet->returns = ws_returns_new();
   fleet->cloud_list = ws_cloud_list_new();
@@ -46,7 +46,7 @@
 gboolean
 ws_fleet_take_call_budget(WsCore *core)
 {
-  return ws_rate_take(&core->fleet->calls, 1.0, core->now);
+  return ws_token_bucket_take(&core->fleet->calls, 1.0, core->now);
 }
 
 guint
@@ -81,7 +81,7 @@
   WsTxn *txn = ws_txn_new();
   ws_txn_compare(txn, core->replica, WS_KEY_EPOCH);
   ws_txn_put(txn, WS_KEY_CATALOG, json_incref((json_t *)body));
-  ws_txn_commit(core, txn, WS_REQUEST_TASK, on_catalog_stored, NULL);
+  ws_txn_commit(core, txn, WS_REQUEST_SCHEDULING, on_catalog_stored, NULL);
 }
 
 static void
--- a/src/fleet/ws-headroom.c
+++ b/src/fleet/ws-headroom.c
@@ -20,7 +20,7 @@
 }
 
 const WsJob *
-ws_headroom_job(const WsReplica *replica)
+ws_headroom_reference_job(const WsReplica *replica)
 {
   const WsJob *largest = NULL;
   for (guint i = 0; i < replica->active_jobs->len; i++) {
@@ -72,7 +72,7 @@
 gboolean
 ws_headroom_suffices_without(const WsCore *core, const WsMachine *machine)
 {
-  const WsJob *job = ws_headroom_job(core->replica);
+  const WsJob *job = ws_headroom_reference_job(core->replica);
   if (job == NULL || core->properties->headroom_tasks == 0)
     return TRUE;
   return ws_headroom_count_slots(core, &job->spec->need, machine)
--- a/src/fleet/ws-mark-cleanup.c
+++ b/src/fleet/ws-mark-cleanup.c
@@ -96,7 +96,7 @@
     remove_from_rental_batch(core, txn, g_ptr_array_index(core->replica->rental_batches, i),
                              machines);
   core->fleet->is_clearing_marks = TRUE;
-  ws_txn_commit(core, txn, WS_REQUEST_OTHER, on_marks_cleared, machines);
+  ws_txn_commit(core, txn, WS_REQUEST_BACKGROUND, on_marks_cleared, machines);
 }
 
 /* Releases all tasks recorded on the machine, which no longer exists. */
--- a/src/fleet/ws-rentals.c
+++ b/src/fleet/ws-rentals.c
@@ -169,7 +169,7 @@
   if (rentals->intents == NULL)
     return;
   rentals->intents_in_flight = TRUE;
-  ws_txn_commit(core, g_steal_pointer(&rentals->intents), WS_REQUEST_TASK, on_intents_written,
+  ws_txn_commit(core, g_steal_pointer(&rentals->intents), WS_REQUEST_SCHEDULING, on_intents_written,
                 NULL);
 }
 
@@ -253,7 +253,7 @@
     added = add_rental_batch(core, txn, intent, number, names, consumed);
     consumed += added;
   }
-  ws_txn_commit(core, txn, WS_REQUEST_TASK, on_intent_closed, g_strdup(intent->request));
+  ws_txn_commit(core, txn, WS_REQUEST_SCHEDULING, on_intent_closed, g_strdup(intent->request));
 }
 
 static void
--- a/src/fleet/ws-termination.c
+++ b/src/fleet/ws-termination.c
@@ -215,7 +215,7 @@
          && ws_txn_operation_count(txn) < core->settings->kv_max_txn_ops)
     add_first_request(core, txn);
   if (termination->writing->len > 0)
-    ws_txn_commit(core, g_steal_pointer(&txn), WS_REQUEST_TASK, on_marks_written, NULL);
+    ws_txn_commit(core, g_steal_pointer(&txn), WS_REQUEST_SCHEDULING, on_marks_written, NULL);
 }
 
 gboolean
--- a/src/membership/ws-peer-requests.c
+++ b/src/membership/ws-peer-requests.c
@@ -299,7 +299,7 @@
   core->peer_requests->next_mailbox_ms = core->now + MAILBOX_WRITE_INTERVAL_MS;
   ws_txn_compare(txn, core->replica, WS_KEY_EPOCH);
   ws_txn_put(txn, key, value);
-  ws_txn_commit(core, txn, WS_REQUEST_TASK, on_mailbox_written, NULL);
+  ws_txn_commit(core, txn, WS_REQUEST_SCHEDULING, on_mailbox_written, NULL);
 }
 
 /* Each mailbox overwrites the previous one, so requests to unreachable nodes stay queued until the
--- a/src/scheduling/ws-coordinator.c
+++ b/src/scheduling/ws-coordinator.c
@@ -106,5 +106,5 @@
   }
   core->plan->escalation_is_in_flight = ws_txn_operation_count(txn) > 0;
   if (core->plan->escalation_is_in_flight)
-    ws_txn_commit(core, g_steal_pointer(&txn), WS_REQUEST_TASK, on_escalation_finished, NULL);
+    ws_txn_commit(core, g_steal_pointer(&txn), WS_REQUEST_SCHEDULING, on_escalation_finished, NULL);
 }
--- a/src/store/ws-store-private.h
+++ b/src/store/ws-store-private.h
@@ -11,9 +11,9 @@
 
 /** Requests that wait for their turn, and the budgets that they are paced by. */
 typedef struct {
-  GQueue queues[WS_REQUEST_CLASSES]; /**< of StoreRequest */
-  WsRate request_rate;
-  WsRate write_rate;
+  GQueue queues[WS_REQUEST_CLASS_COUNT]; /**< of StoreRequest */
+  WsTokenBucket request_rate;
+  WsTokenBucket write_rate;
   gint64 rate_limited_until_ms; /**< nothing is sent before: the last request was one too many */
   gint64 unavailable_since_ms;  /**< since when there are only failures; 0: there aren't */
 } WsStoreRequests;
--- a/src/store/ws-store-requests.c
+++ b/src/store/ws-store-requests.c
@@ -35,8 +35,8 @@
 void
 ws_store_requests_init(WsStoreRequests *requests, const WsSettings *settings)
 {
-  ws_rate_init(&requests->request_rate, 1.0, settings->kv_requests_per_s * BURST_S);
-  ws_rate_init(&requests->write_rate, 1.0, settings->kv_writes_per_s * BURST_S);
+  ws_token_bucket_init(&requests->request_rate, 1.0, settings->kv_requests_per_s * BURST_S);
+  ws_token_bucket_init(&requests->write_rate, 1.0, settings->kv_writes_per_s * BURST_S);
 }
 
 static void
@@ -51,7 +51,7 @@
 void
 ws_store_requests_clear(WsStoreRequests *requests)
 {
-  for (guint i = 0; i < WS_REQUEST_CLASSES; i++)
+  for (guint i = 0; i < WS_REQUEST_CLASS_COUNT; i++)
     g_queue_clear_full(&requests->queues[i], store_request_free);
 }
 
@@ -72,7 +72,7 @@
 gboolean
 ws_store_has_write_budget(WsCore *core, guint operations)
 {
-  return ws_rate_ready(&core->store->requests.write_rate, operations, core->now);
+  return ws_token_bucket_can_take(&core->store->requests.write_rate, operations, core->now);
 }
 
 void
@@ -169,13 +169,14 @@
 may_send(WsCore *core, WsRequestClass request_class, guint write_count)
 {
   WsStoreRequests *requests = &core->store->requests;
-  if (!ws_rate_ready(&requests->request_rate, 1.0, core->now))
+  if (!ws_token_bucket_can_take(&requests->request_rate, 1.0, core->now))
     return FALSE;
   gboolean has_write_budget
       = request_class <= WS_REQUEST_USER
-            ? write_count == 0 || ws_rate_borrow(&requests->write_rate, write_count, core->now)
-            : ws_rate_take(&requests->write_rate, write_count, core->now);
-  return has_write_budget && ws_rate_take(&requests->request_rate, 1.0, core->now);
+            ? write_count == 0
+                  || ws_token_bucket_overdraw(&requests->write_rate, write_count, core->now)
+            : ws_token_bucket_take(&requests->write_rate, write_count, core->now);
+  return has_write_budget && ws_token_bucket_take(&requests->request_rate, 1.0, core->now);
 }
 
 /* In strict order of the classes: while a write waits for its budget, so do all less urgent
@@ -186,7 +187,7 @@
   WsStoreRequests *requests = &core->store->requests;
   if (core->now < requests->rate_limited_until_ms)
     return;
-  for (guint i = 0; i < WS_REQUEST_CLASSES; i++) {
+  for (guint i = 0; i < WS_REQUEST_CLASS_COUNT; i++) {
     StoreRequest *request;
     while ((request = g_queue_peek_head(&requests->queues[i])) != NULL) {
       if (!may_send(core, (WsRequestClass)i, request->write_count))
@@ -200,7 +201,7 @@
 ws_store_requests_stop(WsCore *core)
 {
   gboolean had_requests = FALSE;
-  for (guint i = 0; i < WS_REQUEST_CLASSES; i++) {
+  for (guint i = 0; i < WS_REQUEST_CLASS_COUNT; i++) {
     StoreRequest *request;
     while ((request = g_queue_pop_head(&core->store->requests.queues[i])) != NULL) {
       request->reply(core, WS_HTTP_NO_RESPONSE, NULL, request->data);
--- a/src/store/ws-store.h
+++ b/src/store/ws-store.h
@@ -13,12 +13,12 @@
 
 /** The priority classes of requests, the most urgent first. */
 typedef enum {
-  WS_REQUEST_LEASE, /**< leases, election and epochs */
-  WS_REQUEST_READ,  /**< load, watch and linearizable reads */
-  WS_REQUEST_USER,  /**< what a user waits for */
-  WS_REQUEST_TASK,  /**< assignments and releases of tasks */
-  WS_REQUEST_OTHER,
-  WS_REQUEST_CLASSES /**< how many there are */
+  WS_REQUEST_LEASE,      /**< leases, election and epochs */
+  WS_REQUEST_READ,       /**< load, watch and linearizable reads */
+  WS_REQUEST_USER,       /**< what a user waits for */
+  WS_REQUEST_SCHEDULING, /**< assignments and releases of tasks */
+  WS_REQUEST_BACKGROUND,
+  WS_REQUEST_CLASS_COUNT /**< how many there are */
 } WsRequestClass;
 
 /** The outcome of a transaction. */
--- a/src/transport/ws-http-client.c
+++ b/src/transport/ws-http-client.c
@@ -20,7 +20,7 @@
   SoupMessage *message;
   GCancellable *cancellable;
   guint timer;
-  WsHttpDone done;
+  WsHttpResponseFunc done;
   gpointer data;
 } PendingCall;
 
@@ -79,7 +79,7 @@
 
 void
 ws_http_client_send(WsHttpClient *client, const char *method, const char *url, const char *body,
-                    guint timeout_ms, WsHttpDone done, gpointer data)
+                    guint timeout_ms, WsHttpResponseFunc done, gpointer data)
 {
   g_autoptr(SoupMessage) message = soup_message_new(method, url);
   if (message == NULL) {
--- a/src/transport/ws-http-client.h
+++ b/src/transport/ws-http-client.h
@@ -16,7 +16,7 @@
  * @status: of HTTP; 0: no usable response came in time
  * @body: @length bytes, borrowed for the time of the callback; never NULL
  */
-typedef void (*WsHttpDone)(guint status, const char *body, gsize length, gpointer data);
+typedef void (*WsHttpResponseFunc)(guint status, const char *body, gsize length, gpointer data);
 
 /** Creates a client with at most so many connections in all. The caller frees it. */
 WsHttpClient *ws_http_client_new(guint max_connections);
@@ -31,6 +31,7 @@
  * @timeout_ms: from now until the whole response is there
  */
 void ws_http_client_send(WsHttpClient *client, const char *method, const char *url,
-                         const char *body, guint timeout_ms, WsHttpDone done, gpointer data);
+                         const char *body, guint timeout_ms, WsHttpResponseFunc done,
+                         gpointer data);
 
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsHttpClient, ws_http_client_free)
--- a/src/transport/ws-rate.c
+++ b/src/transport/ws-rate.c
@@ -4,15 +4,15 @@
 #define MIN_BURST 1.0
 
 void
-ws_rate_init(WsRate *rate, double per_second, double burst)
+ws_token_bucket_init(WsTokenBucket *rate, double per_second, double burst)
 {
   double size = MAX(burst, MIN_BURST);
-  *rate = (WsRate){ .per_second = per_second, .burst = size, .tokens = size };
+  *rate = (WsTokenBucket){ .per_second = per_second, .burst = size, .tokens = size };
 }
 
 /* A request larger than the burst is allowed when the bucket is full, and leaves it in debt. */
 gboolean
-ws_rate_ready(WsRate *rate, double count, gint64 now_ms)
+ws_token_bucket_can_take(WsTokenBucket *rate, double count, gint64 now_ms)
 {
   if (now_ms > rate->at_ms) {
     double earned = (double)(now_ms - rate->at_ms) / 1000.0 * rate->per_second;
@@ -23,18 +23,18 @@
 }
 
 gboolean
-ws_rate_take(WsRate *rate, double count, gint64 now_ms)
+ws_token_bucket_take(WsTokenBucket *rate, double count, gint64 now_ms)
 {
-  if (!ws_rate_ready(rate, count, now_ms))
+  if (!ws_token_bucket_can_take(rate, count, now_ms))
     return FALSE;
   rate->tokens -= count;
   return TRUE;
 }
 
 gboolean
-ws_rate_borrow(WsRate *rate, double count, gint64 now_ms)
+ws_token_bucket_overdraw(WsTokenBucket *rate, double count, gint64 now_ms)
 {
-  (void)ws_rate_ready(rate, count, now_ms);
+  (void)ws_token_bucket_can_take(rate, count, now_ms);
   if (rate->tokens <= -rate->burst)
     return FALSE;
   rate->tokens -= count;
