--- a/src/membership/ws-election.c
+++ b/src/membership/ws-election.c
@@ -12,7 +12,7 @@
 #define RENEW_INTERVAL_MS 900
 #define RENEW_TIMEOUT_MS 800
 #define RENEW_RETRY_MS 300
-/* Before another attempt to write the member key. */
+/* Delay before the member key is written again after a failure. */
 #define MEMBER_KEY_RETRY_MS 200
 #define EPOCH_WRITE_INTERVAL_MS 400
 #define EPOCH_WRITE_RETRY_MS 200
@@ -32,7 +32,7 @@
   gboolean call_predates_pause; /* the lease call in flight was sent before the pause */
   gboolean lease_is_renewed;    /* the lease was renewed after the pause */
   gboolean read_is_in_flight;
-  guint pause_count; /* a read requested before the last pause is ignored */
+  guint pause_count; /* identifies the last pause: reads requested before it are ignored */
 };
 
 WsElection *
@@ -77,7 +77,7 @@
 }
 
 static void
-note_lease_renewal(WsElection *election, gboolean is_renewed)
+record_lease_renewal(WsElection *election, gboolean is_renewed)
 {
   election->lease_is_renewed = is_renewed && !election->call_predates_pause;
   election->call_predates_pause = FALSE;
@@ -112,7 +112,7 @@
   WsElection *election = core->election;
   election->lease_call_is_in_flight = FALSE;
   election->has_member_key = result == WS_TXN_COMMITTED;
-  note_lease_renewal(election, election->has_member_key);
+  record_lease_renewal(election, election->has_member_key);
   election->next_lease_call_ms
       = core->now + (election->has_member_key ? RENEW_INTERVAL_MS : MEMBER_KEY_RETRY_MS);
   if (result == WS_TXN_UNAVAILABLE)
@@ -128,7 +128,7 @@
   election->lease_call_is_in_flight = FALSE;
   election->next_lease_call_ms
       = core->now + (status == WS_KV_OK ? RENEW_INTERVAL_MS : RENEW_RETRY_MS);
-  note_lease_renewal(election, status == WS_KV_OK);
+  record_lease_renewal(election, status == WS_KV_OK);
   if (status == WS_KV_NOT_FOUND)
     lose_lease(core);
 }
@@ -213,8 +213,8 @@
 }
 
 /* Writes the leader key if it is free or belongs to an earlier incarnation of this node, whose
-   lease has not expired yet. That one is replaced at once, since two processes never run under the
-   same node name. */
+   lease has not expired yet. A key of an earlier incarnation is replaced at once, since two
+   processes never run under the same node name. */
 static void
 campaign_for_leader(WsCore *core)
 {
@@ -252,7 +252,8 @@
   return TRUE;
 }
 
-/* Whether the current epoch has this node as leader and exactly the present members. */
+/* Whether the epoch in the replica has this node as leader, and its members are exactly the nodes
+   that hold a lease. */
 static gboolean
 epoch_is_current(const WsCore *core)
 {
--- a/src/membership/ws-gossip.c
+++ b/src/membership/ws-gossip.c
@@ -9,9 +9,9 @@
 #include "membership/ws-membership-private.h"
 
 #include "membership/ws-gossip-message.h"
-#include "membership/ws-mesh-names.h"
 #include "membership/ws-peers.h"
 #include "membership/ws-relay-message.h"
+#include "membership/ws-wire-names.h"
 #include "store/ws-store.h"
 #include "protocol/ws-status-codes.h"
 
@@ -190,7 +190,7 @@
 }
 
 static void
-note_version(const WsCore *core, WsNodeIndex node, const char *announced)
+update_version(const WsCore *core, WsNodeIndex node, const char *announced)
 {
   WsPeer *peer = ws_peer(core, node);
   const char *version = g_intern_string(announced != NULL ? announced : VERSION_IF_ABSENT);
@@ -208,7 +208,7 @@
   if (message->incarnation != peer->incarnation)
     ws_cancellations_forget_acknowledgements(core, node);
   peer->incarnation = message->incarnation;
-  note_version(core, node, message->version);
+  update_version(core, node, message->version);
   peer->replica_is_loaded = message->replica_is_loaded;
   peer->unacknowledged_cancellations = (guint)message->unacknowledged_cancellations;
   if (message->replica_is_loaded && !message->store_is_available
--- a/src/membership/ws-peer-requests.c
+++ b/src/membership/ws-peer-requests.c
@@ -13,16 +13,16 @@
  */
 #include "membership/ws-membership-private.h"
 
-#include "membership/ws-mesh-names.h"
 #include "membership/ws-peer-request-message.h"
+#include "membership/ws-wire-names.h"
 #include "store/ws-store.h"
 #include "protocol/ws-status-codes.h"
 
 #define BATCH_INTERVAL_MS 60
 #define MAILBOX_WRITE_INTERVAL_MS 1000
 #define PEER_REQUEST_TIMEOUT_MS 1500
-/* Time after which a peer whose batch was refused may retry. */
-#define REFUSED_BATCH_RETRY_S 1
+/* Time after which a peer may retry a batch that this node rejected. */
+#define REJECTED_BATCH_RETRY_S 1
 
 struct _WsPeerRequests {
   WsPeerRequestBatch **queued; /* by node; NULL: nothing is queued */
@@ -245,7 +245,7 @@
   if (handle_batch(core, batch))
     ws_answer(core, request, WS_HTTP_OK, json_object(), 0);
   else
-    ws_answer_retry_later(core, request, REFUSED_BATCH_RETRY_S);
+    ws_answer_retry_later(core, request, REJECTED_BATCH_RETRY_S);
 }
 
 static void
