--- a/src/context/ws-context.h
+++ b/src/context/ws-context.h
@@ -13,7 +13,7 @@
 #include "context/ws-output.h"
 #include "protocol/ws-properties.h"
 #include "storage/ws-evidence.h"
-#include "transport/ws-rate.h"
+#include "transport/ws-token-bucket.h"
 
 /**
  * Handles the reply to a call.
--- a/src/protocol/ws-names.c
+++ b/src/protocol/ws-name-table.c
@@ -1,5 +1,5 @@
 /* A table of interned names with dense indices. */
-#include "protocol/ws-names.h"
+#include "protocol/ws-name-table.h"
 
 void
 ws_names_init(WsNames *names)
--- a/src/storage/ws-replica.h
+++ b/src/storage/ws-replica.h
@@ -12,7 +12,7 @@
 
 #include "coordination/ws-epoch.h"
 #include "protocol/ws-cloud.h"
-#include "protocol/ws-names.h"
+#include "protocol/ws-name-table.h"
 #include "storage/ws-job.h"
 #include "storage/ws-keys.h"
 #include "storage/ws-machine.h"
--- a/src/transport/ws-rate.c
+++ b/src/transport/ws-token-bucket.c
@@ -1,5 +1,5 @@
 /* A token bucket for rate limiting. */
-#include "transport/ws-rate.h"
+#include "transport/ws-token-bucket.h"
 
 #define MIN_BURST_TOKENS 1.0
 
