--- a/src/fleet/ws-cloud-list.c
+++ b/src/fleet/ws-cloud-list.c
@@ -185,7 +185,8 @@
   (void)data;
   WsCloudList *list = core->fleet->cloud_list;
   gboolean has_more = FALSE;
-  g_autoptr(GPtrArray) machines = status == WS_HTTP_OK ? ws_listing_parse(body, &has_more) : NULL;
+  g_autoptr(GPtrArray) machines
+      = status == WS_HTTP_OK ? ws_machine_list_parse(body, &has_more) : NULL;
   list->call_in_flight = FALSE;
   list->next_call_ms = core->now + (gint64)(core->settings->list_lag_s * 1000.0);
   g_clear_pointer(&list->last_id, g_free);
--- a/src/fleet/ws-rentals.c
+++ b/src/fleet/ws-rentals.c
@@ -262,7 +262,7 @@
   g_autofree char *request = data;
   const WsRentalIntent *intent = find_intent(core, request);
   g_autoptr(GPtrArray) names = NULL;
-  WsRentalResult result = ws_rental_reply_parse(status, body, &names);
+  WsRentalResult result = ws_rental_response_parse(status, body, &names);
   if (intent == NULL || result == WS_RENTAL_FAILED) {
     schedule_retry(core, request);
     g_hash_table_remove(core->fleet->rentals->requests_in_flight, request);
--- a/src/membership/ws-gossip.c
+++ b/src/membership/ws-gossip.c
@@ -69,7 +69,7 @@
   announced.images = g_ptr_array_new();
   for (guint i = 0; i < machine->worker.images->len; i++) {
     WsImageIndex image = g_array_index(machine->worker.images, WsImageIndex, i);
-    g_ptr_array_add(announced.images, (gpointer)ws_names_get(&core->replica->images, image));
+    g_ptr_array_add(announced.images, (gpointer)ws_name_table_get(&core->replica->images, image));
   }
   g_array_append_val(machines, announced);
 }
@@ -127,7 +127,7 @@
 {
   g_array_set_size(machine->worker.images, 0);
   for (guint i = 0; i < images->len; i++) {
-    WsImageIndex image = ws_names_intern(&core->replica->images, g_ptr_array_index(images, i));
+    WsImageIndex image = ws_name_table_intern(&core->replica->images, g_ptr_array_index(images, i));
     g_array_append_val(machine->worker.images, image);
   }
 }
