--- a/src/protocol/ws-cloud.c
+++ b/src/protocol/ws-cloud.c
@@ -104,10 +104,10 @@
 }
 
 GPtrArray *
-ws_machine_list_parse(const json_t *message, gboolean *more)
+ws_machine_list_parse(const json_t *message, gboolean *has_more)
 {
   const json_t *list = json_object_get(message, WS_FIELD_MACHINES);
-  if (!json_is_array(list) || !ws_json_bool(message, WS_FIELD_HAS_MORE, more))
+  if (!json_is_array(list) || !ws_json_bool(message, WS_FIELD_HAS_MORE, has_more))
     return NULL;
   return parse_list(list, sizeof(WsListedMachine), listed_machine_free, parse_listed_machine);
 }
@@ -146,10 +146,10 @@
 }
 
 json_t *
-ws_rental_encode(const char *request, const char *type, const char *zone, gboolean spot,
+ws_rental_encode(const char *idempotency_key, const char *type, const char *zone, gboolean spot,
                  guint count)
 {
-  return json_pack("{s:s, s:s, s:s, s:b, s:i}", WS_FIELD_IDEMPOTENCY_KEY, request,
+  return json_pack("{s:s, s:s, s:s, s:b, s:i}", WS_FIELD_IDEMPOTENCY_KEY, idempotency_key,
                    WS_FIELD_MACHINE_TYPE, type, WS_FIELD_ZONE, zone, WS_FIELD_SPOT, spot,
                    WS_FIELD_MACHINE_COUNT, (int)count);
 }
--- a/src/protocol/ws-cloud.h
+++ b/src/protocol/ws-cloud.h
@@ -39,9 +39,9 @@
 /**
  * Parses one page of the machine list into an array of WsListedMachine.
  *
- * @more: set to whether more pages follow
+ * @has_more: set to whether more pages follow
  */
-GPtrArray *ws_machine_list_parse(const json_t *message, gboolean *more);
+GPtrArray *ws_machine_list_parse(const json_t *message, gboolean *has_more);
 
 /** Parses the response to a rental into an array of char *, the names of the rented machines. */
 GPtrArray *ws_rental_machines_parse(const json_t *message);
@@ -63,9 +63,9 @@
  */
 WsRentalResult ws_rental_response_parse(guint status, const json_t *body, GPtrArray **names);
 
-/** Encodes a rental request. @request: its idempotency key */
-json_t *ws_rental_encode(const char *request, const char *type, const char *zone, gboolean spot,
-                         guint count);
+/** Encodes a rental request. @idempotency_key: its idempotency key */
+json_t *ws_rental_encode(const char *idempotency_key, const char *type, const char *zone,
+                         gboolean spot, guint count);
 
 /** Encodes the return of rented machines. @machines: array of char *, their names */
 json_t *ws_machine_return_encode(const GPtrArray *machines);
--- a/src/runtime/ws-runtime.c
+++ b/src/runtime/ws-runtime.c
@@ -44,7 +44,7 @@
 static void send_outputs(WsRuntime *runtime);
 
 static void
-on_reply(guint status, const char *body, gsize length, gpointer data)
+on_response(guint status, const char *body, gsize length, gpointer data)
 {
   g_autofree PendingCall *pending = data;
   WsRuntime *runtime = pending->runtime;
@@ -58,7 +58,7 @@
   PendingCall *pending = g_new0(PendingCall, 1);
   *pending = (PendingCall){ runtime, output->call };
   ws_http_client_send(runtime->client, output->method, output->url, output->body,
-                      output->timeout_ms, on_reply, pending);
+                      output->timeout_ms, on_response, pending);
 }
 
 static void
--- a/src/store/ws-store-requests.c
+++ b/src/store/ws-store-requests.c
@@ -12,8 +12,8 @@
    its rate, the request is retried after a delay. */
 #define LEADER_WRITE_SHARE 0.75
 #define FOLLOWERS_WRITE_SHARE 0.4
-#define LEADER_READ_SHARE 0.34
-#define TOTAL_READ_SHARE 0.95
+#define LEADER_REQUEST_SHARE 0.34
+#define TOTAL_REQUEST_SHARE 0.95
 #define BUDGET_BURST_S 0.6
 #define MIN_WRITE_BURST_OPERATIONS 4.0
 #define RATE_LIMITED_RETRY_DELAY_MS 120
@@ -81,10 +81,10 @@
 {
   WsStoreRequests *requests = &core->store->requests;
   guint followers = MAX(core->settings->nodes->len - 1, 1u);
-  double read_share
-      = is_leader ? LEADER_READ_SHARE : (TOTAL_READ_SHARE - LEADER_READ_SHARE) / followers;
+  double request_share
+      = is_leader ? LEADER_REQUEST_SHARE : (TOTAL_REQUEST_SHARE - LEADER_REQUEST_SHARE) / followers;
   double write_share = is_leader ? LEADER_WRITE_SHARE : FOLLOWERS_WRITE_SHARE / followers;
-  requests->request_rate.per_second = core->settings->kv_requests_per_s * read_share;
+  requests->request_rate.per_second = core->settings->kv_requests_per_s * request_share;
   requests->write_rate.per_second = core->settings->kv_writes_per_s * write_share;
   requests->write_rate.burst
       = MAX(requests->write_rate.per_second * BUDGET_BURST_S, MIN_WRITE_BURST_OPERATIONS);
--- a/tests/test-http.c
+++ b/tests/test-http.c
@@ -236,7 +236,7 @@
 }
 
 static void
-check_rejected_requests(Fixture *fixture)
+check_request_statuses(Fixture *fixture)
 {
   g_autofree char *long_body = g_strnfill(70000, ' ');
   g_assert_cmpuint(send_text(fixture, "POST", "/api/jobs", "no json"), ==, 400);
@@ -278,7 +278,7 @@
   Fixture *fixture = fixture_new();
   wait_until_ready(fixture);
   run_main_loop_for(500); /* until the node has loaded the catalog */
-  check_rejected_requests(fixture);
+  check_request_statuses(fixture);
   check_resubmission_and_withdrawal(fixture);
   /* The node sends dozens of polls and transactions to the services. libsoup opens a new connection
      for each POST that isn't flagged as idempotent, which used up the sockets of the peers. */
--- a/tests/test-kv.c
+++ b/tests/test-kv.c
@@ -156,10 +156,10 @@
 static void
 test_error_reason_is_parsed(void)
 {
-  g_autoptr(json_t) ended = parse_json("{\"error\":\"no such lease\"}");
+  g_autoptr(json_t) expired = parse_json("{\"error\":\"no such lease\"}");
   g_autoptr(json_t) other = parse_json("{\"error\":\"too large\"}");
   g_autoptr(json_t) none = parse_json("{\"error\":7}");
-  g_assert_true(ws_kv_error_is_lease_expired(ended));
+  g_assert_true(ws_kv_error_is_lease_expired(expired));
   g_assert_false(ws_kv_error_is_lease_expired(other));
   g_assert_cmpstr(ws_kv_error_parse(other), ==, "too large");
   g_assert_false(ws_kv_error_is_lease_expired(none));
--- a/tests/test-protocol.c
+++ b/tests/test-protocol.c
@@ -127,13 +127,13 @@
 /* A response with status 200 from the expected machine is accepted as the worker's status. A
    rejection (409) is accepted only as the response to commands. */
 static void
-test_worker_reply_is_accepted_only_with_status_of_machine(void)
+test_worker_response_is_accepted_only_with_status_of_machine(void)
 {
   static const struct {
     guint status;
     const char *machine;
-    gboolean is_status_reply;
-    gboolean is_command_reply;
+    gboolean is_status_response;
+    gboolean is_command_response;
   } CASES[] = { { 200, "m-000231", TRUE, TRUE },   { 409, "m-000231", FALSE, TRUE },
                 { 0, "m-000231", FALSE, FALSE },   { 503, "m-000231", FALSE, FALSE },
                 { 200, "m-000232", FALSE, FALSE }, { 409, "m-000232", FALSE, FALSE } };
@@ -143,8 +143,8 @@
         = ws_heartbeat_parse_status_response(CASES[i].status, body, CASES[i].machine);
     g_autoptr(WsHeartbeat) command
         = ws_heartbeat_parse_command_response(CASES[i].status, body, CASES[i].machine);
-    g_assert_true((status != NULL) == CASES[i].is_status_reply);
-    g_assert_true((command != NULL) == CASES[i].is_command_reply);
+    g_assert_true((status != NULL) == CASES[i].is_status_response);
+    g_assert_true((command != NULL) == CASES[i].is_command_response);
   }
   g_assert_null(ws_heartbeat_parse_status_response(200, NULL, "m-000231"));
 }
@@ -170,7 +170,7 @@
 }
 
 static void
-test_rental_reply_is_mapped_to_result(void)
+test_rental_response_is_mapped_to_result(void)
 {
   static const struct {
     guint status;
@@ -330,9 +330,9 @@
   g_test_add_func("/protocol/amounts", test_resource_sums_are_exact);
   g_test_add_func("/protocol/heartbeat", test_heartbeat_is_parsed);
   g_test_add_func("/protocol/worker-replies",
-                  test_worker_reply_is_accepted_only_with_status_of_machine);
+                  test_worker_response_is_accepted_only_with_status_of_machine);
   g_test_add_func("/protocol/job-summary", test_job_summary_is_encoded_for_each_state);
-  g_test_add_func("/protocol/rental-replies", test_rental_reply_is_mapped_to_result);
+  g_test_add_func("/protocol/rental-replies", test_rental_response_is_mapped_to_result);
   g_test_add_func("/protocol/damaged-heartbeats", test_damaged_heartbeats_are_parsed_or_rejected);
   g_test_add_func("/protocol/commands", test_halt_command_is_encoded);
   g_test_add_func("/protocol/cloud", test_catalog_is_parsed_and_malformed_lists_are_rejected);
