--- a/src/fleet/ws-fleet.c
+++ b/src/fleet/ws-fleet.c
@@ -24,7 +24,7 @@
 ws_fleet_new(const WsSettings *settings)
 {
   WsFleet *fleet = g_new0(WsFleet, 1);
-  double per_second = settings->cloud_rps * CLOUD_RATE_SHARE;
+  double per_second = settings->cloud_requests_per_s * CLOUD_RATE_SHARE;
   ws_token_bucket_init(&fleet->calls, per_second, per_second * CLOUD_RATE_BURST_S);
   fleet->rentals = ws_rentals_new();
   fleet->returns = ws_returns_new();
