--- a/src/main.c
+++ b/src/main.c
@@ -145,7 +145,7 @@
   return EXIT_SUCCESS;
 }
 
-/* Runs the program as the command line says. Returns the exit status. */
+/* Parses the command line and executes it. Returns the exit status. */
 static int
 run_command(int argc, char **argv, Options *options)
 {
--- a/src/protocol/ws-cloud.h
+++ b/src/protocol/ws-cloud.h
@@ -63,7 +63,7 @@
  */
 WsRentalResult ws_rental_response_parse(guint status, const json_t *body, GPtrArray **names);
 
-/** Encodes a rental request. @idempotency_key: its idempotency key */
+/** Encodes a rental request. @idempotency_key: the same for each retry of the request */
 json_t *ws_rental_encode(const char *idempotency_key, const char *type, const char *zone,
                          gboolean spot, guint count);
 
--- a/src/protocol/ws-field-names.h
+++ b/src/protocol/ws-field-names.h
@@ -13,7 +13,7 @@
 #define WS_FIELD_ENDPOINT "endpoint" /**< address at which the worker accepts commands */
 #define WS_FIELD_MACHINE_TYPE "typ"  /**< machine type, as named in the catalog */
 #define WS_FIELD_ZONE "hala"         /**< zone */
-#define WS_FIELD_SPOT "vypujcky"     /**< machine: is a spot machine; job: may use them */
+#define WS_FIELD_SPOT "vypujcky"     /**< machine: is a spot machine; job: may use spot machines */
 #define WS_FIELD_CPUS "cpus"         /**< CPUs: a task's need or a type's capacity */
 #define WS_FIELD_GPUS "accelerators" /**< GPUs: a task's need or a type's capacity */
 #define WS_FIELD_MEMORY_GB "mem_gb"  /**< memory: a task's need or a type's capacity */
--- a/src/protocol/ws-heartbeat.h
+++ b/src/protocol/ws-heartbeat.h
@@ -70,7 +70,7 @@
  * Returns NULL if the request failed (@status is 0 if no response came), if the response is
  * malformed, or if another machine sent it, which happens after an address was reassigned.
  *
- * @machine: name of the machine that was asked
+ * @machine: name of the machine to which the request was sent
  */
 WsHeartbeat *ws_heartbeat_parse_status_response(guint status, const json_t *body,
                                                 const char *machine);
--- a/src/protocol/ws-json.h
+++ b/src/protocol/ws-json.h
@@ -41,7 +41,7 @@
 /** Reads a number member. Returns TRUE and leaves @value unchanged if it is missing or null. */
 gboolean ws_json_number_or_null(const json_t *object, const char *name, double *value);
 
-/** Copies an array of strings, which the caller frees. Returns NULL if it is anything else. */
+/** Copies a JSON array of strings; the caller frees the copy. NULL: @list is anything else. */
 char **ws_json_string_list(const json_t *list);
 
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(json_t, json_decref)
--- a/src/protocol/ws-kv.h
+++ b/src/protocol/ws-kv.h
@@ -3,7 +3,7 @@
  *
  * Values are JSON documents that the store doesn't interpret; src/storage encodes and decodes them.
  * Parsers return structures that borrow strings and values from the message and are valid only as
- * long as it is. Encoders return a new JSON object.
+ * long as the message is. Encoders return a new JSON object.
  */
 #pragma once
 
--- a/src/protocol/ws-settings.c
+++ b/src/protocol/ws-settings.c
@@ -124,7 +124,7 @@
 }
 
 /* Adds an objective for the start of tasks or the completion of jobs. Objectives of other kinds,
-   and invalid ones, are ignored: they are meant for the operators. */
+   which are meant for the operators, and invalid ones are ignored. */
 static void
 parse_objective(WsSettings *settings, const json_t *item)
 {
--- a/src/protocol/ws-settings.h
+++ b/src/protocol/ws-settings.h
@@ -47,8 +47,8 @@
   double report_s;    /**< heartbeat interval */
   double lease_s;     /**< how long a worker keeps its tasks running without a heartbeat response */
   double cancel_s;    /**< time within which the tasks of a cancelled job must be stopped */
-  double gang_peer_s; /**< time within which a gang's tasks detect that another one is gone, and
-                         within which they must be told of an orderly stop */
+  double gang_peer_s; /**< time within which a gang's tasks detect that another one is gone; an
+                         orderly stop must reach all of them within this time */
 
   /* Limits of the key-value store. If the settings announce lower limits (state.next), these are
      the lower ones from the start, so that every record can be rewritten once they are enforced.
--- a/src/runtime/ws-runtime.c
+++ b/src/runtime/ws-runtime.c
@@ -1,5 +1,5 @@
-/* Passes requests, replies and timer ticks to the core, and sends the calls and answers that the
-   core outputs. */
+/* Passes incoming requests, the responses to calls, and timer ticks to the core. Sends the calls
+   and the responses to requests that the core outputs. */
 #include "runtime/ws-runtime.h"
 
 #include "transport/ws-http-client.h"
--- a/src/store/ws-store-private.h
+++ b/src/store/ws-store-private.h
@@ -14,7 +14,7 @@
   GQueue queues[WS_REQUEST_CLASS_COUNT]; /**< of StoreRequest */
   WsTokenBucket request_rate;
   WsTokenBucket write_rate;
-  gint64 rate_limited_until_ms; /**< nothing is sent before: the store rejected the request rate */
+  gint64 rate_limited_until_ms; /**< no request is sent before: the store rate-limited one */
   gint64 unavailable_since_ms;  /**< when the current outage began; 0: there is none */
 } WsStoreRequests;
 
--- a/src/store/ws-store-reads.c
+++ b/src/store/ws-store-reads.c
@@ -58,7 +58,8 @@
   }
 }
 
-/* Moves the reads that have reached their revision or timed out from the waiting list. */
+/* Moves the reads whose revision is reached, and those that have timed out, from the waiting list
+   to the lists passed in. */
 static void
 remove_finished(WsCore *core, GArray *reached, GArray *timed_out)
 {
--- a/src/store/ws-store-requests.c
+++ b/src/store/ws-store-requests.c
@@ -6,14 +6,15 @@
 #include "protocol/ws-status-codes.h"
 
 /* Shares of the store's rate limits. The leader gets the largest share, since it writes nearly
-   everything: assignments, releases, machines, rentals and termination marks. The followers split
-   theirs evenly. They write submissions, cancellations, leases and mailboxes, and seldom use all of
-   it; the write shares therefore add up to more than 1. If the store rejects a request because of
-   its rate, the request is retried after a delay. */
+   everything: assignments, releases, machines, rentals and termination marks. The followers'
+   share is split evenly among them. They write submissions, cancellations, leases and mailboxes,
+   and seldom use all of it; the write shares therefore add up to more than 1. If the store rejects
+   a request because of its rate, the request is retried after a delay. */
 #define LEADER_WRITE_SHARE 0.75
 #define FOLLOWERS_WRITE_SHARE 0.4
 #define LEADER_REQUEST_SHARE 0.34
 #define TOTAL_REQUEST_SHARE 0.95
+/* Burst in seconds: of the store's request limit, and of this node's share of the write limit. */
 #define BUDGET_BURST_S 0.6
 #define MIN_WRITE_BURST_OPERATIONS 4.0
 #define RATE_LIMITED_RETRY_DELAY_MS 120
--- a/src/store/ws-store.h
+++ b/src/store/ws-store.h
@@ -28,7 +28,7 @@
   WS_TXN_CONFLICT,     /**< a condition failed */
   WS_TXN_UNAVAILABLE,  /**< not applied; may be retried */
   WS_TXN_INVALID,      /**< rejected for its size or form; a retry would be rejected as well */
-  WS_TXN_INDETERMINATE /**< no response: it may have been applied, or may still be */
+  WS_TXN_INDETERMINATE /**< no response: it may have been applied, or may be applied later */
 } WsTxnResult;
 
 /** A transaction, from its creation until the store has responded. */
@@ -73,19 +73,19 @@
 /** Whether the replica is loaded and up to date, except for changes still in transit. */
 gboolean ws_store_is_current(const WsCore *core);
 
-/** Since when all requests have failed, on the clock of core->now; 0: the store responds. */
+/** Time since which all requests have failed, on the clock of core->now; 0: the store responds. */
 gint64 ws_store_unavailable_since_ms(const WsCore *core);
 
 /** Whether this node's write budget allows @operations now. Takes nothing from the budget. */
 gboolean ws_store_has_write_budget(WsCore *core, guint operations);
 
 /**
- * Queues a POST request to the store.
+ * Queues a POST request to the store. Takes ownership of @body.
  *
  * A rate-limited request is retried a few times before @reply is called with status 429. After a
  * timeout, @reply is called with status 0.
  *
- * @body: taken; NULL: no body
+ * @body: JSON; NULL: no body
  * @write_count: operations to take from the write budget
  * @timeout_ms: starts when the request is sent
  */
@@ -110,10 +110,10 @@
 /** Adds the condition that the key has the version; 0: that it doesn't exist. */
 void ws_txn_compare_version(WsTxn *txn, const char *key, guint64 version);
 
-/** Adds an operation that sets the key. @value: taken */
+/** Adds an operation that sets the key. Takes ownership of @value. */
 void ws_txn_put(WsTxn *txn, const char *key, json_t *value);
 
-/** Adds an operation that sets the key; the store deletes it with the lease. @value: taken */
+/** Like ws_txn_put(), but the store deletes the key together with the lease. */
 void ws_txn_put_leased(WsTxn *txn, const char *key, json_t *value, guint64 lease);
 
 /** Adds an operation that deletes the key. */
@@ -124,9 +124,7 @@
 
 /**
  * Queues the transaction, which the store applies if all conditions hold. If it commits, its
- * operations are applied to the replica before @done is called.
- *
- * @txn: taken
+ * operations are applied to the replica before @done is called. Takes ownership of @txn.
  */
 void ws_txn_commit(WsCore *core, WsTxn *txn, WsRequestClass request_class, WsTxnFunc done,
                    gpointer data);
--- a/src/transport/ws-http-client.c
+++ b/src/transport/ws-http-client.c
@@ -28,7 +28,7 @@
 ws_http_client_new(guint max_connections)
 {
   WsHttpClient *client = g_new0(WsHttpClient, 1);
-  /* No proxy resolver: the peers have numeric addresses, and the lookup costs time and memory. */
+  /* No proxy resolver: the servers have numeric addresses, and the lookup costs time and memory. */
   client->session = soup_session_new_with_options(
       "proxy-resolver", NULL, "max-conns", (int)MAX(max_connections, MIN_CONNECTIONS),
       "max-conns-per-host", MAX_CONNECTIONS_PER_HOST, "idle-timeout", IDLE_CONNECTION_TIMEOUT_S,
@@ -86,9 +86,9 @@
     done(STATUS_NO_RESPONSE, "", 0, data);
     return;
   }
-  /* Without SOUP_MESSAGE_IDEMPOTENT libsoup opens a new connection for every POST. The flag allows
-     it to repeat a request, which is safe: each request of this program is conditional, has an
-     idempotency key, or has no lasting effect. */
+  /* Without SOUP_MESSAGE_IDEMPOTENT libsoup opens a new connection for every POST. The flag also
+     lets libsoup resend a request, which the server may then execute twice. That is safe: each
+     request of this program is conditional, has an idempotency key, or has no lasting effect. */
   soup_message_add_flags(message, SOUP_MESSAGE_NO_REDIRECT | SOUP_MESSAGE_IDEMPOTENT);
   if (body != NULL) {
     g_autoptr(GBytes) bytes = g_bytes_new(body, strlen(body));
--- a/src/transport/ws-http-client.h
+++ b/src/transport/ws-http-client.h
@@ -21,7 +21,7 @@
 /**
  * Creates a client. The caller frees it.
  *
- * @max_connections: to all hosts together; a small value is raised to a minimum
+ * @max_connections: limit for all hosts together; a small value is raised to a minimum
  */
 WsHttpClient *ws_http_client_new(guint max_connections);
 
--- a/src/transport/ws-http-server.h
+++ b/src/transport/ws-http-server.h
@@ -1,5 +1,5 @@
 /**
- * HTTP server on one address. Each request is answered once, by its handler or later.
+ * HTTP server on one address. Each request gets exactly one response, sent by its handler or later.
  *
  * Called by the runtime, from the thread of the default main loop.
  */
@@ -11,7 +11,7 @@
 typedef struct _WsHttpServer WsHttpServer;
 typedef struct _WsHttpRequest WsHttpRequest;
 
-/** A request, owned by the server. Its fields are valid until it is answered. */
+/** A request, owned by the server. Its fields are valid until ws_http_request_respond(). */
 struct _WsHttpRequest {
   const char *method;
   const char *path;
@@ -19,7 +19,7 @@
   gsize length;     /**< of the body, in bytes */
 };
 
-/** Handles a request, which must be answered with ws_http_request_respond(), now or later. */
+/** Handles a request, for which ws_http_request_respond() must be called once, now or later. */
 typedef void (*WsHttpHandler)(WsHttpRequest *request, gpointer data);
 
 /**
@@ -32,11 +32,11 @@
 WsHttpServer *ws_http_server_new(const char *address, guint max_connections, WsHttpHandler handler,
                                  gpointer data, GError **error);
 
-/** Stops listening and frees the server. Unanswered requests must not be used afterwards. */
+/** Stops listening and frees the server. Pending requests must not be used afterwards. */
 void ws_http_server_free(WsHttpServer *server);
 
 /**
- * Answers a request, which must not be used afterwards.
+ * Sends the response to a request, which must not be used afterwards.
  *
  * @body: JSON, copied; NULL: no body
  * @retry_after_s: the Retry-After header, in seconds; 0: no such header
--- a/src/transport/ws-token-bucket.h
+++ b/src/transport/ws-token-bucket.h
@@ -1,6 +1,6 @@
 /**
  * A token bucket for rate limiting. It reads no clock: the caller passes the time, in milliseconds
- * and always of the same clock.
+ * and always from the same clock.
  */
 #pragma once
 
--- a/tests/test-http.c
+++ b/tests/test-http.c
@@ -260,7 +260,7 @@
 check_resubmission_and_withdrawal(Fixture *fixture)
 {
   json_t *response = NULL;
-  g_assert_cmpuint(submit(fixture, "druh", json_string("sweep")), ==, 200); /* submitted before */
+  g_assert_cmpuint(submit(fixture, "druh", json_string("sweep")), ==, 200); /* same job again */
   g_assert_cmpuint(send_request(fixture, "GET", "/api/jobs/req-000001", NULL, 0, &response), ==,
                    200);
   g_assert_cmpstr(json_string_value(json_object_get(response, "stav")), ==, "queued");
@@ -281,7 +281,8 @@
   check_request_statuses(fixture);
   check_resubmission_and_withdrawal(fixture);
   /* The node sends dozens of polls and transactions to the services. libsoup opens a new connection
-     for each POST that isn't flagged as idempotent, which used up the sockets of the peers. */
+     for each POST that isn't flagged as idempotent, which used up the sockets of the receiving
+     processes. */
   run_main_loop_for(2500);
   g_assert_cmpuint(g_hash_table_size(fixture->connections), <=, 8);
   g_autoptr(GError) error = NULL;
