--- a/src/fleet/ws-cloud-list.c
+++ b/src/fleet/ws-cloud-list.c
@@ -114,7 +114,7 @@
 record_rental_batch(WsCore *core, WsTxn *txn, const WsMachine *first, GArray *machines)
 {
   g_autoptr(WsRentalBatch) rental_batch = fill_rental_batch(core, first, machines);
-  g_autofree char *key = ws_key(WS_KEYS_RENTAL_BATCH, rental_batch->name);
+  g_autofree char *key = ws_key(WS_KEY_PREFIX_RENTAL_BATCH, rental_batch->name);
   ws_txn_compare_version(txn, key, 0);
   ws_txn_put(txn, key, ws_rental_batch_encode(rental_batch, core->replica));
 }
--- a/src/fleet/ws-fleet.c
+++ b/src/fleet/ws-fleet.c
@@ -100,7 +100,7 @@
 static gboolean
 has_never_been_up(const WsCore *core, const WsMachine *machine)
 {
-  return machine->is_recorded && !machine->is_marked && machine->worker.heard_ms <= 0
+  return machine->is_recorded && !machine->is_marked && machine->worker.last_contact_ms <= 0
          && machine->type != WS_NO_TYPE && machine->tasks->len == 0
          && !ws_zone_is_partitioned(core, machine->zone);
 }
--- a/src/fleet/ws-fleet.h
+++ b/src/fleet/ws-fleet.h
@@ -76,7 +76,7 @@
  * Returns the job whose tasks determine the size of a headroom slot: the active critical job with
  * the largest need of accelerators per task, or NULL if there is no active critical job.
  */
-const WsJob *ws_headroom_job(const WsReplica *replica);
+const WsJob *ws_headroom_reference_job(const WsReplica *replica);
 
 /**
  * Counts slots for one task with the resources @need each, up to the number of slots to be kept.
--- a/src/fleet/ws-headroom.c
+++ b/src/fleet/ws-headroom.c
@@ -14,13 +14,13 @@
 gboolean
 ws_machine_is_booting(const WsCore *core, const WsMachine *machine)
 {
-  return machine->worker.heard_ms == 0
+  return machine->worker.last_contact_ms == 0
          && ws_fleet_machine_age_s(core, machine)
                 < BOOTING_TIME_FACTOR * ws_replica_type(core->replica, machine->type)->boot_s;
 }
 
 const WsJob *
-ws_headroom_job(const WsReplica *replica)
+ws_headroom_reference_job(const WsReplica *replica)
 {
   const WsJob *largest = NULL;
   for (guint i = 0; i < replica->active_jobs->len; i++) {
@@ -72,7 +72,7 @@
 gboolean
 ws_headroom_suffices_without(const WsCore *core, const WsMachine *machine)
 {
-  const WsJob *job = ws_headroom_job(core->replica);
+  const WsJob *job = ws_headroom_reference_job(core->replica);
   if (job == NULL || core->properties->headroom_tasks == 0)
     return TRUE;
   return ws_headroom_count_slots(core, &job->spec->need, machine)
--- a/src/membership/ws-gossip.c
+++ b/src/membership/ws-gossip.c
@@ -168,7 +168,7 @@
   for (guint i = 0; i < core->replica->machines->len; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, i);
     if (machine->owner == node && machine->worker.is_up_at_owner)
-      machine->worker.heard_ms = core->now;
+      machine->worker.last_contact_ms = core->now;
   }
 }
 
@@ -214,7 +214,7 @@
   if (message->replica_is_loaded && !message->store_is_available
       && message->unacknowledged_cancellations == 0)
     peer->cancellations_complete_ms = core->now;
-  peer->heard_ms = core->now;
+  peer->last_contact_ms = core->now;
   peer->epoch = message->epoch;
   peer->store_is_available = message->store_is_available;
   peer->receives_no_heartbeats = message->receives_no_heartbeats;
@@ -260,7 +260,7 @@
       || core->now - peer->gossip_sent_ms < GOSSIP_INTERVAL_MS)
     return FALSE;
   return node > core->settings->self
-         || core->now - peer->heard_ms >= (gint64)2 * GOSSIP_INTERVAL_MS;
+         || core->now - peer->last_contact_ms >= (gint64)2 * GOSSIP_INTERVAL_MS;
 }
 
 void
--- a/src/scheduling/ws-demand.c
+++ b/src/scheduling/ws-demand.c
@@ -179,7 +179,7 @@
 add_headroom(WsDemand *demand)
 {
   const WsCore *core = demand->core;
-  const WsJob *job = ws_headroom_job(core->replica);
+  const WsJob *job = ws_headroom_reference_job(core->replica);
   if (job == NULL)
     return;
   guint wanted = core->properties->headroom_tasks;
--- a/tests/combined-faults/cancellation.c
+++ b/tests/combined-faults/cancellation.c
@@ -13,7 +13,7 @@
 wait_until_cancelled(Sim *sim, double max_s)
 {
   for (guint i = 0; i < max_s * 20.0; i++) {
-    if (sim_is_told_cancelled(sim, 0) && sim_is_told_cancelled(sim, 1))
+    if (sim_is_reported_cancelled(sim, 0) && sim_is_reported_cancelled(sim, 1))
       return;
     sim_run(sim, 0.05);
   }
@@ -53,12 +53,12 @@
 expect_cancelled(Sim *sim)
 {
   sim_end_faults(sim);
-  sim_cancel_until_closed(sim, 200, 1.0);
-  g_assert_cmpuint(sim_open_jobs(sim), ==, 0);
-  g_assert_cmpuint(sim_late_starts(sim), ==, 0);
+  sim_cancel_until_jobs_end(sim, 200, 1.0);
+  g_assert_cmpuint(sim_count_open_jobs(sim), ==, 0);
+  g_assert_cmpuint(sim_count_late_starts(sim), ==, 0);
   sim_run(sim, 200.0);
-  g_assert_cmpuint(sim_machines(sim), ==, 0);
-  g_assert_cmpuint(sim_marks(sim), ==, 0);
+  g_assert_cmpuint(sim_count_machines(sim), ==, 0);
+  g_assert_cmpuint(sim_count_termination_marks(sim), ==, 0);
 }
 
 static void
@@ -69,7 +69,7 @@
   guint leader = sim_leader(sim);
   g_assert_cmpuint(leader, <, SIM_NODES);
   if (spec->inject != NULL)
-    spec->inject(sim, sim_machine_running(sim, 0), spec->fault_s);
+    spec->inject(sim, sim_find_machine_running_job(sim, 0), spec->fault_s);
   *(spec->leader_isolated ? &sim_faults(sim)->isolated_nodes
                           : &sim_faults(sim)->store_refuses_nodes)
       = 1u << leader;
--- a/tests/combined-faults/checker.c
+++ b/tests/combined-faults/checker.c
@@ -33,8 +33,8 @@
 static void
 start_everywhere(Sim *sim, guint task)
 {
-  for (guint machine = 0; machine < sim_machines(sim); machine++)
-    if (machine != sim_machine_running(sim, 0))
+  for (guint machine = 0; machine < sim_count_machines(sim); machine++)
+    if (machine != sim_find_machine_running_job(sim, 0))
       sim_force_start(sim, machine, 0, task);
   sim_run(sim, 1.0);
 }
@@ -63,7 +63,7 @@
   sim_submit(sim, &WIDE);
   for (guint i = 0; i < 60 && sim_count_running(sim, 0) < 8; i++)
     sim_run(sim, 1.0);
-  for (guint machine = 0; machine < sim_machines(sim); machine++)
+  for (guint machine = 0; machine < sim_count_machines(sim); machine++)
     sim_force_start(sim, machine, 0, 8);
   sim_run(sim, 1.0);
   sim_free(sim);
@@ -79,7 +79,7 @@
   if (expects_abort_in_child("*wrong_place*"))
     return;
   Sim *sim = running_world(702, &IN_A, &FOUR, 6);
-  guint in_a = sim_machine_running(sim, 0);
+  guint in_a = sim_find_machine_running_job(sim, 0);
   g_assert_cmpuint(in_a, !=, G_MAXUINT);
   sim_submit(sim, &IN_B);
   sim_force_start(sim, in_a, 2, 0);
@@ -95,7 +95,7 @@
   Sim *sim = running_world(703, &ONE, &FOUR, 5);
   sim_cancel(sim, 0);
   sim_run(sim, 35.0);
-  g_assert_true(sim_is_told_cancelled(sim, 0));
+  g_assert_true(sim_is_reported_cancelled(sim, 0));
   sim_force_start(sim, sim_draw_machine(sim), 0, 0);
   sim_run(sim, 1.0);
   sim_free(sim);
--- a/tests/core/random-faults.c
+++ b/tests/core/random-faults.c
@@ -99,8 +99,8 @@
 static void
 toggle_lossy_network(Sim *sim)
 {
-  SimNet *net = &sim_faults(sim)->net;
-  *net = net->lose > 0.0 ? (SimNet){ 0 } : (SimNet){ 0.05, 0.05, 0.03 };
+  SimNetworkFaults *net = &sim_faults(sim)->net;
+  *net = net->lose > 0.0 ? (SimNetworkFaults){ 0 } : (SimNetworkFaults){ 0.05, 0.05, 0.03 };
 }
 
 static void
@@ -113,26 +113,26 @@
 static void
 stall_machine(Sim *sim)
 {
-  sim_stall_any_machine(sim, g_rand_double_range(sim_rand(sim), 1.0, 20.0));
+  sim_stall_random_machine(sim, g_rand_double_range(sim_rand(sim), 1.0, 20.0));
 }
 
 static void
 stall_machines(Sim *sim)
 {
   for (guint i = 0; i < 4; i++)
-    sim_stall_any_machine(sim, g_rand_double_range(sim_rand(sim), 6.0, 18.0));
+    sim_stall_random_machine(sim, g_rand_double_range(sim_rand(sim), 6.0, 18.0));
 }
 
 static void
 interrupt_machine(Sim *sim)
 {
-  sim_interrupt_any_machine(sim, g_rand_double_range(sim_rand(sim), 1.0, 10.0));
+  sim_interrupt_random_machine(sim, g_rand_double_range(sim_rand(sim), 1.0, 10.0));
 }
 
 static void
 block_outbound(Sim *sim)
 {
-  sim_block_outbound_of_any(sim, g_rand_double_range(sim_rand(sim), 2.0, 40.0));
+  sim_block_outbound_of_random_machine(sim, g_rand_double_range(sim_rand(sim), 2.0, 40.0));
 }
 
 /* In this order: what a seed plays depends on it. */
@@ -144,18 +144,18 @@
   toggle_partition,
   toggle_cloud_outage,
   toggle_full_cloud,
-  sim_kill_any_machine,
+  sim_kill_random_machine,
   stall_machine,
   interrupt_machine,
   toggle_lossy_network,
   toggle_isolation,
   toggle_duplicated_heartbeats,
   block_outbound,
-  sim_restart_any_machine,
+  sim_restart_random_machine,
   pause_random_node,
   toggle_unreachable_node,
   stall_machines,
-  sim_cancel_any,
+  sim_cancel_random_job,
 };
 G_STATIC_ASSERT(G_N_ELEMENTS(RANDOM_FAULTS) == 19);
 
--- a/tests/evidence/flapping.c
+++ b/tests/evidence/flapping.c
@@ -24,7 +24,7 @@
   sim_run(sim, 25.0);
   for (guint round = 0; round < 8; round++) {
     sim_submit(sim, &LOW);
-    sim_crash_node(sim, sim_other_node(sim_leader_or_first(sim)), 0.3);
+    sim_crash_node(sim, sim_next_node(sim_leader_or_first(sim)), 0.3);
     sim_run(sim, g_rand_double_range(rand, 0.6, 2.0));
     sim_submit(sim, &URGENT);
     sim_run(sim, g_rand_double_range(rand, 0.1, 2.0));
--- a/tests/gangs/one-node.c
+++ b/tests/gangs/one-node.c
@@ -33,7 +33,7 @@
     Fixture *fixture = fixture_new_with_machine(TRUE);
     json_t *submission = gang_submission(CASES[i].tasks);
     json_object_set_new(submission, CASES[i].field, json_boolean(CASES[i].value));
-    fixture_call(fixture, "POST", "/api/jobs", submission);
+    fixture_send_request(fixture, "POST", "/api/jobs", submission);
     g_assert_cmpuint(fixture->status, ==, CASES[i].status);
     fixture_free(fixture);
   }
@@ -41,7 +41,7 @@
   json_t *contradictory = gang_submission(2);
   json_object_set_new(contradictory, "one_zone", json_true());
   json_object_set_new(contradictory, "scatter", json_true());
-  fixture_call(fixture, "POST", "/api/jobs", contradictory);
+  fixture_send_request(fixture, "POST", "/api/jobs", contradictory);
   g_assert_cmpuint(fixture->status, ==, 422);
   fixture_free(fixture);
 }
@@ -73,7 +73,7 @@
 fixture_with_gang(void)
 {
   Fixture *fixture = fixture_new_with_machine(TRUE);
-  fixture_call(fixture, "POST", "/api/jobs", gang_submission(2));
+  fixture_send_request(fixture, "POST", "/api/jobs", gang_submission(2));
   g_assert_cmpuint(fixture->status, ==, 201);
   fixture_run(fixture, 1.0);
   g_assert_true(fixture_task_is_assigned(fixture));
@@ -103,7 +103,7 @@
   Fixture *fixture = fixture_with_gang();
   fixture_send_heartbeat(fixture, 1, two_task_states("exited", "done", "running"));
   fixture_run(fixture, 0.5);
-  fixture_call(fixture, "POST", "/api/jobs/req-1/withdraw", NULL);
+  fixture_send_request(fixture, "POST", "/api/jobs/req-1/withdraw", NULL);
   g_assert_cmpstr(json_string_value(json_object_get(fixture->answer, "stav")), ==, "done");
   const json_t *use = sim_store_get(fixture->store, "w/team-use/0");
   g_assert_cmpint(json_integer_value(json_object_get(json_object_get(use, "red"), "g")), ==, 0);
@@ -137,12 +137,12 @@
   Fixture *fixture = fixture_new_with_machine(TRUE);
   fixture->zone = "b";
   for (guint i = 0; i < 2 * G_N_ELEMENTS(MACHINES); i++)
-    fixture_call(
+    fixture_send_request(
         fixture, "POST", "/v1/report",
         fixture_heartbeat(fixture, MACHINES[i / 2], i % 2, ++fixture->sequence, json_array()));
   json_t *submission = gang_submission(GANG_TASKS);
   json_object_set_new(submission, "one_zone", json_true());
-  fixture_call(fixture, "POST", "/api/jobs", submission);
+  fixture_send_request(fixture, "POST", "/api/jobs", submission);
   fixture_run(fixture, 1.0);
   g_assert_true(fixture_task_is_assigned(fixture));
   g_autofree char *record = ws_json_serialize(sim_store_get(fixture->store, "w/task/req-1/0"));
@@ -170,7 +170,7 @@
   json_t *report = fixture_heartbeat(fixture, machine, 1, ++fixture->sequence, tasks);
   if (has_interruption_notice)
     json_object_set_new(report, "vypoved_s", json_real(20.0));
-  fixture_call(fixture, "POST", "/v1/report", report);
+  fixture_send_request(fixture, "POST", "/v1/report", report);
 }
 
 static guint
@@ -192,18 +192,18 @@
 test_spread_while_image_is_missing(void)
 {
   Fixture *fixture = fixture_new_with_machine(TRUE);
-  fixture_lift_quotas(fixture);
+  fixture_remove_quotas(fixture);
   for (guint i = 0; i < 2; i++)
-    fixture_call(fixture, "POST", "/v1/report",
-                 fixture_heartbeat(fixture, "m-2", i, ++fixture->sequence, json_array()));
-  fixture_call(fixture, "POST", "/api/jobs", gang_submission(2));
+    fixture_send_request(fixture, "POST", "/v1/report",
+                         fixture_heartbeat(fixture, "m-2", i, ++fixture->sequence, json_array()));
+  fixture_send_request(fixture, "POST", "/api/jobs", gang_submission(2));
   fixture_run(fixture, 1.0);
   g_assert_cmpuint(count_machines_of(fixture, "req-1"), ==, 2);
   report_running(fixture, "m-1", FALSE);
   report_running(fixture, "m-2", FALSE);
   json_t *next = gang_submission(2);
   json_object_set_new(next, "id", json_string("req-2"));
-  fixture_call(fixture, "POST", "/api/jobs", next);
+  fixture_send_request(fixture, "POST", "/api/jobs", next);
   fixture_run(fixture, 1.0);
   g_assert_cmpuint(count_machines_of(fixture, "req-2"), ==, 1);
   fixture_free(fixture);
@@ -218,13 +218,13 @@
 {
   Fixture *fixture = fixture_new_with_machine(TRUE);
   fixture->spot = TRUE;
-  fixture_call(fixture, "POST", "/v1/report",
-               fixture_heartbeat(fixture, "m-2", 0, ++fixture->sequence, json_array()));
-  fixture_call(fixture, "POST", "/v1/report",
-               fixture_heartbeat(fixture, "m-2", 1, ++fixture->sequence, json_array()));
+  fixture_send_request(fixture, "POST", "/v1/report",
+                       fixture_heartbeat(fixture, "m-2", 0, ++fixture->sequence, json_array()));
+  fixture_send_request(fixture, "POST", "/v1/report",
+                       fixture_heartbeat(fixture, "m-2", 1, ++fixture->sequence, json_array()));
   json_t *submission = gang_submission(GANG_TASKS);
   json_object_set_new(submission, "vypujcky", json_true());
-  fixture_call(fixture, "POST", "/api/jobs", submission);
+  fixture_send_request(fixture, "POST", "/api/jobs", submission);
   fixture_run(fixture, 1.0);
   report_running(fixture, "m-1", FALSE);
   report_running(fixture, "m-2", FALSE);
--- a/tests/gangs/simulated.c
+++ b/tests/gangs/simulated.c
@@ -60,7 +60,7 @@
     Sim *sim = new_sim_with_gang(seed, seed % 2 == 0 ? &ONE_ZONE_GANG : &ANY_ZONE_GANG);
     run_until_started(sim);
     sim_run(sim, 3.0);
-    FAULTS[kind](sim, sim_machine_running(sim, 0), FAULT_DURATIONS_S[kind]);
+    FAULTS[kind](sim, sim_find_machine_running_job(sim, 0), FAULT_DURATIONS_S[kind]);
     sim_run(sim, 60.0);
     sim_expect_recovery(sim);
     sim_free(sim);
@@ -76,7 +76,7 @@
     Sim *sim = new_sim_with_gang(seed, &ONE_ZONE_GANG);
     run_until_started(sim);
     sim_run(sim, 2.0);
-    sim_stall_machine(sim, sim_machine_running(sim, 0), 7.0);
+    sim_stall_machine(sim, sim_find_machine_running_job(sim, 0), 7.0);
     sim_run(sim, 30.0);
     sim_expect_recovery(sim);
     g_assert_cmpuint(sim_gang_losses(sim, 0), ==, 1);
@@ -94,7 +94,7 @@
     Sim *sim = new_sim_with_gang(seed, &ONE_ZONE_GANG);
     run_until_started(sim);
     sim_run(sim, 6.0);
-    sim_interrupt_machine(sim, sim_machine_running(sim, 0), 20.0);
+    sim_interrupt_machine(sim, sim_find_machine_running_job(sim, 0), 20.0);
     sim_run(sim, 25.0);
     sim_expect_recovery(sim);
     g_assert_cmpuint(sim_gang_saves(sim, 0), ==, 1);
@@ -111,8 +111,8 @@
     Sim *sim = new_sim_with_gang(seed, seed % 3 == 0 ? &ANY_ZONE_GANG : &ONE_ZONE_GANG);
     for (guint i = 0; i < 5; i++) {
       sim_run(sim, g_rand_double_range(sim_rand(sim), 0.5, 6.0));
-      if (sim_machine_running(sim, 0) != G_MAXUINT)
-        sim_interrupt_machine(sim, sim_machine_running(sim, 0), 20.0);
+      if (sim_find_machine_running_job(sim, 0) != G_MAXUINT)
+        sim_interrupt_machine(sim, sim_find_machine_running_job(sim, 0), 20.0);
       sim_run(sim, g_rand_double_range(sim_rand(sim), 0.0, 1.0));
       sim_crash_node(sim, sim_leader_or_first(sim), g_rand_double_range(sim_rand(sim), 0.1, 6.0));
     }
@@ -129,13 +129,13 @@
   for (guint32 seed = 870; seed < 870 + sim_seed_count(12); seed++) {
     Sim *sim = new_sim_with_gang(seed, &ONE_ZONE_GANG);
     sim_run(sim, g_rand_double_range(sim_rand(sim), 0.0, 30.0));
-    if (seed % 2 == 0 && sim_machine_running(sim, 0) != G_MAXUINT)
-      sim_interrupt_machine(sim, sim_machine_running(sim, 0), 20.0);
+    if (seed % 2 == 0 && sim_find_machine_running_job(sim, 0) != G_MAXUINT)
+      sim_interrupt_machine(sim, sim_find_machine_running_job(sim, 0), 20.0);
     sim_run(sim, 0.5);
     sim_cancel(sim, 0);
     sim_run(sim, 35.0);
     sim_expect_recovery(sim);
-    g_assert_cmpuint(sim_late_starts(sim), ==, 0);
+    g_assert_cmpuint(sim_count_late_starts(sim), ==, 0);
     sim_free(sim);
   }
 }
@@ -172,11 +172,11 @@
   sim_run(sim, 40.0);
   guint gang = sim_count_jobs(sim);
   sim_submit(sim, &gang_in_any_zone);
-  for (guint step = 0; step < 160 && !sim_has_started(sim, gang); step++) {
+  for (guint step = 0; step < 160 && !sim_job_has_started(sim, gang); step++) {
     sim_submit(sim, &SMALL_JOB);
     sim_run(sim, 1.5);
   }
-  g_assert_true(sim_has_started(sim, gang));
+  g_assert_true(sim_job_has_started(sim, gang));
   sim_free(sim);
 }
 
@@ -207,7 +207,7 @@
   if (g_test_subprocess()) {
     Sim *sim = new_sim_with_gang(899, &ONE_ZONE_GANG);
     run_until_started(sim);
-    sim_force_start(sim, sim_machine_running(sim, 0), 0, 1);
+    sim_force_start(sim, sim_find_machine_running_job(sim, 0), 0, 1);
     sim_run(sim, 2.0);
     sim_free(sim);
     return;
--- a/tests/regressions/cancellation.c
+++ b/tests/regressions/cancellation.c
@@ -32,7 +32,7 @@
 test_cancellation_is_redelivered_until_acknowledged(void)
 {
   Fixture *fixture = fixture_new_with_job(FALSE);
-  fixture_call(fixture, "POST", "/api/jobs/req-1/withdraw", NULL);
+  fixture_send_request(fixture, "POST", "/api/jobs/req-1/withdraw", NULL);
   g_assert_cmpuint(fixture->cancellations_sent, ==, 2);
   fixture_run(fixture, 3.0);
   g_assert_cmpuint(fixture->cancellations_sent, >=, 8);
@@ -112,7 +112,7 @@
 {
   Fixture *fixture = fixture_new_with_job(FALSE);
   fixture->cloud_confirms_returns = TRUE;
-  fixture_call(fixture, "POST", "/api/jobs/req-1/withdraw", NULL);
+  fixture_send_request(fixture, "POST", "/api/jobs/req-1/withdraw", NULL);
   fixture->store_unavailable = fixture->peers_lack_store = TRUE;
   fixture_run(fixture, 16.0);
   g_assert_cmpuint(fixture->returns_requested, ==, 0);
@@ -122,7 +122,7 @@
   fixture->store_unavailable = fixture->peers_lack_store = FALSE;
   fixture_run(fixture, 8.0);
   g_assert_false(sim_store_lists_name(fixture->store, "w/lot/", "m-1"));
-  g_assert_cmpuint(sim_store_count(fixture->store, "w/mark/"), ==, 0);
+  g_assert_cmpuint(sim_store_count_keys(fixture->store, "w/mark/"), ==, 0);
   g_assert_false(fixture_task_is_assigned(fixture));
   fixture_free(fixture);
 }
--- a/tests/regressions/failure-detection.c
+++ b/tests/regressions/failure-detection.c
@@ -51,10 +51,10 @@
     send_all_heartbeats(fixture, 2, 1, ++sequence, TRUE);
     fixture_run(fixture, 1.5);
   }
-  g_assert_cmpuint(sim_store_count(fixture->store, "w/mark/"), ==, 0);
+  g_assert_cmpuint(sim_store_count_keys(fixture->store, "w/mark/"), ==, 0);
   send_all_heartbeats(fixture, 2, 1, ++sequence, FALSE);
   fixture_run(fixture, 1.2);
-  g_assert_cmpuint(sim_store_count(fixture->store, "w/mark/"), ==, 2);
+  g_assert_cmpuint(sim_store_count_keys(fixture->store, "w/mark/"), ==, 2);
   fixture_free(fixture);
 }
 
@@ -78,7 +78,7 @@
     fixture_post_heartbeat(fixture, "m-1", sequence == 1 ? 0 : 1, sequence, json_array());
     fixture_run(fixture, 1.0);
   }
-  g_assert_cmpuint(sim_store_count(fixture->store, "w/mark/"), ==, 0);
+  g_assert_cmpuint(sim_store_count_keys(fixture->store, "w/mark/"), ==, 0);
   fixture_free(fixture);
 }
 
@@ -93,8 +93,8 @@
   fixture->settings->lease_s = 26.0;
   fixture_send_heartbeat(fixture, 0, one_task_in_state("running", ""));
   fixture_run(fixture, 4.5);
-  json_t *second = fixture_submission_of("req-2");
-  fixture_call(fixture, "POST", "/api/jobs", second);
+  json_t *second = fixture_submission_with_id("req-2");
+  fixture_send_request(fixture, "POST", "/api/jobs", second);
   fixture_run(fixture, 0.5);
   g_assert_true(sim_store_has(fixture->store, "w/task/req-2/0"));
   fixture_free(fixture);
@@ -120,7 +120,7 @@
     fixture_post_heartbeat(fixture, "m-1", sequence == 1 ? 0 : 1, sequence, json_array());
     fixture_run(fixture, 1.0);
   }
-  g_assert_cmpuint(sim_store_count(fixture->store, "w/mark/"), ==, 1);
+  g_assert_cmpuint(sim_store_count_keys(fixture->store, "w/mark/"), ==, 1);
   g_assert_true(sim_store_has(fixture->store, "w/mark/m-2"));
   fixture_free(fixture);
 }
@@ -141,9 +141,9 @@
     fixture_run(fixture, 1.5);
   }
   fixture_run(fixture, 2.0 * fixture->settings->lease_s);
-  g_assert_cmpuint(sim_store_count(fixture->store, "w/mark/"), ==, 0);
+  g_assert_cmpuint(sim_store_count_keys(fixture->store, "w/mark/"), ==, 0);
   fixture_run(fixture, 2.0 * fixture->settings->lease_s);
-  g_assert_cmpuint(sim_store_count(fixture->store, "w/mark/"), ==, 16);
+  g_assert_cmpuint(sim_store_count_keys(fixture->store, "w/mark/"), ==, 16);
   fixture_free(fixture);
 }
 
@@ -162,7 +162,7 @@
   json_object_set_new(job, "kusy", json_integer(6));
   json_object_set_new(job, "cpus", json_real(32.0));
   json_object_set_new(job, "vypujcky", json_true());
-  fixture_call(fixture, "POST", "/api/jobs", job);
+  fixture_send_request(fixture, "POST", "/api/jobs", job);
   fixture_run(fixture, 1.0);
   g_assert_cmpuint(json_array_size(fixture_assignments(fixture, "req-1")), ==, 6);
   fixture->peers_unreachable = peers_silent;
@@ -177,7 +177,7 @@
 {
   Fixture *fixture = restarted_fixture("b", TRUE);
   fixture_run(fixture, 40.0);
-  g_assert_cmpuint(sim_store_count(fixture->store, "w/mark/"), ==, 0);
+  g_assert_cmpuint(sim_store_count_keys(fixture->store, "w/mark/"), ==, 0);
   fixture_free(fixture);
 }
 
@@ -188,9 +188,9 @@
 {
   Fixture *fixture = restarted_fixture("a", FALSE);
   fixture_run(fixture, 14.5); /* the first of them are in the lease of its last run */
-  g_assert_cmpuint(sim_store_count(fixture->store, "w/mark/"), ==, 0);
+  g_assert_cmpuint(sim_store_count_keys(fixture->store, "w/mark/"), ==, 0);
   fixture_run(fixture, 6.0);
-  g_assert_cmpuint(sim_store_count(fixture->store, "w/mark/"), ==, 16);
+  g_assert_cmpuint(sim_store_count_keys(fixture->store, "w/mark/"), ==, 16);
   fixture_free(fixture);
 }
 
@@ -208,7 +208,7 @@
   g_assert_cmpuint(fixture->status, ==, 200);
   fixture_run(fixture, 2.0);
   g_assert_true(fixture_task_is_assigned(fixture));
-  g_assert_cmpuint(sim_store_count(fixture->store, "w/mark/"), ==, 0);
+  g_assert_cmpuint(sim_store_count_keys(fixture->store, "w/mark/"), ==, 0);
   fixture_free(fixture);
 }
 
@@ -222,11 +222,11 @@
     fixture_post_heartbeat(fixture, "m-2", sequence == 1 ? 0 : 1, sequence, json_array());
     fixture_run(fixture, 1.0);
   }
-  g_assert_cmpuint(sim_store_count(fixture->store, "w/mark/"), ==, 0);
+  g_assert_cmpuint(sim_store_count_keys(fixture->store, "w/mark/"), ==, 0);
   for (guint64 sequence = 31; sequence <= 50; sequence++) {
     fixture_post_heartbeat(fixture, "m-2", 1, sequence, json_array());
     fixture_run(fixture, 1.0);
   }
-  g_assert_cmpuint(sim_store_count(fixture->store, "w/mark/"), ==, 1);
+  g_assert_cmpuint(sim_store_count_keys(fixture->store, "w/mark/"), ==, 1);
   fixture_free(fixture);
 }
--- a/tests/regressions/scheduling.c
+++ b/tests/regressions/scheduling.c
@@ -19,10 +19,10 @@
       continue;
     guint number = (guint)sequence - 3;
     g_autofree char *id = g_strdup_printf("req-1%u", number);
-    json_t *job = fixture_submission_of(id);
+    json_t *job = fixture_submission_with_id(id);
     json_object_set_new(job, "dilna", json_string(number < 5 ? "red" : "blue"));
     json_object_set_new(job, "cpus", json_real(20.0)); /* one on each machine */
-    fixture_call(fixture, "POST", "/api/jobs", job);
+    fixture_send_request(fixture, "POST", "/api/jobs", job);
   }
 }
 
@@ -45,12 +45,12 @@
                            json_pack("[{s:s, s:i, s:s, s:s}]", "kus", task, "pokus", 1, "stav",
                                      "exited", "duvod", "done"));
   }
-  json_t *critical = fixture_submission_of("req-9");
+  json_t *critical = fixture_submission_with_id("req-9");
   json_object_set_new(critical, "prednost", json_string("critical"));
-  fixture_call(fixture, "POST", "/api/jobs", critical);
+  fixture_send_request(fixture, "POST", "/api/jobs", critical);
   json_t *before = fixture->last_transaction;
   fixture_reply(fixture, fixture->held_call, 409, NULL);
-  fixture_pump(fixture);
+  fixture_handle_outputs(fixture);
   for (guint i = 0; i < 20 && fixture->last_transaction == before; i++)
     fixture_run(fixture, 0.05);
   g_assert_true(transaction_names_key(fixture->last_transaction, "apply", "set", "w/task/req-9/0"));
@@ -62,7 +62,7 @@
 void
 test_small_task_leaves_large_machine_free(void)
 {
-  Fixture *fixture = fixture_new_with_two_types();
+  Fixture *fixture = fixture_new_with_two_machine_types();
   for (guint64 sequence = 1; sequence <= 2; sequence++) {
     fixture_post_heartbeat(fixture, "m-1", sequence - 1, sequence, json_array());
     json_t *small = fixture_heartbeat(fixture, "m-2", sequence - 1, sequence, json_array());
@@ -70,7 +70,7 @@
     fixture_post(fixture, "/v1/report", small);
     fixture_run(fixture, 0.5);
   }
-  fixture_call(fixture, "POST", "/api/jobs", fixture_submission());
+  fixture_send_request(fixture, "POST", "/api/jobs", fixture_submission());
   fixture_run(fixture, 1.0);
   const json_t *on = fixture_assignments(fixture, "req-1");
   g_assert_cmpstr(json_string_value(json_array_get(json_array_get(on, 0), 1)), ==, "m-2");
@@ -85,16 +85,16 @@
   Fixture *fixture = fixture_new_with_machine(TRUE);
   json_t *large = fixture_submission();
   json_object_set_new(large, "cpus", json_real(32.0));
-  fixture_call(fixture, "POST", "/api/jobs", large);
+  fixture_send_request(fixture, "POST", "/api/jobs", large);
   fixture_run(fixture, 1.0);
   for (guint second = 0; second < run_s; second++) {
     fixture_send_heartbeat(fixture, 1, one_task_in_state("running", ""));
     fixture_run(fixture, 0.7);
   }
-  json_t *urgent = fixture_submission_of("req-2");
+  json_t *urgent = fixture_submission_with_id("req-2");
   json_object_set_new(urgent, "prednost", json_string("urgent"));
   json_object_set_new(urgent, "odhad_s", json_real(10.0));
-  fixture_call(fixture, "POST", "/api/jobs", urgent);
+  fixture_send_request(fixture, "POST", "/api/jobs", urgent);
   fixture_run(fixture, 1.0);
   fixture_send_heartbeat(fixture, 1, one_task_in_state("running", ""));
   gboolean is_stopped = fixture_has_command(fixture, "halt");
@@ -122,15 +122,15 @@
   json_t *filling = fixture_submission();
   json_object_set_new(filling, "kusy", json_integer(6));
   json_object_set_new(filling, "prednost", json_string("best_effort"));
-  fixture_call(fixture, "POST", "/api/jobs", filling);
+  fixture_send_request(fixture, "POST", "/api/jobs", filling);
   fixture_run(fixture, 1.5);
   const json_t *record = sim_store_get(fixture->store, "w/task/req-1/0");
   g_assert_cmpuint(json_array_size(json_object_get(record, "on")), ==, 6);
   guint commands = fixture->direct_commands;
-  json_t *urgent = fixture_submission_of("req-2");
+  json_t *urgent = fixture_submission_with_id("req-2");
   json_object_set_new(urgent, "prednost", json_string("urgent"));
   json_object_set_new(urgent, "hala", json_string(zone));
-  fixture_call(fixture, "POST", "/api/jobs", urgent);
+  fixture_send_request(fixture, "POST", "/api/jobs", urgent);
   fixture_run(fixture, 1.0);
   gboolean is_stopped = fixture->direct_commands > commands;
   fixture_free(fixture);
@@ -153,17 +153,17 @@
 test_reservation_holds_until_declined(void)
 {
   Fixture *fixture = fixture_new_with_machine(TRUE);
-  json_t *urgent = fixture_submission_of("req-2");
+  json_t *urgent = fixture_submission_with_id("req-2");
   json_object_set_new(urgent, "prednost", json_string("urgent"));
   json_object_set_new(urgent, "kusy", json_integer(4));
   json_object_set_new(urgent, "hala", json_string("b"));
-  fixture_call(fixture, "POST", "/api/jobs", urgent);
+  fixture_send_request(fixture, "POST", "/api/jobs", urgent);
   fixture_send_peer_message(
       fixture, "/ask",
       json_pack("{s:i, s:[[s, i, s]]}", "epoch", 1, "reservations", "req-2", 4, "m-1"));
   json_t *best_effort = fixture_submission();
   json_object_set_new(best_effort, "prednost", json_string("best_effort"));
-  fixture_call(fixture, "POST", "/api/jobs", best_effort);
+  fixture_send_request(fixture, "POST", "/api/jobs", best_effort);
   fixture_run(fixture, 1.5);
   g_assert_false(fixture_task_is_assigned(fixture));
   fixture_send_heartbeat(fixture, 1, json_array());
@@ -200,7 +200,7 @@
 submit_number(Fixture *fixture, guint i)
 {
   g_autofree char *id = g_strdup_printf("req-%u", i);
-  json_t *job = fixture_submission_of(id);
+  json_t *job = fixture_submission_with_id(id);
   fixture_post(fixture, "/api/jobs", job);
 }
 
@@ -226,7 +226,7 @@
   static const char *const MACHINES[] = { "m-1", "m-2", "m-3" };
   Fixture *fixture = fixture_new(TRUE);
   fixture->settings->kv_max_txn_ops = 3; /* the teams' use and two jobs that end */
-  fixture_lift_quotas(fixture);
+  fixture_remove_quotas(fixture);
   register_machines(fixture, MACHINES, G_N_ELEMENTS(MACHINES));
   for (guint i = 1; i <= JOBS_TO_COMPLETE; i++)
     submit_number(fixture, i);
--- a/tests/regressions/writes.c
+++ b/tests/regressions/writes.c
@@ -23,7 +23,7 @@
   Fixture *fixture = fixture_new_with_job(TRUE);
   fixture_send_heartbeat(fixture, 1, one_task_in_state("exited", "done"));
   g_assert_false(fixture_has_command(fixture, "reap"));
-  fixture_call(fixture, "GET", "/api/jobs/req-1", NULL);
+  fixture_send_request(fixture, "GET", "/api/jobs/req-1", NULL);
   g_assert_cmpstr(json_string_value(json_object_get(fixture->answer, "stav")), ==, "done");
   fixture_send_heartbeat(fixture, 1, one_task_in_state("exited", "done"));
   g_assert_true(fixture_has_command(fixture, "reap"));
@@ -36,7 +36,7 @@
 {
   Fixture *fixture = fixture_new_with_job(TRUE);
   fixture_send_heartbeat(fixture, 0, one_task_in_state("exited", "done"));
-  fixture_call(fixture, "GET", "/api/jobs/req-1", NULL);
+  fixture_send_request(fixture, "GET", "/api/jobs/req-1", NULL);
   g_assert_cmpstr(json_string_value(json_object_get(fixture->answer, "stav")), !=, "done");
   fixture_free(fixture);
 }
@@ -47,8 +47,8 @@
 {
   Fixture *fixture = fixture_new_with_job(TRUE);
   fixture_send_heartbeat(fixture, 1, one_task_in_state("running", ""));
-  fixture_call(fixture, "POST", "/v1/report",
-               fixture_heartbeat(fixture, "m-1", 1, 1, json_array()));
+  fixture_send_request(fixture, "POST", "/v1/report",
+                       fixture_heartbeat(fixture, "m-1", 1, 1, json_array()));
   g_assert_cmpuint(fixture->status, ==, 200);
   g_assert_false(fixture_has_command(fixture, "launch"));
   fixture_free(fixture);
@@ -60,7 +60,7 @@
 test_no_release_while_launch_is_indeterminate(void)
 {
   Fixture *fixture = fixture_new_with_job(FALSE);
-  fixture_call(fixture, "POST", "/api/jobs/req-1/withdraw", NULL);
+  fixture_send_request(fixture, "POST", "/api/jobs/req-1/withdraw", NULL);
   g_assert_cmpuint(fixture->status, ==, 200);
   fixture_send_heartbeat(fixture, 1, json_array());
   fixture_run(fixture, 1.0);
@@ -105,7 +105,7 @@
 test_absence_releases_after_acknowledged_launch(void)
 {
   Fixture *fixture = fixture_new_with_job(TRUE);
-  fixture_call(fixture, "POST", "/api/jobs/req-1/withdraw", NULL);
+  fixture_send_request(fixture, "POST", "/api/jobs/req-1/withdraw", NULL);
   fixture_send_heartbeat(fixture, 0, json_array());
   g_assert_true(fixture_task_is_assigned(fixture));
   fixture_send_heartbeat(fixture, 1, json_array());
@@ -131,19 +131,19 @@
 test_task_is_assigned_once(void)
 {
   Fixture *fixture = fixture_new_with_job(TRUE);
-  fixture_call(fixture, "POST", "/v1/report",
-               fixture_heartbeat(fixture, "m-2", 0, 1, json_array()));
-  fixture_call(fixture, "POST", "/v1/report",
-               fixture_heartbeat(fixture, "m-2", 1, 2, json_array()));
-  json_t *second = fixture_submission_of("req-2");
+  fixture_send_request(fixture, "POST", "/v1/report",
+                       fixture_heartbeat(fixture, "m-2", 0, 1, json_array()));
+  fixture_send_request(fixture, "POST", "/v1/report",
+                       fixture_heartbeat(fixture, "m-2", 1, 2, json_array()));
+  json_t *second = fixture_submission_with_id("req-2");
   fixture->hold_assignment = TRUE;
-  fixture_call(fixture, "POST", "/api/jobs", second);
+  fixture_send_request(fixture, "POST", "/api/jobs", second);
   g_assert_cmpuint(fixture->held_call, !=, 0);
   fixture_request(fixture, WS_LISTENER_MESH, "POST", "/ask",
                   json_pack("{s:i, s:[[s, i, s], [s, i, s]], s:[]}", "epoch", 1, "picks", "req-2",
                             0, "m-1", "req-2", 0, "m-2", "stops"));
   fixture_reply(fixture, fixture->held_call, 409, NULL);
-  fixture_pump(fixture);
+  fixture_handle_outputs(fixture);
   fixture_run(fixture, 1.0);
   const json_t *record = sim_store_get(fixture->store, "w/task/req-2/0");
   g_assert_cmpuint(json_array_size(json_object_get(record, "on")), ==, 1);
@@ -155,10 +155,10 @@
 test_gang_shares_attempt_and_halts_together(void)
 {
   Fixture *fixture = fixture_new_with_job(TRUE);
-  json_t *gang = fixture_submission_of("req-2");
+  json_t *gang = fixture_submission_with_id("req-2");
   json_object_set_new(gang, "druh", json_string("group"));
   json_object_set_new(gang, "kusy", json_integer(2));
-  fixture_call(fixture, "POST", "/api/jobs", gang);
+  fixture_send_request(fixture, "POST", "/api/jobs", gang);
   fixture_run(fixture, 1.0);
   const json_t *on = fixture_assignments(fixture, "req-2");
   g_assert_cmpuint(json_array_size(on), ==, 2);
@@ -209,7 +209,7 @@
   fixture->hold_watch = TRUE;
   fixture_restart(fixture);
   fixture_send_heartbeat(fixture, 2, json_array());
-  fixture_call(fixture, "POST", "/api/jobs", fixture_submission());
+  fixture_send_request(fixture, "POST", "/api/jobs", fixture_submission());
   fixture_run(fixture, 2.0);
   g_assert_false(fixture_task_is_assigned(fixture));
   fixture_release_watch(fixture);
--- a/tests/sim/drawn-faults.c
+++ b/tests/sim/drawn-faults.c
@@ -15,7 +15,7 @@
   (void)seconds;
   sim_faults(sim)->store_refuses_nodes
       = 1u << (g_rand_boolean(sim_rand(sim)) ? sim_leader_or_first(sim)
-                                             : sim_other_node(sim_leader_or_first(sim)));
+                                             : sim_next_node(sim_leader_or_first(sim)));
 }
 
 static void
@@ -80,13 +80,13 @@
 begin_lossy_network(Sim *sim, double seconds)
 {
   (void)seconds;
-  sim_faults(sim)->net = (SimNet){ 0.05, 0.05, 0.1 };
+  sim_faults(sim)->net = (SimNetworkFaults){ 0.05, 0.05, 0.1 };
 }
 
 static void
 end_lossy_network(Sim *sim)
 {
-  sim_faults(sim)->net = (SimNet){ 0 };
+  sim_faults(sim)->net = (SimNetworkFaults){ 0 };
 }
 
 static void
@@ -159,7 +159,7 @@
 {
   (void)seconds;
   sim_inject_machine_faults(sim, 2, sim_stall_machine, 8.0);
-  sim_cancel_many(sim, 5);
+  sim_cancel_random_jobs(sim, 5);
 }
 
 static void
@@ -204,8 +204,8 @@
 {
   (void)seconds;
   for (guint i = 0; i < 2; i++)
-    sim_kill_any_machine(sim);
-  sim_restart_any_machine(sim);
+    sim_kill_random_machine(sim);
+  sim_restart_random_machine(sim);
 }
 
 static void
@@ -281,13 +281,13 @@
     for (guint i = 0; i < count; i++)
       step_scheduled_fault(sim, &drawn[i], now_s);
     if (g_rand_int_range(rand, 0, 16) == 0)
-      sim_cancel_many(sim, 1);
+      sim_cancel_random_jobs(sim, 1);
     sim_run(sim, 0.5);
   }
 }
 
 void
-sim_repeat_malformed_requests(Sim *sim)
+sim_send_malformed_requests_repeatedly(Sim *sim)
 {
   begin_malformed_requests(sim, 0.0);
 }
--- a/tests/sim/fault-injection.c
+++ b/tests/sim/fault-injection.c
@@ -18,14 +18,14 @@
 }
 
 void
-sim_cancel_many(Sim *sim, guint count)
+sim_cancel_random_jobs(Sim *sim, guint count)
 {
   for (guint i = 0; i < count; i++)
-    sim_cancel_any(sim);
+    sim_cancel_random_job(sim);
 }
 
 guint
-sim_other_node(guint node)
+sim_next_node(guint node)
 {
   return (node + 1) % SIM_NODES;
 }
@@ -48,17 +48,17 @@
 }
 
 void
-sim_run_until_closed(Sim *sim, guint max_seconds)
+sim_run_until_jobs_end(Sim *sim, guint max_seconds)
 {
-  for (guint i = 0; i < max_seconds && sim_open_jobs(sim) > 0; i++)
+  for (guint i = 0; i < max_seconds && sim_count_open_jobs(sim) > 0; i++)
     sim_run(sim, 1.0);
 }
 
 void
-sim_cancel_until_closed(Sim *sim, guint max_rounds, double pause_s)
+sim_cancel_until_jobs_end(Sim *sim, guint max_rounds, double pause_s)
 {
-  for (guint i = 0; i < max_rounds && sim_open_jobs(sim) > 0; i++) {
-    sim_cancel_any(sim);
+  for (guint i = 0; i < max_rounds && sim_count_open_jobs(sim) > 0; i++) {
+    sim_cancel_random_job(sim);
     sim_run(sim, pause_s);
   }
 }
@@ -67,15 +67,16 @@
 sim_expect_recovery(Sim *sim)
 {
   sim_end_faults(sim);
-  sim_run_until_closed(sim, 400);
-  if (sim_open_jobs(sim) > 0)
-    g_error("%u jobs are not served", sim_open_jobs(sim));
-  if (sim_rejected_for_size(sim) > 0)
-    g_error("%u transactions were refused for their size", sim_rejected_for_size(sim));
+  sim_run_until_jobs_end(sim, 400);
+  if (sim_count_open_jobs(sim) > 0)
+    g_error("%u jobs are not served", sim_count_open_jobs(sim));
+  if (sim_count_rejected_for_size(sim) > 0)
+    g_error("%u transactions were refused for their size", sim_count_rejected_for_size(sim));
   sim_run(sim, 150.0);
-  if (sim_machines(sim) > 0 || sim_marks(sim) > 0 || sim_unrecorded(sim) > 0)
-    g_error("%u machines leaked, %u without a record, %u marks", sim_machines(sim),
-            sim_unrecorded(sim), sim_marks(sim));
+  if (sim_count_machines(sim) > 0 || sim_count_termination_marks(sim) > 0
+      || sim_count_unrecorded_machines(sim) > 0)
+    g_error("%u machines leaked, %u without a record, %u marks", sim_count_machines(sim),
+            sim_count_unrecorded_machines(sim), sim_count_termination_marks(sim));
 }
 
 Sim *
--- a/tests/sim/fault-injection.h
+++ b/tests/sim/fault-injection.h
@@ -13,13 +13,13 @@
 Sim *sim_new_with_load(guint32 seed);
 
 /** Cancels as many random jobs. */
-void sim_cancel_many(Sim *sim, guint count);
+void sim_cancel_random_jobs(Sim *sim, guint count);
 
 /** The node that leads, or node 0 while none does. */
 guint sim_leader_or_first(const Sim *sim);
 
 /** The node after this one. */
-guint sim_other_node(guint node);
+guint sim_next_node(guint node);
 
 /** Injects the fault into random machines that are up. */
 void sim_inject_machine_faults(Sim *sim, guint count, SimMachineFault inject, double seconds);
@@ -28,16 +28,16 @@
 void sim_inject_random_faults(Sim *sim);
 
 /** Runs until no job is open, or for so many seconds. */
-void sim_run_until_closed(Sim *sim, guint max_seconds);
+void sim_run_until_jobs_end(Sim *sim, guint max_seconds);
 
 /** Cancels a random job at a time until none is open, or so many times, with a pause after each. */
-void sim_cancel_until_closed(Sim *sim, guint max_rounds, double pause_s);
+void sim_cancel_until_jobs_end(Sim *sim, guint max_rounds, double pause_s);
 
 /** Ends all faults; fails unless then every job completes, and no machine leaks. */
 void sim_expect_recovery(Sim *sim);
 
 /** Sends malformed requests five times within a few seconds. */
-void sim_repeat_malformed_requests(Sim *sim);
+void sim_send_malformed_requests_repeatedly(Sim *sim);
 
 /** How many seeds a test plays: as usual, or WS_SEEDS. */
 guint sim_seed_count(guint usual);
--- a/tests/sim/fixture.c
+++ b/tests/sim/fixture.c
@@ -159,7 +159,7 @@
 }
 
 void
-fixture_pump(Fixture *fixture)
+fixture_handle_outputs(Fixture *fixture)
 {
   WsOutput *output;
   while ((output = ws_core_pop_output(fixture->core)) != NULL) {
@@ -185,7 +185,7 @@
        fixture->now_ms += 50) {
     sim_store_tick(fixture->store, fixture->now_ms, fixture->store_unavailable);
     ws_core_tick(fixture->core, fixture->now_ms, fixture->now_ms);
-    fixture_pump(fixture);
+    fixture_handle_outputs(fixture);
   }
 }
 
@@ -197,7 +197,7 @@
   ws_core_handle_request(fixture->core, fixture->now_ms, fixture->now_ms, door, method, path, text,
                          text != NULL ? strlen(text) : 0, fixture);
   json_decref(body);
-  fixture_pump(fixture);
+  fixture_handle_outputs(fixture);
 }
 
 void
@@ -214,14 +214,14 @@
 }
 
 void
-fixture_call(Fixture *fixture, const char *method, const char *path, json_t *body)
+fixture_send_request(Fixture *fixture, const char *method, const char *path, json_t *body)
 {
   fixture_request(fixture, WS_LISTENER_API, method, path, body);
   fixture_run(fixture, 0.3);
 }
 
 void
-fixture_lift_quotas(Fixture *fixture)
+fixture_remove_quotas(Fixture *fixture)
 {
   for (guint t = 0; t < fixture->settings->teams->len; t++)
     ((WsTeamSettings *)g_ptr_array_index(fixture->settings->teams, t))->limit = (WsResources){ 0 };
@@ -248,8 +248,9 @@
 void
 fixture_send_heartbeat(Fixture *fixture, guint64 fencing_token, json_t *tasks)
 {
-  fixture_call(fixture, "POST", "/v1/report",
-               fixture_heartbeat(fixture, "m-1", fencing_token, ++fixture->sequence, tasks));
+  fixture_send_request(
+      fixture, "POST", "/v1/report",
+      fixture_heartbeat(fixture, "m-1", fencing_token, ++fixture->sequence, tasks));
 }
 
 gboolean
@@ -300,7 +301,7 @@
 }
 
 json_t *
-fixture_submission_of(const char *id)
+fixture_submission_with_id(const char *id)
 {
   json_t *submission = fixture_submission();
   json_object_set_new(submission, "id", json_string(id));
@@ -346,7 +347,7 @@
 }
 
 Fixture *
-fixture_new_with_two_types(void)
+fixture_new_with_two_machine_types(void)
 {
   return new_fixture(TRUE, TRUE);
 }
@@ -355,7 +356,7 @@
 fixture_new_with_job(gboolean workers_answer)
 {
   Fixture *fixture = fixture_new_with_machine(workers_answer);
-  fixture_call(fixture, "POST", "/api/jobs", fixture_submission());
+  fixture_send_request(fixture, "POST", "/api/jobs", fixture_submission());
   fixture_run(fixture, 1.0);
   g_assert_true(fixture_task_is_assigned(fixture));
   g_assert_cmpuint(fixture->direct_commands, >, 0);
--- a/tests/sim/fixture.h
+++ b/tests/sim/fixture.h
@@ -58,7 +58,7 @@
 /** The same with the job req-1, whose task is assigned to the machine. */
 Fixture *fixture_new_with_job(gboolean workers_answer);
 /** A controller without machines, where the cloud has a small type beside the large one. */
-Fixture *fixture_new_with_two_types(void);
+Fixture *fixture_new_with_two_machine_types(void);
 /** Ends the controller and what it talks to. */
 void fixture_free(Fixture *fixture);
 /** The controller ends and begins anew, with the same store. */
@@ -66,18 +66,19 @@
 /** Ends the hold on watches, and gives the one that is held back an empty answer. */
 void fixture_release_watch(Fixture *fixture);
 /** Takes the answers and calls that the controller has put out. */
-void fixture_pump(Fixture *fixture);
+void fixture_handle_outputs(Fixture *fixture);
 /** Lets time pass, in ticks of 50 ms. */
 void fixture_run(Fixture *fixture, double seconds);
 /** A request, and no pause after it. */
 void fixture_request(Fixture *fixture, WsListener door, const char *method, const char *path,
                      json_t *body /* taken, may be NULL */);
 /** The teams have no limits. */
-void fixture_lift_quotas(Fixture *fixture);
+void fixture_remove_quotas(Fixture *fixture);
 /** A POST, and no pause after it. */
 void fixture_post(Fixture *fixture, const char *path, json_t *body /* taken */);
 /** A request, and a moment for its answer. */
-void fixture_call(Fixture *fixture, const char *method, const char *path, json_t *body /* taken */);
+void fixture_send_request(Fixture *fixture, const char *method, const char *path,
+                          json_t *body /* taken */);
 /** The body of a heartbeat; @tasks is taken. */
 json_t *fixture_heartbeat(const Fixture *fixture, const char *machine, guint64 fencing_token,
                           guint64 sequence, json_t *tasks);
@@ -91,7 +92,7 @@
 /** The submission of a job of one task, req-1 or the one named. */
 json_t *fixture_submission(void);
 /** The same for the job named. */
-json_t *fixture_submission_of(const char *id);
+json_t *fixture_submission_with_id(const char *id);
 /** What is recorded as assigned of the first tasks of the job; NULL: no record. */
 const json_t *fixture_assignments(const Fixture *fixture, const char *job);
 /** Whether the task of the job req-1 is assigned. */
--- a/tests/sim/sim-checker.c
+++ b/tests/sim/sim-checker.c
@@ -6,7 +6,7 @@
 #include <string.h>
 
 gboolean
-sim_describe(gpointer world, const char *id, guint task, double *run_s)
+sim_describe_task(gpointer world, const char *id, guint task, double *run_s)
 {
   const Job *job = sim_find_job(world, id);
   *run_s = job != NULL && !job->spec.service ? job->spec.run_s : -1.0;
@@ -46,7 +46,7 @@
 check_start(Sim *sim, const Machine *machine, const SimTask *task)
 {
   const Job *job = sim_find_job(sim, task->job);
-  if (job->told == TOLD_CANCELLED && sim->now_ms > job->cancelled_ms + ON_ITS_WAY_MS)
+  if (job->told == REPORTED_CANCELLED && sim->now_ms > job->cancelled_ms + ON_ITS_WAY_MS)
     sim->late_starts++;
   Running count = { 0 };
   count_running(sim, machine, job, task->task, &count);
@@ -59,14 +59,14 @@
       || (job->spec.one_zone && count.in_zone < count.same_job)
       || (job->spec.scatter && count.in_zone + 1 > (job->spec.tasks + 1) / 2))
     g_error("seed %u, %.1f s: wrong_place: %s/%u", sim->seed, sim_now_s(sim), job->id, task->task);
-  g_assert_cmpuint(count.on_machine, <, SIM_SLOTS);
+  g_assert_cmpuint(count.on_machine, <, SIM_MACHINE_SLOTS);
 }
 
 static void
 check_cancelled(Sim *sim, const SimTask *task)
 {
   const Job *job = sim_find_job(sim, task->job);
-  if (job->told == TOLD_CANCELLED && sim_task_occupies_slot(task)
+  if (job->told == REPORTED_CANCELLED && sim_task_occupies_slot(task)
       && sim->now_ms > job->cancelled_ms + CANCEL_MS)
     g_error("seed %u, %.1f s: ran_cancelled: %s/%u", sim->seed, sim_now_s(sim), job->id,
             task->task);
@@ -77,7 +77,7 @@
 {
   double run_s;
   check_cancelled(sim, task);
-  if (sim->now_ms < task->next_ms || !sim_describe(sim, task->job, task->task, &run_s))
+  if (sim->now_ms < task->next_ms || !sim_describe_task(sim, task->job, task->task, &run_s))
     return;
   if (strcmp(task->state, "fetching") == 0) {
     gboolean is_gang = sim_find_job(sim, task->job)->spec.gang;
@@ -85,7 +85,7 @@
       sim_check_one_attempt(sim, task);
     check_start(sim, machine, task);
     if (is_gang) {
-      sim_gang_task_is_ready(sim, machine, task);
+      sim_gang_handle_ready_task(sim, machine, task);
       return;
     }
     sim_find_job(sim, task->job)->has_started = TRUE;
@@ -97,8 +97,8 @@
     task->why = "done";
     Job *job = sim_find_job(sim, task->job);
     job->completed[task->task] = 1;
-    if (sim_chance(sim, sim->cancel_at_completion))
-      sim_user_cancels(sim, job);
+    if (sim_draw_chance(sim, sim->cancel_at_completion))
+      sim_user_cancel(sim, job);
     machine->next_heartbeat_ms = MIN(machine->next_heartbeat_ms, sim->now_ms + 500);
   }
 }
@@ -125,7 +125,7 @@
 }
 
 guint
-sim_machine_running(const Sim *sim, guint job)
+sim_find_machine_running_job(const Sim *sim, guint job)
 {
   for (guint i = 0; i < sim->machines->len; i++)
     if (running_on(sim, g_ptr_array_index(sim->machines, i), g_ptr_array_index(sim->jobs, job)) > 0)
@@ -134,7 +134,7 @@
 }
 
 guint
-sim_late_starts(const Sim *sim)
+sim_count_late_starts(const Sim *sim)
 {
   return sim->late_starts;
 }
@@ -143,8 +143,8 @@
 sim_check_answered(const Sim *sim, const Job *job)
 {
   gint64 since_ms = MAX(job->answered_ms, sim->faults_ended_ms);
-  if (sim->faults_ended_ms > 0 && job->told == TOLD_ACCEPTED
-      && sim->now_ms - since_ms > UNHEARD_JOB_LIMIT_MS)
+  if (sim->faults_ended_ms > 0 && job->told == REPORTED_ACCEPTED
+      && sim->now_ms - since_ms > UNANSWERED_JOB_LIMIT_MS)
     g_error("seed %u, %.1f s: forgotten: nothing is heard of %s", sim->seed, sim_now_s(sim),
             job->id);
 }
@@ -180,18 +180,18 @@
          && machine->worker->interruption_ms == 0
          && sim->now_ms >= machine->outbound_unreachable_until_ms
          && sim->now_ms >= machine->inbound_unreachable_until_ms
-         && (job->spec.spot || !machine->worker->spot) && taken < SIM_SLOTS;
+         && (job->spec.spot || !machine->worker->spot) && taken < SIM_MACHINE_SLOTS;
 }
 
 /* Once the faults are over no job waits for long while a machine that fits has free capacity and
    its team is under its limit. Jobs bound to zones are left out: where they fit depends on their
    other tasks. */
 void
-sim_check_waiting(const Sim *sim, Job *job)
+sim_check_idle_capacity(const Sim *sim, Job *job)
 {
   gboolean any = FALSE;
   guint team = 0;
-  if (sim->faults_ended_ms == 0 || job->told != TOLD_ACCEPTED || job->cancelling
+  if (sim->faults_ended_ms == 0 || job->told != REPORTED_ACCEPTED || job->cancelling
       || job->spec.scatter || job->spec.one_zone || job->spec.zone != NULL)
     return;
   for (guint i = 0; i < sim->machines->len && !any; i++)
@@ -199,10 +199,10 @@
   any = any && count_placed(sim, job, &team) < job->spec.tasks
         && team < (strcmp(job->spec.team, "red") == 0 ? 6u : 8u);
   if (!any)
-    job->beside_capacity_ms = 0;
-  else if (job->beside_capacity_ms == 0)
-    job->beside_capacity_ms = sim->now_ms;
-  else if (sim->now_ms - job->beside_capacity_ms > IDLE_CAPACITY_LIMIT_MS)
+    job->beside_capacity_since_ms = 0;
+  else if (job->beside_capacity_since_ms == 0)
+    job->beside_capacity_since_ms = sim->now_ms;
+  else if (sim->now_ms - job->beside_capacity_since_ms > IDLE_CAPACITY_LIMIT_MS)
     g_error("seed %u, %.1f s: %s waits beside room", sim->seed, sim_now_s(sim), job->id);
 }
 
@@ -234,38 +234,38 @@
 }
 
 guint
-sim_open_jobs(const Sim *sim)
+sim_count_open_jobs(const Sim *sim)
 {
-  return count_told(sim, TOLD_ACCEPTED) + count_told(sim, TOLD_NOTHING);
+  return count_told(sim, REPORTED_ACCEPTED) + count_told(sim, REPORTED_NONE);
 }
 
 guint
-sim_done_jobs(const Sim *sim)
+sim_count_done_jobs(const Sim *sim)
 {
-  return count_told(sim, TOLD_DONE);
+  return count_told(sim, REPORTED_DONE);
 }
 
 guint
-sim_lost_tasks(const Sim *sim)
+sim_count_lost_tasks(const Sim *sim)
 {
   return sim->lost_tasks;
 }
 
 guint
-sim_returned_tasks(const Sim *sim)
+sim_count_returned_tasks(const Sim *sim)
 {
   return sim->returned_tasks;
 }
 
 gboolean
-sim_has_started(const Sim *sim, guint index)
+sim_job_has_started(const Sim *sim, guint index)
 {
   const Job *job = g_ptr_array_index(sim->jobs, index);
   return job->has_started || job->cancelling;
 }
 
 guint
-sim_machines_in(const Sim *sim, const char *zone)
+sim_count_machines_in_zone(const Sim *sim, const char *zone)
 {
   guint count = 0;
   for (guint i = 0; i < sim->machines->len; i++) {
@@ -276,28 +276,28 @@
 }
 
 guint
-sim_machines(const Sim *sim)
+sim_count_machines(const Sim *sim)
 {
   guint count = 0;
   for (guint z = 0; z < G_N_ELEMENTS(SIM_ZONES); z++)
-    count += sim_machines_in(sim, SIM_ZONES[z]);
+    count += sim_count_machines_in_zone(sim, SIM_ZONES[z]);
   return count;
 }
 
 guint
-sim_marks(const Sim *sim)
+sim_count_termination_marks(const Sim *sim)
 {
-  return sim_store_count(sim->store, "w/mark/");
+  return sim_store_count_keys(sim->store, "w/mark/");
 }
 
 guint
-sim_task_records(const Sim *sim)
+sim_count_task_records(const Sim *sim)
 {
-  return sim_store_count(sim->store, "w/task/");
+  return sim_store_count_keys(sim->store, "w/task/");
 }
 
 guint
-sim_unrecorded(const Sim *sim)
+sim_count_unrecorded_machines(const Sim *sim)
 {
   guint count = 0;
   for (guint i = 0; i < sim->machines->len; i++) {
--- a/tests/sim/sim-cloud.c
+++ b/tests/sim/sim-cloud.c
@@ -33,12 +33,13 @@
   if (names == NULL) {
     names = json_array();
     for (json_int_t i = json_integer_value(json_object_get(body, "how_many"));
-         i > 0 && (sim->faults.max_machines == 0 || sim_machines(sim) < sim->faults.max_machines);
+         i > 0
+         && (sim->faults.max_machines == 0 || sim_count_machines(sim) < sim->faults.max_machines);
          i--) {
       g_autofree char *name = g_strdup_printf("m-%06u", sim->machines->len);
       Machine *machine = g_new0(Machine, 1);
       machine->up_ms = sim->now_ms + BOOT_MS / 2 + g_rand_int_range(sim->rand, 0, BOOT_MS);
-      if (sim_chance(sim, 0.03))
+      if (sim_draw_chance(sim, 0.03))
         machine->up_ms = G_MAXINT64;
       machine->worker
           = sim_worker_new(name, "g4", zone_named(json_string_value(json_object_get(body, "hala"))),
@@ -90,23 +91,24 @@
 sim_send_to_cloud(Sim *sim, Call *call)
 {
   if (sim->faults.cloud_unavailable) {
-    sim_reply_to(call, 503, json_pack("{s:s}", "error", "trouble"));
+    sim_reply_to_call(call, 503, json_pack("{s:s}", "error", "trouble"));
   } else if (g_str_has_prefix(call->path, "/catalog")) {
-    sim_reply_to(call, 200,
-                 json_pack("{s:[{s:s, s:f, s:f, s:f, s:f, s:f, s:f, s:f, s:f, s:[s,s,s]}]}", "typy",
-                           "sku", "g4", "cpus", 32.0, "accelerators", (double)SIM_SLOTS, "mem_gb",
-                           64.0, "local_gb", 100.0, "pull_gb_per_s", 1.0, "price", 8.0, "low_price",
-                           3.0, "boot_s", 8.0, "haly", "a", "b", "c"));
+    sim_reply_to_call(call, 200,
+                      json_pack("{s:[{s:s, s:f, s:f, s:f, s:f, s:f, s:f, s:f, s:f, s:[s,s,s]}]}",
+                                "typy", "sku", "g4", "cpus", 32.0, "accelerators",
+                                (double)SIM_MACHINE_SLOTS, "mem_gb", 64.0, "local_gb", 100.0,
+                                "pull_gb_per_s", 1.0, "price", 8.0, "low_price", 3.0, "boot_s", 8.0,
+                                "haly", "a", "b", "c"));
   } else if (strcmp(call->path, "/machines/return") == 0) {
     return_machines(sim, call->body);
-    sim_reply_to(call, 200, json_object());
+    sim_reply_to_call(call, 200, json_object());
   } else if (strcmp(call->path, "/machines") == 0) {
     if (sim->faults.cloud_is_full)
-      sim_reply_to(call, 503, json_pack("{s:s}", "error", "no capacity"));
+      sim_reply_to_call(call, 503, json_pack("{s:s}", "error", "no capacity"));
     else
-      sim_reply_to(call, 200, rent(sim, call->body));
+      sim_reply_to_call(call, 200, rent(sim, call->body));
   } else {
-    sim_reply_to(call, 200, list_machines(sim));
+    sim_reply_to_call(call, 200, list_machines(sim));
   }
 }
 
--- a/tests/sim/sim-faults.c
+++ b/tests/sim/sim-faults.c
@@ -48,7 +48,7 @@
 }
 
 void
-sim_kill_any_machine(Sim *sim)
+sim_kill_random_machine(Sim *sim)
 {
   Machine *machine = draw_running_machine(sim);
   if (machine == NULL)
@@ -58,7 +58,7 @@
 }
 
 void
-sim_stall_any_machine(Sim *sim, double seconds)
+sim_stall_random_machine(Sim *sim, double seconds)
 {
   Machine *machine = draw_running_machine(sim);
   if (machine != NULL)
@@ -73,7 +73,7 @@
 }
 
 void
-sim_interrupt_any_machine(Sim *sim, double seconds)
+sim_interrupt_random_machine(Sim *sim, double seconds)
 {
   Machine *machine = draw_running_machine(sim);
   if (machine != NULL)
@@ -87,7 +87,7 @@
 }
 
 void
-sim_block_outbound_of_any(Sim *sim, double seconds)
+sim_block_outbound_of_random_machine(Sim *sim, double seconds)
 {
   Machine *machine = draw_running_machine(sim);
   if (machine != NULL)
@@ -134,7 +134,7 @@
 }
 
 void
-sim_restart_any_machine(Sim *sim)
+sim_restart_random_machine(Sim *sim)
 {
   Machine *machine = draw_running_machine(sim);
   if (machine == NULL)
@@ -169,9 +169,9 @@
 }
 
 guint
-sim_rejected_for_size(const Sim *sim)
+sim_count_rejected_for_size(const Sim *sim)
 {
-  return sim_store_rejected_for_size(sim->store);
+  return sim_store_count_rejected_for_size(sim->store);
 }
 
 SimFaults *
--- a/tests/sim/sim-gangs.c
+++ b/tests/sim/sim-gangs.c
@@ -63,7 +63,7 @@
 }
 
 void
-sim_gang_task_is_ready(const Sim *sim, Machine *machine, SimTask *task)
+sim_gang_handle_ready_task(const Sim *sim, Machine *machine, SimTask *task)
 {
   task->state = "gathering";
   task->gathered_ms = sim->now_ms;
@@ -100,7 +100,7 @@
     if (member->task->attempt != attempt)
       continue;
     member->task->state = "running";
-    member->task->save_ms = (gint64)(SIM_SAVE_S * 1000.0);
+    member->task->save_ms = (gint64)(SIM_SAVE_DURATION_S * 1000.0);
     send_heartbeat_soon(sim, member->machine);
   }
 }
@@ -134,7 +134,7 @@
 static void
 lose_attempt(const Sim *sim, Job *job)
 {
-  gint64 checkpoint_ms = (gint64)(SIM_CHECKPOINT_S * 1000.0);
+  gint64 checkpoint_ms = (gint64)(SIM_CHECKPOINT_INTERVAL_S * 1000.0);
   job->gang.progress_ms
       = MAX(job->gang.progress_ms, progress(sim, job) / checkpoint_ms * checkpoint_ms);
   job->gang.is_over = TRUE;
--- a/tests/sim/sim-network.c
+++ b/tests/sim/sim-network.c
@@ -23,7 +23,7 @@
 }
 
 void
-sim_later(Sim *sim, gint64 after_ms, Run run, gpointer data)
+sim_schedule(Sim *sim, gint64 after_ms, Run run, gpointer data)
 {
   Event *event = g_new0(Event, 1);
   *event = (Event){ sim->now_ms + MAX(after_ms, 0), ++sim->order, run, data };
@@ -31,13 +31,13 @@
 }
 
 gboolean
-sim_chance(Sim *sim, double part)
+sim_draw_chance(Sim *sim, double part)
 {
   return part > 0.0 && g_rand_double(sim->rand) < part;
 }
 
 gint64
-sim_wall(const Sim *sim)
+sim_wall_clock_ms(const Sim *sim)
 {
   return sim->now_ms + 1000000;
 }
@@ -84,7 +84,7 @@
   gboolean is_for_node = is_from_node(call);
   gint64 paused_ms = is_for_node ? sim->nodes[call->node].paused_until_ms - sim->now_ms : 0;
   if (!call->over && paused_ms > 0) {
-    sim_later(sim, paused_ms, deliver_reply, call);
+    sim_schedule(sim, paused_ms, deliver_reply, call);
     return;
   }
   if (!call->over) {
@@ -92,14 +92,14 @@
     if (call->machine != NULL) {
       worker_replied(sim, call);
     } else if (call->job != NULL) {
-      sim_user_replied(sim, call);
+      sim_user_handle_reply(sim, call);
     } else if (call->expected != 0) {
       check_malformed_reply(sim, call);
     } else if (sim->nodes[call->node].core != NULL && sim->nodes[call->node].run == call->run) {
       g_autofree char *text = ws_json_serialize(call->answer);
-      ws_core_handle_reply(sim->nodes[call->node].core, sim->now_ms, sim_wall(sim), call->call,
-                           call->status, text, text != NULL ? strlen(text) : 0);
-      sim_pump(sim, call->node);
+      ws_core_handle_reply(sim->nodes[call->node].core, sim->now_ms, sim_wall_clock_ms(sim),
+                           call->call, call->status, text, text != NULL ? strlen(text) : 0);
+      sim_deliver_outputs(sim, call->node);
     }
   }
   sim_call_unref(call);
@@ -124,17 +124,18 @@
 
 /* The answer sets off; it may be lost, and then only the caller's patience ends the call. */
 void
-sim_reply_to(gpointer data, guint status, json_t *body)
+sim_reply_to_call(gpointer data, guint status, json_t *body)
 {
   Call *call = data;
-  if (call->over || call->answer != NULL || sim_chance(call->sim, call->sim->faults.net.lose)) {
+  if (call->over || call->answer != NULL
+      || sim_draw_chance(call->sim, call->sim->faults.net.lose)) {
     json_decref(body);
     sim_call_unref(call);
     return;
   }
   call->status = status;
   call->answer = body;
-  sim_later(call->sim, latency(call->sim), deliver_reply, call);
+  sim_schedule(call->sim, latency(call->sim), deliver_reply, call);
 }
 
 /* Requests to nodes: the core answers by the handle, which is the call. */
@@ -147,9 +148,9 @@
     sim_call_unref(call);
     return;
   }
-  ws_core_handle_request(sim->nodes[node].core, sim->now_ms, sim_wall(sim), door, call->method,
-                         call->path, text, text != NULL ? strlen(text) : 0, call);
-  sim_pump(sim, node);
+  ws_core_handle_request(sim->nodes[node].core, sim->now_ms, sim_wall_clock_ms(sim), door,
+                         call->method, call->path, text, text != NULL ? strlen(text) : 0, call);
+  sim_deliver_outputs(sim, node);
 }
 
 static void
@@ -157,12 +158,12 @@
 {
   json_t *report = NULL;
   if (strcmp(call->path, "/status") == 0) {
-    sim_reply_to(call, 200, sim_worker_heartbeat(machine->worker, sim->now_ms));
+    sim_reply_to_call(call, 200, sim_worker_heartbeat(machine->worker, sim->now_ms));
     return;
   }
   guint status = sim_worker_handle_commands(machine->worker, sim->now_ms, call->body, &report,
-                                            sim_describe, sim);
-  sim_reply_to(call, status, report);
+                                            sim_describe_task, sim);
+  sim_reply_to_call(call, status, report);
 }
 
 static gboolean
@@ -195,9 +196,9 @@
       || (sim->faults.unreachable_nodes >> call->node & 1) != 0) {
     sim_call_unref(call);
   } else if (sim_is_stalled(sim, machine)) {
-    sim_later(sim, machine->stalled_until_ms - sim->now_ms, arrive, call);
+    sim_schedule(sim, machine->stalled_until_ms - sim->now_ms, arrive, call);
   } else if (is_partitioned(sim, zone_of_caller(call), machine->worker->zone)) {
-    sim_later(sim, 1000, arrive, call); /* held back until the partition ends */
+    sim_schedule(sim, 1000, arrive, call); /* held back until the partition ends */
   } else {
     send_to_worker(sim, call, machine);
   }
@@ -218,9 +219,9 @@
   if (is_isolated || is_unreachable)
     sim_call_unref(call);
   else if (is_partitioned(sim, zone_of_caller(call), SIM_ZONES[node]))
-    sim_later(sim, 1000, arrive, call);
+    sim_schedule(sim, 1000, arrive, call);
   else if (sim->now_ms < sim->nodes[node].paused_until_ms)
-    sim_later(sim, sim->nodes[node].paused_until_ms - sim->now_ms, arrive, call);
+    sim_schedule(sim, sim->nodes[node].paused_until_ms - sim->now_ms, arrive, call);
   else
     send_to_node(sim, call, node, call->address[0] == 'm' ? WS_LISTENER_MESH : WS_LISTENER_API);
 }
@@ -236,14 +237,14 @@
 {
   (void)sim;
   Call *call = data;
-  sim_reply_to(call, call->status, g_steal_pointer(&call->held));
+  sim_reply_to_call(call, call->status, g_steal_pointer(&call->held));
 }
 
 static void
 release_held(Sim *sim, gpointer data)
 {
   if (is_refused(sim, data))
-    sim_later(sim, 100, release_held, data);
+    sim_schedule(sim, 100, release_held, data);
   else
     release_slow(sim, data);
 }
@@ -262,10 +263,10 @@
   call->status = status;
   call->held = body;
   if (is_refused(sim, call) && g_str_has_prefix(call->path, "/follow"))
-    sim_later(sim, 100, release_held, call);
+    sim_schedule(sim, 100, release_held, call);
   else if (sim->faults.store_delay_ms > 0)
-    sim_later(sim, g_rand_int_range(sim->rand, 0, (gint32)sim->faults.store_delay_ms), release_slow,
-              call);
+    sim_schedule(sim, g_rand_int_range(sim->rand, 0, (gint32)sim->faults.store_delay_ms),
+                 release_slow, call);
   else
     release_slow(sim, call);
 }
@@ -284,7 +285,7 @@
 {
   Call *call = data;
   if (sim->faults.store_unavailable)
-    sim_later(sim, 1000, commit_delayed, call);
+    sim_schedule(sim, 1000, commit_delayed, call);
   else
     sim_store_request(sim->store, sim->now_ms, call->method, call->path, call->body, ignored, call);
 }
@@ -295,9 +296,10 @@
   if ((sim->faults.isolated_nodes >> call->node & 1) != 0)
     sim_call_unref(call);
   else if (is_refused(sim, call))
-    sim_reply_to(call, 503, json_object());
-  else if (strcmp(call->path, "/multi") == 0 && sim_chance(sim, sim->faults.delayed_transactions))
-    sim_later(sim, g_rand_int_range(sim->rand, 2000, 12000), commit_delayed, call);
+    sim_reply_to_call(call, 503, json_object());
+  else if (strcmp(call->path, "/multi") == 0
+           && sim_draw_chance(sim, sim->faults.delayed_transactions))
+    sim_schedule(sim, g_rand_int_range(sim->rand, 2000, 12000), commit_delayed, call);
   else
     sim_store_request(sim->store, sim->now_ms, call->method, call->path, call->body, store_replied,
                       call);
@@ -325,22 +327,22 @@
   call->sim = sim;
   call->refs = 1;
   call->sent_ms = sim->now_ms;
-  sim_later(sim, timeout_ms, give_up, call);
-  if (sim_chance(sim, sim->faults.net.lose))
+  sim_schedule(sim, timeout_ms, give_up, call);
+  if (sim_draw_chance(sim, sim->faults.net.lose))
     return;
   call->refs++;
   gint64 after_ms = latency(sim);
-  if (sim_chance(sim, sim->faults.net.late))
+  if (sim_draw_chance(sim, sim->faults.net.late))
     after_ms += g_rand_int_range(sim->rand, 2000, 60000);
-  sim_later(sim, after_ms, arrive, call);
-  if (sim_chance(sim, sim->faults.net.repeat)) {
+  sim_schedule(sim, after_ms, arrive, call);
+  if (sim_draw_chance(sim, sim->faults.net.repeat)) {
     call->refs++;
-    sim_later(sim, after_ms + g_rand_int_range(sim->rand, 1, 3000), arrive, call);
+    sim_schedule(sim, after_ms + g_rand_int_range(sim->rand, 1, 3000), arrive, call);
   }
-  if (call->machine != NULL && sim_chance(sim, sim->faults.duplicated_heartbeats)) {
+  if (call->machine != NULL && sim_draw_chance(sim, sim->faults.duplicated_heartbeats)) {
     call->refs++;
-    sim_later(sim, after_ms + g_rand_int_range(sim->rand, 1000, 4 * (gint32)sim->lease_ms), arrive,
-              call);
+    sim_schedule(sim, after_ms + g_rand_int_range(sim->rand, 1000, 4 * (gint32)sim->lease_ms),
+                 arrive, call);
   }
 }
 
@@ -360,13 +362,13 @@
 }
 
 void
-sim_pump(Sim *sim, guint node)
+sim_deliver_outputs(Sim *sim, guint node)
 {
   WsOutput *output;
   while ((output = ws_core_pop_output(sim->nodes[node].core)) != NULL) {
     trace(sim, node, output);
     if (output->is_answer) {
-      sim_reply_to(output->request, output->status, parse(output->body));
+      sim_reply_to_call(output->request, output->status, parse(output->body));
     } else {
       Call *call = g_new0(Call, 1);
       const char *rest = output->url + strlen("http://");
@@ -398,7 +400,7 @@
   if (call->status == 200) {
     if (!sim_is_stalled(sim, machine))
       sim_worker_handle_answer(machine->worker, sim->now_ms, call->sent_ms, call->incarnation,
-                               call->answer, sim_describe, sim);
+                               call->answer, sim_describe_task, sim);
     return;
   }
   const char *to = call->status == 421
--- a/tests/sim/sim-private.h
+++ b/tests/sim/sim-private.h
@@ -13,11 +13,11 @@
 #define TICK_MS 50
 #define CANCEL_MS 30000
 #define BOOT_MS 8000
-#define UNHEARD_JOB_LIMIT_MS 75000
+#define UNANSWERED_JOB_LIMIT_MS 75000
 #define IDLE_CAPACITY_LIMIT_MS 90000
 
 /** What its user was last told of a job. */
-typedef enum { TOLD_NOTHING, TOLD_ACCEPTED, TOLD_DONE, TOLD_CANCELLED } Told;
+typedef enum { REPORTED_NONE, REPORTED_ACCEPTED, REPORTED_DONE, REPORTED_CANCELLED } Told;
 
 /** What the simulation knows of a gang's attempt that has started. */
 typedef struct {
@@ -42,7 +42,8 @@
   gint64 cancelled_ms;
   gint64 next_ms; /* when its user asks again */
   gint64 answered_ms;
-  gint64 beside_capacity_ms; /* since when a task of it waits beside free capacity; 0: none does */
+  gint64 beside_capacity_since_ms; /* since when a task of it waits beside free capacity; 0: none
+                                      does */
   gboolean has_started;
   guint8 *completed;
   Gang gang;
@@ -149,21 +150,21 @@
 /** Gives up a reference; the last one frees the call. */
 void sim_call_unref(Call *call);
 /** The user cancels an accepted job, at once. */
-void sim_user_cancels(Sim *sim, Job *job);
+void sim_user_cancel(Sim *sim, Job *job);
 /** Whether something of this probability happens. */
-gboolean sim_chance(Sim *sim, double part);
+gboolean sim_draw_chance(Sim *sim, double part);
 /** Fails if another attempt of the task's gang occupies slots. */
 void sim_check_one_attempt(const Sim *sim, const SimTask *task);
 /** The task has its image, and waits for the others of its gang. */
-void sim_gang_task_is_ready(const Sim *sim, Machine *machine, SimTask *task);
+void sim_gang_handle_ready_task(const Sim *sim, Machine *machine, SimTask *task);
 /** Starts, stops or completes the gang as far as its tasks allow. */
 void sim_step_gang(Sim *sim, Job *job);
 /** Fails if an accepted job has gone unanswered for too long without faults. */
 void sim_check_answered(const Sim *sim, const Job *job);
 /** Fails if the job waits for too long beside free capacity without faults. */
-void sim_check_waiting(const Sim *sim, Job *job);
-/** A SimDescribe for the jobs of the simulation. */
-gboolean sim_describe(gpointer world, const char *id, guint task, double *run_s);
+void sim_check_idle_capacity(const Sim *sim, Job *job);
+/** A SimDescribeTask for the jobs of the simulation. */
+gboolean sim_describe_task(gpointer world, const char *id, guint task, double *run_s);
 /** The job of the id, or NULL. */
 Job *sim_find_job(const Sim *sim, const char *id);
 /** The machine of the name, or NULL. */
@@ -173,13 +174,13 @@
 /** Whether the machine has booted, and neither died nor was returned. */
 gboolean sim_is_up(const Sim *sim, const Machine *machine);
 /** Adds an event. */
-void sim_later(Sim *sim, gint64 after_ms, Run run, gpointer data);
+void sim_schedule(Sim *sim, gint64 after_ms, Run run, gpointer data);
 /** The simulated time in seconds. */
 double sim_now_s(const Sim *sim);
 /** Takes the answers and calls that the node's controller has put out. */
-void sim_pump(Sim *sim, guint node);
+void sim_deliver_outputs(Sim *sim, guint node);
 /** The callee's answer to the call, whose reference is taken. */
-void sim_reply_to(gpointer data, guint status, json_t *body);
+void sim_reply_to_call(gpointer data, guint status, json_t *body);
 /** Sends a call, which may be lost, delayed or duplicated, and times out. */
 void sim_send_call(Sim *sim, Call *call, guint timeout_ms);
 /** Ends expired leases, lets tasks go on and sends a heartbeat that is due. */
@@ -189,6 +190,6 @@
 /** The job's user submits, queries or cancels it when the next request is due. */
 void sim_step_user(Sim *sim, Job *job);
 /** The user takes the reply; fails if it contradicts what was said before. */
-void sim_user_replied(Sim *sim, Call *call);
+void sim_user_handle_reply(Sim *sim, Call *call);
 /** The wall clock in milliseconds. */
-gint64 sim_wall(const Sim *sim);
+gint64 sim_wall_clock_ms(const Sim *sim);
--- a/tests/sim/sim-users.c
+++ b/tests/sim/sim-users.c
@@ -18,9 +18,9 @@
 
 /* Its user asks at once. */
 void
-sim_user_cancels(Sim *sim, Job *job)
+sim_user_cancel(Sim *sim, Job *job)
 {
-  if (job->told != TOLD_ACCEPTED)
+  if (job->told != REPORTED_ACCEPTED)
     return;
   job->cancelling = TRUE;
   if (job->next_ms != G_MAXINT64)
@@ -79,10 +79,10 @@
   send_malformed(sim, "POST", "/api/jobs", changed(any, "dilna", json_string("green")), 422, NULL);
   send_malformed(sim, "POST", "/api/jobs", changed(any, "hala", json_string("z")), 422, NULL);
   send_malformed(sim, "POST", "/api/jobs", changed(any, "cpus", json_real(500.0)), 422, NULL);
-  if (any->told != TOLD_DONE && any->told != TOLD_CANCELLED)
+  if (any->told != REPORTED_DONE && any->told != REPORTED_CANCELLED)
     return;
   g_autofree char *withdraw = g_strdup_printf("/api/jobs/%s/withdraw", any->id);
-  const char *state = any->told == TOLD_DONE ? "done" : "cancelled";
+  const char *state = any->told == REPORTED_DONE ? "done" : "cancelled";
   send_malformed(sim, "POST", withdraw, NULL, 200, state);
   send_malformed(sim, "POST", "/api/jobs", json_deep_copy(any->message), 200, state);
 }
@@ -95,9 +95,9 @@
   if (sim->now_ms < job->next_ms)
     return;
   job->next_ms = G_MAXINT64;
-  if (job->told == TOLD_NOTHING || sim_chance(sim, 0.1))
+  if (job->told == REPORTED_NONE || sim_draw_chance(sim, 0.1))
     ask(sim, job, "POST", "/api/jobs", job->message);
-  else if (job->cancelling && job->told == TOLD_ACCEPTED)
+  else if (job->cancelling && job->told == REPORTED_ACCEPTED)
     ask(sim, job, "POST", withdraw, NULL);
   else
     ask(sim, job, "GET", path, NULL);
@@ -106,28 +106,28 @@
 static void
 told_state(Sim *sim, Job *job, const char *state)
 {
-  Told told = strcmp(state, "done") == 0        ? TOLD_DONE
-              : strcmp(state, "cancelled") == 0 ? TOLD_CANCELLED
-                                                : TOLD_ACCEPTED;
-  if (told < job->told || (job->told == TOLD_DONE && told != TOLD_DONE))
+  Told told = strcmp(state, "done") == 0        ? REPORTED_DONE
+              : strcmp(state, "cancelled") == 0 ? REPORTED_CANCELLED
+                                                : REPORTED_ACCEPTED;
+  if (told < job->told || (job->told == REPORTED_DONE && told != REPORTED_DONE))
     g_error("seed %u, %.1f s: went_back: %s is %s", sim->seed, sim_now_s(sim), job->id, state);
-  if (told == TOLD_CANCELLED && !job->cancelling)
+  if (told == REPORTED_CANCELLED && !job->cancelling)
     g_error("seed %u: nobody cancelled %s", sim->seed, job->id);
-  for (guint i = 0; told == TOLD_DONE && i < job->spec.tasks; i++)
+  for (guint i = 0; told == REPORTED_DONE && i < job->spec.tasks; i++)
     if (!job->completed[i])
       g_error("seed %u, %.1f s: not_done: %s/%u", sim->seed, sim_now_s(sim), job->id, i);
-  if (told == TOLD_CANCELLED && job->told != TOLD_CANCELLED)
+  if (told == REPORTED_CANCELLED && job->told != REPORTED_CANCELLED)
     job->cancelled_ms = sim->now_ms;
   job->told = told;
 }
 
 void
-sim_user_replied(Sim *sim, Call *call)
+sim_user_handle_reply(Sim *sim, Call *call)
 {
   Job *job = call->job;
   job->next_ms = sim->now_ms + 1500;
   if (call->status == 400 || call->status == 422
-      || (call->status == 404 && job->told > TOLD_NOTHING))
+      || (call->status == 404 && job->told > REPORTED_NONE))
     g_error("seed %u, %.1f s: forgotten: %s got %u", sim->seed, sim_now_s(sim), job->id,
             call->status);
   if (call->status == 200 || call->status == 201)
@@ -153,8 +153,8 @@
       "prednost", spec->priority, "kusy", (int)spec->tasks, "cpus", 8.0, "accelerators", 1.0,
       "mem_gb", 16.0, "obraz", "img-1", "pull_gb", 2.0, "typy", "hala", spec->zone, "one_zone",
       spec->one_zone, "scatter", spec->scatter, "vypujcky", spec->spot, "odhad_s",
-      spec->service ? 0.0 : spec->run_s, "zaloha_s", spec->gang ? SIM_CHECKPOINT_S : 0.0,
-      "ulozeni_s", spec->gang ? SIM_SAVE_S : 0.0, "termin_s");
+      spec->service ? 0.0 : spec->run_s, "zaloha_s", spec->gang ? SIM_CHECKPOINT_INTERVAL_S : 0.0,
+      "ulozeni_s", spec->gang ? SIM_SAVE_DURATION_S : 0.0, "termin_s");
   g_assert_nonnull(job->message);
   job->next_ms = sim->now_ms;
   g_ptr_array_add(sim->jobs, job);
@@ -163,7 +163,7 @@
 void
 sim_cancel(Sim *sim, guint job)
 {
-  sim_user_cancels(sim, g_ptr_array_index(sim->jobs, job));
+  sim_user_cancel(sim, g_ptr_array_index(sim->jobs, job));
 }
 
 void
@@ -173,17 +173,17 @@
 }
 
 gboolean
-sim_is_told_cancelled(const Sim *sim, guint job)
+sim_is_reported_cancelled(const Sim *sim, guint job)
 {
-  return ((Job *)g_ptr_array_index(sim->jobs, job))->told == TOLD_CANCELLED;
+  return ((Job *)g_ptr_array_index(sim->jobs, job))->told == REPORTED_CANCELLED;
 }
 
 void
-sim_cancel_any(Sim *sim)
+sim_cancel_random_job(Sim *sim)
 {
   if (sim->jobs->len == 0)
     return;
   Job *job
       = g_ptr_array_index(sim->jobs, (guint)g_rand_int_range(sim->rand, 0, (gint32)sim->jobs->len));
-  job->cancelling = job->told == TOLD_ACCEPTED || job->cancelling;
+  job->cancelling = job->told == REPORTED_ACCEPTED || job->cancelling;
 }
--- a/tests/sim/sim.c
+++ b/tests/sim/sim.c
@@ -28,12 +28,12 @@
     start_node(sim, node);
   if (sim->nodes[node].core == NULL || sim->now_ms < sim->nodes[node].paused_until_ms)
     return;
-  ws_core_tick(sim->nodes[node].core, sim->now_ms, sim_wall(sim));
-  sim_pump(sim, node);
+  ws_core_tick(sim->nodes[node].core, sim->now_ms, sim_wall_clock_ms(sim));
+  sim_deliver_outputs(sim, node);
 }
 
 gboolean
-sim_node_up(const Sim *sim, guint node)
+sim_node_is_up(const Sim *sim, guint node)
 {
   return sim->nodes[node].core != NULL;
 }
@@ -52,9 +52,9 @@
     sim_step_gang(sim, g_ptr_array_index(sim->jobs, i));
     sim_check_answered(sim, g_ptr_array_index(sim->jobs, i));
     if (sim->now_ms % 1000 == 0)
-      sim_check_waiting(sim, g_ptr_array_index(sim->jobs, i));
+      sim_check_idle_capacity(sim, g_ptr_array_index(sim->jobs, i));
   }
-  sim_later(sim, TICK_MS, tick, NULL);
+  sim_schedule(sim, TICK_MS, tick, NULL);
 }
 
 void
@@ -95,13 +95,13 @@
   sim->rentals = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, names_free);
   for (guint n = 0; n < SIM_NODES; n++)
     sim->settings[n] = ws_test_settings(n);
-  sim_set_pace(sim, sim->settings[0]->report_s, sim->settings[0]->lease_s);
-  sim_later(sim, 0, tick, NULL);
+  sim_set_heartbeat_timing(sim, sim->settings[0]->report_s, sim->settings[0]->lease_s);
+  sim_schedule(sim, 0, tick, NULL);
   return sim;
 }
 
 void
-sim_set_pace(Sim *sim, double report_s, double lease_s)
+sim_set_heartbeat_timing(Sim *sim, double report_s, double lease_s)
 {
   sim->heartbeat_interval_ms = (gint64)(report_s * 1000.0);
   sim->lease_ms = (gint64)(lease_s * 1000.0);
@@ -167,7 +167,7 @@
 }
 
 gint64
-sim_now(const Sim *sim)
+sim_now_ms(const Sim *sim)
 {
   return sim->now_ms;
 }
--- a/tests/sim/store.c
+++ b/tests/sim/store.c
@@ -379,13 +379,13 @@
 }
 
 guint
-sim_store_rejected_for_size(const SimStore *store)
+sim_store_count_rejected_for_size(const SimStore *store)
 {
   return store->rejected_for_size;
 }
 
 guint
-sim_store_count(const SimStore *store, const char *prefix)
+sim_store_count_keys(const SimStore *store, const char *prefix)
 {
   Listing listing = { prefix, NULL, NULL, 0 };
   g_tree_foreach(store->entries, list_entry, &listing);
--- a/tests/sim/store.h
+++ b/tests/sim/store.h
@@ -23,9 +23,9 @@
 /** From now on larger transactions and values get 400; what is stored stays readable. */
 void sim_store_set_limits(SimStore *store, guint max_operations, gsize max_value_bytes);
 /** Transactions that were refused for their size. */
-guint sim_store_rejected_for_size(const SimStore *store);
+guint sim_store_count_rejected_for_size(const SimStore *store);
 /** Keys with the prefix. */
-guint sim_store_count(const SimStore *store, const char *prefix);
+guint sim_store_count_keys(const SimStore *store, const char *prefix);
 /** Whether a record below the prefix lists the name. */
 gboolean sim_store_lists_name(const SimStore *store, const char *prefix, const char *name);
 /** Whether the key exists. */
--- a/tests/sim/worker.c
+++ b/tests/sim/worker.c
@@ -92,7 +92,7 @@
 
 static void
 launch(SimWorker *worker, gint64 now_ms, const char *job, guint number, guint64 attempt,
-       SimDescribe describe, gpointer world)
+       SimDescribeTask describe, gpointer world)
 {
   double run_s;
   SimTask *held = sim_worker_find(worker, job, number);
@@ -108,7 +108,7 @@
   if (held != NULL || !describe(world, job, number, &run_s)) {
     task.state = "exited";
     task.why = held != NULL ? "busy" : "no_such";
-  } else if (slots_taken(worker) >= SIM_SLOTS) {
+  } else if (slots_taken(worker) >= SIM_MACHINE_SLOTS) {
     task.state = "exited";
     task.why = "full";
   }
@@ -132,7 +132,7 @@
 }
 
 static void
-execute(SimWorker *worker, gint64 now_ms, const json_t *command, SimDescribe describe,
+execute(SimWorker *worker, gint64 now_ms, const json_t *command, SimDescribeTask describe,
         gpointer world)
 {
   const char *op = json_string_value(json_object_get(command, "ukon"));
@@ -160,7 +160,7 @@
 }
 
 static void
-execute_all(SimWorker *worker, gint64 now_ms, const json_t *message, SimDescribe describe,
+execute_all(SimWorker *worker, gint64 now_ms, const json_t *message, SimDescribeTask describe,
             gpointer world)
 {
   size_t i;
@@ -171,7 +171,7 @@
 
 void
 sim_worker_handle_answer(SimWorker *worker, gint64 now_ms, gint64 sent_ms, guint64 incarnation,
-                         const json_t *answer, SimDescribe describe, gpointer world)
+                         const json_t *answer, SimDescribeTask describe, gpointer world)
 {
   const json_t *fencing_token = json_object_get(answer, "pecet");
   if (incarnation != worker->incarnation || !json_is_integer(fencing_token)
@@ -184,7 +184,7 @@
 
 guint
 sim_worker_handle_commands(SimWorker *worker, gint64 now_ms, const json_t *message, json_t **report,
-                           SimDescribe describe, gpointer world)
+                           SimDescribeTask describe, gpointer world)
 {
   guint64 fencing_token = (guint64)json_integer_value(json_object_get(message, "pecet"));
   guint64 incarnation = (guint64)json_integer_value(json_object_get(message, "smena"));
--- a/tests/sim/worker.h
+++ b/tests/sim/worker.h
@@ -7,7 +7,7 @@
 #include <jansson.h>
 
 /** Tasks that a machine has slots for; each takes one GPU. */
-#define SIM_SLOTS 4
+#define SIM_MACHINE_SLOTS 4
 
 /** A task on a worker. */
 typedef struct {
@@ -40,7 +40,7 @@
 } SimWorker;
 
 /** What a start needs to know of a job; negative run_s: a service. */
-typedef gboolean (*SimDescribe)(gpointer world, const char *job, guint task, double *run_s);
+typedef gboolean (*SimDescribeTask)(gpointer world, const char *job, guint task, double *run_s);
 
 /** A worker without tasks. */
 SimWorker *sim_worker_new(const char *name, const char *type, const char *zone, gboolean spot,
@@ -51,10 +51,10 @@
 json_t *sim_worker_heartbeat(SimWorker *worker, gint64 now_ms);
 /** Takes the answer to a heartbeat that was sent at the time given, by the incarnation given. */
 void sim_worker_handle_answer(SimWorker *worker, gint64 now_ms, gint64 sent_ms, guint64 incarnation,
-                              const json_t *answer, SimDescribe describe, gpointer world);
+                              const json_t *answer, SimDescribeTask describe, gpointer world);
 /** Direct commands: returns the status, and the body is the worker's heartbeat. */
 guint sim_worker_handle_commands(SimWorker *worker, gint64 now_ms, const json_t *message,
-                                 json_t **report, SimDescribe describe, gpointer world);
+                                 json_t **report, SimDescribeTask describe, gpointer world);
 /** Begins a new incarnation without tasks when the lease has expired. */
 void sim_worker_check_lease(SimWorker *worker, gint64 now_ms, gint64 lease_ms);
 /** The task on the worker, or NULL. */
--- a/tests/test-combined-faults.c
+++ b/tests/test-combined-faults.c
@@ -19,14 +19,14 @@
     sim_properties(sim)->idle_timeout_s = 60.0;
     sim_run(sim, 3.0);
     sim_submit(sim, &ARRAY);
-    for (guint i = 0; i < 90 && sim_done_jobs(sim) == 0; i++)
+    for (guint i = 0; i < 90 && sim_count_done_jobs(sim) == 0; i++)
       sim_run(sim, 1.0);
-    for (guint machine = 0; machine < sim_machines(sim); machine++)
+    for (guint machine = 0; machine < sim_count_machines(sim); machine++)
       sim_block_inbound(sim, machine, 1e6);
     sim_run(sim, 10.0);
     sim_submit(sim, &ARRAY);
     sim_run(sim, 70.0);
-    g_assert_cmpuint(sim_done_jobs(sim), ==, 2);
+    g_assert_cmpuint(sim_count_done_jobs(sim), ==, 2);
     sim_free(sim);
   }
 }
@@ -45,7 +45,7 @@
   for (guint i = 0; i < 10; i++) {
     sim_faults(sim)->store_unavailable = i == 4 || i == 5;
     sim_crash_node(sim, sim_leader_or_first(sim), g_rand_double_range(sim_rand(sim), 0.1, 7.0));
-    sim_cancel_many(sim, 1);
+    sim_cancel_random_jobs(sim, 1);
     sim_run(sim, 12.0);
   }
 }
@@ -56,7 +56,7 @@
   for (guint i = 0; i < 6; i++) {
     sim_inject_machine_faults(sim, 2, sim_stall_machine,
                               g_rand_double_range(sim_rand(sim), 1.0, 9.0));
-    sim_cancel_many(sim, 1);
+    sim_cancel_random_jobs(sim, 1);
     sim_add_load(sim, 1);
     sim_run(sim, 8.0);
   }
@@ -69,7 +69,7 @@
   sim_inject_machine_faults(sim, 2, sim_block_outbound, 15.0);
   sim_crash_node(sim, sim_leader_or_first(sim), 5.0);
   sim_run(sim, 4.0);
-  sim_cancel_many(sim, 3);
+  sim_cancel_random_jobs(sim, 3);
   sim_run(sim, 30.0);
 }
 
@@ -78,7 +78,7 @@
 {
   for (guint i = 0; i < 5; i++)
     sim_inject_machine_faults(sim, 1, sim_block_inbound, 45.0);
-  sim_cancel_many(sim, 2);
+  sim_cancel_random_jobs(sim, 2);
   sim_run(sim, 50.0);
 }
 
@@ -89,7 +89,7 @@
   sim_faults(sim)->partitioned_zones = 1u << zone;
   sim_faults(sim)->isolated_nodes = 1u << zone;
   sim_run(sim, 5.0);
-  sim_cancel_many(sim, 4);
+  sim_cancel_random_jobs(sim, 4);
   sim_run(sim, 45.0);
 }
 
@@ -122,7 +122,7 @@
   for (guint n = 0; n < SIM_NODES; n++)
     sim_crash_node(sim, n, 14.0 + n);
   sim_run(sim, 16.0);
-  sim_cancel_many(sim, 3);
+  sim_cancel_random_jobs(sim, 3);
   sim_run(sim, 20.0);
 }
 
@@ -138,13 +138,13 @@
 play_slow_store_then_outage(Sim *sim)
 {
   sim_faults(sim)->store_delay_ms = 1500;
-  sim_cancel_many(sim, 2);
+  sim_cancel_random_jobs(sim, 2);
   sim_run(sim, 10.0);
   sim_faults(sim)->store_refuses_nodes = 1u << sim_leader_or_first(sim);
-  sim_cancel_many(sim, 3);
+  sim_cancel_random_jobs(sim, 3);
   sim_run(sim, 2.0);
   sim_faults(sim)->store_unavailable = TRUE;
-  sim_cancel_many(sim, 2);
+  sim_cancel_random_jobs(sim, 2);
   sim_run(sim, 45.0);
 }
 
@@ -158,7 +158,7 @@
   sim_run(sim, 0.5);
   for (guint n = 0; n < SIM_NODES; n++)
     sim_crash_node(sim, n, n == leader ? 0.4 : 20.0);
-  sim_cancel_many(sim, 2);
+  sim_cancel_random_jobs(sim, 2);
   sim_run(sim, 1.0);
   sim_crash_node(sim, leader, 0.2);
   sim_run(sim, 25.0);
@@ -169,7 +169,7 @@
 {
   sim_faults(sim)->delayed_transactions = 0.3;
   for (guint i = 0; i < 6; i++) {
-    sim_cancel_many(sim, 1);
+    sim_cancel_random_jobs(sim, 1);
     sim_add_load(sim, 1);
     sim_run(sim, 10.0);
     if (i % 2 == 1)
@@ -183,7 +183,7 @@
   sim_faults(sim)->duplicated_heartbeats = 0.5;
   for (guint i = 0; i < 6; i++) {
     sim_inject_machine_faults(sim, 1, sim_stall_machine, 14.0); /* a new incarnation */
-    sim_restart_any_machine(sim);
+    sim_restart_random_machine(sim);
     sim_run(sim, 8.0);
   }
 }
@@ -199,7 +199,7 @@
   sim_inject_machine_faults(sim, 2, sim_stall_machine, 10.0);
   sim_crash_node(sim, sim_leader_or_first(sim), 2.0);
   sim_run(sim, 1.0);
-  sim_cancel_many(sim, 3);
+  sim_cancel_random_jobs(sim, 3);
   sim_run(sim, 30.0);
 }
 
@@ -221,7 +221,7 @@
   sim_add_load(sim, 2);
   sim_run(sim, 10.0);
   for (guint i = 0; i < 8; i++) {
-    sim_kill_any_machine(sim);
+    sim_kill_random_machine(sim);
     sim_run(sim, 3.0);
   }
   sim_faults(sim)->cloud_is_full = TRUE;
@@ -234,7 +234,7 @@
   guint leader = sim_leader_or_first(sim);
   sim_faults(sim)->isolated_nodes = 1u << leader;
   sim_run(sim, 1.0);
-  sim_cancel_many(sim, 4);
+  sim_cancel_random_jobs(sim, 4);
   sim_run(sim, 50.0);
 }
 
@@ -243,9 +243,9 @@
 {
   guint leader = sim_leader_or_first(sim);
   sim_pause_node(sim, leader, 40.0);
-  sim_cancel_many(sim, 3);
+  sim_cancel_random_jobs(sim, 3);
   sim_run(sim, 20.0);
-  sim_pause_node(sim, sim_other_node(leader), 6.0);
+  sim_pause_node(sim, sim_next_node(leader), 6.0);
   sim_run(sim, 25.0);
 }
 
@@ -289,7 +289,7 @@
   Sim *sim = sim_new_with_load(seed);
   sim_inject_random_faults(sim);
   sim_expect_recovery(sim);
-  sim_repeat_malformed_requests(sim);
+  sim_send_malformed_requests_repeatedly(sim);
   sim_free(sim);
 }
 
--- a/tests/test-coordination.c
+++ b/tests/test-coordination.c
@@ -77,7 +77,7 @@
 static void
 test_settings_beyond_limits_are_rejected(void)
 {
-  json_t *too_many_peers = ws_test_message(0);
+  json_t *too_many_peers = ws_test_settings_message(0);
   for (guint n = 0; n < 40; n++) {
     g_autofree char *name = g_strdup_printf("extra-%u", n);
     json_array_append_new(
@@ -85,7 +85,7 @@
         json_pack("{s:s, s:s, s:s}", "node_name", name, "zone", "a", "endpoint", "mesh-9:1"));
   }
   assert_rejected(too_many_peers, "31 nodes");
-  json_t *too_small_values = ws_test_message(0);
+  json_t *too_small_values = ws_test_settings_message(0);
   json_object_set_new(json_object_get(json_object_get(too_small_values, "params"), "state"),
                       "value_kb", json_real(2.0));
   assert_rejected(too_small_values, "value_kb");
--- a/tests/test-core.c
+++ b/tests/test-core.c
@@ -17,11 +17,11 @@
   for (guint i = 0; i < 4; i++)
     sim_submit(sim, &ARRAY);
   sim_run(sim, 120.0);
-  g_assert_cmpuint(sim_open_jobs(sim), ==, 0);
-  g_assert_cmpuint(sim_done_jobs(sim), ==, 4);
+  g_assert_cmpuint(sim_count_open_jobs(sim), ==, 0);
+  g_assert_cmpuint(sim_count_done_jobs(sim), ==, 4);
   sim_run(sim, 60.0);
-  g_assert_cmpuint(sim_machines(sim), ==, 0);
-  g_assert_cmpuint(sim_marks(sim), ==, 0);
+  g_assert_cmpuint(sim_count_machines(sim), ==, 0);
+  g_assert_cmpuint(sim_count_termination_marks(sim), ==, 0);
   sim_free(sim);
 }
 
@@ -45,10 +45,10 @@
   sim_submit(sim, &RED);
   sim_submit(sim, &BLUE);
   sim_run(sim, 30.0);
-  sim_cancel_until_closed(sim, 60, 0.5);
-  g_assert_cmpuint(sim_open_jobs(sim), ==, 0);
+  sim_cancel_until_jobs_end(sim, 60, 0.5);
+  g_assert_cmpuint(sim_count_open_jobs(sim), ==, 0);
   sim_run(sim, 5.0);
-  g_assert_cmpuint(sim_task_records(sim), ==, 0);
+  g_assert_cmpuint(sim_count_task_records(sim), ==, 0);
   return sim;
 }
 
@@ -65,19 +65,19 @@
 test_budget_limits_termination(void)
 {
   Sim *sim = sim_with_idle_machines(21);
-  guint in_a = sim_machines_in(sim, "a"), in_b = sim_machines_in(sim, "b");
+  guint in_a = sim_count_machines_in_zone(sim, "a"), in_b = sim_count_machines_in_zone(sim, "b");
   g_assert_cmpuint(in_a, >, 0);
   g_assert_cmpuint(in_b, >, 0);
   add_budget(sim, "a", TRUE, TRUE, 100);
   add_budget(sim, "b", FALSE, FALSE, 0);
   sim_properties(sim)->idle_timeout_s = 5.0;
   sim_run(sim, 60.0);
-  g_assert_cmpuint(sim_machines_in(sim, "a"), ==, in_a);
-  g_assert_cmpuint(sim_machines_in(sim, "b"), ==, in_b);
-  g_assert_cmpuint(sim_machines_in(sim, "c"), ==, 0);
+  g_assert_cmpuint(sim_count_machines_in_zone(sim, "a"), ==, in_a);
+  g_assert_cmpuint(sim_count_machines_in_zone(sim, "b"), ==, in_b);
+  g_assert_cmpuint(sim_count_machines_in_zone(sim, "c"), ==, 0);
   g_ptr_array_set_size(sim_properties(sim)->budgets, 0);
   sim_run(sim, 60.0);
-  g_assert_cmpuint(sim_machines(sim), ==, 0);
+  g_assert_cmpuint(sim_count_machines(sim), ==, 0);
   sim_free(sim);
 }
 
@@ -87,15 +87,15 @@
 play_partition(guint32 seed)
 {
   Sim *sim = sim_with_idle_machines(seed);
-  guint in_a = sim_machines_in(sim, "a");
+  guint in_a = sim_count_machines_in_zone(sim, "a");
   sim_faults(sim)->partitioned_zones = 1;
   sim_run(sim, 3.0);
   sim_properties(sim)->idle_timeout_s = 5.0;
   sim_run(sim, 6.0); /* with the pause before it, less than the lease less one report */
-  g_assert_cmpuint(sim_machines_in(sim, "a"), ==, in_a);
+  g_assert_cmpuint(sim_count_machines_in_zone(sim, "a"), ==, in_a);
   sim_faults(sim)->partitioned_zones = 0;
   sim_run(sim, 60.0);
-  g_assert_cmpuint(sim_machines(sim), ==, 0);
+  g_assert_cmpuint(sim_count_machines(sim), ==, 0);
   sim_free(sim);
   return in_a;
 }
@@ -118,11 +118,11 @@
       = { .tasks = 300, .team = "blue", .priority = "standard", .spot = TRUE, .run_s = 0.5 };
   sim_run(sim, 3.0);
   sim_submit(sim, &LARGE);
-  for (guint i = 0; i < 600 && sim_done_jobs(sim) == 0; i++)
+  for (guint i = 0; i < 600 && sim_count_done_jobs(sim) == 0; i++)
     sim_run(sim, 1.0);
-  g_assert_cmpuint(sim_done_jobs(sim), ==, 1);
+  g_assert_cmpuint(sim_count_done_jobs(sim), ==, 1);
   sim_run(sim, 10.0);
-  g_assert_cmpuint(sim_task_records(sim), ==, 0);
+  g_assert_cmpuint(sim_count_task_records(sim), ==, 0);
   sim_free(sim);
 }
 
@@ -131,7 +131,7 @@
 {
   Sim *sim = sim_new(seed);
   GRand *rand = sim_rand(sim);
-  sim_set_pace(sim, report_s, lease_s);
+  sim_set_heartbeat_timing(sim, report_s, lease_s);
   sim_run(sim, 2.0);
   for (guint i = 0; i < 30; i++) {
     submit_random_jobs(sim, (guint)g_rand_int_range(rand, 0, 3));
@@ -140,13 +140,15 @@
   }
   /* All faults end: what was accepted is done or can be cancelled, and no machine leaks. */
   sim_end_faults(sim);
-  sim_cancel_until_closed(sim, 400, 1.0);
-  if (sim_open_jobs(sim) > 0)
-    g_error("seed %u: %u jobs are still open", seed, sim_open_jobs(sim));
+  sim_cancel_until_jobs_end(sim, 400, 1.0);
+  if (sim_count_open_jobs(sim) > 0)
+    g_error("seed %u: %u jobs are still open", seed, sim_count_open_jobs(sim));
   sim_run(sim, 150.0);
-  if (sim_machines(sim) > 0 || sim_marks(sim) > 0 || sim_unrecorded(sim) > 0)
-    g_error("seed %u: %u machines leaked, %u without a record, %u marks", seed, sim_machines(sim),
-            sim_unrecorded(sim), sim_marks(sim));
+  if (sim_count_machines(sim) > 0 || sim_count_termination_marks(sim) > 0
+      || sim_count_unrecorded_machines(sim) > 0)
+    g_error("seed %u: %u machines leaked, %u without a record, %u marks", seed,
+            sim_count_machines(sim), sim_count_unrecorded_machines(sim),
+            sim_count_termination_marks(sim));
   sim_free(sim);
 }
 
@@ -195,8 +197,8 @@
         sim_crash_node(sim, n, 0.2);
       sim_run(sim, 0.5);
     }
-    sim_cancel_until_closed(sim, 300, 1.0);
-    g_assert_cmpuint(sim_open_jobs(sim), ==, 0);
+    sim_cancel_until_jobs_end(sim, 300, 1.0);
+    g_assert_cmpuint(sim_count_open_jobs(sim), ==, 0);
     sim_free(sim);
   }
 }
@@ -219,8 +221,8 @@
     sim_run(sim, 10.0);
     sim_submit(sim, &ARRAY);
     sim_run(sim, 60.0);
-    g_assert_cmpuint(sim_done_jobs(sim), ==, 1);
-    g_assert_cmpuint(sim_lost_tasks(sim), ==, 0);
+    g_assert_cmpuint(sim_count_done_jobs(sim), ==, 1);
+    g_assert_cmpuint(sim_count_lost_tasks(sim), ==, 0);
     sim_free(sim);
   }
 }
@@ -241,13 +243,13 @@
     sim_faults(sim)->partitioned_zones = 1u << (seed % SIM_NODES);
     sim_run(sim, 14.0);
     /* Whoever waited for two nodes outside, one after the other, has lost its lease by now. */
-    guint lost = sim_lost_tasks(sim);
+    guint lost = sim_count_lost_tasks(sim);
     sim_run(sim, 31.0);
-    g_assert_cmpuint(sim_lost_tasks(sim), ==, lost);
+    g_assert_cmpuint(sim_count_lost_tasks(sim), ==, lost);
     sim_end_faults(sim);
     sim_run(sim, 30.0);
-    g_assert_cmpuint(sim_lost_tasks(sim), ==, lost);
-    g_assert_cmpuint(sim_returned_tasks(sim), ==, 0);
+    g_assert_cmpuint(sim_count_lost_tasks(sim), ==, lost);
+    g_assert_cmpuint(sim_count_returned_tasks(sim), ==, 0);
     sim_free(sim);
   }
 }
@@ -262,10 +264,10 @@
     sim_run(sim, 3.0);
     sim_submit(sim, &ARRAY);
     sim_run(sim, 16.0);
-    sim_block_outbound_of_any(sim, 1e6);
-    for (guint i = 0; i < 90 && sim_done_jobs(sim) == 0; i++)
+    sim_block_outbound_of_random_machine(sim, 1e6);
+    for (guint i = 0; i < 90 && sim_count_done_jobs(sim) == 0; i++)
       sim_run(sim, 1.0);
-    g_assert_cmpuint(sim_done_jobs(sim), ==, 1);
+    g_assert_cmpuint(sim_count_done_jobs(sim), ==, 1);
     sim_free(sim);
   }
 }
@@ -286,7 +288,7 @@
     sim_submit(sim, &SMALL);
     sim_run(sim, 4.0);
   }
-  g_assert_true(sim_has_started(sim, 0));
+  g_assert_true(sim_job_has_started(sim, 0));
   sim_free(sim);
 }
 
@@ -317,11 +319,11 @@
   sim_faults(sim)->max_machines = 3;
   sim_run(sim, 210.0);
   for (guint i = 0; i < jobs; i++)
-    if (!sim_has_started(sim, i))
+    if (!sim_job_has_started(sim, i))
       g_error("seed %u: job %u has not begun", seed, i);
-  sim_run_until_closed(sim, 400);
-  if (sim_open_jobs(sim) > 0)
-    g_error("seed %u: %u jobs are not served", seed, sim_open_jobs(sim));
+  sim_run_until_jobs_end(sim, 400);
+  if (sim_count_open_jobs(sim) > 0)
+    g_error("seed %u: %u jobs are not served", seed, sim_count_open_jobs(sim));
   sim_free(sim);
 }
 
--- a/tests/test-evidence.c
+++ b/tests/test-evidence.c
@@ -72,7 +72,7 @@
   fixture_run(scenario->fixture, 0.3);
   send_heartbeat(scenario, 1, json_array());
   fixture_run(scenario->fixture, 0.3);
-  fixture_call(scenario->fixture, "POST", "/api/jobs", fixture_submission());
+  fixture_send_request(scenario->fixture, "POST", "/api/jobs", fixture_submission());
   fixture_run(scenario->fixture, 1.0);
   g_assert_true(fixture_task_is_assigned(scenario->fixture));
 }
--- a/tests/test-protocol.c
+++ b/tests/test-protocol.c
@@ -60,8 +60,8 @@
 static void
 test_submissions_round_trip_and_damaged_ones_are_rejected(void)
 {
-  ws_cases(300, 1, check_submission_round_trip);
-  ws_cases(300, 1000, check_damaged_submission_is_rejected);
+  ws_check_cases(300, 1, check_submission_round_trip);
+  ws_check_cases(300, 1000, check_damaged_submission_is_rejected);
 }
 
 static void
@@ -212,7 +212,7 @@
 static void
 test_damaged_heartbeats_are_parsed_or_rejected(void)
 {
-  ws_cases(2000, 1, check_damaged_heartbeat);
+  ws_check_cases(2000, 1, check_damaged_heartbeat);
 }
 
 static void
@@ -266,7 +266,7 @@
     { "workers", "{\"gang_peer_s\":true}", "params.workers.gang_peer_s" },
   };
   for (guint i = 0; i < G_N_ELEMENTS(CASES); i++) {
-    g_autoptr(json_t) message = ws_test_message(0);
+    g_autoptr(json_t) message = ws_test_settings_message(0);
     g_autoptr(json_t) more = ws_json_parse(CASES[i].json, strlen(CASES[i].json));
     json_object_update(json_object_get(json_object_get(message, "params"), CASES[i].section), more);
     g_autoptr(GError) error = NULL;
--- a/tests/test-size.c
+++ b/tests/test-size.c
@@ -133,7 +133,7 @@
   json_t *job = fixture_submission();
   json_object_set_new(job, "kusy", json_integer(tasks));
   guint64 before = ws_core_machines_examined(fixture->core);
-  fixture_call(fixture, "POST", "/api/jobs", job);
+  fixture_send_request(fixture, "POST", "/api/jobs", job);
   guint64 steps = ws_core_machines_examined(fixture->core) - before;
   fixture_free(fixture);
   return steps;
@@ -195,7 +195,7 @@
 steps_when_full(guint machines, guint jobs)
 {
   Fixture *fixture = fixture_with_machines(machines);
-  fixture_lift_quotas(fixture);
+  fixture_remove_quotas(fixture);
   submit(fixture, 1, machines, 24.0);
   fixture_run(fixture, 2.0);
   report_for_a_while(fixture, machines, 11);
@@ -255,7 +255,7 @@
   for (gint64 until_ms = fixture->now_ms + (gint64)(seconds * 1000.0);
        fixture->now_ms < until_ms;) {
     fixture_run(fixture, 0.05);
-    if (*marked_ms == 0 && sim_store_count(fixture->store, "w/mark/") > 0)
+    if (*marked_ms == 0 && sim_store_count_keys(fixture->store, "w/mark/") > 0)
       *marked_ms = fixture->now_ms;
   }
 }
@@ -271,7 +271,7 @@
   guint most = 0;
   gint64 marked_ms = 0;
   fixture_run(fixture, 0.4); /* else the idle timeout would end in our turn anyway */
-  fixture_lift_quotas(fixture);
+  fixture_remove_quotas(fixture);
   for (guint j = 0; j < machines; j++) {
     json_t *job = fixture_submission();
     g_autofree char *id = g_strdup_printf("req-%06u", j);
@@ -294,7 +294,7 @@
   for (guint i = 0; i < 30; i++) {
     run_to_marks(fixture, 1.5, &marked_ms);
     report_jobs(fixture, machines, 4, ++sequence);
-    most = MAX(most, sim_store_count(fixture->store, "w/mark/"));
+    most = MAX(most, sim_store_count_keys(fixture->store, "w/mark/"));
   }
   g_assert_cmpint(marked_ms % 2000, <, 1100);
   fixture_free(fixture);
@@ -317,7 +317,7 @@
 {
   enum { JOBS = 200 };
   Fixture *fixture = fixture_with_machines(HUGE);
-  fixture_lift_quotas(fixture);
+  fixture_remove_quotas(fixture);
   for (guint i = 0; i < JOBS; i++) {
     json_t *job = fixture_submission();
     g_autofree char *id = g_strdup_printf("req-%u", i);
@@ -325,12 +325,13 @@
     json_object_set_new(job, "cpus", json_real(32.0));
     fixture_post(fixture, "/api/jobs", job);
   }
-  for (guint round = 0; round < 20 && sim_store_count(fixture->store, "w/task/") < JOBS; round++) {
+  for (guint round = 0; round < 20 && sim_store_count_keys(fixture->store, "w/task/") < JOBS;
+       round++) {
     for (guint m = 0; m < HUGE; m++)
       report(fixture, m, 1, 10 + round);
     fixture_run(fixture, 1.0);
   }
-  g_assert_cmpuint(sim_store_count(fixture->store, "w/task/"), ==, JOBS);
+  g_assert_cmpuint(sim_store_count_keys(fixture->store, "w/task/"), ==, JOBS);
   fixture->workers_answer = FALSE;
   fixture->peers_acknowledge = TRUE;
   guint direct = fixture->direct_commands;
--- a/tests/test-storage.c
+++ b/tests/test-storage.c
@@ -122,7 +122,7 @@
 static void
 test_early_own_writes_and_watch_give_same_state(void)
 {
-  ws_cases(200, 1, check_early_own_writes);
+  ws_check_cases(200, 1, check_early_own_writes);
 }
 
 /* A full read at revision 7 removes keys that it did not find, unless they are newer. */
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -129,7 +129,7 @@
 static void
 test_team_record_is_independent_of_limits(void)
 {
-  g_autoptr(json_t) message = ws_test_message(0);
+  g_autoptr(json_t) message = ws_test_settings_message(0);
   json_t *state = json_object_get(json_object_get(message, "params"), "state");
   json_object_set_new(state, "next", json_pack("{s:f, s:i}", "value_kb", 1.0, "txn_ops", 4));
   g_autoptr(GError) error = NULL;
@@ -165,7 +165,7 @@
   }
   fixture_run(fixture, 1.0);
   g_assert_true(sim_store_has(fixture->store, "w/mark/m-1"));
-  fixture_call(fixture, "GET", "/api/jobs/req-1", NULL);
+  fixture_send_request(fixture, "GET", "/api/jobs/req-1", NULL);
   g_assert_cmpstr(json_string_value(json_object_get(fixture->answer, "stav")), ==, "done");
   fixture_free(fixture);
 }
@@ -328,7 +328,7 @@
 {
   Fixture *fixture = fixture_new_with_machine(TRUE);
   fixture->settings->kv_max_record_bytes = 300;
-  fixture_call(fixture, "POST", "/api/jobs", fixture_submission());
+  fixture_send_request(fixture, "POST", "/api/jobs", fixture_submission());
   g_assert_cmpuint(fixture->status, ==, 422);
   fixture->hold_watch = TRUE; /* this node doesn't hear of it by itself */
   fixture_run(fixture, 10.0);
@@ -350,10 +350,10 @@
   Sim *sim = sim_new_with_load(930);
   sim_lower_limits(sim, 2, NEXT_BYTES); /* one job and its team's use */
   sim_add_load(sim, 1);
-  sim_run_until_closed(sim, 300);
-  g_assert_cmpuint(sim_open_jobs(sim), ==, 0);
-  g_assert_cmpuint(sim_rejected_for_size(sim), >, 0);
-  g_assert_cmpuint(sim_rejected_for_size(sim), <, 200);
+  sim_run_until_jobs_end(sim, 300);
+  g_assert_cmpuint(sim_count_open_jobs(sim), ==, 0);
+  g_assert_cmpuint(sim_count_rejected_for_size(sim), >, 0);
+  g_assert_cmpuint(sim_count_rejected_for_size(sim), <, 200);
   sim_free(sim);
 }
 
--- a/tests/ws-gen.h
+++ b/tests/ws-gen.h
@@ -10,7 +10,7 @@
 
 /** Checks so many cases, of seeds from the first on. */
 static inline void
-ws_cases(guint count, guint32 first, WsCase check)
+ws_check_cases(guint count, guint32 first, WsCase check)
 {
   for (guint i = 0; i < count; i++) {
     g_test_message("seed %u", first + i);
--- a/tests/ws-site.h
+++ b/tests/ws-site.h
@@ -7,7 +7,7 @@
 
 /** The settings message of node number @self of three. */
 static inline json_t *
-ws_test_message(guint self)
+ws_test_settings_message(guint self)
 {
   static const char *const ZONES[] = { "a", "b", "c" };
   json_t *peers = json_array();
@@ -36,7 +36,7 @@
 static inline WsSettings *
 ws_test_settings(guint self)
 {
-  g_autoptr(json_t) message = ws_test_message(self);
+  g_autoptr(json_t) message = ws_test_settings_message(self);
   g_autoptr(GError) error = NULL;
   WsSettings *settings = ws_settings_parse(message, &error);
   g_assert_no_error(error);
