--- a/src/runtime/ws-runtime.c
+++ b/src/runtime/ws-runtime.c
@@ -1,5 +1,5 @@
-/* Passes requests, replies and timer ticks to the core, and sends the calls and answers that the
-   core outputs. */
+/* Passes incoming requests, the responses to calls, and timer ticks to the core. Sends the calls
+   and the responses to requests that the core outputs. */
 #include "runtime/ws-runtime.h"
 
 #include "transport/ws-http-client.h"
@@ -44,7 +44,7 @@
 static void send_outputs(WsRuntime *runtime);
 
 static void
-on_reply(guint status, const char *body, gsize length, gpointer data)
+on_response(guint status, const char *body, gsize length, gpointer data)
 {
   g_autofree PendingCall *pending = data;
   WsRuntime *runtime = pending->runtime;
@@ -58,7 +58,7 @@
   PendingCall *pending = g_new0(PendingCall, 1);
   *pending = (PendingCall){ runtime, output->call };
   ws_http_client_send(runtime->client, output->method, output->url, output->body,
-                      output->timeout_ms, on_reply, pending);
+                      output->timeout_ms, on_response, pending);
 }
 
 static void
