--- a/src/workers/ws-reconciliation.c
+++ b/src/workers/ws-reconciliation.c
@@ -145,7 +145,7 @@
    outbound unreachable (its heartbeats arrive, but answers and commands don't reach it), its
    heartbeats lack the current fencing token or launched tasks, or still show halted tasks. */
 static void
-note_unacknowledged(const Reconciliation *run)
+update_unacknowledged(const Reconciliation *run)
 {
   WsMachine *machine = run->machine;
   machine->worker.consecutive_halts = run->has_halts ? machine->worker.consecutive_halts + 1 : 0;
@@ -162,7 +162,7 @@
    was returned before this node started. Only a machine that has received an answer of the current
    epoch certainly exists. */
 static void
-note_heartbeat(Reconciliation *run)
+apply_heartbeat(Reconciliation *run)
 {
   WsCore *core = run->core;
   run->machine->worker.last_heartbeat_ms = core->now;
@@ -176,11 +176,11 @@
 static void
 reconcile(Reconciliation *run)
 {
-  note_heartbeat(run);
+  apply_heartbeat(run);
   handle_present_tasks(run);
   if (!run->replica_is_behind)
     handle_absent_tasks(run);
-  note_unacknowledged(run);
+  update_unacknowledged(run);
 }
 
 json_t *
--- a/src/workers/ws-worker-rpc.c
+++ b/src/workers/ws-worker-rpc.c
@@ -51,7 +51,7 @@
 }
 
 static void
-note_indeterminate_launch(WsCore *core, WsMachine *machine, const CommandCall *call)
+record_indeterminate_launch(WsCore *core, WsMachine *machine, const CommandCall *call)
 {
   if (machine->worker.indeterminate_launches == 0)
     machine->worker.indeterminate_since_ms = core->now;
@@ -69,7 +69,7 @@
                          has_launches };
   core->workers->rpcs_in_flight++;
   if (has_launches)
-    note_indeterminate_launch(core, machine, call);
+    record_indeterminate_launch(core, machine, call);
   ws_call(core, "POST", machine->worker.endpoint, "/commands",
           ws_command_request_encode(call->fencing_token, call->incarnation, commands),
           COMMAND_TIMEOUT_MS, on_command_reply, call);
--- a/src/workers/ws-worker-status.c
+++ b/src/workers/ws-worker-status.c
@@ -19,7 +19,7 @@
 
 /* Moves the image to the most recently used end of the machine's image list. */
 static void
-note_image_used(WsMachine *machine, WsImageIndex image)
+record_image_use(WsMachine *machine, WsImageIndex image)
 {
   GArray *images = machine->worker.images;
   if (images->len > 0 && g_array_index(images, WsImageIndex, images->len - 1) == image)
@@ -40,7 +40,7 @@
    row is considered faulty. A job that keeps failing is retried with exponential back-off until its
    user cancels it. */
 static void
-note_task_failure(WsCore *core, WsMachine *machine, WsJob *job)
+record_task_failure(WsCore *core, WsMachine *machine, WsJob *job)
 {
   job->status.consecutive_errors++;
   guint doublings = MIN(job->status.consecutive_errors, MAX_JOB_BACKOFF_DOUBLINGS);
@@ -64,14 +64,14 @@
 }
 
 static void
-note_exit(WsCore *core, WsMachine *machine, WsJob *job, WsAssignment *assignment,
-          WsExitReason reason)
+record_exit(WsCore *core, WsMachine *machine, WsJob *job, WsAssignment *assignment,
+            WsExitReason reason)
 {
   if (assignment->state == WS_TASK_EXITED)
     return;
   assignment->state = WS_TASK_EXITED;
   if (reason == WS_EXIT_ERROR)
-    note_task_failure(core, machine, job);
+    record_task_failure(core, machine, job);
   if (reason == WS_EXIT_LAUNCH_REJECTED)
     job->status.retry_ms = core->now + JOB_BACKOFF_BASE_MS;
   if (reason == WS_EXIT_GANG_INCOMPLETE)
@@ -98,14 +98,14 @@
 }
 
 static void
-note_task(WsCore *core, WsMachine *machine, const WsTaskStatus *task)
+update_task(WsCore *core, WsMachine *machine, const WsTaskStatus *task)
 {
   WsJob *job;
   WsAssignment *assignment = ws_worker_status_find_assignment(core, machine, task, &job);
   if (assignment == NULL)
     return;
   if (task->state == WS_TASK_EXITED) {
-    note_exit(core, machine, job, assignment, task->exit_reason);
+    record_exit(core, machine, job, assignment, task->exit_reason);
     ws_releases_add_reported(core, job, assignment, WS_EVIDENCE_EXITED,
                              task->exit_reason == WS_EXIT_DONE);
     return;
@@ -116,14 +116,14 @@
             machine->name, task->state);
   assignment->state = task->state;
   if (assignment->state >= WS_TASK_GATHERING)
-    note_image_used(machine, job->image);
+    record_image_use(machine, job->image);
 }
 
 void
 ws_worker_status_note_tasks(WsCore *core, WsMachine *machine, const WsHeartbeat *heartbeat)
 {
   for (guint i = 0; i < heartbeat->tasks->len; i++)
-    note_task(core, machine, &g_array_index(heartbeat->tasks, WsTaskStatus, i));
+    update_task(core, machine, &g_array_index(heartbeat->tasks, WsTaskStatus, i));
 }
 
 /* Resets the state of the machine's assignments for a new incarnation of its worker: all tasks of
@@ -152,7 +152,7 @@
 /* Raises the fencing token that the worker has reported. The worker refuses commands with an older
    token, so launches that were sent with one are no longer indeterminate. */
 static void
-note_fencing_token(WsMachine *machine, guint64 fencing_token)
+update_fencing_token(WsMachine *machine, guint64 fencing_token)
 {
   if (fencing_token <= machine->worker.fencing_token)
     return;
@@ -162,7 +162,7 @@
 }
 
 static void
-note_presence(WsCore *core, WsMachine *machine)
+record_contact(WsCore *core, WsMachine *machine)
 {
   machine->worker.last_contact_ms = core->now;
   machine->worker.failed_probes = 0;
@@ -174,7 +174,7 @@
 
 /* @interruption_s: time until the cloud interrupts the machine; negative: no notice was given */
 static void
-note_interruption(WsCore *core, WsMachine *machine, double interruption_s)
+update_interruption(WsCore *core, WsMachine *machine, double interruption_s)
 {
   if (interruption_s < 0.0)
     machine->worker.interruption_ms = 0;
@@ -183,7 +183,7 @@
 }
 
 static void
-note_endpoint(WsMachine *machine, const char *endpoint)
+update_endpoint(WsMachine *machine, const char *endpoint)
 {
   if (g_strcmp0(machine->worker.endpoint, endpoint) == 0)
     return;
@@ -203,10 +203,10 @@
     begin_incarnation(core, machine, heartbeat->incarnation);
   machine->worker.incarnation = heartbeat->incarnation;
   machine->worker.sequence = heartbeat->sequence;
-  note_fencing_token(machine, heartbeat->fencing_token);
-  note_presence(core, machine);
-  note_interruption(core, machine, heartbeat->interruption_s);
-  note_endpoint(machine, heartbeat->endpoint);
+  update_fencing_token(machine, heartbeat->fencing_token);
+  record_contact(core, machine);
+  update_interruption(core, machine, heartbeat->interruption_s);
+  update_endpoint(machine, heartbeat->endpoint);
   return TRUE;
 }
 
