--- a/src/protocol/ws-error.h
+++ b/src/protocol/ws-error.h
@@ -1,8 +1,8 @@
 /**
  * The error domain for invalid input: messages, the settings file and the properties file.
  *
- * Each error message is one line. It is returned to the sender of an invalid message, or printed on
- * standard error for an invalid file.
+ * Each error message is one line. It is returned to the sender of an invalid message, printed on
+ * standard error for an invalid file, or logged, for example for an invalid stored record.
  */
 #pragma once
 
--- a/src/protocol/ws-heartbeat.h
+++ b/src/protocol/ws-heartbeat.h
@@ -65,10 +65,10 @@
                                            guint task, guint64 attempt);
 
 /**
- * Parses a worker's response to a status request.
+ * Parses a worker's response to a status request into a heartbeat, which the caller frees.
  *
  * Returns NULL if the request failed (@status is 0 if no response came), if the response is
- * malformed, or if another machine sent it, which happens after an address was reassigned.
+ * malformed, or if another machine sent it, which can happen after an address was reassigned.
  *
  * @machine: name of the machine to which the request was sent
  */
--- a/src/protocol/ws-resources.h
+++ b/src/protocol/ws-resources.h
@@ -26,5 +26,5 @@
 /** Reads a capacity, rounded down. Returns FALSE if the member is missing or invalid. */
 gboolean ws_amount_parse_capacity(const json_t *object, const char *name, gint64 *thousandths);
 
-/** Encodes an amount as a new JSON number, in whole units. */
+/** Encodes an amount as a new JSON number of units, which may have a fraction. */
 json_t *ws_amount_encode(gint64 thousandths);
--- a/src/protocol/ws-settings.c
+++ b/src/protocol/ws-settings.c
@@ -8,11 +8,12 @@
 #define MAX_NODES 31u
 /* Value size that a record of 128 tasks or of 50 machines needs. */
 #define MIN_VALUE_KB 8.0
-/* Minimum values of the announced lower limits. A record then holds fewer tasks or machines, but a
-   value must have space for a job submission, for the resource use of a team and for a few tasks. A
-   transaction must have space for a task, its job, the resource use of its team and one more
-   operation. */
+/* Minimum of the announced lower limit of the value size. A record then holds fewer tasks or
+   machines, but a value must have space for a job submission, for the resource use of a team and
+   for a few tasks. */
 #define MIN_NEXT_VALUE_KB 1.0
+/* Minimum of the current and of the announced limit: a transaction must have space for a task, its
+   job, the resource use of its team and one more operation. */
 #define MIN_TXN_OPERATIONS 4
 /* Part of the maximum value size that records leave unused: the key-value store may encode a value
    differently and so count more bytes than this program does. */
--- a/src/workers/ws-cancelled-tasks.c
+++ b/src/workers/ws-cancelled-tasks.c
@@ -32,7 +32,7 @@
 #define RETURN_DEADLINE_SHARE 0.6
 
 struct _WsCancelledTasks {
-  GHashTable *next_halt_ms; /* WsMachineIndex -> time of the next call to the worker (gint64) */
+  GHashTable *next_halt_ms; /* WsMachineIndex -> earliest time of the next call (gint64) */
   guint halts_in_flight;
 };
 
@@ -135,8 +135,8 @@
 /* Returns halt commands for all tasks of cancelled jobs that remain on the machine.
 
    The commands carry the incarnation and the fencing token that the worker reported itself, in
-   /status or in the body of a refusal. A worker accepts its own token from any node. The commands
-   don't raise the token, so they don't fence off the machine's owner. */
+   /status or in the body of a rejection (409). A worker accepts its own token from any node. The
+   commands don't raise the token, so they don't fence off the machine's owner. */
 static json_t *
 encode_halts(const WsCore *core, const WsMachine *machine)
 {
--- a/src/workers/ws-reconciliation.c
+++ b/src/workers/ws-reconciliation.c
@@ -100,9 +100,10 @@
          || ws_releases_is_pending(run->core, job, assignment);
 }
 
-/* Launches an assigned task that is missing from the heartbeat, or releases it if it must not be
-   launched any more. The launch is repeated with each heartbeat until the task is reported. A task
-   isn't launched while this node may have missed its cancellation. */
+/* Launches an assigned task that is missing from the heartbeat. If it must not be launched any
+   more, releases it instead, as soon as the heartbeat proves that the task is gone. The launch is
+   repeated with each heartbeat until the task is reported. A task isn't launched while this node
+   may have missed its cancellation. */
 static void
 handle_absent_task(Reconciliation *run, WsJob *job, WsAssignment *assignment)
 {
--- a/src/workers/ws-worker-rpc.c
+++ b/src/workers/ws-worker-rpc.c
@@ -11,8 +11,8 @@
 #include "protocol/ws-status-codes.h"
 #include "storage/ws-gang-phase.h"
 
-/* Above this limit a launch waits for the answer to the machine's next heartbeat, except launches
-   of critical tasks and of gangs. */
+/* While so many calls are in flight, a launch waits for the answer to the machine's next heartbeat,
+   except launches of critical tasks and of gangs. */
 #define MAX_RPCS_IN_FLIGHT 48
 #define COMMAND_TIMEOUT_MS 2000
 /* Time for a graceful stop in addition to the time for saving the checkpoint. */
--- a/src/workers/ws-workers.c
+++ b/src/workers/ws-workers.c
@@ -8,14 +8,14 @@
 #include "membership/ws-membership.h"
 #include "protocol/ws-status-codes.h"
 
-/* Minimum time between redirects of the same worker. A worker that sends its next heartbeat to this
-   node again can't reach the owner, so until then its heartbeats are relayed. */
+/* Minimum time between redirects of the same worker. A worker that was redirected and sends its
+   next heartbeat to this node again can't reach the owner. Its heartbeats are relayed for this
+   time. */
 #define REDIRECT_INTERVAL_MS 20000
 /* Minimum time between redirects to an owner that no worker reaches. Each redirect probes whether
    workers reach the owner again. */
 #define UNREACHED_OWNER_REDIRECT_INTERVAL_MS 2000
-/* Minimum time between rejections of the same worker by an isolated node, as a share of the lease.
- */
+/* Minimum time between rejections of a worker by an isolated node, as a share of the lease. */
 #define REJECTION_INTERVAL_LEASE_SHARE 0.6
 /* Retry-After header for a heartbeat that is answered with 503. */
 #define HEARTBEAT_RETRY_AFTER_S 1
@@ -116,10 +116,10 @@
 
    A node that is isolated from the store and from all other nodes can't know whether a later epoch
    exists. If machines of other zones still reach it, only this node is partitioned and workers can
-   reach the other nodes, so each worker is rejected once. A worker that sends its next heartbeat to
-   this node again has reached no other node. It is served, and the answers renew the lease of its
-   tasks. If no machine of another zone reaches this node, the whole zone is partitioned and its
-   workers can't reach any other node, so none is rejected. */
+   reach the other nodes, so each worker is rejected. A worker that sends its next heartbeat to this
+   node again has reached no other node. It is served for REJECTION_INTERVAL_LEASE_SHARE of a lease,
+   and the answers renew the lease of its tasks. If no machine of another zone reaches this node,
+   the whole zone is partitioned and its workers can't reach any other node, so none is rejected. */
 static gboolean
 reject_if_isolated(WsCore *core, WsMachine *machine)
 {
--- a/src/workers/ws-workers.h
+++ b/src/workers/ws-workers.h
@@ -18,8 +18,9 @@
 void ws_workers_free(WsWorkers *workers);
 
 /**
- * Handles a worker's heartbeat. The answer, sent now or later, contains commands, redirects the
- * worker to the owner of its machine, or is 503 if this node may not renew leases. A malformed
+ * Handles a worker's heartbeat. The answer, sent now or later, contains commands or redirects the
+ * worker to the owner of its machine. It is 503 if this node may not renew leases now, if it is
+ * isolated and the worker is to try another node, or if the machine has been returned. A malformed
  * heartbeat is answered with 400.
  *
  * @body: @length bytes, read before the call returns
