--- a/src/workers/ws-reconciliation.c
+++ b/src/workers/ws-reconciliation.c
@@ -100,9 +100,10 @@
          || ws_releases_is_pending(run->core, job, assignment);
 }
 
-/* Launches an assigned task that is missing from the heartbeat, or releases it if it must not be
-   launched any more. The launch is repeated with each heartbeat until the task is reported. A task
-   isn't launched while this node may have missed its cancellation. */
+/* Launches an assigned task that is missing from the heartbeat. If it must not be launched any
+   more, releases it instead, as soon as the heartbeat proves that the task is gone. The launch is
+   repeated with each heartbeat until the task is reported. A task isn't launched while this node
+   may have missed its cancellation. */
 static void
 handle_absent_task(Reconciliation *run, WsJob *job, WsAssignment *assignment)
 {
@@ -145,7 +146,7 @@
    outbound unreachable (its heartbeats arrive, but answers and commands don't reach it), its
    heartbeats lack the current fencing token or launched tasks, or still show halted tasks. */
 static void
-note_unacknowledged(const Reconciliation *run)
+update_unacknowledged(const Reconciliation *run)
 {
   WsMachine *machine = run->machine;
   machine->worker.consecutive_halts = run->has_halts ? machine->worker.consecutive_halts + 1 : 0;
@@ -162,7 +163,7 @@
    was returned before this node started. Only a machine that has received an answer of the current
    epoch certainly exists. */
 static void
-note_heartbeat(Reconciliation *run)
+apply_heartbeat(Reconciliation *run)
 {
   WsCore *core = run->core;
   run->machine->worker.last_heartbeat_ms = core->now;
@@ -176,11 +177,11 @@
 static void
 reconcile(Reconciliation *run)
 {
-  note_heartbeat(run);
+  apply_heartbeat(run);
   handle_present_tasks(run);
   if (!run->replica_is_behind)
     handle_absent_tasks(run);
-  note_unacknowledged(run);
+  update_unacknowledged(run);
 }
 
 json_t *
--- a/src/workers/ws-worker-rpc.c
+++ b/src/workers/ws-worker-rpc.c
@@ -11,8 +11,8 @@
 #include "protocol/ws-status-codes.h"
 #include "storage/ws-gang-phase.h"
 
-/* Above this limit a launch waits for the answer to the machine's next heartbeat, except launches
-   of critical tasks and of gangs. */
+/* While so many calls are in flight, a launch waits for the answer to the machine's next heartbeat,
+   except launches of critical tasks and of gangs. */
 #define MAX_RPCS_IN_FLIGHT 48
 #define COMMAND_TIMEOUT_MS 2000
 /* Time for a graceful stop in addition to the time for saving the checkpoint. */
@@ -51,7 +51,7 @@
 }
 
 static void
-note_indeterminate_launch(WsCore *core, WsMachine *machine, const CommandCall *call)
+record_indeterminate_launch(WsCore *core, WsMachine *machine, const CommandCall *call)
 {
   if (machine->worker.indeterminate_launches == 0)
     machine->worker.indeterminate_since_ms = core->now;
@@ -69,7 +69,7 @@
                          has_launches };
   core->workers->rpcs_in_flight++;
   if (has_launches)
-    note_indeterminate_launch(core, machine, call);
+    record_indeterminate_launch(core, machine, call);
   ws_call(core, "POST", machine->worker.endpoint, "/commands",
           ws_command_request_encode(call->fencing_token, call->incarnation, commands),
           COMMAND_TIMEOUT_MS, on_command_reply, call);
