--- a/src/membership/ws-authority.c
+++ b/src/membership/ws-authority.c
@@ -45,7 +45,7 @@
     [WS_REFUSAL_REPLICA_BEHIND_EPOCH] = "the replica has not caught up with the epoch",
     [WS_REFUSAL_EPOCH_SUPERSEDED] = "a newer epoch exists",
     [WS_REFUSAL_CANCELLATIONS_UNKNOWN] = "this node may not know all confirmed cancellations",
-    [WS_REFUSAL_STORE_UNAVAILABLE] = "the store is unavailable to this node only",
+    [WS_REFUSAL_STORE_UNAVAILABLE] = "the store is available to a peer but not to this node",
     [WS_REFUSAL_ISOLATED] = "neither the store nor any peer is reachable",
     [WS_REFUSAL_NO_CATALOG] = "the cloud's catalog has not been loaded yet",
     [WS_REFUSAL_MACHINE_UNREACHABLE] = "the machine is unreachable",
@@ -152,8 +152,8 @@
 }
 
 /* Whether the store is unavailable to this node but available to a reachable peer. In an outage
-   that affects all nodes, this node waits until it ends. In one that affects this node only, the
-   other nodes continue without it. */
+   that affects all nodes, this node waits until it ends. If the store is available to a peer, the
+   peers continue without this node. */
 static gboolean
 store_is_unavailable_here_only(const WsCore *core)
 {
@@ -198,10 +198,10 @@
          && peer->cancellations_complete_ms >= ws_store_unavailable_since_ms(core);
 }
 
-/* Whether this node knows all confirmed cancellations although its replica is not current: the
-   store is unavailable to all reachable peers, so that none of them can confirm another
-   cancellation, no reachable peer has cancellations that this node lacks, and at least one peer has
-   delivered all of its own since the store became unavailable. */
+/* Whether this node knows all confirmed cancellations although its replica is not current: at least
+   one peer is reachable, the store is unavailable to all reachable peers, so that none of them can
+   confirm another cancellation, no reachable peer has cancellations that this node lacks, and at
+   least one peer has delivered all of its own since the store became unavailable. */
 static gboolean
 peers_have_delivered_cancellations(const WsCore *core)
 {
--- a/src/membership/ws-cancellations.c
+++ b/src/membership/ws-cancellations.c
@@ -2,8 +2,9 @@
  * Registry of confirmed cancellations. They are valid in every epoch, and also while the store or
  * this node's replica does not contain them.
  *
- * A node that learns of a cancellation from its own commit or its replica notifies every peer until
- * each has acknowledged it. workers/ws-cancelled-tasks.c halts the tasks.
+ * A node that learns of a cancellation from its replica, also by its own commit, or from a peer
+ * notifies every other peer until each has acknowledged it. workers/ws-cancelled-tasks.c halts the
+ * tasks.
  */
 #include "membership/ws-membership-private.h"
 
--- a/src/membership/ws-failure-detection.h
+++ b/src/membership/ws-failure-detection.h
@@ -36,16 +36,16 @@
 /** Returns for how long commands to the machine have been unacknowledged, in ms; 0: none are. */
 gint64 ws_liveness_unacknowledged_for_ms(const WsCore *core, const WsMachine *machine);
 
-/** Detects whether heartbeats fail to reach this node as a whole. Called on each tick. */
+/** Detects whether heartbeats fail to reach this node. Called by ws_failure_detector_tick(). */
 void ws_liveness_tick(WsCore *core);
 
-/** Detects which zones are partitioned. Called on each tick. */
+/** Detects which zones are partitioned. Called by ws_failure_detector_tick(). */
 void ws_partitions_tick(WsCore *core);
 
 /** Whether any node is located in the zone. */
 gboolean ws_zone_has_node(const WsCore *core, WsZoneIndex zone);
 
-/** Whether the zone is partitioned, or a partition was confirmed less than a lease time ago. */
+/** Whether the zone is partitioned, or a partition was confirmed less than a lease duration ago. */
 gboolean ws_zone_is_partitioned_or_recovering(const WsCore *core, WsZoneIndex zone);
 
 /** Whether the links to the zone's machines are probably down, rather than the machines. */
--- a/src/membership/ws-failure-detector.c
+++ b/src/membership/ws-failure-detector.c
@@ -1,6 +1,6 @@
 /**
- * The failure detector: probes suspected machines and declares those dead that neither answer nor
- * send heartbeats until a timeout. A dead machine is terminated without drain.
+ * The failure detector: probes suspected machines, and declares a machine dead if it neither sends
+ * a heartbeat nor answers probes until a timeout. A dead machine is terminated without drain.
  */
 #include "membership/ws-failure-detection.h"
 
@@ -14,7 +14,7 @@
 /* After a launch has been indeterminate for this time, a new epoch is requested for its higher
    fencing token. */
 #define INDETERMINATE_LAUNCH_TIMEOUT_MS 8000
-/* Time from the heartbeat timeout until a suspected machine is declared dead. */
+/* Time from the heartbeat timeout until a suspected machine whose probes fail is declared dead. */
 #define SUSPICION_MARGIN_MS 1500
 /* The same where the link to the machine may be down: time from the end of its lease. */
 #define LEASE_EXPIRY_MARGIN_MS 500
@@ -123,8 +123,8 @@
   return FALSE;
 }
 
-/* Returns after how long under suspicion a machine is declared dead, provided that its probes fail
-   too. */
+/* Returns the time since ws_liveness_suspected_since_ms() after which the machine is declared dead
+   if its probes fail too. */
 static gint64
 suspicion_timeout_ms(const WsCore *core, const WsMachine *machine,
                      const Interruptions *interruptions)
--- a/src/membership/ws-membership.h
+++ b/src/membership/ws-membership.h
@@ -26,7 +26,7 @@
   WS_REFUSAL_REPLICA_BEHIND_EPOCH,  /**< the replica is older than the epoch's record */
   WS_REFUSAL_EPOCH_SUPERSEDED,      /**< a worker or a peer knows a newer epoch */
   WS_REFUSAL_CANCELLATIONS_UNKNOWN, /**< this node may not know all confirmed cancellations */
-  WS_REFUSAL_STORE_UNAVAILABLE,     /**< the store is unavailable to this node only */
+  WS_REFUSAL_STORE_UNAVAILABLE,     /**< the store is available to a peer, not to this node */
   WS_REFUSAL_ISOLATED,              /**< neither the store nor any peer is reachable */
   WS_REFUSAL_NO_CATALOG,            /**< the cloud's catalog has not been loaded yet */
   WS_REFUSAL_MACHINE_UNREACHABLE,   /**< no endpoint, not up, or this node gets no heartbeats */
@@ -56,8 +56,8 @@
 void ws_authority_record_known_cancellations(WsCore *core);
 
 /**
- * Checks that this node is an active member: the replica is loaded, no process pause is pending,
- * and the current epoch lists this incarnation.
+ * Checks that this node is an active member: the replica is loaded, lease and replica have been
+ * confirmed since the last process pause, and the current epoch lists this incarnation.
  */
 WsRefusal ws_authority_check_member(const WsCore *core);
 
@@ -73,7 +73,8 @@
 /**
  * Checks whether an answer may renew the lease of a worker that reported @fencing_token. Renewal
  * requires that this node knows every confirmed cancellation, or that the renewed lease expires
- * within the time limit (cancel_s) of any cancellation that it does not know.
+ * within the time limit (cancel_s) of any cancellation that it does not know. An isolated node that
+ * receives no heartbeats from other zones is exempt from this requirement.
  */
 WsRefusal ws_authority_check_lease_renewal(const WsCore *core, guint64 fencing_token);
 
@@ -112,7 +113,7 @@
  */
 gboolean ws_has_caught_up_with_epoch(const WsCore *core);
 
-/** Whether neither the store nor any other node is reachable. */
+/** Whether neither the store nor any other node is reachable. FALSE if there is only one node. */
 gboolean ws_is_isolated(const WsCore *core);
 
 /** Whether a heartbeat from another zone arrived while this node is isolated. */
@@ -162,7 +163,7 @@
 
 /**
  * Returns when this node began the current epoch or when the last process pause ended, whichever is
- * later, in ms. 0: no epoch has begun.
+ * later, in ms. 0: neither has happened.
  */
 gint64 ws_epoch_known_since_ms(const WsCore *core);
 
@@ -216,7 +217,7 @@
 
 /* Gossip and other messages between nodes. */
 
-/** Sends gossip to each peer whose gossip interval has elapsed. Called on each tick. */
+/** Sends gossip to each peer to which it is due. Called on each tick. */
 void ws_gossip_tick(WsCore *core);
 
 /**
@@ -260,8 +261,8 @@
                           const WsAssignment *assignment);
 
 /**
- * Handles the requests in the mailbox and sends the queued batches that are due. Drops the queues
- * if this node is not an active member.
+ * Handles the requests for this node in received mailboxes and sends the queued batches that are
+ * due. Drops both if this node is not an active member.
  */
 void ws_peer_requests_pump(WsCore *core);
 
@@ -285,19 +286,19 @@
 
 /**
  * Whether this node receives no heartbeats although it owns machines that should send them. As of
- * the last tick.
+ * the last ws_failure_detector_tick().
  */
 gboolean ws_receives_no_heartbeats(const WsCore *core);
 
 /**
  * Whether the zone is partitioned, as inferred from missing heartbeats of its machines. As of the
- * last tick.
+ * last ws_failure_detector_tick().
  */
 gboolean ws_zone_is_partitioned(const WsCore *core, WsZoneIndex zone);
 
 /**
- * Whether the machine is up: its last heartbeat, at any node, or its last probe reply is not older
- * than the heartbeat timeout.
+ * Whether the machine is up: its last heartbeat or reply to a call, or the last gossip from an
+ * owner that announces it as up, is not older than the heartbeat timeout.
  */
 gboolean ws_machine_is_up(const WsCore *core, const WsMachine *machine);
 
--- a/src/membership/ws-partitions.c
+++ b/src/membership/ws-partitions.c
@@ -12,8 +12,8 @@
 
 /* Upper bound of the time that a node takes to restart, as a share of the lease duration. */
 #define NODE_RESTART_LEASE_SHARE 0.8
-/* For how long a detected partition is valid. Each tick detects it again, so this must exceed the
-   interval between two ticks. */
+/* For how long a detected partition is valid. Each ws_partitions_tick() detects it again, so this
+   must exceed the interval between two calls, that of the core's reconciliation. */
 #define PARTITION_VALIDITY_MS 600
 /* A common cause is assumed if at least MIN_SUSPECTED_MACHINES machines are suspected at the same
    time and, where machines of all zones are counted, at least one in MACHINES_PER_SUSPECTED. */
--- a/src/membership/ws-peer-request-message.h
+++ b/src/membership/ws-peer-request-message.h
@@ -39,7 +39,7 @@
   guint64 epoch;
   GPtrArray *requests[WS_PEER_REQUEST_KINDS];     /**< of WsPeerRequest; NULL: none was added */
   WsPeerRequestKind order[WS_PEER_REQUEST_KINDS]; /**< kinds in the order of first addition */
-  guint kinds;
+  guint kinds;                                    /**< number of entries used in @order */
 } WsPeerRequestBatch;
 
 /** Creates an empty batch of epoch 0. The caller frees it. */
--- a/src/store/ws-store-private.h
+++ b/src/store/ws-store-private.h
@@ -49,7 +49,7 @@
   WsStoreReads reads;
   WsStoreLoad load;
   WsStoreWatch watch;
-  gboolean is_stale;       /**< an outage has occurred, and no read has succeeded since */
+  gboolean is_stale;       /**< set by an outage, until a linearizable read succeeds */
   gboolean is_catching_up; /**< the read that ends is_stale is pending */
 };
 
@@ -83,7 +83,10 @@
 
 /** Frees the keys collected by a load. @load: initially all zero */
 void ws_store_load_clear(WsStoreLoad *load);
-/** Starts the load of the replica if it is due: not loaded, not loading, and no watch open. */
+/**
+ * Starts the load of the replica unless it is loaded or being loaded, a watch is open, or the retry
+ * delay after a failed load has not passed.
+ */
 void ws_store_load_tick(WsCore *core);
 
 /** Opens the watch if the replica is loaded, no watch is open, and the next one is due. */
--- a/src/store/ws-store.h
+++ b/src/store/ws-store.h
@@ -17,7 +17,7 @@
   WS_REQUEST_LEASE,      /**< leases, election and epochs */
   WS_REQUEST_READ,       /**< load, watch and linearizable reads */
   WS_REQUEST_USER,       /**< submissions and cancellations, whose users wait for the response */
-  WS_REQUEST_SCHEDULING, /**< assignments, releases, rentals, terminations and mailboxes */
+  WS_REQUEST_SCHEDULING, /**< e.g. assignments, releases, rentals, terminations, mailboxes */
   WS_REQUEST_BACKGROUND, /**< background work, e.g. garbage collection */
   WS_REQUEST_CLASS_COUNT /**< the number of classes */
 } WsRequestClass;
@@ -37,7 +37,11 @@
 /** Receives the outcome of a transaction. @data: as passed to ws_txn_commit() */
 typedef void (*WsTxnFunc)(WsCore *core, WsTxnResult result, gpointer data);
 
-/** Completes a linearizable read. @is_current: whether the replica is up to date */
+/**
+ * Completes a linearizable read.
+ *
+ * @is_current: whether the replica is up to date; FALSE: the read has failed or timed out
+ */
 typedef void (*WsReadFunc)(WsCore *core, gboolean is_current, gpointer data);
 
 /** Creates a client with nothing loaded. The caller frees it. @settings: read, not kept */
@@ -64,7 +68,10 @@
  */
 gboolean ws_store_stop(WsCore *core);
 
-/** Whether the replica is loaded. FALSE again once the store has compacted the watch's revision. */
+/**
+ * Whether the replica is loaded. FALSE again from when the store has compacted the watch's revision
+ * until the replica is reloaded.
+ */
 gboolean ws_store_is_loaded(const WsCore *core);
 
 /** Whether the store responds. An outage is reported only once it has lasted for a while. */
