--- a/src/membership/ws-authority.c
+++ b/src/membership/ws-authority.c
@@ -155,7 +155,7 @@
    that affects all nodes, this node waits until it ends. If the store is available to a peer, the
    peers continue without this node. */
 static gboolean
-store_is_unavailable_here_only(const WsCore *core)
+store_is_available_to_peers_only(const WsCore *core)
 {
   if (ws_store_is_available(core))
     return FALSE;
@@ -278,7 +278,7 @@
     return refusal;
   if (core->replica->catalog == NULL)
     return WS_REFUSAL_NO_CATALOG;
-  if (store_is_unavailable_here_only(core))
+  if (store_is_available_to_peers_only(core))
     return WS_REFUSAL_STORE_UNAVAILABLE;
   return ws_is_isolated(core) ? WS_REFUSAL_ISOLATED : WS_REFUSAL_NONE;
 }
@@ -302,7 +302,7 @@
     return refusal;
   if (peer_knows_newer_epoch(core))
     return WS_REFUSAL_EPOCH_SUPERSEDED;
-  return store_is_unavailable_here_only(core) ? WS_REFUSAL_STORE_UNAVAILABLE : WS_REFUSAL_NONE;
+  return store_is_available_to_peers_only(core) ? WS_REFUSAL_STORE_UNAVAILABLE : WS_REFUSAL_NONE;
 }
 
 WsRefusal
--- a/src/membership/ws-failure-detector.c
+++ b/src/membership/ws-failure-detector.c
@@ -150,14 +150,14 @@
 check_suspected(WsCore *core, WsMachine *machine, Interruptions *interruptions)
 {
   gint64 since_ms = ws_liveness_suspected_since_ms(machine);
-  gint64 suspected_ms = since_ms > 0 ? core->now - since_ms : 0;
-  if (suspected_ms <= ws_liveness_heartbeat_timeout_ms(core))
+  gint64 suspected_for_ms = since_ms > 0 ? core->now - since_ms : 0;
+  if (suspected_for_ms <= ws_liveness_heartbeat_timeout_ms(core))
     return;
   compute_interruptions(core, interruptions);
   probe_machine(core, machine);
   gboolean probes_fail
       = machine->worker.endpoint == NULL || machine->worker.failed_probes >= MIN_FAILED_PROBES;
-  if (probes_fail && suspected_ms > suspicion_timeout_ms(core, machine, interruptions))
+  if (probes_fail && suspected_for_ms > suspicion_timeout_ms(core, machine, interruptions))
     core->handlers->request_termination(core, machine, WS_MARK_REASON_SILENT, TRUE);
 }
 
--- a/src/store/ws-store-private.h
+++ b/src/store/ws-store-private.h
@@ -12,8 +12,8 @@
 /** The queued requests, and the token buckets that limit the rate at which they are sent. */
 typedef struct {
   GQueue queues[WS_REQUEST_CLASS_COUNT]; /**< of StoreRequest */
-  WsTokenBucket request_rate;
-  WsTokenBucket write_rate;
+  WsTokenBucket request_budget;
+  WsTokenBucket write_budget;
   gint64 rate_limited_until_ms; /**< no request is sent before: the store rate-limited one */
   gint64 unavailable_since_ms;  /**< when the current outage began; 0: there is none */
 } WsStoreRequests;
--- a/src/store/ws-store-requests.c
+++ b/src/store/ws-store-requests.c
@@ -37,8 +37,9 @@
 void
 ws_store_requests_init(WsStoreRequests *requests, const WsSettings *settings)
 {
-  ws_token_bucket_init(&requests->request_rate, 1.0, settings->kv_requests_per_s * BUDGET_BURST_S);
-  ws_token_bucket_init(&requests->write_rate, 1.0, settings->kv_writes_per_s * BUDGET_BURST_S);
+  ws_token_bucket_init(&requests->request_budget, 1.0,
+                       settings->kv_requests_per_s * BUDGET_BURST_S);
+  ws_token_bucket_init(&requests->write_budget, 1.0, settings->kv_writes_per_s * BUDGET_BURST_S);
 }
 
 static void
@@ -74,7 +75,7 @@
 gboolean
 ws_store_has_write_budget(WsCore *core, guint operations)
 {
-  return ws_token_bucket_can_take(&core->store->requests.write_rate, operations, core->now);
+  return ws_token_bucket_can_take(&core->store->requests.write_budget, operations, core->now);
 }
 
 void
@@ -85,10 +86,10 @@
   double request_share
       = is_leader ? LEADER_REQUEST_SHARE : (TOTAL_REQUEST_SHARE - LEADER_REQUEST_SHARE) / followers;
   double write_share = is_leader ? LEADER_WRITE_SHARE : FOLLOWERS_WRITE_SHARE / followers;
-  requests->request_rate.per_second = core->settings->kv_requests_per_s * request_share;
-  requests->write_rate.per_second = core->settings->kv_writes_per_s * write_share;
-  requests->write_rate.burst
-      = MAX(requests->write_rate.per_second * BUDGET_BURST_S, MIN_WRITE_BURST_OPERATIONS);
+  requests->request_budget.per_second = core->settings->kv_requests_per_s * request_share;
+  requests->write_budget.per_second = core->settings->kv_writes_per_s * write_share;
+  requests->write_budget.burst
+      = MAX(requests->write_budget.per_second * BUDGET_BURST_S, MIN_WRITE_BURST_OPERATIONS);
 }
 
 static void
@@ -172,14 +173,14 @@
 take_budget(WsCore *core, WsRequestClass request_class, guint write_count)
 {
   WsStoreRequests *requests = &core->store->requests;
-  if (!ws_token_bucket_can_take(&requests->request_rate, 1.0, core->now))
+  if (!ws_token_bucket_can_take(&requests->request_budget, 1.0, core->now))
     return FALSE;
   gboolean has_write_budget
       = request_class <= WS_REQUEST_USER
             ? write_count == 0
-                  || ws_token_bucket_overdraw(&requests->write_rate, write_count, core->now)
-            : ws_token_bucket_take(&requests->write_rate, write_count, core->now);
-  return has_write_budget && ws_token_bucket_take(&requests->request_rate, 1.0, core->now);
+                  || ws_token_bucket_overdraw(&requests->write_budget, write_count, core->now)
+            : ws_token_bucket_take(&requests->write_budget, write_count, core->now);
+  return has_write_budget && ws_token_bucket_take(&requests->request_budget, 1.0, core->now);
 }
 
 /* Sends in strict order of priority: while a request waits for the budget, all requests of lower
--- a/src/store/ws-store-watch.c
+++ b/src/store/ws-store-watch.c
@@ -49,7 +49,8 @@
 watch_is_due(const WsCore *core)
 {
   const WsStoreWatch *watch = &core->store->watch;
-  double interval_ms = REQUESTS_PER_WATCH * 1000.0 / core->store->requests.request_rate.per_second;
+  double interval_ms
+      = REQUESTS_PER_WATCH * 1000.0 / core->store->requests.request_budget.per_second;
   return core->now >= watch->retry_ms
          && (core->store->reads.waiting->len > 0
              || core->now >= watch->opened_ms + (gint64)interval_ms);
