--- a/tests/combined-faults/checker.c
+++ b/tests/combined-faults/checker.c
@@ -108,7 +108,7 @@
 void
 test_checker_detects_forgotten_job(void)
 {
-  if (expects_abort_in_child("*forgotten: nothing is heard*"))
+  if (expects_abort_in_child("*forgotten: no answer about*"))
     return;
   Sim *sim = sim_with_running_jobs(704, &ONE_TASK_JOB, &FOUR_TASK_JOB, 5);
   sim_end_faults(sim);
--- a/tests/sim/fault-injection.c
+++ b/tests/sim/fault-injection.c
@@ -71,7 +71,7 @@
   if (sim_count_open_jobs(sim) > 0)
     g_error("%u jobs have not ended after all faults were over", sim_count_open_jobs(sim));
   if (sim_count_rejected_for_size(sim) > 0)
-    g_error("the store refused %u transactions for their size", sim_count_rejected_for_size(sim));
+    g_error("the store rejected %u transactions for their size", sim_count_rejected_for_size(sim));
   sim_run(sim, 150.0);
   if (sim_count_machines(sim) > 0 || sim_count_termination_marks(sim) > 0
       || sim_count_unrecorded_machines(sim) > 0)
--- a/tests/sim/fault-injection.h
+++ b/tests/sim/fault-injection.h
@@ -38,7 +38,7 @@
 
 /**
  * Ends all faults. Fails unless every job then ends and neither a rented machine nor a termination
- * mark is left, or if the store has refused a transaction for its size.
+ * mark is left, or if the store has rejected a transaction for its size.
  */
 void sim_expect_recovery(Sim *sim);
 
--- a/tests/sim/fixture.c
+++ b/tests/sim/fixture.c
@@ -26,7 +26,7 @@
 fixture_on_store_reply(gpointer data, guint status, json_t *body)
 {
   StoreCall *store_call = data;
-  if (store_call->run == store_call->fixture->run) /* else the caller has ended */
+  if (store_call->run == store_call->fixture->run) /* else: a call of an earlier run */
     fixture_reply(store_call->fixture, store_call->call, status, body);
   json_decref(body);
   g_free(store_call);
--- a/tests/sim/fixture.h
+++ b/tests/sim/fixture.h
@@ -40,12 +40,12 @@
   guint64 held_call;               /* this transaction; the test answers it with fixture_reply() */
   json_t *last_transaction;        /* that was sent to the store */
   json_t *assignment_transaction;  /* the last transaction that wrote a task record */
-  guint outputs;                   /* the number of answers and calls that the core has put out */
+  guint outputs;                   /* the number of answers and calls that the core has sent */
   gsize gossip_bytes;         /* the size of the last gossip message that a peer acknowledged */
   json_t *member_transaction; /* the last transaction that wrote the record of member n0 */
 } Fixture;
 
-/** A call to the store that awaits its reply, and the run of the controller that made it. */
+/** A call to the store that awaits its answer, and the run of the controller that made it. */
 typedef struct {
   Fixture *fixture;
   guint64 call;
@@ -64,32 +64,34 @@
 void fixture_free(Fixture *fixture);
 /** Ends the controller and starts a new one with the same store. */
 void fixture_restart(Fixture *fixture);
-/** Stops holding watches back, and lets the one that is held back time out. */
+/** Stops holding watches back; the watch that is held back times out. */
 void fixture_release_watch(Fixture *fixture);
-/** Handles the answers and calls that the controller has put out. */
+/** Handles the answers and calls that the controller has queued for sending. */
 void fixture_handle_outputs(Fixture *fixture);
 /** Advances the time by @seconds, in ticks of 50 ms. */
 void fixture_run(Fixture *fixture, double seconds);
 /** Sends the controller a request, without advancing the time. */
 void fixture_request(Fixture *fixture, WsListener listener, const char *method, const char *path,
-                     json_t *body /* taken, may be NULL */);
+                     json_t *body /* takes ownership; may be NULL */);
 /** Removes the quotas of the teams from the settings. */
 void fixture_remove_quotas(Fixture *fixture);
 /** Sends a POST to the API listener, without advancing the time. */
-void fixture_post(Fixture *fixture, const char *path, json_t *body /* taken */);
+void fixture_post(Fixture *fixture, const char *path, json_t *body /* takes ownership */);
 /** Sends a request to the API listener, and runs for 0.3 s. */
 void fixture_send_request(Fixture *fixture, const char *method, const char *path,
-                          json_t *body /* taken */);
-/** Returns the body of a heartbeat; @tasks is taken. */
+                          json_t *body /* takes ownership */);
+/** Returns the body of a heartbeat; takes ownership of @tasks. */
 json_t *fixture_heartbeat(const Fixture *fixture, const char *machine, guint64 fencing_token,
                           guint64 sequence, json_t *tasks);
 /** Sends a POST to the peer listener, and runs for 0.3 s. */
-void fixture_send_peer_message(Fixture *fixture, const char *path, json_t *body /* taken */);
+void fixture_send_peer_message(Fixture *fixture, const char *path,
+                               json_t *body /* takes ownership */);
 /** Sends a heartbeat of the machine, without advancing the time. */
 void fixture_post_heartbeat(Fixture *fixture, const char *machine, guint64 fencing_token,
-                            guint64 sequence, json_t *tasks /* taken */);
+                            guint64 sequence, json_t *tasks /* takes ownership */);
 /** Sends the next heartbeat of the machine m-1, and runs for 0.3 s. */
-void fixture_send_heartbeat(Fixture *fixture, guint64 fencing_token, json_t *tasks);
+void fixture_send_heartbeat(Fixture *fixture, guint64 fencing_token,
+                            json_t *tasks /* takes ownership */);
 /** Returns the submission of the job req-1, which has one task. */
 json_t *fixture_submission(void);
 /** Returns the same submission with another job id. */
@@ -101,8 +103,9 @@
 /** Whether the controller's last answer contains a command of the kind @op. */
 gboolean fixture_has_command(const Fixture *fixture, const char *op);
 /** Writes a key to the store as another client; NULL as the value removes the existing key. */
-void fixture_write_key(Fixture *fixture, const char *key, json_t *value /* taken */);
-/** Gives the controller the reply to one of its calls; status 0 means a timeout. */
+void fixture_write_key(Fixture *fixture, const char *key, json_t *value /* takes ownership */);
+/** Answers one of the controller's calls; status 0 means a timeout. */
 void fixture_reply(Fixture *fixture, guint64 call, guint status, const json_t *body);
-/** Passes the store's reply to the controller, if it is still in the run of the StoreCall @data. */
+/** Passes the store's answer to the controller, unless it was restarted after the StoreCall @data.
+ */
 void fixture_on_store_reply(gpointer data, guint status, json_t *body);
--- a/tests/sim/sim-checker.c
+++ b/tests/sim/sim-checker.c
@@ -154,8 +154,7 @@
   gint64 since_ms = MAX(job->answered_ms, sim->faults_ended_ms);
   if (sim->faults_ended_ms > 0 && job->reported == REPORTED_ACCEPTED
       && sim->now_ms - since_ms > UNANSWERED_JOB_LIMIT_MS)
-    g_error("seed %u, %.1f s: forgotten: nothing is heard of %s", sim->seed, sim_now_s(sim),
-            job->id);
+    g_error("seed %u, %.1f s: forgotten: no answer about %s", sim->seed, sim_now_s(sim), job->id);
 }
 
 /* Counts the job's tasks that are done or on a machine, and adds its team's tasks on machines to
@@ -213,7 +212,8 @@
   else if (job->beside_capacity_since_ms == 0)
     job->beside_capacity_since_ms = sim->now_ms;
   else if (sim->now_ms - job->beside_capacity_since_ms > IDLE_CAPACITY_LIMIT_MS)
-    g_error("seed %u, %.1f s: %s waits beside free capacity", sim->seed, sim_now_s(sim), job->id);
+    g_error("seed %u, %.1f s: %s waits although a machine has free capacity for it", sim->seed,
+            sim_now_s(sim), job->id);
 }
 
 void
--- a/tests/sim/sim-cloud.c
+++ b/tests/sim/sim-cloud.c
@@ -25,7 +25,7 @@
   g_error("unknown zone %s", name);
 }
 
-/* Rents machines. A repeated request gets the machines of the first one. Of the machines 3 % never
+/* Rents machines. A repeated request gets the machines of the first one. 3 % of the machines never
    boot. */
 static json_t *
 rent_machines(Sim *sim, const json_t *body)
--- a/tests/sim/sim-network.c
+++ b/tests/sim/sim-network.c
@@ -249,8 +249,8 @@
     send_held_answer(sim, data);
 }
 
-/* Handles the store's reply to a call. A reply to a watch is held back while the store refuses the
-   caller's node, as it is in an outage. */
+/* Handles the store's answer to a call. The answer to a watch is held back while the store rejects
+   the requests of the caller's node, as in an outage. */
 static void
 handle_store_reply(gpointer data, guint status, json_t *body)
 {
@@ -322,7 +322,7 @@
   }
 }
 
-/* Sends a call that waits for its reply up to the timeout. */
+/* Sends a call that waits for its answer until the timeout. */
 void
 sim_send_call(Sim *sim, Call *call, guint timeout_ms)
 {
--- a/tests/sim/sim-private.h
+++ b/tests/sim/sim-private.h
@@ -12,7 +12,7 @@
 /**
  * The tick of the simulation, the time by which a cancelled task must have stopped (cancel_s of the
  * settings), the boot time of a machine, and the checker's limits for the time that an accepted job
- * may go without an answer or wait beside free capacity; in milliseconds.
+ * may get no answer, or wait although a machine has free capacity for it; in milliseconds.
  */
 #define TICK_MS 50
 #define CANCEL_LIMIT_MS 30000
@@ -46,8 +46,8 @@
   gint64 cancelled_ms;    /* when its user got the answer that it is cancelled */
   gint64 next_request_ms; /* when its user sends the next request; G_MAXINT64: one is in flight */
   gint64 answered_ms;     /* when its user last got a successful answer */
-  gint64 beside_capacity_since_ms; /* since when it waits although free capacity fits it; 0: it
-                                      doesn't */
+  gint64 beside_capacity_since_ms; /* since when it waits although a machine has free capacity for
+                                      it; 0: it doesn't */
   gboolean has_started;
   guint8 *completed; /* for each task: whether it is done */
   Gang gang;
@@ -114,13 +114,13 @@
 extern const char *const SIM_ZONES[SIM_NODES];
 
 /**
- * A call in flight, with its caller, request and answer. Each event or callee that still holds it
- * has a reference.
+ * A call in flight, with its caller, request and answer. Each scheduled event and each callee
+ * that hasn't answered yet has a reference.
  */
 typedef struct {
   Sim *sim;
   guint refs;
-  gboolean is_finished; /* the caller has got its reply or timed out */
+  gboolean is_finished; /* the caller has got an answer or timed out */
   /* the caller: a run of a node's controller, a machine, or a user */
   guint node;
   guint run;
@@ -161,13 +161,13 @@
 gboolean sim_draw_chance(Sim *sim, double part);
 /** Fails if another attempt of the task's gang occupies slots. */
 void sim_check_one_attempt(const Sim *sim, const SimTask *task);
-/** Has a task that has its image wait for the other tasks of its gang. */
+/** Makes a task whose image is fetched wait for the other tasks of its gang. */
 void sim_gang_handle_ready_task(const Sim *sim, Machine *machine, SimTask *task);
-/** Advances the gang: starts, stops, completes or loses its attempt, by the state of its tasks. */
+/** Advances the gang: starts, stops, completes or loses its attempt, depending on its tasks. */
 void sim_step_gang(Sim *sim, Job *job);
 /** Fails if an accepted job's user has got no answer for too long since the faults ended. */
 void sim_check_answered(const Sim *sim, const Job *job);
-/** Fails if the job has waited beside free capacity for too long since the faults ended. */
+/** Fails if the job has waited for too long, since the faults ended, while capacity was free. */
 void sim_check_idle_capacity(const Sim *sim, Job *job);
 /** The SimDescribeTask of the simulated cluster, whose @world is the Sim. */
 gboolean sim_describe_task(gpointer world, const char *id, guint task, double *run_s);
@@ -183,9 +183,9 @@
 void sim_schedule(Sim *sim, gint64 after_ms, EventHandler handler, gpointer data);
 /** The simulated time in seconds. */
 double sim_now_s(const Sim *sim);
-/** Delivers the answers and calls that the node's controller has put out. */
+/** Delivers the answers and calls that the node's controller has queued. */
 void sim_deliver_outputs(Sim *sim, guint node);
-/** Sends the callee's answer to the call @data, whose reference is taken; @body is taken too. */
+/** Sends the callee's answer to the call @data. Takes ownership of a reference and of @body. */
 void sim_reply_to_call(gpointer data, guint status, json_t *body);
 /** Sends a call, which may be lost, delayed or duplicated, and times out after @timeout_ms. */
 void sim_send_call(Sim *sim, Call *call, guint timeout_ms);
@@ -195,7 +195,7 @@
 void sim_step_task(Sim *sim, Machine *machine, SimTask *task);
 /** Has the job's user submit, query or cancel it if the next request is due. */
 void sim_step_user(Sim *sim, Job *job);
-/** Handles the reply to a user; fails if it contradicts an earlier one or the tasks' state. */
+/** Handles the answer to a user; fails if it contradicts an earlier one or the tasks' state. */
 void sim_user_handle_reply(Sim *sim, Call *call);
 /** The wall clock in milliseconds. */
 gint64 sim_wall_clock_ms(const Sim *sim);
--- a/tests/sim/sim-users.c
+++ b/tests/sim/sim-users.c
@@ -40,8 +40,8 @@
 }
 
 static void
-send_malformed_request(Sim *sim, const char *method, const char *path, json_t *body /* taken */,
-                       guint expected_status, const char *state)
+send_malformed_request(Sim *sim, const char *method, const char *path,
+                       json_t *body /* takes ownership */, guint expected_status, const char *state)
 {
   Call *call = g_new0(Call, 1);
   call->expected_status = expected_status;
@@ -55,7 +55,7 @@
 
 static json_t *
 changed_submission(const Job *job, const char *field,
-                   json_t *value /* taken; NULL: removes the field */)
+                   json_t *value /* takes ownership; NULL: removes the field */)
 {
   json_t *message = json_deep_copy(job->message);
   json_object_set_new(message, "id", json_string("req-999999"));
@@ -109,8 +109,8 @@
     send_user_request(sim, job, "GET", path, NULL);
 }
 
-/* Records the state in an answer. Checks that a job's state never goes back (went_back), that it is
-   cancelled only by its user, and that all its tasks are done when it is (not_done). */
+/* Records the state in an answer. Checks that a job's state never reverts (went_back), that only
+   its user cancels the job, and that all tasks of a job that is done are done (not_done). */
 static void
 record_reported_state(Sim *sim, Job *job, const char *state)
 {
--- a/tests/sim/sim.h
+++ b/tests/sim/sim.h
@@ -124,7 +124,7 @@
 void sim_announce_limits(Sim *sim, guint ops, gsize bytes);
 /** Changes the limits that the store enforces, but not those in the settings of the nodes. */
 void sim_lower_limits(Sim *sim, guint ops, gsize bytes);
-/** The number of transactions that the store has refused for their size. */
+/** The number of transactions that the store has rejected for their size. */
 guint sim_count_rejected_for_size(const Sim *sim);
 /** The leader according to its record in the store; G_MAXUINT if there is none. */
 guint sim_leader(const Sim *sim);
@@ -138,7 +138,7 @@
 void sim_stall_random_machine(Sim *sim, double seconds);
 /** Draws a random machine that is up and, if it is a spot machine, interrupts it after @seconds. */
 void sim_interrupt_random_machine(Sim *sim, double seconds);
-/** Gives a spot machine an interruption notice: the cloud takes it back after @seconds. */
+/** Gives a spot machine an interruption notice: the cloud reclaims it after @seconds. */
 void sim_interrupt_machine(Sim *sim, guint machine, double seconds);
 /** Does the same as sim_block_outbound() to a random machine that is up. */
 void sim_block_outbound_of_random_machine(Sim *sim, double seconds);
@@ -146,8 +146,8 @@
 void sim_restart_random_machine(Sim *sim);
 /**
  * Clears sim_faults() and the probability of sim_cancel_at_completion(), and starts the liveness
- * checks: from now on no accepted job may go without an answer, or wait beside free capacity that
- * fits it, for longer than the checker's limits.
+ * checks: from now on no accepted job may get no answer, or wait although a machine has free
+ * capacity for it, for longer than the checker's limits.
  */
 void sim_end_faults(Sim *sim);
 
--- a/tests/sim/store.c
+++ b/tests/sim/store.c
@@ -292,7 +292,7 @@
   return NULL;
 }
 
-/* The entries with a prefix whose keys come after @from; pairs is NULL to count them only. */
+/* The entries with a prefix whose keys sort after @from; pairs is NULL to count them only. */
 typedef struct {
   const char *prefix;
   const char *from;
--- a/tests/sim/store.h
+++ b/tests/sim/store.h
@@ -9,7 +9,7 @@
 /** A key-value store with transactions, leases and watches. */
 typedef struct _SimStore SimStore;
 /** Handles the answer to a request. */
-typedef void (*SimStoreReply)(gpointer data, guint status, json_t *body /* taken */);
+typedef void (*SimStoreReply)(gpointer data, guint status, json_t *body /* takes ownership */);
 
 /** Creates an empty store. */
 SimStore *sim_store_new(void);
@@ -20,12 +20,12 @@
  * store is unavailable: all leases are renewed and all watches end.
  */
 void sim_store_tick(SimStore *store, gint64 now_ms, gboolean is_unavailable);
-/** Handles a request. A watch is answered at the next change or its timeout, the rest at once. */
+/** Handles a request. Watches are answered at the next change or their timeout, others at once. */
 void sim_store_request(SimStore *store, gint64 now_ms, const char *method, const char *path,
                        const json_t *body, SimStoreReply reply, gpointer data);
 /** Sets limits: larger transactions and values get 400. What is stored stays readable. */
 void sim_store_set_limits(SimStore *store, guint max_operations, gsize max_value_bytes);
-/** The number of transactions that were refused for their size. */
+/** The number of transactions that were rejected for their size. */
 guint sim_store_count_rejected_for_size(const SimStore *store);
 /** The number of keys with the prefix. */
 guint sim_store_count_keys(const SimStore *store, const char *prefix);
--- a/tests/sim/worker.c
+++ b/tests/sim/worker.c
@@ -81,7 +81,7 @@
   return strcmp(task->state, "fetching") != 0 && strcmp(task->state, "exited") != 0;
 }
 
-/* Counts the slots that are taken, including those of tasks that fetch their image. */
+/* Counts the tasks that haven't exited, including those that fetch their image. */
 static guint
 count_taken_slots(const SimWorker *worker)
 {
--- a/tests/sim/worker.h
+++ b/tests/sim/worker.h
@@ -1,5 +1,5 @@
 /**
- * A worker of the simulated cluster, as the protocol describes it.
+ * A worker of the simulated cluster, which follows the worker protocol.
  */
 #pragma once
 
@@ -22,7 +22,7 @@
   gboolean saved;      /* it has exited with its progress saved */
 } SimTask;
 
-/** Whether the task counts for the invariants: its image is fetched and it hasn't exited. */
+/** Whether the invariants count the task's slot as used: its image is fetched, it hasn't exited. */
 gboolean sim_task_occupies_slot(const SimTask *task);
 
 /** A worker, in its current incarnation. */
@@ -35,11 +35,14 @@
   guint64 sequence;
   guint64 fencing_token;
   gint64 renewed_ms;      /* when the last acknowledged heartbeat was sent */
-  gint64 interruption_ms; /* when the cloud takes the machine back; 0: no notice */
+  gint64 interruption_ms; /* when the cloud reclaims the machine; 0: no notice */
   GArray *tasks;          /* of SimTask */
 } SimWorker;
 
-/** Gives the run time of a job's tasks, negative for a service; FALSE: there is no such task. */
+/**
+ * Sets @run_s to the run time of each task of the job, negative for a service. Returns FALSE if
+ * there is no such task.
+ */
 typedef gboolean (*SimDescribeTask)(gpointer world, const char *job, guint task, double *run_s);
 
 /** Creates a worker without tasks. */
@@ -52,7 +55,7 @@
 /** Handles the answer to a heartbeat that @incarnation sent at @sent_ms: renews the lease. */
 void sim_worker_handle_answer(SimWorker *worker, gint64 now_ms, gint64 sent_ms, guint64 incarnation,
                               const json_t *answer, SimDescribeTask describe, gpointer world);
-/** Handles direct commands. Returns the status of the answer; its body is @report, a heartbeat. */
+/** Handles direct commands. Returns the answer's status, and its body, a heartbeat, in @report. */
 guint sim_worker_handle_commands(SimWorker *worker, gint64 now_ms, const json_t *message,
                                  json_t **report, SimDescribeTask describe, gpointer world);
 /** Drops all tasks and begins a new incarnation if the lease has expired. */
