--- a/tests/combined-faults/cancellation.c
+++ b/tests/combined-faults/cancellation.c
@@ -51,8 +51,8 @@
   return sim;
 }
 
-/* Ends all faults; then both jobs must be closed, no task may have started more than a moment after
-   its user was told of the cancellation, and no machine or termination mark may leak. */
+/* Ends all faults; then both jobs must end, no task may have started more than 1.5 s after its user
+   got the answer "cancelled", and no machine or termination mark may leak. */
 static void
 expect_jobs_cancelled(Sim *sim)
 {
--- a/tests/core/random-faults.h
+++ b/tests/core/random-faults.h
@@ -8,5 +8,5 @@
 /** Submits @count jobs of random size, kind, team and priority. */
 void submit_random_jobs(Sim *sim, guint count);
 
-/** Injects a random fault. A fault that lasts until it is drawn again ends if it is in force. */
+/** Injects a random fault. A fault without a duration lasts until it is drawn again. */
 void inject_random_fault(Sim *sim);
--- a/tests/evidence/validity.c
+++ b/tests/evidence/validity.c
@@ -71,7 +71,7 @@
 }
 
 static void
-apply(WsReplica *replica, const char *key, json_t *value /* taken */)
+apply(WsReplica *replica, const char *key, json_t *value /* takes ownership */)
 {
   static guint64 version = 100;
   ws_replica_apply(replica, key, value, ++version);
--- a/tests/gangs/simulated.c
+++ b/tests/gangs/simulated.c
@@ -155,7 +155,7 @@
   }
 }
 
-/* Small jobs are submitted all the time and take each slot that becomes free. A gang, which needs
+/* Small jobs are submitted all the time and occupy each slot that becomes free. A gang, which needs
    several slots at the same time, still starts within four minutes. */
 void
 test_starts_among_small_jobs(void)
@@ -180,7 +180,7 @@
   sim_free(sim);
 }
 
-/* Gangs run together with arrays and services during combined random faults. */
+/* Gangs run together with array jobs during combined random faults. */
 static void
 play_random_faults(guint32 seed)
 {
--- a/tests/regressions/cancellation.c
+++ b/tests/regressions/cancellation.c
@@ -3,7 +3,7 @@
  */
 #include "regressions/regressions.h"
 
-/* A peer's cancellation takes effect whatever the job's record says: the task is halted, and not
+/* A peer's cancellation takes effect regardless of the job's record: the task is halted, and isn't
    launched again on a new incarnation of the worker. A malformed cancellation, or one from an
    unknown node, is rejected and changes nothing. */
 void
@@ -54,7 +54,7 @@
 
 /* A node reaches neither the store nor its peers, while workers of other zones reach it. It can't
    know new cancellations, so it stops renewing these workers' leases in time for the tasks of a
-   cancelled job to end within cancel_s, also if a worker that it rejected returns. */
+   cancelled job to end within cancel_s, even if a worker that it rejected contacts it again. */
 void
 test_isolated_node_stops_lease_renewal(void)
 {
@@ -71,7 +71,7 @@
   fixture_free(fixture);
 }
 
-/* A node that only workers of its own zone reach is in a partitioned zone: it goes on renewing
+/* A node that only workers of its own zone reach is in a partitioned zone: it continues to renew
    their leases, so that their tasks keep running. */
 void
 test_partitioned_zone_keeps_lease_renewal(void)
--- a/tests/regressions/failure-detection.c
+++ b/tests/regressions/failure-detection.c
@@ -37,8 +37,8 @@
 }
 
 /* A node that receives no heartbeats directly doesn't declare a machine dead because no other node
-   relays its heartbeats: in a cluster of hundreds, 290 live machines were returned. Once workers
-   reach the node again, it declares silent machines dead. */
+   relays its heartbeats: in a cluster of hundreds of machines, 290 live machines were returned.
+   Once workers reach the node again, it declares silent machines dead. */
 void
 test_no_termination_by_unreachable_node(void)
 {
@@ -183,8 +183,8 @@
   fixture_free(fixture);
 }
 
-/* Without a partition, a new owner gives workers the time to run into timeouts at their previous
-   node and to find the new one; only then does it declare silent machines dead. */
+/* Without a partition, a new owner gives workers time to get timeouts from their previous node
+   and to find the new one; only then does it declare silent machines dead. */
 void
 test_new_owner_waits_before_termination(void)
 {
--- a/tests/regressions/writes.c
+++ b/tests/regressions/writes.c
@@ -4,7 +4,8 @@
 #include "regressions/regressions.h"
 
 /* Every transaction that changes assignments is conditional on the records of the epoch, the job,
-   the chunk of tasks and the team's use; one that assigns tasks also on the machine's record. */
+   the chunk of tasks and the team's resource use; one that assigns tasks also on the machine's
+   record. */
 void
 test_assignment_writes_are_conditional(void)
 {
@@ -18,8 +19,8 @@
   fixture_free(fixture);
 }
 
-/* The completion of a task is stored before the worker is told to reap the task, that is, to
-   discard its own record of it. */
+/* The completion of a task is stored before the worker gets the command to reap the task, that is,
+   to discard its own record of it. */
 void
 test_end_is_stored_before_reap(void)
 {
@@ -96,8 +97,8 @@
   fixture_free(fixture);
 }
 
-/* While a launch is indeterminate, the worker isn't told to reap the attempt: having no record of
-   it any more, the worker would run the late launch as a new one. */
+/* While a launch is indeterminate, the worker gets no command to reap the attempt: without a record
+   of the attempt, the worker would carry out the late launch. */
 void
 test_no_reap_while_launch_is_indeterminate(void)
 {
@@ -213,8 +214,8 @@
 }
 
 /* A new leader assigns no task before its replica has reached the revision of the epoch that it
-   wrote. A record that was written and removed before that revision is unknown to it, so conditions
-   on the record's absence would hold although the decision is stale. */
+   wrote. A record that was written and removed before that revision is missing from the replica, so
+   conditions on the record's absence would be met although the decision is stale. */
 void
 test_new_leader_reads_before_assignment(void)
 {
--- a/tests/test-combined-faults.c
+++ b/tests/test-combined-faults.c
@@ -1,6 +1,6 @@
 /**
- * Faults that coincide, in a simulated cluster whose invariants are checked: the combinations that
- * have violated an invariant for users, and random pairs and triples of faults.
+ * Faults that coincide, in a simulated cluster whose invariants are checked: combinations that
+ * have violated an invariant before, and random pairs and triples of faults.
  */
 #include "combined-faults/combined-faults.h"
 #include "sim/fault-injection.h"
@@ -31,8 +31,8 @@
   }
 }
 
-/* The combinations. Each injects its faults under the same load: array jobs and services of both
-   teams that exceed the capacity, some of them bound to one zone. */
+/* The combinations. Each injects its faults under the same load: array jobs of both teams that
+   exceed the quotas, some of them bound to one zone. */
 
 typedef struct {
   const char *name;
--- a/tests/test-commit.c
+++ b/tests/test-commit.c
@@ -31,8 +31,8 @@
   }
 }
 
-/* Only a job whose transaction held no other job is quarantined. If a transaction with several jobs
-   is rejected, it isn't known which of them is the cause. */
+/* Only a job that is alone in a rejected transaction is quarantined. If a transaction with several
+   jobs is rejected, the job that caused the rejection is unknown. */
 static void
 test_only_job_rejected_alone_is_quarantined(void)
 {
--- a/tests/test-coordination.c
+++ b/tests/test-coordination.c
@@ -1,5 +1,6 @@
 /**
- * Epochs: encoding of epoch records and owners of machines by rendezvous hashing. Settings: limits.
+ * Epochs: encoding of epoch records and owners of machines by rendezvous hashing. Also the
+ * limits of settings.
  */
 #include "coordination/ws-epoch.h"
 #include "ws-site.h"
--- a/tests/test-core.c
+++ b/tests/test-core.c
@@ -93,7 +93,7 @@
   sim_faults(sim)->partitioned_zones = 1;
   sim_run(sim, 3.0);
   sim_properties(sim)->idle_timeout_s = 5.0;
-  sim_run(sim, 6.0); /* 9 s in all: less than the lease less one interval */
+  sim_run(sim, 6.0); /* 9 s in total: less than the lease minus one interval */
   g_assert_cmpuint(sim_count_machines_in_zone(sim, "a"), ==, machines_in_a);
   sim_faults(sim)->partitioned_zones = 0;
   sim_run(sim, 60.0);
@@ -111,7 +111,7 @@
   g_assert_cmpuint(machines_in_a, >, 4);
 }
 
-/* A job whose tasks take several chunk records completes with its last task, and leaves no task
+/* A job whose tasks need several chunk records completes with its last task, and leaves no task
    records behind. */
 static void
 test_job_of_several_chunks_completes(void)
@@ -145,12 +145,13 @@
   sim_end_faults(sim);
   sim_cancel_until_jobs_end(sim, 400, 1.0);
   if (sim_count_open_jobs(sim) > 0)
-    g_error("seed %u: %u jobs are still open", seed, sim_count_open_jobs(sim));
+    g_error("seed %u: %u jobs have not ended after all faults were over", seed,
+            sim_count_open_jobs(sim));
   sim_run(sim, 150.0);
   if (sim_count_machines(sim) > 0 || sim_count_termination_marks(sim) > 0
       || sim_count_unrecorded_machines(sim) > 0)
-    g_error("seed %u: %u machines leaked, %u without a record, %u marks", seed,
-            sim_count_machines(sim), sim_count_unrecorded_machines(sim),
+    g_error("seed %u: leaked: %u machines, %u of them in no rental batch; %u termination marks",
+            seed, sim_count_machines(sim), sim_count_unrecorded_machines(sim),
             sim_count_termination_marks(sim));
   sim_free(sim);
 }
@@ -232,10 +233,10 @@
   }
 }
 
-/* A whole zone is partitioned for several leases, from the store too: its workers reach only the
-   node in the zone. That node renews their leases, and their tasks keep running. The nodes outside
-   don't return the zone's machines, neither during the partition nor right after it, when workers
-   look for their owner. */
+/* A whole zone is partitioned for several times the lease, also from the store: its workers reach
+   only the node in the zone. That node renews their leases, and their tasks keep running. The nodes
+   outside don't return the zone's machines, neither during the partition nor right after it, when
+   workers look for their owner. */
 static void
 test_partitioned_zone_keeps_its_tasks(void)
 {
@@ -330,7 +331,8 @@
       g_error("seed %u: job %u has not started", seed, i);
   sim_run_until_jobs_end(sim, 400);
   if (sim_count_open_jobs(sim) > 0)
-    g_error("seed %u: %u jobs are still open", seed, sim_count_open_jobs(sim));
+    g_error("seed %u: %u jobs have not ended after all faults were over", seed,
+            sim_count_open_jobs(sim));
   sim_free(sim);
 }
 
--- a/tests/test-evidence.c
+++ b/tests/test-evidence.c
@@ -49,7 +49,7 @@
 } Scenario;
 
 static void
-send_heartbeat(Scenario *scenario, guint64 fencing_token, json_t *tasks /* taken */)
+send_heartbeat(Scenario *scenario, guint64 fencing_token, json_t *tasks /* takes ownership */)
 {
   fixture_post_heartbeat(scenario->fixture, scenario->machine, fencing_token, ++scenario->sequence,
                          tasks);
@@ -192,7 +192,7 @@
 }
 
 /* n1 observes in an early epoch that the task is absent, then leaves. n0 becomes the owner and
-   launches the task. n1 joins again and sends the outdated release in the present epoch. The
+   launches the task. n1 joins again and sends the outdated release in the current epoch. The
    release must not be committed. */
 static void
 check_release_by_former_owner(gboolean has_evidence)
@@ -260,8 +260,8 @@
 }
 
 /* If a release without evidence can't be accepted at once, the leader probes the worker. An exit in
-   the worker's status is evidence, whatever the exit reason, but only in a status under the present
-   fencing token. */
+   the worker's status is evidence regardless of the exit reason, but only in a status under the
+   current fencing token. */
 static void
 test_legacy_release_needs_current_worker_status(void)
 {
@@ -270,7 +270,7 @@
   change_epoch(&scenario, TRUE);
   Fixture *fixture = scenario.fixture;
   for (guint64 fencing_token = 1; fencing_token <= 2;
-       fencing_token++) { /* only a status under the present token is evidence */
+       fencing_token++) { /* only a status under the current token is evidence */
     json_t *tasks = json_pack("[{s:s, s:i, s:s, s:s}]", "kus", "req-1/0", "pokus", 1, "stav",
                               "exited", "duvod", "error");
     json_decref(fixture->status_report);
@@ -350,9 +350,9 @@
   scenario_end(&scenario);
 }
 
-/* Makes n0 know its own new epoch while its replica is older. The watch is held back while another
+/* Makes n0 enter a new epoch while its replica is older. The watch is held back while another
    node's last transaction of the old epoch moves the task to another machine. Then n0 writes the
-   next epoch, which it knows at once. */
+   next epoch and enters it at once, without the watch. */
 static void
 fall_behind_own_epoch(Scenario *scenario)
 {
--- a/tests/test-peer-messages.c
+++ b/tests/test-peer-messages.c
@@ -1,5 +1,5 @@
 /* The encoding of the messages between nodes, byte for byte: nodes of different versions run in the
-   same cluster, so that it must not change. */
+   same cluster, so it must not change. */
 #include "membership/ws-cancellation-message.h"
 #include "membership/ws-gossip-message.h"
 #include "membership/ws-peer-request-message.h"
--- a/tests/test-size.c
+++ b/tests/test-size.c
@@ -1,7 +1,7 @@
 /**
  * Scalability: the work of a controller for a heartbeat, a tick, a gossip message, a plan and a
- * failover, at several cluster sizes. It must not grow with the number of machines, or no faster
- * than the test states. Work is counted in steps and messages, not in time.
+ * failover, at several cluster sizes. The work must not grow with the number of machines, or no
+ * faster than the test states. Work is counted in steps and messages, not in time.
  */
 #include "storage/ws-replica.h"
 #include "sim/fixture.h"
@@ -10,7 +10,7 @@
 #define SMALL_CLUSTER_MACHINES 80u
 #define LARGE_CLUSTER_MACHINES 640u
 #define HUGE_CLUSTER_MACHINES 4000u
-/* The machines that one node must be able to serve when it is the only one left. */
+/* The number of machines that the last remaining node must be able to serve. */
 #define LAST_NODE_MACHINES 6000u
 
 static void
@@ -74,7 +74,7 @@
   return outputs;
 }
 
-/* Taking over all machines takes one answer per machine, and a few more messages. */
+/* A takeover of all machines needs one answer per machine, and a few more messages. */
 static void
 test_takeover_messages_grow_only_with_machines(void)
 {
@@ -255,7 +255,7 @@
   }
 }
 
-/* Runs for the time, and sets *marked_ms to the time of the first termination mark. */
+/* Runs for @seconds, and sets *marked_ms to the time of the first termination mark. */
 static void
 run_and_record_first_mark(Fixture *fixture, double seconds, gint64 *marked_ms)
 {
@@ -317,8 +317,8 @@
   g_assert_cmpuint(many, <=, 5);
 }
 
-/* Hundreds of jobs on as many machines are cancelled within 0.2 s, and no worker answers. The peers
-   are notified in a few messages, and halts are sent at a bounded rate. */
+/* CANCELLED_JOBS jobs, each on its own machine, are cancelled at the same time, and no worker
+   answers halts. The peers are notified in a few messages, and halts are sent at a bounded rate. */
 static void
 test_bulk_cancellation_is_batched_and_paced(void)
 {
--- a/tests/test-storage.c
+++ b/tests/test-storage.c
@@ -86,7 +86,8 @@
 
 /* Guards against a replica that diverges when a node applies its own writes early and the watch
    delivers older versions, and the same ones again, later. The final state must equal that of a
-   replica that was fed by the watch alone, and the sums per machine must hold after each step. */
+   replica that gets changes only from the watch, and the sums per machine must match the
+   assignments after each step. */
 static void
 check_early_own_writes(GRand *rand)
 {
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -1,7 +1,7 @@
 /**
- * Upgrades: this version and the production version use the same records and messages; and limits
- * of the store are lowered. The records in this file were written by the encoders of the production
- * version, commit ee59907.
+ * Upgrades: this version and the production version use the same records and messages. Also
+ * tests lowered limits of the store. The records in this file were written by the encoders of the
+ * production version, commit ee59907.
  */
 #include "commit/ws-release-order.h"
 #include "sim/fixture.h"
@@ -94,7 +94,7 @@
 }
 
 static void
-assert_encoded_as(json_t *value /* taken */, const char *key)
+assert_encoded_as(json_t *value /* takes ownership */, const char *key)
 {
   g_autofree char *text = ws_json_serialize(value);
   g_assert_cmpstr(text, ==, stored_record(key));
@@ -215,9 +215,9 @@
   return chunk;
 }
 
-/* A chunk that is said to fit the record limit does fit, and one that is said not to fit is at most
-   one byte below it. Free slots are reported only for a chunk that fits, and not more than a record
-   could hold. */
+/* A chunk that ws_chunk_fits_record() accepts fits the record limit, and one that it rejects has at
+   least the limit's length. Free slots are reported only for a chunk that fits, and no more than a
+   record has space for. */
 static void
 test_chunks_fit_record_limit(void)
 {
@@ -241,8 +241,8 @@
   }
 }
 
-/* Long machine names limit how many machines a rental batch record takes: the record stays within
-   the limit. */
+/* Long machine names limit how many machines a rental batch record contains: the record stays
+   within the limit. */
 static void
 test_rental_batches_fit_record_limit(void)
 {
@@ -340,7 +340,7 @@
   fixture->settings->kv_max_record_bytes = 300;
   fixture_send_request(fixture, "POST", "/api/jobs", fixture_submission());
   g_assert_cmpuint(fixture->status, ==, 422);
-  fixture->hold_watch = TRUE; /* the record that follows doesn't reach the replica */
+  fixture->hold_watch = TRUE; /* the record written below doesn't reach the replica */
   fixture_run(fixture, 10.0);
   g_autoptr(json_t) submission = fixture_submission();
   fixture_write_key(
