--- a/tests/core/random-faults.c
+++ b/tests/core/random-faults.c
@@ -59,9 +59,9 @@
 }
 
 static void
-toggle_store_refusal(Sim *sim)
+toggle_store_rejection(Sim *sim)
 {
-  guint *nodes = &sim_faults(sim)->store_refuses_nodes;
+  guint *nodes = &sim_faults(sim)->store_rejects_nodes;
   *nodes = *nodes ? 0 : random_node_bit(sim);
 }
 
@@ -142,7 +142,7 @@
   crash_random_node,
   crash_all_nodes,
   toggle_store_outage,
-  toggle_store_refusal,
+  toggle_store_rejection,
   toggle_partition,
   toggle_cloud_outage,
   toggle_full_cloud,
--- a/tests/evidence/validity.c
+++ b/tests/evidence/validity.c
@@ -112,8 +112,8 @@
                WsMachineIndex other_machine, gboolean is_same_owner)
 {
   g_assert_true(ws_release_is_valid(replica, returned));
-  gboolean holds = ws_release_is_valid(replica, absent);
-  g_assert_true(holds == is_same_owner);
+  gboolean is_valid = ws_release_is_valid(replica, absent);
+  g_assert_true(is_valid == is_same_owner);
   WsRelease done = *absent;
   done.is_completed = TRUE;
   g_assert_true(ws_release_is_valid(replica, &done));
--- a/tests/sim/drawn-faults.c
+++ b/tests/sim/drawn-faults.c
@@ -11,18 +11,18 @@
 } FaultKind;
 
 static void
-begin_store_refusal(Sim *sim, double seconds)
+begin_store_rejection(Sim *sim, double seconds)
 {
   (void)seconds;
-  sim_faults(sim)->store_refuses_nodes
+  sim_faults(sim)->store_rejects_nodes
       = 1u << (g_rand_boolean(sim_rand(sim)) ? sim_leader_or_first(sim)
                                              : sim_next_node(sim_leader_or_first(sim)));
 }
 
 static void
-end_store_refusal(Sim *sim)
+end_store_rejection(Sim *sim)
 {
-  sim_faults(sim)->store_refuses_nodes = 0;
+  sim_faults(sim)->store_rejects_nodes = 0;
 }
 
 static void
@@ -221,7 +221,7 @@
 
 static const FaultKind FAULT_KINDS[] = {
   { "malformed-requests", begin_malformed_requests, NULL },
-  { "store-refusal", begin_store_refusal, end_store_refusal },
+  { "store-refusal", begin_store_rejection, end_store_rejection },
   { "store-outage", begin_store_outage, end_store_outage },
   { "slow-store", begin_slow_store, end_slow_store },
   { "delayed-transactions", begin_delayed_transactions, end_delayed_transactions },
--- a/tests/sim/sim-checker.c
+++ b/tests/sim/sim-checker.c
@@ -7,9 +7,9 @@
 #include <string.h>
 
 gboolean
-sim_describe_task(gpointer world, const char *id, guint task, double *run_s)
+sim_describe_task(gpointer user_data, const char *id, guint task, double *run_s)
 {
-  const Job *job = sim_find_job(world, id);
+  const Job *job = sim_find_job(user_data, id);
   *run_s = job != NULL && !job->spec.service ? job->spec.run_s : -1.0;
   return job != NULL && task < job->spec.tasks;
 }
@@ -182,14 +182,14 @@
 static gboolean
 has_free_capacity(const Sim *sim, const Job *job, const Machine *machine)
 {
-  guint taken = 0;
+  guint occupied = 0;
   for (guint k = 0; k < machine->worker->tasks->len; k++)
-    taken += strcmp(g_array_index(machine->worker->tasks, SimTask, k).state, "exited") != 0;
+    occupied += strcmp(g_array_index(machine->worker->tasks, SimTask, k).state, "exited") != 0;
   return sim_is_up(sim, machine) && !sim_is_stalled(sim, machine)
          && machine->worker->interruption_ms == 0
          && sim->now_ms >= machine->outbound_unreachable_until_ms
          && sim->now_ms >= machine->inbound_unreachable_until_ms
-         && (job->spec.spot || !machine->worker->spot) && taken < SIM_MACHINE_SLOTS;
+         && (job->spec.spot || !machine->worker->spot) && occupied < SIM_MACHINE_SLOTS;
 }
 
 /* Once the faults are over, no job may wait for long while a machine that fits it has free capacity
@@ -198,20 +198,20 @@
 void
 sim_check_idle_capacity(const Sim *sim, Job *job)
 {
-  gboolean any = FALSE;
+  gboolean has_idle_capacity = FALSE;
   guint team = 0;
   if (sim->faults_ended_ms == 0 || job->reported != REPORTED_ACCEPTED || job->cancelling
       || job->spec.scatter || job->spec.one_zone || job->spec.zone != NULL)
     return;
-  for (guint i = 0; i < sim->machines->len && !any; i++)
-    any = has_free_capacity(sim, job, g_ptr_array_index(sim->machines, i));
-  any = any && count_placed(sim, job, &team) < job->spec.tasks
-        && team < (strcmp(job->spec.team, "red") == 0 ? 6u : 8u);
-  if (!any)
-    job->beside_capacity_since_ms = 0;
-  else if (job->beside_capacity_since_ms == 0)
-    job->beside_capacity_since_ms = sim->now_ms;
-  else if (sim->now_ms - job->beside_capacity_since_ms > IDLE_CAPACITY_LIMIT_MS)
+  for (guint i = 0; i < sim->machines->len && !has_idle_capacity; i++)
+    has_idle_capacity = has_free_capacity(sim, job, g_ptr_array_index(sim->machines, i));
+  has_idle_capacity = has_idle_capacity && count_placed(sim, job, &team) < job->spec.tasks
+                      && team < (strcmp(job->spec.team, "red") == 0 ? 6u : 8u);
+  if (!has_idle_capacity)
+    job->idle_capacity_since_ms = 0;
+  else if (job->idle_capacity_since_ms == 0)
+    job->idle_capacity_since_ms = sim->now_ms;
+  else if (sim->now_ms - job->idle_capacity_since_ms > IDLE_CAPACITY_LIMIT_MS)
     g_error("seed %u, %.1f s: %s waits although a machine has free capacity for it", sim->seed,
             sim_now_s(sim), job->id);
 }
--- a/tests/sim/sim-network.c
+++ b/tests/sim/sim-network.c
@@ -31,9 +31,9 @@
 }
 
 gboolean
-sim_draw_chance(Sim *sim, double part)
+sim_draw_chance(Sim *sim, double probability)
 {
-  return part > 0.0 && g_rand_double(sim->rand) < part;
+  return probability > 0.0 && g_rand_double(sim->rand) < probability;
 }
 
 gint64
@@ -227,9 +227,9 @@
 }
 
 static gboolean
-is_refused_by_store(const Sim *sim, const Call *call)
+is_rejected_by_store(const Sim *sim, const Call *call)
 {
-  return sim->faults.store_unavailable || (sim->faults.store_refuses_nodes >> call->node & 1) != 0;
+  return sim->faults.store_unavailable || (sim->faults.store_rejects_nodes >> call->node & 1) != 0;
 }
 
 static void
@@ -243,7 +243,7 @@
 static void
 send_held_answer_when_available(Sim *sim, gpointer data)
 {
-  if (is_refused_by_store(sim, data))
+  if (is_rejected_by_store(sim, data))
     sim_schedule(sim, 100, send_held_answer_when_available, data);
   else
     send_held_answer(sim, data);
@@ -263,7 +263,7 @@
   }
   call->status = status;
   call->held_answer = body;
-  if (is_refused_by_store(sim, call) && g_str_has_prefix(call->path, "/follow"))
+  if (is_rejected_by_store(sim, call) && g_str_has_prefix(call->path, "/follow"))
     sim_schedule(sim, 100, send_held_answer_when_available, call);
   else if (sim->faults.store_delay_ms > 0)
     sim_schedule(sim, g_rand_int_range(sim->rand, 0, (gint32)sim->faults.store_delay_ms),
@@ -297,7 +297,7 @@
 {
   if ((sim->faults.isolated_nodes >> call->node & 1) != 0)
     sim_call_unref(call);
-  else if (is_refused_by_store(sim, call))
+  else if (is_rejected_by_store(sim, call))
     sim_reply_to_call(call, 503, json_object());
   else if (strcmp(call->path, "/multi") == 0
            && sim_draw_chance(sim, sim->faults.delayed_transactions))
--- a/tests/sim/sim-private.h
+++ b/tests/sim/sim-private.h
@@ -46,7 +46,7 @@
   gint64 cancelled_ms;    /* when its user got the answer that it is cancelled */
   gint64 next_request_ms; /* when its user sends the next request; G_MAXINT64: one is in flight */
   gint64 answered_ms;     /* when its user last got a successful answer */
-  gint64 beside_capacity_since_ms; /* since when it waits although a machine has free capacity for
+  gint64 idle_capacity_since_ms; /* since when it waits although a machine has free capacity for
                                       it; 0: it doesn't */
   gboolean has_started;
   guint8 *completed; /* for each task: whether it is done */
@@ -157,8 +157,8 @@
 void sim_call_unref(Call *call);
 /** Has the user of an accepted job cancel it at once. */
 void sim_user_cancel(Sim *sim, Job *job);
-/** Returns TRUE with the probability @part; draws a random number only if that is above 0. */
-gboolean sim_draw_chance(Sim *sim, double part);
+/** Returns TRUE with the given @probability; draws a random number only if that is above 0. */
+gboolean sim_draw_chance(Sim *sim, double probability);
 /** Fails if another attempt of the task's gang occupies slots. */
 void sim_check_one_attempt(const Sim *sim, const SimTask *task);
 /** Makes a task whose image is fetched wait for the other tasks of its gang. */
@@ -169,8 +169,8 @@
 void sim_check_answered(const Sim *sim, const Job *job);
 /** Fails if the job has waited for too long, since the faults ended, while capacity was free. */
 void sim_check_idle_capacity(const Sim *sim, Job *job);
-/** The SimDescribeTask of the simulated cluster, whose @world is the Sim. */
-gboolean sim_describe_task(gpointer world, const char *id, guint task, double *run_s);
+/** The SimDescribeTask of the simulated cluster, whose @user_data is the Sim. */
+gboolean sim_describe_task(gpointer user_data, const char *id, guint task, double *run_s);
 /** Returns the job with the id, or NULL. */
 Job *sim_find_job(const Sim *sim, const char *id);
 /** Returns the machine with the name, or NULL. */
--- a/tests/sim/sim-users.c
+++ b/tests/sim/sim-users.c
@@ -71,26 +71,26 @@
 {
   if (sim->jobs->len == 0)
     return;
-  const Job *any
+  const Job *random_job
       = g_ptr_array_index(sim->jobs, (guint)g_rand_int_range(sim->rand, 0, (gint32)sim->jobs->len));
   send_malformed_request(sim, "GET", "/api/jobs/req-999999", NULL, 404, NULL);
   send_malformed_request(sim, "POST", "/api/jobs/req-999999/withdraw", NULL, 404, NULL);
-  send_malformed_request(sim, "POST", "/api/jobs", changed_submission(any, "kusy", NULL), 400,
-                         NULL);
+  send_malformed_request(sim, "POST", "/api/jobs", changed_submission(random_job, "kusy", NULL),
+                         400, NULL);
   send_malformed_request(sim, "POST", "/api/jobs",
-                         changed_submission(any, "dilna", json_integer(7)), 400, NULL);
+                         changed_submission(random_job, "dilna", json_integer(7)), 400, NULL);
   send_malformed_request(sim, "POST", "/api/jobs",
-                         changed_submission(any, "dilna", json_string("green")), 422, NULL);
+                         changed_submission(random_job, "dilna", json_string("green")), 422, NULL);
   send_malformed_request(sim, "POST", "/api/jobs",
-                         changed_submission(any, "hala", json_string("z")), 422, NULL);
+                         changed_submission(random_job, "hala", json_string("z")), 422, NULL);
   send_malformed_request(sim, "POST", "/api/jobs",
-                         changed_submission(any, "cpus", json_real(500.0)), 422, NULL);
-  if (any->reported != REPORTED_DONE && any->reported != REPORTED_CANCELLED)
+                         changed_submission(random_job, "cpus", json_real(500.0)), 422, NULL);
+  if (random_job->reported != REPORTED_DONE && random_job->reported != REPORTED_CANCELLED)
     return;
-  g_autofree char *withdraw = g_strdup_printf("/api/jobs/%s/withdraw", any->id);
-  const char *state = any->reported == REPORTED_DONE ? "done" : "cancelled";
+  g_autofree char *withdraw = g_strdup_printf("/api/jobs/%s/withdraw", random_job->id);
+  const char *state = random_job->reported == REPORTED_DONE ? "done" : "cancelled";
   send_malformed_request(sim, "POST", withdraw, NULL, 200, state);
-  send_malformed_request(sim, "POST", "/api/jobs", json_deep_copy(any->message), 200, state);
+  send_malformed_request(sim, "POST", "/api/jobs", json_deep_copy(random_job->message), 200, state);
 }
 
 void
@@ -175,9 +175,9 @@
 }
 
 void
-sim_cancel_at_completion(Sim *sim, double part)
+sim_cancel_at_completion(Sim *sim, double probability)
 {
-  sim->cancel_at_completion = part;
+  sim->cancel_at_completion = probability;
 }
 
 gboolean
--- a/tests/sim/sim.h
+++ b/tests/sim/sim.h
@@ -36,7 +36,7 @@
 typedef struct {
   SimNetworkFaults net;
   gboolean store_unavailable; /* the store answers every node with 503 */
-  guint store_refuses_nodes;  /* bit mask of the nodes that the store answers with 503 */
+  guint store_rejects_nodes;  /* bit mask of the nodes that the store answers with 503 */
   guint partitioned_zones;    /* bit mask of the zones that are cut off from those without a bit */
   guint unreachable_nodes;    /* bit mask of the nodes that have no connection to any worker */
   /* probability that a transaction gets no answer and is applied 2 s to 12 s late */
@@ -93,7 +93,7 @@
 /** Has the user of the job cancel it at once, if it is accepted. */
 void sim_cancel(Sim *sim, guint job);
 /** Sets the probability with which a user cancels a job when one of its tasks completes. */
-void sim_cancel_at_completion(Sim *sim, double part);
+void sim_cancel_at_completion(Sim *sim, double probability);
 /**
  * Sends requests for unknown jobs, submissions that lack a field or can't run, and, for a job that
  * has ended, a cancellation and a repeated submission. Each must get the expected status, or 503.
--- a/tests/sim/worker.c
+++ b/tests/sim/worker.c
@@ -83,7 +83,7 @@
 
 /* Counts the tasks that haven't exited, including those that fetch their image. */
 static guint
-count_taken_slots(const SimWorker *worker)
+count_unexited_tasks(const SimWorker *worker)
 {
   guint count = 0;
   for (guint i = 0; i < worker->tasks->len; i++)
@@ -93,23 +93,23 @@
 
 static void
 launch_task(SimWorker *worker, gint64 now_ms, const char *job, guint number, guint64 attempt,
-            SimDescribeTask describe, gpointer world)
+            SimDescribeTask describe, gpointer user_data)
 {
   double run_s;
-  SimTask *held = sim_worker_find(worker, job, number);
+  SimTask *existing = sim_worker_find(worker, job, number);
   SimTask task = { .job = g_strdup(job),
                    .task = number,
                    .attempt = attempt,
                    .state = "fetching",
                    .next_step_ms = now_ms + IMAGE_FETCH_MS };
-  if (held != NULL && held->attempt == attempt) {
+  if (existing != NULL && existing->attempt == attempt) {
     g_free(task.job);
     return;
   }
-  if (held != NULL || !describe(world, job, number, &run_s)) {
+  if (existing != NULL || !describe(user_data, job, number, &run_s)) {
     task.state = "exited";
-    task.why = held != NULL ? "busy" : "no_such";
-  } else if (count_taken_slots(worker) >= SIM_MACHINE_SLOTS) {
+    task.why = existing != NULL ? "busy" : "no_such";
+  } else if (count_unexited_tasks(worker) >= SIM_MACHINE_SLOTS) {
     task.state = "exited";
     task.why = "full";
   }
@@ -135,7 +135,7 @@
 
 static void
 execute_command(SimWorker *worker, gint64 now_ms, const json_t *command, SimDescribeTask describe,
-                gpointer world)
+                gpointer user_data)
 {
   const char *op = json_string_value(json_object_get(command, "ukon"));
   const char *name = json_string_value(json_object_get(command, "kus"));
@@ -144,7 +144,7 @@
   g_autofree char *job = g_strndup(name, (gsize)(slash - name));
   guint number = (guint)atoi(slash + 1);
   if (strcmp(op, "launch") == 0) {
-    launch_task(worker, now_ms, job, number, attempt, describe, world);
+    launch_task(worker, now_ms, job, number, attempt, describe, user_data);
     return;
   }
   for (guint i = 0; i < worker->tasks->len; i++) {
@@ -163,17 +163,17 @@
 
 static void
 execute_commands(SimWorker *worker, gint64 now_ms, const json_t *message, SimDescribeTask describe,
-                 gpointer world)
+                 gpointer user_data)
 {
   size_t i;
   const json_t *command;
   json_array_foreach(json_object_get(message, "prikazy"), i, command)
-      execute_command(worker, now_ms, command, describe, world);
+      execute_command(worker, now_ms, command, describe, user_data);
 }
 
 void
 sim_worker_handle_answer(SimWorker *worker, gint64 now_ms, gint64 sent_ms, guint64 incarnation,
-                         const json_t *answer, SimDescribeTask describe, gpointer world)
+                         const json_t *answer, SimDescribeTask describe, gpointer user_data)
 {
   const json_t *fencing_token = json_object_get(answer, "pecet");
   if (incarnation != worker->incarnation || !json_is_integer(fencing_token)
@@ -181,12 +181,12 @@
     return;
   worker->fencing_token = (guint64)json_integer_value(fencing_token);
   worker->renewed_ms = sent_ms;
-  execute_commands(worker, now_ms, answer, describe, world);
+  execute_commands(worker, now_ms, answer, describe, user_data);
 }
 
 guint
 sim_worker_handle_commands(SimWorker *worker, gint64 now_ms, const json_t *message, json_t **report,
-                           SimDescribeTask describe, gpointer world)
+                           SimDescribeTask describe, gpointer user_data)
 {
   guint64 fencing_token = (guint64)json_integer_value(json_object_get(message, "pecet"));
   guint64 incarnation = (guint64)json_integer_value(json_object_get(message, "smena"));
@@ -194,7 +194,7 @@
       = fencing_token < worker->fencing_token || incarnation != worker->incarnation ? 409 : 200;
   if (status == 200) {
     worker->fencing_token = fencing_token;
-    execute_commands(worker, now_ms, message, describe, world);
+    execute_commands(worker, now_ms, message, describe, user_data);
   }
   *report = sim_worker_heartbeat(worker, now_ms);
   return status;
--- a/tests/sim/worker.h
+++ b/tests/sim/worker.h
@@ -43,7 +43,7 @@
  * Sets @run_s to the run time of each task of the job, negative for a service. Returns FALSE if
  * there is no such task.
  */
-typedef gboolean (*SimDescribeTask)(gpointer world, const char *job, guint task, double *run_s);
+typedef gboolean (*SimDescribeTask)(gpointer user_data, const char *job, guint task, double *run_s);
 
 /** Creates a worker without tasks. */
 SimWorker *sim_worker_new(const char *name, const char *type, const char *zone, gboolean spot,
@@ -54,10 +54,10 @@
 json_t *sim_worker_heartbeat(SimWorker *worker, gint64 now_ms);
 /** Handles the answer to a heartbeat that @incarnation sent at @sent_ms: renews the lease. */
 void sim_worker_handle_answer(SimWorker *worker, gint64 now_ms, gint64 sent_ms, guint64 incarnation,
-                              const json_t *answer, SimDescribeTask describe, gpointer world);
+                              const json_t *answer, SimDescribeTask describe, gpointer user_data);
 /** Handles direct commands. Returns the answer's status, and its body, a heartbeat, in @report. */
 guint sim_worker_handle_commands(SimWorker *worker, gint64 now_ms, const json_t *message,
-                                 json_t **report, SimDescribeTask describe, gpointer world);
+                                 json_t **report, SimDescribeTask describe, gpointer user_data);
 /** Drops all tasks and begins a new incarnation if the lease has expired. */
 void sim_worker_check_lease(SimWorker *worker, gint64 now_ms, gint64 lease_ms);
 /** Returns the task on the worker, or NULL. */
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -356,7 +356,7 @@
 /* When lower limits take effect without announcement, only transactions that the store rejects for
    their size are delayed. */
 static void
-test_unannounced_limits_delay_only_what_is_refused(void)
+test_unannounced_limits_delay_only_oversized_transactions(void)
 {
   Sim *sim = sim_new_with_load(930);
   sim_lower_limits(sim, 2, LOWERED_RECORD_BYTES); /* two operations: a job and its team's use */
@@ -381,7 +381,7 @@
   { "/upgrade/oversized-records-are-reduced-at-once", test_oversized_records_are_reduced_at_once },
   { "/upgrade/accepted-job-is-never-rejected", test_job_accepted_by_old_version_is_never_rejected },
   { "/upgrade/unannounced-limits-delay-only-what-is-refused",
-    test_unannounced_limits_delay_only_what_is_refused },
+    test_unannounced_limits_delay_only_oversized_transactions },
 };
 
 int
