--- a/tests/sim/sim-private.h
+++ b/tests/sim/sim-private.h
@@ -46,8 +46,7 @@
   gint64 cancelled_ms;    /* when its user got the answer that it is cancelled */
   gint64 next_request_ms; /* when its user sends the next request; G_MAXINT64: one is in flight */
   gint64 answered_ms;     /* when its user last got a successful answer */
-  gint64 idle_capacity_since_ms; /* since when it waits although a machine has free capacity for
-                                      it; 0: it doesn't */
+  gint64 idle_capacity_since_ms; /* since when it waits despite free capacity; 0: it doesn't */
   gboolean has_started;
   guint8 *completed; /* for each task: whether it is done */
   Gang gang;
