--- a/tests/regressions/regressions.h
+++ b/tests/regressions/regressions.h
@@ -19,8 +19,8 @@
 gboolean transaction_has_condition(const json_t *txn, const char *key);
 
 /**
- * Sends a heartbeat for each of the machines numbered @first to 15: directly, or relayed by another
- * node.
+ * Sends a heartbeat for each of the machines numbered @first_machine to 15: directly, or relayed by
+ * another node.
  */
 void send_machine_heartbeats(Fixture *fixture, guint first_machine, guint64 fencing_token,
                              guint64 sequence, gboolean is_relayed);
