--- a/src/commit/ws-assignments.c
+++ b/src/commit/ws-assignments.c
@@ -280,7 +280,7 @@
   guint max_with_ending_releases = max_operations / 2;
   guint max_with_proposals = max_operations * 5 / 6;
   g_autoptr(GArray) releases = ws_releases_in_commit_order(core);
-  if (ws_job_quarantine_is_isolating(core->assignments->quarantine, core->now))
+  if (ws_job_quarantine_restricts_to_one_job(core->assignments->quarantine, core->now))
     ws_batch_restrict_to_one_job(batch);
   batch_proposals(core, batch, CRITICAL_PROPOSALS);
   ws_batch_set_max_operations(batch, max_with_ending_releases);
--- a/src/commit/ws-batch-txn.c
+++ b/src/commit/ws-batch-txn.c
@@ -15,7 +15,7 @@
   g_hash_table_iter_init(&iter, batch->machines);
   while (g_hash_table_iter_next(&iter, &machine, NULL)) {
     const char *name = ws_replica_machine(batch->core->replica, GPOINTER_TO_UINT(machine))->name;
-    g_autofree char *key = ws_key(WS_KEYS_MARK, name);
+    g_autofree char *key = ws_key(WS_KEY_PREFIX_MARK, name);
     ws_txn_compare_version(txn, key, 0);
   }
 }
@@ -28,7 +28,7 @@
 {
   for (guint i = 0; i < batch->rental_batches->len; i++) {
     g_autofree char *key
-        = ws_key(WS_KEYS_RENTAL_BATCH, g_ptr_array_index(batch->rental_batches, i));
+        = ws_key(WS_KEY_PREFIX_RENTAL_BATCH, g_ptr_array_index(batch->rental_batches, i));
     ws_txn_compare(txn, batch->core->replica, key);
   }
 }
--- a/src/commit/ws-garbage.c
+++ b/src/commit/ws-garbage.c
@@ -35,9 +35,9 @@
 static gboolean
 is_garbage(const WsReplica *replica, const char *key)
 {
-  if (!g_str_has_prefix(key, WS_KEYS_CHUNK))
+  if (!g_str_has_prefix(key, WS_KEY_PREFIX_CHUNK))
     return FALSE;
-  const char *name = key + strlen(WS_KEYS_CHUNK);
+  const char *name = key + strlen(WS_KEY_PREFIX_CHUNK);
   g_autofree char *id = g_strndup(name, strcspn(name, "/"));
   const WsJob *job = ws_replica_find_job(replica, id);
   return job != NULL && job->spec == NULL;
--- a/src/commit/ws-job-quarantine.c
+++ b/src/commit/ws-job-quarantine.c
@@ -41,7 +41,7 @@
 }
 
 gboolean
-ws_job_quarantine_is_isolating(const WsJobQuarantine *quarantine, gint64 now_ms)
+ws_job_quarantine_restricts_to_one_job(const WsJobQuarantine *quarantine, gint64 now_ms)
 {
   return now_ms < quarantine->isolation_end_ms;
 }
--- a/src/commit/ws-job-quarantine.h
+++ b/src/commit/ws-job-quarantine.h
@@ -28,7 +28,7 @@
                                         const GArray *jobs);
 
 /** Returns whether transactions are currently limited to one job each. */
-gboolean ws_job_quarantine_is_isolating(const WsJobQuarantine *quarantine, gint64 now_ms);
+gboolean ws_job_quarantine_restricts_to_one_job(const WsJobQuarantine *quarantine, gint64 now_ms);
 
 /** Returns whether the job is currently quarantined. */
 gboolean ws_job_quarantine_contains(const WsJobQuarantine *quarantine, gint64 now_ms,
--- a/src/commit/ws-legacy-releases.c
+++ b/src/commit/ws-legacy-releases.c
@@ -76,7 +76,8 @@
 on_worker_status(WsCore *core, guint status, const json_t *body, gpointer data)
 {
   const WsMachine *machine = ws_replica_machine(core->replica, GPOINTER_TO_UINT(data));
-  g_autoptr(WsHeartbeat) heartbeat = ws_heartbeat_parse_status_reply(status, body, machine->name);
+  g_autoptr(WsHeartbeat) heartbeat
+      = ws_heartbeat_parse_status_response(status, body, machine->name);
   if (heartbeat == NULL || heartbeat->fencing_token != core->replica->epoch.number
       || !ws_is_leader(core))
     return;
--- a/src/fleet/ws-cloud-list.c
+++ b/src/fleet/ws-cloud-list.c
@@ -114,7 +114,7 @@
 record_rental_batch(WsCore *core, WsTxn *txn, const WsMachine *first, GArray *machines)
 {
   g_autoptr(WsRentalBatch) rental_batch = fill_rental_batch(core, first, machines);
-  g_autofree char *key = ws_key(WS_KEYS_RENTAL_BATCH, rental_batch->name);
+  g_autofree char *key = ws_key(WS_KEY_PREFIX_RENTAL_BATCH, rental_batch->name);
   ws_txn_compare_version(txn, key, 0);
   ws_txn_put(txn, key, ws_rental_batch_encode(rental_batch, core->replica));
 }
@@ -185,7 +185,8 @@
   (void)data;
   WsCloudList *list = core->fleet->cloud_list;
   gboolean has_more = FALSE;
-  g_autoptr(GPtrArray) machines = status == WS_HTTP_OK ? ws_listing_parse(body, &has_more) : NULL;
+  g_autoptr(GPtrArray) machines
+      = status == WS_HTTP_OK ? ws_machine_list_parse(body, &has_more) : NULL;
   list->call_in_flight = FALSE;
   list->next_call_ms = core->now + (gint64)(core->settings->list_lag_s * 1000.0);
   g_clear_pointer(&list->last_id, g_free);
--- a/src/fleet/ws-fleet.c
+++ b/src/fleet/ws-fleet.c
@@ -24,7 +24,7 @@
 ws_fleet_new(const WsSettings *settings)
 {
   WsFleet *fleet = g_new0(WsFleet, 1);
-  double per_second = settings->cloud_rps * CLOUD_RATE_SHARE;
+  double per_second = settings->cloud_requests_per_s * CLOUD_RATE_SHARE;
   ws_token_bucket_init(&fleet->calls, per_second, per_second * CLOUD_RATE_BURST_S);
   fleet->rentals = ws_rentals_new();
   fleet->returns = ws_returns_new();
@@ -100,7 +100,7 @@
 static gboolean
 has_never_been_up(const WsCore *core, const WsMachine *machine)
 {
-  return machine->is_recorded && !machine->is_marked && machine->worker.heard_ms <= 0
+  return machine->is_recorded && !machine->is_marked && machine->worker.last_contact_ms <= 0
          && machine->type != WS_NO_TYPE && machine->tasks->len == 0
          && !ws_zone_is_partitioned(core, machine->zone);
 }
--- a/src/fleet/ws-headroom.c
+++ b/src/fleet/ws-headroom.c
@@ -14,7 +14,7 @@
 gboolean
 ws_machine_is_booting(const WsCore *core, const WsMachine *machine)
 {
-  return machine->worker.heard_ms == 0
+  return machine->worker.last_contact_ms == 0
          && ws_fleet_machine_age_s(core, machine)
                 < BOOTING_PERIOD_FACTOR * ws_replica_type(core->replica, machine->type)->boot_s;
 }
--- a/src/fleet/ws-mark-cleanup.c
+++ b/src/fleet/ws-mark-cleanup.c
@@ -36,7 +36,7 @@
 remove_from_rental_batch(WsCore *core, WsTxn *txn, const WsRentalBatch *rental_batch,
                          const GArray *removed)
 {
-  g_autofree char *key = ws_key(WS_KEYS_RENTAL_BATCH, rental_batch->name);
+  g_autofree char *key = ws_key(WS_KEY_PREFIX_RENTAL_BATCH, rental_batch->name);
   g_autoptr(GArray) remaining = g_array_new(FALSE, FALSE, sizeof(WsMachineIndex));
   for (guint i = 0; i < rental_batch->machines->len; i++) {
     WsMachineIndex machine = g_array_index(rental_batch->machines, WsMachineIndex, i);
@@ -88,7 +88,7 @@
   for (guint i = 0; i < machines->len; i++) {
     WsMachine *machine
         = ws_replica_machine(core->replica, g_array_index(machines, WsMachineIndex, i));
-    g_autofree char *mark = ws_key(WS_KEYS_MARK, machine->name);
+    g_autofree char *mark = ws_key(WS_KEY_PREFIX_MARK, machine->name);
     machine->fleet.mark_is_pending = TRUE;
     machine->fleet.mark_pending_since_ms = core->now;
     ws_txn_delete(txn, mark);
@@ -120,7 +120,7 @@
 static gboolean
 has_orphaned_tasks(const WsCore *core, const WsMachine *machine)
 {
-  gint64 since_ms = MAX(machine->worker.heard_ms, ws_epoch_known_since_ms(core));
+  gint64 since_ms = MAX(machine->worker.last_contact_ms, ws_epoch_known_since_ms(core));
   return !machine->is_recorded && !machine->is_marked && machine->tasks->len > 0
          && (double)(core->now - since_ms) > core->settings->lease_s * 1000.0;
 }
--- a/src/fleet/ws-rentals.c
+++ b/src/fleet/ws-rentals.c
@@ -134,7 +134,7 @@
   WsRentals *rentals = core->fleet->rentals;
   g_autofree char *request = g_strdup_printf("r-%" G_GUINT64_FORMAT "-%" G_GUINT64_FORMAT,
                                              core->replica->epoch.number, ++rentals->last_request);
-  g_autofree char *key = ws_key(WS_KEYS_RENTAL_INTENT, request);
+  g_autofree char *key = ws_key(WS_KEY_PREFIX_RENTAL_INTENT, request);
   WsRentalIntent intent = { .type = ws_replica_type(core->replica, type)->name,
                             .zone = g_ptr_array_index(core->settings->zones, zone),
                             .is_spot = spot,
@@ -210,7 +210,7 @@
 {
   g_autofree char *name
       = number == 0 ? g_strdup(intent->request) : g_strdup_printf("%s.%u", intent->request, number);
-  g_autofree char *key = ws_key(WS_KEYS_RENTAL_BATCH, name);
+  g_autofree char *key = ws_key(WS_KEY_PREFIX_RENTAL_BATCH, name);
   g_autoptr(GArray) machines = g_array_new(FALSE, FALSE, sizeof(WsMachineIndex));
   WsRentalBatch rental_batch = { .type = intent->type,
                                  .zone = intent->zone,
@@ -239,7 +239,7 @@
 static void
 close_intent(WsCore *core, const WsRentalIntent *intent, GPtrArray *names)
 {
-  g_autofree char *key = ws_key(WS_KEYS_RENTAL_INTENT, intent->request);
+  g_autofree char *key = ws_key(WS_KEY_PREFIX_RENTAL_INTENT, intent->request);
   WsTxn *txn = ws_txn_new();
   ws_txn_compare(txn, core->replica, WS_KEY_EPOCH);
   /* Without this comparison, a transaction that is committed late, after machines of the rental
@@ -262,7 +262,7 @@
   g_autofree char *request = data;
   const WsRentalIntent *intent = find_intent(core, request);
   g_autoptr(GPtrArray) names = NULL;
-  WsRentalResult result = ws_rental_reply_parse(status, body, &names);
+  WsRentalResult result = ws_rental_response_parse(status, body, &names);
   if (intent == NULL || result == WS_RENTAL_FAILED) {
     schedule_retry(core, request);
     g_hash_table_remove(core->fleet->rentals->requests_in_flight, request);
--- a/src/fleet/ws-returns.c
+++ b/src/fleet/ws-returns.c
@@ -132,7 +132,7 @@
 gboolean
 ws_returns_has_all_assignments(const WsCore *core, const WsMachine *machine)
 {
-  g_autofree char *key = ws_key(WS_KEYS_MARK, machine->name);
+  g_autofree char *key = ws_key(WS_KEY_PREFIX_MARK, machine->name);
   return core->replica->revision >= ws_replica_version(core->replica, key);
 }
 
--- a/src/fleet/ws-termination.c
+++ b/src/fleet/ws-termination.c
@@ -192,7 +192,7 @@
   MarkRequest request = g_array_index(termination->requested, MarkRequest, 0);
   WsMachine *machine = ws_replica_machine(core->replica, request.machine);
   if (mark_is_still_allowed(core, machine, &request)) {
-    g_autofree char *key = ws_key(WS_KEYS_MARK, machine->name);
+    g_autofree char *key = ws_key(WS_KEY_PREFIX_MARK, machine->name);
     ws_txn_compare(txn, core->replica, key);
     ws_txn_put(txn, key, ws_mark_encode(request.reason, request.immediately));
     request.reason = g_strdup(request.reason);
--- a/src/membership/ws-authority.c
+++ b/src/membership/ws-authority.c
@@ -183,7 +183,7 @@
 }
 
 void
-ws_authority_note_heartbeat_from_other_zone(WsCore *core)
+ws_authority_record_heartbeat_from_other_zone(WsCore *core)
 {
   core->authority->has_heartbeat_from_other_zone = TRUE;
 }
--- a/src/membership/ws-election.c
+++ b/src/membership/ws-election.c
@@ -161,7 +161,7 @@
 write_member_key(WsCore *core)
 {
   WsTxn *txn = ws_txn_new();
-  g_autofree char *key = ws_key(WS_KEYS_MEMBER, own_name(core));
+  g_autofree char *key = ws_key(WS_KEY_PREFIX_MEMBER, own_name(core));
   ws_txn_compare(txn, core->replica, key);
   ws_txn_put_leased(txn, key, ws_member_encode(core->incarnation), core->election->lease);
   ws_txn_commit(core, txn, WS_REQUEST_LEASE, on_member_key_written, NULL);
--- a/src/membership/ws-failure-detector.c
+++ b/src/membership/ws-failure-detector.c
@@ -57,7 +57,8 @@
 on_probe_answered(WsCore *core, guint status, const json_t *body, gpointer data)
 {
   WsMachine *machine = ws_replica_machine(core->replica, GPOINTER_TO_UINT(data));
-  g_autoptr(WsHeartbeat) heartbeat = ws_heartbeat_parse_status_reply(status, body, machine->name);
+  g_autoptr(WsHeartbeat) heartbeat
+      = ws_heartbeat_parse_status_response(status, body, machine->name);
   core->failure_detector->probes_in_flight--;
   /* A status older than the last known one comes from a worker that was restarted. */
   if (heartbeat == NULL || !ws_owns_machine(core, machine)
--- a/src/membership/ws-gossip.c
+++ b/src/membership/ws-gossip.c
@@ -69,7 +69,7 @@
   announced.images = g_ptr_array_new();
   for (guint i = 0; i < machine->worker.images->len; i++) {
     WsImageIndex image = g_array_index(machine->worker.images, WsImageIndex, i);
-    g_ptr_array_add(announced.images, (gpointer)ws_names_get(&core->replica->images, image));
+    g_ptr_array_add(announced.images, (gpointer)ws_name_table_get(&core->replica->images, image));
   }
   g_array_append_val(machines, announced);
 }
@@ -127,7 +127,7 @@
 {
   g_array_set_size(machine->worker.images, 0);
   for (guint i = 0; i < images->len; i++) {
-    WsImageIndex image = ws_names_intern(&core->replica->images, g_ptr_array_index(images, i));
+    WsImageIndex image = ws_name_table_intern(&core->replica->images, g_ptr_array_index(images, i));
     g_array_append_val(machine->worker.images, image);
   }
 }
@@ -168,7 +168,7 @@
   for (guint i = 0; i < core->replica->machines->len; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, i);
     if (machine->owner == node && machine->worker.is_up_at_owner)
-      machine->worker.heard_ms = core->now;
+      machine->worker.last_contact_ms = core->now;
   }
 }
 
@@ -214,7 +214,7 @@
   if (message->replica_is_loaded && !message->store_is_available
       && message->unacknowledged_cancellations == 0)
     peer->cancellations_complete_ms = core->now;
-  peer->heard_ms = core->now;
+  peer->last_contact_ms = core->now;
   peer->epoch = message->epoch;
   peer->store_is_available = message->store_is_available;
   peer->receives_no_heartbeats = message->receives_no_heartbeats;
@@ -260,7 +260,7 @@
       || core->now - peer->gossip_sent_ms < GOSSIP_INTERVAL_MS)
     return FALSE;
   return node > core->settings->self
-         || core->now - peer->heard_ms >= (gint64)2 * GOSSIP_INTERVAL_MS;
+         || core->now - peer->last_contact_ms >= (gint64)2 * GOSSIP_INTERVAL_MS;
 }
 
 void
--- a/src/membership/ws-liveness.c
+++ b/src/membership/ws-liveness.c
@@ -25,8 +25,8 @@
 gboolean
 ws_machine_is_up(const WsCore *core, const WsMachine *machine)
 {
-  return machine->worker.heard_ms > 0
-         && core->now - machine->worker.heard_ms <= ws_liveness_heartbeat_timeout_ms(core);
+  return machine->worker.last_contact_ms > 0
+         && core->now - machine->worker.last_contact_ms <= ws_liveness_heartbeat_timeout_ms(core);
 }
 
 /* After a change of owner, a worker may still be waiting for an answer of the previous owner.
@@ -36,12 +36,12 @@
 gint64
 ws_liveness_suspected_since_ms(const WsMachine *machine)
 {
-  if (machine->worker.heard_ms == 0 && machine->tasks->len == 0)
+  if (machine->worker.last_contact_ms == 0 && machine->tasks->len == 0)
     return 0;
   gint64 discovery_end_ms = machine->worker.owned_since_ms > 0
                                 ? machine->worker.owned_since_ms + OWNER_DISCOVERY_MS
                                 : 0;
-  return MAX(machine->worker.heard_ms, discovery_end_ms);
+  return MAX(machine->worker.last_contact_ms, discovery_end_ms);
 }
 
 gboolean
@@ -82,7 +82,7 @@
 }
 
 void
-ws_liveness_note_heartbeat(WsCore *core)
+ws_liveness_record_heartbeat(WsCore *core)
 {
   core->failure_detector->last_heartbeat_ms = core->now;
 }
@@ -99,7 +99,8 @@
   guint count = 0;
   for (guint i = 0; i < core->replica->machines->len; i++) {
     const WsMachine *machine = ws_replica_machine(core->replica, i);
-    if (machine->is_recorded && machine->worker.heard_ms > 0 && ws_owns_machine(core, machine))
+    if (machine->is_recorded && machine->worker.last_contact_ms > 0
+        && ws_owns_machine(core, machine))
       count++;
   }
   return count;
--- a/src/membership/ws-membership.h
+++ b/src/membership/ws-membership.h
@@ -121,7 +121,7 @@
  * Records a heartbeat from a machine of another zone. The next tick on which this node is not
  * isolated clears it.
  */
-void ws_authority_note_heartbeat_from_other_zone(WsCore *core);
+void ws_authority_record_heartbeat_from_other_zone(WsCore *core);
 
 /** Whether lease and replica are still unconfirmed after a process pause. */
 gboolean ws_authority_is_stalled(const WsCore *core);
@@ -202,7 +202,7 @@
 gint64 ws_peer_last_redirect_ms(const WsCore *core, WsNodeIndex node);
 
 /** Records that a worker is redirected to the peer now. */
-void ws_peer_note_redirect(WsCore *core, WsNodeIndex node);
+void ws_peer_record_redirect(WsCore *core, WsNodeIndex node);
 
 /** Returns how many relayed heartbeats to the peer are in flight. */
 guint ws_peer_relays_in_flight(const WsCore *core, WsNodeIndex node);
@@ -280,7 +280,7 @@
 void ws_failure_detector_tick(WsCore *core);
 
 /** Records that a heartbeat reached this node directly, not through a relay. */
-void ws_liveness_note_heartbeat(WsCore *core);
+void ws_liveness_record_heartbeat(WsCore *core);
 
 /**
  * Whether this node receives no heartbeats although it owns machines that should send them. As of
--- a/src/membership/ws-partitions.c
+++ b/src/membership/ws-partitions.c
@@ -74,8 +74,8 @@
       continue;
     if (ws_peer_is_reachable(core, n))
       return 0;
-    gint64 heard_ms = ws_peer(core, n)->heard_ms;
-    since_ms = MAX(since_ms, heard_ms > 0 ? heard_ms : ws_epoch_known_since_ms(core));
+    gint64 last_contact_ms = ws_peer(core, n)->last_contact_ms;
+    since_ms = MAX(since_ms, last_contact_ms > 0 ? last_contact_ms : ws_epoch_known_since_ms(core));
   }
   return since_ms > 0 ? core->now - since_ms : 0;
 }
--- a/src/membership/ws-peer-requests.c
+++ b/src/membership/ws-peer-requests.c
@@ -294,7 +294,7 @@
   json_t *value
       = ws_mailbox_encode_within(mailbox, core->replica, core->settings->kv_max_record_bytes);
   g_autofree char *key
-      = ws_key(WS_KEYS_MAILBOX, ws_settings_node(core->settings, core->settings->self)->name);
+      = ws_key(WS_KEY_PREFIX_MAILBOX, ws_settings_node(core->settings, core->settings->self)->name);
   WsTxn *txn = ws_txn_new();
   core->peer_requests->next_mailbox_ms = core->now + MAILBOX_WRITE_INTERVAL_MS;
   ws_txn_compare(txn, core->replica, WS_KEY_EPOCH);
--- a/src/membership/ws-peers.h
+++ b/src/membership/ws-peers.h
@@ -8,8 +8,8 @@
 
 /** A peer, as of its last gossip message. */
 typedef struct {
-  gint64 heard_ms;     /**< when its gossip last arrived; 0: never */
-  const char *version; /**< version of its program, interned; NULL: no gossip yet */
+  gint64 last_contact_ms; /**< when its gossip last arrived; 0: never */
+  const char *version;    /**< version of its program, interned; NULL: no gossip yet */
   guint64 epoch;
   guint64 incarnation; /**< of the run that sent the last gossip */
   gboolean store_is_available;
--- a/src/protocol/ws-cloud.c
+++ b/src/protocol/ws-cloud.c
@@ -104,7 +104,7 @@
 }
 
 GPtrArray *
-ws_listing_parse(const json_t *message, gboolean *more)
+ws_machine_list_parse(const json_t *message, gboolean *more)
 {
   const json_t *list = json_object_get(message, WS_FIELD_MACHINES);
   if (!json_is_array(list) || !ws_json_bool(message, WS_FIELD_HAS_MORE, more))
@@ -133,13 +133,13 @@
 }
 
 WsRentalResult
-ws_rental_reply_parse(guint status, const json_t *body, GPtrArray **names)
+ws_rental_response_parse(guint status, const json_t *body, GPtrArray **names)
 {
   *names = status == WS_HTTP_OK ? ws_rental_machines_parse(body) : NULL;
   if (*names != NULL)
     return WS_RENTAL_RENTED;
   if (status == WS_HTTP_BAD_REQUEST)
-    return WS_RENTAL_REFUSED;
+    return WS_RENTAL_REJECTED;
   if (status == WS_HTTP_SERVICE_UNAVAILABLE && has_no_capacity(body))
     return WS_RENTAL_NO_CAPACITY;
   return WS_RENTAL_FAILED;
--- a/src/protocol/ws-cloud.h
+++ b/src/protocol/ws-cloud.h
@@ -41,7 +41,7 @@
  *
  * @more: set to whether more pages follow
  */
-GPtrArray *ws_listing_parse(const json_t *message, gboolean *more);
+GPtrArray *ws_machine_list_parse(const json_t *message, gboolean *more);
 
 /** Parses the response to a rental into an array of char *, the names of the rented machines. */
 GPtrArray *ws_rental_machines_parse(const json_t *message);
@@ -50,7 +50,7 @@
 typedef enum {
   WS_RENTAL_RENTED,      /**< some or all of the machines were rented */
   WS_RENTAL_NO_CAPACITY, /**< the cloud has no such machine available */
-  WS_RENTAL_REFUSED,     /**< the cloud rejected the request as malformed; a retry can't succeed */
+  WS_RENTAL_REJECTED,    /**< the cloud rejected the request as malformed; a retry can't succeed */
   WS_RENTAL_FAILED       /**< unknown whether machines were rented; retry with the same key */
 } WsRentalResult;
 
@@ -61,7 +61,7 @@
  * @names: set to the names of the rented machines, which the caller unrefs, or to NULL if none were
  *   rented
  */
-WsRentalResult ws_rental_reply_parse(guint status, const json_t *body, GPtrArray **names);
+WsRentalResult ws_rental_response_parse(guint status, const json_t *body, GPtrArray **names);
 
 /** Encodes a rental request. @request: its idempotency key */
 json_t *ws_rental_encode(const char *request, const char *type, const char *zone, gboolean spot,
--- a/src/protocol/ws-heartbeat.c
+++ b/src/protocol/ws-heartbeat.c
@@ -168,13 +168,13 @@
 }
 
 WsHeartbeat *
-ws_heartbeat_parse_status_reply(guint status, const json_t *body, const char *machine)
+ws_heartbeat_parse_status_response(guint status, const json_t *body, const char *machine)
 {
   return status == WS_HTTP_OK ? parse_status_from_machine(body, machine) : NULL;
 }
 
 WsHeartbeat *
-ws_heartbeat_parse_command_reply(guint status, const json_t *body, const char *machine)
+ws_heartbeat_parse_command_response(guint status, const json_t *body, const char *machine)
 {
   return status == WS_HTTP_OK || status == WS_HTTP_CONFLICT
              ? parse_status_from_machine(body, machine)
--- a/src/protocol/ws-heartbeat.h
+++ b/src/protocol/ws-heartbeat.h
@@ -72,14 +72,16 @@
  *
  * @machine: name of the machine that was asked
  */
-WsHeartbeat *ws_heartbeat_parse_status_reply(guint status, const json_t *body, const char *machine);
+WsHeartbeat *ws_heartbeat_parse_status_response(guint status, const json_t *body,
+                                                const char *machine);
 
 /**
- * Parses a worker's response to commands, like ws_heartbeat_parse_status_reply(). It also accepts a
- * rejection for an outdated fencing token or incarnation (409), which carries the worker's status.
+ * Parses a worker's response to commands, like ws_heartbeat_parse_status_response(). It also
+ * accepts a rejection for an outdated fencing token or incarnation (409), which carries the
+ * worker's status.
  */
-WsHeartbeat *ws_heartbeat_parse_command_reply(guint status, const json_t *body,
-                                              const char *machine);
+WsHeartbeat *ws_heartbeat_parse_command_response(guint status, const json_t *body,
+                                                 const char *machine);
 
 /** Operations that a command can request. */
 typedef enum {
--- a/src/protocol/ws-names.c
+++ b/src/protocol/ws-names.c
@@ -2,21 +2,21 @@
 #include "protocol/ws-names.h"
 
 void
-ws_names_init(WsNames *names)
+ws_name_table_init(WsNameTable *names)
 {
   names->names = g_ptr_array_new_with_free_func(g_free);
   names->index = g_hash_table_new(g_str_hash, g_str_equal);
 }
 
 void
-ws_names_clear(WsNames *names)
+ws_name_table_clear(WsNameTable *names)
 {
   g_hash_table_unref(names->index);
   g_ptr_array_unref(names->names);
 }
 
 guint
-ws_names_find(const WsNames *names, const char *name)
+ws_name_table_find(const WsNameTable *names, const char *name)
 {
   gpointer value;
   if (name == NULL || !g_hash_table_lookup_extended(names->index, name, NULL, &value))
@@ -25,9 +25,9 @@
 }
 
 guint
-ws_names_intern(WsNames *names, const char *name)
+ws_name_table_intern(WsNameTable *names, const char *name)
 {
-  guint index = ws_names_find(names, name);
+  guint index = ws_name_table_find(names, name);
   if (index != WS_NO_INDEX)
     return index;
   char *copy = g_strdup(name);
@@ -38,7 +38,7 @@
 }
 
 const char *
-ws_names_get(const WsNames *names, guint index)
+ws_name_table_get(const WsNameTable *names, guint index)
 {
   return index < names->names->len ? g_ptr_array_index(names->names, index) : "?";
 }
--- a/src/protocol/ws-names.h
+++ b/src/protocol/ws-names.h
@@ -12,21 +12,21 @@
 typedef struct {
   GHashTable *index; /**< name -> index */
   GPtrArray *names;  /**< array of char *, by index */
-} WsNames;
+} WsNameTable;
 
-/** Initializes an empty table, which the caller clears with ws_names_clear(). */
-void ws_names_init(WsNames *names);
+/** Initializes an empty table, which the caller clears with ws_name_table_clear(). */
+void ws_name_table_init(WsNameTable *names);
 
 /** Frees all names, but not the table itself. */
-void ws_names_clear(WsNames *names);
+void ws_name_table_clear(WsNameTable *names);
 
 /** Returns the name's index. A new name is copied and gets the next index. */
-guint ws_names_intern(WsNames *names, const char *name);
+guint ws_name_table_intern(WsNameTable *names, const char *name);
 
 /** Returns the name's index, or WS_NO_INDEX if it isn't in the table. @name: may be NULL */
-guint ws_names_find(const WsNames *names, const char *name);
+guint ws_name_table_find(const WsNameTable *names, const char *name);
 
 /** Returns the name, owned by the table, or "?" if the index is out of range. */
-const char *ws_names_get(const WsNames *names, guint index);
+const char *ws_name_table_get(const WsNameTable *names, guint index);
 
-G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC(WsNames, ws_names_clear)
+G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC(WsNameTable, ws_name_table_clear)
--- a/src/protocol/ws-settings.c
+++ b/src/protocol/ws-settings.c
@@ -247,7 +247,7 @@
 static const char *
 parse_cloud_limits(WsSettings *settings, const json_t *cloud)
 {
-  if (!parse_positive(cloud, "rps", &settings->cloud_rps))
+  if (!parse_positive(cloud, "rps", &settings->cloud_requests_per_s))
     return "params.cloud.rps";
   if (!parse_positive(cloud, "list_lag_s", &settings->list_lag_s))
     return "params.cloud.list_lag_s";
--- a/src/protocol/ws-settings.h
+++ b/src/protocol/ws-settings.h
@@ -61,8 +61,8 @@
   double kv_current_value_kb;  /**< maximum value size before state.next is applied, in KB */
 
   /* The cloud. */
-  double cloud_rps;  /**< maximum requests per second */
-  double list_lag_s; /**< maximum staleness of the cloud's machine list */
+  double cloud_requests_per_s; /**< maximum requests per second */
+  double list_lag_s;           /**< maximum staleness of the cloud's machine list */
 
   guint64 max_sockets; /**< maximum number of sockets of this process */
 } WsSettings;
--- a/src/runtime/ws-runtime.c
+++ b/src/runtime/ws-runtime.c
@@ -67,7 +67,7 @@
   WsOutput *output;
   while ((output = ws_core_pop_output(runtime->core)) != NULL) {
     if (output->is_answer)
-      ws_http_request_answer(output->request, output->status, output->body, output->retry_after_s);
+      ws_http_request_respond(output->request, output->status, output->body, output->retry_after_s);
     else
       send_call(runtime, output);
     ws_output_free(output);
--- a/src/storage/ws-keys.c
+++ b/src/storage/ws-keys.c
@@ -10,11 +10,11 @@
 char *
 ws_key_job(const char *id)
 {
-  return ws_key(WS_KEYS_JOB, id);
+  return ws_key(WS_KEY_PREFIX_JOB, id);
 }
 
 char *
 ws_key_chunk(const char *id, guint chunk)
 {
-  return g_strdup_printf(WS_KEYS_CHUNK "%s/%u", id, chunk);
+  return g_strdup_printf(WS_KEY_PREFIX_CHUNK "%s/%u", id, chunk);
 }
--- a/src/storage/ws-keys.h
+++ b/src/storage/ws-keys.h
@@ -16,15 +16,18 @@
 #define WS_KEY_LEADER WS_KEY_PREFIX "leader"   /**< the leader, held under its lease */
 
 /** Key prefixes by kind of record. The comments name the rest of the key, and the record. */
-#define WS_KEYS_MEMBER WS_KEY_PREFIX "member/"      /**< node name: a member, under its lease */
-#define WS_KEYS_JOB WS_KEY_PREFIX "job/"            /**< job id: a job */
-#define WS_KEYS_CHUNK WS_KEY_PREFIX "task/"         /**< job id, "/", chunk number: a chunk */
-#define WS_KEYS_TEAM_USE WS_KEY_PREFIX "team-use/"  /**< group: resources used by its teams */
-#define WS_KEYS_LEGACY_TEAM WS_KEY_PREFIX "team/"   /**< team name: the same, before 0.2 */
-#define WS_KEYS_RENTAL_BATCH WS_KEY_PREFIX "lot/"   /**< batch name: a rental batch */
-#define WS_KEYS_MARK WS_KEY_PREFIX "mark/"          /**< machine name: its termination mark */
-#define WS_KEYS_RENTAL_INTENT WS_KEY_PREFIX "rent/" /**< idempotency key: a rental intent */
-#define WS_KEYS_MAILBOX WS_KEY_PREFIX "mail/"       /**< node name: its messages for other nodes */
+#define WS_KEY_PREFIX_MEMBER WS_KEY_PREFIX "member/" /**< node name: a member, under its lease */
+#define WS_KEY_PREFIX_JOB WS_KEY_PREFIX "job/"       /**< job id: a job */
+#define WS_KEY_PREFIX_CHUNK WS_KEY_PREFIX "task/"    /**< job id, "/", chunk number: a chunk */
+#define WS_KEY_PREFIX_TEAM_USE WS_KEY_PREFIX "team-use/" /**< group: resources used by its teams   \
+                                                          */
+#define WS_KEY_PREFIX_LEGACY_TEAM_USE WS_KEY_PREFIX "team/" /**< team name: the same, before 0.2   \
+                                                             */
+#define WS_KEY_PREFIX_RENTAL_BATCH WS_KEY_PREFIX "lot/"     /**< batch name: a rental batch */
+#define WS_KEY_PREFIX_MARK WS_KEY_PREFIX "mark/"          /**< machine name: its termination mark */
+#define WS_KEY_PREFIX_RENTAL_INTENT WS_KEY_PREFIX "rent/" /**< idempotency key: a rental intent */
+#define WS_KEY_PREFIX_MAILBOX WS_KEY_PREFIX "mail/" /**< node name: its messages for other nodes   \
+                                                     */
 
 /* The caller frees the keys that these functions return. */
 
--- a/src/storage/ws-replica-apply.c
+++ b/src/storage/ws-replica-apply.c
@@ -36,15 +36,15 @@
   static const struct {
     const char *prefix;
     void (*apply)(WsReplica *, const char *, const json_t *);
-  } KINDS[] = { { WS_KEYS_JOB, ws_replica_apply_job },
-                { WS_KEYS_CHUNK, ws_replica_apply_chunk },
-                { WS_KEYS_LEGACY_TEAM, ws_team_use_apply_legacy },
-                { WS_KEYS_TEAM_USE, ws_team_use_apply },
-                { WS_KEYS_RENTAL_BATCH, ws_replica_apply_rental_batch },
-                { WS_KEYS_MARK, ws_replica_apply_mark },
-                { WS_KEYS_RENTAL_INTENT, ws_replica_apply_rental_intent },
-                { WS_KEYS_MEMBER, ws_replica_apply_member },
-                { WS_KEYS_MAILBOX, ws_replica_apply_mailbox } };
+  } KINDS[] = { { WS_KEY_PREFIX_JOB, ws_replica_apply_job },
+                { WS_KEY_PREFIX_CHUNK, ws_replica_apply_chunk },
+                { WS_KEY_PREFIX_LEGACY_TEAM_USE, ws_team_use_apply_legacy },
+                { WS_KEY_PREFIX_TEAM_USE, ws_team_use_apply },
+                { WS_KEY_PREFIX_RENTAL_BATCH, ws_replica_apply_rental_batch },
+                { WS_KEY_PREFIX_MARK, ws_replica_apply_mark },
+                { WS_KEY_PREFIX_RENTAL_INTENT, ws_replica_apply_rental_intent },
+                { WS_KEY_PREFIX_MEMBER, ws_replica_apply_member },
+                { WS_KEY_PREFIX_MAILBOX, ws_replica_apply_mailbox } };
   if (apply_cluster_record(replica, key, value))
     return;
   for (gsize i = 0; i < G_N_ELEMENTS(KINDS); i++)
--- a/src/storage/ws-replica-jobs.c
+++ b/src/storage/ws-replica-jobs.c
@@ -123,7 +123,7 @@
   job->spec = spec;
   job->tasks = spec->tasks;
   job->team = ws_replica_find_team(replica, spec->team);
-  job->image = ws_names_intern(&replica->images, spec->image);
+  job->image = ws_name_table_intern(&replica->images, spec->image);
   job->zone = ws_replica_find_zone(replica, spec->zone);
   g_ptr_array_add(replica->active_jobs, job);
 }
--- a/src/storage/ws-replica.c
+++ b/src/storage/ws-replica.c
@@ -41,7 +41,7 @@
   g_queue_init(&replica->removed);
   replica->team_use = g_new0(WsResources, MAX(settings->teams->len, 1u));
   replica->team_is_recorded = g_new0(gboolean, MAX(settings->teams->len, 1u));
-  ws_names_init(&replica->images);
+  ws_name_table_init(&replica->images);
   return replica;
 }
 
@@ -64,7 +64,7 @@
   g_queue_clear_full(&replica->mailbox, mailbox_message_free);
   g_free(replica->team_use);
   g_free(replica->team_is_recorded);
-  ws_names_clear(&replica->images);
+  ws_name_table_clear(&replica->images);
   if (replica->catalog != NULL)
     g_ptr_array_unref(replica->catalog);
   g_free(replica);
--- a/src/storage/ws-replica.h
+++ b/src/storage/ws-replica.h
@@ -55,7 +55,7 @@
   GPtrArray *jobs;        /**< of WsJob, by index */
   GHashTable *job_index;  /**< id -> WsJob */
   GPtrArray *active_jobs; /**< of WsJob, borrowed: jobs that are not in final form */
-  WsNames images;
+  WsNameTable images;
   WsResources *team_use;      /**< by team: resources of its assigned tasks */
   gboolean *team_is_recorded; /**< by team: its use was read from the record of the team's group */
 
--- a/src/storage/ws-status.h
+++ b/src/storage/ws-status.h
@@ -14,7 +14,7 @@
  */
 typedef struct {
   char *endpoint;                /**< address for commands; NULL until known */
-  gint64 heard_ms;               /**< last sign of life, received here or announced by its owner */
+  gint64 last_contact_ms;        /**< last sign of life, received here or announced by its owner */
   gint64 last_heartbeat_ms;      /**< last heartbeat, not counting replies to calls */
   gint64 incarnation_changed_ms; /**< when its incarnation was last seen to change */
   gint64 up_ms;                  /**< first sign of life */
@@ -30,7 +30,7 @@
   WsNodeIndex handled_owner; /**< the owner when this node last processed an epoch */
   gint64 owned_since_ms; /**< start of that ownership, or the end of a later stall of this node */
   gint64 redirected_ms;  /**< when the worker was last redirected to its owner */
-  gint64 turned_away_ms; /**< when this node, while isolated, last refused its heartbeat */
+  gint64 last_rejection_ms; /**< when this node, while isolated, last refused its heartbeat */
 
   /* Launch RPCs without an answer. The worker may still carry them out later. */
   guint indeterminate_launches;
--- a/src/storage/ws-team-use.c
+++ b/src/storage/ws-team-use.c
@@ -36,7 +36,7 @@
 char *
 ws_team_use_key(guint group)
 {
-  return g_strdup_printf(WS_KEYS_TEAM_USE "%u", group);
+  return g_strdup_printf(WS_KEY_PREFIX_TEAM_USE "%u", group);
 }
 
 static json_t *
--- a/src/store/ws-write-stats.c
+++ b/src/store/ws-write-stats.c
@@ -10,14 +10,14 @@
   const char *prefix;
   const char *purpose;
 } PURPOSES[] = {
-  { WS_KEYS_JOB, "jobs" },
-  { WS_KEYS_CHUNK, "tasks" },
-  { WS_KEYS_TEAM_USE, "team use" },
-  { WS_KEYS_RENTAL_BATCH, "rental batches" },
-  { WS_KEYS_MARK, "termination marks" },
-  { WS_KEYS_RENTAL_INTENT, "rental intents" },
-  { WS_KEYS_MEMBER, "members" },
-  { WS_KEYS_MAILBOX, "mailboxes" },
+  { WS_KEY_PREFIX_JOB, "jobs" },
+  { WS_KEY_PREFIX_CHUNK, "tasks" },
+  { WS_KEY_PREFIX_TEAM_USE, "team use" },
+  { WS_KEY_PREFIX_RENTAL_BATCH, "rental batches" },
+  { WS_KEY_PREFIX_MARK, "termination marks" },
+  { WS_KEY_PREFIX_RENTAL_INTENT, "rental intents" },
+  { WS_KEY_PREFIX_MEMBER, "members" },
+  { WS_KEY_PREFIX_MAILBOX, "mailboxes" },
   { WS_KEY_PREFIX, "other" },
 };
 
--- a/src/transport/ws-http-server.c
+++ b/src/transport/ws-http-server.c
@@ -210,7 +210,7 @@
 }
 
 void
-ws_http_request_answer(WsHttpRequest *base, guint status, const char *body, guint retry_after_s)
+ws_http_request_respond(WsHttpRequest *base, guint status, const char *body, guint retry_after_s)
 {
   Request *request = (Request *)base;
   const char *text = body != NULL ? body : "";
--- a/src/transport/ws-http-server.h
+++ b/src/transport/ws-http-server.h
@@ -19,7 +19,7 @@
   gsize length;     /**< of the body, in bytes */
 };
 
-/** Handles a request, which must be answered with ws_http_request_answer(), now or later. */
+/** Handles a request, which must be answered with ws_http_request_respond(), now or later. */
 typedef void (*WsHttpHandler)(WsHttpRequest *request, gpointer data);
 
 /**
@@ -41,7 +41,7 @@
  * @body: JSON, copied; NULL: no body
  * @retry_after_s: the Retry-After header, in seconds; 0: no such header
  */
-void ws_http_request_answer(WsHttpRequest *request, guint status, const char *body,
-                            guint retry_after_s);
+void ws_http_request_respond(WsHttpRequest *request, guint status, const char *body,
+                             guint retry_after_s);
 
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(WsHttpServer, ws_http_server_free)
--- a/src/workers/ws-cancelled-tasks.c
+++ b/src/workers/ws-cancelled-tasks.c
@@ -119,7 +119,8 @@
   core->workers->cancelled_tasks->halts_in_flight--;
   if (status == WS_HTTP_NO_RESPONSE)
     schedule_halt(core, machine, UNREACHABLE_HALT_RETRY_MS);
-  g_autoptr(WsHeartbeat) heartbeat = ws_heartbeat_parse_command_reply(status, body, machine->name);
+  g_autoptr(WsHeartbeat) heartbeat
+      = ws_heartbeat_parse_command_response(status, body, machine->name);
   if (heartbeat == NULL)
     return;
   confirm_halted(core, machine, heartbeat);
--- a/src/workers/ws-worker-rpc.c
+++ b/src/workers/ws-worker-rpc.c
@@ -44,7 +44,8 @@
   core->workers->rpcs_in_flight--;
   if (status != WS_HTTP_NO_RESPONSE && is_still_indeterminate(call, machine))
     machine->worker.indeterminate_launches--;
-  g_autoptr(WsHeartbeat) heartbeat = ws_heartbeat_parse_command_reply(status, body, machine->name);
+  g_autoptr(WsHeartbeat) heartbeat
+      = ws_heartbeat_parse_command_response(status, body, machine->name);
   if (heartbeat != NULL && ws_owns_machine(core, machine))
     ws_workers_note_status(core, machine, heartbeat);
 }
--- a/src/workers/ws-worker-status.c
+++ b/src/workers/ws-worker-status.c
@@ -164,7 +164,7 @@
 static void
 note_presence(WsCore *core, WsMachine *machine)
 {
-  machine->worker.heard_ms = core->now;
+  machine->worker.last_contact_ms = core->now;
   machine->worker.failed_probes = 0;
   if (machine->worker.up_ms != 0)
     return;
--- a/src/workers/ws-workers.c
+++ b/src/workers/ws-workers.c
@@ -70,7 +70,7 @@
   if (ws_peer_receives_no_heartbeats(core, owner)
       && core->now - ws_peer_last_redirect_ms(core, owner) < UNREACHED_OWNER_REDIRECT_INTERVAL_MS)
     return FALSE;
-  ws_peer_note_redirect(core, owner);
+  ws_peer_record_redirect(core, owner);
   return TRUE;
 }
 
@@ -106,8 +106,8 @@
 static gboolean
 was_rejected_recently(const WsCore *core, const WsMachine *machine)
 {
-  gint64 since_ms = core->now - machine->worker.turned_away_ms;
-  return machine->worker.turned_away_ms > 0
+  gint64 since_ms = core->now - machine->worker.last_rejection_ms;
+  return machine->worker.last_rejection_ms > 0
          && (double)since_ms < REJECTION_INTERVAL_LEASE_SHARE * core->settings->lease_s * 1000.0;
 }
 
@@ -127,10 +127,10 @@
   if (!ws_is_isolated(core))
     return FALSE;
   if (machine->zone != ws_replica_find_zone(core->replica, self->zone))
-    ws_authority_note_heartbeat_from_other_zone(core);
+    ws_authority_record_heartbeat_from_other_zone(core);
   if (!ws_authority_has_heartbeat_from_other_zone(core) || was_rejected_recently(core, machine))
     return FALSE;
-  machine->worker.turned_away_ms = core->now;
+  machine->worker.last_rejection_ms = core->now;
   return TRUE;
 }
 
@@ -145,7 +145,7 @@
     ws_answer_error(core, request, WS_HTTP_BAD_REQUEST, error->message);
     return;
   }
-  ws_liveness_note_heartbeat(core);
+  ws_liveness_record_heartbeat(core);
   if (!may_answer_heartbeat(core, heartbeat)) {
     ws_answer_retry_later(core, request, HEARTBEAT_RETRY_AFTER_S);
     return;
--- a/tests/test-commit.c
+++ b/tests/test-commit.c
@@ -39,12 +39,12 @@
   g_autoptr(WsJobQuarantine) quarantine = ws_job_quarantine_new();
   g_autoptr(GArray) jobs = g_array_new(FALSE, FALSE, sizeof(guint));
   guint first = 4, second = 7;
-  g_assert_false(ws_job_quarantine_is_isolating(quarantine, 1000));
+  g_assert_false(ws_job_quarantine_restricts_to_one_job(quarantine, 1000));
   g_array_append_val(jobs, first);
   g_array_append_val(jobs, second);
   ws_job_quarantine_record_rejection(quarantine, 1000, jobs);
-  g_assert_true(ws_job_quarantine_is_isolating(quarantine, 5999));
-  g_assert_false(ws_job_quarantine_is_isolating(quarantine, 6000));
+  g_assert_true(ws_job_quarantine_restricts_to_one_job(quarantine, 5999));
+  g_assert_false(ws_job_quarantine_restricts_to_one_job(quarantine, 6000));
   g_assert_false(ws_job_quarantine_contains(quarantine, 1000, first));
   g_array_remove_index(jobs, 1);
   ws_job_quarantine_record_rejection(quarantine, 2000, jobs);
--- a/tests/test-protocol.c
+++ b/tests/test-protocol.c
@@ -140,13 +140,13 @@
   g_autoptr(json_t) body = ws_json_parse(HEARTBEAT, strlen(HEARTBEAT));
   for (guint i = 0; i < G_N_ELEMENTS(CASES); i++) {
     g_autoptr(WsHeartbeat) status
-        = ws_heartbeat_parse_status_reply(CASES[i].status, body, CASES[i].machine);
+        = ws_heartbeat_parse_status_response(CASES[i].status, body, CASES[i].machine);
     g_autoptr(WsHeartbeat) command
-        = ws_heartbeat_parse_command_reply(CASES[i].status, body, CASES[i].machine);
+        = ws_heartbeat_parse_command_response(CASES[i].status, body, CASES[i].machine);
     g_assert_true((status != NULL) == CASES[i].is_status_reply);
     g_assert_true((command != NULL) == CASES[i].is_command_reply);
   }
-  g_assert_null(ws_heartbeat_parse_status_reply(200, NULL, "m-000231"));
+  g_assert_null(ws_heartbeat_parse_status_response(200, NULL, "m-000231"));
 }
 
 static void
@@ -179,7 +179,7 @@
   } CASES[] = { { 200, "{\"stroje\":[\"m-1\",\"m-2\"]}", WS_RENTAL_RENTED },
                 { 200, "{\"stroje\":[1]}", WS_RENTAL_FAILED },
                 { 200, "{}", WS_RENTAL_FAILED },
-                { 400, "{}", WS_RENTAL_REFUSED },
+                { 400, "{}", WS_RENTAL_REJECTED },
                 { 503, "{\"error\":\"no capacity\"}", WS_RENTAL_NO_CAPACITY },
                 { 503, "{\"error\":\"down\"}", WS_RENTAL_FAILED },
                 { 503, "", WS_RENTAL_FAILED },
@@ -188,7 +188,7 @@
   for (guint i = 0; i < G_N_ELEMENTS(CASES); i++) {
     g_autoptr(json_t) body = ws_json_parse(CASES[i].body, strlen(CASES[i].body));
     g_autoptr(GPtrArray) names = NULL;
-    g_assert_cmpint(ws_rental_reply_parse(CASES[i].status, body, &names), ==, CASES[i].result);
+    g_assert_cmpint(ws_rental_response_parse(CASES[i].status, body, &names), ==, CASES[i].result);
     g_assert_true((names != NULL) == (CASES[i].result == WS_RENTAL_RENTED));
     if (names != NULL)
       g_assert_cmpuint(names->len, ==, 2);
@@ -237,7 +237,7 @@
   g_autoptr(json_t) damaged = json_pack("{s:[{s:s}]}", "typy", "sku", "g8");
   g_assert_null(ws_catalog_parse(damaged));
   gboolean more;
-  g_assert_null(ws_listing_parse(damaged, &more));
+  g_assert_null(ws_machine_list_parse(damaged, &more));
   g_assert_null(ws_rental_machines_parse(damaged));
 }
 
