--- a/tests/evidence/validity.c
+++ b/tests/evidence/validity.c
@@ -71,7 +71,7 @@
 }
 
 static void
-apply(WsReplica *replica, const char *key, json_t *value /* taken */)
+apply(WsReplica *replica, const char *key, json_t *value /* takes ownership */)
 {
   static guint64 version = 100;
   ws_replica_apply(replica, key, value, ++version);
@@ -112,8 +112,8 @@
                WsMachineIndex other_machine, gboolean is_same_owner)
 {
   g_assert_true(ws_release_is_valid(replica, returned));
-  gboolean holds = ws_release_is_valid(replica, absent);
-  g_assert_true(holds == is_same_owner);
+  gboolean is_valid = ws_release_is_valid(replica, absent);
+  g_assert_true(is_valid == is_same_owner);
   WsRelease done = *absent;
   done.is_completed = TRUE;
   g_assert_true(ws_release_is_valid(replica, &done));
--- a/tests/sim/sim-users.c
+++ b/tests/sim/sim-users.c
@@ -40,8 +40,8 @@
 }
 
 static void
-send_malformed_request(Sim *sim, const char *method, const char *path, json_t *body /* taken */,
-                       guint expected_status, const char *state)
+send_malformed_request(Sim *sim, const char *method, const char *path,
+                       json_t *body /* takes ownership */, guint expected_status, const char *state)
 {
   Call *call = g_new0(Call, 1);
   call->expected_status = expected_status;
@@ -55,7 +55,7 @@
 
 static json_t *
 changed_submission(const Job *job, const char *field,
-                   json_t *value /* taken; NULL: removes the field */)
+                   json_t *value /* takes ownership; NULL: removes the field */)
 {
   json_t *message = json_deep_copy(job->message);
   json_object_set_new(message, "id", json_string("req-999999"));
@@ -71,26 +71,26 @@
 {
   if (sim->jobs->len == 0)
     return;
-  const Job *any
+  const Job *random_job
       = g_ptr_array_index(sim->jobs, (guint)g_rand_int_range(sim->rand, 0, (gint32)sim->jobs->len));
   send_malformed_request(sim, "GET", "/api/jobs/req-999999", NULL, 404, NULL);
   send_malformed_request(sim, "POST", "/api/jobs/req-999999/withdraw", NULL, 404, NULL);
-  send_malformed_request(sim, "POST", "/api/jobs", changed_submission(any, "kusy", NULL), 400,
-                         NULL);
+  send_malformed_request(sim, "POST", "/api/jobs", changed_submission(random_job, "kusy", NULL),
+                         400, NULL);
   send_malformed_request(sim, "POST", "/api/jobs",
-                         changed_submission(any, "dilna", json_integer(7)), 400, NULL);
+                         changed_submission(random_job, "dilna", json_integer(7)), 400, NULL);
   send_malformed_request(sim, "POST", "/api/jobs",
-                         changed_submission(any, "dilna", json_string("green")), 422, NULL);
+                         changed_submission(random_job, "dilna", json_string("green")), 422, NULL);
   send_malformed_request(sim, "POST", "/api/jobs",
-                         changed_submission(any, "hala", json_string("z")), 422, NULL);
+                         changed_submission(random_job, "hala", json_string("z")), 422, NULL);
   send_malformed_request(sim, "POST", "/api/jobs",
-                         changed_submission(any, "cpus", json_real(500.0)), 422, NULL);
-  if (any->reported != REPORTED_DONE && any->reported != REPORTED_CANCELLED)
+                         changed_submission(random_job, "cpus", json_real(500.0)), 422, NULL);
+  if (random_job->reported != REPORTED_DONE && random_job->reported != REPORTED_CANCELLED)
     return;
-  g_autofree char *withdraw = g_strdup_printf("/api/jobs/%s/withdraw", any->id);
-  const char *state = any->reported == REPORTED_DONE ? "done" : "cancelled";
+  g_autofree char *withdraw = g_strdup_printf("/api/jobs/%s/withdraw", random_job->id);
+  const char *state = random_job->reported == REPORTED_DONE ? "done" : "cancelled";
   send_malformed_request(sim, "POST", withdraw, NULL, 200, state);
-  send_malformed_request(sim, "POST", "/api/jobs", json_deep_copy(any->message), 200, state);
+  send_malformed_request(sim, "POST", "/api/jobs", json_deep_copy(random_job->message), 200, state);
 }
 
 void
@@ -109,8 +109,8 @@
     send_user_request(sim, job, "GET", path, NULL);
 }
 
-/* Records the state in an answer. Checks that a job's state never goes back (went_back), that it is
-   cancelled only by its user, and that all its tasks are done when it is (not_done). */
+/* Records the state in an answer. Checks that a job's state never reverts (went_back), that only
+   its user cancels the job, and that all tasks of a job that is done are done (not_done). */
 static void
 record_reported_state(Sim *sim, Job *job, const char *state)
 {
@@ -175,9 +175,9 @@
 }
 
 void
-sim_cancel_at_completion(Sim *sim, double part)
+sim_cancel_at_completion(Sim *sim, double probability)
 {
-  sim->cancel_at_completion = part;
+  sim->cancel_at_completion = probability;
 }
 
 gboolean
