--- a/src/api/ws-job-api.c
+++ b/src/api/ws-job-api.c
@@ -200,9 +200,9 @@
   finish_with_job_status(core, user_request, WS_HTTP_OK, job);
 }
 
-/* Cancels the job. If no task was ever assigned, the final record is written at once. The
-   transaction is then conditional on the absence of the job's chunk record, since an assignment
-   changes only the chunk record, not the job's own record. */
+/* Cancels the job. If the job has a single chunk and none of its tasks was ever assigned, the final
+   record is written at once. The transaction is then conditional on the absence of the chunk's
+   record, since an assignment changes only that record, not the job's own record. */
 static void
 commit_cancellation(WsCore *core, UserRequest *user_request, const WsJob *job)
 {
--- a/src/commit/ws-assignments.c
+++ b/src/commit/ws-assignments.c
@@ -271,8 +271,8 @@
 /* Fills the batch in order of priority. Critical assignments come first: when a partition heals,
    hundreds of releases of other tasks become pending at once and would delay the critical
    assignments by several transactions. Releases that end a job may fill the transaction up to one
-   half, and other assignments up to five sixths. This guarantees that every kind of change makes
-   progress in every transaction. */
+   half, and other assignments up to five sixths, so that every kind of change makes
+   progress in each transaction, as far as the critical assignments leave space. */
 static void
 fill_batch(WsCore *core, WsBatch *batch)
 {
--- a/src/commit/ws-batch-txn.c
+++ b/src/commit/ws-batch-txn.c
@@ -46,9 +46,10 @@
   }
 }
 
-/* Writes the final record of the job if the transaction releases its last task. Returns whether it
-   does. The job's chunk records become garbage and are deleted later (ws-garbage.c), because each
-   deletion would cost this transaction an operation. */
+/* Writes the final record of the job and appends the job to @ended_jobs, if the transaction
+   completes the last task of an active job or releases the last assigned task of a cancelled one.
+   Returns whether it does. The job's chunk records become garbage and are deleted later
+   (ws-garbage.c), because each deletion would cost this transaction an operation. */
 static gboolean
 put_final_record(const WsBatch *batch, WsTxn *txn, const WsJob *job, GArray *ended_jobs)
 {
--- a/src/commit/ws-commit.h
+++ b/src/commit/ws-commit.h
@@ -23,7 +23,7 @@
 /** Frees the state and drops its uncommitted proposals. @assignments: not NULL */
 void ws_assignments_free(WsAssignments *assignments);
 
-/** Proposes to assign the task to the machine. Does nothing if one is pending. */
+/** Proposes to assign the task to the machine. Does nothing if an assignment is pending. */
 void ws_assignments_propose(WsCore *core, WsJobIndex job, guint task, WsMachineIndex machine);
 
 /** Returns whether an assignment of the task is proposed, forwarded or in flight. */
--- a/src/commit/ws-job-quarantine.h
+++ b/src/commit/ws-job-quarantine.h
@@ -3,8 +3,8 @@
  *
  * The store rejects a whole transaction if a record is too large or malformed, and a retry would
  * fail again. To keep one such job from blocking all others, each transaction is limited to a
- * single job for some seconds after a rejection. A job whose transaction is rejected in this state
- * is excluded from transactions for some seconds.
+ * single job for some seconds after a rejection. A job that was alone in a rejected transaction is
+ * excluded from transactions for some seconds.
  */
 #pragma once
 
--- a/src/commit/ws-releases.c
+++ b/src/commit/ws-releases.c
@@ -135,9 +135,10 @@
   return pending != NULL && ws_release_is_valid(core->replica, &pending->release);
 }
 
-/* Drops releases whose machine has had another owner since the evidence was stated. The new owner
-   may have launched the attempt again and has to gather evidence of its own. Writing such a release
-   would let the task be assigned again while it runs, so that it runs twice. */
+/* Drops releases whose attempt is no longer assigned, and those whose machine has had another owner
+   since the evidence was stated. The new owner may have launched the attempt again and has to
+   gather evidence of its own. Writing such a release would let the task be assigned again while it
+   runs, so that it runs twice. */
 static void
 drop_invalid_releases(WsCore *core)
 {
--- a/src/context/ws-context.h
+++ b/src/context/ws-context.h
@@ -88,7 +88,7 @@
   void (*handle_reservation)(WsCore *core, const WsJob *job, WsMachineIndex machine, guint tasks);
   /** Returns whether any reservation exists that an assignment could violate (scheduling). */
   gboolean (*has_reservations)(const WsCore *core);
-  /** Returns whether an assignment leaves capacity reserved for urgent jobs (scheduling). */
+  /** Returns whether an assignment leaves capacity reserved for more urgent jobs (scheduling). */
   gboolean (*allows_assignment)(const WsCore *core, const WsJob *job, guint assigned_tasks,
                                 WsMachineIndex machine, const WsResources *machine_free,
                                 const WsResources *team_use);
--- a/src/storage/ws-chunk.h
+++ b/src/storage/ws-chunk.h
@@ -19,12 +19,12 @@
   guint64 attempt;
   gint64 assigned_ms; /**< wall clock; 0 if not recorded */
 
-  /* Not stored. The replica writes assigned_version, src/workers the other fields; src/scheduling
-   * and src/membership also write those about stops. */
+  /* Not stored. The replica writes assigned_version, src/scheduling and src/membership write the
+   * fields about stops, and src/workers the others. */
   guint64 assigned_version;   /**< version of the record that first contained it; 0 if not known */
   WsTaskState state;          /**< last state that the worker reported */
-  gboolean is_confirmed_gone; /**< cancelled, and its worker's status confirms its exit */
-  gint64 stop_forwarded_ms;   /**< last request to another owner to stop it; 0 if none */
+  gboolean is_confirmed_gone; /**< cancelled, and missing or exited in its worker's status */
+  gint64 stop_forwarded_ms;   /**< last stop request to another owner, or by ws-gang.c; 0 if none */
   gboolean is_launch_sent;    /**< an answer to a heartbeat contained its launch */
   gboolean is_stop_requested; /**< to free its capacity or its machine for other work */
 } WsAssignment;
--- a/src/storage/ws-gang-phase.h
+++ b/src/storage/ws-gang-phase.h
@@ -24,7 +24,7 @@
 /**
  * Derives the phase from the records and the reported task states.
  *
- * A node receives heartbeats only from the machines that it owns, so a gang that runs elsewhere may
+ * A node usually knows the task states of its own machines only, so a gang that runs elsewhere may
  * appear as WS_GANG_LAUNCHED. WS_GANG_ENDING follows from the records alone, so all nodes agree
  * on it.
  */
--- a/src/storage/ws-replica.h
+++ b/src/storage/ws-replica.h
@@ -78,7 +78,7 @@
  * Applies one version of a key.
  *
  * Returns FALSE if this version or a newer one was applied before. A damaged value does not affect
- * other records.
+ * other records. For most kinds of records it is logged and ignored, see ws-replica-internal.h.
  *
  * @value: borrowed; NULL if the key was removed
  */
--- a/src/storage/ws-status.h
+++ b/src/storage/ws-status.h
@@ -10,7 +10,7 @@
 
 /**
  * What a machine's worker has reported, and what was sent to it. Written by membership and
- * workers.
+ * workers; fleet sets an unknown endpoint from the cloud's list.
  */
 typedef struct {
   char *endpoint;           /**< address for commands; NULL until known */
