--- a/src/api/ws-job-api.c
+++ b/src/api/ws-job-api.c
@@ -67,7 +67,7 @@
 }
 
 static WsReportedJobState
-user_state(const WsJob *job)
+reported_state(const WsJob *job)
 {
   if (job->state == WS_JOB_DONE)
     return WS_REPORTED_STATE_DONE;
@@ -81,7 +81,7 @@
 {
   WsJobSummary summary
       = { .job_id = job->id,
-          .state = user_state(job),
+          .state = reported_state(job),
           .done_tasks = job->state == WS_JOB_DONE ? job->tasks : job->completed_count,
           .running_tasks = job->assigned_count };
   finish_with_body(core, user_request, status,
@@ -282,10 +282,10 @@
 {
   if (!g_str_has_prefix(path, JOBS_PATH "/"))
     return NULL;
-  g_auto(GStrv) parts = g_strsplit(path + strlen(JOBS_PATH "/"), "/", MAX_PATH_SEGMENTS);
-  guint count = g_strv_length(parts);
-  *is_cancellation = count == 2 && strcmp(parts[1], CANCELLATION_SEGMENT) == 0;
-  return count == 1 || *is_cancellation ? g_strdup(parts[0]) : NULL;
+  g_auto(GStrv) segments = g_strsplit(path + strlen(JOBS_PATH "/"), "/", MAX_PATH_SEGMENTS);
+  guint count = g_strv_length(segments);
+  *is_cancellation = count == 2 && strcmp(segments[1], CANCELLATION_SEGMENT) == 0;
+  return count == 1 || *is_cancellation ? g_strdup(segments[0]) : NULL;
 }
 
 void
