--- a/src/storage/ws-machine.h
+++ b/src/storage/ws-machine.h
@@ -31,7 +31,7 @@
   gint64 rented_ms;         /**< wall clock */
   gboolean is_marked;       /**< it has a termination mark */
   char *mark_reason;        /**< owned; NULL if it has no mark */
-  gboolean mark_is_immediate; /**< terminated without draining, since its worker is unreachable */
+  gboolean mark_is_immediate; /**< terminated without draining, e.g. if its worker is unreachable */
   GArray *tasks;              /**< of WsTaskRef: tasks that are assigned to it */
   WsResources used;           /**< total resources of those tasks */
   WsWorkerStatus worker;      /**< not stored */
