--- a/src/fleet/ws-consolidation.c
+++ b/src/fleet/ws-consolidation.c
@@ -15,7 +15,8 @@
 
 /* A machine is underused if at most 1/2 of its CPUs and of its accelerators is in use. */
 #define UNDERUSED_DIVISOR 2
-/* Candidates per tick that can't be consolidated. Each of them is compared with all machines. */
+/* Limit of candidates per tick that turn out not to be movable or may not be terminated, since each
+   of them is compared with all machines. */
 #define MAX_FAILED_CANDIDATES 4
 /* One machine is consolidated at a time, plus one for each group of this many recorded machines. */
 #define MACHINES_PER_EXTRA_SOURCE 50
@@ -79,8 +80,8 @@
          && zone_constraints_allow_move(core, job, machine->zone, target->zone);
 }
 
-/* Whether all tasks of the machine may move: each is a running task of a service of which no other
-   task moves, and no task is planned to move to this machine. */
+/* Whether all tasks of the machine may move: each is a running task of a service of which no task
+   on another machine moves, and no task is planned to move to this machine. */
 static gboolean
 may_be_source(const WsCore *core, const MovePlan *plan, const WsMachine *machine)
 {
--- a/src/fleet/ws-fleet-private.h
+++ b/src/fleet/ws-fleet-private.h
@@ -106,8 +106,9 @@
 void ws_cloud_list_tick(WsCore *core);
 
 /**
- * Returns whether a healthy machine may be terminated: the disruption budget allows it, its zone
- * isn't partitioned, and enough headroom for critical jobs remains.
+ * Returns whether a healthy machine may be terminated: the disruption budget allows it, the members
+ * in its zone and all other members can reach one another, and enough headroom for critical jobs
+ * remains. A spot machine isn't part of the headroom.
  */
 gboolean ws_termination_is_allowed(const WsCore *core, const WsMachine *machine);
 
--- a/src/fleet/ws-fleet.h
+++ b/src/fleet/ws-fleet.h
@@ -17,8 +17,9 @@
 void ws_fleet_free(WsFleet *fleet);
 
 /**
- * Sends the calls to the cloud that are due. On nodes other than the leader only returns of
- * unmarked machines are sent.
+ * Does what is due for the fleet: calls to the cloud, the completion of terminations, and marks for
+ * machines that don't boot. On nodes other than the leader, and on the leader while the store is
+ * unavailable, only processes the machines of ws_returns_request_unmarked().
  */
 void ws_fleet_tick(WsCore *core);
 
@@ -41,8 +42,9 @@
 /**
  * Requests a termination mark for the machine, from the leader if that is another node.
  *
- * Does nothing if the machine already has such a mark, a request is pending, or the store is
- * unavailable. A mark without @immediately can be replaced by one with it.
+ * Does nothing if the machine already has such a mark, a request is pending, the store is
+ * unavailable, or the return of the marked machine is confirmed. A mark without @immediately can be
+ * replaced by one with it.
  * The leader drops the request if the disruption budget is used up, unless @immediately is set or
  * @reason is WS_MARK_REASON_INTERRUPTION.
  *
@@ -56,7 +58,7 @@
  * Returns whether a task on a marked machine may be stopped now.
  *
  * The tasks of a service are stopped one at a time. While another task of the service has no
- * machine the stop backs off, and each call after the end of the back-off doubles it and returns
+ * machine, the stop backs off, and each call after the end of the back-off doubles it and returns
  * FALSE.
  */
 gboolean ws_termination_may_stop_task(WsCore *core, WsMachine *machine, WsJob *job,
@@ -123,8 +125,9 @@
 gboolean ws_returns_is_confirmed(const WsCore *core, const char *machine);
 
 /**
- * Returns a machine without a termination mark, because a cancelled task on it must end while the
- * store is unavailable. The mark is written after the return, once the store is available.
+ * Schedules the return of a machine without a termination mark, because a cancelled task on it must
+ * end while the store is unavailable. The mark is written after the return, once the store is
+ * available.
  */
 void ws_returns_request_unmarked(WsCore *core, const WsMachine *machine);
 
@@ -132,8 +135,8 @@
  * Reconciliation with the cloud's list.
  *
  * A machine that is listed or sends heartbeats but has no record, for example after a rental that
- * was carried out late, gets a record and is then used or returned. A machine that is listed as
- * failed gets a termination mark.
+ * was carried out late, gets a record and is then used or returned. A recorded machine that is
+ * listed as failed and isn't up gets a termination mark.
  */
 
 /**
--- a/src/fleet/ws-headroom.c
+++ b/src/fleet/ws-headroom.c
@@ -1,8 +1,9 @@
 /**
  * Headroom: the placement slots that are kept for the next critical job.
  *
- * A slot counts if it is free or is used by a task that isn't part of a service, since that task
- * may be preempted for a critical one.
+ * A slot counts if it is free or is used by a task of an array, since that task may be preempted
+ * for a critical one. Slots used by tasks of gangs are counted too, although these aren't
+ * preempted.
  */
 #include "fleet/ws-fleet-private.h"
 
--- a/src/fleet/ws-rentals.c
+++ b/src/fleet/ws-rentals.c
@@ -235,7 +235,7 @@
 /* Replaces the intent by a rental batch with the machines in one transaction, or by several batches
    if the machines' names don't fit into one record. Machines that don't fit into the transaction
    are recorded later from the cloud's list.
-   @names: of the rented machines; NULL: none was rented */
+   @names: names of the rented machines; NULL: none was rented */
 static void
 close_intent(WsCore *core, const WsRentalIntent *intent, GPtrArray *names)
 {
--- a/src/scheduling/ws-candidates.c
+++ b/src/scheduling/ws-candidates.c
@@ -77,8 +77,8 @@
          && machine->fleet.last_failed_job != job->index && is_in_shard(replica, job, machine);
 }
 
-/* Whether the machine has capacity of the kind for one more task. A candidate for preemption always
-   has, since the search has found enough victims on it. */
+/* Whether the machine has capacity of the kind for one more task. Always TRUE for preemption, since
+   add_if_candidate() adds only machines with enough victims. */
 static gboolean
 has_slot(const WsCandidates *candidates, WsSlotKind kind, WsMachineIndex machine)
 {
--- a/src/scheduling/ws-candidates.h
+++ b/src/scheduling/ws-candidates.h
@@ -57,7 +57,9 @@
 gboolean ws_candidates_take_on_machine(WsCandidates *candidates, const WsMachine *machine);
 
 /**
- * Gives the capacity for one task back to the map on each machine in @machines (of WsMachineIndex).
+ * Gives the capacity for one task back to the map on each machine in @machines (of WsMachineIndex),
+ * and removes the task from the number of tasks in the machine's zone. A machine is listed once for
+ * each task.
  */
 void ws_candidates_release(WsCandidates *candidates, const GArray *machines);
 
--- a/src/scheduling/ws-coordinator.c
+++ b/src/scheduling/ws-coordinator.c
@@ -80,7 +80,8 @@
          && core->now - job->status.unplaced_since_ms >= ESCALATION_DELAY_MS;
 }
 
-/* Adds an update of the job's record to the transaction that removes its coordinating node. */
+/* Adds to the transaction an update of the job's record that leaves the job without a coordinating
+   node. */
 static void
 add_escalation(WsCore *core, WsTxn *txn, const WsJob *job)
 {
--- a/src/scheduling/ws-demand-private.h
+++ b/src/scheduling/ws-demand-private.h
@@ -66,5 +66,8 @@
 gboolean ws_demand_add_new_machine(WsDemand *demand, const WsJob *job, gboolean is_spot,
                                    const WsResources *need);
 
-/** Returns a zone where machines for all tasks of a gang can be requested, or WS_NO_ZONE. */
+/**
+ * Returns a zone where machines for all tasks of a gang are booting or requested, otherwise one
+ * where machines for them can be requested, or WS_NO_ZONE.
+ */
 WsZoneIndex ws_demand_choose_gang_zone(const WsDemand *demand, const WsJob *job, guint tasks);
--- a/src/scheduling/ws-demand-sizing.c
+++ b/src/scheduling/ws-demand-sizing.c
@@ -24,8 +24,8 @@
    job itself. */
 #define USED_JOB_SLACK_SHARE 0.7
 #define USED_CLASS_SLACK_SHARE 0.4
-/* The share of the slack until the time by which tasks should start. That time isn't an estimate,
-   but many jobs may be submitted at once. */
+/* The share that is used of the slack until the time by which tasks should start. That time isn't
+   an estimate, but many jobs may be submitted at once. */
 #define USED_START_SLACK_SHARE 0.5
 /* A job without a deadline may wait for the slots of running tasks if its slack is at least this
    share of its run time. */
--- a/src/scheduling/ws-demand.c
+++ b/src/scheduling/ws-demand.c
@@ -173,8 +173,8 @@
   return FALSE;
 }
 
-/* Adds machines until the headroom is complete: slots that are always kept free for critical jobs,
-   since these can't wait for a machine to boot. */
+/* Adds machines until the headroom is complete: slots that are always kept for critical jobs, since
+   these can't wait for a machine to boot. */
 static void
 add_headroom(WsDemand *demand)
 {
--- a/src/scheduling/ws-placement-score.h
+++ b/src/scheduling/ws-placement-score.h
@@ -13,7 +13,7 @@
   const WsCapacityMap *map;
   const WsJob *job;
   gint64 smallest_fitting_cpus; /**< CPUs of the smallest machine type that fits a task */
-  GHashTable *gang_images;      /**< WsImageIndex of all active gangs; NULL: the job isn't a gang */
+  GHashTable *gang_images;      /**< set of WsImageIndex, of all active gangs; NULL: no gang */
 } WsPlacementScorer;
 
 /** Initializes the scorer. @map and @job must outlive it. */
--- a/src/scheduling/ws-placement.h
+++ b/src/scheduling/ws-placement.h
@@ -26,7 +26,7 @@
 /**
  * Places waiting tasks of the job. Returns the number of tasks considered, at most @max_tasks.
  *
- * @max_tasks: the maximum number of tasks to place; a gang is always placed whole
+ * @max_tasks: the maximum number of tasks to place; a gang is placed whole or not at all
  */
 guint ws_placement_place_job(WsPlacement *placement, WsJob *job, guint max_tasks);
 
--- a/src/scheduling/ws-plan.c
+++ b/src/scheduling/ws-plan.c
@@ -19,7 +19,7 @@
    small share of the CPU time at any cluster size. */
 #define MACHINES_EXAMINED_PER_PLAN_PAUSE_MS 40
 /* Bounds the cost of a plan when jobs have many thousands of tasks. It must not be much lower: if
-   the first plan after a start leaves out waiting tasks, too few machines are rented. */
+   a plan after a start leaves out waiting tasks, too few machines are rented. */
 #define MAX_TASKS_PER_PLAN 4000
 /* The time after the pause until a plan is made even if nothing has changed, since the urgency of
    jobs also changes with time, though slowly. */
@@ -55,7 +55,8 @@
   return job->completed_count + job->assigned_count < job->tasks;
 }
 
-/* Whether this node has tasks to place. Usually it has none, and no plan is made. */
+/* Whether this node has tasks to place. Usually it has none, and makes no plan unless it is the
+   leader. */
 static gboolean
 has_tasks_to_place(const WsCore *core)
 {
--- a/src/scheduling/ws-preempt.c
+++ b/src/scheduling/ws-preempt.c
@@ -28,9 +28,9 @@
          || (team->guarantee.gpus == 0 && team->guarantee.cpus == 0);
 }
 
-/* Whether the victim is protected from starvation. The first tasks of a job that has waited long
-   for its start aren't stopped again, since a steady flow of more urgent jobs could otherwise keep
-   the job from ever making progress. */
+/* Whether the victim is protected from starvation. While a job that was accepted more than
+   WS_QUEUE_MAX_START_DELAY_S ago hasn't completed a task, its first tasks aren't stopped: otherwise
+   a steady flow of more urgent jobs could keep a job that has started late from making progress. */
 static gboolean
 is_protected_from_preemption(const WsCore *core, const WsJob *victim, guint victim_tasks)
 {
--- a/src/scheduling/ws-preempt.h
+++ b/src/scheduling/ws-preempt.h
@@ -24,7 +24,10 @@
 double ws_preempt_cost(const WsCore *core, const WsJob *job, const WsMachine *machine,
                        const WsMachineCapacity *capacity);
 
-/** Stops the victims that ws_preempt_cost() counts, and adds their resources to @capacity. */
+/**
+ * Stops the victims that ws_preempt_cost() counts, and adds their resources to @capacity. If
+ * another node owns the machine, the caller sends the stop requests (ws_stop_requests_send()).
+ */
 void ws_preempt_on_machine(WsCore *core, const WsJob *job, WsMachine *machine,
                            WsMachineCapacity *capacity);
 
@@ -44,7 +47,7 @@
  * one more task of the job.
  *
  * Tasks are stopped only if that task can start afterwards: either it has a slot already, or one of
- * the stopped tasks frees one.
+ * the stopped tasks frees one. The caller sends the stop requests to the owners of @machines.
  *
  * @team_use: resources in use by the team, including tasks placed by the current plan
  * @has_slot: whether the task has a slot without any stop
--- a/src/scheduling/ws-queue.h
+++ b/src/scheduling/ws-queue.h
@@ -6,9 +6,10 @@
 #include "scheduling/ws-scheduling.h"
 
 /**
- * A job that has waited longer than this for its first task to start is overdue. An overdue job is
- * placed before all jobs except critical ones, regardless of guarantees and priorities, so that the
- * rules that favour other jobs, such as small ones, can't starve it.
+ * A job that was accepted longer ago than this and has neither an assigned nor a completed task is
+ * overdue. An overdue job is placed before all jobs except critical ones and older overdue ones,
+ * regardless of guarantees and priorities, so that the rules that favour other jobs, such as small
+ * ones, can't starve it.
  */
 #define WS_QUEUE_MAX_START_DELAY_S 120.0
 
