--- a/src/fleet/ws-cloud-list.c
+++ b/src/fleet/ws-cloud-list.c
@@ -65,7 +65,7 @@
 }
 
 static gboolean
-is_of_batch_type(const WsRentalBatch *rental_batch, const WsMachine *machine)
+matches_type_and_price_model(const WsRentalBatch *rental_batch, const WsMachine *machine)
 {
   return strcmp(rental_batch->type, machine->type_name) == 0
          && rental_batch->is_spot == machine->is_spot;
@@ -95,7 +95,7 @@
   for (WsMachineIndex i = first->index; i < core->replica->machines->len; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, i);
     if (!machine->fleet.needs_record || machine->zone != first->zone
-        || !is_of_batch_type(rental_batch, machine)
+        || !matches_type_and_price_model(rental_batch, machine)
         || rental_batch->machines->len >= ws_rental_batch_max_machines(core->settings)
         || !ws_rental_batch_has_space(rental_batch, core->replica, machine->name))
       continue;
--- a/src/fleet/ws-rentals.c
+++ b/src/fleet/ws-rentals.c
@@ -36,8 +36,8 @@
   WsTxn *intents;             /* the transaction being assembled, or NULL */
   gboolean intents_in_flight; /* a transaction of intents is in flight */
   GHashTable
-      *requests_in_flight; /* names of requests sent to the cloud whose intents aren't closed */
-  GHashTable *next_try_ms; /* name of a request -> time of its next try (gint64) */
+      *requests_in_flight;    /* names of requests sent to the cloud whose intents aren't closed */
+  GHashTable *next_try_times; /* name of a request -> time of its next try (gint64) */
 };
 
 WsRentals *
@@ -46,7 +46,7 @@
   WsRentals *rentals = g_new0(WsRentals, 1);
   rentals->backoffs = g_hash_table_new_full(NULL, NULL, NULL, g_free);
   rentals->requests_in_flight = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-  rentals->next_try_ms = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+  rentals->next_try_times = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
   return rentals;
 }
 
@@ -55,7 +55,7 @@
 {
   g_hash_table_unref(rentals->backoffs);
   g_hash_table_unref(rentals->requests_in_flight);
-  g_hash_table_unref(rentals->next_try_ms);
+  g_hash_table_unref(rentals->next_try_times);
   g_free(rentals);
 }
 
@@ -189,7 +189,7 @@
 {
   gint64 *at_ms = g_new(gint64, 1);
   *at_ms = core->now + RENTAL_RETRY_MS;
-  g_hash_table_insert(core->fleet->rentals->next_try_ms, g_strdup(request), at_ms);
+  g_hash_table_insert(core->fleet->rentals->next_try_times, g_strdup(request), at_ms);
 }
 
 static void
@@ -281,7 +281,7 @@
 send_rental(WsCore *core, const WsRentalIntent *intent)
 {
   WsRentals *rentals = core->fleet->rentals;
-  const gint64 *retry_ms = g_hash_table_lookup(rentals->next_try_ms, intent->request);
+  const gint64 *retry_ms = g_hash_table_lookup(rentals->next_try_times, intent->request);
   if (g_hash_table_contains(rentals->requests_in_flight, intent->request)
       || (retry_ms != NULL && core->now < *retry_ms) || !ws_fleet_take_call_budget(core))
     return;
--- a/src/fleet/ws-returns.c
+++ b/src/fleet/ws-returns.c
@@ -49,7 +49,7 @@
 /* Records the confirmed return, and ends the capacity back-off of the machine's kind, since the
    cloud has capacity for it again. */
 static void
-note_returned(WsCore *core, const char *name)
+record_return(WsCore *core, const char *name)
 {
   const WsMachine *machine = ws_replica_find_machine(core->replica, name);
   g_hash_table_add(core->fleet->returns->confirmed, g_strdup(name));
@@ -73,7 +73,7 @@
   }
   returns->backoff_ms = 0;
   for (guint i = 0; i < names->len; i++)
-    note_returned(core, g_ptr_array_index(names, i));
+    record_return(core, g_ptr_array_index(names, i));
 }
 
 /* Requests the return of the machines unless a call is in flight, a back-off hasn't ended, or no
