--- a/src/fleet/ws-fleet.h
+++ b/src/fleet/ws-fleet.h
@@ -70,8 +70,8 @@
  */
 
 /**
- * Returns whether the machine was rented recently and has sent no heartbeat yet. Its type must be
- * known.
+ * Returns whether the machine was rented recently and this node knows of no heartbeat from it yet.
+ * The machine's type must be known.
  */
 gboolean ws_machine_is_booting(const WsCore *core, const WsMachine *machine);
 
--- a/src/scheduling/ws-queue.h
+++ b/src/scheduling/ws-queue.h
@@ -8,8 +8,8 @@
 /**
  * A job that was accepted longer ago than this and has neither an assigned nor a completed task is
  * overdue. An overdue job is placed before all jobs except critical ones and older overdue ones,
- * regardless of guarantees and priorities, so that the rules that favour other jobs, such as small
- * ones, can't starve it.
+ * regardless of guarantees and priorities, so that the rules that favour jobs which can still be on
+ * time or have little work left can't starve it.
  */
 #define WS_QUEUE_MAX_START_DELAY_S 120.0
 
--- a/src/scheduling/ws-scheduling.h
+++ b/src/scheduling/ws-scheduling.h
@@ -53,9 +53,10 @@
  */
 
 /**
- * Halts the tasks of gang attempts that have ended, and repeats each halt until the task ends. Also
- * begins an orderly stop of each gang that has a task on a machine that is to be drained: all its
- * tasks are halted at the same time, with enough time to save their progress.
+ * Halts the tasks of gang attempts that have ended, and repeats each halt until the task is known
+ * to save its progress or to have ended. Also begins an orderly stop of each gang that has a task
+ * on a machine that is to be drained: all its tasks are halted at the same time, with enough time
+ * to save their progress.
  */
 void ws_gang_tick(WsCore *core);
 
