--- a/src/scheduling/ws-stop-requests.c
+++ b/src/scheduling/ws-stop-requests.c
@@ -11,8 +11,7 @@
 {
   if (assignment == NULL || !assignment->is_stop_requested)
     return FALSE;
-  return assignment->stop_forwarded_ms <= 0
-         || core->now - assignment->stop_forwarded_ms >= STOP_RETRY_MS;
+  return assignment->stop_sent_ms <= 0 || core->now - assignment->stop_sent_ms >= STOP_RETRY_MS;
 }
 
 void
@@ -26,7 +25,7 @@
     WsAssignment *assignment = ws_job_assignment(victim, ref->task);
     if (!is_stop_request_due(core, assignment))
       continue;
-    assignment->stop_forwarded_ms = core->now;
+    assignment->stop_sent_ms = core->now;
     ws_peer_request_stop(core, machine->owner, victim, assignment);
   }
 }
--- a/src/storage/ws-chunk.h
+++ b/src/storage/ws-chunk.h
@@ -24,7 +24,7 @@
   guint64 assigned_version;   /**< version of the record that first contained it; 0 if not known */
   WsTaskState state;          /**< last state that the worker reported */
   gboolean is_confirmed_gone; /**< cancelled, and its worker's status confirms its exit */
-  gint64 stop_forwarded_ms;   /**< last request to another owner to stop it; 0 if none */
+  gint64 stop_sent_ms;        /**< last request to another owner to stop it; 0 if none */
   gboolean is_launch_sent;    /**< an answer to a heartbeat contained its launch */
   gboolean is_stop_requested; /**< to free its capacity or its machine for other work */
 } WsAssignment;
--- a/tests/combined-faults/cancellation.c
+++ b/tests/combined-faults/cancellation.c
@@ -75,7 +75,7 @@
   if (variant->inject != NULL)
     variant->inject(sim, sim_find_machine_running_job(sim, 0), variant->fault_s);
   *(variant->leader_isolated ? &sim_faults(sim)->isolated_nodes
-                             : &sim_faults(sim)->store_refuses_nodes)
+                             : &sim_faults(sim)->store_rejects_nodes)
       = 1u << leader;
   sim_run(sim, 0.5);
   sim_cancel(sim, 0);
--- a/tests/core/random-faults.c
+++ b/tests/core/random-faults.c
@@ -61,7 +61,7 @@
 static void
 toggle_store_refusal(Sim *sim)
 {
-  guint *nodes = &sim_faults(sim)->store_refuses_nodes;
+  guint *nodes = &sim_faults(sim)->store_rejects_nodes;
   *nodes = *nodes ? 0 : random_node_bit(sim);
 }
 
--- a/tests/evidence/flapping.c
+++ b/tests/evidence/flapping.c
@@ -28,9 +28,9 @@
     sim_run(sim, g_rand_double_range(rand, 0.6, 2.0));
     sim_submit(sim, &URGENT);
     sim_run(sim, g_rand_double_range(rand, 0.1, 2.0));
-    sim_faults(sim)->store_refuses_nodes = 1u << sim_leader_or_first(sim);
+    sim_faults(sim)->store_rejects_nodes = 1u << sim_leader_or_first(sim);
     sim_run(sim, g_rand_double_range(rand, 5.0, 9.0));
-    sim_faults(sim)->store_refuses_nodes = 0;
+    sim_faults(sim)->store_rejects_nodes = 0;
     sim_run(sim, g_rand_double_range(rand, 0.5, 4.0));
   }
   sim_expect_recovery(sim);
--- a/tests/gangs/gangs.h
+++ b/tests/gangs/gangs.h
@@ -17,10 +17,10 @@
 void test_machine_loss_restarts_whole_gang(void);
 void test_short_stall_restarts_once(void);
 void test_interruption_notice_saves_progress(void);
-void test_leader_crashes_at_any_step(void);
-void test_cancelled_in_any_phase(void);
-void test_partition_through_gang(void);
-void test_starts_among_small_jobs(void);
+void test_gang_recovers_from_leader_crashes(void);
+void test_cancellation_in_any_phase_ends_gang(void);
+void test_gang_recovers_from_partition(void);
+void test_gang_starts_among_small_jobs(void);
 void test_recovery_from_random_faults(void);
 void test_checker_detects_two_attempts(void);
 
--- a/tests/gangs/simulated.c
+++ b/tests/gangs/simulated.c
@@ -105,7 +105,7 @@
 
 /* The leader crashes at random times, in any step of a start, a loss or a stop. */
 void
-test_leader_crashes_at_any_step(void)
+test_gang_recovers_from_leader_crashes(void)
 {
   for (guint32 seed = 850; seed < 850 + sim_seed_count(10); seed++) {
     Sim *sim = new_sim_with_gang(seed, seed % 3 == 0 ? &ANY_ZONE_GANG : &ONE_ZONE_GANG);
@@ -124,7 +124,7 @@
 /* A gang is cancelled in any phase, also during an orderly stop. The checker verifies that its
    tasks end within cancel_s. */
 void
-test_cancelled_in_any_phase(void)
+test_cancellation_in_any_phase_ends_gang(void)
 {
   for (guint32 seed = 870; seed < 870 + sim_seed_count(12); seed++) {
     Sim *sim = new_sim_with_gang(seed, &ONE_ZONE_GANG);
@@ -142,7 +142,7 @@
 
 /* A partition between zones separates the tasks of a gang that may be spread over all zones. */
 void
-test_partition_through_gang(void)
+test_gang_recovers_from_partition(void)
 {
   for (guint32 seed = 890; seed < 894; seed++) {
     Sim *sim = new_sim_with_gang(seed, &ANY_ZONE_GANG);
@@ -158,7 +158,7 @@
 /* Small jobs are submitted all the time and take each slot that becomes free. A gang, which needs
    several slots at the same time, still starts within four minutes. */
 void
-test_starts_among_small_jobs(void)
+test_gang_starts_among_small_jobs(void)
 {
   static const SimJob SMALL_JOB
       = { .tasks = 2, .team = "blue", .priority = "standard", .spot = TRUE, .run_s = 7.0 };
--- a/tests/sim/drawn-faults.c
+++ b/tests/sim/drawn-faults.c
@@ -14,7 +14,7 @@
 begin_store_refusal(Sim *sim, double seconds)
 {
   (void)seconds;
-  sim_faults(sim)->store_refuses_nodes
+  sim_faults(sim)->store_rejects_nodes
       = 1u << (g_rand_boolean(sim_rand(sim)) ? sim_leader_or_first(sim)
                                              : sim_next_node(sim_leader_or_first(sim)));
 }
@@ -22,7 +22,7 @@
 static void
 end_store_refusal(Sim *sim)
 {
-  sim_faults(sim)->store_refuses_nodes = 0;
+  sim_faults(sim)->store_rejects_nodes = 0;
 }
 
 static void
--- a/tests/sim/sim-network.c
+++ b/tests/sim/sim-network.c
@@ -229,7 +229,7 @@
 static gboolean
 is_refused_by_store(const Sim *sim, const Call *call)
 {
-  return sim->faults.store_unavailable || (sim->faults.store_refuses_nodes >> call->node & 1) != 0;
+  return sim->faults.store_unavailable || (sim->faults.store_rejects_nodes >> call->node & 1) != 0;
 }
 
 static void
--- a/tests/sim/sim.h
+++ b/tests/sim/sim.h
@@ -36,7 +36,7 @@
 typedef struct {
   SimNetworkFaults net;
   gboolean store_unavailable; /* the store answers every node with 503 */
-  guint store_refuses_nodes;  /* bit mask of the nodes that the store answers with 503 */
+  guint store_rejects_nodes;  /* bit mask of the nodes that the store answers with 503 */
   guint partitioned_zones;    /* bit mask of the zones that are cut off from those without a bit */
   guint unreachable_nodes;    /* bit mask of the nodes that have no connection to any worker */
   /* probability that a transaction gets no answer and is applied 2 s to 12 s late */
--- a/tests/test-combined-faults.c
+++ b/tests/test-combined-faults.c
@@ -140,7 +140,7 @@
   sim_faults(sim)->store_delay_ms = 1500;
   sim_cancel_random_jobs(sim, 2);
   sim_run(sim, 10.0);
-  sim_faults(sim)->store_refuses_nodes = 1u << sim_leader_or_first(sim);
+  sim_faults(sim)->store_rejects_nodes = 1u << sim_leader_or_first(sim);
   sim_cancel_random_jobs(sim, 3);
   sim_run(sim, 2.0);
   sim_faults(sim)->store_unavailable = TRUE;
--- a/tests/test-gangs.c
+++ b/tests/test-gangs.c
@@ -18,10 +18,10 @@
   { "/gangs/short-stall-restarts-once", test_short_stall_restarts_once },
   { "/gangs/interruption-notice-saves-progress", test_interruption_notice_saves_progress },
   { "/gangs/no-stop-while-machine-is-unreachable", test_no_stop_while_machine_is_unreachable },
-  { "/gangs/leader-crashes-at-any-step", test_leader_crashes_at_any_step },
-  { "/gangs/cancelled-in-any-phase", test_cancelled_in_any_phase },
-  { "/gangs/partition-through-gang", test_partition_through_gang },
-  { "/gangs/starts-among-small-jobs", test_starts_among_small_jobs },
+  { "/gangs/leader-crashes-at-any-step", test_gang_recovers_from_leader_crashes },
+  { "/gangs/cancelled-in-any-phase", test_cancellation_in_any_phase_ends_gang },
+  { "/gangs/partition-through-gang", test_gang_recovers_from_partition },
+  { "/gangs/starts-among-small-jobs", test_gang_starts_among_small_jobs },
   { "/gangs/drawn", test_recovery_from_random_faults },
 };
 
