--- a/tests/test-commit.c
+++ b/tests/test-commit.c
@@ -1,6 +1,6 @@
 /* Unit tests of the parts of src/commit that need no core: the rule that decides when a job ends,
    and the quarantine of jobs. */
-#include "commit/ws-job-completion.h"
+#include "commit/ws-job-end.h"
 #include "commit/ws-job-quarantine.h"
 
 typedef struct {
