--- a/src/api/ws-job-api.c
+++ b/src/api/ws-job-api.c
@@ -156,7 +156,7 @@
 static void
 commit_new_job(WsCore *core, UserRequest *user_request)
 {
-  WsJob job = { .id = user_request->id, .spec = user_request->spec, .accepted_ms = core->wall };
+  WsJob job = { .id = user_request->id, .spec = user_request->spec, .accepted_ms = core->wall_ms };
   WsNodeIndex coordinator = ws_coordinator_choose(core, user_request->spec);
   const char *name
       = coordinator == WS_NO_NODE ? "" : ws_settings_node(core->settings, coordinator)->name;
@@ -209,7 +209,7 @@
   WsJob cancelled = *job;
   g_autofree char *key = ws_key_job(job->id);
   g_autofree char *chunk = ws_key_chunk(job->id, 0);
-  cancelled.cancelled_ms = core->wall;
+  cancelled.cancelled_ms = core->wall_ms;
   gboolean was_never_assigned
       = ws_job_chunk_count(job) == 1 && ws_replica_version(core->replica, chunk) == 0;
   WsTxn *txn = ws_txn_new();
--- a/src/commit/ws-assignments.c
+++ b/src/commit/ws-assignments.c
@@ -78,7 +78,7 @@
 void
 ws_assignments_propose(WsCore *core, WsJobIndex job, guint task, WsMachineIndex machine)
 {
-  WsProposal proposal = { job, task, machine, core->now };
+  WsProposal proposal = { job, task, machine, core->now_ms };
   if (g_hash_table_add(core->assignments->pending, ws_task_key(job, task)))
     g_array_append_val(core->assignments->proposals, proposal);
 }
@@ -92,11 +92,11 @@
 gint64
 ws_assignments_oldest_age_ms(const WsCore *core)
 {
-  gint64 oldest_ms = core->now;
+  gint64 oldest_ms = core->now_ms;
   for (guint i = 0; i < core->assignments->proposals->len; i++)
     oldest_ms
         = MIN(oldest_ms, g_array_index(core->assignments->proposals, WsProposal, i).proposed_ms);
-  return core->now - oldest_ms;
+  return core->now_ms - oldest_ms;
 }
 
 gboolean
@@ -143,7 +143,7 @@
   WsAssignments *assignments = core->assignments;
   for (guint i = 0; i < assignments->proposals->len; i++) {
     const WsProposal *proposal = &g_array_index(assignments->proposals, WsProposal, i);
-    ForwardedProposal forwarded = { *proposal, core->now + FORWARDED_TIMEOUT_MS };
+    ForwardedProposal forwarded = { *proposal, core->now_ms + FORWARDED_TIMEOUT_MS };
     g_array_append_val(assignments->forwarded, forwarded);
     ws_peer_request_assignment(core, ws_replica_job(core->replica, proposal->job), proposal->task,
                                ws_replica_machine(core->replica, proposal->machine));
@@ -158,7 +158,7 @@
   for (guint i = forwarded->len; i-- > 0;) {
     const ForwardedProposal *item = &g_array_index(forwarded, ForwardedProposal, i);
     const WsJob *job = ws_replica_job(core->replica, item->proposal.job);
-    if (core->now <= item->expires_ms && job->spec != NULL
+    if (core->now_ms <= item->expires_ms && job->spec != NULL
         && ws_job_assignment(job, item->proposal.task) == NULL)
       continue;
     g_hash_table_remove(core->assignments->pending,
@@ -177,7 +177,7 @@
         = ws_replica_job(core->replica, g_array_index(core->assignments->ended_jobs, guint, i));
     g_info("job %s %s, %.0f s after acceptance", job->id,
            job->state == WS_JOB_DONE ? "completed" : "cancelled, all tasks released",
-           (double)(core->wall - job->accepted_ms) / 1000.0);
+           (double)(core->wall_ms - job->accepted_ms) / 1000.0);
   }
 }
 
@@ -190,7 +190,8 @@
 {
   WsAssignments *assignments = core->assignments;
   assignments->next_batch_ms
-      = core->now + (result == WS_TXN_CONFLICT ? CONFLICT_RETRY_DELAY_MS : FAILURE_RETRY_DELAY_MS);
+      = core->now_ms
+        + (result == WS_TXN_CONFLICT ? CONFLICT_RETRY_DELAY_MS : FAILURE_RETRY_DELAY_MS);
   for (guint i = 0; i < assignments->in_flight->len; i++) {
     const WsProposal *proposal = &g_array_index(assignments->in_flight, WsProposal, i);
     ws_assignments_propose(core, proposal->job, proposal->task, proposal->machine);
@@ -203,14 +204,14 @@
   (void)data;
   WsAssignments *assignments = core->assignments;
   assignments->is_txn_in_flight = FALSE;
-  assignments->next_batch_ms = core->now + BATCH_INTERVAL_MS;
+  assignments->next_batch_ms = core->now_ms + BATCH_INTERVAL_MS;
   core->replan_is_needed = TRUE;
   for (guint i = 0; i < assignments->in_flight->len; i++) {
     const WsProposal *proposal = &g_array_index(assignments->in_flight, WsProposal, i);
     g_hash_table_remove(assignments->pending, ws_task_key(proposal->job, proposal->task));
   }
   if (result == WS_TXN_INVALID)
-    ws_job_quarantine_record_rejection(assignments->quarantine, core->now, assignments->jobs);
+    ws_job_quarantine_record_rejection(assignments->quarantine, core->now_ms, assignments->jobs);
   if (result == WS_TXN_COMMITTED)
     log_ended_jobs(core);
   else
@@ -226,7 +227,7 @@
     const WsRelease *release = &ordered->release;
     if (filter == RELEASES_ENDING_JOBS && !ordered->ends_job)
       break;
-    if (ws_job_quarantine_contains(core->assignments->quarantine, core->now, release->job))
+    if (ws_job_quarantine_contains(core->assignments->quarantine, core->now_ms, release->job))
       continue;
     if (ws_batch_add_release(batch, release) == WS_BATCH_REJECTED)
       ws_releases_remove(core, release);
@@ -243,7 +244,7 @@
 static WsBatchResult
 batch_proposal(WsCore *core, WsBatch *batch, const WsProposal *proposal, ProposalFilter filter)
 {
-  if (ws_job_quarantine_contains(core->assignments->quarantine, core->now, proposal->job))
+  if (ws_job_quarantine_contains(core->assignments->quarantine, core->now_ms, proposal->job))
     return WS_BATCH_REJECTED;
   if (filter == CRITICAL_PROPOSALS && !is_critical(core, proposal))
     return WS_BATCH_FULL;
@@ -280,7 +281,7 @@
   guint max_with_ending_releases = max_operations / 2;
   guint max_with_proposals = max_operations * 5 / 6;
   g_autoptr(GArray) releases = ws_releases_in_commit_order(core);
-  if (ws_job_quarantine_restricts_to_one_job(core->assignments->quarantine, core->now))
+  if (ws_job_quarantine_restricts_to_one_job(core->assignments->quarantine, core->now_ms))
     ws_batch_restrict_to_one_job(batch);
   batch_proposals(core, batch, CRITICAL_PROPOSALS);
   ws_batch_set_max_operations(batch, max_with_ending_releases);
@@ -295,7 +296,7 @@
 static gboolean
 can_write_batch(WsCore *core)
 {
-  return !core->assignments->is_txn_in_flight && core->now >= core->assignments->next_batch_ms
+  return !core->assignments->is_txn_in_flight && core->now_ms >= core->assignments->next_batch_ms
          && core->replica->catalog != NULL && ws_has_caught_up_with_epoch(core)
          && ws_assignments_have_backlog(core)
          && ws_store_has_write_budget(core, MIN_WRITE_BUDGET_OPERATIONS);
@@ -327,8 +328,8 @@
     ws_releases_reset_forwarding(core);
     return;
   }
-  if (core->now >= core->assignments->next_batch_ms && !ws_is_leader(core)) {
-    core->assignments->next_batch_ms = core->now + BATCH_INTERVAL_MS;
+  if (core->now_ms >= core->assignments->next_batch_ms && !ws_is_leader(core)) {
+    core->assignments->next_batch_ms = core->now_ms + BATCH_INTERVAL_MS;
     expire_forwarded(core);
     forward_proposals(core);
     ws_releases_forward(core);
--- a/src/commit/ws-batch.c
+++ b/src/commit/ws-batch.c
@@ -370,7 +370,7 @@
   WsAssignment assignment = { .task = proposal->task,
                               .machine = proposal->machine,
                               .attempt = next_attempt(batch, job, chunk),
-                              .assigned_ms = core->wall };
+                              .assigned_ms = core->wall_ms };
   chunk->last_attempt = assignment.attempt;
   ws_chunk_add(chunk, &assignment);
   adjust_use(batch, job, proposal->machine, 1);
--- a/src/commit/ws-batch.h
+++ b/src/commit/ws-batch.h
@@ -16,7 +16,7 @@
   WsJobIndex job;
   guint task;
   WsMachineIndex machine;
-  gint64 proposed_ms; /**< when it was proposed, on the clock of core->now */
+  gint64 proposed_ms; /**< when it was proposed, on the clock of core->now_ms */
 } WsProposal;
 
 /** The result of adding a release or an assignment to a batch. */
--- a/src/commit/ws-estimator.c
+++ b/src/commit/ws-estimator.c
@@ -53,7 +53,7 @@
     run_times = g_new0(ClassRunTimes, 1);
     g_hash_table_insert(core->estimator->classes, g_strdup(job->spec->class_name), run_times);
   }
-  double elapsed_s = (double)(core->wall - assignment->assigned_ms) / 1000.0;
+  double elapsed_s = (double)(core->wall_ms - assignment->assigned_ms) / 1000.0;
   run_times->tasks++;
   double fetch_s = IMAGE_FETCH_FRACTION * ws_job_image_fetch_s(core->replica, job);
   run_times->total_run_s += MAX(elapsed_s - LAUNCH_DELAY_S - fetch_s, 0.0);
--- a/src/commit/ws-garbage.c
+++ b/src/commit/ws-garbage.c
@@ -49,7 +49,7 @@
 {
   (void)data;
   core->garbage->next_check_ms
-      = core->now
+      = core->now_ms
         + (result == WS_TXN_COMMITTED ? ACTIVE_CHECK_INTERVAL_MS : IDLE_CHECK_INTERVAL_MS);
 }
 
@@ -83,7 +83,7 @@
 void
 ws_garbage_tick(WsCore *core)
 {
-  if (!ws_is_leader(core) || core->now < core->garbage->next_check_ms
+  if (!ws_is_leader(core) || core->now_ms < core->garbage->next_check_ms
       || !ws_store_is_available(core))
     return;
   g_autoptr(WsTxn) txn = ws_txn_new();
@@ -91,7 +91,7 @@
   guint count = add_garbage_deletions(core, txn);
   gboolean may_write = count > MAX_GARBAGE_RECORDS || has_spare_write_budget(core);
   core->garbage->next_check_ms
-      = core->now + (count > 0 ? ACTIVE_CHECK_INTERVAL_MS : IDLE_CHECK_INTERVAL_MS);
+      = core->now_ms + (count > 0 ? ACTIVE_CHECK_INTERVAL_MS : IDLE_CHECK_INTERVAL_MS);
   if (count > 0 && may_write)
     ws_txn_commit(core, g_steal_pointer(&txn), WS_REQUEST_BACKGROUND, on_garbage_deleted, NULL);
 }
--- a/src/commit/ws-legacy-releases.c
+++ b/src/commit/ws-legacy-releases.c
@@ -95,9 +95,10 @@
 probe_worker(WsCore *core, Hint *hint, const WsMachine *machine)
 {
   if (machine->worker.endpoint == NULL
-      || (hint->last_probed_ms > 0 && core->now - hint->last_probed_ms < STATUS_PROBE_INTERVAL_MS))
+      || (hint->last_probed_ms > 0
+          && core->now_ms - hint->last_probed_ms < STATUS_PROBE_INTERVAL_MS))
     return;
-  hint->last_probed_ms = core->now;
+  hint->last_probed_ms = core->now_ms;
   ws_call(core, "GET", machine->worker.endpoint, "/status", NULL, STATUS_PROBE_TIMEOUT_MS,
           on_worker_status, GUINT_TO_POINTER(machine->index));
 }
@@ -117,10 +118,10 @@
   if (machine->owner == core->settings->self)
     return;
   Hint *hint = find_or_add_hint(core, release);
-  if (core->now - hint->last_received_ms > MAX_HINT_REPEAT_GAP_MS)
-    hint->first_received_ms = core->now;
-  hint->last_received_ms = core->now;
-  if ((double)(core->now - hint->first_received_ms) > core->settings->lease_s * 1000.0)
+  if (core->now_ms - hint->last_received_ms > MAX_HINT_REPEAT_GAP_MS)
+    hint->first_received_ms = core->now_ms;
+  hint->last_received_ms = core->now_ms;
+  if ((double)(core->now_ms - hint->first_received_ms) > core->settings->lease_s * 1000.0)
     core->handlers->request_termination(core, machine, WS_MARK_REASON_LEGACY_RELEASE, TRUE);
   else
     probe_worker(core, hint, machine);
--- a/src/commit/ws-release-order.c
+++ b/src/commit/ws-release-order.c
@@ -59,7 +59,7 @@
 totals_add_release(ReleaseTotals *totals, const WsCore *core, const WsPendingRelease *pending,
                    const WsJob *job)
 {
-  gint64 weight = INITIAL_WEIGHT_MS + core->now - pending->added_ms;
+  gint64 weight = INITIAL_WEIGHT_MS + core->now_ms - pending->added_ms;
   gpointer job_key = GUINT_TO_POINTER(job->index);
   add_to_total(totals->pending_count, job_key, 1);
   add_to_total(totals->completed_count, job_key, pending->release.is_completed ? 1 : 0);
--- a/src/commit/ws-release-order.h
+++ b/src/commit/ws-release-order.h
@@ -12,7 +12,7 @@
 /** A release that has not been committed yet. */
 typedef struct {
   WsRelease release;
-  gint64 added_ms;     /**< on the clock of core->now */
+  gint64 added_ms;     /**< on the clock of core->now_ms */
   gint64 forwarded_ms; /**< when it was last forwarded to the leader; 0: never */
 } WsPendingRelease;
 
--- a/src/commit/ws-releases.c
+++ b/src/commit/ws-releases.c
@@ -35,13 +35,13 @@
 gint64
 ws_releases_oldest_age_ms(const WsCore *core)
 {
-  gint64 oldest_ms = core->now;
+  gint64 oldest_ms = core->now_ms;
   GHashTableIter iter;
   gpointer value;
   g_hash_table_iter_init(&iter, core->releases->pending);
   while (g_hash_table_iter_next(&iter, NULL, &value))
     oldest_ms = MIN(oldest_ms, ((const WsPendingRelease *)value)->added_ms);
-  return core->now - oldest_ms;
+  return core->now_ms - oldest_ms;
 }
 
 GArray *
@@ -101,7 +101,7 @@
   record_run_time(core, release);
   pending = g_new0(WsPendingRelease, 1);
   pending->release = *release;
-  pending->added_ms = core->now;
+  pending->added_ms = core->now_ms;
   g_hash_table_insert(core->releases->pending, key, pending);
 }
 
@@ -178,8 +178,8 @@
     if (!ws_release_is_valid(core->replica, &pending->release)) {
       g_hash_table_iter_remove(&iter);
     } else if (pending->forwarded_ms == 0
-               || core->now - pending->forwarded_ms >= FORWARD_RETRY_INTERVAL_MS) {
-      pending->forwarded_ms = core->now;
+               || core->now_ms - pending->forwarded_ms >= FORWARD_RETRY_INTERVAL_MS) {
+      pending->forwarded_ms = core->now_ms;
       renew_evidence(core, &pending->release);
       ws_peer_request_release(core, &pending->release);
     }
--- a/src/context/ws-context.h
+++ b/src/context/ws-context.h
@@ -108,8 +108,8 @@
   guint64 incarnation; /**< identifies this run of the node; differs between any two runs */
 
   /* The current input. */
-  gint64 now;  /**< its time on the core's monotonic clock */
-  gint64 wall; /**< its time on the wall clock */
+  gint64 now_ms;  /**< its time on the core's monotonic clock */
+  gint64 wall_ms; /**< its time on the wall clock */
 
   /* Outputs and calls; ws-context.c. */
   GQueue outputs;       /**< of WsOutput: not popped yet */
--- a/src/core/ws-core.c
+++ b/src/core/ws-core.c
@@ -143,8 +143,8 @@
 set_clocks(WsCore *core, gint64 now_ms, gint64 wall_ms)
 {
   reset_idle_timeouts_after_stall(core, now_ms);
-  core->now = MAX(core->now, now_ms);
-  core->wall = wall_ms;
+  core->now_ms = MAX(core->now_ms, now_ms);
+  core->wall_ms = wall_ms;
 }
 
 /* Resets all state that depends on the leader and the shards of the previous epoch. */
@@ -194,9 +194,9 @@
 static void
 reconcile(WsCore *core)
 {
-  if (core->now < core->next_reconciliation_ms || !ws_store_is_loaded(core))
+  if (core->now_ms < core->next_reconciliation_ms || !ws_store_is_loaded(core))
     return;
-  core->next_reconciliation_ms = core->now + RECONCILIATION_PERIOD_MS;
+  core->next_reconciliation_ms = core->now_ms + RECONCILIATION_PERIOD_MS;
   ws_failure_detector_tick(core);
   ws_termination_tick(core);
   ws_gang_tick(core);
--- a/src/fleet/ws-cloud-list.c
+++ b/src/fleet/ws-cloud-list.c
@@ -101,7 +101,7 @@
       continue;
     machine->fleet.needs_record = FALSE;
     machine->fleet.mark_is_pending = TRUE;
-    machine->fleet.mark_pending_since_ms = core->now;
+    machine->fleet.mark_pending_since_ms = core->now_ms;
     g_array_append_val(rental_batch->machines, machine->index);
     g_array_append_val(machines, machine->index);
   }
@@ -150,12 +150,12 @@
 handle_unrecorded(WsCore *core, WsMachine *machine, const WsListedMachine *listed)
 {
   if (machine->fleet.unrecorded_since_ms == 0)
-    machine->fleet.unrecorded_since_ms = core->now;
-  if (core->now - machine->fleet.unrecorded_since_ms < unrecorded_grace_ms(core))
+    machine->fleet.unrecorded_since_ms = core->now_ms;
+  if (core->now_ms - machine->fleet.unrecorded_since_ms < unrecorded_grace_ms(core))
     return;
   ws_replica_set_machine_attributes(core->replica, machine, listed->type, listed->zone,
                                     listed->is_spot);
-  ws_cloud_list_note_unrecorded(core, machine, core->wall - (gint64)(listed->age_s * 1000.0));
+  ws_cloud_list_note_unrecorded(core, machine, core->wall_ms - (gint64)(listed->age_s * 1000.0));
 }
 
 static void
@@ -188,7 +188,7 @@
   g_autoptr(GPtrArray) machines
       = status == WS_HTTP_OK ? ws_machine_list_parse(body, &has_more) : NULL;
   list->call_in_flight = FALSE;
-  list->next_call_ms = core->now + (gint64)(core->settings->list_lag_s * 1000.0);
+  list->next_call_ms = core->now_ms + (gint64)(core->settings->list_lag_s * 1000.0);
   g_clear_pointer(&list->last_id, g_free);
   if (machines == NULL || !ws_is_leader(core))
     return;
@@ -197,7 +197,7 @@
   if (has_more && machines->len > 0) {
     const WsListedMachine *last = g_ptr_array_index(machines, machines->len - 1);
     list->last_id = g_strdup(last->id);
-    list->next_call_ms = core->now;
+    list->next_call_ms = core->now_ms;
   }
 }
 
@@ -205,7 +205,7 @@
 ws_cloud_list_tick(WsCore *core)
 {
   WsCloudList *list = core->fleet->cloud_list;
-  if (list->call_in_flight || core->now < list->next_call_ms || !ws_fleet_take_call_budget(core))
+  if (list->call_in_flight || core->now_ms < list->next_call_ms || !ws_fleet_take_call_budget(core))
     return;
   list->call_in_flight = TRUE;
   g_autofree char *path
--- a/src/fleet/ws-consolidation.c
+++ b/src/fleet/ws-consolidation.c
@@ -48,7 +48,7 @@
     if (machine->is_recorded && (machine->is_marked || machine->fleet.mark_is_pending))
       return FALSE;
   }
-  return core->now - ws_epoch_known_since_ms(core) > EPOCH_SETTLING_TIME_MS;
+  return core->now_ms - ws_epoch_known_since_ms(core) > EPOCH_SETTLING_TIME_MS;
 }
 
 /* Whether the job's zone constraints allow one of its tasks to move between the zones. */
@@ -156,8 +156,8 @@
     return FALSE;
   }
   if (machine->fleet.underused_since_ms == 0)
-    machine->fleet.underused_since_ms = core->now;
-  return core->now - machine->fleet.underused_since_ms
+    machine->fleet.underused_since_ms = core->now_ms;
+  return core->now_ms - machine->fleet.underused_since_ms
          >= (gint64)(core->properties->idle_timeout_s * 1000.0);
 }
 
@@ -187,7 +187,7 @@
       continue;
     }
     failed++;
-    machine->fleet.underused_since_ms = core->now; /* other candidates are tried first */
+    machine->fleet.underused_since_ms = core->now_ms; /* other candidates are tried first */
   }
 }
 
@@ -198,9 +198,9 @@
 is_our_turn(const WsCore *core)
 {
   const GArray *members = core->replica->epoch.members;
-  if (members->len == 0 || core->wall % CONSOLIDATION_TURN_MS >= CONSOLIDATION_TURN_MS / 2)
+  if (members->len == 0 || core->wall_ms % CONSOLIDATION_TURN_MS >= CONSOLIDATION_TURN_MS / 2)
     return FALSE;
-  guint turn = (guint)(core->wall / CONSOLIDATION_TURN_MS % members->len);
+  guint turn = (guint)(core->wall_ms / CONSOLIDATION_TURN_MS % members->len);
   return g_array_index(members, WsMember, turn).node == core->settings->self;
 }
 
--- a/src/fleet/ws-fleet.c
+++ b/src/fleet/ws-fleet.c
@@ -46,7 +46,7 @@
 gboolean
 ws_fleet_take_call_budget(WsCore *core)
 {
-  return ws_token_bucket_take(&core->fleet->calls, 1.0, core->now);
+  return ws_token_bucket_take(&core->fleet->calls, 1.0, core->now_ms);
 }
 
 guint
@@ -63,7 +63,7 @@
   (void)data;
   core->replan_is_needed = TRUE;
   if (result != WS_TXN_COMMITTED)
-    core->fleet->next_catalog_ms = core->now + CATALOG_RETRY_MS;
+    core->fleet->next_catalog_ms = core->now_ms + CATALOG_RETRY_MS;
 }
 
 static void
@@ -73,7 +73,7 @@
   WsFleet *fleet = core->fleet;
   g_autoptr(GPtrArray) catalog = status == WS_HTTP_OK ? ws_catalog_parse(body) : NULL;
   fleet->catalog_in_flight = FALSE;
-  fleet->next_catalog_ms = core->now + (catalog != NULL ? CATALOG_REFRESH_MS : CATALOG_RETRY_MS);
+  fleet->next_catalog_ms = core->now_ms + (catalog != NULL ? CATALOG_REFRESH_MS : CATALOG_RETRY_MS);
   if (catalog == NULL) {
     g_info("no valid catalog from the cloud (status %u), retrying", status);
     return;
@@ -88,7 +88,7 @@
 refresh_catalog(WsCore *core)
 {
   WsFleet *fleet = core->fleet;
-  if (fleet->catalog_in_flight || core->now < fleet->next_catalog_ms
+  if (fleet->catalog_in_flight || core->now_ms < fleet->next_catalog_ms
       || !ws_fleet_take_call_budget(core))
     return;
   fleet->catalog_in_flight = TRUE;
@@ -108,7 +108,7 @@
 double
 ws_fleet_machine_age_s(const WsCore *core, const WsMachine *machine)
 {
-  return (double)(core->wall - machine->rented_ms) / 1000.0;
+  return (double)(core->wall_ms - machine->rented_ms) / 1000.0;
 }
 
 /* Terminates machines that haven't booted in time, since the cloud charges for them nevertheless.
@@ -118,7 +118,7 @@
 terminate_unbooted_machines(WsCore *core)
 {
   gint64 lease_ms = (gint64)(core->settings->lease_s * 1000.0);
-  if (core->now - ws_epoch_known_since_ms(core) < lease_ms)
+  if (core->now_ms - ws_epoch_known_since_ms(core) < lease_ms)
     return;
   for (WsMachineIndex i = 0; i < core->replica->machines->len; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, i);
--- a/src/fleet/ws-mark-cleanup.c
+++ b/src/fleet/ws-mark-cleanup.c
@@ -90,7 +90,7 @@
         = ws_replica_machine(core->replica, g_array_index(machines, WsMachineIndex, i));
     g_autofree char *mark = ws_key(WS_KEY_PREFIX_MARK, machine->name);
     machine->fleet.mark_is_pending = TRUE;
-    machine->fleet.mark_pending_since_ms = core->now;
+    machine->fleet.mark_pending_since_ms = core->now_ms;
     ws_txn_delete(txn, mark);
   }
   for (guint i = 0; i < core->replica->rental_batches->len; i++)
@@ -122,7 +122,7 @@
 {
   gint64 since_ms = MAX(machine->worker.last_contact_ms, ws_epoch_known_since_ms(core));
   return !machine->is_recorded && !machine->is_marked && machine->tasks->len > 0
-         && (double)(core->now - since_ms) > core->settings->lease_s * 1000.0;
+         && (double)(core->now_ms - since_ms) > core->settings->lease_s * 1000.0;
 }
 
 void
--- a/src/fleet/ws-rentals.c
+++ b/src/fleet/ws-rentals.c
@@ -70,7 +70,7 @@
 {
   const CapacityBackoff *backoff
       = g_hash_table_lookup(core->fleet->rentals->backoffs, kind_key(type, zone, spot));
-  return backoff != NULL && core->now < backoff->until_ms;
+  return backoff != NULL && core->now_ms < backoff->until_ms;
 }
 
 /* Returns the factor that lengthens the capacity back-off. It is above 1 if the store's write rate
@@ -103,7 +103,7 @@
   double factor = capacity_backoff_factor(core);
   backoff->backoff_ms = CLAMP(backoff->backoff_ms * 2, (guint)(MIN_CAPACITY_BACKOFF_MS * factor),
                               (guint)(MAX_CAPACITY_BACKOFF_MS * factor));
-  backoff->until_ms = core->now + backoff->backoff_ms;
+  backoff->until_ms = core->now_ms + backoff->backoff_ms;
 }
 
 static void
@@ -188,7 +188,7 @@
 schedule_retry(WsCore *core, const char *request)
 {
   gint64 *at_ms = g_new(gint64, 1);
-  *at_ms = core->now + RENTAL_RETRY_MS;
+  *at_ms = core->now_ms + RENTAL_RETRY_MS;
   g_hash_table_insert(core->fleet->rentals->next_try_times, g_strdup(request), at_ms);
 }
 
@@ -215,7 +215,7 @@
   WsRentalBatch rental_batch = { .type = intent->type,
                                  .zone = intent->zone,
                                  .is_spot = intent->is_spot,
-                                 .rented_ms = core->wall,
+                                 .rented_ms = core->wall_ms,
                                  .machines = machines };
   guint next = first;
   for (; next < names->len; next++) {
@@ -283,7 +283,7 @@
   WsRentals *rentals = core->fleet->rentals;
   const gint64 *retry_ms = g_hash_table_lookup(rentals->next_try_times, intent->request);
   if (g_hash_table_contains(rentals->requests_in_flight, intent->request)
-      || (retry_ms != NULL && core->now < *retry_ms) || !ws_fleet_take_call_budget(core))
+      || (retry_ms != NULL && core->now_ms < *retry_ms) || !ws_fleet_take_call_budget(core))
     return;
   g_hash_table_add(rentals->requests_in_flight, g_strdup(intent->request));
   ws_call(
--- a/src/fleet/ws-returns.c
+++ b/src/fleet/ws-returns.c
@@ -66,7 +66,7 @@
   returns->call_in_flight = FALSE;
   if (status != WS_HTTP_OK) {
     returns->backoff_ms = ws_fleet_next_backoff_ms(core, returns->backoff_ms);
-    returns->next_call_ms = core->now + returns->backoff_ms;
+    returns->next_call_ms = core->now_ms + returns->backoff_ms;
     g_info("scale in: return request to the cloud failed (status %u), retry in %u ms", status,
            returns->backoff_ms);
     return;
@@ -83,7 +83,7 @@
 {
   WsReturns *returns = core->fleet->returns;
   g_autoptr(GPtrArray) names = machine_names;
-  if (names->len == 0 || returns->call_in_flight || core->now < returns->next_call_ms
+  if (names->len == 0 || returns->call_in_flight || core->now_ms < returns->next_call_ms
       || !ws_fleet_take_call_budget(core))
     return;
   json_t *body = ws_machine_return_encode(names);
--- a/src/fleet/ws-termination.c
+++ b/src/fleet/ws-termination.c
@@ -164,7 +164,7 @@
   if (machine->is_marked && ws_returns_is_confirmed(core, machine->name))
     return;
   machine->fleet.mark_is_pending = TRUE;
-  machine->fleet.mark_pending_since_ms = core->now;
+  machine->fleet.mark_pending_since_ms = core->now_ms;
   if (!ws_is_leader(core)) {
     ws_peer_request_mark(core, machine, reason, immediately);
     return;
@@ -224,15 +224,16 @@
 {
   if (job->spec->kind != WS_KIND_SERVICE || assignment->state < WS_TASK_RUNNING)
     return TRUE;
-  if (core->now < machine->fleet.stop_after_ms)
+  if (core->now_ms < machine->fleet.stop_after_ms)
     return FALSE;
   if (job->assigned_count == job->tasks) {
     machine->fleet.stop_backoff_ms = 0;
-    machine->fleet.stop_after_ms = core->now + (gint64)(core->properties->backoff_min_s * 1000.0);
+    machine->fleet.stop_after_ms
+        = core->now_ms + (gint64)(core->properties->backoff_min_s * 1000.0);
     return TRUE;
   }
   machine->fleet.stop_backoff_ms = ws_fleet_next_backoff_ms(core, machine->fleet.stop_backoff_ms);
-  machine->fleet.stop_after_ms = core->now + machine->fleet.stop_backoff_ms;
+  machine->fleet.stop_after_ms = core->now_ms + machine->fleet.stop_backoff_ms;
   g_debug("drain: stop of a task of service %s on machine %s backs off for %u ms", job->id,
           machine->name, machine->fleet.stop_backoff_ms);
   return FALSE;
@@ -256,8 +257,8 @@
     return;
   }
   if (machine->fleet.empty_since_ms == 0)
-    machine->fleet.empty_since_ms = core->now;
-  if (core->now - machine->fleet.empty_since_ms
+    machine->fleet.empty_since_ms = core->now_ms;
+  if (core->now_ms - machine->fleet.empty_since_ms
       < (gint64)(core->properties->idle_timeout_s * 1000.0))
     return;
   if (ws_termination_is_allowed(core, machine))
@@ -286,7 +287,7 @@
        that had requested a mark and then became leader refused all further requests for that
        machine, and the machine was never returned. */
     if (machine->fleet.mark_is_pending
-        && core->now - machine->fleet.mark_pending_since_ms > MARK_REQUEST_TIMEOUT_MS)
+        && core->now_ms - machine->fleet.mark_pending_since_ms > MARK_REQUEST_TIMEOUT_MS)
       machine->fleet.mark_is_pending = FALSE;
     if (machine->is_recorded && ws_owns_machine(core, machine))
       request_mark_if_due(core, machine);
--- a/src/membership/ws-authority.c
+++ b/src/membership/ws-authority.c
@@ -127,8 +127,8 @@
 gboolean
 ws_authority_detect_stall(WsCore *core, gint64 now_ms)
 {
-  gint64 pause_ms = now_ms - core->now;
-  if (core->now == 0 || pause_ms <= STALL_THRESHOLD_MS)
+  gint64 pause_ms = now_ms - core->now_ms;
+  if (core->now_ms == 0 || pause_ms <= STALL_THRESHOLD_MS)
     return FALSE;
   g_info("process pause of %.1f s detected: lease and replica unconfirmed",
          (double)pause_ms / 1000.0);
@@ -241,7 +241,7 @@
   if (knows_all_cancellations(core)
       || (ws_is_isolated(core) && !ws_authority_has_heartbeat_from_other_zone(core)))
     return TRUE;
-  return (double)(core->now - core->authority->cancellations_known_ms)
+  return (double)(core->now_ms - core->authority->cancellations_known_ms)
          < (settings->cancel_s - settings->lease_s) * 1000.0 - LEASE_RENEWAL_MARGIN_MS;
 }
 
@@ -258,7 +258,7 @@
 ws_authority_record_known_cancellations(WsCore *core)
 {
   if (knows_all_cancellations(core))
-    core->authority->cancellations_known_ms = core->now;
+    core->authority->cancellations_known_ms = core->now_ms;
 }
 
 void
--- a/src/membership/ws-cancellations.c
+++ b/src/membership/ws-cancellations.c
@@ -158,7 +158,7 @@
   WsCancellations *cancellations = core->cancellations;
   cancellations->notification_is_in_flight[notification->node] = FALSE;
   cancellations->next_notify_ms[notification->node]
-      = core->now + (status == WS_HTTP_OK ? NOTIFY_INTERVAL_MS : NOTIFY_RETRY_MS);
+      = core->now_ms + (status == WS_HTTP_OK ? NOTIFY_INTERVAL_MS : NOTIFY_RETRY_MS);
   for (guint i = 0; status == WS_HTTP_OK && i < notification->ids->len; i++) {
     Cancellation *cancellation = find_cancellation(core, g_ptr_array_index(notification->ids, i));
     if (cancellation != NULL)
@@ -175,7 +175,7 @@
     const Cancellation *cancellation = g_ptr_array_index(list, i);
     if (is_acknowledged(cancellation, notification->node))
       continue;
-    WsCancellationNotice notice = { cancellation->id, core->now - cancellation->confirmed_ms };
+    WsCancellationNotice notice = { cancellation->id, core->now_ms - cancellation->confirmed_ms };
     g_array_append_val(notices, notice);
     g_ptr_array_add(notification->ids, g_strdup(cancellation->id));
   }
@@ -207,7 +207,7 @@
   }
   for (guint i = 0; i < message.notices->len; i++) {
     const WsCancellationNotice *notice = &g_array_index(message.notices, WsCancellationNotice, i);
-    add_cancellation(core, notice->job, core->now - notice->age_ms, node);
+    add_cancellation(core, notice->job, core->now_ms - notice->age_ms, node);
   }
   ws_answer(core, request, WS_HTTP_OK, json_object(), 0);
 }
@@ -228,7 +228,7 @@
 ws_cancellations_confirmed_ms(const WsCore *core, const char *job_id)
 {
   const Cancellation *cancellation = find_cancellation(core, job_id);
-  return cancellation != NULL ? cancellation->confirmed_ms : core->now;
+  return cancellation != NULL ? cancellation->confirmed_ms : core->now_ms;
 }
 
 gboolean
@@ -259,8 +259,8 @@
   gboolean has_new = new_jobs->len > 0;
   for (guint i = 0; i < new_jobs->len; i++) {
     const WsJob *job = ws_replica_job(core->replica, g_array_index(new_jobs, guint, i));
-    gint64 age_ms = CLAMP(core->wall - job->cancelled_ms, 0, core->now);
-    add_cancellation(core, job->id, core->now - age_ms, core->settings->self);
+    gint64 age_ms = CLAMP(core->wall_ms - job->cancelled_ms, 0, core->now_ms);
+    add_cancellation(core, job->id, core->now_ms - age_ms, core->settings->self);
   }
   g_array_set_size(new_jobs, 0);
   return has_new;
@@ -272,7 +272,7 @@
   const WsCancellations *cancellations = core->cancellations;
   for (guint n = 0; n < core->settings->nodes->len; n++)
     if (!cancellations->notification_is_in_flight[n]
-        && core->now >= cancellations->next_notify_ms[n]
+        && core->now_ms >= cancellations->next_notify_ms[n]
         && ws_cancellations_count_unacknowledged(core, n) > 0)
       notify_node(core, n);
 }
@@ -282,10 +282,10 @@
 {
   WsCancellations *cancellations = core->cancellations;
   gboolean has_new = add_replicated(core);
-  gboolean is_due = core->now >= cancellations->next_round_ms || has_new;
+  gboolean is_due = core->now_ms >= cancellations->next_round_ms || has_new;
   if (cancellations->list->len == 0 || !is_due)
     return FALSE;
-  cancellations->next_round_ms = core->now + NOTIFY_ROUND_INTERVAL_MS;
+  cancellations->next_round_ms = core->now_ms + NOTIFY_ROUND_INTERVAL_MS;
   remove_finished(core);
   notify_peers(core);
   return TRUE;
--- a/src/membership/ws-election.c
+++ b/src/membership/ws-election.c
@@ -100,9 +100,9 @@
   WsElection *election = core->election;
   election->lease_call_is_in_flight = FALSE;
   election->call_predates_pause = FALSE;
-  election->next_lease_call_ms = core->now + ACQUIRE_RETRY_MS;
+  election->next_lease_call_ms = core->now_ms + ACQUIRE_RETRY_MS;
   if (status == WS_KV_OK && ws_kv_lease_parse(body, &election->lease))
-    election->next_lease_call_ms = core->now;
+    election->next_lease_call_ms = core->now_ms;
 }
 
 static void
@@ -114,7 +114,7 @@
   election->has_member_key = result == WS_TXN_COMMITTED;
   record_lease_renewal(election, election->has_member_key);
   election->next_lease_call_ms
-      = core->now + (election->has_member_key ? RENEW_INTERVAL_MS : MEMBER_KEY_RETRY_MS);
+      = core->now_ms + (election->has_member_key ? RENEW_INTERVAL_MS : MEMBER_KEY_RETRY_MS);
   if (result == WS_TXN_UNAVAILABLE)
     lose_lease(core);
 }
@@ -127,7 +127,7 @@
   WsElection *election = core->election;
   election->lease_call_is_in_flight = FALSE;
   election->next_lease_call_ms
-      = core->now + (status == WS_KV_OK ? RENEW_INTERVAL_MS : RENEW_RETRY_MS);
+      = core->now_ms + (status == WS_KV_OK ? RENEW_INTERVAL_MS : RENEW_RETRY_MS);
   record_lease_renewal(election, status == WS_KV_OK);
   if (status == WS_KV_NOT_FOUND)
     lose_lease(core);
@@ -180,7 +180,7 @@
 maintain_lease(WsCore *core)
 {
   WsElection *election = core->election;
-  if (election->lease_call_is_in_flight || core->now < election->next_lease_call_ms)
+  if (election->lease_call_is_in_flight || core->now_ms < election->next_lease_call_ms)
     return;
   check_member_key(core);
   if (election->lease != 0 && !election->has_member_key && !ws_store_is_loaded(core))
@@ -209,7 +209,7 @@
   if (result == WS_TXN_COMMITTED)
     g_info("elected leader");
   else if (result == WS_TXN_UNAVAILABLE)
-    core->election->next_lease_call_ms = core->now;
+    core->election->next_lease_call_ms = core->now_ms;
 }
 
 /* Writes the leader key if it is free or belongs to an earlier incarnation of this node, whose
@@ -238,16 +238,17 @@
   (void)data;
   core->election->is_writing_epoch = FALSE;
   core->election->next_epoch_ms
-      = core->now + (result == WS_TXN_COMMITTED ? EPOCH_WRITE_INTERVAL_MS : EPOCH_WRITE_RETRY_MS);
+      = core->now_ms
+        + (result == WS_TXN_COMMITTED ? EPOCH_WRITE_INTERVAL_MS : EPOCH_WRITE_RETRY_MS);
 }
 
 /* Whether a requested epoch, with the same members as the current one, is due. */
 static gboolean
 epoch_bump_is_due(WsCore *core)
 {
-  if (!ws_epoch_bump_is_requested(core) || core->now < core->election->next_epoch_bump_ms)
+  if (!ws_epoch_bump_is_requested(core) || core->now_ms < core->election->next_epoch_bump_ms)
     return FALSE;
-  core->election->next_epoch_bump_ms = core->now + EPOCH_BUMP_INTERVAL_MS;
+  core->election->next_epoch_bump_ms = core->now_ms + EPOCH_BUMP_INTERVAL_MS;
   g_info("writing a new epoch with the same members: a launch is still indeterminate");
   return TRUE;
 }
@@ -278,8 +279,8 @@
 maintain_epoch(WsCore *core)
 {
   const WsElection *election = core->election;
-  if (!holds_leader_key(core) || election->is_writing_epoch || core->now < election->next_epoch_ms
-      || core->replica->members->len == 0)
+  if (!holds_leader_key(core) || election->is_writing_epoch
+      || core->now_ms < election->next_epoch_ms || core->replica->members->len == 0)
     return;
   if (!epoch_is_current(core) || epoch_bump_is_due(core))
     write_next_epoch(core);
--- a/src/membership/ws-epoch-tracker.c
+++ b/src/membership/ws-epoch-tracker.c
@@ -59,7 +59,7 @@
   machine->worker.failed_probes = 0;
   machine->worker.unacknowledged_since_ms = 0;
   if (machine->worker.handled_owner != machine->owner)
-    machine->worker.owned_since_ms = core->now;
+    machine->worker.owned_since_ms = core->now_ms;
   machine->worker.handled_owner = machine->owner;
 }
 
@@ -78,7 +78,7 @@
 {
   WsEpochTracker *tracker = core->epoch_tracker;
   tracker->epoch = core->replica->epoch.number;
-  tracker->known_since_ms = core->now;
+  tracker->known_since_ms = core->now_ms;
   tracker->bump_is_requested = FALSE;
   ws_peer_requests_clear(core);
   ws_gossip_begin_epoch(core);
--- a/src/membership/ws-failure-detector.c
+++ b/src/membership/ws-failure-detector.c
@@ -81,10 +81,10 @@
 static void
 probe_machine(WsCore *core, WsMachine *machine)
 {
-  if (machine->worker.endpoint == NULL || core->now - machine->worker.probed_ms < PROBE_INTERVAL_MS
-      || !may_probe(core))
+  if (machine->worker.endpoint == NULL
+      || core->now_ms - machine->worker.probed_ms < PROBE_INTERVAL_MS || !may_probe(core))
     return;
-  machine->worker.probed_ms = core->now;
+  machine->worker.probed_ms = core->now_ms;
   core->failure_detector->probes_in_flight++;
   ws_call(core, "GET", machine->worker.endpoint, "/status", NULL, PROBE_TIMEOUT_MS,
           on_probe_answered, GUINT_TO_POINTER(machine->index));
@@ -150,7 +150,7 @@
 check_suspected(WsCore *core, WsMachine *machine, Interruptions *interruptions)
 {
   gint64 since_ms = ws_liveness_suspected_since_ms(machine);
-  gint64 suspected_for_ms = since_ms > 0 ? core->now - since_ms : 0;
+  gint64 suspected_for_ms = since_ms > 0 ? core->now_ms - since_ms : 0;
   if (suspected_for_ms <= ws_liveness_heartbeat_timeout_ms(core))
     return;
   compute_interruptions(core, interruptions);
@@ -221,7 +221,7 @@
 check_indeterminate_launches(WsCore *core, const WsMachine *machine)
 {
   if (machine->worker.indeterminate_launches > 0
-      && core->now - machine->worker.indeterminate_since_ms > INDETERMINATE_LAUNCH_TIMEOUT_MS
+      && core->now_ms - machine->worker.indeterminate_since_ms > INDETERMINATE_LAUNCH_TIMEOUT_MS
       && ws_machine_is_up(core, machine))
     ws_epoch_request_bump(core);
 }
--- a/src/membership/ws-gossip.c
+++ b/src/membership/ws-gossip.c
@@ -141,11 +141,11 @@
     return;
   machine->worker.is_up_at_owner = announced->is_up;
   if (announced->is_up && machine->worker.up_ms == 0)
-    machine->worker.up_ms = core->now;
+    machine->worker.up_ms = core->now_ms;
   if (machine->worker.endpoint == NULL && *announced->endpoint != '\0')
     machine->worker.endpoint = g_strdup(announced->endpoint);
   machine->worker.interruption_ms
-      = announced->has_interruption_notice ? MAX(machine->worker.interruption_ms, core->now) : 0;
+      = announced->has_interruption_notice ? MAX(machine->worker.interruption_ms, core->now_ms) : 0;
   apply_images(core, machine, announced->images);
   core->replan_is_needed = TRUE;
 }
@@ -168,7 +168,7 @@
   for (guint i = 0; i < core->replica->machines->len; i++) {
     WsMachine *machine = ws_replica_machine(core->replica, i);
     if (machine->owner == node && machine->worker.is_up_at_owner)
-      machine->worker.last_contact_ms = core->now;
+      machine->worker.last_contact_ms = core->now_ms;
   }
 }
 
@@ -213,8 +213,8 @@
   peer->unacknowledged_cancellations = (guint)message->unacknowledged_cancellations;
   if (message->replica_is_loaded && !message->store_is_available
       && message->unacknowledged_cancellations == 0)
-    peer->cancellations_complete_ms = core->now;
-  peer->last_contact_ms = core->now;
+    peer->cancellations_complete_ms = core->now_ms;
+  peer->last_contact_ms = core->now_ms;
   peer->epoch = message->epoch;
   peer->store_is_available = message->store_is_available;
   peer->receives_no_heartbeats = message->receives_no_heartbeats;
@@ -257,10 +257,10 @@
 {
   const WsPeer *peer = ws_peer(core, node);
   if (node == core->settings->self || peer->gossip_is_in_flight
-      || core->now - peer->gossip_sent_ms < GOSSIP_INTERVAL_MS)
+      || core->now_ms - peer->gossip_sent_ms < GOSSIP_INTERVAL_MS)
     return FALSE;
   return node > core->settings->self
-         || core->now - peer->last_contact_ms >= (gint64)2 * GOSSIP_INTERVAL_MS;
+         || core->now_ms - peer->last_contact_ms >= (gint64)2 * GOSSIP_INTERVAL_MS;
 }
 
 void
@@ -272,7 +272,7 @@
       continue;
     WsPeer *peer = ws_peer(core, n);
     peer->gossip_is_in_flight = TRUE;
-    peer->gossip_sent_ms = core->now;
+    peer->gossip_sent_ms = core->now_ms;
     ws_call(core, "POST", ws_settings_node(core->settings, n)->endpoint, WIRE_PATH_GOSSIP,
             encode_gossip(core, n), GOSSIP_TIMEOUT_MS, on_gossip_answered, GUINT_TO_POINTER(n));
   }
--- a/src/membership/ws-liveness.c
+++ b/src/membership/ws-liveness.c
@@ -26,7 +26,8 @@
 ws_machine_is_up(const WsCore *core, const WsMachine *machine)
 {
   return machine->worker.last_contact_ms > 0
-         && core->now - machine->worker.last_contact_ms <= ws_liveness_heartbeat_timeout_ms(core);
+         && core->now_ms - machine->worker.last_contact_ms
+                <= ws_liveness_heartbeat_timeout_ms(core);
 }
 
 /* After a change of owner, a worker may still be waiting for an answer of the previous owner.
@@ -48,14 +49,14 @@
 ws_machine_is_suspected(const WsCore *core, const WsMachine *machine)
 {
   gint64 since_ms = ws_liveness_suspected_since_ms(machine);
-  return since_ms > 0 && core->now - since_ms > ws_liveness_heartbeat_timeout_ms(core);
+  return since_ms > 0 && core->now_ms - since_ms > ws_liveness_heartbeat_timeout_ms(core);
 }
 
 gint64
 ws_liveness_unacknowledged_for_ms(const WsCore *core, const WsMachine *machine)
 {
   return machine->worker.unacknowledged_since_ms > 0
-             ? core->now - machine->worker.unacknowledged_since_ms
+             ? core->now_ms - machine->worker.unacknowledged_since_ms
              : 0;
 }
 
@@ -77,14 +78,14 @@
 {
   return machine->worker.incarnation_changed_ms > machine->worker.last_heartbeat_ms
          && ws_machine_is_up(core, machine)
-         && core->now - machine->worker.incarnation_changed_ms
+         && core->now_ms - machine->worker.incarnation_changed_ms
                 > ws_liveness_heartbeat_timeout_ms(core);
 }
 
 void
 ws_liveness_record_heartbeat(WsCore *core)
 {
-  core->failure_detector->last_heartbeat_ms = core->now;
+  core->failure_detector->last_heartbeat_ms = core->now_ms;
 }
 
 gboolean
@@ -117,7 +118,7 @@
   double allowed_ms = MAX_MISSED_HEARTBEATS * core->settings->report_s * 1000.0 / MAX(count, 1u);
   gint64 since_ms = MAX(detector->last_heartbeat_ms, ws_epoch_known_since_ms(core));
   gboolean no_heartbeats_arrive
-      = count > 0 && (double)(core->now - since_ms) > MAX(allowed_ms, MIN_NO_HEARTBEAT_MS);
+      = count > 0 && (double)(core->now_ms - since_ms) > MAX(allowed_ms, MIN_NO_HEARTBEAT_MS);
   if (no_heartbeats_arrive && !detector->receives_no_heartbeats)
     g_info(
         "no heartbeats received from any worker: this node is considered unreachable by workers");
--- a/src/membership/ws-partitions.c
+++ b/src/membership/ws-partitions.c
@@ -77,7 +77,7 @@
     gint64 last_contact_ms = ws_peer(core, n)->last_contact_ms;
     since_ms = MAX(since_ms, last_contact_ms > 0 ? last_contact_ms : ws_epoch_known_since_ms(core));
   }
-  return since_ms > 0 ? core->now - since_ms : 0;
+  return since_ms > 0 ? core->now_ms - since_ms : 0;
 }
 
 gboolean
@@ -85,7 +85,7 @@
 {
   const gint64 *last_partition_ms = core->failure_detector->last_partition_ms;
   return zone < core->settings->zones->len && last_partition_ms[zone] > 0
-         && core->now - last_partition_ms[zone] < PARTITION_VALIDITY_MS;
+         && core->now_ms - last_partition_ms[zone] < PARTITION_VALIDITY_MS;
 }
 
 /* After a partition has healed, workers still have to find their owners. They are not declared dead
@@ -97,7 +97,7 @@
   if (ws_zone_is_partitioned(core, zone))
     return TRUE;
   return zone < core->settings->zones->len && confirmed_ms[zone] > 0
-         && (double)(core->now - confirmed_ms[zone]) < core->settings->lease_s * 1000.0;
+         && (double)(core->now_ms - confirmed_ms[zone]) < core->settings->lease_s * 1000.0;
 }
 
 static gboolean
@@ -189,9 +189,9 @@
   gboolean majority_is_suspected = most_are_suspected(&count);
   gboolean all_are_suspected = count.all > 0 && count.suspected == count.all;
   if (majority_is_suspected || (has_node && all_are_suspected))
-    detector->last_partition_ms[zone] = core->now;
+    detector->last_partition_ms[zone] = core->now_ms;
   if (majority_is_suspected || (has_node && all_are_suspected && outlasts_restart))
-    detector->last_confirmed_partition_ms[zone] = core->now;
+    detector->last_confirmed_partition_ms[zone] = core->now_ms;
 }
 
 void
--- a/src/membership/ws-peer-requests.c
+++ b/src/membership/ws-peer-requests.c
@@ -296,7 +296,7 @@
   g_autofree char *key
       = ws_key(WS_KEY_PREFIX_MAILBOX, ws_settings_node(core->settings, core->settings->self)->name);
   WsTxn *txn = ws_txn_new();
-  core->peer_requests->next_mailbox_ms = core->now + MAILBOX_WRITE_INTERVAL_MS;
+  core->peer_requests->next_mailbox_ms = core->now_ms + MAILBOX_WRITE_INTERVAL_MS;
   ws_txn_compare(txn, core->replica, WS_KEY_EPOCH);
   ws_txn_put(txn, key, value);
   ws_txn_commit(core, txn, WS_REQUEST_SCHEDULING, on_mailbox_written, NULL);
@@ -308,7 +308,7 @@
 send_queued_batches(WsCore *core)
 {
   gboolean may_write_mailbox
-      = core->now >= core->peer_requests->next_mailbox_ms && ws_store_is_available(core);
+      = core->now_ms >= core->peer_requests->next_mailbox_ms && ws_store_is_available(core);
   g_autoptr(WsMailbox) mailbox = ws_mailbox_new();
   for (guint n = 0; n < core->settings->nodes->len; n++) {
     WsPeerRequestBatch **queued = &core->peer_requests->queued[n];
@@ -341,8 +341,8 @@
     ws_peer_requests_clear(core);
     return;
   }
-  if (core->now < core->peer_requests->next_batch_ms)
+  if (core->now_ms < core->peer_requests->next_batch_ms)
     return;
-  core->peer_requests->next_batch_ms = core->now + BATCH_INTERVAL_MS;
+  core->peer_requests->next_batch_ms = core->now_ms + BATCH_INTERVAL_MS;
   send_queued_batches(core);
 }
--- a/src/membership/ws-peers.c
+++ b/src/membership/ws-peers.c
@@ -35,7 +35,7 @@
 {
   const WsPeer *peer = ws_peer(core, node);
   return node == core->settings->self
-         || (peer->last_contact_ms > 0 && core->now - peer->last_contact_ms < PEER_TIMEOUT_MS);
+         || (peer->last_contact_ms > 0 && core->now_ms - peer->last_contact_ms < PEER_TIMEOUT_MS);
 }
 
 gboolean
@@ -74,7 +74,7 @@
 void
 ws_peer_record_redirect(WsCore *core, WsNodeIndex node)
 {
-  ws_peer(core, node)->last_redirect_ms = core->now;
+  ws_peer(core, node)->last_redirect_ms = core->now_ms;
 }
 
 guint
--- a/src/scheduling/ws-candidates.c
+++ b/src/scheduling/ws-candidates.c
@@ -115,7 +115,7 @@
 {
   const WsReplica *replica = core->replica;
   double allowed_s = ws_job_time_limit_s(replica, job);
-  double left_s = allowed_s - (double)(core->wall - job->accepted_ms) / 1000.0
+  double left_s = allowed_s - (double)(core->wall_ms - job->accepted_ms) / 1000.0
                   - ws_estimator_run_time_s(core, job) - ws_job_image_fetch_s(replica, job);
   if (allowed_s < 0.0)
     return FALSE;
--- a/src/scheduling/ws-coordinator.c
+++ b/src/scheduling/ws-coordinator.c
@@ -77,7 +77,7 @@
 {
   return job->state == WS_JOB_ACTIVE && job->coordinator == core->settings->self
          && job->status.unplaced_since_ms != 0
-         && core->now - job->status.unplaced_since_ms >= ESCALATION_DELAY_MS;
+         && core->now_ms - job->status.unplaced_since_ms >= ESCALATION_DELAY_MS;
 }
 
 /* Adds to the transaction an update of the job's record that leaves the job without a coordinating
--- a/src/scheduling/ws-demand-sizing.c
+++ b/src/scheduling/ws-demand-sizing.c
@@ -39,7 +39,7 @@
   const WsCore *core = demand->core;
   double allowed_s = ws_job_time_limit_s(core->replica, job);
   double start_objective_s = ws_settings_start_objective_s(core->settings, job->spec->class_name);
-  double earliest_start_s = (double)(core->wall - job->accepted_ms) / 1000.0
+  double earliest_start_s = (double)(core->wall_ms - job->accepted_ms) / 1000.0
                             + ws_replica_type(core->replica, 0)->boot_s;
   double run_and_fetch_s = RUN_TIME_SAFETY_FACTOR * ws_estimator_run_time_s(core, job)
                            + ws_job_image_fetch_s(core->replica, job);
--- a/src/scheduling/ws-gang.c
+++ b/src/scheduling/ws-gang.c
@@ -38,7 +38,7 @@
 {
   const WsMachine *machine = ws_replica_machine(core->replica, assignment->machine);
   assignment->is_stop_requested = TRUE;
-  assignment->stop_sent_ms = core->now;
+  assignment->stop_sent_ms = core->now_ms;
   if (ws_owns_machine(core, machine))
     ws_worker_rpc_halt(core, job, assignment);
   else
@@ -89,7 +89,7 @@
 {
   return ws_owns_machine(core, ws_replica_machine(core->replica, assignment->machine))
          && assignment->state < WS_TASK_SAVING && assignment->state != WS_TASK_ASSIGNED
-         && core->now - assignment->stop_sent_ms >= HALT_RETRY_MS;
+         && core->now_ms - assignment->stop_sent_ms >= HALT_RETRY_MS;
 }
 
 /* Repeats the halts that are due for tasks on this node's machines, either for all tasks or only
@@ -103,7 +103,7 @@
   while ((assignment = ws_assignment_iter_next(&iter)) != NULL) {
     if ((!of_all_tasks && !assignment->is_stop_requested) || !is_halt_due(core, assignment))
       continue;
-    assignment->stop_sent_ms = core->now;
+    assignment->stop_sent_ms = core->now_ms;
     ws_worker_rpc_halt(core, job, assignment);
   }
 }
--- a/src/scheduling/ws-placement.c
+++ b/src/scheduling/ws-placement.c
@@ -47,7 +47,7 @@
   if (!is_unplaced)
     job->status.unplaced_since_ms = 0;
   else if (job->status.unplaced_since_ms == 0)
-    job->status.unplaced_since_ms = core->now;
+    job->status.unplaced_since_ms = core->now_ms;
 }
 
 static gboolean
--- a/src/scheduling/ws-plan.c
+++ b/src/scheduling/ws-plan.c
@@ -72,7 +72,7 @@
 static gboolean
 is_to_be_placed(const WsCore *core, const WsJob *job)
 {
-  return has_unassigned_tasks(job) && core->now >= job->status.retry_ms
+  return has_unassigned_tasks(job) && core->now_ms >= job->status.retry_ms
          && ws_coordinator_current(core->replica, job) == core->settings->self;
 }
 
@@ -131,7 +131,8 @@
   guint cost = placement.map.machines_examined;
   core->plan->machines_examined += cost;
   core->plan->plan_count++;
-  core->plan->next_ms = core->now + MIN_PLAN_PAUSE_MS + cost / MACHINES_EXAMINED_PER_PLAN_PAUSE_MS;
+  core->plan->next_ms
+      = core->now_ms + MIN_PLAN_PAUSE_MS + cost / MACHINES_EXAMINED_PER_PLAN_PAUSE_MS;
   ws_placement_finish(&placement);
 }
 
@@ -139,8 +140,8 @@
 is_plan_due(const WsCore *core)
 {
   gint64 next_ms = core->plan->next_ms;
-  return core->now >= next_ms
-         && (core->replan_is_needed || core->now >= next_ms + PERIODIC_PLAN_DELAY_MS);
+  return core->now_ms >= next_ms
+         && (core->replan_is_needed || core->now_ms >= next_ms + PERIODIC_PLAN_DELAY_MS);
 }
 
 static gboolean
@@ -156,7 +157,7 @@
   if (!is_plan_due(core) || !is_plan_possible(core))
     return;
   core->replan_is_needed = FALSE;
-  core->plan->next_ms = core->now + MIN_PLAN_PAUSE_MS;
+  core->plan->next_ms = core->now_ms + MIN_PLAN_PAUSE_MS;
   if (ws_is_leader(core) || has_tasks_to_place(core))
     make_plan(core);
   ws_coordinator_escalate(core);
--- a/src/scheduling/ws-plan.h
+++ b/src/scheduling/ws-plan.h
@@ -6,7 +6,7 @@
 
 #include "scheduling/ws-scheduling.h"
 
-/** The planning state that is kept between plans. Times are in ms, on the clock of core->now. */
+/** The planning state that is kept between plans. Times are in ms, on the clock of core->now_ms. */
 struct _WsPlan {
   gint64 next_ms;                   /**< no plan is made before this time */
   gboolean escalation_is_in_flight; /**< whether a transaction that escalates jobs is pending */
--- a/src/scheduling/ws-preempt.c
+++ b/src/scheduling/ws-preempt.c
@@ -34,7 +34,7 @@
 static gboolean
 is_protected_from_preemption(const WsCore *core, const WsJob *victim, guint victim_tasks)
 {
-  return core->wall - victim->accepted_ms > (gint64)(WS_QUEUE_MAX_START_DELAY_S * 1000.0)
+  return core->wall_ms - victim->accepted_ms > (gint64)(WS_QUEUE_MAX_START_DELAY_S * 1000.0)
          && victim->completed_count == 0 && victim_tasks <= ws_queue_count_protected_tasks(victim);
 }
 
@@ -77,8 +77,8 @@
   gint64 left = job->tasks - job->completed_count - job->assigned_count;
   gint64 cpus = MIN(left * job->spec->need.cpus, victim->spec->need.cpus);
   double gain = (double)cpus * MAX(ws_estimator_run_time_s(core, job), 1.0);
-  double lost
-      = (double)victim->spec->need.cpus * (double)(core->wall - assignment->assigned_ms) / 1000.0;
+  double lost = (double)victim->spec->need.cpus * (double)(core->wall_ms - assignment->assigned_ms)
+                / 1000.0;
   return lost <= MAX_LOST_WORK_RATIO * gain;
 }
 
@@ -90,7 +90,7 @@
 {
   if (job->spec->priority < victim->spec->priority)
     return job->spec->priority == WS_CRITICAL || is_loss_acceptable(core, job, victim, assignment);
-  return (double)(core->wall - assignment->assigned_ms)
+  return (double)(core->wall_ms - assignment->assigned_ms)
          < MAX_LOST_MS_PER_ESTIMATED_S * victim->spec->estimate_s;
 }
 
@@ -134,7 +134,7 @@
       return IMPOSSIBLE_COST_S;
     assigned_before_ms = assignment->assigned_ms;
     ws_resources_add(&available, &victim->spec->need, 1);
-    cost += STOP_COST_S + (double)(core->wall - assignment->assigned_ms) / 1000.0;
+    cost += STOP_COST_S + (double)(core->wall_ms - assignment->assigned_ms) / 1000.0;
   }
   return cost;
 }
--- a/src/scheduling/ws-queue.c
+++ b/src/scheduling/ws-queue.c
@@ -31,7 +31,7 @@
 static double
 waited_s(const WsCore *core, const WsJob *job)
 {
-  return (double)(core->wall - job->accepted_ms) / 1000.0;
+  return (double)(core->wall_ms - job->accepted_ms) / 1000.0;
 }
 
 static gboolean
--- a/src/scheduling/ws-reservations.c
+++ b/src/scheduling/ws-reservations.c
@@ -70,7 +70,7 @@
 {
   GArray *entries = core->reservations->entries;
   for (guint i = entries->len; i-- > 0;)
-    if (core->now >= g_array_index(entries, Reservation, i).expiry_ms)
+    if (core->now_ms >= g_array_index(entries, Reservation, i).expiry_ms)
       g_array_remove_index_fast(entries, i);
 }
 
@@ -81,7 +81,7 @@
   Reservation *entry = find_entry(core, job->index, machine);
   gboolean was_renewed_recently
       = entry != NULL && entry->tasks == tasks
-        && entry->expiry_ms - core->now > RESERVATION_LIFETIME_MS - RESERVATION_RENEWAL_AGE_MS;
+        && entry->expiry_ms - core->now_ms > RESERVATION_LIFETIME_MS - RESERVATION_RENEWAL_AGE_MS;
   if (was_renewed_recently)
     return;
   if (entry == NULL) {
@@ -90,7 +90,7 @@
     entry = find_entry(core, job->index, machine);
   }
   entry->tasks = tasks;
-  entry->expiry_ms = core->now + RESERVATION_LIFETIME_MS;
+  entry->expiry_ms = core->now_ms + RESERVATION_LIFETIME_MS;
   if (!ws_is_leader(core))
     ws_peer_request_reservation(core, job, machine, tasks);
 }
@@ -103,7 +103,7 @@
     return;
   entry->tasks--;
   if (entry->tasks == 0)
-    entry->expiry_ms = core->now;
+    entry->expiry_ms = core->now_ms;
 }
 
 void
@@ -134,7 +134,7 @@
                      guint other_tasks)
 {
   const WsJob *job = ws_replica_job(core->replica, entry->job);
-  if (core->now >= entry->expiry_ms || job == other || job->state != WS_JOB_ACTIVE
+  if (core->now_ms >= entry->expiry_ms || job == other || job->state != WS_JOB_ACTIVE
       || job->spec == NULL || ws_cancellations_has_job(core, job)
       || !has_precedence(core, job, other, other_tasks))
     return 0;
--- a/src/scheduling/ws-stop-requests.c
+++ b/src/scheduling/ws-stop-requests.c
@@ -11,7 +11,7 @@
 {
   if (assignment == NULL || !assignment->is_stop_requested)
     return FALSE;
-  return assignment->stop_sent_ms <= 0 || core->now - assignment->stop_sent_ms >= STOP_RETRY_MS;
+  return assignment->stop_sent_ms <= 0 || core->now_ms - assignment->stop_sent_ms >= STOP_RETRY_MS;
 }
 
 void
@@ -25,7 +25,7 @@
     WsAssignment *assignment = ws_job_assignment(victim, ref->task);
     if (!is_stop_request_due(core, assignment))
       continue;
-    assignment->stop_sent_ms = core->now;
+    assignment->stop_sent_ms = core->now_ms;
     ws_peer_request_stop(core, machine->owner, victim, assignment);
   }
 }
--- a/src/store/ws-store-load.c
+++ b/src/store/ws-store-load.c
@@ -60,7 +60,7 @@
   g_autoptr(WsKvPage) page = status == WS_KV_OK ? ws_kv_page_parse(body) : NULL;
   if (page == NULL) {
     load->is_loading = FALSE;
-    load->retry_ms = core->now + LOAD_RETRY_DELAY_MS;
+    load->retry_ms = core->now_ms + LOAD_RETRY_DELAY_MS;
     return;
   }
   apply_page(core, page);
@@ -83,7 +83,7 @@
 {
   WsStoreLoad *load = &core->store->load;
   if (load->is_loaded || load->is_loading || core->store->watch.is_open
-      || core->now < load->retry_ms)
+      || core->now_ms < load->retry_ms)
     return;
   load->is_loading = TRUE;
   core->replica->is_loading = TRUE;
--- a/src/store/ws-store-reads.c
+++ b/src/store/ws-store-reads.c
@@ -42,7 +42,7 @@
 void
 ws_store_linearizable_read(WsCore *core, WsReadFunc done, gpointer data)
 {
-  PendingRead read = { done, data, core->now, 0 };
+  PendingRead read = { done, data, core->now_ms, 0 };
   g_array_append_val(core->store->reads.unsent, read);
 }
 
@@ -67,7 +67,7 @@
   for (guint i = waiting->len; i-- > 0;) {
     PendingRead read = g_array_index(waiting, PendingRead, i);
     gboolean is_reached = read.revision <= core->replica->revision;
-    if (!is_reached && core->now - read.requested_ms <= LINEARIZABLE_READ_TIMEOUT_MS)
+    if (!is_reached && core->now_ms - read.requested_ms <= LINEARIZABLE_READ_TIMEOUT_MS)
       continue;
     if (is_reached)
       g_array_append_val(reached, read);
--- a/src/store/ws-store-requests.c
+++ b/src/store/ws-store-requests.c
@@ -63,7 +63,7 @@
 {
   const WsStoreRequests *requests = &core->store->requests;
   return requests->unavailable_since_ms == 0
-         || core->now - requests->unavailable_since_ms < UNAVAILABLE_AFTER_MS;
+         || core->now_ms - requests->unavailable_since_ms < UNAVAILABLE_AFTER_MS;
 }
 
 gint64
@@ -75,7 +75,7 @@
 gboolean
 ws_store_has_write_budget(WsCore *core, guint operations)
 {
-  return ws_token_bucket_can_take(&core->store->requests.write_budget, operations, core->now);
+  return ws_token_bucket_can_take(&core->store->requests.write_budget, operations, core->now_ms);
 }
 
 void
@@ -142,7 +142,7 @@
     requests->unavailable_since_ms = 0;
   else if (status != WS_KV_RATE_LIMITED && status != WS_KV_INVALID
            && requests->unavailable_since_ms == 0)
-    requests->unavailable_since_ms = core->now;
+    requests->unavailable_since_ms = core->now_ms;
 }
 
 static void
@@ -152,7 +152,7 @@
   WsStoreRequests *requests = &core->store->requests;
   update_availability(core, status);
   if (status == WS_KV_RATE_LIMITED && ++request->attempts < MAX_RATE_LIMITED_ATTEMPTS) {
-    requests->rate_limited_until_ms = core->now + RATE_LIMITED_RETRY_DELAY_MS;
+    requests->rate_limited_until_ms = core->now_ms + RATE_LIMITED_RETRY_DELAY_MS;
     g_queue_push_head(&requests->queues[request->request_class], request);
     return;
   }
@@ -173,14 +173,14 @@
 take_budget(WsCore *core, WsRequestClass request_class, guint write_count)
 {
   WsStoreRequests *requests = &core->store->requests;
-  if (!ws_token_bucket_can_take(&requests->request_budget, 1.0, core->now))
+  if (!ws_token_bucket_can_take(&requests->request_budget, 1.0, core->now_ms))
     return FALSE;
   gboolean has_write_budget
       = request_class <= WS_REQUEST_USER
             ? write_count == 0
-                  || ws_token_bucket_overdraw(&requests->write_budget, write_count, core->now)
-            : ws_token_bucket_take(&requests->write_budget, write_count, core->now);
-  return has_write_budget && ws_token_bucket_take(&requests->request_budget, 1.0, core->now);
+                  || ws_token_bucket_overdraw(&requests->write_budget, write_count, core->now_ms)
+            : ws_token_bucket_take(&requests->write_budget, write_count, core->now_ms);
+  return has_write_budget && ws_token_bucket_take(&requests->request_budget, 1.0, core->now_ms);
 }
 
 /* Sends in strict order of priority: while a request waits for the budget, all requests of lower
@@ -189,7 +189,7 @@
 ws_store_requests_send(WsCore *core)
 {
   WsStoreRequests *requests = &core->store->requests;
-  if (core->now < requests->rate_limited_until_ms)
+  if (core->now_ms < requests->rate_limited_until_ms)
     return;
   for (guint i = 0; i < WS_REQUEST_CLASS_COUNT; i++) {
     StoreRequest *request;
--- a/src/store/ws-store-watch.c
+++ b/src/store/ws-store-watch.c
@@ -35,7 +35,7 @@
   }
   g_autoptr(WsKvPage) page = status == WS_KV_OK ? ws_kv_watch_parse(body) : NULL;
   if (page == NULL) {
-    store->watch.retry_ms = core->now + WATCH_RETRY_DELAY_MS;
+    store->watch.retry_ms = core->now_ms + WATCH_RETRY_DELAY_MS;
     return;
   }
   apply_events(core, page->items);
@@ -51,9 +51,9 @@
   const WsStoreWatch *watch = &core->store->watch;
   double interval_ms
       = REQUESTS_PER_WATCH * 1000.0 / core->store->requests.request_budget.per_second;
-  return core->now >= watch->retry_ms
+  return core->now_ms >= watch->retry_ms
          && (core->store->reads.waiting->len > 0
-             || core->now >= watch->opened_ms + (gint64)interval_ms);
+             || core->now_ms >= watch->opened_ms + (gint64)interval_ms);
 }
 
 void
@@ -63,7 +63,7 @@
   if (watch->is_open || !ws_store_is_loaded(core) || !watch_is_due(core))
     return;
   watch->is_open = TRUE;
-  watch->opened_ms = core->now;
+  watch->opened_ms = core->now_ms;
   g_autofree char *path
       = ws_kv_watch_path(WS_KEY_PREFIX, core->replica->revision, WATCH_LONG_POLL_MS);
   ws_store_get(core, path, WATCH_TIMEOUT_MS, on_events, NULL);
--- a/src/store/ws-store.h
+++ b/src/store/ws-store.h
@@ -80,7 +80,7 @@
 /** Whether the replica is loaded and up to date, except for changes still in transit. */
 gboolean ws_store_is_current(const WsCore *core);
 
-/** Time since which all requests have failed, on the clock of core->now; 0: the store responds. */
+/** Since when all requests have failed, on the clock of core->now_ms; 0: the store responds. */
 gint64 ws_store_unavailable_since_ms(const WsCore *core);
 
 /** Whether this node's write budget allows @operations now. Takes nothing from the budget. */
--- a/src/store/ws-write-stats.c
+++ b/src/store/ws-write-stats.c
@@ -52,7 +52,7 @@
 gboolean
 ws_write_stats_is_due(const WsCore *core)
 {
-  return core->now - core->write_stats->since_ms >= WRITE_STATS_LOG_INTERVAL_MS;
+  return core->now_ms - core->write_stats->since_ms >= WRITE_STATS_LOG_INTERVAL_MS;
 }
 
 static char *
@@ -73,7 +73,7 @@
   g_autofree char *text = format_counts(stats);
   if (*text != '\0')
     g_info("operations committed in %.0f s: %s; oldest pending: assignment %.1f s, release %.1f s",
-           (double)(core->now - stats->since_ms) / 1000.0, text,
+           (double)(core->now_ms - stats->since_ms) / 1000.0, text,
            (double)oldest_assignment_ms / 1000.0, (double)oldest_release_ms / 1000.0);
-  *stats = (WsWriteStats){ .since_ms = core->now };
+  *stats = (WsWriteStats){ .since_ms = core->now_ms };
 }
--- a/src/workers/ws-cancelled-tasks.c
+++ b/src/workers/ws-cancelled-tasks.c
@@ -101,7 +101,7 @@
 schedule_halt(WsCore *core, const WsMachine *machine, gint64 after_ms)
 {
   gint64 *at_ms = g_new(gint64, 1);
-  *at_ms = core->now + after_ms;
+  *at_ms = core->now_ms + after_ms;
   g_hash_table_insert(core->workers->cancelled_tasks->next_halt_ms,
                       GUINT_TO_POINTER(machine->index), at_ms);
 }
@@ -177,7 +177,7 @@
                                             GUINT_TO_POINTER(machine->index));
   return machine->worker.endpoint != NULL
          && core->workers->cancelled_tasks->halts_in_flight < MAX_HALTS_IN_FLIGHT
-         && (at_ms == NULL || core->now >= *at_ms);
+         && (at_ms == NULL || core->now_ms >= *at_ms);
 }
 
 /* Return of machines whose tasks aren't confirmed as exited. */
@@ -239,7 +239,7 @@
   gint64 since_ms = unhalted_since_ms(core, machine);
   if (since_ms == 0)
     return;
-  gint64 age_ms = core->now - since_ms;
+  gint64 age_ms = core->now_ms - since_ms;
   if (may_call_worker(core, machine)
       && (age_ms >= NON_OWNER_HALT_DELAY_MS || machine->owner == core->settings->self))
     send_halts(core, machine);
--- a/src/workers/ws-reconciliation.c
+++ b/src/workers/ws-reconciliation.c
@@ -155,7 +155,7 @@
   if (!is_unacknowledged)
     machine->worker.unacknowledged_since_ms = 0;
   else if (machine->worker.unacknowledged_since_ms == 0)
-    machine->worker.unacknowledged_since_ms = run->core->now;
+    machine->worker.unacknowledged_since_ms = run->core->now_ms;
 }
 
 /* Updates the machine and its tasks from the heartbeat. Without the current fencing token the tasks
@@ -166,11 +166,11 @@
 apply_heartbeat(Reconciliation *run)
 {
   WsCore *core = run->core;
-  run->machine->worker.last_heartbeat_ms = core->now;
+  run->machine->worker.last_heartbeat_ms = core->now_ms;
   if (!run->has_current_token)
     return;
   if (!run->machine->is_recorded)
-    ws_cloud_list_note_unrecorded(core, run->machine, core->wall);
+    ws_cloud_list_note_unrecorded(core, run->machine, core->wall_ms);
   ws_worker_status_note_tasks(core, run->machine, run->heartbeat);
 }
 
--- a/src/workers/ws-worker-rpc.c
+++ b/src/workers/ws-worker-rpc.c
@@ -54,7 +54,7 @@
 record_indeterminate_launch(WsCore *core, WsMachine *machine, const CommandCall *call)
 {
   if (machine->worker.indeterminate_launches == 0)
-    machine->worker.indeterminate_since_ms = core->now;
+    machine->worker.indeterminate_since_ms = core->now_ms;
   machine->worker.indeterminate_launches++;
   machine->worker.indeterminate_fencing_token = call->fencing_token;
   machine->worker.indeterminate_incarnation = call->incarnation;
--- a/src/workers/ws-worker-status.c
+++ b/src/workers/ws-worker-status.c
@@ -44,7 +44,7 @@
 {
   job->status.consecutive_errors++;
   guint doublings = MIN(job->status.consecutive_errors, MAX_JOB_BACKOFF_DOUBLINGS);
-  job->status.retry_ms = core->now + JOB_BACKOFF_BASE_MS * (gint64)(1u << doublings);
+  job->status.retry_ms = core->now_ms + JOB_BACKOFF_BASE_MS * (gint64)(1u << doublings);
   if (machine->fleet.last_failed_job != job->index)
     machine->fleet.consecutive_failed_jobs++;
   machine->fleet.last_failed_job = job->index;
@@ -59,7 +59,7 @@
   job->status.incomplete_attempts
       = MIN(job->status.incomplete_attempts + 1, MAX_GANG_BACKOFF_DOUBLINGS);
   job->status.retry_ms
-      = core->now + GANG_BACKOFF_BASE_MS * (gint64)(1u << job->status.incomplete_attempts);
+      = core->now_ms + GANG_BACKOFF_BASE_MS * (gint64)(1u << job->status.incomplete_attempts);
   g_info("gang %s timed out before all its tasks were ready, backing off", job->id);
 }
 
@@ -73,7 +73,7 @@
   if (reason == WS_EXIT_ERROR)
     record_task_failure(core, machine, job);
   if (reason == WS_EXIT_LAUNCH_REJECTED)
-    job->status.retry_ms = core->now + JOB_BACKOFF_BASE_MS;
+    job->status.retry_ms = core->now_ms + JOB_BACKOFF_BASE_MS;
   if (reason == WS_EXIT_GANG_INCOMPLETE)
     back_off_gang(core, job);
   if (reason == WS_EXIT_DONE) {
@@ -133,7 +133,7 @@
 begin_incarnation(WsCore *core, WsMachine *machine, guint64 incarnation)
 {
   if (machine->worker.incarnation != 0) {
-    machine->worker.incarnation_changed_ms = core->now;
+    machine->worker.incarnation_changed_ms = core->now_ms;
     g_info("worker on machine %s started incarnation %" G_GUINT64_FORMAT, machine->name,
            incarnation);
   }
@@ -164,11 +164,11 @@
 static void
 record_contact(WsCore *core, WsMachine *machine)
 {
-  machine->worker.last_contact_ms = core->now;
+  machine->worker.last_contact_ms = core->now_ms;
   machine->worker.failed_probes = 0;
   if (machine->worker.up_ms != 0)
     return;
-  machine->worker.up_ms = core->now;
+  machine->worker.up_ms = core->now_ms;
   g_info("machine %s is up", machine->name);
 }
 
@@ -179,7 +179,7 @@
   if (interruption_s < 0.0)
     machine->worker.interruption_ms = 0;
   else if (machine->worker.interruption_ms == 0)
-    machine->worker.interruption_ms = core->now + (gint64)(interruption_s * 1000.0);
+    machine->worker.interruption_ms = core->now_ms + (gint64)(interruption_s * 1000.0);
 }
 
 static void
--- a/src/workers/ws-workers.c
+++ b/src/workers/ws-workers.c
@@ -52,7 +52,7 @@
 may_redirect(const WsCore *core, const WsMachine *machine, WsNodeIndex owner)
 {
   if (machine->worker.redirected_ms > 0
-      && core->now - machine->worker.redirected_ms < REDIRECT_INTERVAL_MS)
+      && core->now_ms - machine->worker.redirected_ms < REDIRECT_INTERVAL_MS)
     return FALSE;
   return ws_peer_is_reachable(core, owner) && zone_nodes_reach_owner(core, machine->zone, owner);
 }
@@ -68,7 +68,8 @@
 try_reserve_redirect(WsCore *core, WsNodeIndex owner)
 {
   if (ws_peer_receives_no_heartbeats(core, owner)
-      && core->now - ws_peer_last_redirect_ms(core, owner) < UNREACHED_OWNER_REDIRECT_INTERVAL_MS)
+      && core->now_ms - ws_peer_last_redirect_ms(core, owner)
+             < UNREACHED_OWNER_REDIRECT_INTERVAL_MS)
     return FALSE;
   ws_peer_record_redirect(core, owner);
   return TRUE;
@@ -84,7 +85,7 @@
     ws_relay_heartbeat(core, owner, heartbeat, request);
     return;
   }
-  machine->worker.redirected_ms = core->now;
+  machine->worker.redirected_ms = core->now_ms;
   ws_answer(core, request, WS_HTTP_MISDIRECTED_REQUEST,
             ws_redirect_encode(ws_settings_node(core->settings, owner)->name), 0);
 }
@@ -106,7 +107,7 @@
 static gboolean
 was_rejected_recently(const WsCore *core, const WsMachine *machine)
 {
-  gint64 since_ms = core->now - machine->worker.last_rejection_ms;
+  gint64 since_ms = core->now_ms - machine->worker.last_rejection_ms;
   return machine->worker.last_rejection_ms > 0
          && (double)since_ms < REJECTION_INTERVAL_LEASE_SHARE * core->settings->lease_s * 1000.0;
 }
@@ -130,7 +131,7 @@
     ws_authority_record_heartbeat_from_other_zone(core);
   if (!ws_authority_has_heartbeat_from_other_zone(core) || was_rejected_recently(core, machine))
     return FALSE;
-  machine->worker.last_rejection_ms = core->now;
+  machine->worker.last_rejection_ms = core->now_ms;
   return TRUE;
 }
 
