--- a/src/core/ws-core.c
+++ b/src/core/ws-core.c
@@ -25,7 +25,7 @@
 /* Callbacks through which lower packages call higher ones. */
 static const WsHandlers HANDLERS = {
   .request_termination = ws_termination_request_mark,
-  .apply_worker_status = ws_workers_note_status,
+  .apply_worker_status = ws_workers_apply_status,
   .raise_fencing_token = ws_worker_rpc_raise_fencing_token,
   .halt_task = ws_worker_rpc_halt,
   .handle_relay = ws_relay_handle_request,
--- a/src/fleet/ws-cloud-list.c
+++ b/src/fleet/ws-cloud-list.c
@@ -55,7 +55,7 @@
 }
 
 void
-ws_cloud_list_note_unrecorded(WsCore *core, WsMachine *machine, gint64 at_ms)
+ws_cloud_list_schedule_record(WsCore *core, WsMachine *machine, gint64 at_ms)
 {
   if (machine->fleet.mark_is_pending || machine->type_name == NULL || machine->zone == WS_NO_ZONE
       || ws_returns_is_confirmed(core, machine->name) || !ws_is_active_member(core))
@@ -155,7 +155,7 @@
     return;
   ws_replica_set_machine_attributes(core->replica, machine, listed->type, listed->zone,
                                     listed->is_spot);
-  ws_cloud_list_note_unrecorded(core, machine, core->wall_ms - (gint64)(listed->age_s * 1000.0));
+  ws_cloud_list_schedule_record(core, machine, core->wall_ms - (gint64)(listed->age_s * 1000.0));
 }
 
 static void
--- a/src/fleet/ws-fleet-private.h
+++ b/src/fleet/ws-fleet-private.h
@@ -78,8 +78,8 @@
  *
  * @enough: the cloud rented as many machines as were requested, or one of the kind was returned
  */
-void ws_rentals_note_capacity(WsCore *core, WsTypeIndex type, WsZoneIndex zone, gboolean spot,
-                              gboolean enough);
+void ws_rentals_update_backoff(WsCore *core, WsTypeIndex type, WsZoneIndex zone, gboolean spot,
+                               gboolean enough);
 
 /**
  * Returns marked machines to the cloud and completes the termination of returned ones. To be called
--- a/src/fleet/ws-fleet.h
+++ b/src/fleet/ws-fleet.h
@@ -146,7 +146,7 @@
  *
  * @at_ms: time of rental (wall clock)
  */
-void ws_cloud_list_note_unrecorded(WsCore *core, WsMachine *machine, gint64 at_ms);
+void ws_cloud_list_schedule_record(WsCore *core, WsMachine *machine, gint64 at_ms);
 
 /** Writes the scheduled records. Runs on every active member. */
 void ws_cloud_list_reconcile_tick(WsCore *core);
--- a/src/fleet/ws-rentals.c
+++ b/src/fleet/ws-rentals.c
@@ -87,8 +87,8 @@
 }
 
 void
-ws_rentals_note_capacity(WsCore *core, WsTypeIndex type, WsZoneIndex zone, gboolean spot,
-                         gboolean enough)
+ws_rentals_update_backoff(WsCore *core, WsTypeIndex type, WsZoneIndex zone, gboolean spot,
+                          gboolean enough)
 {
   gpointer key = kind_key(type, zone, spot);
   if (enough) {
@@ -270,8 +270,8 @@
   }
   WsZoneIndex zone = ws_replica_find_zone(core->replica, intent->zone);
   guint count = names != NULL ? names->len : 0;
-  ws_rentals_note_capacity(core, ws_replica_find_type(core->replica, intent->type), zone,
-                           intent->is_spot, count >= intent->count);
+  ws_rentals_update_backoff(core, ws_replica_find_type(core->replica, intent->type), zone,
+                            intent->is_spot, count >= intent->count);
   g_info("scale out: the cloud rented %u of %u %s machines in %s", count, intent->count,
          intent->is_spot ? "spot" : "ordinary", intent->zone);
   close_intent(core, intent, names);
--- a/src/fleet/ws-returns.c
+++ b/src/fleet/ws-returns.c
@@ -54,7 +54,7 @@
   const WsMachine *machine = ws_replica_find_machine(core->replica, name);
   g_hash_table_add(core->fleet->returns->confirmed, g_strdup(name));
   if (machine != NULL && machine->type != WS_NO_TYPE && machine->zone != WS_NO_ZONE)
-    ws_rentals_note_capacity(core, machine->type, machine->zone, machine->is_spot, TRUE);
+    ws_rentals_update_backoff(core, machine->type, machine->zone, machine->is_spot, TRUE);
 }
 
 static void
--- a/src/workers/ws-cancelled-tasks.c
+++ b/src/workers/ws-cancelled-tasks.c
@@ -125,7 +125,7 @@
     return;
   confirm_halted(core, machine, heartbeat);
   if (ws_owns_machine(core, machine))
-    (void)ws_workers_note_status(core, machine, heartbeat);
+    (void)ws_workers_apply_status(core, machine, heartbeat);
   /* The reply contains the incarnation and the fencing token that the worker accepts, so the halts
      can be sent at once. */
   if (status == WS_HTTP_CONFLICT || !call->has_halts)
--- a/src/workers/ws-reconciliation.c
+++ b/src/workers/ws-reconciliation.c
@@ -170,8 +170,8 @@
   if (!run->has_current_token)
     return;
   if (!run->machine->is_recorded)
-    ws_cloud_list_note_unrecorded(core, run->machine, core->wall_ms);
-  ws_worker_status_note_tasks(core, run->machine, run->heartbeat);
+    ws_cloud_list_schedule_record(core, run->machine, core->wall_ms);
+  ws_worker_status_apply_tasks(core, run->machine, run->heartbeat);
 }
 
 static void
@@ -198,7 +198,7 @@
                          .has_current_token = heartbeat->fencing_token == fencing_token,
                          .replica_is_behind = !ws_has_caught_up_with_epoch(core) };
   gboolean was_usable = ws_machine_is_up(core, machine) && machine->worker.interruption_ms == 0;
-  if (ws_worker_status_note_header(core, machine, heartbeat)) {
+  if (ws_worker_status_apply_header(core, machine, heartbeat)) {
     reconcile(&run);
     core->replan_is_needed
         = core->replan_is_needed || !was_usable || machine->worker.interruption_ms > 0;
--- a/src/workers/ws-worker-rpc.c
+++ b/src/workers/ws-worker-rpc.c
@@ -47,7 +47,7 @@
   g_autoptr(WsHeartbeat) heartbeat
       = ws_heartbeat_parse_command_response(status, body, machine->name);
   if (heartbeat != NULL && ws_owns_machine(core, machine))
-    ws_workers_note_status(core, machine, heartbeat);
+    ws_workers_apply_status(core, machine, heartbeat);
 }
 
 static void
--- a/src/workers/ws-worker-status.c
+++ b/src/workers/ws-worker-status.c
@@ -120,7 +120,7 @@
 }
 
 void
-ws_worker_status_note_tasks(WsCore *core, WsMachine *machine, const WsHeartbeat *heartbeat)
+ws_worker_status_apply_tasks(WsCore *core, WsMachine *machine, const WsHeartbeat *heartbeat)
 {
   for (guint i = 0; i < heartbeat->tasks->len; i++)
     update_task(core, machine, &g_array_index(heartbeat->tasks, WsTaskStatus, i));
@@ -193,7 +193,7 @@
 }
 
 gboolean
-ws_worker_status_note_header(WsCore *core, WsMachine *machine, const WsHeartbeat *heartbeat)
+ws_worker_status_apply_header(WsCore *core, WsMachine *machine, const WsHeartbeat *heartbeat)
 {
   if (heartbeat->incarnation < machine->worker.incarnation
       || (heartbeat->incarnation == machine->worker.incarnation
@@ -212,11 +212,11 @@
 
 /* A status with an older fencing token may be a delayed copy, so its tasks are ignored. */
 gboolean
-ws_workers_note_status(WsCore *core, WsMachine *machine, const WsHeartbeat *heartbeat)
+ws_workers_apply_status(WsCore *core, WsMachine *machine, const WsHeartbeat *heartbeat)
 {
-  if (!ws_worker_status_note_header(core, machine, heartbeat))
+  if (!ws_worker_status_apply_header(core, machine, heartbeat))
     return FALSE;
   if (heartbeat->fencing_token == core->replica->epoch.number)
-    ws_worker_status_note_tasks(core, machine, heartbeat);
+    ws_worker_status_apply_tasks(core, machine, heartbeat);
   return TRUE;
 }
--- a/src/workers/ws-workers-private.h
+++ b/src/workers/ws-workers-private.h
@@ -34,14 +34,14 @@
  *
  * Returns FALSE, without any change, if the heartbeat is not newer than the last one applied.
  */
-gboolean ws_worker_status_note_header(WsCore *core, WsMachine *machine,
-                                      const WsHeartbeat *heartbeat);
+gboolean ws_worker_status_apply_header(WsCore *core, WsMachine *machine,
+                                       const WsHeartbeat *heartbeat);
 
 /**
  * Updates the state of each task that the heartbeat shows. The heartbeat must have the current
  * fencing token.
  */
-void ws_worker_status_note_tasks(WsCore *core, WsMachine *machine, const WsHeartbeat *heartbeat);
+void ws_worker_status_apply_tasks(WsCore *core, WsMachine *machine, const WsHeartbeat *heartbeat);
 
 /**
  * Returns the assignment that a task in a worker's status belongs to, or NULL if the records don't
--- a/src/workers/ws-workers.h
+++ b/src/workers/ws-workers.h
@@ -34,7 +34,7 @@
  * Tasks in the status are considered present. Tasks that are missing from it aren't considered
  * gone. Returns FALSE, without any change, if the status is not newer than the last one applied.
  */
-gboolean ws_workers_note_status(WsCore *core, WsMachine *machine, const WsHeartbeat *heartbeat);
+gboolean ws_workers_apply_status(WsCore *core, WsMachine *machine, const WsHeartbeat *heartbeat);
 
 /** Launches the newly assigned tasks on the machines that this node owns. */
 void ws_workers_launch_assigned(WsCore *core);
