--- a/src/commit/ws-batch-check.c
+++ b/src/commit/ws-batch-check.c
@@ -89,7 +89,7 @@
 static gboolean
 machine_accepts_tasks(const WsMachine *machine)
 {
-  return machine->is_recorded && !machine->is_marked && !machine->fleet.mark_is_pending;
+  return machine->is_recorded && !machine->is_marked && !machine->fleet.record_write_is_pending;
 }
 
 gboolean
--- a/src/fleet/ws-cloud-list.c
+++ b/src/fleet/ws-cloud-list.c
@@ -45,7 +45,7 @@
   for (guint i = 0; i < machines->len; i++) {
     WsMachine *machine
         = ws_replica_machine(core->replica, g_array_index(machines, WsMachineIndex, i));
-    machine->fleet.mark_is_pending = FALSE;
+    machine->fleet.record_write_is_pending = FALSE;
     if (result == WS_TXN_COMMITTED)
       g_info("machine %s had no record: recorded in a new rental batch", machine->name);
     else
@@ -57,8 +57,9 @@
 void
 ws_cloud_list_schedule_record(WsCore *core, WsMachine *machine, gint64 at_ms)
 {
-  if (machine->fleet.mark_is_pending || machine->type_name == NULL || machine->zone == WS_NO_ZONE
-      || ws_returns_is_confirmed(core, machine->name) || !ws_is_active_member(core))
+  if (machine->fleet.record_write_is_pending || machine->type_name == NULL
+      || machine->zone == WS_NO_ZONE || ws_returns_is_confirmed(core, machine->name)
+      || !ws_is_active_member(core))
     return;
   machine->fleet.needs_record = TRUE;
   machine->rented_ms = at_ms;
@@ -100,8 +101,8 @@
         || !ws_rental_batch_has_space(rental_batch, core->replica, machine->name))
       continue;
     machine->fleet.needs_record = FALSE;
-    machine->fleet.mark_is_pending = TRUE;
-    machine->fleet.mark_pending_since_ms = core->now_ms;
+    machine->fleet.record_write_is_pending = TRUE;
+    machine->fleet.record_write_pending_since_ms = core->now_ms;
     g_array_append_val(rental_batch->machines, machine->index);
     g_array_append_val(machines, machine->index);
   }
--- a/src/fleet/ws-consolidation.c
+++ b/src/fleet/ws-consolidation.c
@@ -45,7 +45,7 @@
   }
   for (WsMachineIndex i = 0; i < core->replica->machines->len; i++) {
     const WsMachine *machine = ws_replica_machine(core->replica, i);
-    if (machine->is_recorded && (machine->is_marked || machine->fleet.mark_is_pending))
+    if (machine->is_recorded && (machine->is_marked || machine->fleet.record_write_is_pending))
       return FALSE;
   }
   return core->now_ms - ws_epoch_known_since_ms(core) > EPOCH_SETTLING_TIME_MS;
--- a/src/fleet/ws-mark-cleanup.c
+++ b/src/fleet/ws-mark-cleanup.c
@@ -15,7 +15,7 @@
   for (guint i = 0; i < machines->len; i++) {
     WsMachine *machine
         = ws_replica_machine(core->replica, g_array_index(machines, WsMachineIndex, i));
-    machine->fleet.mark_is_pending = FALSE;
+    machine->fleet.record_write_is_pending = FALSE;
     if (result == WS_TXN_COMMITTED)
       g_info("machine %s returned, termination mark cleared", machine->name);
   }
@@ -89,8 +89,8 @@
     WsMachine *machine
         = ws_replica_machine(core->replica, g_array_index(machines, WsMachineIndex, i));
     g_autofree char *mark = ws_key(WS_KEY_PREFIX_MARK, machine->name);
-    machine->fleet.mark_is_pending = TRUE;
-    machine->fleet.mark_pending_since_ms = core->now_ms;
+    machine->fleet.record_write_is_pending = TRUE;
+    machine->fleet.record_write_pending_since_ms = core->now_ms;
     ws_txn_delete(txn, mark);
   }
   for (guint i = 0; i < core->replica->rental_batches->len; i++)
@@ -133,7 +133,7 @@
     WsMachine *machine = ws_replica_machine(core->replica, i);
     if (has_orphaned_tasks(core, machine))
       release_tasks(core, machine);
-    if (!machine->is_marked || machine->fleet.mark_is_pending
+    if (!machine->is_marked || machine->fleet.record_write_is_pending
         || !ws_returns_is_confirmed(core, machine->name)
         || !ws_returns_has_all_assignments(core, machine))
       continue;
--- a/src/fleet/ws-termination.c
+++ b/src/fleet/ws-termination.c
@@ -14,9 +14,9 @@
 
 #include <string.h>
 
-/* A requested mark that hasn't been written after this time counts as lost and may be requested
-   again. */
-#define MARK_REQUEST_TIMEOUT_MS 5000
+/* A pending write of a machine's records, e.g. of a requested mark, counts as lost after this time
+   and may be requested again. */
+#define RECORD_WRITE_TIMEOUT_MS 5000
 
 static const WsDisruptionBudget *
 find_budget(const WsCore *core, const WsMachine *machine)
@@ -33,7 +33,8 @@
 static gboolean
 is_unavailable(const WsCore *core, const WsMachine *machine)
 {
-  return machine->is_marked || machine->fleet.mark_is_pending || !ws_machine_is_up(core, machine);
+  return machine->is_marked || machine->fleet.record_write_is_pending
+         || !ws_machine_is_up(core, machine);
 }
 
 /* Whether the disruption budget of the machine's type and zone allows this machine to become
@@ -138,7 +139,7 @@
   for (guint i = 0; i < writing->len; i++) {
     const MarkRequest *request = &g_array_index(writing, MarkRequest, i);
     WsMachine *machine = ws_replica_machine(core->replica, request->machine);
-    machine->fleet.mark_is_pending = FALSE;
+    machine->fleet.record_write_is_pending = FALSE;
     if (result == WS_TXN_COMMITTED)
       log_mark(core, machine, request->reason);
   }
@@ -156,15 +157,15 @@
 ws_termination_request_mark(WsCore *core, WsMachine *machine, const char *reason,
                             gboolean immediately)
 {
-  if (machine->fleet.mark_is_pending || has_mark(machine, immediately)
+  if (machine->fleet.record_write_is_pending || has_mark(machine, immediately)
       || !ws_store_is_available(core))
     return;
   /* Until the mark of a returned machine is cleared, the failure detector of its owner suspects the
      machine and requests another mark, which isn't needed. */
   if (machine->is_marked && ws_returns_is_confirmed(core, machine->name))
     return;
-  machine->fleet.mark_is_pending = TRUE;
-  machine->fleet.mark_pending_since_ms = core->now_ms;
+  machine->fleet.record_write_is_pending = TRUE;
+  machine->fleet.record_write_pending_since_ms = core->now_ms;
   if (!ws_is_leader(core)) {
     ws_peer_request_mark(core, machine, reason, immediately);
     return;
@@ -198,7 +199,7 @@
     request.reason = g_strdup(request.reason);
     g_array_append_val(termination->writing, request);
   } else {
-    machine->fleet.mark_is_pending = FALSE;
+    machine->fleet.record_write_is_pending = FALSE;
   }
   g_array_remove_index(termination->requested, 0);
 }
@@ -286,9 +287,9 @@
     /* A pending request expires also for machines that this node no longer owns. Otherwise a node
        that had requested a mark and then became leader refused all further requests for that
        machine, and the machine was never returned. */
-    if (machine->fleet.mark_is_pending
-        && core->now_ms - machine->fleet.mark_pending_since_ms > MARK_REQUEST_TIMEOUT_MS)
-      machine->fleet.mark_is_pending = FALSE;
+    if (machine->fleet.record_write_is_pending
+        && core->now_ms - machine->fleet.record_write_pending_since_ms > RECORD_WRITE_TIMEOUT_MS)
+      machine->fleet.record_write_is_pending = FALSE;
     if (machine->is_recorded && ws_owns_machine(core, machine))
       request_mark_if_due(core, machine);
   }
--- a/src/scheduling/ws-capacity-map.c
+++ b/src/scheduling/ws-capacity-map.c
@@ -14,7 +14,7 @@
 is_usable(const WsCore *core, const WsMachine *machine)
 {
   return machine->is_recorded && machine->type != WS_NO_TYPE && !machine->is_marked
-         && !machine->fleet.mark_is_pending && machine->worker.interruption_ms == 0
+         && !machine->fleet.record_write_is_pending && machine->worker.interruption_ms == 0
          && !ws_machine_is_faulty(machine) && ws_machine_is_up(core, machine)
          && !ws_machine_is_outbound_unreachable(core, machine)
          && !ws_machine_is_inbound_unreachable(core, machine) && machine->owner != WS_NO_NODE;
--- a/src/storage/ws-replica-machines.c
+++ b/src/storage/ws-replica-machines.c
@@ -131,7 +131,7 @@
   const char *reason = "";
   machine->is_marked = value != NULL;
   machine->mark_is_immediate = FALSE;
-  machine->fleet.mark_is_pending = FALSE;
+  machine->fleet.record_write_is_pending = FALSE;
   g_clear_pointer(&machine->mark_reason, g_free);
   if (value == NULL)
     return;
--- a/src/storage/ws-status.h
+++ b/src/storage/ws-status.h
@@ -58,19 +58,20 @@
 
 /**
  * Rental, consolidation and failure status of a machine. Written by fleet, and by workers for
- * failed jobs. Applied records and new assignments also reset mark_is_pending and the times of low
- * use, and a process pause resets the latter.
+ * failed jobs. Applied records and new assignments also reset record_write_is_pending and the times
+ * of low use, and a process pause resets the latter.
  */
 typedef struct {
   gint64 empty_since_ms;         /**< since when it has had no tasks */
   gint64 underused_since_ms;     /**< since when its utilisation has been low */
   guint consecutive_failed_jobs; /**< number since a job last succeeded on it */
   WsJobIndex last_failed_job;
-  gboolean needs_record;        /**< it must be added to a rental batch */
-  gint64 unrecorded_since_ms;   /**< since when the cloud has listed it without a rental batch */
-  gboolean mark_is_pending;     /**< a write of its termination mark or rental batch is pending */
-  gint64 mark_pending_since_ms; /**< since when that write has been pending */
-  gint64 stop_after_ms;         /**< when the next service task on it may be stopped */
+  gboolean needs_record;      /**< it must be added to a rental batch */
+  gint64 unrecorded_since_ms; /**< since when the cloud has listed it without a rental batch */
+  /** A write of its rental batch or termination mark, or the mark's deletion, is pending. */
+  gboolean record_write_is_pending;
+  gint64 record_write_pending_since_ms; /**< since when that write has been pending */
+  gint64 stop_after_ms;                 /**< when the next service task on it may be stopped */
   guint stop_backoff_ms;
 } WsFleetStatus;
 
