--- a/src/core/ws-core.h
+++ b/src/core/ws-core.h
@@ -14,8 +14,8 @@
 
 /** The listener that received a request. */
 typedef enum {
-  WS_LISTENER_API, /**< for users and workers */
-  WS_LISTENER_MESH /**< for the other controllers */
+  WS_LISTENER_API,  /**< for users and workers */
+  WS_LISTENER_PEERS /**< for the other controllers */
 } WsListener;
 
 /**
--- a/src/protocol/ws-settings.c
+++ b/src/protocol/ws-settings.c
@@ -288,7 +288,7 @@
     return invalid;
   if (!copy_string(message, "api_addr", &settings->api_addr))
     return "api_addr";
-  if (!copy_string(message, "mesh_addr", &settings->mesh_addr))
+  if (!copy_string(message, "mesh_addr", &settings->peer_addr))
     return "mesh_addr";
   if (!copy_string(services, "cloud", &settings->cloud_addr))
     return "services.cloud";
@@ -343,7 +343,7 @@
   g_ptr_array_unref(settings->teams);
   g_ptr_array_unref(settings->objectives);
   g_free(settings->api_addr);
-  g_free(settings->mesh_addr);
+  g_free(settings->peer_addr);
   g_free(settings->cloud_addr);
   g_free(settings->kv_addr);
   g_free(settings);
--- a/src/protocol/ws-settings.h
+++ b/src/protocol/ws-settings.h
@@ -35,7 +35,7 @@
 
   /* Addresses, HOST:PORT. */
   char *api_addr;   /**< listen address for users and workers */
-  char *mesh_addr;  /**< listen address for the other controllers */
+  char *peer_addr;  /**< listen address for the other controllers */
   char *cloud_addr; /**< address of the cloud API */
   char *kv_addr;    /**< address of the key-value store */
 
--- a/src/runtime/ws-runtime.c
+++ b/src/runtime/ws-runtime.c
@@ -91,7 +91,7 @@
 static void
 on_peer_request(WsHttpRequest *request, gpointer data)
 {
-  handle_request(data, WS_LISTENER_MESH, request);
+  handle_request(data, WS_LISTENER_PEERS, request);
 }
 
 static gboolean
@@ -124,7 +124,7 @@
                            on_api_request, runtime, error);
   if (runtime->api_server != NULL)
     runtime->peer_server
-        = ws_http_server_new(settings->mesh_addr, (guint)(sockets * PEER_SERVER_SOCKET_SHARE),
+        = ws_http_server_new(settings->peer_addr, (guint)(sockets * PEER_SERVER_SOCKET_SHARE),
                              on_peer_request, runtime, error);
   if (runtime->peer_server == NULL) {
     ws_runtime_free(runtime);
--- a/tests/regressions/writes.c
+++ b/tests/regressions/writes.c
@@ -150,7 +150,7 @@
   fixture->hold_assignment = TRUE;
   fixture_send_request(fixture, "POST", "/api/jobs", second_job);
   g_assert_cmpuint(fixture->held_call, !=, 0);
-  fixture_request(fixture, WS_LISTENER_MESH, "POST", "/ask",
+  fixture_request(fixture, WS_LISTENER_PEERS, "POST", "/ask",
                   json_pack("{s:i, s:[[s, i, s], [s, i, s]], s:[]}", "epoch", 1, "picks", "req-2",
                             0, "m-1", "req-2", 0, "m-2", "stops"));
   fixture_reply(fixture, fixture->held_call, 409, NULL);
--- a/tests/sim/fixture.c
+++ b/tests/sim/fixture.c
@@ -209,7 +209,7 @@
 void
 fixture_send_peer_message(Fixture *fixture, const char *path, json_t *body)
 {
-  fixture_request(fixture, WS_LISTENER_MESH, "POST", path, body);
+  fixture_request(fixture, WS_LISTENER_PEERS, "POST", path, body);
   fixture_run(fixture, 0.3);
 }
 
--- a/tests/sim/sim-network.c
+++ b/tests/sim/sim-network.c
@@ -223,7 +223,7 @@
   else if (sim->now_ms < sim->nodes[node].paused_until_ms)
     sim_schedule(sim, sim->nodes[node].paused_until_ms - sim->now_ms, route_call, call);
   else
-    deliver_to_node(sim, call, node, call->address[0] == 'm' ? WS_LISTENER_MESH : WS_LISTENER_API);
+    deliver_to_node(sim, call, node, call->address[0] == 'm' ? WS_LISTENER_PEERS : WS_LISTENER_API);
 }
 
 static gboolean
--- a/tests/test-evidence.c
+++ b/tests/test-evidence.c
@@ -166,7 +166,7 @@
   scenario_begin(&scenario);
   change_epoch(&scenario, TRUE);
   scenario.fixture->hold_assignment = TRUE;
-  fixture_request(scenario.fixture, WS_LISTENER_MESH, "POST", "/ask",
+  fixture_request(scenario.fixture, WS_LISTENER_PEERS, "POST", "/ask",
                   has_evidence ? release_message_from_n1(&scenario, 2, "absent", 2)
                                : legacy_release_message_from_n1(2));
   wait_for_held_call(scenario.fixture);
@@ -203,7 +203,7 @@
   change_epoch(&scenario, FALSE);
   launch_as_n0(&scenario);
   change_epoch(&scenario, TRUE);
-  fixture_request(scenario.fixture, WS_LISTENER_MESH, "POST", "/ask",
+  fixture_request(scenario.fixture, WS_LISTENER_PEERS, "POST", "/ask",
                   has_evidence ? release_message_from_n1(&scenario, 4, "absent", 2)
                                : legacy_release_message_from_n1(4));
   fixture_run(scenario.fixture, COMMIT_WAIT_S);
@@ -232,7 +232,7 @@
   change_epoch(&scenario, TRUE);
   change_epoch(&scenario, FALSE);
   change_epoch(&scenario, TRUE);
-  fixture_request(scenario.fixture, WS_LISTENER_MESH, "POST", "/ask",
+  fixture_request(scenario.fixture, WS_LISTENER_PEERS, "POST", "/ask",
                   release_message_from_n1(&scenario, 4, "returned", 1));
   fixture_run(scenario.fixture, COMMIT_WAIT_S);
   g_assert_false(is_first_attempt_assigned(&scenario));
@@ -250,7 +250,7 @@
   Fixture *fixture = scenario.fixture;
   assign_second_attempt(fixture, scenario.machine);
   fixture_run(fixture, 1.0);
-  fixture_request(fixture, WS_LISTENER_MESH, "POST", "/ask",
+  fixture_request(fixture, WS_LISTENER_PEERS, "POST", "/ask",
                   json_pack("{s:i, s:[[s, i, i, b]]}", "epoch", 2, "releases", "req-1", 0, 2, 0));
   fixture_run(fixture, 0.4);
   g_assert_cmpstr(json_string_value(
@@ -277,7 +277,7 @@
     fixture->status_report
         = fixture_heartbeat(fixture, scenario.machine, fencing_token, 100 + fencing_token, tasks);
     fixture_run(fixture, COMMIT_WAIT_S);
-    fixture_request(fixture, WS_LISTENER_MESH, "POST", "/ask", legacy_release_message_from_n1(2));
+    fixture_request(fixture, WS_LISTENER_PEERS, "POST", "/ask", legacy_release_message_from_n1(2));
     fixture_run(fixture, 0.4);
     g_assert_true(is_first_attempt_assigned(&scenario) == (fencing_token == 1));
   }
@@ -297,10 +297,10 @@
   guint repeats = (guint)(fixture->settings->lease_s / LEGACY_RELEASE_INTERVAL_S) + 1;
   for (guint i = 0; i < repeats; i++) {
     g_assert_false(sim_store_has(fixture->store, mark));
-    fixture_request(fixture, WS_LISTENER_MESH, "POST", "/ask", legacy_release_message_from_n1(2));
+    fixture_request(fixture, WS_LISTENER_PEERS, "POST", "/ask", legacy_release_message_from_n1(2));
     fixture_run(fixture, LEGACY_RELEASE_INTERVAL_S);
   }
-  fixture_request(fixture, WS_LISTENER_MESH, "POST", "/ask", legacy_release_message_from_n1(2));
+  fixture_request(fixture, WS_LISTENER_PEERS, "POST", "/ask", legacy_release_message_from_n1(2));
   fixture_run(fixture, 1.0);
   g_assert_true(sim_store_has(fixture->store, mark));
   g_assert_true(is_first_attempt_assigned(&scenario));
@@ -343,7 +343,7 @@
   fixture_write_key(scenario.fixture, "w/member/n2", json_pack("{s:i}", "incarnation", 1));
   fixture_run(scenario.fixture, EPOCH_CHANGE_WAIT_S);
   g_assert_cmpuint(epoch_number(scenario.fixture), ==, 3);
-  fixture_request(scenario.fixture, WS_LISTENER_MESH, "POST", "/ask",
+  fixture_request(scenario.fixture, WS_LISTENER_PEERS, "POST", "/ask",
                   release_message_from_n1(&scenario, 3, "absent", 2));
   fixture_run(scenario.fixture, COMMIT_WAIT_S);
   g_assert_false(is_first_attempt_assigned(&scenario));
