--- a/src/membership/ws-peer-request-message.c
+++ b/src/membership/ws-peer-request-message.c
@@ -58,7 +58,7 @@
 {
   if (batch == NULL)
     return;
-  for (guint k = 0; k < WS_PEER_REQUEST_KINDS; k++)
+  for (guint k = 0; k < WS_PEER_REQUEST_KIND_COUNT; k++)
     if (batch->requests[k] != NULL)
       g_ptr_array_unref(batch->requests[k]);
   g_free(batch);
@@ -101,7 +101,7 @@
     return json_pack("[s, i, s]", request->job, (int)request->task, request->machine);
   case WS_PEER_REQUEST_MARK:
     return json_pack("[s, s, b]", request->machine, request->reason, request->is_immediate);
-  case WS_PEER_REQUEST_KINDS:
+  case WS_PEER_REQUEST_KIND_COUNT:
     break;
   }
   return NULL;
@@ -177,7 +177,7 @@
     return NULL;
   WsPeerRequestBatch *batch = ws_peer_request_batch_new();
   batch->epoch = epoch;
-  for (guint k = 0; k < WS_PEER_REQUEST_KINDS; k++) {
+  for (guint k = 0; k < WS_PEER_REQUEST_KIND_COUNT; k++) {
     size_t i;
     const json_t *item;
     json_array_foreach(json_object_get(body, LIST_NAMES[k]), i, item)
@@ -236,7 +236,7 @@
 {
   for (guint i = 0; i < mailbox->batches->len; i++) {
     WsPeerRequestBatch *batch = g_ptr_array_index(mailbox->batches, i);
-    for (guint k = 0; k < WS_PEER_REQUEST_KINDS; k++)
+    for (guint k = 0; k < WS_PEER_REQUEST_KIND_COUNT; k++)
       if (batch->requests[k] != NULL)
         g_ptr_array_set_size(batch->requests[k], (gint)(batch->requests[k]->len / 2));
   }
--- a/src/membership/ws-peer-request-message.h
+++ b/src/membership/ws-peer-request-message.h
@@ -13,7 +13,7 @@
   WS_PEER_REQUEST_RESERVATION, /**< job, tasks, machine: empty for any */
   WS_PEER_REQUEST_ASSIGNMENT,  /**< job, task, machine */
   WS_PEER_REQUEST_MARK,        /**< machine, reason, is_immediate */
-  WS_PEER_REQUEST_KINDS
+  WS_PEER_REQUEST_KIND_COUNT   /**< the number of kinds */
 } WsPeerRequestKind;
 
 /** A request. Fields that its kind does not use are 0. Strings of a received one may be NULL. */
@@ -37,9 +37,9 @@
 /** The requests of one node to another. */
 typedef struct {
   guint64 epoch;
-  GPtrArray *requests[WS_PEER_REQUEST_KINDS];     /**< of WsPeerRequest; NULL: none was added */
-  WsPeerRequestKind order[WS_PEER_REQUEST_KINDS]; /**< kinds in the order of first addition */
-  guint kinds;                                    /**< number of entries used in @order */
+  GPtrArray *requests[WS_PEER_REQUEST_KIND_COUNT]; /**< of WsPeerRequest; NULL: none was added */
+  WsPeerRequestKind order[WS_PEER_REQUEST_KIND_COUNT]; /**< kinds in the order of first addition */
+  guint kinds;                                         /**< number of entries used in @order */
 } WsPeerRequestBatch;
 
 /** Creates an empty batch of epoch 0. The caller frees it. */
--- a/src/membership/ws-peer-requests.c
+++ b/src/membership/ws-peer-requests.c
@@ -233,7 +233,7 @@
   handle_kind(core, batch, WS_PEER_REQUEST_STOP);
   if (!ws_is_leader(core))
     return TRUE;
-  for (guint k = WS_PEER_REQUEST_STOP + 1; k < WS_PEER_REQUEST_KINDS; k++)
+  for (guint k = WS_PEER_REQUEST_STOP + 1; k < WS_PEER_REQUEST_KIND_COUNT; k++)
     handle_kind(core, batch, (WsPeerRequestKind)k);
   return TRUE;
 }
--- a/src/storage/ws-status.h
+++ b/src/storage/ws-status.h
@@ -77,9 +77,10 @@
 
 /** Scheduling status of a job. */
 typedef struct {
-  guint consecutive_errors;  /**< consecutive failures */
-  guint incomplete_attempts; /**< gang attempts whose tasks were not all ready in time */
-  gboolean is_guaranteed;    /**< its team's guarantee covers it and the team's earlier open jobs */
-  gint64 retry_ms;           /**< earliest time of its next placement */
-  gint64 unplaced_since_ms;  /**< since when its coordinating node has failed to place it */
+  guint consecutive_errors; /**< consecutive failures */
+  /** Gang attempts whose tasks weren't all ready in time, capped; each doubles the back-off. */
+  guint gang_backoff_doublings;
+  gboolean is_guaranteed;   /**< its team's guarantee covers it and the team's earlier open jobs */
+  gint64 retry_ms;          /**< earliest time of its next placement */
+  gint64 unplaced_since_ms; /**< since when its coordinating node has failed to place it */
 } WsJobStatus;
--- a/src/workers/ws-worker-status.c
+++ b/src/workers/ws-worker-status.c
@@ -56,10 +56,10 @@
 static void
 back_off_gang(WsCore *core, WsJob *job)
 {
-  job->status.incomplete_attempts
-      = MIN(job->status.incomplete_attempts + 1, MAX_GANG_BACKOFF_DOUBLINGS);
+  job->status.gang_backoff_doublings
+      = MIN(job->status.gang_backoff_doublings + 1, MAX_GANG_BACKOFF_DOUBLINGS);
   job->status.retry_ms
-      = core->now_ms + GANG_BACKOFF_BASE_MS * (gint64)(1u << job->status.incomplete_attempts);
+      = core->now_ms + GANG_BACKOFF_BASE_MS * (gint64)(1u << job->status.gang_backoff_doublings);
   g_info("gang %s timed out before all its tasks were ready, backing off", job->id);
 }
 
