--- a/tests/evidence/evidence.h
+++ b/tests/evidence/evidence.h
@@ -7,5 +7,5 @@
 void test_release_is_valid_exactly_while_owner_is_same(void);
 void test_release_encoding_round_trip(void);
 
-/* flapping.c */
+/* lease-loss.c */
 void test_cluster_recovers_from_repeated_lease_loss(void);
--- a/tests/evidence/validity.c
+++ b/tests/evidence/validity.c
@@ -6,7 +6,7 @@
 #include "sim/fault-injection.h"
 #include "sim/fixture.h"
 #include "storage/ws-evidence.h"
-#include "ws-site.h"
+#include "ws-test-settings.h"
 
 #define EPOCH_COUNT 40
 #define MACHINE_COUNT 12
--- a/tests/sim/fixture.c
+++ b/tests/sim/fixture.c
@@ -7,7 +7,7 @@
 #include "sim/trace.h"
 
 #include "protocol/ws-json.h"
-#include "ws-site.h"
+#include "ws-test-settings.h"
 
 #include <string.h>
 
--- a/tests/sim/sim-private.h
+++ b/tests/sim/sim-private.h
@@ -7,7 +7,7 @@
 #include "protocol/ws-json.h"
 #include "sim/store.h"
 #include "sim/worker.h"
-#include "ws-site.h"
+#include "ws-test-settings.h"
 
 /**
  * The tick of the simulation, the time by which a cancelled task must have stopped (cancel_s of the
--- a/tests/test-coordination.c
+++ b/tests/test-coordination.c
@@ -3,7 +3,7 @@
  * limits of settings.
  */
 #include "coordination/ws-epoch.h"
-#include "ws-site.h"
+#include "ws-test-settings.h"
 
 #include <string.h>
 
--- a/tests/test-evidence.c
+++ b/tests/test-evidence.c
@@ -8,7 +8,7 @@
 #include "coordination/ws-epoch.h"
 #include "evidence/evidence.h"
 #include "sim/fixture.h"
-#include "ws-site.h"
+#include "ws-test-settings.h"
 #include "ws-suite.h"
 
 #define EPOCH_CHANGE_WAIT_S 1.5
--- a/tests/test-http.c
+++ b/tests/test-http.c
@@ -5,7 +5,7 @@
 #include "protocol/ws-json.h"
 #include "runtime/ws-runtime.h"
 #include "sim/store.h"
-#include "ws-gen.h"
+#include "ws-random-input.h"
 #include "ws-suite.h"
 
 #include <libsoup/soup.h>
--- a/tests/test-peer-messages.c
+++ b/tests/test-peer-messages.c
@@ -5,7 +5,7 @@
 #include "membership/ws-peer-request-message.h"
 #include "membership/ws-relay-message.h"
 #include "storage/ws-records.h"
-#include "ws-site.h"
+#include "ws-test-settings.h"
 
 #include <string.h>
 
--- a/tests/test-protocol.c
+++ b/tests/test-protocol.c
@@ -5,8 +5,8 @@
 #include "protocol/ws-heartbeat.h"
 #include "protocol/ws-job-summary.h"
 #include "protocol/ws-settings.h"
-#include "ws-site.h"
-#include "ws-gen.h"
+#include "ws-test-settings.h"
+#include "ws-random-input.h"
 
 #include <string.h>
 
--- a/tests/test-storage.c
+++ b/tests/test-storage.c
@@ -4,8 +4,8 @@
  */
 #include "storage/ws-records.h"
 #include "storage/ws-team-use.h"
-#include "ws-gen.h"
-#include "ws-site.h"
+#include "ws-random-input.h"
+#include "ws-test-settings.h"
 #include "ws-suite.h"
 
 #include <string.h>
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -7,7 +7,7 @@
 #include "sim/fixture.h"
 #include "sim/fault-injection.h"
 #include "storage/ws-team-use.h"
-#include "ws-site.h"
+#include "ws-test-settings.h"
 #include "ws-suite.h"
 
 #include <string.h>
