--- a/src/workers/ws-worker-rpc.c
+++ b/src/workers/ws-worker-rpc.c
@@ -47,14 +47,14 @@
   g_autoptr(WsHeartbeat) heartbeat
       = ws_heartbeat_parse_command_response(status, body, machine->name);
   if (heartbeat != NULL && ws_owns_machine(core, machine))
-    ws_workers_note_status(core, machine, heartbeat);
+    ws_workers_apply_status(core, machine, heartbeat);
 }
 
 static void
 record_indeterminate_launch(WsCore *core, WsMachine *machine, const CommandCall *call)
 {
   if (machine->worker.indeterminate_launches == 0)
-    machine->worker.indeterminate_since_ms = core->now;
+    machine->worker.indeterminate_since_ms = core->now_ms;
   machine->worker.indeterminate_launches++;
   machine->worker.indeterminate_fencing_token = call->fencing_token;
   machine->worker.indeterminate_incarnation = call->incarnation;
