--- a/src/main.c
+++ b/src/main.c
@@ -34,21 +34,20 @@
 parse_options(int *argc, char ***argv, Options *options)
 {
   GOptionEntry entries[] = { { "config", 0, 0, G_OPTION_ARG_FILENAME, &options->config,
-                               "settings file of the platform (JSON)", "FILE" },
+                               "settings of the platform (JSON)", "FILE" },
                              { "properties", 0, 0, G_OPTION_ARG_FILENAME, &options->properties,
-                               "properties file of the operators", "FILE" },
+                               "operators' own settings (properties)", "FILE" },
                              { "check", 0, 0, G_OPTION_ARG_NONE, &options->check_only,
-                               "check both files and exit", NULL },
+                               "check both files and end", NULL },
                              { "version", 0, 0, G_OPTION_ARG_NONE, &options->show_version,
-                               "print the version and exit", NULL },
+                               "show the version and end", NULL },
                              { 0 } };
   g_autoptr(GOptionContext) context = g_option_context_new("- a cluster scheduler");
   g_autoptr(GError) error = NULL;
   g_option_context_add_main_entries(context, entries, NULL);
   g_option_context_set_summary(
-      context, "Places jobs on rented machines and returns idle machines to the cloud.\n"
-               "The environment variable LOG_LEVEL (error, info, debug) sets how much is logged "
-               "to standard error.");
+      context, "Places jobs on rented machines and gives idle machines back.\n"
+               "LOG_LEVEL (error, info, debug) says how much is written to standard error.");
   if (!g_option_context_parse(context, argc, argv, &error)) {
     fprintf(stderr, "wrenshore: %s\n", error->message);
     return FALSE;
